--- a/internal/ids/ids.go
+++ b/internal/intern/intern.go
@@ -1,6 +1,6 @@
-// Package ids maps names to dense indices at the door, so that the rest of
+// Package intern maps names to dense indices at the door, so that the rest of
 // the program works with small integers.
-package ids
+package intern
 
 // Table interns names of one kind. The zero value is ready to use.
 type Table struct {
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -4,7 +4,7 @@
 // to the store; only the leader adds wishes, which become writes.
 package pipeline
 
-import "lugward/internal/ids"
+import "lugward/internal/intern"
 
 // Shape of a job.
 type Shape uint8
@@ -76,7 +76,7 @@
 
 // Names are the tables that map names to the indices used everywhere else.
 type Names struct {
-	Classes, Teams, Bundles, Flavors, Zones, Hosts ids.Table
+	Classes, Teams, Bundles, Flavors, Zones, Hosts intern.Table
 }
 
 // Entry says that an attempt of a task may be on a machine. It exists from
