--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"lugward/internal/config"
+	"lugward/internal/event"
 	"lugward/internal/fleet"
 	"lugward/internal/intake"
 	"lugward/internal/lead"
@@ -19,7 +20,6 @@
 	"lugward/internal/pipeline"
 	"lugward/internal/place"
 	"lugward/internal/rental"
-	"lugward/internal/step"
 	"lugward/internal/store"
 )
 
@@ -67,7 +67,7 @@
 
 type peerState struct {
 	label string
-	heard step.Time
+	heard event.Time
 	beat  peer.Frame
 }
 
@@ -81,9 +81,9 @@
 
 // passage is what a node that does not lead remembers of a worker.
 type passage struct {
-	fence    uint64    // of the leader it was sent to
-	sent     step.Time // when
-	relaying step.Time // since when its reports are passed on, 0: they are not
+	fence    uint64     // of the leader it was sent to
+	sent     event.Time // when
+	relaying event.Time // since when its reports are passed on, 0: they are not
 }
 
 // Node is one controller.
@@ -102,17 +102,17 @@
 
 	clock     func() time.Duration
 	leading   bool
-	beatAt    step.Time
-	roundAt   step.Time
-	planAt    step.Time
-	packAt    step.Time
-	fleetAt   step.Time
-	cleanAt   step.Time
-	loadAt    step.Time
-	showing   bool      // the version's key is being written
-	showAt    step.Time // when it may be tried again
-	heardAny  step.Time // a worker's report, as leader
-	yielded   bool      // our last term was given up for want of reports, and no worker has come since
+	beatAt    event.Time
+	roundAt   event.Time
+	planAt    event.Time
+	packAt    event.Time
+	fleetAt   event.Time
+	cleanAt   event.Time
+	loadAt    event.Time
+	showing   bool       // the version's key is being written
+	showAt    event.Time // when it may be tried again
+	heardAny  event.Time // a worker's report, as leader
+	yielded   bool       // our last term was given up for want of reports, and no worker has come since
 	blocked   []*pipeline.Job
 	rooms     []*place.Room
 	parser    fleet.Parser
@@ -171,7 +171,7 @@
 // share sets our part of the state service's rates by what each controller
 // says it could use; one that we do not hear counts with its sure part.
 // It returns what we could use ourselves.
-func (n *Node) share(now step.Time) (requests, writes float64) {
+func (n *Node) share(now event.Time) (requests, writes float64) {
 	rps, writeRPS := n.store.Rates()
 	requests, writes = n.store.Demand(now)
 	n.store.SetShare(n.split(useRequests*rps, requests, func(f *peer.Frame) uint16 { return f.Requests }),
@@ -213,10 +213,10 @@
 
 // Clock tells the time of day at a steady time: other processes count what is
 // stored from another start.
-func (n *Node) Clock(now step.Time, wall time.Time) { n.jobs.SetClock(now, wall) }
+func (n *Node) Clock(now event.Time, wall time.Time) { n.jobs.SetClock(now, wall) }
 
 // Tick advances time.
-func (n *Node) Tick(now step.Time, out *step.Out) {
+func (n *Node) Tick(now event.Time, out *event.Effects) {
 	n.jobs.Now = int64(now)
 	n.store.Tick(now, out)
 	n.lead.Tick(now, out)
@@ -239,7 +239,7 @@
 }
 
 // settle notices the begin and the end of our term.
-func (n *Node) settle(now step.Time, out *step.Out) {
+func (n *Node) settle(now event.Time, out *event.Effects) {
 	if n.lead.Acquired() {
 		n.leading = true
 		n.jobs.Forget()
@@ -269,7 +269,7 @@
 // term up for that before and no worker has come to it since, none may be left,
 // and terms given up one after the other would keep the proof that the tasks of
 // silent machines are gone from ever being reached: it stays until then.
-func (n *Node) patience() step.Time {
+func (n *Node) patience() event.Time {
 	if n.yielded {
 		return n.lead.SilentProof(n.heardAny) + deafAfter
 	}
@@ -289,7 +289,7 @@
 func (n *Node) present(p *peerState) bool { return n.beatAt-p.heard < beatLost }
 
 // act is the leader's work.
-func (n *Node) act(now step.Time, out *step.Out) {
+func (n *Node) act(now event.Time, out *event.Effects) {
 	if now-n.fleetAt >= fleetEvery {
 		n.fleetAt = now
 		n.fleet.Tick(now, n.lead, out)
@@ -334,7 +334,7 @@
 }
 
 // logLoad tells how much work there is and what is being done about it.
-func (n *Node) logLoad(now step.Time) {
+func (n *Node) logLoad(now event.Time) {
 	if now-n.loadAt < loadEvery {
 		return
 	}
@@ -390,7 +390,7 @@
 }
 
 // drain moves work off machines that the cloud is about to take.
-func (n *Node) drain(now step.Time) {
+func (n *Node) drain(now event.Time) {
 	const lead = 4 * time.Second // for the stop to arrive and be answered
 	for _, h := range n.fleet.Hosts {
 		if h == nil || h.RecallAt == 0 {
@@ -407,7 +407,7 @@
 // mark writes the ready marks of held jobs and the cancelled marks of jobs
 // below a cancelled one, of those that we own and as leader of those whose owner
 // can't. Each write requires the record as it was, so two owners do no harm.
-func (n *Node) mark(now step.Time) {
+func (n *Node) mark(now event.Time) {
 	if !n.store.Synced() {
 		return
 	}
@@ -421,13 +421,13 @@
 // showVersion stores, once, that this controller runs this version. It is in no
 // hurry: after a start of all, terms and users go first and the controllers
 // follow one another.
-func (n *Node) showVersion(now step.Time) {
+func (n *Node) showVersion(now event.Time) {
 	key := pipeline.VersionKey + "/" + n.cfg.Label
 	if n.showing || !n.store.Synced() || n.store.Stamp(key) != 0 || n.lead.Holder() == "" {
 		return
 	}
 	if n.showAt == 0 {
-		n.showAt = now + showRetry + showApart*step.Time(slices.Index(n.jobs.Labels, n.cfg.Label))
+		n.showAt = now + showRetry + showApart*event.Time(slices.Index(n.jobs.Labels, n.cfg.Label))
 	}
 	if now < n.showAt {
 		return
@@ -451,7 +451,7 @@
 	return false
 }
 
-func (n *Node) beat(now step.Time, out *step.Out) {
+func (n *Node) beat(now event.Time, out *event.Effects) {
 	if now-n.beatAt < beatEvery {
 		return
 	}
@@ -469,7 +469,7 @@
 }
 
 // Frame takes a frame from another controller.
-func (n *Node) Frame(now step.Time, f step.PeerFrame, out *step.Out) {
+func (n *Node) Frame(now event.Time, f event.PeerFrame, out *event.Effects) {
 	fr, err := peer.Decode(f.Data)
 	if err != nil {
 		n.log.Debug("bad frame", "err", err)
@@ -502,7 +502,7 @@
 }
 
 // CallDone takes the outcome of a call of ours.
-func (n *Node) CallDone(now step.Time, d step.CallDone, out *step.Out) {
+func (n *Node) CallDone(now event.Time, d event.CallDone, out *event.Effects) {
 	n.jobs.Now = int64(now)
 	if n.store.CallDone(now, d, out) {
 		n.settle(now, out)
@@ -519,7 +519,7 @@
 }
 
 // Request takes an HTTP request.
-func (n *Node) Request(now step.Time, r step.Request, out *step.Out) {
+func (n *Node) Request(now event.Time, r event.Request, out *event.Effects) {
 	switch {
 	case r.Path == "/healthz":
 		n.health(now, r, out)
@@ -539,7 +539,7 @@
 // health: a node that alone is refused by the state service, or that hears
 // nobody any more, sends users to the others; in an outage that all share,
 // staying healthy lets the service resume at once.
-func (n *Node) health(now step.Time, r step.Request, out *step.Out) {
+func (n *Node) health(now event.Time, r event.Request, out *event.Effects) {
 	ok := n.store.Synced()
 	if without := now - n.store.Contact(); ok && n.store.Outage() && without > beatLost {
 		// Users' connections stay where they are while the node is healthy: for
@@ -561,7 +561,7 @@
 }
 
 // hello takes a worker's report.
-func (n *Node) hello(now step.Time, r step.Request, out *step.Out) {
+func (n *Node) hello(now event.Time, r event.Request, out *event.Effects) {
 	n.work.Reports++
 	rep, err := n.parser.Parse(r.Body)
 	if err != nil {
@@ -578,7 +578,7 @@
 }
 
 // report takes a report as leader.
-func (n *Node) report(now step.Time, from caller, rep *fleet.Report, out *step.Out) {
+func (n *Node) report(now event.Time, from caller, rep *fleet.Report, out *event.Effects) {
 	if n.rental.Returned(rep.Host) || !n.fleet.Take(rep, now, n.lead) {
 		n.respond(from, 503, nil, out)
 		return
@@ -597,7 +597,7 @@
 	n.answer(now, out)
 }
 
-func (n *Node) respond(to caller, status int, body []byte, out *step.Out) {
+func (n *Node) respond(to caller, status int, body []byte, out *event.Effects) {
 	switch {
 	case to.relay != 0:
 		out.Send(to.peer, peer.Append(nil, &peer.Frame{Kind: peer.RelayAck, Label: n.cfg.Label, ID: to.relay, Status: uint16(status), Body: body}))
@@ -612,7 +612,7 @@
 // it: its reports are passed on over the peer link, so that a cut between two
 // zones costs no lease as long as some node reaches both sides. The leader
 // treats them like any other; a late one is merely old.
-func (n *Node) passOn(now step.Time, r step.Request, host string, out *step.Out) {
+func (n *Node) passOn(now event.Time, r event.Request, host string, out *event.Effects) {
 	holder := n.lead.Holder()
 	link := -1
 	for i, p := range n.peers {
@@ -645,7 +645,7 @@
 }
 
 // expireRelays answers workers whose passed-on report nobody answered.
-func (n *Node) expireRelays(now step.Time, out *step.Out) {
+func (n *Node) expireRelays(now event.Time, out *event.Effects) {
 	for _, id := range slices.Sorted(maps.Keys(n.relayed)) {
 		if p := n.relayed[id]; now-p.since > relayWait {
 			delete(n.relayed, id)
@@ -656,10 +656,10 @@
 
 type pendingRelay struct {
 	conn  uint64
-	since step.Time
+	since event.Time
 }
 
-func (n *Node) misdirect(conn uint64, out *step.Out) {
+func (n *Node) misdirect(conn uint64, out *event.Effects) {
 	holder := n.lead.Holder()
 	if holder == "" || holder == n.cfg.Label {
 		out.Reply(conn, 421, nil)
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -3,8 +3,8 @@
 import (
 	"encoding/json"
 
+	"lugward/internal/event"
 	"lugward/internal/fleet"
-	"lugward/internal/step"
 )
 
 // waitingReport is a report that was taken in and not answered yet.
@@ -12,7 +12,7 @@
 	from     caller
 	report   *fleet.Report
 	host     int
-	since    step.Time
+	since    event.Time
 	idle     bool // held as an idle machine's
 	answered bool
 }
@@ -87,7 +87,7 @@
 // answer answers the reports whose consequences are stored: what completed
 // can then be reaped, and what takes its place started, in the same response.
 // A write takes milliseconds; a slow one is not waited for.
-func (n *Node) answer(now step.Time, out *step.Out) {
+func (n *Node) answer(now event.Time, out *event.Effects) {
 	r := &n.waiting
 	review := append(r.review, n.jobs.TakeTouched()...)
 	r.review = nil
@@ -129,7 +129,7 @@
 }
 
 // review answers a report unless waiting may still gain something.
-func (n *Node) review(w *waitingReport, now step.Time, out *step.Out) {
+func (n *Node) review(w *waitingReport, now event.Time, out *event.Effects) {
 	waited := now - w.since
 	switch {
 	case !w.idle && waited < answerWait && n.jobs.Changed:
@@ -142,7 +142,7 @@
 }
 
 // answerNow answers a report, with what is to be done on its machine if we may.
-func (n *Node) answerNow(w *waitingReport, now step.Time, out *step.Out) {
+func (n *Node) answerNow(w *waitingReport, now event.Time, out *event.Effects) {
 	n.waiting.done(w)
 	if !n.leading || !n.lead.MayAnswer(now) {
 		n.respond(w.from, 503, nil, out)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -19,18 +19,18 @@
 	"github.com/panjf2000/gnet/v2"
 	"github.com/panjf2000/gnet/v2/pkg/logging"
 
+	"lugward/internal/event"
 	"lugward/internal/httpwire"
-	"lugward/internal/step"
 )
 
 // Core is the state machine that the engine drives.
 type Core interface {
 	// Clock tells the time of day before each Tick.
-	Clock(now step.Time, wall time.Time)
-	Tick(now step.Time, out *step.Out)
-	Request(now step.Time, r step.Request, out *step.Out)
-	CallDone(now step.Time, d step.CallDone, out *step.Out)
-	Frame(now step.Time, f step.PeerFrame, out *step.Out)
+	Clock(now event.Time, wall time.Time)
+	Tick(now event.Time, out *event.Effects)
+	Request(now event.Time, r event.Request, out *event.Effects)
+	CallDone(now event.Time, d event.CallDone, out *event.Effects)
+	Frame(now event.Time, f event.PeerFrame, out *event.Effects)
 }
 
 // Config says where to listen and what to bound.
@@ -77,9 +77,9 @@
 	peer  int
 	busy  bool // an incoming request awaits its reply, or an outgoing call its response
 	close bool
-	call  step.Call
-	since step.Time // of the last activity
-	half  bool      // part of a request is buffered
+	call  event.Call
+	since event.Time // of the last activity
+	half  bool       // part of a request is buffered
 	from  party
 	gone  bool          // being closed
 	rest  *list.Element // in the list of its party's idle connections, or of spare ones
@@ -119,7 +119,7 @@
 	start time.Time
 	loop  atomic.Value // gnet.EventLoop, set once by the loop itself
 
-	out      step.Out
+	out      event.Effects
 	lastConn uint64
 	conns    map[uint64]*conn
 	incoming int
@@ -129,27 +129,27 @@
 	spare   list.List // outgoing connections without a call, least recently used first
 	idle    map[string][]*conn
 	peers   []*peerLink
-	pending []event // raised while a step is being carried out
+	pending []pendingInput // raised while a step is being carried out
 	inStep  bool
-	expiry  map[uint64]step.Time // call ID -> deadline
+	expiry  map[uint64]event.Time // call ID -> deadline
 	calls   map[uint64]*conn
-	swept   step.Time
-	ticked  step.Time
+	swept   event.Time
+	ticked  event.Time
 	failed  error
 }
 
 type peerLink struct {
 	conn   *conn
-	dialed step.Time
+	dialed event.Time
 	busy   bool
 }
 
-type event func()
+type pendingInput func()
 
 // Run serves until the process is killed or listening fails.
 func Run(cfg Config, core Core, log *slog.Logger) error {
 	e := &engine{cfg: cfg, core: core, log: log, start: time.Now(), conns: map[uint64]*conn{}, idle: map[string][]*conn{},
-		expiry: map[uint64]step.Time{}, calls: map[uint64]*conn{}}
+		expiry: map[uint64]event.Time{}, calls: map[uint64]*conn{}}
 	for range cfg.Peers {
 		e.peers = append(e.peers, &peerLink{dialed: -redialEvery})
 	}
@@ -159,7 +159,7 @@
 	return errors.Join(err, e.failed)
 }
 
-func (e *engine) now() step.Time { return time.Since(e.start) }
+func (e *engine) now() event.Time { return time.Since(e.start) }
 
 // OnTick runs on gnet's ticker goroutine: it only hands the work to the loop.
 func (e *engine) OnTick() (time.Duration, gnet.Action) {
@@ -213,7 +213,7 @@
 }
 
 // sweep closes connections that idle, stall or read too slowly.
-func (e *engine) sweep(now step.Time) {
+func (e *engine) sweep(now event.Time) {
 	for _, c := range e.conns {
 		quiet := now - c.since
 		switch c.kind {
@@ -267,7 +267,7 @@
 	e.out.Reset()
 }
 
-func (e *engine) reply(r step.Reply) {
+func (e *engine) reply(r event.Reply) {
 	c := e.conns[r.Conn]
 	if c == nil {
 		return
@@ -286,7 +286,7 @@
 	}
 }
 
-func (e *engine) startCall(call step.Call) {
+func (e *engine) startCall(call event.Call) {
 	e.expiry[call.ID] = e.now() + call.Timeout
 	if list := e.idle[call.Addr]; len(list) > 0 {
 		c := list[len(list)-1]
@@ -299,7 +299,7 @@
 	e.dial(&conn{kind: kindCall, addr: call.Addr, call: call})
 }
 
-func (e *engine) issue(c *conn, call step.Call) {
+func (e *engine) issue(c *conn, call event.Call) {
 	c.call, c.busy, c.since = call, true, e.now()
 	e.calls[call.ID] = c
 	_, _ = c.g.Write(httpwire.AppendRequest(nil, call.Method, call.Path, call.Addr, call.Body))
@@ -321,7 +321,7 @@
 			e.keep(c)
 		}
 	}
-	done := step.CallDone{ID: id, Status: status, Body: body}
+	done := event.CallDone{ID: id, Status: status, Body: body}
 	e.step(func() { e.core.CallDone(e.now(), done, &e.out) })
 }
 
@@ -548,7 +548,7 @@
 	}
 	c.busy, c.close = true, m.Close
 	e.setParty(c, partyOf(m.Target))
-	r := step.Request{Conn: c.id, Method: m.Method, Path: m.Target, Body: append([]byte(nil), m.Body...)}
+	r := event.Request{Conn: c.id, Method: m.Method, Path: m.Target, Body: append([]byte(nil), m.Body...)}
 	_, _ = c.g.Discard(n)
 	e.core.Request(e.now(), r, &e.out)
 }
@@ -586,13 +586,13 @@
 		if len(in) < 4+size {
 			return gnet.None
 		}
-		f := step.PeerFrame{Peer: -1, Data: append([]byte(nil), in[4:4+size]...)}
+		f := event.PeerFrame{Peer: -1, Data: append([]byte(nil), in[4:4+size]...)}
 		_, _ = c.g.Discard(4 + size)
 		e.step(func() { e.core.Frame(e.now(), f, &e.out) })
 	}
 }
 
-func (e *engine) sendFrame(f step.PeerFrame) {
+func (e *engine) sendFrame(f event.PeerFrame) {
 	c := e.peers[f.Peer].conn
 	if c == nil {
 		return // frames are hints; the next one follows soon
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
+	"lugward/internal/event"
 	"lugward/internal/httpwire"
-	"lugward/internal/step"
 )
 
 // echo answers every request at once and makes the calls it is told to.
@@ -21,12 +21,12 @@
 	mu     sync.Mutex
 	frames [][]byte
 	calls  []string // addresses to call
-	done   chan step.CallDone
+	done   chan event.CallDone
 }
 
-func (e *echo) Clock(step.Time, time.Time) {}
+func (e *echo) Clock(event.Time, time.Time) {}
 
-func (e *echo) Tick(_ step.Time, out *step.Out) {
+func (e *echo) Tick(_ event.Time, out *event.Effects) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, a := range e.calls {
@@ -35,13 +35,13 @@
 	e.calls = nil
 }
 
-func (e *echo) Request(_ step.Time, r step.Request, out *step.Out) {
+func (e *echo) Request(_ event.Time, r event.Request, out *event.Effects) {
 	out.Reply(r.Conn, 200, []byte(r.Method+" "+r.Path+" "+string(r.Body)))
 }
 
-func (e *echo) CallDone(_ step.Time, d step.CallDone, _ *step.Out) { e.done <- d }
+func (e *echo) CallDone(_ event.Time, d event.CallDone, _ *event.Effects) { e.done <- d }
 
-func (e *echo) Frame(_ step.Time, f step.PeerFrame, _ *step.Out) {
+func (e *echo) Frame(_ event.Time, f event.PeerFrame, _ *event.Effects) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.frames = append(e.frames, f.Data)
@@ -53,16 +53,16 @@
 	order chan string
 }
 
-func (s *slow) Clock(step.Time, time.Time) {}
+func (s *slow) Clock(event.Time, time.Time) {}
 
-func (s *slow) Tick(step.Time, *step.Out) {
+func (s *slow) Tick(event.Time, *event.Effects) {
 	select {
 	case s.order <- "tick":
 	default:
 	}
 }
 
-func (s *slow) Request(now step.Time, r step.Request, out *step.Out) {
+func (s *slow) Request(now event.Time, r event.Request, out *event.Effects) {
 	time.Sleep(tickEvery + 10*time.Millisecond)
 	s.order <- "request"
 	s.echo.Request(now, r, out)
@@ -113,7 +113,7 @@
 
 // start runs an engine for the rest of the test process.
 func start(t *testing.T, maxConnections int) (*echo, Config) {
-	e := &echo{done: make(chan step.CallDone, 100)}
+	e := &echo{done: make(chan event.CallDone, 100)}
 	return e, serve(t, e, maxConnections)
 }
 
--- a/internal/step/step.go
+++ b/internal/event/event.go
@@ -1,7 +1,7 @@
-// Package step holds the inputs the core takes and the effects it returns.
+// Package event holds the inputs the core takes and the effects it returns.
 // The engine (or a test) turns effects into input and output; the core itself
 // has no clock, goroutine, socket or global randomness.
-package step
+package event
 
 import "time"
 
@@ -50,7 +50,7 @@
 }
 
 // Out collects the effects of one step.
-type Out struct {
+type Effects struct {
 	Replies []Reply
 	Calls   []Call
 	Frames  []PeerFrame
@@ -59,28 +59,28 @@
 }
 
 // Reply adds an answer.
-func (o *Out) Reply(conn uint64, status int, body []byte) {
+func (o *Effects) Reply(conn uint64, status int, body []byte) {
 	o.Replies = append(o.Replies, Reply{Conn: conn, Status: status, Body: body})
 }
 
 // Busy answers 503 and tells the client when to come back.
-func (o *Out) Busy(conn uint64, retryAfter int) {
+func (o *Effects) Busy(conn uint64, retryAfter int) {
 	o.Replies = append(o.Replies, Reply{Conn: conn, Status: 503, RetryAfter: retryAfter})
 }
 
 // Call adds an outgoing request and returns its ID.
-func (o *Out) Call(addr, method, path string, body []byte, timeout time.Duration) uint64 {
+func (o *Effects) Call(addr, method, path string, body []byte, timeout time.Duration) uint64 {
 	o.lastCall++
 	o.Calls = append(o.Calls, Call{ID: o.lastCall, Addr: addr, Method: method, Path: path, Body: body, Timeout: timeout})
 	return o.lastCall
 }
 
 // Send adds a frame to a peer.
-func (o *Out) Send(peer int, data []byte) {
+func (o *Effects) Send(peer int, data []byte) {
 	o.Frames = append(o.Frames, PeerFrame{Peer: peer, Data: data})
 }
 
 // Reset drops collected effects; call IDs go on counting.
-func (o *Out) Reset() {
+func (o *Effects) Reset() {
 	o.Replies, o.Calls, o.Frames = o.Replies[:0], o.Calls[:0], o.Frames[:0]
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -12,16 +12,16 @@
 	"strings"
 	"time"
 
+	"lugward/internal/event"
 	"lugward/internal/pipeline"
-	"lugward/internal/step"
 )
 
 // Term is what the fleet asks of the leadership.
 type Term interface {
 	Fence() uint64
-	Entitled(now step.Time) bool
+	Entitled(now event.Time) bool
 	SawFence(f uint64)
-	SilentProof(lastAnswer step.Time) step.Time
+	SilentProof(lastAnswer event.Time) event.Time
 	Lease() time.Duration
 }
 
@@ -38,29 +38,29 @@
 	Fenced bool // a report of it carried our fence: our answers reach it
 	// Deaf is since when our answers seem not to reach it, 0: they do. Its
 	// reports may go on arriving all the while.
-	Deaf       step.Time
+	Deaf       event.Time
 	deafTenure uint64
 	unfenced   int // reports without our fence since we first answered one
 	Tenure     uint64
 	Tick       uint64
-	Heard      step.Time // of the last report, 0: none in this term
-	Answered   step.Time
-	Back       step.Time // when it was last heard again after it had been silent
-	RecallAt   step.Time // 0: no notice
+	Heard      event.Time // of the last report, 0: none in this term
+	Answered   event.Time
+	Back       event.Time // when it was last heard again after it had been silent
+	RecallAt   event.Time // 0: no notice
 
 	Stray   int // tasks on it that no entry explains
 	Images  map[int]bool
-	Refused step.Time // full or in_use: not to be used before
+	Refused event.Time // full or in_use: not to be used before
 	// Jobs by name: an index serves another job once one is forgotten.
 	Errors     map[string]bool
 	Slow       map[string]bool // jobs in a row that ran far longer here than their class does
 	Retiring   bool            // logged as retired: no task may be placed
 	Draining   bool            // its tasks were told to move: to be returned when empty
-	firstHeard step.Time
-	IdleFrom   step.Time
-	Wanted     step.Time // when room on it was last kept for a job that waits
-	direct     step.Time
-	shown      step.Time
+	firstHeard event.Time
+	IdleFrom   event.Time
+	Wanted     event.Time // when room on it was last kept for a job that waits
+	direct     event.Time
+	shown      event.Time
 }
 
 // Fleet is the table of machines.
@@ -71,11 +71,11 @@
 	log    *slog.Logger
 	calls  map[uint64]*Host // direct commands in flight, nil: nothing is to be learnt
 	toStop map[int]bool     // machines on which a task is to be stopped
-	lookAt step.Time
+	lookAt event.Time
 	ratio  map[int]float64 // run time against estimate, per class
 
 	// Silent is how long a machine may be quiet before that tells something.
-	Silent step.Time
+	Silent event.Time
 }
 
 // New returns an empty fleet.
@@ -84,7 +84,7 @@
 }
 
 // Host returns a machine by name, adding it when new.
-func (f *Fleet) Host(name string, now step.Time) *Host {
+func (f *Fleet) Host(name string, now event.Time) *Host {
 	i := f.Names.Hosts.Index(name)
 	for len(f.Hosts) <= i {
 		f.Hosts = append(f.Hosts, nil)
@@ -110,7 +110,7 @@
 }
 
 // Up tells whether a machine can take tasks now.
-func (h *Host) Up(now step.Time, silent time.Duration) bool {
+func (h *Host) Up(now event.Time, silent time.Duration) bool {
 	return h.Known && h.Fenced && h.Deaf == 0 && h.Heard > 0 && now-h.Heard < silent && !h.Retiring && !h.Draining && h.RecallAt == 0 && h.Stray == 0 && now >= h.Refused && len(h.Errors) < faultyJobs && len(h.Slow) < slowJobs
 }
 
@@ -154,7 +154,7 @@
 
 // Take takes a report in. ok is false for a report that is older than one we
 // have seen.
-func (f *Fleet) Take(r *Report, now step.Time, term Term) (ok bool) {
+func (f *Fleet) Take(r *Report, now event.Time, term Term) (ok bool) {
 	h := f.Host(r.Host, now)
 	if r.Tenure < h.Tenure || (r.Tenure == h.Tenure && r.Tick <= h.Tick) {
 		// Held back by the network, or a copy: its task list is as old as it
@@ -187,7 +187,7 @@
 // being reachable. A machine is used once a report carries our fence, which is
 // also what tells a report of this term from a copy of an older one; and no
 // more once it does not take up what it was told.
-func (f *Fleet) hears(h *Host, r *Report, now step.Time, term Term) {
+func (f *Fleet) hears(h *Host, r *Report, now event.Time, term Term) {
 	if !h.Fenced {
 		switch {
 		case r.Fence == term.Fence():
@@ -231,7 +231,7 @@
 // deaf gives up on a machine that does not hear us: what it never took up is
 // moved, once a report proves that it will not start. What runs goes on: it may
 // complete before its lease ends, and we may be wrong.
-func (f *Fleet) deaf(h *Host, now step.Time) {
+func (f *Fleet) deaf(h *Host, now event.Time) {
 	f.log.Info("machine does not hear us", "host", h.Name, "tasks", len(f.Jobs.OnHost(h.Index)))
 	h.Deaf, h.deafTenure = now, h.Tenure
 	f.moveUnseen(h)
@@ -247,7 +247,7 @@
 
 // LastingDeaf tells whether a machine has not heard us for so long that its
 // tasks have ended with its lease.
-func (f *Fleet) LastingDeaf(h *Host, now step.Time, term Term) bool {
+func (f *Fleet) LastingDeaf(h *Host, now event.Time, term Term) bool {
 	return h.Deaf != 0 && now-h.Deaf > term.Lease()+2*deafMargin
 }
 
@@ -298,7 +298,7 @@
 
 // Orders returns what to answer to a report that was taken, as things stand
 // now.
-func (f *Fleet) Orders(r *Report, now step.Time, term Term) []Order {
+func (f *Fleet) Orders(r *Report, now event.Time, term Term) []Order {
 	h := f.Host(r.Host, now)
 	proof := r.Fence == term.Fence()
 	entitled := term.Entitled(now)
@@ -356,7 +356,7 @@
 	return append(append(reaps, stops...), starts...)
 }
 
-func (f *Fleet) note(h *Host, r *Report, now step.Time) {
+func (f *Fleet) note(h *Host, r *Report, now event.Time) {
 	if r.Tenure != h.Tenure && h.Tenure != 0 {
 		h.Images = map[int]bool{}
 		f.log.Info("worker lost its lease", "host", r.Host, "tenure", r.Tenure)
@@ -380,7 +380,7 @@
 }
 
 // progress takes in what a report says of a task that we know of.
-func (f *Fleet) progress(h *Host, e *pipeline.Entry, s Shard, now step.Time) {
+func (f *Fleet) progress(h *Host, e *pipeline.Entry, s Shard, now event.Time) {
 	j := e.Job
 	ph := phases[s.Phase]
 	if ph >= pipeline.Waiting && ph < pipeline.Exited && e.Started == 0 {
@@ -432,7 +432,7 @@
 
 // timed learns from a completion how long a class runs, measured in its
 // owners' estimates, and whether a machine is slow.
-func (f *Fleet) timed(h *Host, e *pipeline.Entry, now step.Time) {
+func (f *Fleet) timed(h *Host, e *pipeline.Entry, now event.Time) {
 	j := e.Job
 	if j.Expect <= 0 || e.Started == 0 {
 		return
@@ -466,7 +466,7 @@
 }
 
 // failed sorts out whether the machine or the job is at fault.
-func (f *Fleet) failed(h *Host, j *pipeline.Job, now step.Time) {
+func (f *Fleet) failed(h *Host, j *pipeline.Job, now event.Time) {
 	f.log.Info("task failed", "job", j.ID, "host", h.Name)
 	if j.BadHosts == nil {
 		j.BadHosts = map[int]bool{}
@@ -490,7 +490,7 @@
 	}
 }
 
-func (f *Fleet) park(j *pipeline.Job, now step.Time) {
+func (f *Fleet) park(j *pipeline.Job, now event.Time) {
 	j.Errors++
 	pause := min(parkMost, parkBase<<min(j.Errors-1, 8))
 	j.Parked = int64(now + pause)
@@ -555,7 +555,7 @@
 // Tick sends stops straight to workers, finds machines whose tasks are surely
 // gone and re-arms gangs whose old attempt has ended. Machines on which nothing
 // is to be stopped cost nothing.
-func (f *Fleet) Tick(now step.Time, term Term, out *step.Out) {
+func (f *Fleet) Tick(now event.Time, term Term, out *event.Effects) {
 	for _, j := range f.Jobs.TakeEnded() {
 		j.Entries(f.stopSoon)
 	}
@@ -588,7 +588,7 @@
 }
 
 // Gone clears everything on a machine that is proven to run nothing.
-func (f *Fleet) Gone(h *Host, now step.Time) {
+func (f *Fleet) Gone(h *Host, now event.Time) {
 	if h.Heard != 0 {
 		f.log.Info("machine gone", "host", h.Name, "tasks", len(f.Jobs.OnHost(h.Index)))
 	}
@@ -608,7 +608,7 @@
 // directStops sends stops that cannot wait for the next report. Executed
 // late they do no harm: they name an attempt, and attempts are not reused. It
 // tells whether a task on the machine is still to be stopped.
-func (f *Fleet) directStops(h *Host, now step.Time, term Term, out *step.Out) (more bool) {
+func (f *Fleet) directStops(h *Host, now event.Time, term Term, out *event.Effects) (more bool) {
 	ready := h.Heard != 0 && h.Addr != "" && now-h.direct >= directEvery
 	var orders []Order
 	for _, e := range f.Jobs.OnHost(h.Index) {
@@ -632,7 +632,7 @@
 // lost the state service and the other controllers, but not its workers, may
 // answer them for its whole grace; shown a higher fence, they tell it at once,
 // and report to us. The proof of silence does not rest on it.
-func (f *Fleet) Show(h *Host, now step.Time, term Term, out *step.Out) {
+func (f *Fleet) Show(h *Host, now event.Time, term Term, out *event.Effects) {
 	if h.Addr == "" || (h.shown != 0 && now-h.shown < showEvery) {
 		return
 	}
@@ -640,7 +640,7 @@
 	f.show(h, max(h.Tenure, 1), term, out, h)
 }
 
-func (f *Fleet) show(h *Host, tenure uint64, term Term, out *step.Out, learn *Host) {
+func (f *Fleet) show(h *Host, tenure uint64, term Term, out *event.Effects, learn *Host) {
 	body, _ := json.Marshal(direct{term.Fence(), tenure, []Order{}})
 	f.calls[out.Call(h.Addr, "POST", "/do", body, directWait)] = learn
 }
@@ -654,7 +654,7 @@
 // CallDone takes the outcome of a direct command: the worker's next report
 // tells what became of it. Only its session is taken from an answer that says
 // that we had it wrong.
-func (f *Fleet) CallDone(d step.CallDone, term Term, out *step.Out) bool {
+func (f *Fleet) CallDone(d event.CallDone, term Term, out *event.Effects) bool {
 	h, ok := f.calls[d.ID]
 	if !ok {
 		return false
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -8,18 +8,18 @@
 	"testing"
 	"time"
 
+	"lugward/internal/event"
 	"lugward/internal/pipeline"
-	"lugward/internal/step"
 )
 
 // term is a leader that has always led, with a lease of 30 s for workers.
 type term struct{}
 
-func (term) Fence() uint64                        { return 5 }
-func (term) Entitled(step.Time) bool              { return true }
-func (term) SawFence(uint64)                      {}
-func (term) Lease() time.Duration                 { return 30 * time.Second }
-func (term) SilentProof(last step.Time) step.Time { return last + 32*time.Second }
+func (term) Fence() uint64                          { return 5 }
+func (term) Entitled(event.Time) bool               { return true }
+func (term) SawFence(uint64)                        {}
+func (term) Lease() time.Duration                   { return 30 * time.Second }
+func (term) SilentProof(last event.Time) event.Time { return last + 32*time.Second }
 
 // TestReports: which reports are believed, in the order in which they arrive.
 func TestReports(t *testing.T) {
--- a/internal/intake/attempt.go
+++ b/internal/intake/attempt.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"lugward/internal/event"
 	"lugward/internal/pipeline"
-	"lugward/internal/step"
 	"lugward/internal/store"
 )
 
@@ -23,7 +23,7 @@
 	job      *pipeline.Job
 	conn     uint64 // who waits for the answer
 	told     bool   // to come back: nobody waits any more
-	since    step.Time
+	since    event.Time
 	stamp    uint64
 	lists    [][]byte
 	next     int // the part to be written next
@@ -33,7 +33,7 @@
 
 const attemptTries = 5
 
-func (in *Intake) begin(now step.Time, conn uint64, j *pipeline.Job, lists [][]byte, out *step.Out) {
+func (in *Intake) begin(now event.Time, conn uint64, j *pipeline.Job, lists [][]byte, out *event.Effects) {
 	id := j.ID
 	stamp, shown := in.jobs.Attempt(id, now)
 	if in.attempts[id] != nil || (stamp != 0 && shown < pipeline.RivalFor) {
@@ -59,14 +59,14 @@
 
 // write submits one write of an attempt. Each requires that the job is not
 // accepted yet, so that nothing is added once it is.
-func (in *Intake) write(now step.Time, a *attempt, w store.Write, attempt store.Cond, done func(store.Result)) {
+func (in *Intake) write(now event.Time, a *attempt, w store.Write, attempt store.Cond, done func(store.Result)) {
 	in.store.Submit(&store.Intent{Priority: store.Accept, Writes: []store.Write{w}, Done: done,
 		Conds: []store.Cond{attempt, {Key: pipeline.JobKeyOf(a.id)}, {Key: pipeline.FinalKeyOf(a.id)}}}, now+attemptFor)
 }
 
 // advance sends as many parts as one transaction holds, so that other
 // submissions have their turn between them, and the job's record at the end.
-func (in *Intake) advance(now step.Time, a *attempt) {
+func (in *Intake) advance(now event.Time, a *attempt) {
 	for a.next < len(a.lists) && a.inflight < in.cfg.TxnOps {
 		a.next++
 		a.inflight++
@@ -88,7 +88,7 @@
 
 // put writes a value of an attempt that has its part 0, again if no answer comes:
 // carried out twice it changes nothing.
-func (in *Intake) put(now step.Time, a *attempt, w store.Write, then func(store.Result)) {
+func (in *Intake) put(now event.Time, a *attempt, w store.Write, then func(store.Result)) {
 	if in.attempts[a.id] != a {
 		return
 	}
@@ -127,7 +127,7 @@
 
 // Tick tells users whose list takes long to come back for the answer, and ends
 // attempts that go on for too long.
-func (in *Intake) Tick(now step.Time, out *step.Out) {
+func (in *Intake) Tick(now event.Time, out *event.Effects) {
 	for _, id := range slices.Sorted(maps.Keys(in.attempts)) {
 		a := in.attempts[id]
 		if !a.told && now-a.since > in.cfg.Answer {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"lugward/internal/config"
+	"lugward/internal/event"
 	"lugward/internal/pipeline"
 	"lugward/internal/place"
-	"lugward/internal/step"
 	"lugward/internal/store"
 )
 
@@ -58,7 +58,7 @@
 }
 
 // Handle serves a request below /submissions; it tells whether it was one.
-func (in *Intake) Handle(now step.Time, r step.Request, out *step.Out) bool {
+func (in *Intake) Handle(now event.Time, r event.Request, out *event.Effects) bool {
 	path, _, _ := strings.Cut(r.Path, "?")
 	rest, ok := strings.CutPrefix(path, "/submissions")
 	if !ok {
@@ -124,14 +124,14 @@
 	return b
 }
 
-func (in *Intake) out(now step.Time) bool {
+func (in *Intake) out(now event.Time) bool {
 	return !in.store.Synced() || (in.store.Outage() && now-in.store.Contact() > outFor)
 }
 
 // poll answers a final state from memory, since it never changes. Anything
 // else waits for a read barrier: no answer may be older than one that any
 // node has given.
-func (in *Intake) poll(now step.Time, conn uint64, id string, out *step.Out) {
+func (in *Intake) poll(now event.Time, conn uint64, id string, out *event.Effects) {
 	if b := in.over(id); b != nil {
 		out.Reply(conn, 200, b)
 		return
@@ -140,7 +140,7 @@
 		out.Busy(conn, retryAfter)
 		return
 	}
-	in.store.Barrier(func(_ step.Time, ok bool, out *step.Out) {
+	in.store.Barrier(func(_ event.Time, ok bool, out *event.Effects) {
 		if !ok {
 			out.Busy(conn, retryAfter)
 		} else if s := in.state(id); s != nil {
@@ -151,7 +151,7 @@
 	})
 }
 
-func (in *Intake) cancel(now step.Time, conn uint64, id string, tries int, out *step.Out) {
+func (in *Intake) cancel(now event.Time, conn uint64, id string, tries int, out *event.Effects) {
 	if b := in.over(id); b != nil {
 		out.Reply(conn, 200, b)
 		return
@@ -162,7 +162,7 @@
 	}
 	j := in.jobs.Job(id)
 	if j == nil || j.Stamp == 0 {
-		in.store.Barrier(func(now step.Time, ok bool, out *step.Out) {
+		in.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
 			switch {
 			case !ok:
 				out.Busy(conn, retryAfter)
@@ -186,7 +186,7 @@
 			default:
 				// Done meanwhile, or carried out unseen: what the store says
 				// now decides.
-				in.store.Barrier(func(now step.Time, ok bool, out *step.Out) {
+				in.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
 					if !ok {
 						out.Busy(conn, retryAfter)
 						return
@@ -354,7 +354,7 @@
 }
 
 // submit accepts a job once its vertex is stored.
-func (in *Intake) submit(now step.Time, r step.Request, out *step.Out) {
+func (in *Intake) submit(now event.Time, r event.Request, out *event.Effects) {
 	s, malformed := parse(r.Body)
 	if malformed != nil && s == nil {
 		out.Reply(r.Conn, 400, nil)
@@ -385,7 +385,7 @@
 		in.refuse(r.Conn, id, 422, nil)
 	case !in.known(s.up):
 		// The replica may be behind the node that accepted what it names.
-		in.refuse(r.Conn, id, 422, func(now step.Time, out *step.Out) bool {
+		in.refuse(r.Conn, id, 422, func(now event.Time, out *event.Effects) bool {
 			if !in.known(s.up) {
 				return false
 			}
@@ -400,8 +400,8 @@
 // refuse answers a submission with a status for good, behind a barrier: the job
 // may have been accepted a moment ago by a node that knew more. rescue, if set,
 // may take the submission after all.
-func (in *Intake) refuse(conn uint64, id string, status int, rescue func(now step.Time, out *step.Out) bool) {
-	in.store.Barrier(func(now step.Time, ok bool, out *step.Out) {
+func (in *Intake) refuse(conn uint64, id string, status int, rescue func(now event.Time, out *event.Effects) bool) {
+	in.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
 		if !ok {
 			out.Busy(conn, retryAfter)
 		} else if st := in.state(id); st != nil {
@@ -430,7 +430,7 @@
 }
 
 // accept stores the vertex of a job that can run.
-func (in *Intake) accept(now step.Time, conn uint64, j *pipeline.Job, up []string, out *step.Out) {
+func (in *Intake) accept(now event.Time, conn uint64, j *pipeline.Job, up []string, out *event.Effects) {
 	j.Submitted = in.jobs.UnixMS(now)
 	for _, u := range up {
 		j.Ready = j.Ready && in.jobs.Finals[u].Phase == pipeline.Done
@@ -509,7 +509,7 @@
 const stampRoom = 32
 
 // later refuses a submission for as long as what waits before it takes.
-func (in *Intake) later(conn uint64, out *step.Out) {
+func (in *Intake) later(conn uint64, out *event.Effects) {
 	_, wait := in.store.Backlog(store.Accept)
 	out.Busy(conn, int(math.Ceil(min(max(wait, retryAfter), mostRetry))))
 }
@@ -518,7 +518,7 @@
 // did not come: the store is read, nothing is guessed. A write that lands
 // after that leaves an accepted job, which a retry then finds.
 func (in *Intake) afterUnknown(conn uint64, id string) {
-	in.store.Barrier(func(_ step.Time, ok bool, out *step.Out) {
+	in.store.Barrier(func(_ event.Time, ok bool, out *event.Effects) {
 		if st := in.state(id); ok && st != nil {
 			out.Reply(conn, 200, st)
 		} else {
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"lugward/internal/config"
+	"lugward/internal/event"
 	"lugward/internal/pipeline"
 	"lugward/internal/place"
-	"lugward/internal/step"
 	"lugward/internal/store"
 )
 
@@ -119,7 +119,7 @@
 }
 
 // serve answers a call; ok is false for a watch, which stays open.
-func (s *service) serve(c step.Call) (status int, body string, ok bool) {
+func (s *service) serve(c event.Call) (status int, body string, ok bool) {
 	u, err := url.Parse(c.Path)
 	if err != nil {
 		s.t.Fatal(err)
@@ -167,14 +167,14 @@
 	in      *Intake
 	jobs    *pipeline.Table
 	store   *store.Client
-	out     step.Out
-	now     step.Time
+	out     event.Effects
+	now     event.Time
 	conn    uint64
-	replies map[uint64]step.Reply
+	replies map[uint64]event.Reply
 }
 
 func newNode(t *testing.T, s *service, label string) *node {
-	n := &node{t: t, svc: s, replies: map[uint64]step.Reply{}, now: time.Second}
+	n := &node{t: t, svc: s, replies: map[uint64]event.Reply{}, now: time.Second}
 	names := &pipeline.Names{}
 	names.Zones.Index("a")
 	n.jobs = pipeline.NewTable(names, valueBytes, txnOps)
@@ -185,7 +185,7 @@
 	flavors := &place.Flavors{{Index: names.Flavors.Index("m"), Cores: 8, RAM: 32, Zones: []int{0}}}
 	n.in = New(Config{Label: label, Teams: []config.Team{{Name: "red"}}, Answer: 1500 * time.Millisecond, ValueBytes: valueBytes, TxnOps: txnOps}, names, n.jobs, n.store, flavors)
 	n.run(time.Second)
-	n.in.store.Barrier(func(step.Time, bool, *step.Out) {})
+	n.in.store.Barrier(func(event.Time, bool, *event.Effects) {})
 	n.run(time.Second)
 	return n
 }
@@ -213,7 +213,7 @@
 		}
 		for _, c := range calls {
 			if status, body, ok := n.svc.serve(c); ok {
-				n.store.CallDone(n.now, step.CallDone{ID: c.ID, Status: status, Body: []byte(body)}, &n.out)
+				n.store.CallDone(n.now, event.CallDone{ID: c.ID, Status: status, Body: []byte(body)}, &n.out)
 			}
 		}
 	}
@@ -222,13 +222,13 @@
 // ask sends a request, send with its answer after so long.
 func (n *node) ask(method, path, body string) uint64 {
 	n.conn++
-	n.in.Handle(n.now, step.Request{Conn: n.conn, Method: method, Path: path, Body: []byte(body)}, &n.out)
+	n.in.Handle(n.now, event.Request{Conn: n.conn, Method: method, Path: path, Body: []byte(body)}, &n.out)
 	n.store.Tick(n.now, &n.out)
 	n.perform()
 	return n.conn
 }
 
-func (n *node) send(method, path, body string) step.Reply {
+func (n *node) send(method, path, body string) event.Reply {
 	conn := n.ask(method, path, body)
 	n.run(2 * time.Second)
 	return n.replies[conn]
@@ -239,11 +239,11 @@
 "bundle":"b","image_gb":1,"same_place":false,"scatter":false,"loaners":false,"expect_s":10,"snapshot_every_s":0,"snapshot_s":0,"due_s":100%s}`, id, more)
 }
 
-func (n *node) submit(id int, more string) step.Reply {
+func (n *node) submit(id int, more string) event.Reply {
 	return n.send("POST", "/submissions", body(id, more))
 }
 
-func (n *node) expect(what string, r step.Reply, status int, phase string) {
+func (n *node) expect(what string, r event.Reply, status int, phase string) {
 	n.t.Helper()
 	var a answer
 	_ = json.Unmarshal(r.Body, &a)
@@ -489,7 +489,7 @@
 	s := newService(t)
 	n := newNode(t, s, "n0")
 	list := n.long(1_000_000, 1500)
-	r := step.Request{Method: "POST", Path: "/submissions", Body: []byte(body(1, list))}
+	r := event.Request{Method: "POST", Path: "/submissions", Body: []byte(body(1, list))}
 	for r.Conn = 1001; r.Conn <= 1002; r.Conn++ {
 		n.in.Handle(n.now, r, &n.out)
 	}
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -10,7 +10,7 @@
 	"log/slog"
 	"time"
 
-	"lugward/internal/step"
+	"lugward/internal/event"
 	"lugward/internal/store"
 )
 
@@ -63,15 +63,15 @@
 	holderFence uint64
 	stamp       uint64
 	count       uint64
-	freeAt      step.Time // when we saw the term free, plus our stagger
+	freeAt      event.Time // when we saw the term free, plus our stagger
 
 	busy      bool
-	notBefore step.Time
+	notBefore event.Time
 	tether    uint64 // of the term that we hold, else 0
 	fence     uint64
-	since     step.Time
-	validTo   step.Time
-	extendAt  step.Time
+	since     event.Time
+	validTo   event.Time
+	extendAt  event.Time
 	extending bool
 	termStamp uint64
 	acquired  bool
@@ -120,7 +120,7 @@
 func (l *Lead) Cond() store.Cond { return store.Cond{Key: TermKey, Stamp: l.termStamp} }
 
 // Entitled tells whether the lease is surely alive: starts may be ordered.
-func (l *Lead) Entitled(now step.Time) bool { return l.caughtUp() && now < l.validTo }
+func (l *Lead) Entitled(now event.Time) bool { return l.caughtUp() && now < l.validTo }
 
 // caughtUp tells whether we hold a term and the replica shows everything up to
 // its beginning. A node that replaces its own term of before a restart, or that
@@ -130,7 +130,7 @@
 
 // MayAnswer tells whether reports may be answered with 200: while entitled
 // and, with nothing started, for the grace after that.
-func (l *Lead) MayAnswer(now step.Time) bool {
+func (l *Lead) MayAnswer(now event.Time) bool {
 	// A cancellation that another node told may be missing from our replica
 	// for no longer than the grace, whatever the lease says: every 200 keeps
 	// the tasks of that worker alive.
@@ -138,7 +138,7 @@
 }
 
 // lasts tells whether our term, or its grace, goes on.
-func (l *Lead) lasts(now step.Time) bool {
+func (l *Lead) lasts(now event.Time) bool {
 	if now >= l.store.Fresh()+l.cfg.Grace {
 		return false
 	}
@@ -148,7 +148,7 @@
 // SilentProof is when the tasks on a machine are surely gone that nobody has
 // answered since the given time: its own lease has run out, counted from our
 // last answer or from the end of the grace of whoever held the term before.
-func (l *Lead) SilentProof(lastAnswer step.Time) step.Time {
+func (l *Lead) SilentProof(lastAnswer event.Time) event.Time {
 	before := l.since + max(0, l.cfg.Grace-l.cfg.Life)
 	return max(lastAnswer, before) + l.Lease() + proofMargin
 }
@@ -160,7 +160,7 @@
 func (l *Lead) SawFence(f uint64) { l.highest = max(l.highest, f) }
 
 // Yield gives the term up for others to take.
-func (l *Lead) Yield(now step.Time, out *step.Out, why string) {
+func (l *Lead) Yield(now event.Time, out *event.Effects, why string) {
 	if !l.Holds() {
 		return
 	}
@@ -175,7 +175,7 @@
 }
 
 // Tick renews or stands for election.
-func (l *Lead) Tick(now step.Time, out *step.Out) {
+func (l *Lead) Tick(now event.Time, out *event.Effects) {
 	if l.Holds() {
 		if !l.lasts(now) {
 			l.lose("grace is over")
@@ -202,14 +202,14 @@
 	}
 }
 
-func (l *Lead) stand(now step.Time, out *step.Out) {
+func (l *Lead) stand(now event.Time, out *event.Effects) {
 	l.busy = true
-	fail := func(now step.Time) {
+	fail := func(now event.Time) {
 		l.busy = false
 		l.notBefore = max(l.notBefore, now+retryPause)
 	}
 	asked := now
-	l.store.Lease(l.cfg.Life, now, out, func(now step.Time, tether uint64, out *step.Out) {
+	l.store.Lease(l.cfg.Life, now, out, func(now event.Time, tether uint64, out *event.Effects) {
 		if tether == 0 {
 			fail(now)
 			return
@@ -238,7 +238,7 @@
 				// The term was seen free before the lease was granted.
 				l.acquired, l.since = true, now
 				// The read that shows the replica all that came before.
-				l.store.Barrier(func(step.Time, bool, *step.Out) {})
+				l.store.Barrier(func(event.Time, bool, *event.Effects) {})
 			}}, now+l.cfg.Life/2)
 	})
 }
@@ -257,10 +257,10 @@
 
 func (l *Lead) life() time.Duration { return l.cfg.Life - l.cfg.Life*driftPercent/100 }
 
-func (l *Lead) extend(now step.Time, out *step.Out) {
+func (l *Lead) extend(now event.Time, out *event.Effects) {
 	l.extending = true
 	sent, fence := now, l.fence
-	l.store.Extend(l.tether, l.cfg.Life/4, now, out, func(now step.Time, status int, _ *step.Out) {
+	l.store.Extend(l.tether, l.cfg.Life/4, now, out, func(now event.Time, status int, _ *event.Effects) {
 		l.extending = false
 		l.log.Debug("term renewal answered", "status", status, "after", now-sent, "fence", fence)
 		if fence != l.fence || !l.Holds() {
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lugward/internal/step"
+	"lugward/internal/event"
 	"lugward/internal/store"
 )
 
@@ -16,23 +16,23 @@
 // page and may be behind what that term wrote last. It acts on nothing, and
 // answers nobody, until its replica shows all that came before the new term.
 func TestActsOnceCaughtUp(t *testing.T) {
-	var out step.Out
+	var out event.Effects
 	var l *Lead
 	s := store.New("state", store.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60, StaleAfter: time.Hour},
 		func(key string, data []byte, stamp uint64) { l.Listen(key, data, stamp) })
 	l = New(Config{Label: "n0", Life: 4 * time.Second, Lease: 10 * time.Second, Grace: 10 * time.Second}, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	answer := func(now step.Time, path, body string) {
+	answer := func(now event.Time, path, body string) {
 		t.Helper()
 		for i, c := range out.Calls {
 			if strings.HasPrefix(c.Path, path) {
 				out.Calls = append(out.Calls[:i:i], out.Calls[i+1:]...)
-				s.CallDone(now, step.CallDone{ID: c.ID, Status: 200, Body: []byte(body)}, &out)
+				s.CallDone(now, event.CallDone{ID: c.ID, Status: 200, Body: []byte(body)}, &out)
 				return
 			}
 		}
 		t.Fatalf("no call of %s", path)
 	}
-	tick := func(now step.Time) {
+	tick := func(now event.Time) {
 		s.Tick(now, &out)
 		l.Tick(now, &out)
 		s.Tick(now, &out)
@@ -40,7 +40,7 @@
 	tick(0)
 	term := `{"key":"t/lead","data":{"l":"n0","f":1},"stamp":4}`
 	answer(10*time.Millisecond, "/keys", fmt.Sprintf(`{"items":[%s,{"key":"t/count","data":{"l":"n0","f":1},"stamp":4}],"epoch":5}`, term))
-	now := step.Time(time.Second)
+	now := event.Time(time.Second)
 	tick(now)
 	answer(now, "/leases", `{"tether":7}`)
 	tick(now)
--- a/internal/place/choose.go
+++ b/internal/place/choose.go
@@ -3,8 +3,8 @@
 import (
 	"container/heap"
 
+	"lugward/internal/event"
 	"lugward/internal/pipeline"
-	"lugward/internal/step"
 )
 
 // pick is room for one task of a job on a machine, and what it costs.
@@ -44,7 +44,7 @@
 
 // choose picks room for n tasks of a job, the cheapest first, in one zone or
 // in any. Nothing is changed by it.
-func (p *Placer) choose(j *pipeline.Job, rooms []*Room, zone, n int, price pricing, now step.Time) []pick {
+func (p *Placer) choose(j *pipeline.Job, rooms []*Room, zone, n int, price pricing, now event.Time) []pick {
 	taken := map[*pipeline.Entry]bool{}
 	list := p.offers[:0]
 	for i, r := range rooms {
--- a/internal/place/pack.go
+++ b/internal/place/pack.go
@@ -5,9 +5,9 @@
 	"math"
 	"slices"
 
+	"lugward/internal/event"
 	"lugward/internal/fleet"
 	"lugward/internal/pipeline"
-	"lugward/internal/step"
 )
 
 const (
@@ -20,7 +20,7 @@
 )
 
 // Remaining estimates how long a task still runs, in seconds.
-func (p *Placer) Remaining(e *pipeline.Entry, now step.Time) float64 {
+func (p *Placer) Remaining(e *pipeline.Entry, now event.Time) float64 {
 	if e.Job.Shape == pipeline.Daemon {
 		return math.Inf(1) // until it is cancelled
 	}
@@ -35,7 +35,7 @@
 // Pack finds machines whose tasks all fit on other busy ones, stops those with
 // time to save, and marks the machines as draining so that they are returned
 // once empty. rooms is what the last round left. The budget of a round bounds it.
-func (p *Placer) Pack(now step.Time, rooms []*Room, blocked []*pipeline.Job) (drained []*fleet.Host) {
+func (p *Placer) Pack(now event.Time, rooms []*Room, blocked []*pipeline.Job) (drained []*fleet.Host) {
 	wanted := map[*Flavor]bool{}
 	for _, r := range rooms {
 		if !wanted[r.Flavor] && slices.ContainsFunc(blocked, func(j *pipeline.Job) bool { return r.Suits(&j.Spec) }) {
@@ -85,7 +85,7 @@
 
 // mayDrain tells whether every task of a machine can be saved and moved, and
 // whether that is worth it.
-func (p *Placer) mayDrain(r *Room, now step.Time) bool {
+func (p *Placer) mayDrain(r *Room, now event.Time) bool {
 	if !r.Busy || r.Host == nil || r.Host.Draining {
 		return false
 	}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"lugward/internal/config"
+	"lugward/internal/event"
 	"lugward/internal/fleet"
 	"lugward/internal/pipeline"
-	"lugward/internal/step"
 )
 
 // Flavor is a machine type as the cloud describes it.
@@ -114,7 +114,7 @@
 
 // Suits tells whether the job is to use the machine: cards do not lie idle under
 // it while jobs that need them have waited for long.
-func (p *Placer) Suits(j *pipeline.Job, r *Room, now step.Time) bool {
+func (p *Placer) Suits(j *pipeline.Job, r *Room, now event.Time) bool {
 	return r.Suits(&j.Spec) && (!p.cardsWanted || j.Cards > 0 || r.Flavor.Cards == 0 || int64(now)-j.FirstSeen > int64(cardsSpared) || !p.plain(j))
 }
 
@@ -124,7 +124,7 @@
 }
 
 // wantCards finds out whether a job that needs cards has not begun for long.
-func (p *Placer) wantCards(jobs []*pipeline.Job, now step.Time) {
+func (p *Placer) wantCards(jobs []*pipeline.Job, now event.Time) {
 	p.cardsWanted = slices.ContainsFunc(jobs, func(j *pipeline.Job) bool {
 		return j.Cards > 0 && j.Active() == 0 && j.DoneCount() == 0 && int64(now)-j.FirstSeen > int64(cardsAfter) && p.Quota(j) > 0
 	})
@@ -136,8 +136,8 @@
 	Fleet   *fleet.Fleet
 	Flavors *Flavors
 	Teams   map[int]config.Team
-	Report  step.Time // between two reports of a machine
-	Silent  step.Time // a machine not heard for this long gets nothing new
+	Report  event.Time // between two reports of a machine
+	Silent  event.Time // a machine not heard for this long gets nothing new
 
 	// CutShort counts the rounds that ran out of their budget, Counted the
 	// machines whose room was counted anew.
@@ -180,7 +180,7 @@
 }
 
 // Rooms lists what is left of the machines that are up.
-func (p *Placer) Rooms(now step.Time) []*Room {
+func (p *Placer) Rooms(now event.Time) []*Room {
 	all := make([]Room, 0, len(p.Fleet.Hosts))
 	for _, h := range p.Fleet.Hosts {
 		if h == nil || !h.Up(now, p.Silent) {
@@ -202,7 +202,7 @@
 // RoomsAhead lists what is left of the machines that are up once the tasks
 // that are told to stop are gone; those are returned. Advance then adds what
 // ends later.
-func (p *Placer) RoomsAhead(now step.Time) (rooms []*Room, leaving []*pipeline.Entry) {
+func (p *Placer) RoomsAhead(now event.Time) (rooms []*Room, leaving []*pipeline.Entry) {
 	rooms = p.Rooms(now)
 	for _, r := range rooms {
 		for _, e := range p.Jobs.OnHost(r.Host.Index) {
@@ -255,7 +255,7 @@
 // with the rooms as they are left. A round that runs out of its budget goes on
 // where it stopped, and then still keeps the room that the jobs before that
 // point were promised: else the less important ones behind them would take it.
-func (p *Placer) Round(now step.Time) (blocked []*pipeline.Job, rooms []*Room) {
+func (p *Placer) Round(now event.Time) (blocked []*pipeline.Job, rooms []*Room) {
 	rooms = p.Rooms(now)
 	all := p.Jobs.Unfinished()
 	p.standing(all)
@@ -305,7 +305,7 @@
 func (p *Placer) Reserved() int { return p.reserved }
 
 // hold gives room that is not free yet to a task that waits for it.
-func (p *Placer) hold(j *pipeline.Job, r *Room, now step.Time) {
+func (p *Placer) hold(j *pipeline.Job, r *Room, now event.Time) {
 	r.Take(&j.Spec, 1)
 	p.promise(j)
 	r.Host.Wanted = now
@@ -333,7 +333,7 @@
 // order puts jobs within their team's guarantee before others of the same
 // rank, and gangs that have waited for long before what is left; within equal
 // standing the order of readiness stays.
-func order(jobs []*pipeline.Job, now step.Time) {
+func order(jobs []*pipeline.Job, now event.Time) {
 	standing := func(j *pipeline.Job) int {
 		switch {
 		case j.Within:
@@ -363,7 +363,7 @@
 // pressed tells whether a job of a chain has little more time left than it and
 // its longest path to the deadline are expected to take: it goes before others
 // of its standing.
-func pressed(j *pipeline.Job, now step.Time) bool {
+func pressed(j *pipeline.Job, now event.Time) bool {
 	if !j.Chained || j.EffDue == pipeline.NoDue {
 		return false
 	}
@@ -409,7 +409,7 @@
 }
 
 // place puts as many tasks of a job as it may on machines.
-func (p *Placer) place(j *pipeline.Job, rooms []*Room, now step.Time) {
+func (p *Placer) place(j *pipeline.Job, rooms []*Room, now event.Time) {
 	quota := p.Quota(j)
 	want := min(j.OpenCount(), quota)
 	if j.Shape == pipeline.Gang {
@@ -486,7 +486,7 @@
 }
 
 // put places n open tasks of a job on a machine.
-func (p *Placer) put(j *pipeline.Job, r *Room, n int, try uint64, now step.Time) {
+func (p *Placer) put(j *pipeline.Job, r *Room, n int, try uint64, now event.Time) {
 	r.Take(&j.Spec, n)
 	for task := 0; n > 0; task++ {
 		if j.Open(task) {
@@ -567,7 +567,7 @@
 }
 
 // score: less is better.
-func (p *Placer) score(j *pipeline.Job, r *Room, now step.Time) float64 {
+func (p *Placer) score(j *pipeline.Job, r *Room, now event.Time) float64 {
 	s := 0.0
 	if j.Cards == 0 && r.Flavor.Cards > 0 {
 		s += 100 // cards would lie idle
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
+	"lugward/internal/event"
 	"lugward/internal/pipeline"
-	"lugward/internal/step"
 )
 
 // fetchCost weighs a second that the more important job waits for its image
@@ -21,7 +21,7 @@
 // outranks, for all tasks of a gang or for none. Room that is already being
 // emptied is counted first, so that a job does not stop more than it needs. It
 // returns how many tasks are left without a promise.
-func (p *Placer) preempt(j *pipeline.Job, rooms []*Room, now step.Time) (left int) {
+func (p *Placer) preempt(j *pipeline.Job, rooms []*Room, now event.Time) (left int) {
 	left = min(j.OpenCount(), p.QuotaBeside(j, p.promised[j.Team]))
 	if j.Shape == pipeline.Gang && left < j.OpenCount() {
 		return 0 // whole or not at all
@@ -115,7 +115,7 @@
 
 // victims picks tasks to stop on a machine until the job fits, those that
 // lose least first. cost is in seconds of work lost or delayed.
-func (p *Placer) victims(j *pipeline.Job, r *Room, f Room, taken map[*pipeline.Entry]bool, now step.Time) (list []*pipeline.Entry, cost float64) {
+func (p *Placer) victims(j *pipeline.Job, r *Room, f Room, taken map[*pipeline.Entry]bool, now event.Time) (list []*pipeline.Entry, cost float64) {
 	cands := p.cands[:0]
 	defer func() { p.cands = cands }()
 	for _, e := range p.Jobs.OnHost(r.Host.Index) {
--- a/internal/place/reserve.go
+++ b/internal/place/reserve.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 
+	"lugward/internal/event"
 	"lugward/internal/pipeline"
-	"lugward/internal/step"
 )
 
 // mostReserved bounds the reservations of one round: what is further back in
@@ -17,7 +17,7 @@
 // readiness use only what does not delay it. For a gang that must be in one
 // place a zone is chosen once and kept: else the room that gathers in one is
 // left for another whenever that looks a little better, and small work takes it.
-func (p *Placer) reserve(j *pipeline.Job, left int, rooms []*Room, now step.Time) {
+func (p *Placer) reserve(j *pipeline.Job, left int, rooms []*Room, now event.Time) {
 	if left <= 0 || p.reserved >= mostReserved {
 		return
 	}
@@ -58,7 +58,7 @@
 }
 
 // fitsAt estimates in how many seconds a task of the job fits on a machine.
-func (p *Placer) fitsAt(j *pipeline.Job, r *Room, now step.Time) float64 {
+func (p *Placer) fitsAt(j *pipeline.Job, r *Room, now event.Time) float64 {
 	if r.Fits(&j.Spec) > 0 {
 		return 0
 	}
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -12,10 +12,10 @@
 	"slices"
 	"time"
 
+	"lugward/internal/event"
 	"lugward/internal/fleet"
 	"lugward/internal/pipeline"
 	"lugward/internal/place"
-	"lugward/internal/step"
 	"lugward/internal/store"
 )
 
@@ -77,10 +77,10 @@
 // booting is a rented machine that has not reported yet.
 type booting struct {
 	offer
-	since step.Time
-	up    bool      // by the list, though silent to us
-	idle  step.Time // since when no task is planned for it, 0: one is
-	ours  bool      // rented in this term
+	since event.Time
+	up    bool       // by the list, though silent to us
+	idle  event.Time // since when no task is planned for it, 0: one is
+	ours  bool       // rented in this term
 }
 
 // Rental is the slice.
@@ -94,13 +94,13 @@
 	Flavors place.Flavors
 	rawType []byte // as stored
 
-	calls    map[uint64]func(now step.Time, status int, body []byte, out *step.Out)
+	calls    map[uint64]func(now event.Time, status int, body []byte, out *event.Effects)
 	tokens   float64
-	tokensAt step.Time
-	pauseTo  step.Time
+	tokensAt event.Time
+	pauseTo  event.Time
 
-	typesAt   step.Time
-	listAt    step.Time
+	typesAt   event.Time
+	listAt    event.Time
 	listing   bool
 	serial    int
 	hiring    map[offer]int // machines asked for
@@ -109,15 +109,15 @@
 	retired   map[string]uint64 // by name: stamp of the logged retirement
 	returning map[string]bool
 	logging   map[string]bool
-	returned  map[string]step.Time // machines the cloud has taken back from us
-	since     step.Time
-	lookAt    step.Time
-	giveAt    step.Time
+	returned  map[string]event.Time // machines the cloud has taken back from us
+	since     event.Time
+	lookAt    event.Time
+	giveAt    event.Time
 	bootRatio map[int]float64 // of the time a type takes to come up to what the cloud says
 	dark      map[int]bool    // zones most of whose machines are silent
 	again     []retry         // hires to repeat
 
-	planFrom step.Time // plans need a list that was asked for after this
+	planFrom event.Time // plans need a list that was asked for after this
 	mayPlan  bool
 
 	// Replan is set when an answer calls for another plan at once.
@@ -126,7 +126,7 @@
 
 // New returns the slice.
 func New(cfg Config, n *pipeline.Names, t *pipeline.Table, f *fleet.Fleet, s *store.Client, log *slog.Logger) *Rental {
-	r := &Rental{cfg: cfg, names: n, jobs: t, fleet: f, store: s, log: log, calls: map[uint64]func(step.Time, int, []byte, *step.Out){},
+	r := &Rental{cfg: cfg, names: n, jobs: t, fleet: f, store: s, log: log, calls: map[uint64]func(event.Time, int, []byte, *event.Effects){},
 		retired: map[string]uint64{}, bootRatio: map[int]float64{}}
 	r.Forget()
 	return r
@@ -135,14 +135,14 @@
 // Forget drops what only a leader knows.
 func (r *Rental) Forget() {
 	r.hiring, r.refused, r.boots = map[offer]int{}, map[offer]refusal{}, map[int]*booting{}
-	r.returning, r.logging, r.returned = map[string]bool{}, map[string]bool{}, map[string]step.Time{}
+	r.returning, r.logging, r.returned = map[string]bool{}, map[string]bool{}, map[string]event.Time{}
 	r.typesAt, r.listAt, r.listing = -typesEvery, -listEvery, false
 	clear(r.calls)
 	r.again, r.mayPlan, r.lookAt, r.giveAt, r.dark = nil, false, 0, 0, nil
 }
 
 // Begin starts a term.
-func (r *Rental) Begin(now step.Time, fence uint64) {
+func (r *Rental) Begin(now event.Time, fence uint64) {
 	r.Forget()
 	r.since, r.serial = now, 0
 	// What a leader before us rented last is not on the list yet: renting by
@@ -226,7 +226,7 @@
 	return true
 }
 
-func (r *Rental) allowed(now step.Time) bool {
+func (r *Rental) allowed(now event.Time) bool {
 	if now < r.pauseTo {
 		return false
 	}
@@ -235,9 +235,9 @@
 	return r.tokens >= 1
 }
 
-func (r *Rental) call(method, path string, body []byte, out *step.Out, f func(now step.Time, status int, body []byte, out *step.Out)) {
+func (r *Rental) call(method, path string, body []byte, out *event.Effects, f func(now event.Time, status int, body []byte, out *event.Effects)) {
 	r.tokens--
-	r.calls[out.Call(r.cfg.Addr, method, path, body, callWait)] = func(now step.Time, status int, body []byte, out *step.Out) {
+	r.calls[out.Call(r.cfg.Addr, method, path, body, callWait)] = func(now event.Time, status int, body []byte, out *event.Effects) {
 		if status == 429 || (status == 503 && method == "GET") {
 			r.pauseTo = now + troublePause
 		}
@@ -246,7 +246,7 @@
 }
 
 // CallDone takes the outcome of a call; it tells whether it was ours.
-func (r *Rental) CallDone(now step.Time, d step.CallDone, out *step.Out) bool {
+func (r *Rental) CallDone(now event.Time, d event.CallDone, out *event.Effects) bool {
 	f, ok := r.calls[d.ID]
 	if !ok {
 		return false
@@ -257,12 +257,12 @@
 }
 
 // Types refreshes the machine types; any node may, until they are known.
-func (r *Rental) Types(now step.Time, term *store.Cond, out *step.Out) {
+func (r *Rental) Types(now event.Time, term *store.Cond, out *event.Effects) {
 	if now-r.typesAt < typesEvery && (len(r.Flavors) > 0 || now-r.typesAt < troublePause) || !r.allowed(now) {
 		return
 	}
 	r.typesAt = now
-	r.call("GET", "/machine_types", nil, out, func(now step.Time, status int, body []byte, out *step.Out) {
+	r.call("GET", "/machine_types", nil, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		if status != 200 || !r.takeTypes(body) {
 			r.typesAt = now - typesEvery + troublePause
 			return
@@ -287,7 +287,7 @@
 }
 
 // Tick does the leader's part: lists, returns, gives up machines.
-func (r *Rental) Tick(now step.Time, t fleet.Term, term store.Cond, silent time.Duration, out *step.Out) {
+func (r *Rental) Tick(now event.Time, t fleet.Term, term store.Cond, silent time.Duration, out *event.Effects) {
 	r.Types(now, &term, out)
 	r.sendAgain(now, out)
 	r.sendReturns(now, term, out)
@@ -375,7 +375,7 @@
 
 // learnBoot notes how long a machine took to come up. Since a term may begin
 // while it boots, only those that we rented ourselves count.
-func (r *Rental) learnBoot(b *booting, now step.Time) {
+func (r *Rental) learnBoot(b *booting, now event.Time) {
 	f := r.Flavors.Get(b.flavor)
 	if !b.ours || f == nil || f.Ready <= 0 {
 		return
@@ -412,7 +412,7 @@
 
 // findDark finds the zones most of whose machines are silent: nothing is
 // rented there, and what is there is not given up soon.
-func (r *Rental) findDark(zones map[int][]*fleet.Host, now step.Time, silent time.Duration) {
+func (r *Rental) findDark(zones map[int][]*fleet.Host, now event.Time, silent time.Duration) {
 	dark := map[int]bool{}
 	for z, hosts := range zones {
 		lost := 0
@@ -439,7 +439,7 @@
 // cloud's answer proves its tasks gone long before its lease does. Where
 // several are silent the network is the likelier cause, and they are left to
 // go on working; so they are while the zone comes back machine by machine.
-func (r *Rental) giveUpSilent(zones map[int][]*fleet.Host, now step.Time, term store.Cond, silent time.Duration) {
+func (r *Rental) giveUpSilent(zones map[int][]*fleet.Host, now event.Time, term store.Cond, silent time.Duration) {
 	for _, z := range slices.Sorted(maps.Keys(zones)) {
 		var lost []*fleet.Host
 		for _, h := range zones[z] {
@@ -466,7 +466,7 @@
 
 // Retire logs that a machine gets nothing more; once that is stored it is
 // returned. A successor knows by the log not to use it.
-func (r *Rental) Retire(h *fleet.Host, now step.Time, term store.Cond) {
+func (r *Rental) Retire(h *fleet.Host, now event.Time, term store.Cond) {
 	h.Retiring = true
 	if r.logging[h.Name] || r.retired[h.Name] != 0 {
 		return
@@ -478,7 +478,7 @@
 		Done:   func(store.Result) { delete(r.logging, name) }}, now+time.Minute)
 }
 
-func (r *Rental) sendReturns(now step.Time, term store.Cond, out *step.Out) {
+func (r *Rental) sendReturns(now event.Time, term store.Cond, out *event.Effects) {
 	if len(r.retired) == 0 || now-r.giveAt < giveEvery {
 		return
 	}
@@ -501,7 +501,7 @@
 		r.returning[n] = true
 	}
 	body, _ := json.Marshal(map[string]any{"hosts": hosts})
-	r.call("POST", "/rentals/return", body, out, func(now step.Time, status int, _ []byte, _ *step.Out) {
+	r.call("POST", "/rentals/return", body, out, func(now event.Time, status int, _ []byte, _ *event.Effects) {
 		for _, n := range hosts {
 			delete(r.returning, n)
 		}
@@ -535,14 +535,14 @@
 }
 
 // list reads the machine list: it shows machines that nobody expects.
-func (r *Rental) list(now step.Time, from string, out *step.Out) {
+func (r *Rental) list(now event.Time, from string, out *event.Effects) {
 	r.listing, r.listAt = true, now
 	asked := now
 	path := fmt.Sprintf("/rentals?limit=%d", listLimit)
 	if from != "" {
 		path += "&from=" + from
 	}
-	r.call("GET", path, nil, out, func(now step.Time, status int, body []byte, out *step.Out) {
+	r.call("GET", path, nil, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		r.listing = false
 		var v struct {
 			Hosts []wireHost `json:"hosts"`
@@ -562,7 +562,7 @@
 	})
 }
 
-func (r *Rental) listed(w wireHost, now step.Time) {
+func (r *Rental) listed(w wireHost, now event.Time) {
 	if w.Name == "" || r.retired[w.Name] != 0 || r.returning[w.Name] {
 		return
 	}
@@ -592,7 +592,7 @@
 // machine asked for now is up: what ends or leaves by then makes room, what
 // was stopped needs room again, and machines that are booting are filled in
 // thought. What is left is bought where a task costs least.
-func (r *Rental) Plan(now step.Time, blocked []*pipeline.Job, p *place.Placer, term uint64, out *step.Out) {
+func (r *Rental) Plan(now event.Time, blocked []*pipeline.Job, p *place.Placer, term uint64, out *event.Effects) {
 	if !r.mayPlan {
 		if now >= r.planFrom && !r.listing {
 			r.listAt = now - listEvery
@@ -713,7 +713,7 @@
 // onlyZone names the zone to which a job that must stay in one is bound: the
 // one its tasks may still be in, else the one where the missing machines cost
 // least. -1: any; false: there is none.
-func (r *Rental) onlyZone(j *pipeline.Job, inZone map[int]int, rooms []*place.Room, left int, now step.Time) (zone int, ok bool) {
+func (r *Rental) onlyZone(j *pipeline.Job, inZone map[int]int, rooms []*place.Room, left int, now event.Time) (zone int, ok bool) {
 	if !j.SamePlace {
 		return -1, true
 	}
@@ -753,7 +753,7 @@
 }
 
 // cheapest finds the offer at which the tasks cost least per hour.
-func (r *Rental) cheapest(j *pipeline.Job, left int, inZone map[int]int, only int, need map[offer]int, now step.Time) (best offer, per int, ok bool) {
+func (r *Rental) cheapest(j *pipeline.Job, left int, inZone map[int]int, only int, need map[offer]int, now event.Time) (best offer, per int, ok bool) {
 	least := math.Inf(1)
 	for _, f := range r.Flavors {
 		if !place.Allowed(&j.Spec, f) {
@@ -783,18 +783,18 @@
 
 // refusal is what we know of an offer that is sold out.
 type refusal struct {
-	until step.Time
+	until event.Time
 	pause time.Duration
 }
 
-func (r *Rental) refuse(o offer, now step.Time) {
+func (r *Rental) refuse(o offer, now event.Time) {
 	pause := min(refusedMost, max(refusedPause, 2*r.refused[o].pause))
 	r.refused[o] = refusal{now + pause, pause}
 }
 
 // hire asks for machines. The name holds the term, so that no other leader
 // ever uses it again.
-func (r *Rental) hire(now step.Time, o offer, n int, term uint64, out *step.Out) {
+func (r *Rental) hire(now event.Time, o offer, n int, term uint64, out *event.Effects) {
 	r.serial++
 	r.hiring[o] += n
 	r.send(fmt.Sprintf("t%d-%d", term, r.serial), o, n, 0, out)
@@ -802,10 +802,10 @@
 
 const hireTries = 5
 
-func (r *Rental) send(name string, o offer, n, tries int, out *step.Out) {
+func (r *Rental) send(name string, o offer, n, tries int, out *event.Effects) {
 	body, _ := json.Marshal(map[string]any{"hire": name, "flavor": r.names.Flavors.Name(o.flavor), "yard": r.names.Zones.Name(o.zone),
 		"loaners": o.spot, "number": n})
-	r.call("POST", "/rentals", body, out, func(now step.Time, status int, body []byte, out *step.Out) {
+	r.call("POST", "/rentals", body, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		var v struct {
 			Hosts []string `json:"hosts"`
 			Error string   `json:"error"`
@@ -832,7 +832,7 @@
 			if status != 0 {
 				r.pauseTo = now + troublePause
 			}
-			r.again = append(r.again, retry{now + troublePause, func(out *step.Out) { r.send(name, o, n, tries+1, out) }})
+			r.again = append(r.again, retry{now + troublePause, func(out *event.Effects) { r.send(name, o, n, tries+1, out) }})
 			return
 		}
 		r.Replan = true
@@ -843,11 +843,11 @@
 }
 
 type retry struct {
-	at step.Time
-	do func(out *step.Out)
+	at event.Time
+	do func(out *event.Effects)
 }
 
-func (r *Rental) sendAgain(now step.Time, out *step.Out) {
+func (r *Rental) sendAgain(now event.Time, out *event.Effects) {
 	list := r.again
 	r.again = nil
 	for _, a := range list {
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"lugward/internal/config"
+	"lugward/internal/event"
 	"lugward/internal/fleet"
 	"lugward/internal/pipeline"
 	"lugward/internal/place"
-	"lugward/internal/step"
 	"lugward/internal/store"
 )
 
@@ -41,7 +41,7 @@
 			jobs.Listen(pipeline.JobKey, id, pipeline.Encode(n, j), uint64(i+1))
 			blocked = append(blocked, jobs.Job(id))
 		}
-		var out step.Out
+		var out event.Effects
 		r.Plan(time.Second, blocked, p, 1, &out)
 		got := 0
 		for _, call := range out.Calls {
--- a/internal/simtest/troubles.go
+++ b/internal/simtest/troubles.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"lugward/internal/step"
+	"lugward/internal/event"
 )
 
 // troubles are those of the network and of users that last for a while, each
@@ -37,7 +37,7 @@
 
 // lateWrite lets a transaction go unanswered and be carried out late, judged by
 // its conditions then. In an outage it waits in the service for its end.
-func (n *node) lateWrite(c step.Call) bool {
+func (n *node) lateWrite(c event.Call) bool {
 	w := n.w
 	if c.Path != "/commit" || n.denied || w.state.down || w.cut[[2]string{n.name, "state"}] || !w.befalls(w.lateWrites) {
 		return false
--- a/internal/simtest/troubles_test.go
+++ b/internal/simtest/troubles_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lugward/internal/step"
+	"lugward/internal/event"
 )
 
 // machineWith returns a machine that runs one task of an array, its lease just
@@ -141,7 +141,7 @@
 	w.lateWrites = 1
 	write := func(key string, stamp uint64) {
 		body, _ := json.Marshal(object{"if": []object{{"key": key, "stamp": stamp}}, "then": []object{{"write": key, "data": 1}}})
-		if !n.lateWrite(step.Call{Method: "POST", Path: "/commit", Body: body}) {
+		if !n.lateWrite(event.Call{Method: "POST", Path: "/commit", Body: body}) {
 			t.Fatal("not late")
 		}
 	}
--- a/internal/simtest/world.go
+++ b/internal/simtest/world.go
@@ -16,7 +16,7 @@
 
 	"lugward/internal/config"
 	"lugward/internal/core"
-	"lugward/internal/step"
+	"lugward/internal/event"
 )
 
 const (
@@ -30,11 +30,11 @@
 
 // World is one simulated deployment.
 type World struct {
-	now   time.Duration
-	queue events
-	seq   int
-	rng   *rand.Rand
-	cfg   *config.Platform
+	now      time.Duration
+	schedule schedule
+	seq      int
+	rng      *rand.Rand
+	cfg      *config.Platform
 
 	nodes   []*node
 	state   *state
@@ -65,21 +65,21 @@
 	do   func()
 }
 
-type event struct {
+type scheduled struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-type events []event
+type schedule []scheduled
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(a, b int) bool {
+func (e schedule) Len() int { return len(e) }
+func (e schedule) Less(a, b int) bool {
 	return e[a].at < e[b].at || (e[a].at == e[b].at && e[a].seq < e[b].seq)
 }
-func (e events) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e schedule) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
+func (e *schedule) Push(x any)   { *e = append(*e, x.(scheduled)) }
+func (e *schedule) Pop() any {
 	old := *e
 	last := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -125,14 +125,14 @@
 
 func (w *World) after(d time.Duration, f func()) {
 	w.seq++
-	heap.Push(&w.queue, event{w.now + d, w.seq, f})
+	heap.Push(&w.schedule, scheduled{w.now + d, w.seq, f})
 }
 
 // Run plays for d.
 func (w *World) Run(d time.Duration) {
 	end := w.now + d
-	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(event)
+	for len(w.schedule) > 0 && w.schedule[0].at <= end {
+		e := heap.Pop(&w.schedule).(scheduled)
 		w.now = e.at
 		e.do()
 	}
@@ -197,7 +197,7 @@
 	index int
 	name  string
 	core  *core.Node
-	out   step.Out
+	out   event.Effects
 	life  int // incarnation
 	up    bool
 	start time.Duration
@@ -249,7 +249,7 @@
 		return
 	}
 	if !n.frozen {
-		n.step(func(now step.Time) {
+		n.step(func(now event.Time) {
 			n.core.Clock(now, dayBegin.Add(n.w.now))
 			n.core.Tick(now, &n.out)
 		})
@@ -287,7 +287,7 @@
 }
 
 // step gives one input to the core and carries out the effects.
-func (n *node) step(f func(now step.Time)) {
+func (n *node) step(f func(now event.Time)) {
 	if n.frozen {
 		n.stopped = append(n.stopped, func() { n.step(f) })
 		return
@@ -305,7 +305,7 @@
 }
 
 // perform carries out the effects of a step.
-func (n *node) perform(replies []step.Reply, calls []step.Call, frames []step.PeerFrame) {
+func (n *node) perform(replies []event.Reply, calls []event.Call, frames []event.PeerFrame) {
 	life := n.life
 	for _, r := range replies {
 		if answer := n.conns[r.Conn]; answer != nil {
@@ -330,21 +330,21 @@
 		data := fr.Data
 		n.w.send(n.name, to.name, func() {
 			if to.up {
-				to.step(func(now step.Time) { to.core.Frame(now, step.PeerFrame{Peer: -1, Data: data}, &to.out) })
+				to.step(func(now event.Time) { to.core.Frame(now, event.PeerFrame{Peer: -1, Data: data}, &to.out) })
 			}
 		})
 	}
 }
 
-func (n *node) call(c step.Call, life int) {
+func (n *node) call(c event.Call, life int) {
 	answered := false
 	finish := func(status int, body []byte) {
 		if answered || !n.up || n.life != life {
 			return
 		}
 		answered = true
-		n.step(func(now step.Time) {
-			n.core.CallDone(now, step.CallDone{ID: c.ID, Status: status, Body: body}, &n.out)
+		n.step(func(now event.Time) {
+			n.core.CallDone(now, event.CallDone{ID: c.ID, Status: status, Body: body}, &n.out)
 		})
 	}
 	n.w.after(c.Timeout, func() { finish(0, nil) })
@@ -410,8 +410,8 @@
 		n.next++
 		id := n.next
 		n.conns[id] = answer
-		n.step(func(now step.Time) {
-			n.core.Request(now, step.Request{Conn: id, Method: method, Path: path, Body: body}, &n.out)
+		n.step(func(now event.Time) {
+			n.core.Request(now, event.Request{Conn: id, Method: method, Path: path, Body: body}, &n.out)
 		})
 	}
 	to, there, back := w.heldReport(n, path)
--- a/internal/store/share.go
+++ b/internal/store/share.go
@@ -1,6 +1,6 @@
 package store
 
-import "lugward/internal/step"
+import "lugward/internal/event"
 
 // Claim is one node's part in a rate that several share.
 type Claim struct{ Want, Weight float64 }
@@ -51,20 +51,20 @@
 }
 
 // demandOver is the time over which the demand is counted.
-const demandOver = step.Time(2e9)
+const demandOver = event.Time(2e9)
 
 // meter counts what was asked for lately.
 type meter struct {
 	last, now float64
-	since     step.Time
+	since     event.Time
 }
 
-func (m *meter) add(now step.Time, n float64) {
+func (m *meter) add(now event.Time, n float64) {
 	m.roll(now)
 	m.now += n
 }
 
-func (m *meter) roll(now step.Time) {
+func (m *meter) roll(now event.Time) {
 	switch gone := now - m.since; {
 	case gone >= 2*demandOver:
 		m.last, m.now, m.since = 0, 0, now
@@ -73,7 +73,7 @@
 	}
 }
 
-func (m *meter) rate(now step.Time) float64 {
+func (m *meter) rate(now event.Time) float64 {
 	m.roll(now)
 	part := float64(now-m.since) / float64(demandOver)
 	return (m.now + m.last*(1-part)) / demandOver.Seconds()
@@ -81,7 +81,7 @@
 
 // Demand is how many requests and writes per second this node could use:
 // those of the last seconds and those that wait.
-func (c *Client) Demand(now step.Time) (requests, writes float64) {
+func (c *Client) Demand(now event.Time) (requests, writes float64) {
 	waiting := 0.0
 	for _, list := range c.queue {
 		for _, in := range list {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"lugward/internal/step"
+	"lugward/internal/event"
 )
 
 // Priority orders what waits for the request and write rates.
@@ -65,8 +65,8 @@
 	// Invalid: refused with 400. The same write will be refused again, be it
 	// for its size, so it is to be tried ever less often.
 	Invalid bool
-	Now     step.Time
-	Out     *step.Out
+	Now     event.Time
+	Out     *event.Effects
 }
 
 // Intent is a set of writes that happen together or not at all. Several
@@ -84,7 +84,7 @@
 	Build func(in *Intent) bool
 	Key   string
 
-	expires step.Time
+	expires event.Time
 	tries   int
 }
 
@@ -132,7 +132,7 @@
 	loading   bool
 	loadEpoch uint64
 	loadSeen  map[string]bool
-	loadNext  step.Time
+	loadNext  event.Time
 
 	requests, writes bucket
 	asked, written   meter
@@ -140,30 +140,30 @@
 	queue    [priorities][]*Intent
 	inflight int
 	busyKeys map[string]bool
-	pauseTo  step.Time
+	pauseTo  event.Time
 
-	calls      map[uint64]func(now step.Time, status int, body []byte, out *step.Out)
+	calls      map[uint64]func(now event.Time, status int, body []byte, out *event.Effects)
 	watchOpen  bool
-	watchNext  step.Time
+	watchNext  event.Time
 	watchEvery time.Duration // least time between two watches
 
-	barriers     []func(now step.Time, ok bool, out *step.Out)
+	barriers     []func(now event.Time, ok bool, out *event.Effects)
 	barrierOpen  bool
-	barrierNext  step.Time
+	barrierNext  event.Time
 	barrierEvery time.Duration
 
-	fresh step.Time // the replica held all changes up to then
+	fresh event.Time // the replica held all changes up to then
 	// Log, if set, is told of writes that the service calls malformed.
 	Log *slog.Logger
 
-	contact step.Time // sending time of the last request that was executed
-	outage  bool      // the last answer was 503 or missing
+	contact event.Time // sending time of the last request that was executed
+	outage  bool       // the last answer was 503 or missing
 }
 
 // New returns a client for the service at addr.
 func New(addr string, limits Limits, listen ListenFunc) *Client {
 	return &Client{addr: addr, limits: limits, listen: listen, stamps: map[string]uint64{}, tombs: map[string]uint64{},
-		busyKeys: map[string]bool{}, calls: map[uint64]func(step.Time, int, []byte, *step.Out){},
+		busyKeys: map[string]bool{}, calls: map[uint64]func(event.Time, int, []byte, *event.Effects){},
 		requests: newBucket(limits.RPS), writes: newBucket(limits.WriteRPS), contact: -time.Hour,
 		watchEvery: leastPause, barrierEvery: leastPause}
 }
@@ -172,11 +172,11 @@
 func (c *Client) Synced() bool { return c.synced }
 
 // Contact is when the last request that the service executed was sent.
-func (c *Client) Contact() step.Time { return c.contact }
+func (c *Client) Contact() event.Time { return c.contact }
 
 // Fresh is a time up to which the replica holds every change. A watch whose
 // answer got lost would else leave it stale for long with nobody noticing.
-func (c *Client) Fresh() step.Time { return c.fresh }
+func (c *Client) Fresh() event.Time { return c.fresh }
 
 // Epoch is the change up to which the replica is complete.
 func (c *Client) Epoch() uint64 { return c.epoch }
@@ -210,21 +210,21 @@
 }
 
 // Submit queues an intent. It is given up as Refused at the time expires.
-func (c *Client) Submit(in *Intent, expires step.Time) {
+func (c *Client) Submit(in *Intent, expires event.Time) {
 	in.expires = expires
 	c.queue[in.Priority] = append(c.queue[in.Priority], in)
 }
 
 // Barrier calls f once the replica holds everything that was committed before
 // this call. ok is false when the service does not answer.
-func (c *Client) Barrier(f func(now step.Time, ok bool, out *step.Out)) {
+func (c *Client) Barrier(f func(now event.Time, ok bool, out *event.Effects)) {
 	c.barriers = append(c.barriers, f)
 }
 
 // Lease sends a request for a new lease, Extend and Drop work on one.
-func (c *Client) Lease(life time.Duration, now step.Time, out *step.Out, done func(now step.Time, tether uint64, out *step.Out)) {
+func (c *Client) Lease(life time.Duration, now event.Time, out *event.Effects, done func(now event.Time, tether uint64, out *event.Effects)) {
 	body := fmt.Appendf(nil, `{"life_ms":%d}`, life.Milliseconds())
-	c.call("POST", "/leases", body, callTimeout, now, out, func(now step.Time, status int, body []byte, out *step.Out) {
+	c.call("POST", "/leases", body, callTimeout, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		var v struct {
 			Tether uint64 `json:"tether"`
 		}
@@ -236,22 +236,22 @@
 }
 
 // Extend renews a lease; done gets the status.
-func (c *Client) Extend(tether uint64, timeout time.Duration, now step.Time, out *step.Out, done func(now step.Time, status int, out *step.Out)) {
+func (c *Client) Extend(tether uint64, timeout time.Duration, now event.Time, out *event.Effects, done func(now event.Time, status int, out *event.Effects)) {
 	c.call("POST", "/leases/"+strconv.FormatUint(tether, 10)+"/extend", nil, timeout, now, out,
-		func(now step.Time, status int, _ []byte, out *step.Out) { done(now, status, out) })
+		func(now event.Time, status int, _ []byte, out *event.Effects) { done(now, status, out) })
 }
 
 // Drop ends a lease at once.
-func (c *Client) Drop(tether uint64, now step.Time, out *step.Out) {
+func (c *Client) Drop(tether uint64, now event.Time, out *event.Effects) {
 	c.call("DELETE", "/leases/"+strconv.FormatUint(tether, 10), nil, callTimeout, now, out,
-		func(step.Time, int, []byte, *step.Out) {})
+		func(event.Time, int, []byte, *event.Effects) {})
 }
 
-func (c *Client) call(method, path string, body []byte, timeout time.Duration, now step.Time, out *step.Out, f func(step.Time, int, []byte, *step.Out)) {
+func (c *Client) call(method, path string, body []byte, timeout time.Duration, now event.Time, out *event.Effects, f func(event.Time, int, []byte, *event.Effects)) {
 	c.requests.take(now, 1)
 	c.asked.add(now, 1)
 	sent := now
-	c.calls[out.Call(c.addr, method, path, body, timeout)] = func(now step.Time, status int, body []byte, out *step.Out) {
+	c.calls[out.Call(c.addr, method, path, body, timeout)] = func(now event.Time, status int, body []byte, out *event.Effects) {
 		if status != 0 && status != 503 && status != 429 {
 			c.contact = max(c.contact, sent)
 			c.outage = false
@@ -265,7 +265,7 @@
 }
 
 // CallDone takes the outcome of a call; it tells whether it was ours.
-func (c *Client) CallDone(now step.Time, d step.CallDone, out *step.Out) bool {
+func (c *Client) CallDone(now event.Time, d event.CallDone, out *event.Effects) bool {
 	f, ok := c.calls[d.ID]
 	if !ok {
 		return false
@@ -276,7 +276,7 @@
 }
 
 // Tick sends what is due.
-func (c *Client) Tick(now step.Time, out *step.Out) {
+func (c *Client) Tick(now event.Time, out *event.Effects) {
 	c.expire(now, out)
 	if !c.synced {
 		c.failBarriers(now, out)
@@ -292,7 +292,7 @@
 	}
 }
 
-func (c *Client) expire(now step.Time, out *step.Out) {
+func (c *Client) expire(now event.Time, out *event.Effects) {
 	for p := range c.queue {
 		list := c.queue[p]
 		kept := list[:0]
@@ -313,7 +313,7 @@
 
 // load reads every key, page by page. The pages are not one moment's, but
 // following from the first page's epoch replays whatever changed meanwhile.
-func (c *Client) load(now step.Time, out *step.Out) {
+func (c *Client) load(now event.Time, out *event.Effects) {
 	c.loading, c.loadEpoch, c.loadSeen = true, 0, map[string]bool{}
 	c.page("", now, out)
 }
@@ -324,12 +324,12 @@
 	Stamp uint64          `json:"stamp"`
 }
 
-func (c *Client) page(from string, now step.Time, out *step.Out) {
+func (c *Client) page(from string, now event.Time, out *event.Effects) {
 	path := "/keys?starts=&limit=" + strconv.Itoa(pageLimit)
 	if from != "" {
 		path += "&from=" + url.QueryEscape(from)
 	}
-	c.call("GET", path, nil, 4*time.Second, now, out, func(now step.Time, status int, body []byte, out *step.Out) {
+	c.call("GET", path, nil, 4*time.Second, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		var v struct {
 			Items   []item `json:"items"`
 			HasNext bool   `json:"has_next"`
@@ -398,7 +398,7 @@
 
 // follow handles a /follow answer; it tells whether the replica is current as
 // of that answer.
-func (c *Client) follow(sent step.Time, now step.Time, status int, body []byte) bool {
+func (c *Client) follow(sent event.Time, now event.Time, status int, body []byte) bool {
 	if status == 410 {
 		// Too far behind: read everything again.
 		c.synced, c.loadNext = false, now
@@ -430,12 +430,12 @@
 	return true
 }
 
-func (c *Client) watch(now step.Time, out *step.Out) {
+func (c *Client) watch(now event.Time, out *event.Effects) {
 	c.watchOpen = true
 	sent := now
 	c.watchNext = now + c.watchEvery
 	path := fmt.Sprintf("/follow?starts=&from=%d&wait_ms=%d", c.epoch, watchWait.Milliseconds())
-	c.call("GET", path, nil, watchWait+watchSlack, now, out, func(now step.Time, status int, body []byte, out *step.Out) {
+	c.call("GET", path, nil, watchWait+watchSlack, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		c.watchOpen = false
 		if !c.follow(sent, now, status, body) {
 			c.watchNext = max(c.watchNext, now+refusedPause)
@@ -444,7 +444,7 @@
 	})
 }
 
-func (c *Client) failBarriers(now step.Time, out *step.Out) {
+func (c *Client) failBarriers(now event.Time, out *event.Effects) {
 	list := c.barriers
 	c.barriers = nil
 	for _, f := range list {
@@ -452,14 +452,14 @@
 	}
 }
 
-func (c *Client) sendBarrier(now step.Time, out *step.Out) {
+func (c *Client) sendBarrier(now event.Time, out *event.Effects) {
 	if c.barrierOpen || (len(c.barriers) == 0 && now-c.fresh < c.limits.StaleAfter) || now < c.barrierNext || !c.requests.has(now, 1) {
 		return
 	}
 	list, sent := c.barriers, now
 	c.barriers, c.barrierOpen, c.barrierNext = nil, true, now+c.barrierEvery
 	path := fmt.Sprintf("/follow?starts=&from=%d&wait_ms=0", c.epoch)
-	c.call("GET", path, nil, callTimeout, now, out, func(now step.Time, status int, body []byte, out *step.Out) {
+	c.call("GET", path, nil, callTimeout, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		c.barrierOpen = false
 		ok := c.follow(sent, now, status, body)
 		if !ok {
@@ -473,7 +473,7 @@
 }
 
 // flush packs waiting intents into transactions, most urgent first.
-func (c *Client) flush(now step.Time, out *step.Out) {
+func (c *Client) flush(now event.Time, out *event.Effects) {
 	for c.inflight < maxInFlight && now >= c.pauseTo {
 		batch, ops := c.pick(now)
 		if len(batch) == 0 {
@@ -487,7 +487,7 @@
 // our part of the rates, which is owed afterwards: where many nodes share a
 // small rate, a part may be less than the two writes that a term takes, and
 // nobody would ever lead.
-func (c *Client) pick(now step.Time) (batch []*Intent, ops int) {
+func (c *Client) pick(now event.Time) (batch []*Intent, ops int) {
 	size, conds := 0, 0
 	taken := map[string]bool{}
 	requests, writes := c.requests.has(now, 1), c.writes.whole(now)
@@ -571,7 +571,7 @@
 	Tether uint64          `json:"tether,omitempty"`
 }
 
-func (c *Client) send(batch []*Intent, ops int, now step.Time, out *step.Out) {
+func (c *Client) send(batch []*Intent, ops int, now event.Time, out *event.Effects) {
 	var txn struct {
 		If   []wireCond  `json:"if"`
 		Then []wireWrite `json:"then"`
@@ -601,7 +601,7 @@
 	c.writes.take(now, float64(ops))
 	c.written.add(now, float64(ops))
 	c.inflight++
-	c.call("POST", "/commit", body, callTimeout, now, out, func(now step.Time, status int, body []byte, out *step.Out) {
+	c.call("POST", "/commit", body, callTimeout, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		c.inflight--
 		for _, in := range batch {
 			for _, w := range in.Writes {
@@ -613,7 +613,7 @@
 	})
 }
 
-func (c *Client) committed(batch []*Intent, now step.Time, status int, body []byte, out *step.Out) {
+func (c *Client) committed(batch []*Intent, now event.Time, status int, body []byte, out *event.Effects) {
 	var v struct {
 		Epoch  uint64   `json:"epoch"`
 		Failed []string `json:"failed"`
@@ -695,24 +695,24 @@
 // bucket is a token bucket with one second's burst.
 type bucket struct {
 	rate, level float64
-	at          step.Time
+	at          event.Time
 }
 
 func newBucket(rate float64) bucket { return bucket{rate: rate, level: rate} }
 
-func (b *bucket) fill(now step.Time) {
+func (b *bucket) fill(now event.Time) {
 	if now > b.at {
 		b.level = math.Min(b.most(), b.level+b.rate*(now-b.at).Seconds())
 		b.at = now
 	}
 }
 
-func (b *bucket) has(now step.Time, n float64) bool {
+func (b *bucket) has(now event.Time, n float64) bool {
 	b.fill(now)
 	return b.level >= n
 }
 
-func (b *bucket) whole(now step.Time) int {
+func (b *bucket) whole(now event.Time) int {
 	b.fill(now)
 	return int(math.Max(b.level, 0))
 }
@@ -720,7 +720,7 @@
 // most is what the bucket holds when it is full.
 func (b *bucket) most() float64 { return math.Max(b.rate, 1) }
 
-func (b *bucket) take(now step.Time, n float64) {
+func (b *bucket) take(now event.Time, n float64) {
 	b.fill(now)
 	b.level -= n
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"lugward/internal/step"
+	"lugward/internal/event"
 )
 
 // bench is a client whose calls the test answers, in any order.
 type bench struct {
 	*Client
-	out  step.Out
-	now  step.Time
+	out  event.Effects
+	now  event.Time
 	held map[string]string // what the listener was told last, by key
 }
 
@@ -26,7 +26,7 @@
 }
 
 // take returns the calls of a kind since the last time, and forgets all.
-func (b *bench) take(path string) (list []step.Call) {
+func (b *bench) take(path string) (list []event.Call) {
 	for _, c := range b.out.Calls {
 		if strings.HasPrefix(c.Path, path) {
 			list = append(list, c)
@@ -36,8 +36,8 @@
 	return list
 }
 
-func (b *bench) answer(c step.Call, status int, body string) {
-	b.CallDone(b.now, step.CallDone{ID: c.ID, Status: status, Body: []byte(body)}, &b.out)
+func (b *bench) answer(c event.Call, status int, body string) {
+	b.CallDone(b.now, event.CallDone{ID: c.ID, Status: status, Body: []byte(body)}, &b.out)
 }
 
 func (b *bench) wait(d time.Duration) {
@@ -153,7 +153,7 @@
 func TestOvertakenAnswer(t *testing.T) {
 	b := newBench(open, `{"key":"j/req-1","data":{"n":1},"stamp":3}`)
 	watch := b.take("/follow")[0]
-	b.Barrier(func(step.Time, bool, *step.Out) {})
+	b.Barrier(func(event.Time, bool, *event.Effects) {})
 	b.wait(time.Second)
 	barrier := b.take("/follow")[0]
 	b.answer(barrier, 200, `{"epoch":9,"log":[{"write":"j/req-1","data":{"n":2},"stamp":7},{"drop":"j/req-1","stamp":9}]}`)
