--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"lugward/internal/config"
+	"lugward/internal/election"
 	"lugward/internal/event"
 	"lugward/internal/fleet"
 	"lugward/internal/intake"
-	"lugward/internal/lead"
 	"lugward/internal/peer"
 	"lugward/internal/pipeline"
 	"lugward/internal/place"
@@ -88,17 +88,17 @@
 
 // Node is one controller.
 type Node struct {
-	cfg    *config.Platform
-	log    *slog.Logger
-	names  *pipeline.Names
-	store  *store.Client
-	lead   *lead.Lead
-	jobs   *pipeline.Table
-	fleet  *fleet.Fleet
-	placer *place.Placer
-	rental *rental.Rental
-	intake *intake.Intake
-	peers  []*peerState
+	cfg      *config.Platform
+	log      *slog.Logger
+	names    *pipeline.Names
+	store    *store.Client
+	election *election.Election
+	jobs     *pipeline.Table
+	fleet    *fleet.Fleet
+	placer   *place.Placer
+	rental   *rental.Rental
+	intake   *intake.Intake
+	peers    []*peerState
 
 	clock     func() time.Duration
 	leading   bool
@@ -137,7 +137,7 @@
 	n.jobs = pipeline.NewTable(n.names, int(s.State.ValueKB*1024), limits.TxnOps)
 	n.jobs.ValueLimit = int(limits.ValueKB * 1024)
 	lease := config.Seconds(s.Workers.LeaseS)
-	grace := lead.GraceFor(config.Seconds(s.Workers.CancelS), lease)
+	grace := election.GraceFor(config.Seconds(s.Workers.CancelS), lease)
 	// A leader answers reports only while its replica is fresher than the
 	// grace: where cancellations have little time, an idle one must not age.
 	n.store = store.New(cfg.Services.State, store.Limits{TxnOps: limits.TxnOps, RPS: s.State.RPS, WriteRPS: s.State.WriteRPS,
@@ -150,7 +150,7 @@
 	}
 	sort.Strings(labels)
 	n.jobs.Labels = labels
-	n.lead = lead.New(lead.Config{Label: cfg.Label, Rank: sort.SearchStrings(labels, cfg.Label), Life: time.Duration(cfg.Operator.Term.Life),
+	n.election = election.New(election.Config{Label: cfg.Label, Rank: sort.SearchStrings(labels, cfg.Label), Life: time.Duration(cfg.Operator.Term.Life),
 		Lease: lease, Grace: grace}, n.store, log)
 	n.fleet = fleet.New(n.names, n.jobs, log)
 	n.fleet.Silent = n.silent()
@@ -202,8 +202,8 @@
 func (n *Node) listen(key string, data []byte, stamp uint64) {
 	kind, rest := store.SplitKey(key)
 	switch kind {
-	case lead.Kind:
-		n.lead.Listen(key, data, stamp)
+	case election.Kind:
+		n.election.Listen(key, data, stamp)
 	case rental.Kind, rental.RetireKind:
 		n.rental.Listen(kind, rest, data, stamp)
 	default:
@@ -219,14 +219,14 @@
 func (n *Node) Tick(now event.Time, out *event.Effects) {
 	n.jobs.Now = int64(now)
 	n.store.Tick(now, out)
-	n.lead.Tick(now, out)
+	n.election.Tick(now, out)
 	n.settle(now, out)
 	n.beat(now, out)
 	n.expireRelays(now, out)
 	n.showVersion(now)
 	n.mark(now)
 	n.intake.Tick(now, out)
-	if !n.lead.Entitled(now) {
+	if !n.election.Entitled(now) {
 		if !n.leading {
 			n.rental.Types(now, nil, out)
 		}
@@ -240,16 +240,16 @@
 
 // settle notices the begin and the end of our term.
 func (n *Node) settle(now event.Time, out *event.Effects) {
-	if n.lead.Acquired() {
+	if n.election.Acquired() {
 		n.leading = true
 		n.jobs.Forget()
 		n.fleet.Forget()
-		n.rental.Begin(now, n.lead.Fence())
+		n.rental.Begin(now, n.election.Fence())
 		n.blocked, n.rooms = nil, nil
 		n.heardAny = now
 		n.share(now)
 	}
-	if n.leading && !n.lead.Holds() {
+	if n.leading && !n.election.Holds() {
 		n.leading = false
 		n.jobs.Forget()
 		n.fleet.Forget()
@@ -260,7 +260,7 @@
 	if n.leading && now >= n.patience() && n.anyWorkers() {
 		// Whoever can reach the workers shall have the term.
 		n.yielded = true
-		n.lead.Yield(now, out, "no worker is heard")
+		n.election.Yield(now, out, "no worker is heard")
 		n.settle(now, out)
 	}
 }
@@ -271,7 +271,7 @@
 // silent machines are gone from ever being reached: it stays until then.
 func (n *Node) patience() event.Time {
 	if n.yielded {
-		return n.lead.SilentProof(n.heardAny) + deafAfter
+		return n.election.SilentProof(n.heardAny) + deafAfter
 	}
 	return n.heardAny + deafAfter
 }
@@ -292,10 +292,10 @@
 func (n *Node) act(now event.Time, out *event.Effects) {
 	if now-n.fleetAt >= fleetEvery {
 		n.fleetAt = now
-		n.fleet.Tick(now, n.lead, out)
+		n.fleet.Tick(now, n.election, out)
 		n.drain(now)
 	}
-	n.rental.Tick(now, n.lead, n.lead.Cond(), n.silent(), out)
+	n.rental.Tick(now, n.election, n.election.Cond(), n.silent(), out)
 	since := now - n.roundAt
 	n.jobs.Changed = n.jobs.Changed || n.rental.Replan
 	if (n.jobs.Changed && since >= time.Duration(n.cfg.Operator.Place.Round)) || since >= roundIdle {
@@ -305,7 +305,7 @@
 		n.blocked, n.rooms = n.placer.Round(now)
 		if now-n.planAt >= planEvery || n.rental.Replan {
 			n.planAt, n.rental.Replan = now, false
-			n.rental.Plan(now, n.blocked, n.placer, n.lead.Fence(), out)
+			n.rental.Plan(now, n.blocked, n.placer, n.election.Fence(), out)
 		}
 	}
 	if now-n.packAt >= packEvery && n.rooms != nil {
@@ -316,12 +316,12 @@
 		}
 	}
 	n.logLoad(now)
-	n.jobs.Flush(now, n.lead.Cond(), n.store)
+	n.jobs.Flush(now, n.election.Cond(), n.store)
 	if now-n.cleanAt >= cleanEvery {
 		n.cleanAt = now
-		n.jobs.Clean(now, n.lead.Cond(), n.store, cleanJobs)
+		n.jobs.Clean(now, n.election.Cond(), n.store, cleanJobs)
 		n.jobs.Unfold(cleanJobs)
-		n.jobs.CutParts(now, n.lead.Cond(), n.store)
+		n.jobs.CutParts(now, n.election.Cond(), n.store)
 	}
 }
 
@@ -391,13 +391,13 @@
 
 // drain moves work off machines that the cloud is about to take.
 func (n *Node) drain(now event.Time) {
-	const lead = 4 * time.Second // for the stop to arrive and be answered
+	const margin = 4 * time.Second // for the stop to arrive and be answered
 	for _, h := range n.fleet.Hosts {
 		if h == nil || h.RecallAt == 0 {
 			continue
 		}
 		for _, e := range n.jobs.OnHost(h.Index) {
-			if e.Job.SnapEvery > 0 && h.RecallAt-now < config.Seconds(e.Job.SnapCost)+lead {
+			if e.Job.SnapEvery > 0 && h.RecallAt-now < config.Seconds(e.Job.SnapCost)+margin {
 				n.fleet.Evict(e, e.Job.SnapCost+1)
 			}
 		}
@@ -423,7 +423,7 @@
 // follow one another.
 func (n *Node) showVersion(now event.Time) {
 	key := pipeline.VersionKey + "/" + n.cfg.Label
-	if n.showing || !n.store.Synced() || n.store.Stamp(key) != 0 || n.lead.Holder() == "" {
+	if n.showing || !n.store.Synced() || n.store.Stamp(key) != 0 || n.election.Holder() == "" {
 		return
 	}
 	if n.showAt == 0 {
@@ -458,7 +458,7 @@
 	n.beatAt = now
 	f := peer.Frame{Kind: peer.Beat, Label: n.cfg.Label, StateOK: n.store.Synced() && !n.store.Outage(), Leads: n.leading}
 	if n.leading {
-		f.Fence = n.lead.Fence()
+		f.Fence = n.election.Fence()
 	}
 	requests, writes := n.share(now)
 	f.Requests, f.Writes = uint16(min(requests, math.MaxUint16)), uint16(min(writes, math.MaxUint16))
@@ -483,11 +483,11 @@
 		case peer.Beat:
 			p.heard, p.beat = now, fr
 			if fr.Leads {
-				n.lead.SawFence(fr.Fence)
+				n.election.SawFence(fr.Fence)
 			}
 		case peer.Relay:
 			rep, err := n.parser.Parse(fr.Body)
-			if err == nil && n.leading && n.lead.MayAnswer(now) {
+			if err == nil && n.leading && n.election.MayAnswer(now) {
 				n.report(now, caller{peer: i, relay: fr.ID}, rep, out)
 			} else {
 				n.respond(caller{peer: i, relay: fr.ID}, 503, nil, out)
@@ -506,14 +506,14 @@
 	n.jobs.Now = int64(now)
 	if n.store.CallDone(now, d, out) {
 		n.settle(now, out)
-		if n.leading && n.lead.Entitled(now) {
+		if n.leading && n.election.Entitled(now) {
 			n.act(now, out)
 			n.store.Tick(now, out)
 		}
 		n.answer(now, out)
 		return
 	}
-	if n.rental.CallDone(now, d, out) || n.fleet.CallDone(d, n.lead, out) {
+	if n.rental.CallDone(now, d, out) || n.fleet.CallDone(d, n.election, out) {
 		return
 	}
 }
@@ -569,8 +569,8 @@
 		return
 	}
 	n.yielded = false
-	if !n.leading || !n.lead.MayAnswer(now) {
-		n.lead.SawFence(rep.Fence)
+	if !n.leading || !n.election.MayAnswer(now) {
+		n.election.SawFence(rep.Fence)
 		n.passOn(now, r, rep.Host, out)
 		return
 	}
@@ -579,7 +579,7 @@
 
 // report takes a report as leader.
 func (n *Node) report(now event.Time, from caller, rep *fleet.Report, out *event.Effects) {
-	if n.rental.Returned(rep.Host) || !n.fleet.Take(rep, now, n.lead) {
+	if n.rental.Returned(rep.Host) || !n.fleet.Take(rep, now, n.election) {
 		n.respond(from, 503, nil, out)
 		return
 	}
@@ -590,7 +590,7 @@
 	if old := n.waiting.add(w); old != nil {
 		n.respond(old.from, 503, nil, out)
 	}
-	if n.lead.Entitled(now) {
+	if n.election.Entitled(now) {
 		n.act(now, out)
 	}
 	n.store.Tick(now, out)
@@ -613,7 +613,7 @@
 // zones costs no lease as long as some node reaches both sides. The leader
 // treats them like any other; a late one is merely old.
 func (n *Node) passOn(now event.Time, r event.Request, host string, out *event.Effects) {
-	holder := n.lead.Holder()
+	holder := n.election.Holder()
 	link := -1
 	for i, p := range n.peers {
 		if p.label == holder && n.present(p) {
@@ -621,7 +621,7 @@
 		}
 	}
 	p := n.passages[host]
-	if fence := n.lead.HolderFence(); p == nil || p.fence != fence {
+	if fence := n.election.HolderFence(); p == nil || p.fence != fence {
 		p = &passage{fence: fence, sent: -backSoon}
 		n.passages[host] = p
 	}
@@ -660,7 +660,7 @@
 }
 
 func (n *Node) misdirect(conn uint64, out *event.Effects) {
-	holder := n.lead.Holder()
+	holder := n.election.Holder()
 	if holder == "" || holder == n.cfg.Label {
 		out.Reply(conn, 421, nil)
 		return
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -94,7 +94,7 @@
 	if len(r.byHost) == 0 {
 		return
 	}
-	if !n.leading || !n.lead.Entitled(now) {
+	if !n.leading || !n.election.Entitled(now) {
 		// No term, or only its grace: nothing is waited for.
 		for _, list := range [][]*waitingReport{r.soon, r.idle} {
 			for _, w := range list {
@@ -144,15 +144,15 @@
 // answerNow answers a report, with what is to be done on its machine if we may.
 func (n *Node) answerNow(w *waitingReport, now event.Time, out *event.Effects) {
 	n.waiting.done(w)
-	if !n.leading || !n.lead.MayAnswer(now) {
+	if !n.leading || !n.election.MayAnswer(now) {
 		n.respond(w.from, 503, nil, out)
 		return
 	}
-	orders := n.fleet.Orders(w.report, now, n.lead)
+	orders := n.fleet.Orders(w.report, now, n.election)
 	if orders == nil {
 		orders = []fleet.Order{}
 	}
-	body, _ := json.Marshal(helloAnswer{n.lead.Fence(), orders})
+	body, _ := json.Marshal(helloAnswer{n.election.Fence(), orders})
 	n.respond(w.from, 200, body, out)
 }
 
--- a/internal/lead/lead.go
+++ b/internal/election/election.go
@@ -1,9 +1,9 @@
-// Package lead decides who acts for the controllers. The term is a counter
+// Package election decides who acts for the controllers. The term is a counter
 // key raised by compare-and-set together with a key held by a lease; its
 // number is the fence that workers compare. Every write of a leader requires
 // the stamp of the term key, so a deposed leader's writes fail, however late
 // they arrive.
-package lead
+package election
 
 import (
 	"encoding/json"
@@ -54,7 +54,7 @@
 )
 
 // Lead is one controller's view of the term.
-type Lead struct {
+type Election struct {
 	cfg   Config
 	store *store.Client
 	log   *slog.Logger
@@ -79,12 +79,12 @@
 }
 
 // New returns the slice.
-func New(cfg Config, s *store.Client, log *slog.Logger) *Lead {
-	return &Lead{cfg: cfg, store: s, log: log, freeAt: -1}
+func New(cfg Config, s *store.Client, log *slog.Logger) *Election {
+	return &Election{cfg: cfg, store: s, log: log, freeAt: -1}
 }
 
 // Listen takes a change of the replica.
-func (l *Lead) Listen(key string, data []byte, stamp uint64) {
+func (l *Election) Listen(key string, data []byte, stamp uint64) {
 	var r termRecord
 	if data != nil && json.Unmarshal(data, &r) != nil {
 		return
@@ -105,32 +105,32 @@
 }
 
 // Holder is the label of the node that holds the term, "" if none is known.
-func (l *Lead) Holder() string { return l.holder }
+func (l *Election) Holder() string { return l.holder }
 
 // HolderFence is the number of the term that the replica shows.
-func (l *Lead) HolderFence() uint64 { return l.holderFence }
+func (l *Election) HolderFence() uint64 { return l.holderFence }
 
 // Holds tells whether this node holds a term at all, be it only in grace.
-func (l *Lead) Holds() bool { return l.tether != 0 && l.termStamp != 0 }
+func (l *Election) Holds() bool { return l.tether != 0 && l.termStamp != 0 }
 
 // Fence is the number of our term.
-func (l *Lead) Fence() uint64 { return l.fence }
+func (l *Election) Fence() uint64 { return l.fence }
 
 // Cond is the condition that every write of a leader carries.
-func (l *Lead) Cond() store.Cond { return store.Cond{Key: TermKey, Stamp: l.termStamp} }
+func (l *Election) Cond() store.Cond { return store.Cond{Key: TermKey, Stamp: l.termStamp} }
 
 // Entitled tells whether the lease is surely alive: starts may be ordered.
-func (l *Lead) Entitled(now event.Time) bool { return l.caughtUp() && now < l.validTo }
+func (l *Election) Entitled(now event.Time) bool { return l.caughtUp() && now < l.validTo }
 
 // caughtUp tells whether we hold a term and the replica shows everything up to
 // its beginning. A node that replaces its own term of before a restart, or that
 // has just read all keys page by page, would else miss what the term before had
 // written last, and give its room and its team's limit away once more.
-func (l *Lead) caughtUp() bool { return l.Holds() && l.store.Epoch() >= l.termStamp }
+func (l *Election) caughtUp() bool { return l.Holds() && l.store.Epoch() >= l.termStamp }
 
 // MayAnswer tells whether reports may be answered with 200: while entitled
 // and, with nothing started, for the grace after that.
-func (l *Lead) MayAnswer(now event.Time) bool {
+func (l *Election) MayAnswer(now event.Time) bool {
 	// A cancellation that another node told may be missing from our replica
 	// for no longer than the grace, whatever the lease says: every 200 keeps
 	// the tasks of that worker alive.
@@ -138,7 +138,7 @@
 }
 
 // lasts tells whether our term, or its grace, goes on.
-func (l *Lead) lasts(now event.Time) bool {
+func (l *Election) lasts(now event.Time) bool {
 	if now >= l.store.Fresh()+l.cfg.Grace {
 		return false
 	}
@@ -148,19 +148,19 @@
 // SilentProof is when the tasks on a machine are surely gone that nobody has
 // answered since the given time: its own lease has run out, counted from our
 // last answer or from the end of the grace of whoever held the term before.
-func (l *Lead) SilentProof(lastAnswer event.Time) event.Time {
+func (l *Election) SilentProof(lastAnswer event.Time) event.Time {
 	before := l.since + max(0, l.cfg.Grace-l.cfg.Life)
 	return max(lastAnswer, before) + l.Lease() + proofMargin
 }
 
 // Lease is a worker's lease, with the drift of its clock.
-func (l *Lead) Lease() time.Duration { return l.cfg.Lease + l.cfg.Lease/1000 }
+func (l *Election) Lease() time.Duration { return l.cfg.Lease + l.cfg.Lease/1000 }
 
 // SawFence notes a fence shown by a worker or another controller.
-func (l *Lead) SawFence(f uint64) { l.highest = max(l.highest, f) }
+func (l *Election) SawFence(f uint64) { l.highest = max(l.highest, f) }
 
 // Yield gives the term up for others to take.
-func (l *Lead) Yield(now event.Time, out *event.Effects, why string) {
+func (l *Election) Yield(now event.Time, out *event.Effects, why string) {
 	if !l.Holds() {
 		return
 	}
@@ -169,13 +169,13 @@
 	l.lose(why)
 }
 
-func (l *Lead) lose(why string) {
+func (l *Election) lose(why string) {
 	l.log.Info("term lost", "fence", l.fence, "why", why)
 	l.tether, l.termStamp = 0, 0
 }
 
 // Tick renews or stands for election.
-func (l *Lead) Tick(now event.Time, out *event.Effects) {
+func (l *Election) Tick(now event.Time, out *event.Effects) {
 	if l.Holds() {
 		if !l.lasts(now) {
 			l.lose("grace is over")
@@ -202,7 +202,7 @@
 	}
 }
 
-func (l *Lead) stand(now event.Time, out *event.Effects) {
+func (l *Election) stand(now event.Time, out *event.Effects) {
 	l.busy = true
 	fail := func(now event.Time) {
 		l.busy = false
@@ -244,7 +244,7 @@
 }
 
 // Acquired tells once that a term has begun.
-func (l *Lead) Acquired() bool {
+func (l *Election) Acquired() bool {
 	if !l.acquired || (l.Holds() && !l.caughtUp()) {
 		return false
 	}
@@ -255,9 +255,9 @@
 	return l.Holds()
 }
 
-func (l *Lead) life() time.Duration { return l.cfg.Life - l.cfg.Life*driftPercent/100 }
+func (l *Election) life() time.Duration { return l.cfg.Life - l.cfg.Life*driftPercent/100 }
 
-func (l *Lead) extend(now event.Time, out *event.Effects) {
+func (l *Election) extend(now event.Time, out *event.Effects) {
 	l.extending = true
 	sent, fence := now, l.fence
 	l.store.Extend(l.tether, l.cfg.Life/4, now, out, func(now event.Time, status int, _ *event.Effects) {
--- a/internal/lead/lead_test.go
+++ b/internal/election/election_test.go
@@ -1,4 +1,4 @@
-package lead
+package election
 
 import (
 	"fmt"
@@ -17,7 +17,7 @@
 // answers nobody, until its replica shows all that came before the new term.
 func TestActsOnceCaughtUp(t *testing.T) {
 	var out event.Effects
-	var l *Lead
+	var l *Election
 	s := store.New("state", store.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60, StaleAfter: time.Hour},
 		func(key string, data []byte, stamp uint64) { l.Listen(key, data, stamp) })
 	l = New(Config{Label: "n0", Life: 4 * time.Second, Lease: 10 * time.Second, Grace: 10 * time.Second}, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
