--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -14,13 +14,13 @@
 	"lugward/internal/config"
 	"lugward/internal/election"
 	"lugward/internal/event"
-	"lugward/internal/fleet"
 	"lugward/internal/intake"
 	"lugward/internal/peer"
 	"lugward/internal/pipeline"
 	"lugward/internal/place"
 	"lugward/internal/rental"
 	"lugward/internal/store"
+	"lugward/internal/worker"
 )
 
 const (
@@ -94,7 +94,7 @@
 	store    *store.Client
 	election *election.Election
 	jobs     *pipeline.Table
-	fleet    *fleet.Fleet
+	workers  *worker.Registry
 	placer   *place.Placer
 	rental   *rental.Rental
 	intake   *intake.Intake
@@ -115,7 +115,7 @@
 	yielded   bool       // our last term was given up for want of reports, and no worker has come since
 	blocked   []*pipeline.Job
 	rooms     []*place.Room
-	parser    fleet.Parser
+	parser    worker.Parser
 	work      Work
 	waiting   reports
 	passages  map[string]*passage
@@ -152,11 +152,11 @@
 	n.jobs.Labels = labels
 	n.election = election.New(election.Config{Label: cfg.Label, Rank: sort.SearchStrings(labels, cfg.Label), Life: time.Duration(cfg.Operator.Term.Life),
 		Lease: lease, Grace: grace}, n.store, log)
-	n.fleet = fleet.New(n.names, n.jobs, log)
-	n.fleet.Silent = n.silent()
+	n.workers = worker.New(n.names, n.jobs, log)
+	n.workers.Silent = n.silent()
 	n.rental = rental.New(rental.Config{ValueBytes: n.jobs.ValueLimit, Addr: cfg.Services.Cloud, RPS: s.Cloud.RPS, ListLag: config.Seconds(s.Cloud.ListLagS),
-		IdleKeep: time.Duration(cfg.Operator.Rental.IdleKeep), Settle: time.Duration(cfg.Operator.Rental.Settle)}, n.names, n.jobs, n.fleet, n.store, log)
-	n.placer = &place.Placer{Jobs: n.jobs, Fleet: n.fleet, Flavors: &n.rental.Flavors, Teams: teams, Report: config.Seconds(s.Workers.ReportS), Silent: n.silent()}
+		IdleKeep: time.Duration(cfg.Operator.Rental.IdleKeep), Settle: time.Duration(cfg.Operator.Rental.Settle)}, n.names, n.jobs, n.workers, n.store, log)
+	n.placer = &place.Placer{Jobs: n.jobs, Workers: n.workers, Flavors: &n.rental.Flavors, Teams: teams, Report: config.Seconds(s.Workers.ReportS), Silent: n.silent()}
 	n.intake = intake.New(intake.Config{Label: cfg.Label, Teams: s.Teams, Answer: time.Duration(cfg.Operator.Intake.Answer),
 		ValueBytes: n.jobs.ValueLimit, TxnOps: limits.TxnOps}, n.names, n.jobs, n.store, &n.rental.Flavors)
 	n.share(0)
@@ -243,7 +243,7 @@
 	if n.election.Acquired() {
 		n.leading = true
 		n.jobs.Forget()
-		n.fleet.Forget()
+		n.workers.Forget()
 		n.rental.Begin(now, n.election.Fence())
 		n.blocked, n.rooms = nil, nil
 		n.heardAny = now
@@ -252,7 +252,7 @@
 	if n.leading && !n.election.Holds() {
 		n.leading = false
 		n.jobs.Forget()
-		n.fleet.Forget()
+		n.workers.Forget()
 		n.rental.Forget()
 		n.blocked, n.rooms = nil, nil
 		n.share(now)
@@ -280,7 +280,7 @@
 func (n *Node) anyWorkers() bool {
 	used := n.rental.Unheard()
 	n.jobs.HostsInUse(func(int) { used = true })
-	for _, h := range n.fleet.Hosts {
+	for _, h := range n.workers.Hosts {
 		used = used || (h != nil && h.Heard > 0)
 	}
 	return used
@@ -292,7 +292,7 @@
 func (n *Node) act(now event.Time, out *event.Effects) {
 	if now-n.fleetAt >= fleetEvery {
 		n.fleetAt = now
-		n.fleet.Tick(now, n.election, out)
+		n.workers.Tick(now, n.election, out)
 		n.drain(now)
 	}
 	n.rental.Tick(now, n.election, n.election.Cond(), n.silent(), out)
@@ -392,13 +392,13 @@
 // drain moves work off machines that the cloud is about to take.
 func (n *Node) drain(now event.Time) {
 	const margin = 4 * time.Second // for the stop to arrive and be answered
-	for _, h := range n.fleet.Hosts {
+	for _, h := range n.workers.Hosts {
 		if h == nil || h.RecallAt == 0 {
 			continue
 		}
 		for _, e := range n.jobs.OnHost(h.Index) {
 			if e.Job.SnapEvery > 0 && h.RecallAt-now < config.Seconds(e.Job.SnapCost)+margin {
-				n.fleet.Evict(e, e.Job.SnapCost+1)
+				n.workers.Evict(e, e.Job.SnapCost+1)
 			}
 		}
 	}
@@ -513,7 +513,7 @@
 		n.answer(now, out)
 		return
 	}
-	if n.rental.CallDone(now, d, out) || n.fleet.CallDone(d, n.election, out) {
+	if n.rental.CallDone(now, d, out) || n.workers.CallDone(d, n.election, out) {
 		return
 	}
 }
@@ -571,22 +571,22 @@
 	n.yielded = false
 	if !n.leading || !n.election.MayAnswer(now) {
 		n.election.SawFence(rep.Fence)
-		n.passOn(now, r, rep.Host, out)
+		n.passOn(now, r, rep.Machine, out)
 		return
 	}
 	n.report(now, caller{conn: r.Conn}, rep, out)
 }
 
 // report takes a report as leader.
-func (n *Node) report(now event.Time, from caller, rep *fleet.Report, out *event.Effects) {
-	if n.rental.Returned(rep.Host) || !n.fleet.Take(rep, now, n.election) {
+func (n *Node) report(now event.Time, from caller, rep *worker.Report, out *event.Effects) {
+	if n.rental.Returned(rep.Machine) || !n.workers.Take(rep, now, n.election) {
 		n.respond(from, 503, nil, out)
 		return
 	}
 	n.heardAny, n.yielded = now, false
 	// An older report that still waits has lost its worker, and its list
 	// proves nothing any more.
-	w := &waitingReport{from: from, report: rep, host: n.names.Hosts.Index(rep.Host), since: now}
+	w := &waitingReport{from: from, report: rep, host: n.names.Hosts.Index(rep.Machine), since: now}
 	if old := n.waiting.add(w); old != nil {
 		n.respond(old.from, 503, nil, out)
 	}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -4,13 +4,13 @@
 	"encoding/json"
 
 	"lugward/internal/event"
-	"lugward/internal/fleet"
+	"lugward/internal/worker"
 )
 
 // waitingReport is a report that was taken in and not answered yet.
 type waitingReport struct {
 	from     caller
-	report   *fleet.Report
+	report   *worker.Report
 	host     int
 	since    event.Time
 	idle     bool // held as an idle machine's
@@ -133,9 +133,9 @@
 	waited := now - w.since
 	switch {
 	case !w.idle && waited < answerWait && n.jobs.Changed:
-	case waited < idleWait && n.fleet.Idle(w.report):
+	case waited < idleWait && n.workers.Idle(w.report):
 		n.waiting.hold(w)
-	case waited < answerWait && !n.fleet.Settled(w.host):
+	case waited < answerWait && !n.workers.Settled(w.host):
 	default:
 		n.answerNow(w, now, out)
 	}
@@ -148,15 +148,15 @@
 		n.respond(w.from, 503, nil, out)
 		return
 	}
-	orders := n.fleet.Orders(w.report, now, n.election)
+	orders := n.workers.Orders(w.report, now, n.election)
 	if orders == nil {
-		orders = []fleet.Order{}
+		orders = []worker.Order{}
 	}
 	body, _ := json.Marshal(helloAnswer{n.election.Fence(), orders})
 	n.respond(w.from, 200, body, out)
 }
 
 type helloAnswer struct {
-	Fence  uint64        `json:"fence"`
-	Orders []fleet.Order `json:"orders"`
+	Fence  uint64         `json:"fence"`
+	Orders []worker.Order `json:"orders"`
 }
--- a/internal/place/chain_test.go
+++ b/internal/place/chain_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"lugward/internal/fleet"
 	"lugward/internal/pipeline"
+	"lugward/internal/worker"
 )
 
 // site is a table with one machine of eight cores.
@@ -21,10 +21,10 @@
 func newSite() *site {
 	n := names(&pipeline.Names{})
 	jobs := pipeline.NewTable(n, 4096, 12)
-	f := fleet.New(n, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	s := &site{Placer: &Placer{Jobs: jobs, Fleet: f, Flavors: &Flavors{{Cores: 8, RAM: 32}}, Silent: time.Minute}, now: 100 * time.Second}
+	f := worker.New(n, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := &site{Placer: &Placer{Jobs: jobs, Workers: f, Flavors: &Flavors{{Cores: 8, RAM: 32}}, Silent: time.Minute}, now: 100 * time.Second}
 	jobs.Now = int64(s.now)
-	h := f.Host("i-1", s.now)
+	h := f.Machine("i-1", s.now)
 	h.Flavor, h.Zone, h.Known, h.Fenced, h.Heard = 0, 0, true, true, s.now
 	return s
 }
--- a/internal/place/pack.go
+++ b/internal/place/pack.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"lugward/internal/event"
-	"lugward/internal/fleet"
 	"lugward/internal/pipeline"
+	"lugward/internal/worker"
 )
 
 const (
@@ -24,7 +24,7 @@
 	if e.Job.Shape == pipeline.Daemon {
 		return math.Inf(1) // until it is cancelled
 	}
-	usual := p.Fleet.Usual(e.Job)
+	usual := p.Workers.Usual(e.Job)
 	if e.Started == 0 {
 		return usual
 	}
@@ -35,7 +35,7 @@
 // Pack finds machines whose tasks all fit on other busy ones, stops those with
 // time to save, and marks the machines as draining so that they are returned
 // once empty. rooms is what the last round left. The budget of a round bounds it.
-func (p *Placer) Pack(now event.Time, rooms []*Room, blocked []*pipeline.Job) (drained []*fleet.Host) {
+func (p *Placer) Pack(now event.Time, rooms []*Room, blocked []*pipeline.Job) (drained []*worker.Machine) {
 	wanted := map[*Flavor]bool{}
 	for _, r := range rooms {
 		if !wanted[r.Flavor] && slices.ContainsFunc(blocked, func(j *pipeline.Job) bool { return r.Suits(&j.Spec) }) {
@@ -59,7 +59,7 @@
 		}
 	}
 	slices.SortStableFunc(left, func(a, b *Room) int { return order(b, a) })
-	receives := map[*fleet.Host]bool{}
+	receives := map[*worker.Machine]bool{}
 	for i, d := range donors {
 		if i > 0 && p.Elapsed != nil && p.Elapsed() {
 			break
@@ -68,7 +68,7 @@
 			continue
 		}
 		for _, e := range p.Jobs.OnHost(d.Host.Index) {
-			p.Fleet.Evict(e, e.Job.SnapCost+1)
+			p.Workers.Evict(e, e.Job.SnapCost+1)
 		}
 		d.Host.Draining = true
 		drained = append(drained, d.Host)
@@ -103,7 +103,7 @@
 
 // fitsElsewhere puts the tasks of a machine on the others, in thought; what it
 // takes of them is kept if all fit.
-func (p *Placer) fitsElsewhere(d *Room, left []*Room, receives map[*fleet.Host]bool) bool {
+func (p *Placer) fitsElsewhere(d *Room, left []*Room, receives map[*worker.Machine]bool) bool {
 	entries := slices.Clone(p.Jobs.OnHost(d.Host.Index))
 	slices.SortFunc(entries, func(a, b *pipeline.Entry) int {
 		return cmp.Or(cmp.Compare(b.Job.Cores, a.Job.Cores), cmp.Compare(a.Job.Order, b.Job.Order), cmp.Compare(a.Task, b.Task))
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -11,8 +11,8 @@
 
 	"lugward/internal/config"
 	"lugward/internal/event"
-	"lugward/internal/fleet"
 	"lugward/internal/pipeline"
+	"lugward/internal/worker"
 )
 
 // Flavor is a machine type as the cloud describes it.
@@ -54,7 +54,7 @@
 
 // Room is what is left of a machine.
 type Room struct {
-	Host              *fleet.Host // nil: not up yet
+	Host              *worker.Machine // nil: not up yet
 	Flavor            *Flavor
 	Zone              int
 	Spot              bool
@@ -133,7 +133,7 @@
 // Placer makes the rounds.
 type Placer struct {
 	Jobs    *pipeline.Table
-	Fleet   *fleet.Fleet
+	Workers *worker.Registry
 	Flavors *Flavors
 	Teams   map[int]config.Team
 	Report  event.Time // between two reports of a machine
@@ -159,7 +159,7 @@
 }
 
 // room counts what is left of a machine, unless nothing has changed there.
-func (p *Placer) room(h *fleet.Host, f *Flavor) *Room {
+func (p *Placer) room(h *worker.Machine, f *Flavor) *Room {
 	for len(p.counted) <= h.Index {
 		p.counted = append(p.counted, Room{})
 	}
@@ -181,8 +181,8 @@
 
 // Rooms lists what is left of the machines that are up.
 func (p *Placer) Rooms(now event.Time) []*Room {
-	all := make([]Room, 0, len(p.Fleet.Hosts))
-	for _, h := range p.Fleet.Hosts {
+	all := make([]Room, 0, len(p.Workers.Hosts))
+	for _, h := range p.Workers.Hosts {
 		if h == nil || !h.Up(now, p.Silent) {
 			continue
 		}
@@ -268,7 +268,7 @@
 		start, p.held = 0, p.held[:0]
 	}
 	if len(p.held) > 0 {
-		at := make(map[*fleet.Host]*Room, len(rooms))
+		at := make(map[*worker.Machine]*Room, len(rooms))
 		for _, r := range rooms {
 			at[r.Host] = r
 		}
@@ -321,7 +321,7 @@
 
 type holding struct {
 	job  *pipeline.Job
-	host *fleet.Host
+	host *worker.Machine
 }
 
 // gangPatience is how long a gang waits in the order of readiness. The largest
@@ -503,7 +503,7 @@
 	inZone := map[int]int{}
 	j.Entries(func(e *pipeline.Entry) {
 		zone := unknownZone
-		if h := p.Fleet.At(e.Host); h != nil {
+		if h := p.Workers.At(e.Host); h != nil {
 			zone = h.Zone
 		}
 		inZone[zone]++
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"lugward/internal/fleet"
 	"lugward/internal/pipeline"
+	"lugward/internal/worker"
 )
 
 // TestRoomsFollow: the rooms show what was placed a moment ago, as the plan
@@ -16,12 +16,12 @@
 func TestRoomsFollow(t *testing.T) {
 	n := &pipeline.Names{}
 	jobs := pipeline.NewTable(n, 4096, 12)
-	f := fleet.New(n, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	f := worker.New(n, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	flavors := Flavors{{Cores: 8, RAM: 32}}
-	p := &Placer{Jobs: jobs, Fleet: f, Flavors: &flavors, Silent: time.Minute}
+	p := &Placer{Jobs: jobs, Workers: f, Flavors: &flavors, Silent: time.Minute}
 	now := time.Second
 	for _, name := range []string{"i-1", "i-2"} {
-		h := f.Host(name, now)
+		h := f.Machine(name, now)
 		h.Flavor, h.Zone, h.Known, h.Fenced, h.Heard = 0, 0, true, true, now
 	}
 	j := &pipeline.Job{ID: "req-1", Spec: pipeline.Spec{N: 2, Cores: 3, RAM: 1, Zone: -1}}
@@ -72,7 +72,7 @@
 		s.Jobs.Names.Flavors.Index("plain")
 		s.Jobs.Names.Flavors.Index("card")
 		*s.Flavors = Flavors{{Index: 0, Cores: 8, RAM: 32}, {Index: 1, Cores: 8, Cards: 4, RAM: 32}}
-		h := s.Fleet.Host("i-1", s.now)
+		h := s.Workers.Machine("i-1", s.now)
 		h.Flavor, h.Heard = 1, s.now
 		waits := s.job("req-1", func(j *pipeline.Job) { j.N, j.Cores, j.Cards, j.RAM = 9, 1, 1, 40 })
 		other := s.job("req-2", func(j *pipeline.Job) {
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -57,7 +57,7 @@
 	try := p.attempt(j)
 	for _, k := range best {
 		for _, e := range k.victims {
-			p.Fleet.Evict(e, e.Job.SnapCost+1)
+			p.Workers.Evict(e, e.Job.SnapCost+1)
 			k.room.Leaving = append(k.room.Leaving, e)
 			p.leave(e)
 		}
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"lugward/internal/event"
-	"lugward/internal/fleet"
 	"lugward/internal/pipeline"
 	"lugward/internal/place"
 	"lugward/internal/store"
+	"lugward/internal/worker"
 )
 
 // Keys of this slice.
@@ -88,7 +88,7 @@
 	cfg     Config
 	names   *pipeline.Names
 	jobs    *pipeline.Table
-	fleet   *fleet.Fleet
+	workers *worker.Registry
 	store   *store.Client
 	log     *slog.Logger
 	Flavors place.Flavors
@@ -125,8 +125,8 @@
 }
 
 // New returns the slice.
-func New(cfg Config, n *pipeline.Names, t *pipeline.Table, f *fleet.Fleet, s *store.Client, log *slog.Logger) *Rental {
-	r := &Rental{cfg: cfg, names: n, jobs: t, fleet: f, store: s, log: log, calls: map[uint64]func(event.Time, int, []byte, *event.Effects){},
+func New(cfg Config, n *pipeline.Names, t *pipeline.Table, f *worker.Registry, s *store.Client, log *slog.Logger) *Rental {
+	r := &Rental{cfg: cfg, names: n, jobs: t, workers: f, store: s, log: log, calls: map[uint64]func(event.Time, int, []byte, *event.Effects){},
 		retired: map[string]uint64{}, bootRatio: map[int]float64{}}
 	r.Forget()
 	return r
@@ -287,7 +287,7 @@
 }
 
 // Tick does the leader's part: lists, returns, gives up machines.
-func (r *Rental) Tick(now event.Time, t fleet.Term, term store.Cond, silent time.Duration, out *event.Effects) {
+func (r *Rental) Tick(now event.Time, t worker.Term, term store.Cond, silent time.Duration, out *event.Effects) {
 	r.Types(now, &term, out)
 	r.sendAgain(now, out)
 	r.sendReturns(now, term, out)
@@ -298,7 +298,7 @@
 		return
 	}
 	r.lookAt = now
-	for _, h := range r.fleet.Hosts {
+	for _, h := range r.workers.Hosts {
 		if h != nil && len(r.jobs.OnHost(h.Index)) > 0 {
 			h.IdleFrom = now
 		}
@@ -310,15 +310,15 @@
 	zones := r.zones()
 	r.findDark(zones, now, silent)
 	shows := 0
-	for _, h := range r.fleet.Hosts {
+	for _, h := range r.workers.Hosts {
 		// What we heard of it may have been a copy; it stays away itself.
 		if h != nil && h.Heard > 0 && !h.Fenced && now-h.Heard > showAfter && shows < mostShows {
 			shows++
-			r.fleet.Show(h, now, t, out)
+			r.workers.Show(h, now, t, out)
 		}
 	}
 	for _, i := range slices.Sorted(maps.Keys(r.boots)) {
-		b, h := r.boots[i], r.fleet.At(i)
+		b, h := r.boots[i], r.workers.At(i)
 		if h == nil || h.Heard > 0 {
 			r.learnBoot(b, now)
 			delete(r.boots, i)
@@ -327,7 +327,7 @@
 		}
 		if b.up && now-b.since > showAfter && shows < mostShows {
 			shows++
-			r.fleet.Show(h, now, t, out)
+			r.workers.Show(h, now, t, out)
 		}
 		f := r.Flavors.Get(b.flavor)
 		wait := bootLeast
@@ -350,11 +350,11 @@
 		return
 	}
 	r.giveUpSilent(zones, now, term, silent)
-	for _, h := range r.fleet.Hosts {
+	for _, h := range r.workers.Hosts {
 		if h == nil || !h.Known || h.Retiring {
 			continue
 		}
-		if r.fleet.LastingDeaf(h, now, t) && !r.dark[h.Zone] {
+		if r.workers.LastingDeaf(h, now, t) && !r.dark[h.Zone] {
 			r.log.Info("deaf machine given up", "host", h.Name)
 			r.Retire(h, now, term)
 			continue
@@ -397,9 +397,9 @@
 }
 
 // zones lists the machines of each zone that are up, heard or not.
-func (r *Rental) zones() map[int][]*fleet.Host {
-	zones := map[int][]*fleet.Host{}
-	for _, h := range r.fleet.Hosts {
+func (r *Rental) zones() map[int][]*worker.Machine {
+	zones := map[int][]*worker.Machine{}
+	for _, h := range r.workers.Hosts {
 		if h == nil || h.Retiring {
 			continue
 		}
@@ -412,7 +412,7 @@
 
 // findDark finds the zones most of whose machines are silent: nothing is
 // rented there, and what is there is not given up soon.
-func (r *Rental) findDark(zones map[int][]*fleet.Host, now event.Time, silent time.Duration) {
+func (r *Rental) findDark(zones map[int][]*worker.Machine, now event.Time, silent time.Duration) {
 	dark := map[int]bool{}
 	for z, hosts := range zones {
 		lost := 0
@@ -439,9 +439,9 @@
 // cloud's answer proves its tasks gone long before its lease does. Where
 // several are silent the network is the likelier cause, and they are left to
 // go on working; so they are while the zone comes back machine by machine.
-func (r *Rental) giveUpSilent(zones map[int][]*fleet.Host, now event.Time, term store.Cond, silent time.Duration) {
+func (r *Rental) giveUpSilent(zones map[int][]*worker.Machine, now event.Time, term store.Cond, silent time.Duration) {
 	for _, z := range slices.Sorted(maps.Keys(zones)) {
-		var lost []*fleet.Host
+		var lost []*worker.Machine
 		for _, h := range zones[z] {
 			if h.Heard != 0 && now-h.Heard > silent { // else it counts as booting
 				lost = append(lost, h)
@@ -466,7 +466,7 @@
 
 // Retire logs that a machine gets nothing more; once that is stored it is
 // returned. A successor knows by the log not to use it.
-func (r *Rental) Retire(h *fleet.Host, now event.Time, term store.Cond) {
+func (r *Rental) Retire(h *worker.Machine, now event.Time, term store.Cond) {
 	h.Retiring = true
 	if r.logging[h.Name] || r.retired[h.Name] != 0 {
 		return
@@ -491,7 +491,7 @@
 	}
 	slices.Sort(hosts)
 	for _, name := range hosts {
-		r.fleet.Host(name, now).Retiring = true
+		r.workers.Machine(name, now).Retiring = true
 	}
 	if len(hosts) == 0 || !r.allowed(now) {
 		return
@@ -510,11 +510,11 @@
 			return
 		}
 		for _, n := range hosts {
-			h := r.fleet.Host(n, now)
-			r.fleet.Gone(h, now) // the answer proves that nothing runs there
+			h := r.workers.Machine(n, now)
+			r.workers.Gone(h, now) // the answer proves that nothing runs there
 			delete(r.boots, h.Index)
 			delete(r.refused, offer{h.Flavor, h.Zone, h.Spot}) // there is one to be had now
-			r.fleet.Hosts[h.Index] = nil
+			r.workers.Hosts[h.Index] = nil
 			r.returned[n] = now
 			r.returning[n] = true // not again, until the log entry is dropped
 			r.store.Submit(&store.Intent{Priority: store.Progress, Conds: []store.Cond{term},
@@ -569,7 +569,7 @@
 	if at, ok := r.returned[w.Name]; ok && now-at < 2*r.cfg.ListLag+listEvery {
 		return // gone; the list lags
 	}
-	h := r.fleet.Host(w.Name, now)
+	h := r.workers.Machine(w.Name, now)
 	if h.Addr == "" {
 		h.Addr = w.Addr
 	}
@@ -608,7 +608,7 @@
 	}
 	coming := map[int]*place.Room{}
 	for _, i := range slices.Sorted(maps.Keys(r.boots)) {
-		if h := r.fleet.At(i); h != nil && !h.Retiring && h.Heard == 0 && !(r.boots[i].up && r.dark[h.Zone]) {
+		if h := r.workers.At(i); h != nil && !h.Retiring && h.Heard == 0 && !(r.boots[i].up && r.dark[h.Zone]) {
 			if coming[i] = r.room(r.boots[i].offer); coming[i] != nil {
 				rooms = append(rooms, coming[i])
 			}
@@ -676,7 +676,7 @@
 		case b.idle == 0:
 			b.idle = now
 		case now-b.idle > 2*r.cfg.IdleKeep && len(r.jobs.OnHost(i)) == 0:
-			r.fleet.At(i).Retiring = true // logged and returned by the next tick
+			r.workers.At(i).Retiring = true // logged and returned by the next tick
 		}
 	}
 	for _, o := range sortedOffers(need) {
@@ -815,7 +815,7 @@
 		case status == 200 && err == nil:
 			r.log.Info("rented", "hire", name, "flavor", r.names.Flavors.Name(o.flavor), "spot", o.spot, "asked", n, "got", len(v.Hosts))
 			for _, name := range v.Hosts {
-				h := r.fleet.Host(name, now)
+				h := r.workers.Machine(name, now)
 				if h.Heard == 0 {
 					h.Flavor, h.Zone, h.Spot, h.Known = o.flavor, o.zone, o.spot, true
 					r.boots[h.Index] = &booting{offer: o, since: now, ours: true}
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -9,10 +9,10 @@
 
 	"lugward/internal/config"
 	"lugward/internal/event"
-	"lugward/internal/fleet"
 	"lugward/internal/pipeline"
 	"lugward/internal/place"
 	"lugward/internal/store"
+	"lugward/internal/worker"
 )
 
 // Machines are rented for what a team's limit lets all of its jobs together
@@ -25,7 +25,7 @@
 		n := &pipeline.Names{}
 		jobs := pipeline.NewTable(n, 4096, 12)
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		f := fleet.New(n, jobs, log)
+		f := worker.New(n, jobs, log)
 		s := store.New("state", store.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60}, func(string, []byte, uint64) {})
 		r := New(Config{Addr: "cloud", RPS: 100, IdleKeep: time.Minute}, n, jobs, f, s, log)
 		r.mayPlan = true
@@ -34,7 +34,7 @@
 		}
 		n.Classes.Index("c")
 		n.Bundles.Index("b")
-		p := &place.Placer{Jobs: jobs, Fleet: f, Flavors: &r.Flavors, Teams: map[int]config.Team{n.Teams.Index("t"): {CoresMax: c.limit}}, Silent: time.Minute}
+		p := &place.Placer{Jobs: jobs, Workers: f, Flavors: &r.Flavors, Teams: map[int]config.Team{n.Teams.Index("t"): {CoresMax: c.limit}}, Silent: time.Minute}
 		var blocked []*pipeline.Job
 		for i, id := range []string{"req-1", "req-2", "req-3"} {
 			j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{N: 4, Cores: 1, RAM: 1, Zone: -1}}
--- a/internal/fleet/report.go
+++ b/internal/worker/report.go
@@ -1,4 +1,4 @@
-package fleet
+package worker
 
 import (
 	"bytes"
@@ -9,16 +9,16 @@
 
 // Report is a worker's report.
 type Report struct {
-	Host   string   `json:"host"`
-	Addr   string   `json:"addr"`
-	Flavor string   `json:"flavor"`
-	Yard   string   `json:"yard"`
-	Spot   bool     `json:"loaners"`
-	Tenure uint64   `json:"tenure"`
-	Tick   uint64   `json:"tick"`
-	Fence  uint64   `json:"fence"`
-	Recall *float64 `json:"recall_s"`
-	Shards []Shard  `json:"shards"`
+	Machine string   `json:"host"`
+	Addr    string   `json:"addr"`
+	Flavor  string   `json:"flavor"`
+	Yard    string   `json:"yard"`
+	Spot    bool     `json:"loaners"`
+	Tenure  uint64   `json:"tenure"`
+	Tick    uint64   `json:"tick"`
+	Fence   uint64   `json:"fence"`
+	Recall  *float64 `json:"recall_s"`
+	Shards  []Shard  `json:"shards"`
 }
 
 // Shard is one task in a report.
@@ -76,9 +76,9 @@
 	if p.last == nil || len(p.last) >= mostKept {
 		p.last, p.key = map[string]*lastReport{}, map[string]string{}
 	}
-	delete(p.last, p.key[r.Host])
+	delete(p.last, p.key[r.Machine])
 	key := string(before)
-	p.key[r.Host] = key
+	p.key[r.Machine] = key
 	p.last[key] = &lastReport{*r, bytes.Clone(rest)}
 	return r, nil
 }
@@ -112,7 +112,7 @@
 	if err := json.Unmarshal(body, r); err != nil {
 		return nil, err
 	}
-	if r.Host == "" || r.Flavor == "" || r.Yard == "" || r.Tenure == 0 {
+	if r.Machine == "" || r.Flavor == "" || r.Yard == "" || r.Tenure == 0 {
 		return nil, fmt.Errorf("report lacks a field")
 	}
 	return r, nil
--- a/internal/fleet/fleet.go
+++ b/internal/worker/worker.go
@@ -1,6 +1,6 @@
-// Package fleet knows the machines: what their workers report, which orders
+// Package worker knows the machines: what their workers report, which orders
 // they are to get, and when the tasks on a silent machine are surely gone.
-package fleet
+package worker
 
 import (
 	"encoding/json"
@@ -26,7 +26,7 @@
 }
 
 // Host is a machine.
-type Host struct {
+type Machine struct {
 	Index  int
 	Name   string
 	Addr   string
@@ -64,13 +64,13 @@
 }
 
 // Fleet is the table of machines.
-type Fleet struct {
+type Registry struct {
 	Names  *pipeline.Names
 	Jobs   *pipeline.Table
-	Hosts  []*Host // by index, nil if gone
+	Hosts  []*Machine // by index, nil if gone
 	log    *slog.Logger
-	calls  map[uint64]*Host // direct commands in flight, nil: nothing is to be learnt
-	toStop map[int]bool     // machines on which a task is to be stopped
+	calls  map[uint64]*Machine // direct commands in flight, nil: nothing is to be learnt
+	toStop map[int]bool        // machines on which a task is to be stopped
 	lookAt event.Time
 	ratio  map[int]float64 // run time against estimate, per class
 
@@ -79,24 +79,24 @@
 }
 
 // New returns an empty fleet.
-func New(n *pipeline.Names, t *pipeline.Table, log *slog.Logger) *Fleet {
-	return &Fleet{Names: n, Jobs: t, log: log, calls: map[uint64]*Host{}, toStop: map[int]bool{}, ratio: map[int]float64{}}
+func New(n *pipeline.Names, t *pipeline.Table, log *slog.Logger) *Registry {
+	return &Registry{Names: n, Jobs: t, log: log, calls: map[uint64]*Machine{}, toStop: map[int]bool{}, ratio: map[int]float64{}}
 }
 
 // Host returns a machine by name, adding it when new.
-func (f *Fleet) Host(name string, now event.Time) *Host {
+func (f *Registry) Machine(name string, now event.Time) *Machine {
 	i := f.Names.Hosts.Index(name)
 	for len(f.Hosts) <= i {
 		f.Hosts = append(f.Hosts, nil)
 	}
 	if f.Hosts[i] == nil {
-		f.Hosts[i] = &Host{Index: i, Name: name, Flavor: -1, Zone: -1, Images: map[int]bool{}, IdleFrom: now}
+		f.Hosts[i] = &Machine{Index: i, Name: name, Flavor: -1, Zone: -1, Images: map[int]bool{}, IdleFrom: now}
 	}
 	return f.Hosts[i]
 }
 
 // At returns a machine by index, or nil.
-func (f *Fleet) At(i int) *Host {
+func (f *Registry) At(i int) *Machine {
 	if i < 0 || i >= len(f.Hosts) {
 		return nil
 	}
@@ -104,13 +104,13 @@
 }
 
 // Forget drops what only a leader knows.
-func (f *Fleet) Forget() {
+func (f *Registry) Forget() {
 	f.Hosts = nil
 	clear(f.toStop)
 }
 
 // Up tells whether a machine can take tasks now.
-func (h *Host) Up(now event.Time, silent time.Duration) bool {
+func (h *Machine) Up(now event.Time, silent time.Duration) bool {
 	return h.Known && h.Fenced && h.Deaf == 0 && h.Heard > 0 && now-h.Heard < silent && !h.Retiring && !h.Draining && h.RecallAt == 0 && h.Stray == 0 && now >= h.Refused && len(h.Errors) < faultyJobs && len(h.Slow) < slowJobs
 }
 
@@ -154,8 +154,8 @@
 
 // Take takes a report in. ok is false for a report that is older than one we
 // have seen.
-func (f *Fleet) Take(r *Report, now event.Time, term Term) (ok bool) {
-	h := f.Host(r.Host, now)
+func (f *Registry) Take(r *Report, now event.Time, term Term) (ok bool) {
+	h := f.Machine(r.Machine, now)
 	if r.Tenure < h.Tenure || (r.Tenure == h.Tenure && r.Tick <= h.Tick) {
 		// Held back by the network, or a copy: its task list is as old as it
 		// is, and whoever sent it waits for no answer.
@@ -187,7 +187,7 @@
 // being reachable. A machine is used once a report carries our fence, which is
 // also what tells a report of this term from a copy of an older one; and no
 // more once it does not take up what it was told.
-func (f *Fleet) hears(h *Host, r *Report, now event.Time, term Term) {
+func (f *Registry) hears(h *Machine, r *Report, now event.Time, term Term) {
 	if !h.Fenced {
 		switch {
 		case r.Fence == term.Fence():
@@ -231,13 +231,13 @@
 // deaf gives up on a machine that does not hear us: what it never took up is
 // moved, once a report proves that it will not start. What runs goes on: it may
 // complete before its lease ends, and we may be wrong.
-func (f *Fleet) deaf(h *Host, now event.Time) {
+func (f *Registry) deaf(h *Machine, now event.Time) {
 	f.log.Info("machine does not hear us", "host", h.Name, "tasks", len(f.Jobs.OnHost(h.Index)))
 	h.Deaf, h.deafTenure = now, h.Tenure
 	f.moveUnseen(h)
 }
 
-func (f *Fleet) moveUnseen(h *Host) {
+func (f *Registry) moveUnseen(h *Machine) {
 	for _, e := range f.sorted(h) {
 		if e.Seen == pipeline.Unseen {
 			f.Evict(e, e.Job.SnapCost+1)
@@ -247,13 +247,13 @@
 
 // LastingDeaf tells whether a machine has not heard us for so long that its
 // tasks have ended with its lease.
-func (f *Fleet) LastingDeaf(h *Host, now event.Time, term Term) bool {
+func (f *Registry) LastingDeaf(h *Machine, now event.Time, term Term) bool {
 	return h.Deaf != 0 && now-h.Deaf > term.Lease()+2*deafMargin
 }
 
 // find returns the job and the entry that a reported task belongs to, nil
 // where there is none.
-func (f *Fleet) find(h *Host, s Shard) (j *pipeline.Job, e *pipeline.Entry, task int) {
+func (f *Registry) find(h *Machine, s Shard) (j *pipeline.Job, e *pipeline.Entry, task int) {
 	id, task, good := ParseShard(s.Shard)
 	if !good {
 		return nil, nil, 0
@@ -269,7 +269,7 @@
 
 // Settled tells whether nothing that concerns the machine is being stored:
 // an answer given now would not be followed by another in a moment.
-func (f *Fleet) Settled(host int) bool {
+func (f *Registry) Settled(host int) bool {
 	for _, e := range f.Jobs.OnHost(host) {
 		if !e.Durable || e.Wish != pipeline.Keep {
 			return false
@@ -279,8 +279,8 @@
 }
 
 // Idle tells whether a usable machine reports no task and has none to start yet.
-func (f *Fleet) Idle(r *Report) bool {
-	i, ok := f.Names.Hosts.Lookup(r.Host)
+func (f *Registry) Idle(r *Report) bool {
+	i, ok := f.Names.Hosts.Lookup(r.Machine)
 	if !ok || len(r.Shards) > 0 {
 		return false
 	}
@@ -298,8 +298,8 @@
 
 // Orders returns what to answer to a report that was taken, as things stand
 // now.
-func (f *Fleet) Orders(r *Report, now event.Time, term Term) []Order {
-	h := f.Host(r.Host, now)
+func (f *Registry) Orders(r *Report, now event.Time, term Term) []Order {
+	h := f.Machine(r.Machine, now)
 	proof := r.Fence == term.Fence()
 	entitled := term.Entitled(now)
 
@@ -356,10 +356,10 @@
 	return append(append(reaps, stops...), starts...)
 }
 
-func (f *Fleet) note(h *Host, r *Report, now event.Time) {
+func (f *Registry) note(h *Machine, r *Report, now event.Time) {
 	if r.Tenure != h.Tenure && h.Tenure != 0 {
 		h.Images = map[int]bool{}
-		f.log.Info("worker lost its lease", "host", r.Host, "tenure", r.Tenure)
+		f.log.Info("worker lost its lease", "host", r.Machine, "tenure", r.Tenure)
 	}
 	if h.Heard != 0 && now-h.Heard > f.Silent {
 		h.Back = now
@@ -380,7 +380,7 @@
 }
 
 // progress takes in what a report says of a task that we know of.
-func (f *Fleet) progress(h *Host, e *pipeline.Entry, s Shard, now event.Time) {
+func (f *Registry) progress(h *Machine, e *pipeline.Entry, s Shard, now event.Time) {
 	j := e.Job
 	ph := phases[s.Phase]
 	if ph >= pipeline.Waiting && ph < pipeline.Exited && e.Started == 0 {
@@ -432,7 +432,7 @@
 
 // timed learns from a completion how long a class runs, measured in its
 // owners' estimates, and whether a machine is slow.
-func (f *Fleet) timed(h *Host, e *pipeline.Entry, now event.Time) {
+func (f *Registry) timed(h *Machine, e *pipeline.Entry, now event.Time) {
 	j := e.Job
 	if j.Expect <= 0 || e.Started == 0 {
 		return
@@ -458,7 +458,7 @@
 // Usual is what a job's task usually takes, in seconds: its owner's estimate,
 // corrected by what its class took lately. On some days estimates are mostly
 // too high or mostly too low.
-func (f *Fleet) Usual(j *pipeline.Job) float64 {
+func (f *Registry) Usual(j *pipeline.Job) float64 {
 	if r, ok := f.ratio[j.Class]; ok {
 		return j.Expect * r
 	}
@@ -466,7 +466,7 @@
 }
 
 // failed sorts out whether the machine or the job is at fault.
-func (f *Fleet) failed(h *Host, j *pipeline.Job, now event.Time) {
+func (f *Registry) failed(h *Machine, j *pipeline.Job, now event.Time) {
 	f.log.Info("task failed", "job", j.ID, "host", h.Name)
 	if j.BadHosts == nil {
 		j.BadHosts = map[int]bool{}
@@ -490,14 +490,14 @@
 	}
 }
 
-func (f *Fleet) park(j *pipeline.Job, now event.Time) {
+func (f *Registry) park(j *pipeline.Job, now event.Time) {
 	j.Errors++
 	pause := min(parkMost, parkBase<<min(j.Errors-1, 8))
 	j.Parked = int64(now + pause)
 	f.log.Info("job parked", "job", j.ID, "for", pause)
 }
 
-func (f *Fleet) breakGang(j *pipeline.Job) {
+func (f *Registry) breakGang(j *pipeline.Job) {
 	j.Breaking = true
 	j.Entries(func(e *pipeline.Entry) {
 		if !e.Evict {
@@ -512,7 +512,7 @@
 }
 
 // mustStop tells whether a task is to be stopped, and with how much grace.
-func (f *Fleet) mustStop(e *pipeline.Entry) (bool, float64) {
+func (f *Registry) mustStop(e *pipeline.Entry) (bool, float64) {
 	if e.Job.Final != pipeline.Queued {
 		return true, 0
 	}
@@ -521,7 +521,7 @@
 
 // Evict asks for a task to be stopped so that it can run elsewhere. A gang
 // stops as a whole.
-func (f *Fleet) Evict(e *pipeline.Entry, wind float64) {
+func (f *Registry) Evict(e *pipeline.Entry, wind float64) {
 	if e.Evict {
 		return
 	}
@@ -538,7 +538,7 @@
 	}
 }
 
-func (f *Fleet) sorted(h *Host) []*pipeline.Entry {
+func (f *Registry) sorted(h *Machine) []*pipeline.Entry {
 	if len(f.Jobs.OnHost(h.Index)) == 0 {
 		return nil
 	}
@@ -555,7 +555,7 @@
 // Tick sends stops straight to workers, finds machines whose tasks are surely
 // gone and re-arms gangs whose old attempt has ended. Machines on which nothing
 // is to be stopped cost nothing.
-func (f *Fleet) Tick(now event.Time, term Term, out *event.Effects) {
+func (f *Registry) Tick(now event.Time, term Term, out *event.Effects) {
 	for _, j := range f.Jobs.TakeEnded() {
 		j.Entries(f.stopSoon)
 	}
@@ -571,7 +571,7 @@
 	f.Jobs.HostsInUse(func(i int) {
 		h := f.At(i)
 		if h == nil {
-			h = f.Host(f.Names.Hosts.Name(i), now)
+			h = f.Machine(f.Names.Hosts.Name(i), now)
 		}
 		// A report that is taken and not answered yet counts, too: what is
 		// placed on the machine meanwhile is not lost with its old session.
@@ -588,7 +588,7 @@
 }
 
 // Gone clears everything on a machine that is proven to run nothing.
-func (f *Fleet) Gone(h *Host, now event.Time) {
+func (f *Registry) Gone(h *Machine, now event.Time) {
 	if h.Heard != 0 {
 		f.log.Info("machine gone", "host", h.Name, "tasks", len(f.Jobs.OnHost(h.Index)))
 	}
@@ -603,12 +603,12 @@
 }
 
 // stopSoon notes that a task is to be stopped.
-func (f *Fleet) stopSoon(e *pipeline.Entry) { f.toStop[e.Host] = true }
+func (f *Registry) stopSoon(e *pipeline.Entry) { f.toStop[e.Host] = true }
 
 // directStops sends stops that cannot wait for the next report. Executed
 // late they do no harm: they name an attempt, and attempts are not reused. It
 // tells whether a task on the machine is still to be stopped.
-func (f *Fleet) directStops(h *Host, now event.Time, term Term, out *event.Effects) (more bool) {
+func (f *Registry) directStops(h *Machine, now event.Time, term Term, out *event.Effects) (more bool) {
 	ready := h.Heard != 0 && h.Addr != "" && now-h.direct >= directEvery
 	var orders []Order
 	for _, e := range f.Jobs.OnHost(h.Index) {
@@ -632,7 +632,7 @@
 // lost the state service and the other controllers, but not its workers, may
 // answer them for its whole grace; shown a higher fence, they tell it at once,
 // and report to us. The proof of silence does not rest on it.
-func (f *Fleet) Show(h *Host, now event.Time, term Term, out *event.Effects) {
+func (f *Registry) Show(h *Machine, now event.Time, term Term, out *event.Effects) {
 	if h.Addr == "" || (h.shown != 0 && now-h.shown < showEvery) {
 		return
 	}
@@ -640,7 +640,7 @@
 	f.show(h, max(h.Tenure, 1), term, out, h)
 }
 
-func (f *Fleet) show(h *Host, tenure uint64, term Term, out *event.Effects, learn *Host) {
+func (f *Registry) show(h *Machine, tenure uint64, term Term, out *event.Effects, learn *Machine) {
 	body, _ := json.Marshal(direct{term.Fence(), tenure, []Order{}})
 	f.calls[out.Call(h.Addr, "POST", "/do", body, directWait)] = learn
 }
@@ -654,7 +654,7 @@
 // CallDone takes the outcome of a direct command: the worker's next report
 // tells what became of it. Only its session is taken from an answer that says
 // that we had it wrong.
-func (f *Fleet) CallDone(d event.CallDone, term Term, out *event.Effects) bool {
+func (f *Registry) CallDone(d event.CallDone, term Term, out *event.Effects) bool {
 	h, ok := f.calls[d.ID]
 	if !ok {
 		return false
--- a/internal/fleet/fleet_test.go
+++ b/internal/worker/worker_test.go
@@ -1,4 +1,4 @@
-package fleet
+package worker
 
 import (
 	"io"
@@ -43,12 +43,12 @@
 		{52, 2, 31, 5, true, true, "the machine itself, in its next session"},
 	} {
 		now := r.at * time.Second
-		rep := &Report{Host: "i-1", Addr: "10.1.0.1:9000", Flavor: "f", Yard: "a", Tenure: r.tenure, Tick: r.tick, Fence: r.fence}
+		rep := &Report{Machine: "i-1", Addr: "10.1.0.1:9000", Flavor: "f", Yard: "a", Tenure: r.tenure, Tick: r.tick, Fence: r.fence}
 		taken := f.Take(rep, now, term{})
 		if taken {
 			f.Orders(rep, now, term{})
 		}
-		if up := f.Host("i-1", now).Up(now, f.Silent); taken != r.taken || up != r.up {
+		if up := f.Machine("i-1", now).Up(now, f.Silent); taken != r.taken || up != r.up {
 			t.Errorf("%s: taken %v, usable %v", r.what, taken, up)
 		}
 	}
@@ -114,7 +114,7 @@
 		}
 		tb.Listen(pipeline.FinalKey, "req-1", pipeline.EncodeFinal(pipeline.Cancelled, j), 3)
 		f := New(n, tb, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		rep := &Report{Host: "i-1", Addr: "10.1.0.1:9000", Flavor: "f", Yard: "a", Tenure: 1, Tick: 9, Fence: 5,
+		rep := &Report{Machine: "i-1", Addr: "10.1.0.1:9000", Flavor: "f", Yard: "a", Tenure: 1, Tick: 9, Fence: 5,
 			Shards: []Shard{{Shard: "req-1/0", Try: 3, Phase: "running"}}}
 		f.Take(rep, time.Second, term{})
 		got := f.Orders(rep, time.Second, term{})
