--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -17,8 +17,8 @@
 	"lugward/internal/intake"
 	"lugward/internal/peer"
 	"lugward/internal/pipeline"
-	"lugward/internal/place"
 	"lugward/internal/rental"
+	"lugward/internal/scheduler"
 	"lugward/internal/store"
 	"lugward/internal/worker"
 )
@@ -88,17 +88,17 @@
 
 // Node is one controller.
 type Node struct {
-	cfg      *config.Platform
-	log      *slog.Logger
-	names    *pipeline.Names
-	store    *store.Client
-	election *election.Election
-	jobs     *pipeline.Table
-	workers  *worker.Registry
-	placer   *place.Placer
-	rental   *rental.Rental
-	intake   *intake.Intake
-	peers    []*peerState
+	cfg       *config.Platform
+	log       *slog.Logger
+	names     *pipeline.Names
+	store     *store.Client
+	election  *election.Election
+	jobs      *pipeline.Table
+	workers   *worker.Registry
+	scheduler *scheduler.Scheduler
+	rental    *rental.Rental
+	intake    *intake.Intake
+	peers     []*peerState
 
 	clock     func() time.Duration
 	leading   bool
@@ -114,7 +114,7 @@
 	heardAny  event.Time // a worker's report, as leader
 	yielded   bool       // our last term was given up for want of reports, and no worker has come since
 	blocked   []*pipeline.Job
-	rooms     []*place.Room
+	rooms     []*scheduler.Capacity
 	parser    worker.Parser
 	work      Work
 	waiting   reports
@@ -156,7 +156,7 @@
 	n.workers.Silent = n.silent()
 	n.rental = rental.New(rental.Config{ValueBytes: n.jobs.ValueLimit, Addr: cfg.Services.Cloud, RPS: s.Cloud.RPS, ListLag: config.Seconds(s.Cloud.ListLagS),
 		IdleKeep: time.Duration(cfg.Operator.Rental.IdleKeep), Settle: time.Duration(cfg.Operator.Rental.Settle)}, n.names, n.jobs, n.workers, n.store, log)
-	n.placer = &place.Placer{Jobs: n.jobs, Workers: n.workers, Flavors: &n.rental.Flavors, Teams: teams, Report: config.Seconds(s.Workers.ReportS), Silent: n.silent()}
+	n.scheduler = &scheduler.Scheduler{Jobs: n.jobs, Workers: n.workers, MachineTypes: &n.rental.Flavors, Teams: teams, Report: config.Seconds(s.Workers.ReportS), Silent: n.silent()}
 	n.intake = intake.New(intake.Config{Label: cfg.Label, Teams: s.Teams, Answer: time.Duration(cfg.Operator.Intake.Answer),
 		ValueBytes: n.jobs.ValueLimit, TxnOps: limits.TxnOps}, n.names, n.jobs, n.store, &n.rental.Flavors)
 	n.share(0)
@@ -302,16 +302,16 @@
 		n.roundAt, n.jobs.Changed = now, false
 		n.startBudget()
 		n.work.Rounds++
-		n.blocked, n.rooms = n.placer.Round(now)
+		n.blocked, n.rooms = n.scheduler.Round(now)
 		if now-n.planAt >= planEvery || n.rental.Replan {
 			n.planAt, n.rental.Replan = now, false
-			n.rental.Plan(now, n.blocked, n.placer, n.election.Fence(), out)
+			n.rental.Plan(now, n.blocked, n.scheduler, n.election.Fence(), out)
 		}
 	}
 	if now-n.packAt >= packEvery && n.rooms != nil {
 		n.packAt = now
 		n.startBudget()
-		for _, h := range n.placer.Pack(now, n.rooms, n.blocked) {
+		for _, h := range n.scheduler.Pack(now, n.rooms, n.blocked) {
 			n.log.Info("moving work off", "host", h.Name)
 		}
 	}
@@ -329,7 +329,7 @@
 func (n *Node) startBudget() {
 	if n.clock != nil {
 		begin, budget := n.clock(), time.Duration(n.cfg.Operator.Place.Budget)
-		n.placer.Elapsed = func() bool { return n.clock()-begin > budget }
+		n.scheduler.Elapsed = func() bool { return n.clock()-begin > budget }
 	}
 }
 
@@ -369,8 +369,8 @@
 	_, writes := n.store.Demand(now)
 	n.log.Info("load", "jobs_waiting", jobs, "tasks_waiting", open, "unstored", unstored, "ordered", seen[pipeline.Unseen], "fetching", seen[pipeline.Pulling],
 		"gathering", seen[pipeline.Waiting], "running", seen[pipeline.RunningTask], "stopping", stopping, "machines", up, "idle", idle, "cards_free", free,
-		"reserved", n.placer.Reserved(), "cut_short", n.placer.CutShort, "compact", n.jobs.Compact(), "writes", int(writes))
-	n.placer.CutShort = 0
+		"reserved", n.scheduler.Reserved(), "cut_short", n.scheduler.CutShort, "compact", n.jobs.Compact(), "writes", int(writes))
+	n.scheduler.CutShort = 0
 }
 
 // Work counts what was done on behalf of the inputs: at any size it is to
@@ -385,7 +385,7 @@
 // Work returns the counts since the process began.
 func (n *Node) Work() Work {
 	w := n.work
-	w.Decoded, w.Same, w.Counted = n.parser.Decoded, n.parser.Same, n.placer.Counted
+	w.Decoded, w.Same, w.Counted = n.parser.Decoded, n.parser.Same, n.scheduler.Counted
 	return w
 }
 
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -13,7 +13,7 @@
 	"lugward/internal/config"
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
-	"lugward/internal/place"
+	"lugward/internal/scheduler"
 	"lugward/internal/store"
 )
 
@@ -42,14 +42,14 @@
 	names   *pipeline.Names
 	jobs    *pipeline.Table
 	store   *store.Client
-	flavors *place.Flavors
+	flavors *scheduler.MachineTypes
 	teams   map[string]config.Team
 	// attempts are the submissions whose list of upstream jobs is being stored.
 	attempts map[string]*attempt
 }
 
 // New returns the slice.
-func New(cfg Config, n *pipeline.Names, t *pipeline.Table, s *store.Client, f *place.Flavors) *Intake {
+func New(cfg Config, n *pipeline.Names, t *pipeline.Table, s *store.Client, f *scheduler.MachineTypes) *Intake {
 	in := &Intake{cfg: cfg, names: n, jobs: t, store: s, flavors: f, teams: map[string]config.Team{}, attempts: map[string]*attempt{}}
 	for _, t := range cfg.Teams {
 		in.teams[t.Name] = t
@@ -329,7 +329,7 @@
 	fits := false
 	zones := map[int]bool{}
 	for _, f := range *in.flavors {
-		if place.Allowed(&j.Spec, f) {
+		if scheduler.Allowed(&j.Spec, f) {
 			fits = true
 			for _, z := range f.Zones {
 				if j.Zone < 0 || z == j.Zone {
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -12,7 +12,7 @@
 	"lugward/internal/config"
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
-	"lugward/internal/place"
+	"lugward/internal/scheduler"
 	"lugward/internal/store"
 )
 
@@ -182,7 +182,7 @@
 		kind, rest := store.SplitKey(key)
 		n.jobs.Listen(kind, rest, data, stamp)
 	})
-	flavors := &place.Flavors{{Index: names.Flavors.Index("m"), Cores: 8, RAM: 32, Zones: []int{0}}}
+	flavors := &scheduler.MachineTypes{{Index: names.Flavors.Index("m"), Cores: 8, RAM: 32, Zones: []int{0}}}
 	n.in = New(Config{Label: label, Teams: []config.Team{{Name: "red"}}, Answer: 1500 * time.Millisecond, ValueBytes: valueBytes, TxnOps: txnOps}, names, n.jobs, n.store, flavors)
 	n.run(time.Second)
 	n.in.store.Barrier(func(event.Time, bool, *event.Effects) {})
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -14,7 +14,7 @@
 
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
-	"lugward/internal/place"
+	"lugward/internal/scheduler"
 	"lugward/internal/store"
 	"lugward/internal/worker"
 )
@@ -91,7 +91,7 @@
 	workers *worker.Registry
 	store   *store.Client
 	log     *slog.Logger
-	Flavors place.Flavors
+	Flavors scheduler.MachineTypes
 	rawType []byte // as stored
 
 	calls    map[uint64]func(now event.Time, status int, body []byte, out *event.Effects)
@@ -212,7 +212,7 @@
 		}
 	}
 	for _, t := range v.Flavors {
-		f := &place.Flavor{Index: r.names.Flavors.Index(t.Name), Cores: t.Cores, Cards: t.Cards, RAM: t.RAM, Price: t.Price,
+		f := &scheduler.MachineType{Index: r.names.Flavors.Index(t.Name), Cores: t.Cores, Cards: t.Cards, RAM: t.RAM, Price: t.Price,
 			LowPrice: t.LowPrice, Ready: t.Ready, Fetch: t.Fetch}
 		for _, y := range t.Yards {
 			f.Zones = append(f.Zones, r.names.Zones.Index(y))
@@ -389,7 +389,7 @@
 }
 
 // ready is how long a machine of a type usually takes to come up, in seconds.
-func (r *Rental) ready(f *place.Flavor) float64 {
+func (r *Rental) ready(f *scheduler.MachineType) float64 {
 	if ratio, ok := r.bootRatio[f.Index]; ok {
 		return f.Ready * ratio
 	}
@@ -592,7 +592,7 @@
 // machine asked for now is up: what ends or leaves by then makes room, what
 // was stopped needs room again, and machines that are booting are filled in
 // thought. What is left is bought where a task costs least.
-func (r *Rental) Plan(now event.Time, blocked []*pipeline.Job, p *place.Placer, term uint64, out *event.Effects) {
+func (r *Rental) Plan(now event.Time, blocked []*pipeline.Job, p *scheduler.Scheduler, term uint64, out *event.Effects) {
 	if !r.mayPlan {
 		if now >= r.planFrom && !r.listing {
 			r.listAt = now - listEvery
@@ -606,7 +606,7 @@
 			blocked = append(blocked, e.Job)
 		}
 	}
-	coming := map[int]*place.Room{}
+	coming := map[int]*scheduler.Capacity{}
 	for _, i := range slices.Sorted(maps.Keys(r.boots)) {
 		if h := r.workers.At(i); h != nil && !h.Retiring && h.Heard == 0 && !(r.boots[i].up && r.dark[h.Zone]) {
 			if coming[i] = r.room(r.boots[i].offer); coming[i] != nil {
@@ -648,7 +648,7 @@
 			if room == nil || !p.Suits(j, room, now) || (room.Host != nil && j.BadHosts[room.Host.Index]) || (only >= 0 && room.Zone != only) {
 				continue
 			}
-			if n := min(left, room.Fits(&j.Spec), place.ZoneRoom(j, inZone, room.Zone)); n > 0 {
+			if n := min(left, room.Fits(&j.Spec), scheduler.ZoneRoom(j, inZone, room.Zone)); n > 0 {
 				room.Take(&j.Spec, n)
 				inZone[room.Zone] += n
 				left -= n
@@ -687,12 +687,12 @@
 	}
 }
 
-func (r *Rental) room(o offer) *place.Room {
+func (r *Rental) room(o offer) *scheduler.Capacity {
 	f := r.Flavors.Get(o.flavor)
 	if f == nil {
 		return nil
 	}
-	return &place.Room{Flavor: f, Zone: o.zone, Spot: o.spot, Cores: f.Cores, Cards: f.Cards, RAM: f.RAM}
+	return &scheduler.Capacity{MachineType: f, Zone: o.zone, Spot: o.spot, Cores: f.Cores, Cards: f.Cards, RAM: f.RAM}
 }
 
 // bootTime is how soon a machine asked for now can be up for a job: by the
@@ -700,7 +700,7 @@
 func (r *Rental) bootTime(j *pipeline.Job) float64 {
 	least := math.Inf(1)
 	for _, f := range r.Flavors {
-		if place.Allowed(&j.Spec, f) {
+		if scheduler.Allowed(&j.Spec, f) {
 			least = min(least, r.ready(f))
 		}
 	}
@@ -713,7 +713,7 @@
 // onlyZone names the zone to which a job that must stay in one is bound: the
 // one its tasks may still be in, else the one where the missing machines cost
 // least. -1: any; false: there is none.
-func (r *Rental) onlyZone(j *pipeline.Job, inZone map[int]int, rooms []*place.Room, left int, now event.Time) (zone int, ok bool) {
+func (r *Rental) onlyZone(j *pipeline.Job, inZone map[int]int, rooms []*scheduler.Capacity, left int, now event.Time) (zone int, ok bool) {
 	if !j.SamePlace {
 		return -1, true
 	}
@@ -756,7 +756,7 @@
 func (r *Rental) cheapest(j *pipeline.Job, left int, inZone map[int]int, only int, need map[offer]int, now event.Time) (best offer, per int, ok bool) {
 	least := math.Inf(1)
 	for _, f := range r.Flavors {
-		if !place.Allowed(&j.Spec, f) {
+		if !scheduler.Allowed(&j.Spec, f) {
 			continue
 		}
 		for _, z := range f.Zones {
@@ -766,7 +766,7 @@
 				if now < r.refused[o].until || r.dark[z] || !room.Suits(&j.Spec) || (only >= 0 && z != only) {
 					continue
 				}
-				n := min(room.Fits(&j.Spec), place.ZoneRoom(j, inZone, z))
+				n := min(room.Fits(&j.Spec), scheduler.ZoneRoom(j, inZone, z))
 				if n <= 0 {
 					continue
 				}
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -10,7 +10,7 @@
 	"lugward/internal/config"
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
-	"lugward/internal/place"
+	"lugward/internal/scheduler"
 	"lugward/internal/store"
 	"lugward/internal/worker"
 )
@@ -34,7 +34,7 @@
 		}
 		n.Classes.Index("c")
 		n.Bundles.Index("b")
-		p := &place.Placer{Jobs: jobs, Workers: f, Flavors: &r.Flavors, Teams: map[int]config.Team{n.Teams.Index("t"): {CoresMax: c.limit}}, Silent: time.Minute}
+		p := &scheduler.Scheduler{Jobs: jobs, Workers: f, MachineTypes: &r.Flavors, Teams: map[int]config.Team{n.Teams.Index("t"): {CoresMax: c.limit}}, Silent: time.Minute}
 		var blocked []*pipeline.Job
 		for i, id := range []string{"req-1", "req-2", "req-3"} {
 			j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{N: 4, Cores: 1, RAM: 1, Zone: -1}}
--- a/internal/place/chain_test.go
+++ b/internal/scheduler/chain_test.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"io"
@@ -13,7 +13,7 @@
 
 // site is a table with one machine of eight cores.
 type site struct {
-	*Placer
+	*Scheduler
 	epoch uint64
 	now   time.Duration
 }
@@ -22,7 +22,7 @@
 	n := names(&pipeline.Names{})
 	jobs := pipeline.NewTable(n, 4096, 12)
 	f := worker.New(n, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	s := &site{Placer: &Placer{Jobs: jobs, Workers: f, Flavors: &Flavors{{Cores: 8, RAM: 32}}, Silent: time.Minute}, now: 100 * time.Second}
+	s := &site{Scheduler: &Scheduler{Jobs: jobs, Workers: f, MachineTypes: &MachineTypes{{Cores: 8, RAM: 32}}, Silent: time.Minute}, now: 100 * time.Second}
 	jobs.Now = int64(s.now)
 	h := f.Machine("i-1", s.now)
 	h.Flavor, h.Zone, h.Known, h.Fenced, h.Heard = 0, 0, true, true, s.now
--- a/internal/place/choose.go
+++ b/internal/scheduler/choose.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"container/heap"
@@ -9,20 +9,20 @@
 
 // pick is room for one task of a job on a machine, and what it costs.
 type pick struct {
-	room    *Room
+	room    *Capacity
 	cost    float64
 	victims []*pipeline.Entry // to be stopped for it
 }
 
 // pricing tells what one more task costs on what is left of a machine. taken
 // holds the victims that were chosen before. ok is false where it can't be had.
-type pricing func(left *Room, taken map[*pipeline.Entry]bool) (cost float64, victims []*pipeline.Entry, ok bool)
+type pricing func(left *Capacity, taken map[*pipeline.Entry]bool) (cost float64, victims []*pipeline.Entry, ok bool)
 
 // offer is the cheapest next pick on one machine.
 type offer struct {
 	pick
-	left *Room // as the picks before leave it, nil: none yet
-	rank int   // of the machine among the others, so that equal costs keep an order
+	left *Capacity // as the picks before leave it, nil: none yet
+	rank int       // of the machine among the others, so that equal costs keep an order
 }
 
 type offers []offer
@@ -44,7 +44,7 @@
 
 // choose picks room for n tasks of a job, the cheapest first, in one zone or
 // in any. Nothing is changed by it.
-func (p *Placer) choose(j *pipeline.Job, rooms []*Room, zone, n int, price pricing, now event.Time) []pick {
+func (p *Scheduler) choose(j *pipeline.Job, rooms []*Capacity, zone, n int, price pricing, now event.Time) []pick {
 	taken := map[*pipeline.Entry]bool{}
 	list := p.offers[:0]
 	for i, r := range rooms {
@@ -88,7 +88,7 @@
 
 // zonesOf lists the zones to try for a job: one at a time if its tasks must
 // be together, beginning with the one where room is being gathered for it.
-func (p *Placer) zonesOf(j *pipeline.Job, rooms []*Room) []int {
+func (p *Scheduler) zonesOf(j *pipeline.Job, rooms []*Capacity) []int {
 	if !j.SamePlace || j.N == 1 {
 		return []int{anyZone}
 	}
--- a/internal/place/pack.go
+++ b/internal/scheduler/pack.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"cmp"
@@ -20,7 +20,7 @@
 )
 
 // Remaining estimates how long a task still runs, in seconds.
-func (p *Placer) Remaining(e *pipeline.Entry, now event.Time) float64 {
+func (p *Scheduler) Remaining(e *pipeline.Entry, now event.Time) float64 {
 	if e.Job.Shape == pipeline.Daemon {
 		return math.Inf(1) // until it is cancelled
 	}
@@ -35,30 +35,30 @@
 // Pack finds machines whose tasks all fit on other busy ones, stops those with
 // time to save, and marks the machines as draining so that they are returned
 // once empty. rooms is what the last round left. The budget of a round bounds it.
-func (p *Placer) Pack(now event.Time, rooms []*Room, blocked []*pipeline.Job) (drained []*worker.Machine) {
-	wanted := map[*Flavor]bool{}
+func (p *Scheduler) Pack(now event.Time, rooms []*Capacity, blocked []*pipeline.Job) (drained []*worker.Machine) {
+	wanted := map[*MachineType]bool{}
 	for _, r := range rooms {
-		if !wanted[r.Flavor] && slices.ContainsFunc(blocked, func(j *pipeline.Job) bool { return r.Suits(&j.Spec) }) {
-			wanted[r.Flavor] = true
+		if !wanted[r.MachineType] && slices.ContainsFunc(blocked, func(j *pipeline.Job) bool { return r.Suits(&j.Spec) }) {
+			wanted[r.MachineType] = true
 		}
 	}
-	donors := slices.DeleteFunc(slices.Clone(rooms), func(r *Room) bool { return wanted[r.Flavor] || !p.mayDrain(r, now) })
+	donors := slices.DeleteFunc(slices.Clone(rooms), func(r *Capacity) bool { return wanted[r.MachineType] || !p.mayDrain(r, now) })
 	if len(donors) == 0 {
 		return nil
 	}
 	// The dearest first, then the emptiest; each is filled up from the other end.
-	order := func(a, b *Room) int {
-		return cmp.Or(cmp.Compare(b.price(), a.price()), cmp.Compare(b.Cores/b.Flavor.Cores, a.Cores/a.Flavor.Cores))
+	order := func(a, b *Capacity) int {
+		return cmp.Or(cmp.Compare(b.price(), a.price()), cmp.Compare(b.Cores/b.MachineType.Cores, a.Cores/a.MachineType.Cores))
 	}
 	slices.SortStableFunc(donors, order)
-	var left []*Room
+	var left []*Capacity
 	for _, r := range rooms {
 		if r.Busy && r.Host != nil && !r.Host.Draining {
 			c := *r
 			left = append(left, &c)
 		}
 	}
-	slices.SortStableFunc(left, func(a, b *Room) int { return order(b, a) })
+	slices.SortStableFunc(left, func(a, b *Capacity) int { return order(b, a) })
 	receives := map[*worker.Machine]bool{}
 	for i, d := range donors {
 		if i > 0 && p.Elapsed != nil && p.Elapsed() {
@@ -76,16 +76,16 @@
 	return drained
 }
 
-func (r *Room) price() float64 {
+func (r *Capacity) price() float64 {
 	if r.Spot {
-		return r.Flavor.LowPrice
+		return r.MachineType.LowPrice
 	}
-	return r.Flavor.Price
+	return r.MachineType.Price
 }
 
 // mayDrain tells whether every task of a machine can be saved and moved, and
 // whether that is worth it.
-func (p *Placer) mayDrain(r *Room, now event.Time) bool {
+func (p *Scheduler) mayDrain(r *Capacity, now event.Time) bool {
 	if !r.Busy || r.Host == nil || r.Host.Draining {
 		return false
 	}
@@ -103,19 +103,19 @@
 
 // fitsElsewhere puts the tasks of a machine on the others, in thought; what it
 // takes of them is kept if all fit.
-func (p *Placer) fitsElsewhere(d *Room, left []*Room, receives map[*worker.Machine]bool) bool {
+func (p *Scheduler) fitsElsewhere(d *Capacity, left []*Capacity, receives map[*worker.Machine]bool) bool {
 	entries := slices.Clone(p.Jobs.OnHost(d.Host.Index))
 	slices.SortFunc(entries, func(a, b *pipeline.Entry) int {
 		return cmp.Or(cmp.Compare(b.Job.Cores, a.Job.Cores), cmp.Compare(a.Job.Order, b.Job.Order), cmp.Compare(a.Task, b.Task))
 	})
 	type move struct {
-		room *Room
+		room *Capacity
 		job  *pipeline.Job
 	}
 	var moves []move
 	for _, e := range entries {
 		j := e.Job
-		i := slices.IndexFunc(left, func(r *Room) bool {
+		i := slices.IndexFunc(left, func(r *Capacity) bool {
 			return r.Host != d.Host && !r.Host.Draining && r.Fits(&j.Spec) > 0 && r.Suits(&j.Spec) && !j.BadHosts[r.Host.Index] &&
 				!(j.SamePlace && j.N > 1 && r.Zone != d.Zone) && !(j.Scatter && r.Zone != d.Zone)
 		})
--- a/internal/place/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"cmp"
@@ -21,7 +21,7 @@
 // outranks, for all tasks of a gang or for none. Room that is already being
 // emptied is counted first, so that a job does not stop more than it needs. It
 // returns how many tasks are left without a promise.
-func (p *Placer) preempt(j *pipeline.Job, rooms []*Room, now event.Time) (left int) {
+func (p *Scheduler) preempt(j *pipeline.Job, rooms []*Capacity, now event.Time) (left int) {
 	left = min(j.OpenCount(), p.QuotaBeside(j, p.promised[j.Team]))
 	if j.Shape == pipeline.Gang && left < j.OpenCount() {
 		return 0 // whole or not at all
@@ -29,7 +29,7 @@
 	if left == 0 || (j.EffRank <= p.lowest && !j.Within) {
 		return left
 	}
-	price := func(r *Room, taken map[*pipeline.Entry]bool) (float64, []*pipeline.Entry, bool) {
+	price := func(r *Capacity, taken map[*pipeline.Entry]bool) (float64, []*pipeline.Entry, bool) {
 		f := r.future()
 		fetch := fetchCost * r.FetchTime(j)
 		if f.Fits(&j.Spec) > 0 {
@@ -74,7 +74,7 @@
 }
 
 // future is the room with what is leaving already gone.
-func (r *Room) future() Room {
+func (r *Capacity) future() Capacity {
 	f := *r
 	for _, e := range r.Leaving {
 		f.give(&e.Job.Spec)
@@ -83,14 +83,14 @@
 }
 
 // leave notes that a team gives up what a task uses.
-func (p *Placer) leave(e *pipeline.Entry) {
+func (p *Scheduler) leave(e *pipeline.Entry) {
 	u := p.leaving[e.Job.Team]
 	u.Add(&e.Job.Spec, 1)
 	p.leaving[e.Job.Team] = u
 }
 
 // outranks tells whether a job may stop a running task.
-func (p *Placer) outranks(j *pipeline.Job, e *pipeline.Entry) bool {
+func (p *Scheduler) outranks(j *pipeline.Job, e *pipeline.Entry) bool {
 	o := e.Job
 	if j.EffRank > o.EffRank {
 		return true
@@ -115,7 +115,7 @@
 
 // victims picks tasks to stop on a machine until the job fits, those that
 // lose least first. cost is in seconds of work lost or delayed.
-func (p *Placer) victims(j *pipeline.Job, r *Room, f Room, taken map[*pipeline.Entry]bool, now event.Time) (list []*pipeline.Entry, cost float64) {
+func (p *Scheduler) victims(j *pipeline.Job, r *Capacity, f Capacity, taken map[*pipeline.Entry]bool, now event.Time) (list []*pipeline.Entry, cost float64) {
 	cands := p.cands[:0]
 	defer func() { p.cands = cands }()
 	for _, e := range p.Jobs.OnHost(r.Host.Index) {
--- a/internal/place/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"testing"
--- a/internal/place/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"math"
@@ -17,14 +17,14 @@
 // readiness use only what does not delay it. For a gang that must be in one
 // place a zone is chosen once and kept: else the room that gathers in one is
 // left for another whenever that looks a little better, and small work takes it.
-func (p *Placer) reserve(j *pipeline.Job, left int, rooms []*Room, now event.Time) {
+func (p *Scheduler) reserve(j *pipeline.Job, left int, rooms []*Capacity, now event.Time) {
 	if left <= 0 || p.reserved >= mostReserved {
 		return
 	}
 	if j.Shape != pipeline.Gang {
 		left = min(left, mostReserved-p.reserved)
 	}
-	price := func(r *Room, _ map[*pipeline.Entry]bool) (float64, []*pipeline.Entry, bool) {
+	price := func(r *Capacity, _ map[*pipeline.Entry]bool) (float64, []*pipeline.Entry, bool) {
 		at := p.fitsAt(j, r, now)
 		return at, nil, !math.IsInf(at, 1)
 	}
@@ -58,7 +58,7 @@
 }
 
 // fitsAt estimates in how many seconds a task of the job fits on a machine.
-func (p *Placer) fitsAt(j *pipeline.Job, r *Room, now event.Time) float64 {
+func (p *Scheduler) fitsAt(j *pipeline.Job, r *Capacity, now event.Time) float64 {
 	if r.Fits(&j.Spec) > 0 {
 		return 0
 	}
--- a/internal/place/place.go
+++ b/internal/scheduler/scheduler.go
@@ -1,6 +1,6 @@
-// Package place decides which task goes to which machine. A round has a
+// Package scheduler decides which task goes to which machine. A round has a
 // budget of time; what it could not look at, the next one starts with.
-package place
+package scheduler
 
 import (
 	"cmp"
@@ -16,7 +16,7 @@
 )
 
 // Flavor is a machine type as the cloud describes it.
-type Flavor struct {
+type MachineType struct {
 	Index             int
 	Cores, Cards, RAM float64
 	Price, LowPrice   float64
@@ -26,10 +26,10 @@
 }
 
 // Flavors holds the machine types by index, nil where unknown.
-type Flavors []*Flavor
+type MachineTypes []*MachineType
 
 // Get returns a type, or nil.
-func (f Flavors) Get(i int) *Flavor {
+func (f MachineTypes) Get(i int) *MachineType {
 	if i < 0 || i >= len(f) {
 		return nil
 	}
@@ -37,7 +37,7 @@
 }
 
 // Allowed tells whether a type can hold a task of the job at all.
-func Allowed(s *pipeline.Spec, f *Flavor) bool {
+func Allowed(s *pipeline.Spec, f *MachineType) bool {
 	if f == nil || !s.Allows(f.Index) || s.Cores > f.Cores || s.Cards > f.Cards || s.RAM > f.RAM {
 		return false
 	}
@@ -53,9 +53,9 @@
 }
 
 // Room is what is left of a machine.
-type Room struct {
+type Capacity struct {
 	Host              *worker.Machine // nil: not up yet
-	Flavor            *Flavor
+	MachineType       *MachineType
 	Zone              int
 	Spot              bool
 	Cores, Cards, RAM float64
@@ -69,7 +69,7 @@
 const slack = 1e-6 // amounts are decimal numbers
 
 // Fits returns how many tasks of a job fit.
-func (r *Room) Fits(s *pipeline.Spec) int {
+func (r *Capacity) Fits(s *pipeline.Spec) int {
 	n := math.MaxInt32
 	if s.Cores > 0 {
 		n = int((r.Cores + slack) / s.Cores)
@@ -84,13 +84,13 @@
 }
 
 // holds tells whether a task would fit if nothing else were there.
-func (r *Room) holds(s *pipeline.Spec) bool {
-	f := r.Flavor
+func (r *Capacity) holds(s *pipeline.Spec) bool {
+	f := r.MachineType
 	return s.Cores <= f.Cores+slack && s.Cards <= f.Cards+slack && s.RAM <= f.RAM+slack
 }
 
 // Take uses room for n tasks.
-func (r *Room) Take(s *pipeline.Spec, n int) {
+func (r *Capacity) Take(s *pipeline.Spec, n int) {
 	k := float64(n)
 	r.Cores -= k * s.Cores
 	r.Cards -= k * s.Cards
@@ -100,8 +100,8 @@
 
 // Suits tells whether the machine is of a kind, type and zone that the job
 // allows.
-func (r *Room) Suits(s *pipeline.Spec) bool {
-	return r.Flavor != nil && s.Allows(r.Flavor.Index) && (s.Zone < 0 || s.Zone == r.Zone) && (s.Loaners || !r.Spot)
+func (r *Capacity) Suits(s *pipeline.Spec) bool {
+	return r.MachineType != nil && s.Allows(r.MachineType.Index) && (s.Zone < 0 || s.Zone == r.Zone) && (s.Loaners || !r.Spot)
 }
 
 const (
@@ -114,30 +114,30 @@
 
 // Suits tells whether the job is to use the machine: cards do not lie idle under
 // it while jobs that need them have waited for long.
-func (p *Placer) Suits(j *pipeline.Job, r *Room, now event.Time) bool {
-	return r.Suits(&j.Spec) && (!p.cardsWanted || j.Cards > 0 || r.Flavor.Cards == 0 || int64(now)-j.FirstSeen > int64(cardsSpared) || !p.plain(j))
+func (p *Scheduler) Suits(j *pipeline.Job, r *Capacity, now event.Time) bool {
+	return r.Suits(&j.Spec) && (!p.cardsWanted || j.Cards > 0 || r.MachineType.Cards == 0 || int64(now)-j.FirstSeen > int64(cardsSpared) || !p.plain(j))
 }
 
 // plain tells whether there is a type without cards for the job.
-func (p *Placer) plain(j *pipeline.Job) bool {
-	return slices.ContainsFunc(*p.Flavors, func(f *Flavor) bool { return f != nil && f.Cards == 0 && Allowed(&j.Spec, f) })
+func (p *Scheduler) plain(j *pipeline.Job) bool {
+	return slices.ContainsFunc(*p.MachineTypes, func(f *MachineType) bool { return f != nil && f.Cards == 0 && Allowed(&j.Spec, f) })
 }
 
 // wantCards finds out whether a job that needs cards has not begun for long.
-func (p *Placer) wantCards(jobs []*pipeline.Job, now event.Time) {
+func (p *Scheduler) wantCards(jobs []*pipeline.Job, now event.Time) {
 	p.cardsWanted = slices.ContainsFunc(jobs, func(j *pipeline.Job) bool {
 		return j.Cards > 0 && j.Active() == 0 && j.DoneCount() == 0 && int64(now)-j.FirstSeen > int64(cardsAfter) && p.Quota(j) > 0
 	})
 }
 
 // Placer makes the rounds.
-type Placer struct {
-	Jobs    *pipeline.Table
-	Workers *worker.Registry
-	Flavors *Flavors
-	Teams   map[int]config.Team
-	Report  event.Time // between two reports of a machine
-	Silent  event.Time // a machine not heard for this long gets nothing new
+type Scheduler struct {
+	Jobs         *pipeline.Table
+	Workers      *worker.Registry
+	MachineTypes *MachineTypes
+	Teams        map[int]config.Team
+	Report       event.Time // between two reports of a machine
+	Silent       event.Time // a machine not heard for this long gets nothing new
 
 	// CutShort counts the rounds that ran out of their budget, Counted the
 	// machines whose room was counted anew.
@@ -145,7 +145,7 @@
 	// Elapsed tells how much of the budget is used; nil: no limit.
 	Elapsed func() bool
 
-	counted  []Room        // by machine, as its entries left it
+	counted  []Capacity    // by machine, as its entries left it
 	offers   offers        // room for choose, and
 	cands    []candidate   // for victims, to work in
 	resume   *pipeline.Job // where the last round ran out of time
@@ -159,16 +159,16 @@
 }
 
 // room counts what is left of a machine, unless nothing has changed there.
-func (p *Placer) room(h *worker.Machine, f *Flavor) *Room {
+func (p *Scheduler) room(h *worker.Machine, f *MachineType) *Capacity {
 	for len(p.counted) <= h.Index {
-		p.counted = append(p.counted, Room{})
+		p.counted = append(p.counted, Capacity{})
 	}
 	r, changes := &p.counted[h.Index], p.Jobs.Changes(h.Index)
-	if r.Flavor == f && r.Host == h && r.changes == changes {
+	if r.MachineType == f && r.Host == h && r.changes == changes {
 		return r
 	}
 	p.Counted++
-	*r = Room{Host: h, Flavor: f, changes: changes, Cores: f.Cores, Cards: f.Cards, RAM: f.RAM}
+	*r = Capacity{Host: h, MachineType: f, changes: changes, Cores: f.Cores, Cards: f.Cards, RAM: f.RAM}
 	for _, e := range p.Jobs.OnHost(h.Index) {
 		r.Take(&e.Job.Spec, 1)
 		if e.Evict {
@@ -180,19 +180,19 @@
 }
 
 // Rooms lists what is left of the machines that are up.
-func (p *Placer) Rooms(now event.Time) []*Room {
-	all := make([]Room, 0, len(p.Workers.Hosts))
+func (p *Scheduler) Rooms(now event.Time) []*Capacity {
+	all := make([]Capacity, 0, len(p.Workers.Hosts))
 	for _, h := range p.Workers.Hosts {
 		if h == nil || !h.Up(now, p.Silent) {
 			continue
 		}
-		if f := p.Flavors.Get(h.Flavor); f != nil {
+		if f := p.MachineTypes.Get(h.Flavor); f != nil {
 			r := *p.room(h, f)
 			r.Zone, r.Spot = h.Zone, h.Spot
 			all = append(all, r)
 		}
 	}
-	rooms := make([]*Room, len(all))
+	rooms := make([]*Capacity, len(all))
 	for i := range all {
 		rooms[i] = &all[i]
 	}
@@ -202,7 +202,7 @@
 // RoomsAhead lists what is left of the machines that are up once the tasks
 // that are told to stop are gone; those are returned. Advance then adds what
 // ends later.
-func (p *Placer) RoomsAhead(now event.Time) (rooms []*Room, leaving []*pipeline.Entry) {
+func (p *Scheduler) RoomsAhead(now event.Time) (rooms []*Capacity, leaving []*pipeline.Entry) {
 	rooms = p.Rooms(now)
 	for _, r := range rooms {
 		for _, e := range p.Jobs.OnHost(r.Host.Index) {
@@ -237,7 +237,7 @@
 }
 
 // Advance makes room of what ends within so many seconds.
-func (r *Room) Advance(within float64) {
+func (r *Capacity) Advance(within float64) {
 	for len(r.ends) > 0 && r.ends[0].at <= within {
 		r.give(&r.ends[0].e.Job.Spec)
 		r.ends = r.ends[1:]
@@ -245,7 +245,7 @@
 }
 
 // give takes a task's use of the room back.
-func (r *Room) give(s *pipeline.Spec) {
+func (r *Capacity) give(s *pipeline.Spec) {
 	r.Cores += s.Cores
 	r.Cards += s.Cards
 	r.RAM += s.RAM
@@ -255,7 +255,7 @@
 // with the rooms as they are left. A round that runs out of its budget goes on
 // where it stopped, and then still keeps the room that the jobs before that
 // point were promised: else the less important ones behind them would take it.
-func (p *Placer) Round(now event.Time) (blocked []*pipeline.Job, rooms []*Room) {
+func (p *Scheduler) Round(now event.Time) (blocked []*pipeline.Job, rooms []*Capacity) {
 	rooms = p.Rooms(now)
 	all := p.Jobs.Unfinished()
 	p.standing(all)
@@ -268,7 +268,7 @@
 		start, p.held = 0, p.held[:0]
 	}
 	if len(p.held) > 0 {
-		at := make(map[*worker.Machine]*Room, len(rooms))
+		at := make(map[*worker.Machine]*Capacity, len(rooms))
 		for _, r := range rooms {
 			at[r.Host] = r
 		}
@@ -302,10 +302,10 @@
 }
 
 // Reserved is how many tasks got a reservation in the last round.
-func (p *Placer) Reserved() int { return p.reserved }
+func (p *Scheduler) Reserved() int { return p.reserved }
 
 // hold gives room that is not free yet to a task that waits for it.
-func (p *Placer) hold(j *pipeline.Job, r *Room, now event.Time) {
+func (p *Scheduler) hold(j *pipeline.Job, r *Capacity, now event.Time) {
 	r.Take(&j.Spec, 1)
 	p.promise(j)
 	r.Host.Wanted = now
@@ -313,7 +313,7 @@
 }
 
 // promise notes that a team is to get what a task of the job takes.
-func (p *Placer) promise(j *pipeline.Job) {
+func (p *Scheduler) promise(j *pipeline.Job) {
 	u := p.promised[j.Team]
 	u.Add(&j.Spec, 1)
 	p.promised[j.Team] = u
@@ -373,7 +373,7 @@
 // standing finds the jobs that are within their team's guarantee: those that
 // fit there together with the team's unfinished jobs from before. A job must
 // use something that is guaranteed; what is not guaranteed does not count.
-func (p *Placer) standing(all []*pipeline.Job) {
+func (p *Scheduler) standing(all []*pipeline.Job) {
 	sum := map[int]pipeline.Usage{}
 	p.lowest = pipeline.Production
 	for _, j := range all {
@@ -389,11 +389,11 @@
 }
 
 // Quota returns how many more tasks of the job its team's limit allows.
-func (p *Placer) Quota(j *pipeline.Job) int { return p.QuotaBeside(j, pipeline.Usage{}) }
+func (p *Scheduler) Quota(j *pipeline.Job) int { return p.QuotaBeside(j, pipeline.Usage{}) }
 
 // QuotaBeside is the quota once the team also has what is promised to other jobs
 // of it: else each of many jobs would be promised all that the limit leaves.
-func (p *Placer) QuotaBeside(j *pipeline.Job, promised pipeline.Usage) int {
+func (p *Scheduler) QuotaBeside(j *pipeline.Job, promised pipeline.Usage) int {
 	t := p.Teams[j.Team]
 	u := p.Jobs.Team(j.Team)
 	u.Cores += promised.Cores
@@ -409,7 +409,7 @@
 }
 
 // place puts as many tasks of a job as it may on machines.
-func (p *Placer) place(j *pipeline.Job, rooms []*Room, now event.Time) {
+func (p *Scheduler) place(j *pipeline.Job, rooms []*Capacity, now event.Time) {
 	quota := p.Quota(j)
 	want := min(j.OpenCount(), quota)
 	if j.Shape == pipeline.Gang {
@@ -425,7 +425,7 @@
 		return
 	}
 	type scored struct {
-		room  *Room
+		room  *Capacity
 		score float64
 	}
 	var list []scored
@@ -438,7 +438,7 @@
 		return
 	}
 	slices.SortStableFunc(list, func(a, b scored) int { return cmp.Compare(a.score, b.score) })
-	cands := make([]*Room, len(list))
+	cands := make([]*Capacity, len(list))
 	for i, c := range list {
 		cands[i] = c.room
 	}
@@ -447,7 +447,7 @@
 		cands = p.onePlace(j, cands, inZone, want)
 	}
 	type pick struct {
-		room *Room
+		room *Capacity
 		n    int
 	}
 	var picks []pick
@@ -474,7 +474,7 @@
 
 // attempt is the number that the tasks placed next get: those of a gang share
 // theirs. 0: each task counts its own.
-func (p *Placer) attempt(j *pipeline.Job) uint64 {
+func (p *Scheduler) attempt(j *pipeline.Job) uint64 {
 	switch {
 	case j.Shape != pipeline.Gang:
 		return 0
@@ -486,7 +486,7 @@
 }
 
 // put places n open tasks of a job on a machine.
-func (p *Placer) put(j *pipeline.Job, r *Room, n int, try uint64, now event.Time) {
+func (p *Scheduler) put(j *pipeline.Job, r *Capacity, n int, try uint64, now event.Time) {
 	r.Take(&j.Spec, n)
 	for task := 0; n > 0; task++ {
 		if j.Open(task) {
@@ -499,7 +499,7 @@
 const unknownZone = -1
 
 // Zones counts, per zone, the tasks of a job that may be on machines there.
-func (p *Placer) Zones(j *pipeline.Job) map[int]int {
+func (p *Scheduler) Zones(j *pipeline.Job) map[int]int {
 	inZone := map[int]int{}
 	j.Entries(func(e *pipeline.Entry) {
 		zone := unknownZone
@@ -522,7 +522,7 @@
 
 // onePlace keeps the candidates of a single zone: the one that tasks of the
 // job may still be in, else the one that holds most of them.
-func (p *Placer) onePlace(j *pipeline.Job, cands []*Room, inZone map[int]int, want int) []*Room {
+func (p *Scheduler) onePlace(j *pipeline.Job, cands []*Capacity, inZone map[int]int, want int) []*Capacity {
 	zone, best := -1, 0
 	if len(inZone) > 1 {
 		return nil // an entry on a machine of unknown zone, or worse: wait
@@ -544,7 +544,7 @@
 			}
 		}
 	}
-	var kept []*Room
+	var kept []*Capacity
 	for _, r := range cands {
 		if r.Zone == zone {
 			kept = append(kept, r)
@@ -559,17 +559,17 @@
 )
 
 // FetchTime is how long a machine fetches a job's image, in seconds.
-func (r *Room) FetchTime(j *pipeline.Job) float64 {
-	if r.Host == nil || r.Host.Images[j.Bundle] || r.Flavor.Fetch <= 0 {
+func (r *Capacity) FetchTime(j *pipeline.Job) float64 {
+	if r.Host == nil || r.Host.Images[j.Bundle] || r.MachineType.Fetch <= 0 {
 		return 0
 	}
-	return j.ImageGB / r.Flavor.Fetch
+	return j.ImageGB / r.MachineType.Fetch
 }
 
 // score: less is better.
-func (p *Placer) score(j *pipeline.Job, r *Room, now event.Time) float64 {
+func (p *Scheduler) score(j *pipeline.Job, r *Capacity, now event.Time) float64 {
 	s := 0.0
-	if j.Cards == 0 && r.Flavor.Cards > 0 {
+	if j.Cards == 0 && r.MachineType.Cards > 0 {
 		s += 100 // cards would lie idle
 	}
 	s += fetchWeight * r.FetchTime(j)
@@ -579,6 +579,6 @@
 		s += 2
 	}
 	// Best fit: the least left over.
-	s += (r.Cores-j.Cores)/r.Flavor.Cores + r.Cards/math.Max(r.Flavor.Cards, 1)
+	s += (r.Cores-j.Cores)/r.MachineType.Cores + r.Cards/math.Max(r.MachineType.Cards, 1)
 	return s
 }
--- a/internal/place/place_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"io"
@@ -17,8 +17,8 @@
 	n := &pipeline.Names{}
 	jobs := pipeline.NewTable(n, 4096, 12)
 	f := worker.New(n, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	flavors := Flavors{{Cores: 8, RAM: 32}}
-	p := &Placer{Jobs: jobs, Workers: f, Flavors: &flavors, Silent: time.Minute}
+	flavors := MachineTypes{{Cores: 8, RAM: 32}}
+	p := &Scheduler{Jobs: jobs, Workers: f, MachineTypes: &flavors, Silent: time.Minute}
 	now := time.Second
 	for _, name := range []string{"i-1", "i-2"} {
 		h := f.Machine(name, now)
@@ -71,7 +71,7 @@
 		s.now = time.Hour
 		s.Jobs.Names.Flavors.Index("plain")
 		s.Jobs.Names.Flavors.Index("card")
-		*s.Flavors = Flavors{{Index: 0, Cores: 8, RAM: 32}, {Index: 1, Cores: 8, Cards: 4, RAM: 32}}
+		*s.MachineTypes = MachineTypes{{Index: 0, Cores: 8, RAM: 32}, {Index: 1, Cores: 8, Cards: 4, RAM: 32}}
 		h := s.Workers.Machine("i-1", s.now)
 		h.Flavor, h.Heard = 1, s.now
 		waits := s.job("req-1", func(j *pipeline.Job) { j.N, j.Cores, j.Cards, j.RAM = 9, 1, 1, 40 })
