--- a/internal/rental/rental.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,6 +1,6 @@
-// Package rental deals with the cloud: it learns machine types, rents for
+// Package autoscaler deals with the cloud: it learns machine types, rents for
 // work that finds no room, and returns what nothing can use.
-package rental
+package autoscaler
 
 import (
 	"cmp"
@@ -84,7 +84,7 @@
 }
 
 // Rental is the slice.
-type Rental struct {
+type Autoscaler struct {
 	cfg     Config
 	names   *pipeline.Names
 	jobs    *pipeline.Table
@@ -125,15 +125,15 @@
 }
 
 // New returns the slice.
-func New(cfg Config, n *pipeline.Names, t *pipeline.Table, f *worker.Registry, s *store.Client, log *slog.Logger) *Rental {
-	r := &Rental{cfg: cfg, names: n, jobs: t, workers: f, store: s, log: log, calls: map[uint64]func(event.Time, int, []byte, *event.Effects){},
+func New(cfg Config, n *pipeline.Names, t *pipeline.Table, f *worker.Registry, s *store.Client, log *slog.Logger) *Autoscaler {
+	r := &Autoscaler{cfg: cfg, names: n, jobs: t, workers: f, store: s, log: log, calls: map[uint64]func(event.Time, int, []byte, *event.Effects){},
 		retired: map[string]uint64{}, bootRatio: map[int]float64{}}
 	r.Forget()
 	return r
 }
 
 // Forget drops what only a leader knows.
-func (r *Rental) Forget() {
+func (r *Autoscaler) Forget() {
 	r.hiring, r.refused, r.boots = map[offer]int{}, map[offer]refusal{}, map[int]*booting{}
 	r.returning, r.logging, r.returned = map[string]bool{}, map[string]bool{}, map[string]event.Time{}
 	r.typesAt, r.listAt, r.listing = -typesEvery, -listEvery, false
@@ -142,7 +142,7 @@
 }
 
 // Begin starts a term.
-func (r *Rental) Begin(now event.Time, fence uint64) {
+func (r *Autoscaler) Begin(now event.Time, fence uint64) {
 	r.Forget()
 	r.since, r.serial = now, 0
 	// What a leader before us rented last is not on the list yet: renting by
@@ -154,7 +154,7 @@
 }
 
 // Unheard tells whether a machine is up by the list that does not report to us.
-func (r *Rental) Unheard() bool {
+func (r *Autoscaler) Unheard() bool {
 	for _, b := range r.boots {
 		if b.up {
 			return true
@@ -165,13 +165,13 @@
 
 // Returned tells whether the cloud has taken a machine back from us: a report
 // of it that comes now was written before.
-func (r *Rental) Returned(host string) bool {
+func (r *Autoscaler) Returned(host string) bool {
 	_, ok := r.returned[host]
 	return ok
 }
 
 // Listen takes a change of the replica.
-func (r *Rental) Listen(kind, rest string, data []byte, stamp uint64) {
+func (r *Autoscaler) Listen(kind, rest string, data []byte, stamp uint64) {
 	if kind == RetireKind {
 		if data == nil {
 			delete(r.retired, rest)
@@ -201,7 +201,7 @@
 	Flavors []wireType `json:"flavors"`
 }
 
-func (r *Rental) takeTypes(data []byte) bool {
+func (r *Autoscaler) takeTypes(data []byte) bool {
 	var v wireTypes
 	if json.Unmarshal(data, &v) != nil || len(v.Flavors) == 0 {
 		return false
@@ -226,7 +226,7 @@
 	return true
 }
 
-func (r *Rental) allowed(now event.Time) bool {
+func (r *Autoscaler) allowed(now event.Time) bool {
 	if now < r.pauseTo {
 		return false
 	}
@@ -235,7 +235,7 @@
 	return r.tokens >= 1
 }
 
-func (r *Rental) call(method, path string, body []byte, out *event.Effects, f func(now event.Time, status int, body []byte, out *event.Effects)) {
+func (r *Autoscaler) call(method, path string, body []byte, out *event.Effects, f func(now event.Time, status int, body []byte, out *event.Effects)) {
 	r.tokens--
 	r.calls[out.Call(r.cfg.Addr, method, path, body, callWait)] = func(now event.Time, status int, body []byte, out *event.Effects) {
 		if status == 429 || (status == 503 && method == "GET") {
@@ -246,7 +246,7 @@
 }
 
 // CallDone takes the outcome of a call; it tells whether it was ours.
-func (r *Rental) CallDone(now event.Time, d event.CallDone, out *event.Effects) bool {
+func (r *Autoscaler) CallDone(now event.Time, d event.CallDone, out *event.Effects) bool {
 	f, ok := r.calls[d.ID]
 	if !ok {
 		return false
@@ -257,7 +257,7 @@
 }
 
 // Types refreshes the machine types; any node may, until they are known.
-func (r *Rental) Types(now event.Time, term *store.Cond, out *event.Effects) {
+func (r *Autoscaler) Types(now event.Time, term *store.Cond, out *event.Effects) {
 	if now-r.typesAt < typesEvery && (len(r.Flavors) > 0 || now-r.typesAt < troublePause) || !r.allowed(now) {
 		return
 	}
@@ -287,7 +287,7 @@
 }
 
 // Tick does the leader's part: lists, returns, gives up machines.
-func (r *Rental) Tick(now event.Time, t worker.Term, term store.Cond, silent time.Duration, out *event.Effects) {
+func (r *Autoscaler) Tick(now event.Time, t worker.Term, term store.Cond, silent time.Duration, out *event.Effects) {
 	r.Types(now, &term, out)
 	r.sendAgain(now, out)
 	r.sendReturns(now, term, out)
@@ -375,7 +375,7 @@
 
 // learnBoot notes how long a machine took to come up. Since a term may begin
 // while it boots, only those that we rented ourselves count.
-func (r *Rental) learnBoot(b *booting, now event.Time) {
+func (r *Autoscaler) learnBoot(b *booting, now event.Time) {
 	f := r.Flavors.Get(b.flavor)
 	if !b.ours || f == nil || f.Ready <= 0 {
 		return
@@ -389,7 +389,7 @@
 }
 
 // ready is how long a machine of a type usually takes to come up, in seconds.
-func (r *Rental) ready(f *scheduler.MachineType) float64 {
+func (r *Autoscaler) ready(f *scheduler.MachineType) float64 {
 	if ratio, ok := r.bootRatio[f.Index]; ok {
 		return f.Ready * ratio
 	}
@@ -397,7 +397,7 @@
 }
 
 // zones lists the machines of each zone that are up, heard or not.
-func (r *Rental) zones() map[int][]*worker.Machine {
+func (r *Autoscaler) zones() map[int][]*worker.Machine {
 	zones := map[int][]*worker.Machine{}
 	for _, h := range r.workers.Hosts {
 		if h == nil || h.Retiring {
@@ -412,7 +412,7 @@
 
 // findDark finds the zones most of whose machines are silent: nothing is
 // rented there, and what is there is not given up soon.
-func (r *Rental) findDark(zones map[int][]*worker.Machine, now event.Time, silent time.Duration) {
+func (r *Autoscaler) findDark(zones map[int][]*worker.Machine, now event.Time, silent time.Duration) {
 	dark := map[int]bool{}
 	for z, hosts := range zones {
 		lost := 0
@@ -439,7 +439,7 @@
 // cloud's answer proves its tasks gone long before its lease does. Where
 // several are silent the network is the likelier cause, and they are left to
 // go on working; so they are while the zone comes back machine by machine.
-func (r *Rental) giveUpSilent(zones map[int][]*worker.Machine, now event.Time, term store.Cond, silent time.Duration) {
+func (r *Autoscaler) giveUpSilent(zones map[int][]*worker.Machine, now event.Time, term store.Cond, silent time.Duration) {
 	for _, z := range slices.Sorted(maps.Keys(zones)) {
 		var lost []*worker.Machine
 		for _, h := range zones[z] {
@@ -466,7 +466,7 @@
 
 // Retire logs that a machine gets nothing more; once that is stored it is
 // returned. A successor knows by the log not to use it.
-func (r *Rental) Retire(h *worker.Machine, now event.Time, term store.Cond) {
+func (r *Autoscaler) Retire(h *worker.Machine, now event.Time, term store.Cond) {
 	h.Retiring = true
 	if r.logging[h.Name] || r.retired[h.Name] != 0 {
 		return
@@ -478,7 +478,7 @@
 		Done:   func(store.Result) { delete(r.logging, name) }}, now+time.Minute)
 }
 
-func (r *Rental) sendReturns(now event.Time, term store.Cond, out *event.Effects) {
+func (r *Autoscaler) sendReturns(now event.Time, term store.Cond, out *event.Effects) {
 	if len(r.retired) == 0 || now-r.giveAt < giveEvery {
 		return
 	}
@@ -535,7 +535,7 @@
 }
 
 // list reads the machine list: it shows machines that nobody expects.
-func (r *Rental) list(now event.Time, from string, out *event.Effects) {
+func (r *Autoscaler) list(now event.Time, from string, out *event.Effects) {
 	r.listing, r.listAt = true, now
 	asked := now
 	path := fmt.Sprintf("/rentals?limit=%d", listLimit)
@@ -562,7 +562,7 @@
 	})
 }
 
-func (r *Rental) listed(w wireHost, now event.Time) {
+func (r *Autoscaler) listed(w wireHost, now event.Time) {
 	if w.Name == "" || r.retired[w.Name] != 0 || r.returning[w.Name] {
 		return
 	}
@@ -592,7 +592,7 @@
 // machine asked for now is up: what ends or leaves by then makes room, what
 // was stopped needs room again, and machines that are booting are filled in
 // thought. What is left is bought where a task costs least.
-func (r *Rental) Plan(now event.Time, blocked []*pipeline.Job, p *scheduler.Scheduler, term uint64, out *event.Effects) {
+func (r *Autoscaler) Plan(now event.Time, blocked []*pipeline.Job, p *scheduler.Scheduler, term uint64, out *event.Effects) {
 	if !r.mayPlan {
 		if now >= r.planFrom && !r.listing {
 			r.listAt = now - listEvery
@@ -687,7 +687,7 @@
 	}
 }
 
-func (r *Rental) room(o offer) *scheduler.Capacity {
+func (r *Autoscaler) room(o offer) *scheduler.Capacity {
 	f := r.Flavors.Get(o.flavor)
 	if f == nil {
 		return nil
@@ -697,7 +697,7 @@
 
 // bootTime is how soon a machine asked for now can be up for a job: by the
 // cloud's word, the quickest type, in seconds.
-func (r *Rental) bootTime(j *pipeline.Job) float64 {
+func (r *Autoscaler) bootTime(j *pipeline.Job) float64 {
 	least := math.Inf(1)
 	for _, f := range r.Flavors {
 		if scheduler.Allowed(&j.Spec, f) {
@@ -713,7 +713,7 @@
 // onlyZone names the zone to which a job that must stay in one is bound: the
 // one its tasks may still be in, else the one where the missing machines cost
 // least. -1: any; false: there is none.
-func (r *Rental) onlyZone(j *pipeline.Job, inZone map[int]int, rooms []*scheduler.Capacity, left int, now event.Time) (zone int, ok bool) {
+func (r *Autoscaler) onlyZone(j *pipeline.Job, inZone map[int]int, rooms []*scheduler.Capacity, left int, now event.Time) (zone int, ok bool) {
 	if !j.SamePlace {
 		return -1, true
 	}
@@ -744,7 +744,7 @@
 	return zone, ok
 }
 
-func (r *Rental) price(o offer) float64 {
+func (r *Autoscaler) price(o offer) float64 {
 	f := r.Flavors.Get(o.flavor)
 	if o.spot {
 		return f.LowPrice
@@ -753,7 +753,7 @@
 }
 
 // cheapest finds the offer at which the tasks cost least per hour.
-func (r *Rental) cheapest(j *pipeline.Job, left int, inZone map[int]int, only int, need map[offer]int, now event.Time) (best offer, per int, ok bool) {
+func (r *Autoscaler) cheapest(j *pipeline.Job, left int, inZone map[int]int, only int, need map[offer]int, now event.Time) (best offer, per int, ok bool) {
 	least := math.Inf(1)
 	for _, f := range r.Flavors {
 		if !scheduler.Allowed(&j.Spec, f) {
@@ -787,14 +787,14 @@
 	pause time.Duration
 }
 
-func (r *Rental) refuse(o offer, now event.Time) {
+func (r *Autoscaler) refuse(o offer, now event.Time) {
 	pause := min(refusedMost, max(refusedPause, 2*r.refused[o].pause))
 	r.refused[o] = refusal{now + pause, pause}
 }
 
 // hire asks for machines. The name holds the term, so that no other leader
 // ever uses it again.
-func (r *Rental) hire(now event.Time, o offer, n int, term uint64, out *event.Effects) {
+func (r *Autoscaler) hire(now event.Time, o offer, n int, term uint64, out *event.Effects) {
 	r.serial++
 	r.hiring[o] += n
 	r.send(fmt.Sprintf("t%d-%d", term, r.serial), o, n, 0, out)
@@ -802,7 +802,7 @@
 
 const hireTries = 5
 
-func (r *Rental) send(name string, o offer, n, tries int, out *event.Effects) {
+func (r *Autoscaler) send(name string, o offer, n, tries int, out *event.Effects) {
 	body, _ := json.Marshal(map[string]any{"hire": name, "flavor": r.names.Flavors.Name(o.flavor), "yard": r.names.Zones.Name(o.zone),
 		"loaners": o.spot, "number": n})
 	r.call("POST", "/rentals", body, out, func(now event.Time, status int, body []byte, out *event.Effects) {
@@ -847,7 +847,7 @@
 	do func(out *event.Effects)
 }
 
-func (r *Rental) sendAgain(now event.Time, out *event.Effects) {
+func (r *Autoscaler) sendAgain(now event.Time, out *event.Effects) {
 	list := r.again
 	r.again = nil
 	for _, a := range list {
--- a/internal/rental/rental_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -1,4 +1,4 @@
-package rental
+package autoscaler
 
 import (
 	"encoding/json"
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -11,13 +11,13 @@
 	"sort"
 	"time"
 
+	"lugward/internal/autoscaler"
 	"lugward/internal/config"
 	"lugward/internal/election"
 	"lugward/internal/event"
 	"lugward/internal/intake"
 	"lugward/internal/peer"
 	"lugward/internal/pipeline"
-	"lugward/internal/rental"
 	"lugward/internal/scheduler"
 	"lugward/internal/store"
 	"lugward/internal/worker"
@@ -88,17 +88,17 @@
 
 // Node is one controller.
 type Node struct {
-	cfg       *config.Platform
-	log       *slog.Logger
-	names     *pipeline.Names
-	store     *store.Client
-	election  *election.Election
-	jobs      *pipeline.Table
-	workers   *worker.Registry
-	scheduler *scheduler.Scheduler
-	rental    *rental.Rental
-	intake    *intake.Intake
-	peers     []*peerState
+	cfg        *config.Platform
+	log        *slog.Logger
+	names      *pipeline.Names
+	store      *store.Client
+	election   *election.Election
+	jobs       *pipeline.Table
+	workers    *worker.Registry
+	scheduler  *scheduler.Scheduler
+	autoscaler *autoscaler.Autoscaler
+	intake     *intake.Intake
+	peers      []*peerState
 
 	clock     func() time.Duration
 	leading   bool
@@ -154,11 +154,11 @@
 		Lease: lease, Grace: grace}, n.store, log)
 	n.workers = worker.New(n.names, n.jobs, log)
 	n.workers.Silent = n.silent()
-	n.rental = rental.New(rental.Config{ValueBytes: n.jobs.ValueLimit, Addr: cfg.Services.Cloud, RPS: s.Cloud.RPS, ListLag: config.Seconds(s.Cloud.ListLagS),
+	n.autoscaler = autoscaler.New(autoscaler.Config{ValueBytes: n.jobs.ValueLimit, Addr: cfg.Services.Cloud, RPS: s.Cloud.RPS, ListLag: config.Seconds(s.Cloud.ListLagS),
 		IdleKeep: time.Duration(cfg.Operator.Rental.IdleKeep), Settle: time.Duration(cfg.Operator.Rental.Settle)}, n.names, n.jobs, n.workers, n.store, log)
-	n.scheduler = &scheduler.Scheduler{Jobs: n.jobs, Workers: n.workers, MachineTypes: &n.rental.Flavors, Teams: teams, Report: config.Seconds(s.Workers.ReportS), Silent: n.silent()}
+	n.scheduler = &scheduler.Scheduler{Jobs: n.jobs, Workers: n.workers, MachineTypes: &n.autoscaler.Flavors, Teams: teams, Report: config.Seconds(s.Workers.ReportS), Silent: n.silent()}
 	n.intake = intake.New(intake.Config{Label: cfg.Label, Teams: s.Teams, Answer: time.Duration(cfg.Operator.Intake.Answer),
-		ValueBytes: n.jobs.ValueLimit, TxnOps: limits.TxnOps}, n.names, n.jobs, n.store, &n.rental.Flavors)
+		ValueBytes: n.jobs.ValueLimit, TxnOps: limits.TxnOps}, n.names, n.jobs, n.store, &n.autoscaler.Flavors)
 	n.share(0)
 	return n
 }
@@ -204,8 +204,8 @@
 	switch kind {
 	case election.Kind:
 		n.election.Listen(key, data, stamp)
-	case rental.Kind, rental.RetireKind:
-		n.rental.Listen(kind, rest, data, stamp)
+	case autoscaler.Kind, autoscaler.RetireKind:
+		n.autoscaler.Listen(kind, rest, data, stamp)
 	default:
 		n.jobs.Listen(kind, rest, data, stamp)
 	}
@@ -228,7 +228,7 @@
 	n.intake.Tick(now, out)
 	if !n.election.Entitled(now) {
 		if !n.leading {
-			n.rental.Types(now, nil, out)
+			n.autoscaler.Types(now, nil, out)
 		}
 		n.answer(now, out)
 		return
@@ -244,7 +244,7 @@
 		n.leading = true
 		n.jobs.Forget()
 		n.workers.Forget()
-		n.rental.Begin(now, n.election.Fence())
+		n.autoscaler.Begin(now, n.election.Fence())
 		n.blocked, n.rooms = nil, nil
 		n.heardAny = now
 		n.share(now)
@@ -253,7 +253,7 @@
 		n.leading = false
 		n.jobs.Forget()
 		n.workers.Forget()
-		n.rental.Forget()
+		n.autoscaler.Forget()
 		n.blocked, n.rooms = nil, nil
 		n.share(now)
 	}
@@ -278,7 +278,7 @@
 
 // anyWorkers tells whether there are workers that ought to report.
 func (n *Node) anyWorkers() bool {
-	used := n.rental.Unheard()
+	used := n.autoscaler.Unheard()
 	n.jobs.HostsInUse(func(int) { used = true })
 	for _, h := range n.workers.Hosts {
 		used = used || (h != nil && h.Heard > 0)
@@ -295,17 +295,17 @@
 		n.workers.Tick(now, n.election, out)
 		n.drain(now)
 	}
-	n.rental.Tick(now, n.election, n.election.Cond(), n.silent(), out)
+	n.autoscaler.Tick(now, n.election, n.election.Cond(), n.silent(), out)
 	since := now - n.roundAt
-	n.jobs.Changed = n.jobs.Changed || n.rental.Replan
+	n.jobs.Changed = n.jobs.Changed || n.autoscaler.Replan
 	if (n.jobs.Changed && since >= time.Duration(n.cfg.Operator.Place.Round)) || since >= roundIdle {
 		n.roundAt, n.jobs.Changed = now, false
 		n.startBudget()
 		n.work.Rounds++
 		n.blocked, n.rooms = n.scheduler.Round(now)
-		if now-n.planAt >= planEvery || n.rental.Replan {
-			n.planAt, n.rental.Replan = now, false
-			n.rental.Plan(now, n.blocked, n.scheduler, n.election.Fence(), out)
+		if now-n.planAt >= planEvery || n.autoscaler.Replan {
+			n.planAt, n.autoscaler.Replan = now, false
+			n.autoscaler.Plan(now, n.blocked, n.scheduler, n.election.Fence(), out)
 		}
 	}
 	if now-n.packAt >= packEvery && n.rooms != nil {
@@ -513,7 +513,7 @@
 		n.answer(now, out)
 		return
 	}
-	if n.rental.CallDone(now, d, out) || n.workers.CallDone(d, n.election, out) {
+	if n.autoscaler.CallDone(now, d, out) || n.workers.CallDone(d, n.election, out) {
 		return
 	}
 }
@@ -579,7 +579,7 @@
 
 // report takes a report as leader.
 func (n *Node) report(now event.Time, from caller, rep *worker.Report, out *event.Effects) {
-	if n.rental.Returned(rep.Machine) || !n.workers.Take(rep, now, n.election) {
+	if n.autoscaler.Returned(rep.Machine) || !n.workers.Take(rep, now, n.election) {
 		n.respond(from, 503, nil, out)
 		return
 	}
