--- a/internal/intake/intake.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
-// Package intake serves the users: submissions, polls, cancellations.
-package intake
+// Package api serves the users: submissions, polls, cancellations.
+package api
 
 import (
 	"bytes"
@@ -37,7 +37,7 @@
 )
 
 // Intake is the slice.
-type Intake struct {
+type Server struct {
 	cfg     Config
 	names   *pipeline.Names
 	jobs    *pipeline.Table
@@ -49,8 +49,8 @@
 }
 
 // New returns the slice.
-func New(cfg Config, n *pipeline.Names, t *pipeline.Table, s *store.Client, f *scheduler.MachineTypes) *Intake {
-	in := &Intake{cfg: cfg, names: n, jobs: t, store: s, flavors: f, teams: map[string]config.Team{}, attempts: map[string]*attempt{}}
+func New(cfg Config, n *pipeline.Names, t *pipeline.Table, s *store.Client, f *scheduler.MachineTypes) *Server {
+	in := &Server{cfg: cfg, names: n, jobs: t, store: s, flavors: f, teams: map[string]config.Team{}, attempts: map[string]*attempt{}}
 	for _, t := range cfg.Teams {
 		in.teams[t.Name] = t
 	}
@@ -58,7 +58,7 @@
 }
 
 // Handle serves a request below /submissions; it tells whether it was one.
-func (in *Intake) Handle(now event.Time, r event.Request, out *event.Effects) bool {
+func (in *Server) Handle(now event.Time, r event.Request, out *event.Effects) bool {
 	path, _, _ := strings.Cut(r.Path, "?")
 	rest, ok := strings.CutPrefix(path, "/submissions")
 	if !ok {
@@ -89,7 +89,7 @@
 	Running int    `json:"running"`
 }
 
-func (in *Intake) final(id string, f pipeline.Final) []byte {
+func (in *Server) final(id string, f pipeline.Final) []byte {
 	a := answer{ID: id, Phase: phaseNames[f.Phase]}
 	if f.Phase == pipeline.Done {
 		a.Done = f.N
@@ -100,7 +100,7 @@
 
 // over answers from memory if the job is over, since that never changes: its
 // own mark is there, or that of a cancelled job which it needs. Else nil.
-func (in *Intake) over(id string) []byte {
+func (in *Server) over(id string) []byte {
 	if f, ok := in.jobs.Finals[id]; ok {
 		return in.final(id, f)
 	}
@@ -111,7 +111,7 @@
 }
 
 // state answers from the replica; nil if the job is not known.
-func (in *Intake) state(id string) []byte {
+func (in *Server) state(id string) []byte {
 	if b := in.over(id); b != nil {
 		return b
 	}
@@ -124,14 +124,14 @@
 	return b
 }
 
-func (in *Intake) out(now event.Time) bool {
+func (in *Server) out(now event.Time) bool {
 	return !in.store.Synced() || (in.store.Outage() && now-in.store.Contact() > outFor)
 }
 
 // poll answers a final state from memory, since it never changes. Anything
 // else waits for a read barrier: no answer may be older than one that any
 // node has given.
-func (in *Intake) poll(now event.Time, conn uint64, id string, out *event.Effects) {
+func (in *Server) poll(now event.Time, conn uint64, id string, out *event.Effects) {
 	if b := in.over(id); b != nil {
 		out.Reply(conn, 200, b)
 		return
@@ -151,7 +151,7 @@
 	})
 }
 
-func (in *Intake) cancel(now event.Time, conn uint64, id string, tries int, out *event.Effects) {
+func (in *Server) cancel(now event.Time, conn uint64, id string, tries int, out *event.Effects) {
 	if b := in.over(id); b != nil {
 		out.Reply(conn, 200, b)
 		return
@@ -298,7 +298,7 @@
 }
 
 // job turns a submission into a vertex, or says why it can never run.
-func (in *Intake) job(s *submission) (*pipeline.Job, error) {
+func (in *Server) job(s *submission) (*pipeline.Job, error) {
 	team, ok := in.teams[*s.Owner]
 	if !ok {
 		return nil, errImpossible
@@ -354,7 +354,7 @@
 }
 
 // submit accepts a job once its vertex is stored.
-func (in *Intake) submit(now event.Time, r event.Request, out *event.Effects) {
+func (in *Server) submit(now event.Time, r event.Request, out *event.Effects) {
 	s, malformed := parse(r.Body)
 	if malformed != nil && s == nil {
 		out.Reply(r.Conn, 400, nil)
@@ -400,7 +400,7 @@
 // refuse answers a submission with a status for good, behind a barrier: the job
 // may have been accepted a moment ago by a node that knew more. rescue, if set,
 // may take the submission after all.
-func (in *Intake) refuse(conn uint64, id string, status int, rescue func(now event.Time, out *event.Effects) bool) {
+func (in *Server) refuse(conn uint64, id string, status int, rescue func(now event.Time, out *event.Effects) bool) {
 	in.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
 		if !ok {
 			out.Busy(conn, retryAfter)
@@ -414,7 +414,7 @@
 
 // known tells whether the replica shows that a new job may await all of a list:
 // accepted jobs, so not itself, that are no services.
-func (in *Intake) known(up []string) bool {
+func (in *Server) known(up []string) bool {
 	for _, u := range up {
 		if f, ok := in.jobs.Finals[u]; ok {
 			if f.Daemon {
@@ -430,7 +430,7 @@
 }
 
 // accept stores the vertex of a job that can run.
-func (in *Intake) accept(now event.Time, conn uint64, j *pipeline.Job, up []string, out *event.Effects) {
+func (in *Server) accept(now event.Time, conn uint64, j *pipeline.Job, up []string, out *event.Effects) {
 	j.Submitted = in.jobs.UnixMS(now)
 	for _, u := range up {
 		j.Ready = j.Ready && in.jobs.Finals[u].Phase == pipeline.Done
@@ -476,7 +476,7 @@
 
 // accepted is what the user of a new job is told: if it needs a cancelled one
 // it is cancelled at once.
-func (in *Intake) accepted(id string) []byte {
+func (in *Server) accepted(id string) []byte {
 	if b := in.over(id); b != nil {
 		return b
 	}
@@ -487,7 +487,7 @@
 // layOut puts a list of upstream jobs into the record if it still fits there
 // once the record tells when the job became ready; else it returns the values
 // of the keys that hold it. A job that is ready needs no list.
-func (in *Intake) layOut(j *pipeline.Job, up []string) [][]byte {
+func (in *Server) layOut(j *pipeline.Job, up []string) [][]byte {
 	if len(up) == 0 {
 		return nil
 	}
@@ -509,7 +509,7 @@
 const stampRoom = 32
 
 // later refuses a submission for as long as what waits before it takes.
-func (in *Intake) later(conn uint64, out *event.Effects) {
+func (in *Server) later(conn uint64, out *event.Effects) {
 	_, wait := in.store.Backlog(store.Accept)
 	out.Busy(conn, int(math.Ceil(min(max(wait, retryAfter), mostRetry))))
 }
@@ -517,7 +517,7 @@
 // afterUnknown answers a submission whose write conflicted or whose outcome
 // did not come: the store is read, nothing is guessed. A write that lands
 // after that leaves an accepted job, which a retry then finds.
-func (in *Intake) afterUnknown(conn uint64, id string) {
+func (in *Server) afterUnknown(conn uint64, id string) {
 	in.store.Barrier(func(_ event.Time, ok bool, out *event.Effects) {
 		if st := in.state(id); ok && st != nil {
 			out.Reply(conn, 200, st)
--- a/internal/intake/intake_test.go
+++ b/internal/api/api_test.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"bytes"
@@ -164,7 +164,7 @@
 type node struct {
 	t       *testing.T
 	svc     *service
-	in      *Intake
+	in      *Server
 	jobs    *pipeline.Table
 	store   *store.Client
 	out     event.Effects
--- a/internal/intake/attempt.go
+++ b/internal/api/attempt.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"maps"
@@ -33,7 +33,7 @@
 
 const attemptTries = 5
 
-func (in *Intake) begin(now event.Time, conn uint64, j *pipeline.Job, lists [][]byte, out *event.Effects) {
+func (in *Server) begin(now event.Time, conn uint64, j *pipeline.Job, lists [][]byte, out *event.Effects) {
 	id := j.ID
 	stamp, shown := in.jobs.Attempt(id, now)
 	if in.attempts[id] != nil || (stamp != 0 && shown < pipeline.RivalFor) {
@@ -59,14 +59,14 @@
 
 // write submits one write of an attempt. Each requires that the job is not
 // accepted yet, so that nothing is added once it is.
-func (in *Intake) write(now event.Time, a *attempt, w store.Write, attempt store.Cond, done func(store.Result)) {
+func (in *Server) write(now event.Time, a *attempt, w store.Write, attempt store.Cond, done func(store.Result)) {
 	in.store.Submit(&store.Intent{Priority: store.Accept, Writes: []store.Write{w}, Done: done,
 		Conds: []store.Cond{attempt, {Key: pipeline.JobKeyOf(a.id)}, {Key: pipeline.FinalKeyOf(a.id)}}}, now+attemptFor)
 }
 
 // advance sends as many parts as one transaction holds, so that other
 // submissions have their turn between them, and the job's record at the end.
-func (in *Intake) advance(now event.Time, a *attempt) {
+func (in *Server) advance(now event.Time, a *attempt) {
 	for a.next < len(a.lists) && a.inflight < in.cfg.TxnOps {
 		a.next++
 		a.inflight++
@@ -88,7 +88,7 @@
 
 // put writes a value of an attempt that has its part 0, again if no answer comes:
 // carried out twice it changes nothing.
-func (in *Intake) put(now event.Time, a *attempt, w store.Write, then func(store.Result)) {
+func (in *Server) put(now event.Time, a *attempt, w store.Write, then func(store.Result)) {
 	if in.attempts[a.id] != a {
 		return
 	}
@@ -109,7 +109,7 @@
 }
 
 // give ends an attempt whose write was not executed.
-func (in *Intake) give(a *attempt, r store.Result) {
+func (in *Server) give(a *attempt, r store.Result) {
 	delete(in.attempts, a.id)
 	if !a.told {
 		in.later(a.conn, r.Out)
@@ -118,7 +118,7 @@
 
 // settle ends an attempt that lost to another one, or does not know whether it
 // is through: what is stored decides.
-func (in *Intake) settle(a *attempt) {
+func (in *Server) settle(a *attempt) {
 	delete(in.attempts, a.id)
 	if !a.told {
 		in.afterUnknown(a.conn, a.id)
@@ -127,7 +127,7 @@
 
 // Tick tells users whose list takes long to come back for the answer, and ends
 // attempts that go on for too long.
-func (in *Intake) Tick(now event.Time, out *event.Effects) {
+func (in *Server) Tick(now event.Time, out *event.Effects) {
 	for _, id := range slices.Sorted(maps.Keys(in.attempts)) {
 		a := in.attempts[id]
 		if !a.told && now-a.since > in.cfg.Answer {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -11,11 +11,11 @@
 	"sort"
 	"time"
 
+	"lugward/internal/api"
 	"lugward/internal/autoscaler"
 	"lugward/internal/config"
 	"lugward/internal/election"
 	"lugward/internal/event"
-	"lugward/internal/intake"
 	"lugward/internal/peer"
 	"lugward/internal/pipeline"
 	"lugward/internal/scheduler"
@@ -97,7 +97,7 @@
 	workers    *worker.Registry
 	scheduler  *scheduler.Scheduler
 	autoscaler *autoscaler.Autoscaler
-	intake     *intake.Intake
+	api        *api.Server
 	peers      []*peerState
 
 	clock     func() time.Duration
@@ -157,7 +157,7 @@
 	n.autoscaler = autoscaler.New(autoscaler.Config{ValueBytes: n.jobs.ValueLimit, Addr: cfg.Services.Cloud, RPS: s.Cloud.RPS, ListLag: config.Seconds(s.Cloud.ListLagS),
 		IdleKeep: time.Duration(cfg.Operator.Rental.IdleKeep), Settle: time.Duration(cfg.Operator.Rental.Settle)}, n.names, n.jobs, n.workers, n.store, log)
 	n.scheduler = &scheduler.Scheduler{Jobs: n.jobs, Workers: n.workers, MachineTypes: &n.autoscaler.Flavors, Teams: teams, Report: config.Seconds(s.Workers.ReportS), Silent: n.silent()}
-	n.intake = intake.New(intake.Config{Label: cfg.Label, Teams: s.Teams, Answer: time.Duration(cfg.Operator.Intake.Answer),
+	n.api = api.New(api.Config{Label: cfg.Label, Teams: s.Teams, Answer: time.Duration(cfg.Operator.Intake.Answer),
 		ValueBytes: n.jobs.ValueLimit, TxnOps: limits.TxnOps}, n.names, n.jobs, n.store, &n.autoscaler.Flavors)
 	n.share(0)
 	return n
@@ -225,7 +225,7 @@
 	n.expireRelays(now, out)
 	n.showVersion(now)
 	n.mark(now)
-	n.intake.Tick(now, out)
+	n.api.Tick(now, out)
 	if !n.election.Entitled(now) {
 		if !n.leading {
 			n.autoscaler.Types(now, nil, out)
@@ -529,7 +529,7 @@
 			return
 		}
 		n.hello(now, r, out)
-	case n.intake.Handle(now, r, out):
+	case n.api.Handle(now, r, out):
 		n.store.Tick(now, out)
 	default:
 		out.Reply(r.Conn, 404, nil)
