--- a/cmd/limits/main.go
+++ b/cmd/limits/main.go
@@ -49,14 +49,14 @@
 	Duration float64 `toml:"duration_s"`
 	Warmup   float64 `toml:"warmup_s"`
 	Types    []struct {
-		Name  string  `toml:"name"`
-		CPUs  float64 `toml:"cpus"`
-		GPUs  float64 `toml:"gpus"`
-		RAM   float64 `toml:"memory_gb"`
-		Price float64 `toml:"price"`
-		Spot  float64 `toml:"spot_price"`
-		Fetch float64 `toml:"fetch_gb_per_s"`
-		Boot  float64 `toml:"boot_s"`
+		Name   string  `toml:"name"`
+		CPUs   float64 `toml:"cpus"`
+		GPUs   float64 `toml:"gpus"`
+		Memory float64 `toml:"memory_gb"`
+		Price  float64 `toml:"price"`
+		Spot   float64 `toml:"spot_price"`
+		Fetch  float64 `toml:"fetch_gb_per_s"`
+		Boot   float64 `toml:"boot_s"`
 	} `toml:"machine_types"`
 	Capacity []struct {
 		Type  string  `toml:"type"`
@@ -71,7 +71,7 @@
 		Name     string   `toml:"name"`
 		CPUs     float64  `toml:"cpus"`
 		GPUs     float64  `toml:"gpus"`
-		RAM      float64  `toml:"memory_gb"`
+		Memory   float64  `toml:"memory_gb"`
 		Spot     bool     `toml:"spot"`
 		Types    []string `toml:"types"`
 		Tasks    spread   `toml:"tasks"`
@@ -95,11 +95,11 @@
 
 // option is a way to run a class: a type, spot or not.
 type option struct {
-	price       float64 // an hour per task, by weighted shares
-	whole       float64 // an hour per task on a machine full of them
-	room, up    float64 // tasks that all machines hold, and those up at the start, by the same shares
-	start       float64 // whole tasks that machines up at the start hold
-	boot, fetch float64
+	price            float64 // an hour per task, by weighted shares
+	fullMachinePrice float64 // an hour per task on a machine full of them
+	capacity, up     float64 // tasks that all machines hold, and those up at the start, by the same shares
+	start            float64 // whole tasks that machines up at the start hold
+	boot, fetch      float64
 }
 
 func main() {
@@ -156,11 +156,11 @@
 		work += load * job.CPUs * horizon
 		c, left, rented, cheapest := 0.0, load, 0.0, math.Inf(1)
 		for _, o := range opts {
-			n := math.Min(left, o.room)
+			n := math.Min(left, o.capacity)
 			c += n * o.price
 			rented += math.Max(0, n-o.up) * o.price * o.boot / horizon
 			left -= n
-			cheapest = math.Min(cheapest, o.whole)
+			cheapest = math.Min(cheapest, o.fullMachinePrice)
 		}
 		cost, lowest, booted = cost+c, lowest+load*cheapest, booted+rented
 		fmt.Fprintf(&w, "%s: %.1f tasks run on average, %.2f an hour at least (%.2f at the lowest price)", job.Name, load, c, load*cheapest)
@@ -198,16 +198,16 @@
 		if t.Kind != "makespan" {
 			continue
 		}
-		cores := 0.0
+		cpus := 0.0
 		for _, c := range s.Capacity {
 			for _, m := range s.Types {
 				if m.Name == c.Type {
-					cores += m.CPUs * (c.Count + c.Spot)
+					cpus += m.CPUs * (c.Count + c.Spot)
 				}
 			}
 		}
 		// That share of the work comes no sooner, and all cores need their time for it.
-		fmt.Fprintf(&w, "makespan: at least %.0f s (%.0f s of every core there is)\n", t.Share*math.Max(horizon, work/cores), work/cores)
+		fmt.Fprintf(&w, "makespan: at least %.0f s (%.0f s of every core there is)\n", t.Share*math.Max(horizon, work/cpus), work/cpus)
 	}
 	fmt.Fprintf(&w, "price: at least %.2f\nuseful: at most %.2f (each rented machine boots once)\n", (cost+booted)/lowest, cost/(cost+booted))
 	return cost + booted, w.String(), nil
@@ -222,7 +222,7 @@
 			allowed = allowed || n == t.Name
 		}
 		fit := math.Inf(1)
-		for _, p := range [][2]float64{{t.CPUs, job.CPUs}, {t.GPUs, job.GPUs}, {t.RAM, job.RAM}} {
+		for _, p := range [][2]float64{{t.CPUs, job.CPUs}, {t.GPUs, job.GPUs}, {t.Memory, job.Memory}} {
 			if p[1] > 0 {
 				fit = math.Min(fit, math.Floor(p[0]/p[1]+1e-9))
 			}
@@ -246,15 +246,15 @@
 		if t.GPUs > 0 {
 			share = weight*share + (1-weight)*job.GPUs/t.GPUs
 		}
-		room := func(n float64) float64 {
+		capacity := func(n float64) float64 {
 			if share == 0 {
 				return math.Inf(1)
 			}
 			return n / share
 		}
-		opts = append(opts, option{t.Price * share, t.Price / fit, room(count), room(up), up * fit, t.Boot, t.Fetch})
+		opts = append(opts, option{t.Price * share, t.Price / fit, capacity(count), capacity(up), up * fit, t.Boot, t.Fetch})
 		if job.Spot && spot > 0 {
-			opts = append(opts, option{t.Spot * share, t.Spot / fit, room(spot), 0, 0, t.Boot, t.Fetch})
+			opts = append(opts, option{t.Spot * share, t.Spot / fit, capacity(spot), 0, 0, t.Boot, t.Fetch})
 		}
 	}
 	sort.SliceStable(opts, func(a, b int) bool { return opts[a].price < opts[b].price })
--- a/cmd/lugward/main.go
+++ b/cmd/lugward/main.go
@@ -94,7 +94,7 @@
 	// One thread of Go code: the machine gives one share of one core.
 	runtime.GOMAXPROCS(1)
 	const heapShare = 0.6 // the rest is for the runtime, stacks and buffers
-	debug.SetMemoryLimit(int64(cfg.Settings.Resources.RAMMB * heapShare * (1 << 20)))
+	debug.SetMemoryLimit(int64(cfg.Settings.Resources.MemoryMB * heapShare * (1 << 20)))
 	start := time.Now()
 	node := core.New(cfg, log, func() time.Duration { return time.Since(start) })
 	ec := engine.Config{Bind: cfg.Bind, PeerBind: cfg.PeerBind, MaxConnections: cfg.Settings.Resources.MaxConnections}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -27,30 +27,30 @@
 }
 
 const (
-	maxShards  = 100_000
-	retryAfter = 1  // seconds, told with 503
-	mostRetry  = 30 // users do not wait for longer, whatever they are told
+	maxTasks      = 100_000
+	retryAfter    = 1  // seconds, told with 503
+	maxRetryAfter = 30 // users do not wait for longer, whatever they are told
 	// The state service counts as out when nothing of ours got through for
 	// this long; requests that need it are then refused at once.
-	outFor      = time.Second
-	cancelTries = 6
+	outageAfter      = time.Second
+	maxCancelRetries = 6
 )
 
 // Intake is the slice.
 type Server struct {
-	cfg     Config
-	names   *pipeline.Names
-	jobs    *pipeline.Table
-	store   *store.Client
-	flavors *scheduler.MachineTypes
-	teams   map[string]config.Team
+	cfg          Config
+	names        *pipeline.Names
+	jobs         *pipeline.Table
+	store        *store.Client
+	machineTypes *scheduler.MachineTypes
+	teams        map[string]config.Team
 	// attempts are the submissions whose list of upstream jobs is being stored.
-	attempts map[string]*attempt
+	pending map[string]*pendingSubmission
 }
 
 // New returns the slice.
 func New(cfg Config, n *pipeline.Names, t *pipeline.Table, s *store.Client, f *scheduler.MachineTypes) *Server {
-	in := &Server{cfg: cfg, names: n, jobs: t, store: s, flavors: f, teams: map[string]config.Team{}, attempts: map[string]*attempt{}}
+	in := &Server{cfg: cfg, names: n, jobs: t, store: s, machineTypes: f, teams: map[string]config.Team{}, pending: map[string]*pendingSubmission{}}
 	for _, t := range cfg.Teams {
 		in.teams[t.Name] = t
 	}
@@ -104,7 +104,7 @@
 	if f, ok := in.jobs.Finals[id]; ok {
 		return in.final(id, f)
 	}
-	if j := in.jobs.Job(id); j != nil && j.Stamp != 0 && j.Doomed() {
+	if j := in.jobs.Job(id); j != nil && j.Version != 0 && j.UpstreamCancelled() {
 		return in.final(id, pipeline.Final{Phase: pipeline.Cancelled})
 	}
 	return nil
@@ -116,7 +116,7 @@
 		return b
 	}
 	j := in.jobs.Job(id)
-	if j == nil || j.Stamp == 0 {
+	if j == nil || j.Version == 0 {
 		return nil
 	}
 	a := answer{ID: id, Phase: phaseNames[j.Phase()], Done: j.DoneCount(), Running: j.Active()}
@@ -124,8 +124,8 @@
 	return b
 }
 
-func (in *Server) out(now event.Time) bool {
-	return !in.store.Synced() || (in.store.Outage() && now-in.store.Contact() > outFor)
+func (in *Server) unavailable(now event.Time) bool {
+	return !in.store.Synced() || (in.store.Outage() && now-in.store.Contact() > outageAfter)
 }
 
 // poll answers a final state from memory, since it never changes. Anything
@@ -136,7 +136,7 @@
 		out.Reply(conn, 200, b)
 		return
 	}
-	if in.out(now) {
+	if in.unavailable(now) {
 		out.Busy(conn, retryAfter)
 		return
 	}
@@ -151,17 +151,17 @@
 	})
 }
 
-func (in *Server) cancel(now event.Time, conn uint64, id string, tries int, out *event.Effects) {
+func (in *Server) cancel(now event.Time, conn uint64, id string, attempts int, out *event.Effects) {
 	if b := in.over(id); b != nil {
 		out.Reply(conn, 200, b)
 		return
 	}
-	if in.out(now) || tries >= cancelTries {
+	if in.unavailable(now) || attempts >= maxCancelRetries {
 		out.Busy(conn, retryAfter)
 		return
 	}
 	j := in.jobs.Job(id)
-	if j == nil || j.Stamp == 0 {
+	if j == nil || j.Version == 0 {
 		in.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
 			switch {
 			case !ok:
@@ -169,18 +169,18 @@
 			case in.state(id) == nil:
 				out.Reply(conn, 404, nil)
 			default:
-				in.cancel(now, conn, id, tries+1, out)
+				in.cancel(now, conn, id, attempts+1, out)
 			}
 		})
 		return
 	}
 	in.store.Submit(&store.Intent{Priority: store.Cancel,
-		Conds:  []store.Cond{{Key: pipeline.JobKeyOf(id), Stamp: j.Stamp}, {Key: pipeline.FinalKeyOf(id)}},
-		Writes: []store.Write{{Key: pipeline.FinalKeyOf(id), Data: pipeline.EncodeFinal(pipeline.Cancelled, j)}},
+		Conditions: []store.Condition{{Key: pipeline.JobKeyOf(id), Version: j.Version}, {Key: pipeline.FinalKeyOf(id)}},
+		Writes:     []store.Write{{Key: pipeline.FinalKeyOf(id), Data: pipeline.EncodeFinal(pipeline.Cancelled, j)}},
 		Done: func(r store.Result) {
 			switch r.Outcome {
 			case store.OK:
-				in.cancel(r.Now, conn, id, tries, r.Out) // answers from the mark
+				in.cancel(r.Now, conn, id, attempts, r.Out) // answers from the mark
 			case store.Refused:
 				r.Out.Busy(conn, retryAfter)
 			default:
@@ -191,43 +191,43 @@
 						out.Busy(conn, retryAfter)
 						return
 					}
-					in.cancel(now, conn, id, tries+1, out)
+					in.cancel(now, conn, id, attempts+1, out)
 				})
 			}
 		}}, now+in.cfg.Answer)
 }
 
 type submission struct {
-	ID        *string   `json:"name_id"`
-	Class     *string   `json:"jobclass"`
-	Owner     *string   `json:"owner"`
-	Shape     *string   `json:"shape"`
-	Rank      *string   `json:"rank"`
-	Shards    *int      `json:"shards"`
-	Cores     *float64  `json:"cores"`
-	Cards     *float64  `json:"cards"`
-	RAM       *float64  `json:"ram_gb"`
-	Bundle    *string   `json:"bundle"`
-	ImageGB   *float64  `json:"image_gb"`
-	Flavors   []*string `json:"flavors"`
-	Yard      *string   `json:"yard"`
-	SamePlace *bool     `json:"same_place"`
-	Scatter   *bool     `json:"scatter"`
-	Loaners   *bool     `json:"loaners"`
-	Expect    *float64  `json:"expect_s"`
-	SnapEvery *float64  `json:"snapshot_every_s"`
-	SnapCost  *float64  `json:"snapshot_s"`
-	Due       *float64  `json:"due_s"`
+	ID                 *string   `json:"name_id"`
+	Class              *string   `json:"jobclass"`
+	Owner              *string   `json:"owner"`
+	Shape              *string   `json:"shape"`
+	Priority           *string   `json:"rank"`
+	Tasks              *int      `json:"shards"`
+	CPUs               *float64  `json:"cores"`
+	GPUs               *float64  `json:"cards"`
+	Memory             *float64  `json:"ram_gb"`
+	Image              *string   `json:"bundle"`
+	ImageGB            *float64  `json:"image_gb"`
+	MachineTypes       []*string `json:"flavors"`
+	Zone               *string   `json:"yard"`
+	SamePlace          *bool     `json:"same_place"`
+	Scatter            *bool     `json:"scatter"`
+	AllowSpot          *bool     `json:"loaners"`
+	EstimatedRuntime   *float64  `json:"expect_s"`
+	CheckpointInterval *float64  `json:"snapshot_every_s"`
+	CheckpointDuration *float64  `json:"snapshot_s"`
+	Deadline           *float64  `json:"due_s"`
 	// Awaits is decoded apart: a repeat is known by its id whatever it lists.
 	Awaits json.RawMessage `json:"awaits"`
 
-	up []string
+	upstream []string
 }
 
 var (
-	idForm = regexp.MustCompile(`^req-[0-9]{1,19}$`)
-	shapes = map[string]pipeline.Shape{"array": pipeline.Array, "gang": pipeline.Gang, "daemon": pipeline.Daemon}
-	ranks  = map[string]pipeline.Rank{"production": pipeline.Production, "high": pipeline.High, "normal": pipeline.Normal, "idle": pipeline.Idle}
+	idForm     = regexp.MustCompile(`^req-[0-9]{1,19}$`)
+	shapes     = map[string]pipeline.Shape{"array": pipeline.Array, "gang": pipeline.Gang, "daemon": pipeline.Daemon}
+	priorities = map[string]pipeline.Priority{"production": pipeline.Production, "high": pipeline.High, "normal": pipeline.Normal, "idle": pipeline.Idle}
 
 	errMalformed  = errors.New("malformed")
 	errImpossible = errors.New("can never run")
@@ -236,34 +236,34 @@
 )
 
 func (s *submission) complete() bool {
-	for _, p := range []*string{s.ID, s.Class, s.Owner, s.Shape, s.Rank, s.Bundle} {
+	for _, p := range []*string{s.ID, s.Class, s.Owner, s.Shape, s.Priority, s.Image} {
 		if p == nil || *p == "" {
 			return false
 		}
 	}
-	for _, p := range []*float64{s.Cores, s.Cards, s.RAM, s.ImageGB, s.Expect, s.SnapEvery, s.SnapCost} {
+	for _, p := range []*float64{s.CPUs, s.GPUs, s.Memory, s.ImageGB, s.EstimatedRuntime, s.CheckpointInterval, s.CheckpointDuration} {
 		if p == nil || !(*p >= 0) || math.IsInf(*p, 0) {
 			return false
 		}
 	}
-	for _, p := range []*bool{s.SamePlace, s.Scatter, s.Loaners} {
+	for _, p := range []*bool{s.SamePlace, s.Scatter, s.AllowSpot} {
 		if p == nil {
 			return false
 		}
 	}
-	if s.Due != nil && !(*s.Due >= 0) || s.Shards == nil || *s.Shards < 1 || *s.Shards > maxShards {
+	if s.Deadline != nil && !(*s.Deadline >= 0) || s.Tasks == nil || *s.Tasks < 1 || *s.Tasks > maxTasks {
 		return false
 	}
-	if s.Yard != nil && *s.Yard == "" || (s.Flavors != nil && len(s.Flavors) == 0) {
+	if s.Zone != nil && *s.Zone == "" || (s.MachineTypes != nil && len(s.MachineTypes) == 0) {
 		return false
 	}
-	for _, f := range s.Flavors {
+	for _, f := range s.MachineTypes {
 		if f == nil || *f == "" {
 			return false
 		}
 	}
 	_, shapeOK := shapes[*s.Shape]
-	_, rankOK := ranks[*s.Rank]
+	_, rankOK := priorities[*s.Priority]
 	return shapeOK && rankOK && idForm.MatchString(*s.ID)
 }
 
@@ -272,11 +272,11 @@
 	if t := bytes.TrimSpace(body); len(t) == 0 || t[0] != '{' || json.Unmarshal(body, s) != nil || !s.complete() {
 		return nil, errMalformed
 	}
-	return s, s.awaits()
+	return s, s.parseAwaits()
 }
 
 // awaits reads the list of upstream jobs, each once.
-func (s *submission) awaits() error {
+func (s *submission) parseAwaits() error {
 	if len(s.Awaits) == 0 {
 		return nil
 	}
@@ -291,7 +291,7 @@
 		}
 		if !seen[*id] {
 			seen[*id] = true
-			s.up = append(s.up, *id)
+			s.upstream = append(s.upstream, *id)
 		}
 	}
 	return nil
@@ -303,33 +303,33 @@
 	if !ok {
 		return nil, errImpossible
 	}
-	if len(*in.flavors) == 0 {
+	if len(*in.machineTypes) == 0 {
 		return nil, errUndecided
 	}
 	j := &pipeline.Job{ID: *s.ID, Owner: in.cfg.Label, Ready: true, Spec: pipeline.Spec{
-		Shape: shapes[*s.Shape], Rank: ranks[*s.Rank], N: *s.Shards, Cores: *s.Cores, Cards: *s.Cards, RAM: *s.RAM,
-		ImageGB: *s.ImageGB, Zone: -1, SamePlace: *s.SamePlace, Scatter: *s.Scatter, Loaners: *s.Loaners,
-		Expect: *s.Expect, SnapEvery: *s.SnapEvery, SnapCost: *s.SnapCost}}
-	if s.Due != nil {
-		j.Due = *s.Due
-	}
-	if s.Yard != nil {
-		if j.Zone, ok = in.names.Zones.Lookup(*s.Yard); !ok {
+		Shape: shapes[*s.Shape], Priority: priorities[*s.Priority], TaskCount: *s.Tasks, CPUs: *s.CPUs, GPUs: *s.GPUs, Memory: *s.Memory,
+		ImageGB: *s.ImageGB, Zone: -1, SamePlace: *s.SamePlace, Scatter: *s.Scatter, AllowSpot: *s.AllowSpot,
+		EstimatedRuntime: *s.EstimatedRuntime, CheckpointInterval: *s.CheckpointInterval, CheckpointDuration: *s.CheckpointDuration}}
+	if s.Deadline != nil {
+		j.Deadline = *s.Deadline
+	}
+	if s.Zone != nil {
+		if j.Zone, ok = in.names.Zones.Lookup(*s.Zone); !ok {
 			return nil, errImpossible
 		}
 	}
-	for _, f := range s.Flavors {
-		if i, ok := in.names.Flavors.Lookup(*f); ok {
-			j.Flavors = append(j.Flavors, i)
+	for _, f := range s.MachineTypes {
+		if i, ok := in.names.MachineTypes.Lookup(*f); ok {
+			j.MachineTypes = append(j.MachineTypes, i)
 		}
 	}
-	if s.Flavors != nil && j.Flavors == nil {
+	if s.MachineTypes != nil && j.MachineTypes == nil {
 		return nil, errImpossible
 	}
 	fits := false
 	zones := map[int]bool{}
-	for _, f := range *in.flavors {
-		if scheduler.Allowed(&j.Spec, f) {
+	for _, f := range *in.machineTypes {
+		if scheduler.Allows(&j.Spec, f) {
 			fits = true
 			for _, z := range f.Zones {
 				if j.Zone < 0 || z == j.Zone {
@@ -339,17 +339,17 @@
 		}
 	}
 	n := 1.0
-	if j.Whole() {
-		n = float64(j.N)
+	if j.CountsAsWhole() {
+		n = float64(j.TaskCount)
 	}
 	const eps = 1e-6
-	if !fits || (team.CoresMax > 0 && n*j.Cores > team.CoresMax+eps) || (team.CardsMax > 0 && n*j.Cards > team.CardsMax+eps) {
+	if !fits || (team.CPUsMax > 0 && n*j.CPUs > team.CPUsMax+eps) || (team.GPUsMax > 0 && n*j.GPUs > team.GPUsMax+eps) {
 		return nil, errImpossible
 	}
-	if j.Scatter && j.N > 1 && j.Whole() && (j.SamePlace || len(zones) < 2) {
+	if j.Scatter && j.TaskCount > 1 && j.CountsAsWhole() && (j.SamePlace || len(zones) < 2) {
 		return nil, errImpossible // at most half in a zone, and all in one
 	}
-	j.Class, j.Team, j.Bundle = in.names.Classes.Index(*s.Class), in.names.Teams.Index(*s.Owner), in.names.Bundles.Index(*s.Bundle)
+	j.Class, j.Team, j.Image = in.names.Classes.Index(*s.Class), in.names.Teams.Index(*s.Owner), in.names.Images.Index(*s.Image)
 	return j, nil
 }
 
@@ -365,11 +365,11 @@
 		out.Reply(r.Conn, 200, b)
 		return
 	}
-	if in.out(now) {
+	if in.unavailable(now) {
 		out.Busy(r.Conn, retryAfter)
 		return
 	}
-	if j := in.jobs.Job(id); j != nil && j.Stamp != 0 {
+	if j := in.jobs.Job(id); j != nil && j.Version != 0 {
 		in.poll(now, r.Conn, id, out) // known: never 400 or 422 from here on
 		return
 	}
@@ -383,17 +383,17 @@
 		out.Busy(r.Conn, retryAfter)
 	case err != nil:
 		in.refuse(r.Conn, id, 422, nil)
-	case !in.known(s.up):
+	case !in.known(s.upstream):
 		// The replica may be behind the node that accepted what it names.
 		in.refuse(r.Conn, id, 422, func(now event.Time, out *event.Effects) bool {
-			if !in.known(s.up) {
+			if !in.known(s.upstream) {
 				return false
 			}
-			in.accept(now, r.Conn, j, s.up, out)
+			in.accept(now, r.Conn, j, s.upstream, out)
 			return true
 		})
 	default:
-		in.accept(now, r.Conn, j, s.up, out)
+		in.accept(now, r.Conn, j, s.upstream, out)
 	}
 }
 
@@ -422,7 +422,7 @@
 			}
 			continue
 		}
-		if j := in.jobs.Job(u); j == nil || j.Stamp == 0 || j.Shape == pipeline.Daemon {
+		if j := in.jobs.Job(u); j == nil || j.Version == 0 || j.Shape == pipeline.Daemon {
 			return false
 		}
 	}
@@ -438,13 +438,13 @@
 	if j.Ready {
 		j.ReadyAt = j.Submitted
 	}
-	lists := in.layOut(j, up)
+	lists := in.layOutUpstream(j, up)
 	data := pipeline.Encode(in.names, j)
-	room := in.cfg.ValueBytes
+	capacity := in.cfg.ValueBytes
 	if lists != nil {
-		room -= stampRoom
+		capacity -= versionSize
 	}
-	if len(data) > room {
+	if len(data) > capacity {
 		out.Reply(conn, 400, nil)
 		return
 	}
@@ -456,12 +456,12 @@
 	}
 	id := j.ID
 	if lists != nil {
-		in.begin(now, conn, j, lists, out)
+		in.beginUpstreamWrite(now, conn, j, lists, out)
 		return
 	}
 	in.store.Submit(&store.Intent{Priority: store.Accept,
-		Conds:  []store.Cond{{Key: pipeline.JobKeyOf(id)}, {Key: pipeline.FinalKeyOf(id)}},
-		Writes: []store.Write{{Key: pipeline.JobKeyOf(id), Data: data}},
+		Conditions: []store.Condition{{Key: pipeline.JobKeyOf(id)}, {Key: pipeline.FinalKeyOf(id)}},
+		Writes:     []store.Write{{Key: pipeline.JobKeyOf(id), Data: data}},
 		Done: func(res store.Result) {
 			switch res.Outcome {
 			case store.OK:
@@ -487,31 +487,31 @@
 // layOut puts a list of upstream jobs into the record if it still fits there
 // once the record tells when the job became ready; else it returns the values
 // of the keys that hold it. A job that is ready needs no list.
-func (in *Server) layOut(j *pipeline.Job, up []string) [][]byte {
+func (in *Server) layOutUpstream(j *pipeline.Job, up []string) [][]byte {
 	if len(up) == 0 {
 		return nil
 	}
-	j.Up = up
+	j.Upstream = up
 	full := *j
 	full.Ready, full.ReadyAt = true, j.Submitted+1 // as long as any later time
 	if len(pipeline.Encode(in.names, &full)) <= in.cfg.ValueBytes {
 		return nil
 	}
-	if j.Up = nil; j.Ready {
+	if j.Upstream = nil; j.Ready {
 		return nil
 	}
 	lists := pipeline.EncodeParts(up, in.cfg.ValueBytes)
-	j.Parts = len(lists)
+	j.UpstreamParts = len(lists)
 	return lists
 }
 
 // stampRoom is what the stamp of a list takes in a record at most.
-const stampRoom = 32
+const versionSize = 32
 
 // later refuses a submission for as long as what waits before it takes.
 func (in *Server) later(conn uint64, out *event.Effects) {
 	_, wait := in.store.Backlog(store.Accept)
-	out.Busy(conn, int(math.Ceil(min(max(wait, retryAfter), mostRetry))))
+	out.Busy(conn, int(math.Ceil(min(max(wait, retryAfter), maxRetryAfter))))
 }
 
 // afterUnknown answers a submission whose write conflicted or whose outcome
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -23,11 +23,11 @@
 
 // service is a state service that keeps to its limits.
 type service struct {
-	t     *testing.T
-	keys  map[string]stored
-	log   []logged
-	epoch uint64
-	down  bool
+	t        *testing.T
+	keys     map[string]stored
+	log      []logged
+	revision uint64
+	down     bool
 	// lose tells whether the answer to a transaction is lost, late whether it
 	// is carried out only when carryOut is called.
 	lose, late func(body string) bool
@@ -36,8 +36,8 @@
 }
 
 type stored struct {
-	data  json.RawMessage
-	stamp uint64
+	data    json.RawMessage
+	version uint64
 }
 
 type logged struct {
@@ -48,8 +48,8 @@
 
 type txn struct {
 	If []struct {
-		Key   string `json:"key"`
-		Stamp uint64 `json:"stamp"`
+		Key     string `json:"key"`
+		Version uint64 `json:"stamp"`
 	} `json:"if"`
 	Then []struct {
 		Write string          `json:"write"`
@@ -62,18 +62,18 @@
 
 // put stores a key as some other controller would.
 func (s *service) put(key string, data []byte) uint64 {
-	s.epoch++
+	s.revision++
 	s.set(key, data)
-	return s.epoch
+	return s.revision
 }
 
 func (s *service) set(key string, data []byte) {
 	if data == nil {
 		delete(s.keys, key)
 	} else {
-		s.keys[key] = stored{data, s.epoch}
+		s.keys[key] = stored{data, s.revision}
 	}
-	s.log = append(s.log, logged{key, data, s.epoch})
+	s.log = append(s.log, logged{key, data, s.revision})
 }
 
 func (s *service) commit(body string) (int, string) {
@@ -91,15 +91,15 @@
 	}
 	var failed []string
 	for _, c := range x.If {
-		if s.keys[c.Key].stamp != c.Stamp {
+		if s.keys[c.Key].version != c.Version {
 			failed = append(failed, c.Key)
 		}
 	}
 	if failed != nil {
-		b, _ := json.Marshal(map[string]any{"failed": failed, "epoch": s.epoch})
+		b, _ := json.Marshal(map[string]any{"failed": failed, "epoch": s.revision})
 		return 409, string(b)
 	}
-	s.epoch++
+	s.revision++
 	for _, w := range x.Then {
 		if w.Drop != "" {
 			s.set(w.Drop, nil)
@@ -107,7 +107,7 @@
 			s.set(w.Write, w.Data)
 		}
 	}
-	return 200, fmt.Sprintf(`{"epoch":%d}`, s.epoch)
+	return 200, fmt.Sprintf(`{"epoch":%d}`, s.revision)
 }
 
 // carryOut applies the transactions that were late.
@@ -144,7 +144,7 @@
 				list = append(list, map[string]any{"write": l.key, "data": l.data, "stamp": l.at})
 			}
 		}
-		b, _ := json.Marshal(map[string]any{"epoch": s.epoch, "log": list})
+		b, _ := json.Marshal(map[string]any{"epoch": s.revision, "log": list})
 		return 200, string(b), true
 	}
 	s.commits = append(s.commits, string(c.Body))
@@ -178,12 +178,12 @@
 	names := &pipeline.Names{}
 	names.Zones.Index("a")
 	n.jobs = pipeline.NewTable(names, valueBytes, txnOps)
-	n.store = store.New("s", store.Limits{TxnOps: txnOps, RPS: 1000, WriteRPS: 1000, StaleAfter: time.Hour}, func(key string, data []byte, stamp uint64) {
+	n.store = store.New("s", store.Limits{TxnOps: txnOps, RPS: 1000, WriteRPS: 1000, StaleAfter: time.Hour}, func(key string, data []byte, version uint64) {
 		kind, rest := store.SplitKey(key)
-		n.jobs.Listen(kind, rest, data, stamp)
+		n.jobs.Listen(kind, rest, data, version)
 	})
-	flavors := &scheduler.MachineTypes{{Index: names.Flavors.Index("m"), Cores: 8, RAM: 32, Zones: []int{0}}}
-	n.in = New(Config{Label: label, Teams: []config.Team{{Name: "red"}}, Answer: 1500 * time.Millisecond, ValueBytes: valueBytes, TxnOps: txnOps}, names, n.jobs, n.store, flavors)
+	machineTypes := &scheduler.MachineTypes{{Index: names.MachineTypes.Index("m"), CPUs: 8, Memory: 32, Zones: []int{0}}}
+	n.in = New(Config{Label: label, Teams: []config.Team{{Name: "red"}}, Answer: 1500 * time.Millisecond, ValueBytes: valueBytes, TxnOps: txnOps}, names, n.jobs, n.store, machineTypes)
 	n.run(time.Second)
 	n.in.store.Barrier(func(event.Time, bool, *event.Effects) {})
 	n.run(time.Second)
@@ -253,7 +253,7 @@
 }
 
 func final(p pipeline.Phase, shape pipeline.Shape) []byte {
-	return pipeline.EncodeFinal(p, &pipeline.Job{Spec: pipeline.Spec{N: 1, Shape: shape}})
+	return pipeline.EncodeFinal(p, &pipeline.Job{Spec: pipeline.Spec{TaskCount: 1, Shape: shape}})
 }
 
 func TestAwaits(t *testing.T) {
@@ -273,8 +273,8 @@
 	n.expect("itself", n.submit(4, `,"awaits":["req-4"]`), 422, "")
 	n.expect("unknown", n.submit(4, `,"awaits":["req-1","req-99"]`), 422, "")
 	n.expect("held", n.submit(4, `,"awaits":["req-1","req-2","req-1"]`), 201, "queued")
-	if j := n.jobs.Job("req-4"); j.Ready || strings.Join(j.Up, " ") != "req-1 req-2" || j.Submitted == 0 {
-		t.Errorf("ready %v, above %v, at %d", j.Ready, j.Up, j.Submitted)
+	if j := n.jobs.Job("req-4"); j.Ready || strings.Join(j.Upstream, " ") != "req-1 req-2" || j.Submitted == 0 {
+		t.Errorf("ready %v, above %v, at %d", j.Ready, j.Upstream, j.Submitted)
 	}
 	// A retry is found before it is judged.
 	for _, list := range []string{`["req-99"]`, `["req-4"]`, `[]`, `7`} {
@@ -354,7 +354,7 @@
 	s.put("f/req-1", final(pipeline.Done, pipeline.Array))
 	n.expect("cancel", n.send("POST", "/submissions/req-1/cancel", ""), 200, "done")
 	n.expect("below", n.send("GET", "/submissions/req-2", ""), 200, "queued")
-	if held := n.jobs.Held(); len(held) != 1 || held[0].ID != "req-2" {
+	if held := n.jobs.Releasable(); len(held) != 1 || held[0].ID != "req-2" {
 		t.Errorf("%d to be marked ready", len(held))
 	}
 }
@@ -377,9 +377,9 @@
 // long is a list of so many jobs above, which are in the replica.
 func (n *node) long(first, count int) string {
 	var list []string
-	job := &pipeline.Job{ID: "", Ready: true, Spec: pipeline.Spec{N: 1, Cores: 1, Zone: -1}}
+	job := &pipeline.Job{ID: "", Ready: true, Spec: pipeline.Spec{TaskCount: 1, CPUs: 1, Zone: -1}}
 	names := &pipeline.Names{}
-	job.Class, job.Team, job.Bundle = names.Classes.Index("c"), names.Teams.Index("red"), names.Bundles.Index("b")
+	job.Class, job.Team, job.Image = names.Classes.Index("c"), names.Teams.Index("red"), names.Images.Index("b")
 	data := pipeline.Encode(names, job)
 	for i := range count {
 		id := fmt.Sprintf("req-%d", first+i)
@@ -408,12 +408,12 @@
 	r := n.submit(1, list)
 	n.expect("long list", r, 201, "queued")
 	parts := s.parts(1)
-	if j := n.jobs.Job("req-1"); len(parts) < 10 || j.Parts != len(parts) || j.Ready || j.Doomed() {
+	if j := n.jobs.Job("req-1"); len(parts) < 10 || j.UpstreamParts != len(parts) || j.Ready || j.UpstreamCancelled() {
 		t.Fatalf("%d parts, record %s", len(parts), s.keys["j/req-1"].data)
 	}
 	// The record came last, on condition of part 0; so did the other parts.
-	stamp := s.keys["u/req-1/0"].stamp
-	guard := fmt.Sprintf(`{"key":"u/req-1/0","stamp":%d}`, stamp)
+	version := s.keys["u/req-1/0"].version
+	guard := fmt.Sprintf(`{"key":"u/req-1/0","stamp":%d}`, version)
 	guarded := 0
 	for _, c := range s.commits {
 		if strings.Contains(c, `"write":"u/req-1/`) || strings.Contains(c, `"write":"j/req-1"`) {
@@ -424,7 +424,7 @@
 			}
 		}
 	}
-	if guarded < 2 || s.keys["j/req-1"].stamp <= s.keys[fmt.Sprintf("u/req-1/%d", len(parts)-1)].stamp {
+	if guarded < 2 || s.keys["j/req-1"].version <= s.keys[fmt.Sprintf("u/req-1/%d", len(parts)-1)].version {
 		t.Error("the record is not last")
 	}
 	// Another node reads it; the last of the list decides.
@@ -436,7 +436,7 @@
 
 // Any write of an attempt may be lost, refused to be told of, or carried out
 // late: the job is accepted whole or not at all.
-func TestInterruptedAttempts(t *testing.T) {
+func TestInterruptedSubmissions(t *testing.T) {
 	for _, key := range []string{"u/req-1/0", "u/req-1/1", "u/req-1/3", "j/req-1"} {
 		for _, late := range []bool{false, true} {
 			s := newService(t)
@@ -500,7 +500,7 @@
 
 // Two nodes are given the same long submission: one attempt at a time, and one
 // that was left behind is taken over with another list.
-func TestRivalAttempts(t *testing.T) {
+func TestRivalSubmissions(t *testing.T) {
 	s := newService(t)
 	n, m := newNode(t, s, "n0"), newNode(t, s, "n1")
 	list := n.long(1_000_000, 1500)
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -37,31 +37,31 @@
 }
 
 const (
-	callWait     = 8 * time.Second
-	typesEvery   = 60 * time.Second
-	listEvery    = 10 * time.Second
-	refusedPause = 15 * time.Second // doubles with each refusal
-	refusedMost  = 2 * time.Minute
-	troublePause = 2 * time.Second
-	maxNumber    = 50
-	spread       = 1e-3 // weighs less than any real difference in price
-	maxReturn    = 100
-	listLimit    = 500
+	callTimeout       = 8 * time.Second
+	typesInterval     = 60 * time.Second
+	listInterval      = 10 * time.Second
+	refusedPause      = 15 * time.Second // doubles with each refusal
+	refusedPauseMax   = 2 * time.Minute
+	errorPause        = 2 * time.Second
+	maxProvisionBatch = 50
+	tieBreakWeight    = 1e-3 // weighs less than any real difference in price
+	maxReleaseBatch   = 100
+	listLimit         = 500
 	// A machine that is up and does not report for this long is lost; where
 	// most of its zone is silent, too, the network is the likelier cause, and
 	// whoever returns them all pays for as many boots when it is mended.
-	silentLost = 60 * time.Second
-	darkLost   = 150 * time.Second
-	lookEvery  = 500 * time.Millisecond // between two looks at all machines
-	giveEvery  = 100 * time.Millisecond // between two looks at what is to be returned
+	silentTimeout      = 60 * time.Second
+	partitionedTimeout = 150 * time.Second
+	scanInterval       = 500 * time.Millisecond // between two looks at all machines
+	releaseInterval    = 100 * time.Millisecond // between two looks at what is to be returned
 	// A machine that is up and has not come over by then is shown our fence, so
 	// many at a look: a connection to a silent one is held for a while.
-	showAfter = 2 * time.Second
-	mostShows = 20
+	announceAfter    = 2 * time.Second
+	maxAnnouncements = 20
 	// For each silent machine so many others of its zone must be heard.
 	silentShare = 3
 	// A zone counts as cut for so long after a machine came back.
-	cutMemory = 60 * time.Second
+	partitionMemory = 60 * time.Second
 	// Boots take several times the nominal time now and then; past this many
 	// times (and at least bootLeast) a machine is given up.
 	bootTimes  = 4.0
@@ -70,12 +70,12 @@
 )
 
 type offer struct {
-	flavor, zone int
-	spot         bool
+	machineType, zone int
+	spot              bool
 }
 
 // booting is a rented machine that has not reported yet.
-type booting struct {
+type bootingMachine struct {
 	offer
 	since event.Time
 	up    bool       // by the list, though silent to us
@@ -85,37 +85,37 @@
 
 // Rental is the slice.
 type Autoscaler struct {
-	cfg     Config
-	names   *pipeline.Names
-	jobs    *pipeline.Table
-	workers *worker.Registry
-	store   *store.Client
-	log     *slog.Logger
-	Flavors scheduler.MachineTypes
-	rawType []byte // as stored
+	cfg          Config
+	names        *pipeline.Names
+	jobs         *pipeline.Table
+	workers      *worker.Registry
+	store        *store.Client
+	log          *slog.Logger
+	MachineTypes scheduler.MachineTypes
+	rawType      []byte // as stored
 
 	calls    map[uint64]func(now event.Time, status int, body []byte, out *event.Effects)
 	tokens   float64
 	tokensAt event.Time
 	pauseTo  event.Time
 
-	typesAt   event.Time
-	listAt    event.Time
-	listing   bool
-	serial    int
-	hiring    map[offer]int // machines asked for
-	refused   map[offer]refusal
-	boots     map[int]*booting
-	retired   map[string]uint64 // by name: stamp of the logged retirement
-	returning map[string]bool
-	logging   map[string]bool
-	returned  map[string]event.Time // machines the cloud has taken back from us
-	since     event.Time
-	lookAt    event.Time
-	giveAt    event.Time
-	bootRatio map[int]float64 // of the time a type takes to come up to what the cloud says
-	dark      map[int]bool    // zones most of whose machines are silent
-	again     []retry         // hires to repeat
+	typesAt      event.Time
+	listAt       event.Time
+	listing      bool
+	serial       int
+	provisioning map[offer]int // machines asked for
+	refused      map[offer]refusal
+	booting      map[int]*bootingMachine
+	retired      map[string]uint64 // by name: stamp of the logged retirement
+	releasing    map[string]bool
+	logging      map[string]bool
+	released     map[string]event.Time // machines the cloud has taken back from us
+	since        event.Time
+	scanAt       event.Time
+	releaseAt    event.Time
+	bootRatio    map[int]float64 // of the time a type takes to come up to what the cloud says
+	partitioned  map[int]bool    // zones most of whose machines are silent
+	retries      []pendingRetry  // hires to repeat
 
 	planFrom event.Time // plans need a list that was asked for after this
 	mayPlan  bool
@@ -134,28 +134,28 @@
 
 // Forget drops what only a leader knows.
 func (r *Autoscaler) Forget() {
-	r.hiring, r.refused, r.boots = map[offer]int{}, map[offer]refusal{}, map[int]*booting{}
-	r.returning, r.logging, r.returned = map[string]bool{}, map[string]bool{}, map[string]event.Time{}
-	r.typesAt, r.listAt, r.listing = -typesEvery, -listEvery, false
+	r.provisioning, r.refused, r.booting = map[offer]int{}, map[offer]refusal{}, map[int]*bootingMachine{}
+	r.releasing, r.logging, r.released = map[string]bool{}, map[string]bool{}, map[string]event.Time{}
+	r.typesAt, r.listAt, r.listing = -typesInterval, -listInterval, false
 	clear(r.calls)
-	r.again, r.mayPlan, r.lookAt, r.giveAt, r.dark = nil, false, 0, 0, nil
+	r.retries, r.mayPlan, r.scanAt, r.releaseAt, r.partitioned = nil, false, 0, 0, nil
 }
 
 // Begin starts a term.
-func (r *Autoscaler) Begin(now event.Time, fence uint64) {
+func (r *Autoscaler) Begin(now event.Time, token uint64) {
 	r.Forget()
 	r.since, r.serial = now, 0
 	// What a leader before us rented last is not on the list yet: renting by
 	// an older list would rent it twice.
 	r.planFrom = now
-	if fence > 1 {
+	if token > 1 {
 		r.planFrom += r.cfg.ListLag
 	}
 }
 
 // Unheard tells whether a machine is up by the list that does not report to us.
-func (r *Autoscaler) Unheard() bool {
-	for _, b := range r.boots {
+func (r *Autoscaler) HasSilentMachines() bool {
+	for _, b := range r.booting {
 		if b.up {
 			return true
 		}
@@ -165,18 +165,18 @@
 
 // Returned tells whether the cloud has taken a machine back from us: a report
 // of it that comes now was written before.
-func (r *Autoscaler) Returned(host string) bool {
-	_, ok := r.returned[host]
+func (r *Autoscaler) Released(machine string) bool {
+	_, ok := r.released[machine]
 	return ok
 }
 
 // Listen takes a change of the replica.
-func (r *Autoscaler) Listen(kind, rest string, data []byte, stamp uint64) {
+func (r *Autoscaler) Listen(kind, rest string, data []byte, version uint64) {
 	if kind == RetireKind {
 		if data == nil {
 			delete(r.retired, rest)
 		} else {
-			r.retired[rest] = stamp
+			r.retired[rest] = version
 		}
 		return
 	}
@@ -186,41 +186,41 @@
 }
 
 type wireType struct {
-	Name     string   `json:"name"`
-	Cores    float64  `json:"cores"`
-	Cards    float64  `json:"cards"`
-	RAM      float64  `json:"ram_gb"`
-	Fetch    float64  `json:"fetch_gb_per_s"`
-	Price    float64  `json:"price"`
-	LowPrice float64  `json:"low_price"`
-	Ready    float64  `json:"ready_s"`
-	Yards    []string `json:"yards"`
+	Name      string   `json:"name"`
+	CPUs      float64  `json:"cores"`
+	GPUs      float64  `json:"cards"`
+	Memory    float64  `json:"ram_gb"`
+	Fetch     float64  `json:"fetch_gb_per_s"`
+	Price     float64  `json:"price"`
+	SpotPrice float64  `json:"low_price"`
+	Ready     float64  `json:"ready_s"`
+	Zones     []string `json:"yards"`
 }
 
 type wireTypes struct {
-	Flavors []wireType `json:"flavors"`
+	MachineTypes []wireType `json:"flavors"`
 }
 
 func (r *Autoscaler) takeTypes(data []byte) bool {
 	var v wireTypes
-	if json.Unmarshal(data, &v) != nil || len(v.Flavors) == 0 {
+	if json.Unmarshal(data, &v) != nil || len(v.MachineTypes) == 0 {
 		return false
 	}
-	for _, t := range v.Flavors {
-		if t.Name == "" || !(t.Cores >= 0) || !(t.Price >= 0) {
+	for _, t := range v.MachineTypes {
+		if t.Name == "" || !(t.CPUs >= 0) || !(t.Price >= 0) {
 			return false
 		}
 	}
-	for _, t := range v.Flavors {
-		f := &scheduler.MachineType{Index: r.names.Flavors.Index(t.Name), Cores: t.Cores, Cards: t.Cards, RAM: t.RAM, Price: t.Price,
-			LowPrice: t.LowPrice, Ready: t.Ready, Fetch: t.Fetch}
-		for _, y := range t.Yards {
+	for _, t := range v.MachineTypes {
+		f := &scheduler.MachineType{Index: r.names.MachineTypes.Index(t.Name), CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.Memory, Price: t.Price,
+			SpotPrice: t.SpotPrice, BootTime: t.Ready, FetchRate: t.Fetch}
+		for _, y := range t.Zones {
 			f.Zones = append(f.Zones, r.names.Zones.Index(y))
 		}
-		for len(r.Flavors) <= f.Index {
-			r.Flavors = append(r.Flavors, nil)
+		for len(r.MachineTypes) <= f.Index {
+			r.MachineTypes = append(r.MachineTypes, nil)
 		}
-		r.Flavors[f.Index] = f
+		r.MachineTypes[f.Index] = f
 	}
 	r.jobs.Changed = true
 	return true
@@ -237,9 +237,9 @@
 
 func (r *Autoscaler) call(method, path string, body []byte, out *event.Effects, f func(now event.Time, status int, body []byte, out *event.Effects)) {
 	r.tokens--
-	r.calls[out.Call(r.cfg.Addr, method, path, body, callWait)] = func(now event.Time, status int, body []byte, out *event.Effects) {
+	r.calls[out.Call(r.cfg.Addr, method, path, body, callTimeout)] = func(now event.Time, status int, body []byte, out *event.Effects) {
 		if status == 429 || (status == 503 && method == "GET") {
-			r.pauseTo = now + troublePause
+			r.pauseTo = now + errorPause
 		}
 		f(now, status, body, out)
 	}
@@ -257,14 +257,14 @@
 }
 
 // Types refreshes the machine types; any node may, until they are known.
-func (r *Autoscaler) Types(now event.Time, term *store.Cond, out *event.Effects) {
-	if now-r.typesAt < typesEvery && (len(r.Flavors) > 0 || now-r.typesAt < troublePause) || !r.allowed(now) {
+func (r *Autoscaler) Types(now event.Time, term *store.Condition, out *event.Effects) {
+	if now-r.typesAt < typesInterval && (len(r.MachineTypes) > 0 || now-r.typesAt < errorPause) || !r.allowed(now) {
 		return
 	}
 	r.typesAt = now
 	r.call("GET", "/machine_types", nil, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		if status != 200 || !r.takeTypes(body) {
-			r.typesAt = now - typesEvery + troublePause
+			r.typesAt = now - typesInterval + errorPause
 			return
 		}
 		if term == nil || len(r.rawType) > 0 {
@@ -276,7 +276,7 @@
 		if err != nil || len(raw) > r.cfg.ValueBytes {
 			return // each controller still learns them from the cloud
 		}
-		r.store.Submit(&store.Intent{Priority: store.Accept, Conds: []store.Cond{*term},
+		r.store.Submit(&store.Intent{Priority: store.Accept, Conditions: []store.Condition{*term},
 			Writes: []store.Write{{Key: TypesKey, Data: raw}},
 			Done: func(res store.Result) {
 				if res.Outcome == store.OK || res.Invalid {
@@ -287,87 +287,87 @@
 }
 
 // Tick does the leader's part: lists, returns, gives up machines.
-func (r *Autoscaler) Tick(now event.Time, t worker.Term, term store.Cond, silent time.Duration, out *event.Effects) {
+func (r *Autoscaler) Tick(now event.Time, t worker.Term, term store.Condition, silent time.Duration, out *event.Effects) {
 	r.Types(now, &term, out)
-	r.sendAgain(now, out)
-	r.sendReturns(now, term, out)
-	if !r.listing && now-r.listAt >= listEvery && r.allowed(now) {
+	r.sendRetries(now, out)
+	r.releaseRetired(now, term, out)
+	if !r.listing && now-r.listAt >= listInterval && r.allowed(now) {
 		r.list(now, "", out)
 	}
-	if now-r.lookAt < lookEvery {
+	if now-r.scanAt < scanInterval {
 		return
 	}
-	r.lookAt = now
-	for _, h := range r.workers.Hosts {
-		if h != nil && len(r.jobs.OnHost(h.Index)) > 0 {
+	r.scanAt = now
+	for _, h := range r.workers.Machines {
+		if h != nil && len(r.jobs.OnMachine(h.Index)) > 0 {
 			h.IdleFrom = now
 		}
 		// A retirement whose write was refused is logged again.
-		if h != nil && h.Retiring && r.retired[h.Name] == 0 && !r.returning[h.Name] {
+		if h != nil && h.Retiring && r.retired[h.Name] == 0 && !r.releasing[h.Name] {
 			r.Retire(h, now, term)
 		}
 	}
 	zones := r.zones()
-	r.findDark(zones, now, silent)
-	shows := 0
-	for _, h := range r.workers.Hosts {
+	r.findPartitioned(zones, now, silent)
+	announcements := 0
+	for _, h := range r.workers.Machines {
 		// What we heard of it may have been a copy; it stays away itself.
-		if h != nil && h.Heard > 0 && !h.Fenced && now-h.Heard > showAfter && shows < mostShows {
-			shows++
-			r.workers.Show(h, now, t, out)
+		if h != nil && h.LastReport > 0 && !h.TokenConfirmed && now-h.LastReport > announceAfter && announcements < maxAnnouncements {
+			announcements++
+			r.workers.AnnounceToken(h, now, t, out)
 		}
 	}
-	for _, i := range slices.Sorted(maps.Keys(r.boots)) {
-		b, h := r.boots[i], r.workers.At(i)
-		if h == nil || h.Heard > 0 {
-			r.learnBoot(b, now)
-			delete(r.boots, i)
+	for _, i := range slices.Sorted(maps.Keys(r.booting)) {
+		b, h := r.booting[i], r.workers.At(i)
+		if h == nil || h.LastReport > 0 {
+			r.recordBootTime(b, now)
+			delete(r.booting, i)
 			r.jobs.Changed = true
 			continue
 		}
-		if b.up && now-b.since > showAfter && shows < mostShows {
-			shows++
-			r.workers.Show(h, now, t, out)
+		if b.up && now-b.since > announceAfter && announcements < maxAnnouncements {
+			announcements++
+			r.workers.AnnounceToken(h, now, t, out)
 		}
-		f := r.Flavors.Get(b.flavor)
+		f := r.MachineTypes.Get(b.machineType)
 		wait := bootLeast
 		if f != nil && !b.up {
 			wait = max(bootLeast, time.Duration(bootTimes*r.ready(f)*float64(time.Second)))
-		} else if len(r.jobs.OnHost(i)) > 0 {
+		} else if len(r.jobs.OnMachine(i)) > 0 {
 			// Perhaps it works behind a cut; its lease tells when not.
-			wait = silentLost
+			wait = silentTimeout
 		}
-		if b.up && r.dark[b.zone] {
-			wait = darkLost
+		if b.up && r.partitioned[b.zone] {
+			wait = partitionedTimeout
 		}
 		if f != nil && now-b.since > wait {
 			r.log.Info("machine never came up", "host", h.Name)
-			delete(r.boots, i)
+			delete(r.booting, i)
 			r.Retire(h, now, term)
 		}
 	}
 	if now-r.since < r.cfg.Settle {
 		return
 	}
-	r.giveUpSilent(zones, now, term, silent)
-	for _, h := range r.workers.Hosts {
+	r.releaseSilent(zones, now, term, silent)
+	for _, h := range r.workers.Machines {
 		if h == nil || !h.Known || h.Retiring {
 			continue
 		}
-		if r.workers.LastingDeaf(h, now, t) && !r.dark[h.Zone] {
+		if r.workers.UnreachableBeyondLease(h, now, t) && !r.partitioned[h.Zone] {
 			r.log.Info("deaf machine given up", "host", h.Name)
 			r.Retire(h, now, term)
 			continue
 		}
-		if len(r.jobs.OnHost(h.Index)) > 0 {
+		if len(r.jobs.OnMachine(h.Index)) > 0 {
 			continue
 		}
-		wait := silentLost
-		if r.dark[h.Zone] {
-			wait = darkLost
+		wait := silentTimeout
+		if r.partitioned[h.Zone] {
+			wait = partitionedTimeout
 		}
-		lost := h.Heard > 0 && now-h.Heard > wait
-		if lost || (h.Heard > 0 && h.Stray == 0 && (h.Draining || h.RecallAt != 0 || now-max(h.IdleFrom, h.Wanted) > r.cfg.IdleKeep)) {
+		lost := h.LastReport > 0 && now-h.LastReport > wait
+		if lost || (h.LastReport > 0 && h.UnknownTasks == 0 && (h.Draining || h.ReclaimAt != 0 || now-max(h.IdleFrom, h.ReservedAt) > r.cfg.IdleKeep)) {
 			r.Retire(h, now, term)
 		}
 	}
@@ -375,35 +375,35 @@
 
 // learnBoot notes how long a machine took to come up. Since a term may begin
 // while it boots, only those that we rented ourselves count.
-func (r *Autoscaler) learnBoot(b *booting, now event.Time) {
-	f := r.Flavors.Get(b.flavor)
-	if !b.ours || f == nil || f.Ready <= 0 {
+func (r *Autoscaler) recordBootTime(b *bootingMachine, now event.Time) {
+	f := r.MachineTypes.Get(b.machineType)
+	if !b.ours || f == nil || f.BootTime <= 0 {
 		return
 	}
-	usual, known := r.bootRatio[b.flavor]
+	usual, known := r.bootRatio[b.machineType]
 	if !known {
 		usual = 1
 	}
-	took := (now - b.since).Seconds() / f.Ready
-	r.bootRatio[b.flavor] = usual + bootWeight*(min(took, bootTimes)-usual)
+	took := (now - b.since).Seconds() / f.BootTime
+	r.bootRatio[b.machineType] = usual + bootWeight*(min(took, bootTimes)-usual)
 }
 
 // ready is how long a machine of a type usually takes to come up, in seconds.
 func (r *Autoscaler) ready(f *scheduler.MachineType) float64 {
 	if ratio, ok := r.bootRatio[f.Index]; ok {
-		return f.Ready * ratio
+		return f.BootTime * ratio
 	}
-	return f.Ready
+	return f.BootTime
 }
 
 // zones lists the machines of each zone that are up, heard or not.
 func (r *Autoscaler) zones() map[int][]*worker.Machine {
 	zones := map[int][]*worker.Machine{}
-	for _, h := range r.workers.Hosts {
+	for _, h := range r.workers.Machines {
 		if h == nil || h.Retiring {
 			continue
 		}
-		if b := r.boots[h.Index]; h.Heard != 0 || (b != nil && b.up) {
+		if b := r.booting[h.Index]; h.LastReport != 0 || (b != nil && b.up) {
 			zones[h.Zone] = append(zones[h.Zone], h)
 		}
 	}
@@ -412,38 +412,38 @@
 
 // findDark finds the zones most of whose machines are silent: nothing is
 // rented there, and what is there is not given up soon.
-func (r *Autoscaler) findDark(zones map[int][]*worker.Machine, now event.Time, silent time.Duration) {
-	dark := map[int]bool{}
-	for z, hosts := range zones {
+func (r *Autoscaler) findPartitioned(zones map[int][]*worker.Machine, now event.Time, silent time.Duration) {
+	partitioned := map[int]bool{}
+	for z, machines := range zones {
 		lost := 0
-		for _, h := range hosts {
-			last := h.Heard
-			if b := r.boots[h.Index]; h.Heard == 0 && b != nil {
+		for _, h := range machines {
+			last := h.LastReport
+			if b := r.booting[h.Index]; h.LastReport == 0 && b != nil {
 				last = b.since
 			}
-			if now-last > silent || h.Deaf != 0 {
+			if now-last > silent || h.UnreachableSince != 0 {
 				lost++
 			}
 		}
-		if lost > 1 && 2*lost > len(hosts) {
-			dark[z] = true
-			if !r.dark[z] {
-				r.log.Info("zone is dark", "zone", r.names.Zones.Name(z), "machines", len(hosts), "silent", lost)
+		if lost > 1 && 2*lost > len(machines) {
+			partitioned[z] = true
+			if !r.partitioned[z] {
+				r.log.Info("zone is dark", "zone", r.names.Zones.Name(z), "machines", len(machines), "silent", lost)
 			}
 		}
 	}
-	r.dark = dark
+	r.partitioned = partitioned
 }
 
 // giveUpSilent returns a machine that alone in its zone went silent: the
 // cloud's answer proves its tasks gone long before its lease does. Where
 // several are silent the network is the likelier cause, and they are left to
 // go on working; so they are while the zone comes back machine by machine.
-func (r *Autoscaler) giveUpSilent(zones map[int][]*worker.Machine, now event.Time, term store.Cond, silent time.Duration) {
+func (r *Autoscaler) releaseSilent(zones map[int][]*worker.Machine, now event.Time, term store.Condition, silent time.Duration) {
 	for _, z := range slices.Sorted(maps.Keys(zones)) {
 		var lost []*worker.Machine
 		for _, h := range zones[z] {
-			if h.Heard != 0 && now-h.Heard > silent { // else it counts as booting
+			if h.LastReport != 0 && now-h.LastReport > silent { // else it counts as booting
 				lost = append(lost, h)
 			}
 		}
@@ -452,12 +452,12 @@
 			// report is due: only those heard well after count.
 			heard := 0
 			for _, h := range zones[z] {
-				if h.Heard > l.Heard+silent*3/4 && (h.Back == 0 || now-h.Back > cutMemory) {
+				if h.LastReport > l.LastReport+silent*3/4 && (h.ReconnectedAt == 0 || now-h.ReconnectedAt > partitionMemory) {
 					heard++
 				}
 			}
 			if heard >= silentShare*len(lost) {
-				r.log.Info("silent machine given up", "host", l.Name, "tasks", len(r.jobs.OnHost(l.Index)))
+				r.log.Info("silent machine given up", "host", l.Name, "tasks", len(r.jobs.OnMachine(l.Index)))
 				r.Retire(l, now, term)
 			}
 		}
@@ -466,69 +466,69 @@
 
 // Retire logs that a machine gets nothing more; once that is stored it is
 // returned. A successor knows by the log not to use it.
-func (r *Autoscaler) Retire(h *worker.Machine, now event.Time, term store.Cond) {
+func (r *Autoscaler) Retire(h *worker.Machine, now event.Time, term store.Condition) {
 	h.Retiring = true
 	if r.logging[h.Name] || r.retired[h.Name] != 0 {
 		return
 	}
 	r.logging[h.Name] = true
 	name := h.Name
-	r.store.Submit(&store.Intent{Priority: store.Progress, Conds: []store.Cond{term},
+	r.store.Submit(&store.Intent{Priority: store.Progress, Conditions: []store.Condition{term},
 		Writes: []store.Write{{Key: RetireKind + "/" + name, Data: []byte("1")}},
 		Done:   func(store.Result) { delete(r.logging, name) }}, now+time.Minute)
 }
 
-func (r *Autoscaler) sendReturns(now event.Time, term store.Cond, out *event.Effects) {
-	if len(r.retired) == 0 || now-r.giveAt < giveEvery {
+func (r *Autoscaler) releaseRetired(now event.Time, term store.Condition, out *event.Effects) {
+	if len(r.retired) == 0 || now-r.releaseAt < releaseInterval {
 		return
 	}
-	r.giveAt = now
-	var hosts []string
+	r.releaseAt = now
+	var machines []string
 	for name := range r.retired {
-		if !r.returning[name] {
-			hosts = append(hosts, name)
+		if !r.releasing[name] {
+			machines = append(machines, name)
 		}
 	}
-	slices.Sort(hosts)
-	for _, name := range hosts {
+	slices.Sort(machines)
+	for _, name := range machines {
 		r.workers.Machine(name, now).Retiring = true
 	}
-	if len(hosts) == 0 || !r.allowed(now) {
+	if len(machines) == 0 || !r.allowed(now) {
 		return
 	}
-	hosts = hosts[:min(len(hosts), maxReturn)]
-	for _, n := range hosts {
-		r.returning[n] = true
+	machines = machines[:min(len(machines), maxReleaseBatch)]
+	for _, n := range machines {
+		r.releasing[n] = true
 	}
-	body, _ := json.Marshal(map[string]any{"hosts": hosts})
+	body, _ := json.Marshal(map[string]any{"hosts": machines})
 	r.call("POST", "/rentals/return", body, out, func(now event.Time, status int, _ []byte, _ *event.Effects) {
-		for _, n := range hosts {
-			delete(r.returning, n)
+		for _, n := range machines {
+			delete(r.releasing, n)
 		}
 		if status != 200 {
-			r.pauseTo = max(r.pauseTo, now+troublePause)
+			r.pauseTo = max(r.pauseTo, now+errorPause)
 			return
 		}
-		for _, n := range hosts {
+		for _, n := range machines {
 			h := r.workers.Machine(n, now)
-			r.workers.Gone(h, now) // the answer proves that nothing runs there
-			delete(r.boots, h.Index)
-			delete(r.refused, offer{h.Flavor, h.Zone, h.Spot}) // there is one to be had now
-			r.workers.Hosts[h.Index] = nil
-			r.returned[n] = now
-			r.returning[n] = true // not again, until the log entry is dropped
-			r.store.Submit(&store.Intent{Priority: store.Progress, Conds: []store.Cond{term},
+			r.workers.MarkTerminated(h, now) // the answer proves that nothing runs there
+			delete(r.booting, h.Index)
+			delete(r.refused, offer{h.MachineType, h.Zone, h.Spot}) // there is one to be had now
+			r.workers.Machines[h.Index] = nil
+			r.released[n] = now
+			r.releasing[n] = true // not again, until the log entry is dropped
+			r.store.Submit(&store.Intent{Priority: store.Progress, Conditions: []store.Condition{term},
 				Writes: []store.Write{{Key: RetireKind + "/" + n}},
-				Done:   func(store.Result) { delete(r.returning, n) }}, now+time.Minute)
+				Done:   func(store.Result) { delete(r.releasing, n) }}, now+time.Minute)
 		}
 	})
 }
 
-type wireHost struct {
+type wireMachine struct {
 	Name  string  `json:"name_id"`
 	Addr  string  `json:"addr"`
 	Type  string  `json:"flavor"`
-	Yard  string  `json:"yard"`
+	Zone  string  `json:"yard"`
 	Spot  bool    `json:"loaners"`
 	Phase string  `json:"phase"`
 	Held  float64 `json:"held_s"`
@@ -545,28 +545,28 @@
 	r.call("GET", path, nil, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		r.listing = false
 		var v struct {
-			Hosts []wireHost `json:"hosts"`
-			More  bool       `json:"has_next"`
+			Machines []wireMachine `json:"hosts"`
+			More     bool          `json:"has_next"`
 		}
 		if status != 200 || json.Unmarshal(body, &v) != nil {
 			return
 		}
-		for _, w := range v.Hosts {
-			r.listed(w, now)
+		for _, w := range v.Machines {
+			r.observeListed(w, now)
 		}
-		if v.More && len(v.Hosts) > 0 {
-			r.list(now, v.Hosts[len(v.Hosts)-1].Name, out)
+		if v.More && len(v.Machines) > 0 {
+			r.list(now, v.Machines[len(v.Machines)-1].Name, out)
 		} else if asked >= r.planFrom {
 			r.mayPlan = true
 		}
 	})
 }
 
-func (r *Autoscaler) listed(w wireHost, now event.Time) {
-	if w.Name == "" || r.retired[w.Name] != 0 || r.returning[w.Name] {
+func (r *Autoscaler) observeListed(w wireMachine, now event.Time) {
+	if w.Name == "" || r.retired[w.Name] != 0 || r.releasing[w.Name] {
 		return
 	}
-	if at, ok := r.returned[w.Name]; ok && now-at < 2*r.cfg.ListLag+listEvery {
+	if at, ok := r.released[w.Name]; ok && now-at < 2*r.cfg.ListLag+listInterval {
 		return // gone; the list lags
 	}
 	h := r.workers.Machine(w.Name, now)
@@ -574,17 +574,17 @@
 		h.Addr = w.Addr
 	}
 	if !h.Known {
-		h.Flavor, h.Zone, h.Spot, h.Known = r.names.Flavors.Index(w.Type), r.names.Zones.Index(w.Yard), w.Spot, true
+		h.MachineType, h.Zone, h.Spot, h.Known = r.names.MachineTypes.Index(w.Type), r.names.Zones.Index(w.Zone), w.Spot, true
 	}
 	switch {
 	case w.Phase == "failed":
 		h.Retiring = true // logged and returned by the next tick
-	case w.Phase == "booting" && h.Heard == 0 && r.boots[h.Index] == nil:
-		r.boots[h.Index] = &booting{offer: offer{h.Flavor, h.Zone, h.Spot}, since: now - time.Duration(w.Held*float64(time.Second))}
-	case w.Phase == "running" && h.Heard == 0 && (r.boots[h.Index] == nil || !r.boots[h.Index].up):
+	case w.Phase == "booting" && h.LastReport == 0 && r.booting[h.Index] == nil:
+		r.booting[h.Index] = &bootingMachine{offer: offer{h.MachineType, h.Zone, h.Spot}, since: now - time.Duration(w.Held*float64(time.Second))}
+	case w.Phase == "running" && h.LastReport == 0 && (r.booting[h.Index] == nil || !r.booting[h.Index].up):
 		// Up by the list, silent to us: it counts as booting until it
 		// reports or is given up.
-		r.boots[h.Index] = &booting{offer: offer{h.Flavor, h.Zone, h.Spot}, since: now, up: true}
+		r.booting[h.Index] = &bootingMachine{offer: offer{h.MachineType, h.Zone, h.Spot}, since: now, up: true}
 	}
 }
 
@@ -595,28 +595,28 @@
 func (r *Autoscaler) Plan(now event.Time, blocked []*pipeline.Job, p *scheduler.Scheduler, term uint64, out *event.Effects) {
 	if !r.mayPlan {
 		if now >= r.planFrom && !r.listing {
-			r.listAt = now - listEvery
+			r.listAt = now - listInterval
 		}
 		return
 	}
-	rooms, leaving := p.RoomsAhead(now)
-	again := map[*pipeline.Job]int{}
+	capacities, leaving := p.FutureCapacities(now)
+	retries := map[*pipeline.Job]int{}
 	for _, e := range leaving {
-		if again[e.Job]++; again[e.Job] == 1 && !slices.Contains(blocked, e.Job) {
+		if retries[e.Job]++; retries[e.Job] == 1 && !slices.Contains(blocked, e.Job) {
 			blocked = append(blocked, e.Job)
 		}
 	}
 	coming := map[int]*scheduler.Capacity{}
-	for _, i := range slices.Sorted(maps.Keys(r.boots)) {
-		if h := r.workers.At(i); h != nil && !h.Retiring && h.Heard == 0 && !(r.boots[i].up && r.dark[h.Zone]) {
-			if coming[i] = r.room(r.boots[i].offer); coming[i] != nil {
-				rooms = append(rooms, coming[i])
+	for _, i := range slices.Sorted(maps.Keys(r.booting)) {
+		if h := r.workers.At(i); h != nil && !h.Retiring && h.LastReport == 0 && !(r.booting[i].up && r.partitioned[h.Zone]) {
+			if coming[i] = r.capacity(r.booting[i].offer); coming[i] != nil {
+				capacities = append(capacities, coming[i])
 			}
 		}
 	}
-	for _, o := range sortedOffers(r.hiring) {
-		for n := r.hiring[o]; n > 0; n-- {
-			rooms = append(rooms, r.room(o))
+	for _, o := range sortedOffers(r.provisioning) {
+		for n := r.provisioning[o]; n > 0; n-- {
+			capacities = append(capacities, r.capacity(o))
 		}
 	}
 	need := map[offer]int{}
@@ -629,53 +629,53 @@
 		u := promised[j.Team]
 		u.Add(&j.Spec, float64(left))
 		promised[j.Team] = u
-		left += again[j]
+		left += retries[j]
 		boot := r.bootTime(j)
-		for _, room := range rooms {
-			if room != nil {
-				room.Advance(boot)
+		for _, capacity := range capacities {
+			if capacity != nil {
+				capacity.ReleaseEnding(boot)
 			}
 		}
 		inZone := p.Zones(j)
-		only, ok := r.onlyZone(j, inZone, rooms, left, now)
+		only, ok := r.onlyZone(j, inZone, capacities, left, now)
 		if !ok {
 			continue
 		}
-		for _, room := range rooms {
+		for _, capacity := range capacities {
 			if left == 0 {
 				break
 			}
-			if room == nil || !p.Suits(j, room, now) || (room.Host != nil && j.BadHosts[room.Host.Index]) || (only >= 0 && room.Zone != only) {
+			if capacity == nil || !p.Matches(j, capacity, now) || (capacity.Machine != nil && j.FailedMachines[capacity.Machine.Index]) || (only >= 0 && capacity.Zone != only) {
 				continue
 			}
-			if n := min(left, room.Fits(&j.Spec), scheduler.ZoneRoom(j, inZone, room.Zone)); n > 0 {
-				room.Take(&j.Spec, n)
-				inZone[room.Zone] += n
+			if n := min(left, capacity.Fits(&j.Spec), scheduler.ZoneCapacity(j, inZone, capacity.Zone)); n > 0 {
+				capacity.Allocate(&j.Spec, n)
+				inZone[capacity.Zone] += n
 				left -= n
 			}
 		}
 		for left > 0 {
-			o, per, ok := r.cheapest(j, left, inZone, only, need, now)
+			o, per, ok := r.cheapestOffer(j, left, inZone, only, need, now)
 			if !ok {
 				break
 			}
 			need[o]++
 			n := min(per, left)
-			room := r.room(o)
-			room.Take(&j.Spec, n)
+			capacity := r.capacity(o)
+			capacity.Allocate(&j.Spec, n)
 			inZone[o.zone] += n
-			rooms = append(rooms, room)
+			capacities = append(capacities, capacity)
 			left -= n
 		}
 	}
-	for i, room := range coming {
+	for i, capacity := range coming {
 		// What it was rented for may be done or have found room elsewhere.
-		switch b := r.boots[i]; {
-		case room == nil || room.Busy:
+		switch b := r.booting[i]; {
+		case capacity == nil || capacity.Busy:
 			b.idle = 0
 		case b.idle == 0:
 			b.idle = now
-		case now-b.idle > 2*r.cfg.IdleKeep && len(r.jobs.OnHost(i)) == 0:
+		case now-b.idle > 2*r.cfg.IdleKeep && len(r.jobs.OnMachine(i)) == 0:
 			r.workers.At(i).Retiring = true // logged and returned by the next tick
 		}
 	}
@@ -683,24 +683,24 @@
 		if !r.allowed(now) {
 			return
 		}
-		r.hire(now, o, min(need[o], maxNumber), term, out)
+		r.provision(now, o, min(need[o], maxProvisionBatch), term, out)
 	}
 }
 
-func (r *Autoscaler) room(o offer) *scheduler.Capacity {
-	f := r.Flavors.Get(o.flavor)
+func (r *Autoscaler) capacity(o offer) *scheduler.Capacity {
+	f := r.MachineTypes.Get(o.machineType)
 	if f == nil {
 		return nil
 	}
-	return &scheduler.Capacity{MachineType: f, Zone: o.zone, Spot: o.spot, Cores: f.Cores, Cards: f.Cards, RAM: f.RAM}
+	return &scheduler.Capacity{MachineType: f, Zone: o.zone, Spot: o.spot, CPUs: f.CPUs, GPUs: f.GPUs, Memory: f.Memory}
 }
 
 // bootTime is how soon a machine asked for now can be up for a job: by the
 // cloud's word, the quickest type, in seconds.
 func (r *Autoscaler) bootTime(j *pipeline.Job) float64 {
 	least := math.Inf(1)
-	for _, f := range r.Flavors {
-		if scheduler.Allowed(&j.Spec, f) {
+	for _, f := range r.MachineTypes {
+		if scheduler.Allows(&j.Spec, f) {
 			least = min(least, r.ready(f))
 		}
 	}
@@ -713,7 +713,7 @@
 // onlyZone names the zone to which a job that must stay in one is bound: the
 // one its tasks may still be in, else the one where the missing machines cost
 // least. -1: any; false: there is none.
-func (r *Autoscaler) onlyZone(j *pipeline.Job, inZone map[int]int, rooms []*scheduler.Capacity, left int, now event.Time) (zone int, ok bool) {
+func (r *Autoscaler) onlyZone(j *pipeline.Job, inZone map[int]int, capacities []*scheduler.Capacity, left int, now event.Time) (zone int, ok bool) {
 	if !j.SamePlace {
 		return -1, true
 	}
@@ -724,14 +724,14 @@
 	least := math.Inf(1)
 	for z := range r.names.Zones.Len() {
 		rest := left
-		for _, room := range rooms {
-			if room != nil && room.Zone == z && room.Suits(&j.Spec) {
-				rest -= room.Fits(&j.Spec)
+		for _, capacity := range capacities {
+			if capacity != nil && capacity.Zone == z && capacity.Matches(&j.Spec) {
+				rest -= capacity.Fits(&j.Spec)
 			}
 		}
 		cost := 0.0
 		if rest > 0 {
-			o, per, found := r.cheapest(j, rest, inZone, z, nil, now)
+			o, per, found := r.cheapestOffer(j, rest, inZone, z, nil, now)
 			if !found {
 				continue
 			}
@@ -745,34 +745,34 @@
 }
 
 func (r *Autoscaler) price(o offer) float64 {
-	f := r.Flavors.Get(o.flavor)
+	f := r.MachineTypes.Get(o.machineType)
 	if o.spot {
-		return f.LowPrice
+		return f.SpotPrice
 	}
 	return f.Price
 }
 
 // cheapest finds the offer at which the tasks cost least per hour.
-func (r *Autoscaler) cheapest(j *pipeline.Job, left int, inZone map[int]int, only int, need map[offer]int, now event.Time) (best offer, per int, ok bool) {
+func (r *Autoscaler) cheapestOffer(j *pipeline.Job, left int, inZone map[int]int, only int, need map[offer]int, now event.Time) (best offer, per int, ok bool) {
 	least := math.Inf(1)
-	for _, f := range r.Flavors {
-		if !scheduler.Allowed(&j.Spec, f) {
+	for _, f := range r.MachineTypes {
+		if !scheduler.Allows(&j.Spec, f) {
 			continue
 		}
 		for _, z := range f.Zones {
 			for _, spot := range []bool{true, false} {
 				o := offer{f.Index, z, spot}
-				room := r.room(o)
-				if now < r.refused[o].until || r.dark[z] || !room.Suits(&j.Spec) || (only >= 0 && z != only) {
+				capacity := r.capacity(o)
+				if now < r.refused[o].until || r.partitioned[z] || !capacity.Matches(&j.Spec) || (only >= 0 && z != only) {
 					continue
 				}
-				n := min(room.Fits(&j.Spec), scheduler.ZoneRoom(j, inZone, z))
+				n := min(capacity.Fits(&j.Spec), scheduler.ZoneCapacity(j, inZone, z))
 				if n <= 0 {
 					continue
 				}
 				// Equal offers share what is asked, so that one plan reaches the
 				// capacity of all zones.
-				if cost := r.price(o) / float64(min(n, left)) * (1 + spread*float64(need[o])); cost < least {
+				if cost := r.price(o) / float64(min(n, left)) * (1 + tieBreakWeight*float64(need[o])); cost < least {
 					least, best, per, ok = cost, o, n, true
 				}
 			}
@@ -788,73 +788,73 @@
 }
 
 func (r *Autoscaler) refuse(o offer, now event.Time) {
-	pause := min(refusedMost, max(refusedPause, 2*r.refused[o].pause))
+	pause := min(refusedPauseMax, max(refusedPause, 2*r.refused[o].pause))
 	r.refused[o] = refusal{now + pause, pause}
 }
 
 // hire asks for machines. The name holds the term, so that no other leader
 // ever uses it again.
-func (r *Autoscaler) hire(now event.Time, o offer, n int, term uint64, out *event.Effects) {
+func (r *Autoscaler) provision(now event.Time, o offer, n int, term uint64, out *event.Effects) {
 	r.serial++
-	r.hiring[o] += n
+	r.provisioning[o] += n
 	r.send(fmt.Sprintf("t%d-%d", term, r.serial), o, n, 0, out)
 }
 
-const hireTries = 5
+const maxProvisionRetries = 5
 
-func (r *Autoscaler) send(name string, o offer, n, tries int, out *event.Effects) {
-	body, _ := json.Marshal(map[string]any{"hire": name, "flavor": r.names.Flavors.Name(o.flavor), "yard": r.names.Zones.Name(o.zone),
+func (r *Autoscaler) send(name string, o offer, n, attempts int, out *event.Effects) {
+	body, _ := json.Marshal(map[string]any{"hire": name, "flavor": r.names.MachineTypes.Name(o.machineType), "yard": r.names.Zones.Name(o.zone),
 		"loaners": o.spot, "number": n})
 	r.call("POST", "/rentals", body, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		var v struct {
-			Hosts []string `json:"hosts"`
-			Error string   `json:"error"`
+			Machines []string `json:"hosts"`
+			Error    string   `json:"error"`
 		}
 		err := json.Unmarshal(body, &v)
 		switch {
 		case status == 200 && err == nil:
-			r.log.Info("rented", "hire", name, "flavor", r.names.Flavors.Name(o.flavor), "spot", o.spot, "asked", n, "got", len(v.Hosts))
-			for _, name := range v.Hosts {
+			r.log.Info("rented", "hire", name, "flavor", r.names.MachineTypes.Name(o.machineType), "spot", o.spot, "asked", n, "got", len(v.Machines))
+			for _, name := range v.Machines {
 				h := r.workers.Machine(name, now)
-				if h.Heard == 0 {
-					h.Flavor, h.Zone, h.Spot, h.Known = o.flavor, o.zone, o.spot, true
-					r.boots[h.Index] = &booting{offer: o, since: now, ours: true}
+				if h.LastReport == 0 {
+					h.MachineType, h.Zone, h.Spot, h.Known = o.machineType, o.zone, o.spot, true
+					r.booting[h.Index] = &bootingMachine{offer: o, since: now, ours: true}
 				}
 			}
-			if len(v.Hosts) < n {
+			if len(v.Machines) < n {
 				r.refuse(o, now)
 			}
 		case status == 503 && v.Error == "no capacity" || status == 400:
 			r.refuse(o, now)
-		case tries < hireTries:
+		case attempts < maxProvisionRetries:
 			// Lost or in trouble: the same name again, so that it is rented
 			// once at most.
 			if status != 0 {
-				r.pauseTo = now + troublePause
+				r.pauseTo = now + errorPause
 			}
-			r.again = append(r.again, retry{now + troublePause, func(out *event.Effects) { r.send(name, o, n, tries+1, out) }})
+			r.retries = append(r.retries, pendingRetry{now + errorPause, func(out *event.Effects) { r.send(name, o, n, attempts+1, out) }})
 			return
 		}
 		r.Replan = true
-		if r.hiring[o] -= n; r.hiring[o] <= 0 {
-			delete(r.hiring, o)
+		if r.provisioning[o] -= n; r.provisioning[o] <= 0 {
+			delete(r.provisioning, o)
 		}
 	})
 }
 
-type retry struct {
+type pendingRetry struct {
 	at event.Time
 	do func(out *event.Effects)
 }
 
-func (r *Autoscaler) sendAgain(now event.Time, out *event.Effects) {
-	list := r.again
-	r.again = nil
+func (r *Autoscaler) sendRetries(now event.Time, out *event.Effects) {
+	list := r.retries
+	r.retries = nil
 	for _, a := range list {
 		if now >= a.at && r.allowed(now) {
 			a.do(out)
 		} else {
-			r.again = append(r.again, a)
+			r.retries = append(r.retries, a)
 		}
 	}
 }
@@ -868,6 +868,6 @@
 				spot = -1
 			}
 		}
-		return cmp.Or(cmp.Compare(a.flavor, b.flavor), cmp.Compare(a.zone, b.zone), spot)
+		return cmp.Or(cmp.Compare(a.machineType, b.machineType), cmp.Compare(a.zone, b.zone), spot)
 	})
 }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -33,11 +33,11 @@
 			t.Fatal("the types are not taken")
 		}
 		n.Classes.Index("c")
-		n.Bundles.Index("b")
-		p := &scheduler.Scheduler{Jobs: jobs, Workers: f, MachineTypes: &r.Flavors, Teams: map[int]config.Team{n.Teams.Index("t"): {CoresMax: c.limit}}, Silent: time.Minute}
+		n.Images.Index("b")
+		p := &scheduler.Scheduler{Jobs: jobs, Workers: f, MachineTypes: &r.MachineTypes, Teams: map[int]config.Team{n.Teams.Index("t"): {CPUsMax: c.limit}}, SilentAfter: time.Minute}
 		var blocked []*pipeline.Job
 		for i, id := range []string{"req-1", "req-2", "req-3"} {
-			j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{N: 4, Cores: 1, RAM: 1, Zone: -1}}
+			j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{TaskCount: 4, CPUs: 1, Memory: 1, Zone: -1}}
 			jobs.Listen(pipeline.JobKey, id, pipeline.Encode(n, j), uint64(i+1))
 			blocked = append(blocked, jobs.Job(id))
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -21,11 +21,11 @@
 
 // Team is a team's guarantee and limit; 0 means none.
 type Team struct {
-	Name     string  `json:"name"`
-	Cores    float64 `json:"cpus"`
-	CoresMax float64 `json:"cpus_max"`
-	Cards    float64 `json:"gpus"`
-	CardsMax float64 `json:"gpus_max"`
+	Name    string  `json:"name"`
+	CPUs    float64 `json:"cpus"`
+	CPUsMax float64 `json:"cpus_max"`
+	GPUs    float64 `json:"gpus"`
+	GPUsMax float64 `json:"gpus_max"`
 }
 
 // Objective restates one aim, for a class of jobs or for all.
@@ -116,8 +116,8 @@
 			ListLagS float64 `json:"list_lag_s"`
 		} `json:"cloud"`
 		Resources struct {
-			CoreShare      float64 `json:"core_share"`
-			RAMMB          float64 `json:"ram_mb"`
+			CPUShare       float64 `json:"core_share"`
+			MemoryMB       float64 `json:"ram_mb"`
 			MaxConnections int     `json:"max_connections"`
 		} `json:"resources"`
 		SkewMS float64 `json:"skew_ms"`
@@ -148,15 +148,15 @@
 	Term struct {
 		Life Duration `toml:"life"`
 	} `toml:"term"`
-	Place struct {
+	Scheduler struct {
 		Round  Duration `toml:"round"`
 		Budget Duration `toml:"budget"`
 	} `toml:"place"`
-	Rental struct {
+	Autoscaler struct {
 		IdleKeep Duration `toml:"idle_keep"`
 		Settle   Duration `toml:"settle"`
 	} `toml:"rental"`
-	Intake struct {
+	API struct {
 		Answer Duration `toml:"answer"`
 	} `toml:"intake"`
 }
@@ -165,11 +165,11 @@
 func DefaultOperator() Operator {
 	var o Operator
 	o.Term.Life = Duration(4 * time.Second)
-	o.Place.Round = Duration(200 * time.Millisecond)
-	o.Place.Budget = Duration(5 * time.Millisecond)
-	o.Rental.IdleKeep = Duration(20 * time.Second)
-	o.Rental.Settle = Duration(20 * time.Second)
-	o.Intake.Answer = Duration(1500 * time.Millisecond)
+	o.Scheduler.Round = Duration(200 * time.Millisecond)
+	o.Scheduler.Budget = Duration(5 * time.Millisecond)
+	o.Autoscaler.IdleKeep = Duration(20 * time.Second)
+	o.Autoscaler.Settle = Duration(20 * time.Second)
+	o.API.Answer = Duration(1500 * time.Millisecond)
 	return o
 }
 
@@ -247,8 +247,8 @@
 		{"workers.gang_wait_s", s.Workers.GangWaitS}, {"workers.gang_peer_s", s.Workers.GangPeerS},
 		{"workers.cancel_s", s.Workers.CancelS}, {"state.rps", s.State.RPS}, {"state.write_rps", s.State.WriteRPS},
 		{"state.value_kb", s.State.ValueKB}, {"state.txn_ops", float64(s.State.TxnOps)},
-		{"cloud.rps", s.Cloud.RPS}, {"resources.core_share", s.Resources.CoreShare},
-		{"resources.ram_mb", s.Resources.RAMMB}, {"resources.max_connections", float64(s.Resources.MaxConnections)},
+		{"cloud.rps", s.Cloud.RPS}, {"resources.core_share", s.Resources.CPUShare},
+		{"resources.ram_mb", s.Resources.MemoryMB}, {"resources.max_connections", float64(s.Resources.MaxConnections)},
 	} {
 		if !(v.v > 0) {
 			return fmt.Errorf("settings.%s must be positive", v.name)
@@ -282,7 +282,7 @@
 		}
 	}
 	for _, t := range s.Teams {
-		if t.Name == "" || t.Cores < 0 || t.CoresMax < 0 || t.Cards < 0 || t.CardsMax < 0 {
+		if t.Name == "" || t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
 			return fmt.Errorf("settings.teams: team %q has no name or a negative amount", t.Name)
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -64,7 +64,7 @@
 
 func TestOperator(t *testing.T) {
 	o, err := ParseOperator("[term]\nlife = \"5s\"\n")
-	if err != nil || o.Term.Life != 5e9 || o.Place.Round != DefaultOperator().Place.Round {
+	if err != nil || o.Term.Life != 5e9 || o.Scheduler.Round != DefaultOperator().Scheduler.Round {
 		t.Errorf("%+v, %v", o, err)
 	}
 	for _, c := range [][2]string{{"[term]\nlives = \"5s\"", "term.lives"}, {"[term]\nlife = \"-5s\"", "positive"}, {"[term]\nlife = \"10ms\"", "at least"}, {"x", "line 1"}} {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -24,64 +24,64 @@
 )
 
 const (
-	beatEvery = 500 * time.Millisecond
-	beatLost  = 2 * time.Second // a peer not heard for this long is taken to be away
+	heartbeatInterval = 500 * time.Millisecond
+	heartbeatTimeout  = 2 * time.Second // a peer not heard for this long is taken to be away
 	// A controller that has neither the state service nor a peer for this long
 	// is the one that is cut off.
-	aloneAfter = 5 * time.Second
-	planEvery  = time.Second
-	roundIdle  = 2 * time.Second // a round without a change, for what time brings
-	fleetEvery = 50 * time.Millisecond
-	packEvery  = 2 * time.Second
-	cleanEvery = time.Second
-	cleanJobs  = 2
-	staleAfter = 3 * time.Second
-	showApart  = time.Second
-	showRetry  = 5 * time.Second  // between two tries to store the version
-	loadEvery  = 10 * time.Second // between two lines of the log about the load
+	isolatedAfter   = 5 * time.Second
+	planInterval    = time.Second
+	roundIdle       = 2 * time.Second // a round without a change, for what time brings
+	workersInterval = 50 * time.Millisecond
+	packInterval    = 2 * time.Second
+	cleanInterval   = time.Second
+	cleanJobs       = 2
+	staleAfter      = 3 * time.Second
+	versionStagger  = time.Second
+	versionRetry    = 5 * time.Second  // between two tries to store the version
+	loadLogInterval = 10 * time.Second // between two lines of the log about the load
 	// A leader that hears no worker for this long gives the term up.
-	deafAfter = 12 * time.Second
+	noReportsTimeout = 12 * time.Second
 	// A report is answered when its consequences are stored, or after this.
-	answerWait = 400 * time.Millisecond
+	answerTimeout = 400 * time.Millisecond
 	// The report of a machine without tasks is held for longer: nothing on it
 	// can change meanwhile, and a start that is decided then need not wait for
 	// the next report. The worker waits for 4 s.
-	idleWait = 2500 * time.Millisecond
+	idleAnswerTimeout = 2500 * time.Millisecond
 	// Reports held so take one in so many sockets at most: where machines are
 	// more than sockets, the others need them.
-	idleSockets = 4
+	idleSocketDivisor = 4
 	// A worker that is back within this time after it was sent to the leader
 	// did not reach it; its reports are passed on for a while.
-	backSoon  = 20 * time.Second
-	relayFor  = 45 * time.Second
-	relayWait = 3 * time.Second
+	redirectWindow = 20 * time.Second
+	relayDuration  = 45 * time.Second
+	relayTimeout   = 3 * time.Second
 	// The state service's rates: everyone is sure of a part, the rest goes
 	// where it is asked for, to the leader before the others.
 	// Of the requests a part is left for what others still have in flight. Of
 	// the writes none is: one that is refused is sent again at once.
-	useRequests  = 0.9
-	sureRate     = 0.25 // dealt evenly whatever is asked for
-	wantMargin   = 1.3
-	leaderWeight = 3
+	requestsShare   = 0.9
+	guaranteedShare = 0.25 // dealt evenly whatever is asked for
+	demandMargin    = 1.3
+	leaderWeight    = 3
 )
 
 type peerState struct {
-	label string
-	heard event.Time
-	beat  peer.Frame
+	label     string
+	lastHeard event.Time
+	heartbeat peer.Frame
 }
 
 // caller is where an answer to a report goes: to a connection of ours, or
 // through the peer that passed the report on.
-type caller struct {
+type replyTo struct {
 	conn  uint64
 	peer  int
 	relay uint64 // 0: it is a connection of ours
 }
 
 // passage is what a node that does not lead remembers of a worker.
-type passage struct {
-	fence    uint64     // of the leader it was sent to
+type workerRoute struct {
+	token    uint64     // of the leader it was sent to
 	sent     event.Time // when
 	relaying event.Time // since when its reports are passed on, 0: they are not
 }
@@ -100,33 +100,33 @@
 	api        *api.Server
 	peers      []*peerState
 
-	clock     func() time.Duration
-	leading   bool
-	beatAt    event.Time
-	roundAt   event.Time
-	planAt    event.Time
-	packAt    event.Time
-	fleetAt   event.Time
-	cleanAt   event.Time
-	loadAt    event.Time
-	showing   bool       // the version's key is being written
-	showAt    event.Time // when it may be tried again
-	heardAny  event.Time // a worker's report, as leader
-	yielded   bool       // our last term was given up for want of reports, and no worker has come since
-	blocked   []*pipeline.Job
-	rooms     []*scheduler.Capacity
-	parser    worker.Parser
-	work      Work
-	waiting   reports
-	passages  map[string]*passage
-	relayed   map[uint64]pendingRelay
-	lastRelay uint64
+	clock        func() time.Duration
+	leading      bool
+	heartbeatAt  event.Time
+	roundAt      event.Time
+	planAt       event.Time
+	packAt       event.Time
+	workersAt    event.Time
+	cleanAt      event.Time
+	loadAt       event.Time
+	publishing   bool       // the version's key is being written
+	publishAt    event.Time // when it may be tried again
+	lastReportAt event.Time // a worker's report, as leader
+	yielded      bool       // our last term was given up for want of reports, and no worker has come since
+	blocked      []*pipeline.Job
+	capacities   []*scheduler.Capacity
+	parser       worker.Parser
+	work         Work
+	waiting      reports
+	routes       map[string]*workerRoute
+	relayed      map[uint64]pendingRelay
+	lastRelay    uint64
 }
 
 // New builds a controller. clock bounds decision rounds and may be nil.
 func New(cfg *config.Platform, log *slog.Logger, clock func() time.Duration) *Node {
 	s := &cfg.Settings
-	n := &Node{cfg: cfg, log: log, names: &pipeline.Names{}, clock: clock, passages: map[string]*passage{}, relayed: map[uint64]pendingRelay{}}
+	n := &Node{cfg: cfg, log: log, names: &pipeline.Names{}, clock: clock, routes: map[string]*workerRoute{}, relayed: map[uint64]pendingRelay{}}
 	teams := map[int]config.Team{}
 	for _, t := range s.Teams {
 		teams[n.names.Teams.Index(t.Name)] = t
@@ -146,19 +146,19 @@
 	labels := []string{cfg.Label}
 	for _, p := range cfg.Seeds {
 		labels = append(labels, p.Label)
-		n.peers = append(n.peers, &peerState{label: p.Label, heard: -time.Hour})
+		n.peers = append(n.peers, &peerState{label: p.Label, lastHeard: -time.Hour})
 	}
 	sort.Strings(labels)
 	n.jobs.Labels = labels
-	n.election = election.New(election.Config{Label: cfg.Label, Rank: sort.SearchStrings(labels, cfg.Label), Life: time.Duration(cfg.Operator.Term.Life),
-		Lease: lease, Grace: grace}, n.store, log)
+	n.election = election.New(election.Config{Label: cfg.Label, Position: sort.SearchStrings(labels, cfg.Label), TermLease: time.Duration(cfg.Operator.Term.Life),
+		WorkerLease: lease, Grace: grace}, n.store, log)
 	n.workers = worker.New(n.names, n.jobs, log)
-	n.workers.Silent = n.silent()
+	n.workers.SilentAfter = n.silent()
 	n.autoscaler = autoscaler.New(autoscaler.Config{ValueBytes: n.jobs.ValueLimit, Addr: cfg.Services.Cloud, RPS: s.Cloud.RPS, ListLag: config.Seconds(s.Cloud.ListLagS),
-		IdleKeep: time.Duration(cfg.Operator.Rental.IdleKeep), Settle: time.Duration(cfg.Operator.Rental.Settle)}, n.names, n.jobs, n.workers, n.store, log)
-	n.scheduler = &scheduler.Scheduler{Jobs: n.jobs, Workers: n.workers, MachineTypes: &n.autoscaler.Flavors, Teams: teams, Report: config.Seconds(s.Workers.ReportS), Silent: n.silent()}
-	n.api = api.New(api.Config{Label: cfg.Label, Teams: s.Teams, Answer: time.Duration(cfg.Operator.Intake.Answer),
-		ValueBytes: n.jobs.ValueLimit, TxnOps: limits.TxnOps}, n.names, n.jobs, n.store, &n.autoscaler.Flavors)
+		IdleKeep: time.Duration(cfg.Operator.Autoscaler.IdleKeep), Settle: time.Duration(cfg.Operator.Autoscaler.Settle)}, n.names, n.jobs, n.workers, n.store, log)
+	n.scheduler = &scheduler.Scheduler{Jobs: n.jobs, Workers: n.workers, MachineTypes: &n.autoscaler.MachineTypes, Teams: teams, ReportInterval: config.Seconds(s.Workers.ReportS), SilentAfter: n.silent()}
+	n.api = api.New(api.Config{Label: cfg.Label, Teams: s.Teams, Answer: time.Duration(cfg.Operator.API.Answer),
+		ValueBytes: n.jobs.ValueLimit, TxnOps: limits.TxnOps}, n.names, n.jobs, n.store, &n.autoscaler.MachineTypes)
 	n.share(0)
 	return n
 }
@@ -174,15 +174,15 @@
 func (n *Node) share(now event.Time) (requests, writes float64) {
 	rps, writeRPS := n.store.Rates()
 	requests, writes = n.store.Demand(now)
-	n.store.SetShare(n.split(useRequests*rps, requests, func(f *peer.Frame) uint16 { return f.Requests }),
+	n.store.SetShare(n.split(requestsShare*rps, requests, func(f *peer.Frame) uint16 { return f.Requests }),
 		n.split(writeRPS, writes, func(f *peer.Frame) uint16 { return f.Writes }))
 	return requests, writes
 }
 
 func (n *Node) split(rate, own float64, want func(f *peer.Frame) uint16) float64 {
-	sure := sureRate * rate / float64(len(n.peers)+1)
+	guaranteed := guaranteedShare * rate / float64(len(n.peers)+1)
 	claim := func(want float64, leads bool) store.Claim {
-		c := store.Claim{Want: max(sure, wantMargin*want), Weight: 1}
+		c := store.Claim{Want: max(guaranteed, demandMargin*want), Weight: 1}
 		if leads {
 			c.Weight = leaderWeight
 		}
@@ -190,8 +190,8 @@
 	}
 	claims := []store.Claim{claim(own, n.leading)}
 	for _, p := range n.peers {
-		if n.present(p) {
-			claims = append(claims, claim(float64(want(&p.beat)), p.beat.Leads))
+		if n.alive(p) {
+			claims = append(claims, claim(float64(want(&p.heartbeat)), p.heartbeat.IsLeader))
 		} else {
 			claims = append(claims, claim(0, false))
 		}
@@ -199,15 +199,15 @@
 	return store.Split(rate, claims)[0]
 }
 
-func (n *Node) listen(key string, data []byte, stamp uint64) {
+func (n *Node) listen(key string, data []byte, version uint64) {
 	kind, rest := store.SplitKey(key)
 	switch kind {
 	case election.Kind:
-		n.election.Listen(key, data, stamp)
+		n.election.Listen(key, data, version)
 	case autoscaler.Kind, autoscaler.RetireKind:
-		n.autoscaler.Listen(kind, rest, data, stamp)
+		n.autoscaler.Listen(kind, rest, data, version)
 	default:
-		n.jobs.Listen(kind, rest, data, stamp)
+		n.jobs.Listen(kind, rest, data, version)
 	}
 }
 
@@ -220,48 +220,48 @@
 	n.jobs.Now = int64(now)
 	n.store.Tick(now, out)
 	n.election.Tick(now, out)
-	n.settle(now, out)
-	n.beat(now, out)
+	n.updateLeadership(now, out)
+	n.sendHeartbeat(now, out)
 	n.expireRelays(now, out)
-	n.showVersion(now)
-	n.mark(now)
+	n.publishVersion(now)
+	n.markJobs(now)
 	n.api.Tick(now, out)
-	if !n.election.Entitled(now) {
+	if !n.election.MayStart(now) {
 		if !n.leading {
 			n.autoscaler.Types(now, nil, out)
 		}
 		n.answer(now, out)
 		return
 	}
-	n.act(now, out)
+	n.actAsLeader(now, out)
 	n.store.Tick(now, out)
 	n.answer(now, out)
 }
 
 // settle notices the begin and the end of our term.
-func (n *Node) settle(now event.Time, out *event.Effects) {
+func (n *Node) updateLeadership(now event.Time, out *event.Effects) {
 	if n.election.Acquired() {
 		n.leading = true
-		n.jobs.Forget()
-		n.workers.Forget()
-		n.autoscaler.Begin(now, n.election.Fence())
-		n.blocked, n.rooms = nil, nil
-		n.heardAny = now
+		n.jobs.Reset()
+		n.workers.Reset()
+		n.autoscaler.Begin(now, n.election.FencingToken())
+		n.blocked, n.capacities = nil, nil
+		n.lastReportAt = now
 		n.share(now)
 	}
 	if n.leading && !n.election.Holds() {
 		n.leading = false
-		n.jobs.Forget()
-		n.workers.Forget()
+		n.jobs.Reset()
+		n.workers.Reset()
 		n.autoscaler.Forget()
-		n.blocked, n.rooms = nil, nil
+		n.blocked, n.capacities = nil, nil
 		n.share(now)
 	}
-	if n.leading && now >= n.patience() && n.anyWorkers() {
+	if n.leading && now >= n.reportDeadline() && n.expectsReports() {
 		// Whoever can reach the workers shall have the term.
 		n.yielded = true
-		n.election.Yield(now, out, "no worker is heard")
-		n.settle(now, out)
+		n.election.Resign(now, out, "no worker is heard")
+		n.updateLeadership(now, out)
 	}
 }
 
@@ -269,73 +269,73 @@
 // term up for that before and no worker has come to it since, none may be left,
 // and terms given up one after the other would keep the proof that the tasks of
 // silent machines are gone from ever being reached: it stays until then.
-func (n *Node) patience() event.Time {
+func (n *Node) reportDeadline() event.Time {
 	if n.yielded {
-		return n.election.SilentProof(n.heardAny) + deafAfter
+		return n.election.TasksExpireAt(n.lastReportAt) + noReportsTimeout
 	}
-	return n.heardAny + deafAfter
+	return n.lastReportAt + noReportsTimeout
 }
 
 // anyWorkers tells whether there are workers that ought to report.
-func (n *Node) anyWorkers() bool {
-	used := n.autoscaler.Unheard()
-	n.jobs.HostsInUse(func(int) { used = true })
-	for _, h := range n.workers.Hosts {
-		used = used || (h != nil && h.Heard > 0)
+func (n *Node) expectsReports() bool {
+	used := n.autoscaler.HasSilentMachines()
+	n.jobs.MachinesInUse(func(int) { used = true })
+	for _, h := range n.workers.Machines {
+		used = used || (h != nil && h.LastReport > 0)
 	}
 	return used
 }
 
-func (n *Node) present(p *peerState) bool { return n.beatAt-p.heard < beatLost }
+func (n *Node) alive(p *peerState) bool { return n.heartbeatAt-p.lastHeard < heartbeatTimeout }
 
 // act is the leader's work.
-func (n *Node) act(now event.Time, out *event.Effects) {
-	if now-n.fleetAt >= fleetEvery {
-		n.fleetAt = now
+func (n *Node) actAsLeader(now event.Time, out *event.Effects) {
+	if now-n.workersAt >= workersInterval {
+		n.workersAt = now
 		n.workers.Tick(now, n.election, out)
 		n.drain(now)
 	}
-	n.autoscaler.Tick(now, n.election, n.election.Cond(), n.silent(), out)
+	n.autoscaler.Tick(now, n.election, n.election.Condition(), n.silent(), out)
 	since := now - n.roundAt
 	n.jobs.Changed = n.jobs.Changed || n.autoscaler.Replan
-	if (n.jobs.Changed && since >= time.Duration(n.cfg.Operator.Place.Round)) || since >= roundIdle {
+	if (n.jobs.Changed && since >= time.Duration(n.cfg.Operator.Scheduler.Round)) || since >= roundIdle {
 		n.roundAt, n.jobs.Changed = now, false
 		n.startBudget()
 		n.work.Rounds++
-		n.blocked, n.rooms = n.scheduler.Round(now)
-		if now-n.planAt >= planEvery || n.autoscaler.Replan {
+		n.blocked, n.capacities = n.scheduler.Round(now)
+		if now-n.planAt >= planInterval || n.autoscaler.Replan {
 			n.planAt, n.autoscaler.Replan = now, false
-			n.autoscaler.Plan(now, n.blocked, n.scheduler, n.election.Fence(), out)
+			n.autoscaler.Plan(now, n.blocked, n.scheduler, n.election.FencingToken(), out)
 		}
 	}
-	if now-n.packAt >= packEvery && n.rooms != nil {
+	if now-n.packAt >= packInterval && n.capacities != nil {
 		n.packAt = now
 		n.startBudget()
-		for _, h := range n.scheduler.Pack(now, n.rooms, n.blocked) {
+		for _, h := range n.scheduler.Pack(now, n.capacities, n.blocked) {
 			n.log.Info("moving work off", "host", h.Name)
 		}
 	}
 	n.logLoad(now)
-	n.jobs.Flush(now, n.election.Cond(), n.store)
-	if now-n.cleanAt >= cleanEvery {
+	n.jobs.Flush(now, n.election.Condition(), n.store)
+	if now-n.cleanAt >= cleanInterval {
 		n.cleanAt = now
-		n.jobs.Clean(now, n.election.Cond(), n.store, cleanJobs)
-		n.jobs.Unfold(cleanJobs)
-		n.jobs.CutParts(now, n.election.Cond(), n.store)
+		n.jobs.Clean(now, n.election.Condition(), n.store, cleanJobs)
+		n.jobs.ExpandRecords(cleanJobs)
+		n.jobs.DeleteStaleParts(now, n.election.Condition(), n.store)
 	}
 }
 
 // startBudget gives the placer the time of one round.
 func (n *Node) startBudget() {
 	if n.clock != nil {
-		begin, budget := n.clock(), time.Duration(n.cfg.Operator.Place.Budget)
-		n.scheduler.Elapsed = func() bool { return n.clock()-begin > budget }
+		begin, budget := n.clock(), time.Duration(n.cfg.Operator.Scheduler.Budget)
+		n.scheduler.OverBudget = func() bool { return n.clock()-begin > budget }
 	}
 }
 
 // logLoad tells how much work there is and what is being done about it.
 func (n *Node) logLoad(now event.Time) {
-	if now-n.loadAt < loadEvery {
+	if now-n.loadAt < loadLogInterval {
 		return
 	}
 	n.loadAt = now
@@ -349,7 +349,7 @@
 			jobs, open = jobs+1, open+j.OpenCount()
 		}
 		j.Entries(func(e *pipeline.Entry) {
-			seen[e.Seen]++
+			seen[e.Phase]++
 			if e.Evict {
 				stopping++
 			}
@@ -359,46 +359,46 @@
 		})
 	}
 	up, idle, free := 0, 0, 0.0
-	for _, r := range n.rooms {
+	for _, r := range n.capacities {
 		up++
 		if !r.Busy {
 			idle++
 		}
-		free += r.Cards
+		free += r.GPUs
 	}
 	_, writes := n.store.Demand(now)
 	n.log.Info("load", "jobs_waiting", jobs, "tasks_waiting", open, "unstored", unstored, "ordered", seen[pipeline.Unseen], "fetching", seen[pipeline.Pulling],
 		"gathering", seen[pipeline.Waiting], "running", seen[pipeline.RunningTask], "stopping", stopping, "machines", up, "idle", idle, "cards_free", free,
-		"reserved", n.scheduler.Reserved(), "cut_short", n.scheduler.CutShort, "compact", n.jobs.Compact(), "writes", int(writes))
-	n.scheduler.CutShort = 0
+		"reserved", n.scheduler.Reserved(), "cut_short", n.scheduler.Interrupted, "compact", n.jobs.Compact(), "writes", int(writes))
+	n.scheduler.Interrupted = 0
 }
 
 // Work counts what was done on behalf of the inputs: at any size it is to
 // follow what has changed.
 type Work struct {
-	Reports       int // that were read
-	Decoded, Same int // bytes of reports that were decoded, and compared only
-	Rounds        int
-	Counted       int // rooms that were counted anew
+	Reports             int // that were read
+	Decoded, Unchanged  int // bytes of reports that were decoded, and compared only
+	Rounds              int
+	CapacitiesRecounted int // rooms that were counted anew
 }
 
 // Work returns the counts since the process began.
 func (n *Node) Work() Work {
 	w := n.work
-	w.Decoded, w.Same, w.Counted = n.parser.Decoded, n.parser.Same, n.scheduler.Counted
+	w.Decoded, w.Unchanged, w.CapacitiesRecounted = n.parser.Decoded, n.parser.Unchanged, n.scheduler.Recounted
 	return w
 }
 
 // drain moves work off machines that the cloud is about to take.
 func (n *Node) drain(now event.Time) {
 	const margin = 4 * time.Second // for the stop to arrive and be answered
-	for _, h := range n.workers.Hosts {
-		if h == nil || h.RecallAt == 0 {
+	for _, h := range n.workers.Machines {
+		if h == nil || h.ReclaimAt == 0 {
 			continue
 		}
-		for _, e := range n.jobs.OnHost(h.Index) {
-			if e.Job.SnapEvery > 0 && h.RecallAt-now < config.Seconds(e.Job.SnapCost)+margin {
-				n.workers.Evict(e, e.Job.SnapCost+1)
+		for _, e := range n.jobs.OnMachine(h.Index) {
+			if e.Job.CheckpointInterval > 0 && h.ReclaimAt-now < config.Seconds(e.Job.CheckpointDuration)+margin {
+				n.workers.Evict(e, e.Job.CheckpointDuration+1)
 			}
 		}
 	}
@@ -407,7 +407,7 @@
 // mark writes the ready marks of held jobs and the cancelled marks of jobs
 // below a cancelled one, of those that we own and as leader of those whose owner
 // can't. Each write requires the record as it was, so two owners do no harm.
-func (n *Node) mark(now event.Time) {
+func (n *Node) markJobs(now event.Time) {
 	if !n.store.Synced() {
 		return
 	}
@@ -415,28 +415,28 @@
 		return j.Owner == n.cfg.Label || (n.leading && !n.ownerWrites(j.Owner))
 	}
 	n.jobs.MarkReady(now, n.store, ours)
-	n.jobs.MarkDoomed(now, n.store, ours)
+	n.jobs.MarkUpstreamCancelled(now, n.store, ours)
 }
 
 // showVersion stores, once, that this controller runs this version. It is in no
 // hurry: after a start of all, terms and users go first and the controllers
 // follow one another.
-func (n *Node) showVersion(now event.Time) {
+func (n *Node) publishVersion(now event.Time) {
 	key := pipeline.VersionKey + "/" + n.cfg.Label
-	if n.showing || !n.store.Synced() || n.store.Stamp(key) != 0 || n.election.Holder() == "" {
+	if n.publishing || !n.store.Synced() || n.store.Version(key) != 0 || n.election.Holder() == "" {
 		return
 	}
-	if n.showAt == 0 {
-		n.showAt = now + showRetry + showApart*event.Time(slices.Index(n.jobs.Labels, n.cfg.Label))
+	if n.publishAt == 0 {
+		n.publishAt = now + versionRetry + versionStagger*event.Time(slices.Index(n.jobs.Labels, n.cfg.Label))
 	}
-	if now < n.showAt {
+	if now < n.publishAt {
 		return
 	}
-	n.showing = true
-	n.store.Submit(&store.Intent{Priority: store.Progress, Conds: []store.Cond{{Key: key}},
+	n.publishing = true
+	n.store.Submit(&store.Intent{Priority: store.Progress, Conditions: []store.Condition{{Key: key}},
 		Writes: []store.Write{{Key: key, Data: pipeline.Version}},
 		Done: func(r store.Result) {
-			n.showing, n.showAt = false, r.Now+showRetry
+			n.publishing, n.publishAt = false, r.Now+versionRetry
 		}}, now+time.Minute)
 }
 
@@ -445,20 +445,20 @@
 func (n *Node) ownerWrites(label string) bool {
 	for _, p := range n.peers {
 		if p.label == label {
-			return n.present(p) && p.beat.StateOK
+			return n.alive(p) && p.heartbeat.StateOK
 		}
 	}
 	return false
 }
 
-func (n *Node) beat(now event.Time, out *event.Effects) {
-	if now-n.beatAt < beatEvery {
+func (n *Node) sendHeartbeat(now event.Time, out *event.Effects) {
+	if now-n.heartbeatAt < heartbeatInterval {
 		return
 	}
-	n.beatAt = now
-	f := peer.Frame{Kind: peer.Beat, Label: n.cfg.Label, StateOK: n.store.Synced() && !n.store.Outage(), Leads: n.leading}
+	n.heartbeatAt = now
+	f := peer.Frame{Kind: peer.Heartbeat, Label: n.cfg.Label, StateOK: n.store.Synced() && !n.store.Outage(), IsLeader: n.leading}
 	if n.leading {
-		f.Fence = n.election.Fence()
+		f.FencingToken = n.election.FencingToken()
 	}
 	requests, writes := n.share(now)
 	f.Requests, f.Writes = uint16(min(requests, math.MaxUint16)), uint16(min(writes, math.MaxUint16))
@@ -480,22 +480,22 @@
 			continue
 		}
 		switch fr.Kind {
-		case peer.Beat:
-			p.heard, p.beat = now, fr
-			if fr.Leads {
-				n.election.SawFence(fr.Fence)
+		case peer.Heartbeat:
+			p.lastHeard, p.heartbeat = now, fr
+			if fr.IsLeader {
+				n.election.ObserveToken(fr.FencingToken)
 			}
 		case peer.Relay:
 			rep, err := n.parser.Parse(fr.Body)
 			if err == nil && n.leading && n.election.MayAnswer(now) {
-				n.report(now, caller{peer: i, relay: fr.ID}, rep, out)
+				n.report(now, replyTo{peer: i, relay: fr.ID}, rep, out)
 			} else {
-				n.respond(caller{peer: i, relay: fr.ID}, 503, nil, out)
+				n.respond(replyTo{peer: i, relay: fr.ID}, 503, nil, out)
 			}
 		case peer.RelayAck:
 			if w, ok := n.relayed[fr.ID]; ok {
 				delete(n.relayed, fr.ID)
-				n.respond(caller{conn: w.conn}, int(fr.Status), fr.Body, out)
+				n.respond(replyTo{conn: w.conn}, int(fr.Status), fr.Body, out)
 			}
 		}
 	}
@@ -505,9 +505,9 @@
 func (n *Node) CallDone(now event.Time, d event.CallDone, out *event.Effects) {
 	n.jobs.Now = int64(now)
 	if n.store.CallDone(now, d, out) {
-		n.settle(now, out)
-		if n.leading && n.election.Entitled(now) {
-			n.act(now, out)
+		n.updateLeadership(now, out)
+		if n.leading && n.election.MayStart(now) {
+			n.actAsLeader(now, out)
 			n.store.Tick(now, out)
 		}
 		n.answer(now, out)
@@ -522,13 +522,13 @@
 func (n *Node) Request(now event.Time, r event.Request, out *event.Effects) {
 	switch {
 	case r.Path == "/healthz":
-		n.health(now, r, out)
+		n.handleHealth(now, r, out)
 	case r.Path == "/hello":
 		if r.Method != "POST" {
 			out.Reply(r.Conn, 405, nil)
 			return
 		}
-		n.hello(now, r, out)
+		n.handleReport(now, r, out)
 	case n.api.Handle(now, r, out):
 		n.store.Tick(now, out)
 	default:
@@ -539,19 +539,19 @@
 // health: a node that alone is refused by the state service, or that hears
 // nobody any more, sends users to the others; in an outage that all share,
 // staying healthy lets the service resume at once.
-func (n *Node) health(now event.Time, r event.Request, out *event.Effects) {
+func (n *Node) handleHealth(now event.Time, r event.Request, out *event.Effects) {
 	ok := n.store.Synced()
-	if without := now - n.store.Contact(); ok && n.store.Outage() && without > beatLost {
+	if without := now - n.store.Contact(); ok && n.store.Outage() && without > heartbeatTimeout {
 		// Users' connections stay where they are while the node is healthy: for
 		// as long as it is cut off nobody would tell them about their jobs.
-		alone := len(n.peers) > 0 && without > aloneAfter
+		isolated := len(n.peers) > 0 && without > isolatedAfter
 		for _, p := range n.peers {
-			if n.present(p) {
-				alone = false
-				ok = ok && !p.beat.StateOK
+			if n.alive(p) {
+				isolated = false
+				ok = ok && !p.heartbeat.StateOK
 			}
 		}
-		ok = ok && !alone
+		ok = ok && !isolated
 	}
 	if ok {
 		out.Reply(r.Conn, 200, nil)
@@ -561,7 +561,7 @@
 }
 
 // hello takes a worker's report.
-func (n *Node) hello(now event.Time, r event.Request, out *event.Effects) {
+func (n *Node) handleReport(now event.Time, r event.Request, out *event.Effects) {
 	n.work.Reports++
 	rep, err := n.parser.Parse(r.Body)
 	if err != nil {
@@ -570,34 +570,34 @@
 	}
 	n.yielded = false
 	if !n.leading || !n.election.MayAnswer(now) {
-		n.election.SawFence(rep.Fence)
-		n.passOn(now, r, rep.Machine, out)
+		n.election.ObserveToken(rep.FencingToken)
+		n.relayOrRedirect(now, r, rep.Machine, out)
 		return
 	}
-	n.report(now, caller{conn: r.Conn}, rep, out)
+	n.report(now, replyTo{conn: r.Conn}, rep, out)
 }
 
 // report takes a report as leader.
-func (n *Node) report(now event.Time, from caller, rep *worker.Report, out *event.Effects) {
-	if n.autoscaler.Returned(rep.Machine) || !n.workers.Take(rep, now, n.election) {
+func (n *Node) report(now event.Time, from replyTo, rep *worker.Report, out *event.Effects) {
+	if n.autoscaler.Released(rep.Machine) || !n.workers.TakeReport(rep, now, n.election) {
 		n.respond(from, 503, nil, out)
 		return
 	}
-	n.heardAny, n.yielded = now, false
+	n.lastReportAt, n.yielded = now, false
 	// An older report that still waits has lost its worker, and its list
 	// proves nothing any more.
-	w := &waitingReport{from: from, report: rep, host: n.names.Hosts.Index(rep.Machine), since: now}
+	w := &waitingReport{from: from, report: rep, machine: n.names.Machines.Index(rep.Machine), since: now}
 	if old := n.waiting.add(w); old != nil {
 		n.respond(old.from, 503, nil, out)
 	}
-	if n.election.Entitled(now) {
-		n.act(now, out)
+	if n.election.MayStart(now) {
+		n.actAsLeader(now, out)
 	}
 	n.store.Tick(now, out)
 	n.answer(now, out)
 }
 
-func (n *Node) respond(to caller, status int, body []byte, out *event.Effects) {
+func (n *Node) respond(to replyTo, status int, body []byte, out *event.Effects) {
 	switch {
 	case to.relay != 0:
 		out.Send(to.peer, peer.Append(nil, &peer.Frame{Kind: peer.RelayAck, Label: n.cfg.Label, ID: to.relay, Status: uint16(status), Body: body}))
@@ -612,30 +612,30 @@
 // it: its reports are passed on over the peer link, so that a cut between two
 // zones costs no lease as long as some node reaches both sides. The leader
 // treats them like any other; a late one is merely old.
-func (n *Node) passOn(now event.Time, r event.Request, host string, out *event.Effects) {
+func (n *Node) relayOrRedirect(now event.Time, r event.Request, machine string, out *event.Effects) {
 	holder := n.election.Holder()
 	link := -1
 	for i, p := range n.peers {
-		if p.label == holder && n.present(p) {
+		if p.label == holder && n.alive(p) {
 			link = i
 		}
 	}
-	p := n.passages[host]
-	if fence := n.election.HolderFence(); p == nil || p.fence != fence {
-		p = &passage{fence: fence, sent: -backSoon}
-		n.passages[host] = p
+	p := n.routes[machine]
+	if token := n.election.HolderToken(); p == nil || p.token != token {
+		p = &workerRoute{token: token, sent: -redirectWindow}
+		n.routes[machine] = p
 	}
 	switch {
-	case link < 0 && now-p.sent < backSoon:
+	case link < 0 && now-p.sent < redirectWindow:
 		// It came back, and we do not reach the leader either.
 		out.Reply(r.Conn, 421, nil)
-	case link < 0 || now-p.sent >= backSoon || (p.relaying != 0 && now-p.relaying > relayFor):
+	case link < 0 || now-p.sent >= redirectWindow || (p.relaying != 0 && now-p.relaying > relayDuration):
 		p.sent, p.relaying = now, 0
-		n.misdirect(r.Conn, out)
+		n.redirect(r.Conn, out)
 	default:
 		if p.relaying == 0 {
 			p.relaying = now
-			n.log.Info("passing on reports", "host", host, "to", holder)
+			n.log.Info("passing on reports", "host", machine, "to", holder)
 		}
 		p.sent = now
 		n.lastRelay++
@@ -647,7 +647,7 @@
 // expireRelays answers workers whose passed-on report nobody answered.
 func (n *Node) expireRelays(now event.Time, out *event.Effects) {
 	for _, id := range slices.Sorted(maps.Keys(n.relayed)) {
-		if p := n.relayed[id]; now-p.since > relayWait {
+		if p := n.relayed[id]; now-p.since > relayTimeout {
 			delete(n.relayed, id)
 			out.Busy(p.conn, 1)
 		}
@@ -659,7 +659,7 @@
 	since event.Time
 }
 
-func (n *Node) misdirect(conn uint64, out *event.Effects) {
+func (n *Node) redirect(conn uint64, out *event.Effects) {
 	holder := n.election.Holder()
 	if holder == "" || holder == n.cfg.Label {
 		out.Reply(conn, 421, nil)
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -9,9 +9,9 @@
 
 // waitingReport is a report that was taken in and not answered yet.
 type waitingReport struct {
-	from     caller
+	from     replyTo
 	report   *worker.Report
-	host     int
+	machine  int
 	since    event.Time
 	idle     bool // held as an idle machine's
 	answered bool
@@ -21,26 +21,26 @@
 // hundred wait at any time: one is looked at again when something about its
 // machine has changed, when a round is over, and when its time has come.
 type reports struct {
-	byHost map[int]*waitingReport
-	soon   []*waitingReport // oldest first: due after answerWait
-	idle   []*waitingReport // oldest first: due after idleWait
-	idlers int              // unanswered ones in idle
-	review []int            // machines whose reports are to be looked at again
-	change bool             // a change was waiting for its round
+	byMachine map[int]*waitingReport
+	pending   []*waitingReport // oldest first: due after answerWait
+	idle      []*waitingReport // oldest first: due after idleWait
+	idleCount int              // unanswered ones in idle
+	review    []int            // machines whose reports are to be looked at again
+	change    bool             // a change was waiting for its round
 }
 
 // add takes a report in and returns the older one of its machine, if that
 // still waited.
 func (r *reports) add(w *waitingReport) (old *waitingReport) {
-	if r.byHost == nil {
-		r.byHost = map[int]*waitingReport{}
+	if r.byMachine == nil {
+		r.byMachine = map[int]*waitingReport{}
 	}
-	if old = r.byHost[w.host]; old != nil {
+	if old = r.byMachine[w.machine]; old != nil {
 		r.done(old)
 	}
-	r.byHost[w.host] = w
-	r.soon = append(r.soon, w)
-	r.review = append(r.review, w.host)
+	r.byMachine[w.machine] = w
+	r.pending = append(r.pending, w)
+	r.review = append(r.review, w.machine)
 	return old
 }
 
@@ -48,10 +48,10 @@
 func (r *reports) done(w *waitingReport) {
 	w.answered = true
 	if w.idle {
-		r.idlers--
+		r.idleCount--
 	}
-	if r.byHost[w.host] == w {
-		delete(r.byHost, w.host)
+	if r.byMachine[w.machine] == w {
+		delete(r.byMachine, w.machine)
 	}
 }
 
@@ -59,7 +59,7 @@
 func (r *reports) hold(w *waitingReport) {
 	if !w.idle {
 		w.idle = true
-		r.idlers++
+		r.idleCount++
 		r.idle = append(r.idle, w)
 	}
 }
@@ -76,8 +76,8 @@
 	return nil
 }
 
-func (r *reports) oldestSoon() *waitingReport {
-	return oldest(&r.soon, func(w *waitingReport) bool { return !w.idle })
+func (r *reports) oldestPending() *waitingReport {
+	return oldest(&r.pending, func(w *waitingReport) bool { return !w.idle })
 }
 
 func (r *reports) oldestIdle() *waitingReport {
@@ -89,41 +89,41 @@
 // A write takes milliseconds; a slow one is not waited for.
 func (n *Node) answer(now event.Time, out *event.Effects) {
 	r := &n.waiting
-	review := append(r.review, n.jobs.TakeTouched()...)
+	review := append(r.review, n.jobs.TakeChangedMachines()...)
 	r.review = nil
-	if len(r.byHost) == 0 {
+	if len(r.byMachine) == 0 {
 		return
 	}
-	if !n.leading || !n.election.Entitled(now) {
+	if !n.leading || !n.election.MayStart(now) {
 		// No term, or only its grace: nothing is waited for.
-		for _, list := range [][]*waitingReport{r.soon, r.idle} {
+		for _, list := range [][]*waitingReport{r.pending, r.idle} {
 			for _, w := range list {
 				if !w.answered {
 					n.answerNow(w, now, out)
 				}
 			}
 		}
-		r.soon, r.idle = nil, nil
+		r.pending, r.idle = nil, nil
 		return
 	}
 	if r.change && !n.jobs.Changed {
-		for _, w := range r.soon {
+		for _, w := range r.pending {
 			if !w.answered && !w.idle {
-				review = append(review, w.host)
+				review = append(review, w.machine)
 			}
 		}
 	}
 	r.change = n.jobs.Changed
 	for _, h := range review {
-		if w := r.byHost[h]; w != nil {
+		if w := r.byMachine[h]; w != nil {
 			n.review(w, now, out)
 		}
 	}
-	for w := r.oldestSoon(); w != nil && now-w.since >= answerWait; w = r.oldestSoon() {
+	for w := r.oldestPending(); w != nil && now-w.since >= answerTimeout; w = r.oldestPending() {
 		n.review(w, now, out)
 	}
-	most := n.cfg.Settings.Resources.MaxConnections / idleSockets
-	for w := r.oldestIdle(); w != nil && (now-w.since >= idleWait || r.idlers > most); w = r.oldestIdle() {
+	most := n.cfg.Settings.Resources.MaxConnections / idleSocketDivisor
+	for w := r.oldestIdle(); w != nil && (now-w.since >= idleAnswerTimeout || r.idleCount > most); w = r.oldestIdle() {
 		n.answerNow(w, now, out)
 	}
 }
@@ -132,10 +132,10 @@
 func (n *Node) review(w *waitingReport, now event.Time, out *event.Effects) {
 	waited := now - w.since
 	switch {
-	case !w.idle && waited < answerWait && n.jobs.Changed:
-	case waited < idleWait && n.workers.Idle(w.report):
+	case !w.idle && waited < answerTimeout && n.jobs.Changed:
+	case waited < idleAnswerTimeout && n.workers.Idle(w.report):
 		n.waiting.hold(w)
-	case waited < answerWait && !n.workers.Settled(w.host):
+	case waited < answerTimeout && !n.workers.Settled(w.machine):
 	default:
 		n.answerNow(w, now, out)
 	}
@@ -152,11 +152,11 @@
 	if orders == nil {
 		orders = []worker.Order{}
 	}
-	body, _ := json.Marshal(helloAnswer{n.election.Fence(), orders})
+	body, _ := json.Marshal(reportAnswer{n.election.FencingToken(), orders})
 	n.respond(w.from, 200, body, out)
 }
 
-type helloAnswer struct {
-	Fence  uint64         `json:"fence"`
-	Orders []worker.Order `json:"orders"`
+type reportAnswer struct {
+	FencingToken uint64         `json:"fence"`
+	Orders       []worker.Order `json:"orders"`
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -22,16 +22,16 @@
 )
 
 type termRecord struct {
-	Label string `json:"l"`
-	Fence uint64 `json:"f"`
+	Label        string `json:"l"`
+	FencingToken uint64 `json:"f"`
 }
 
 // Config are the settings of this slice.
 type Config struct {
-	Label string
-	Rank  int           // our place among the controllers, to spread candidacies
-	Life  time.Duration // of the lease
-	Lease time.Duration // of a worker
+	Label       string
+	Position    int           // our place among the controllers, to spread candidacies
+	TermLease   time.Duration // of the lease
+	WorkerLease time.Duration // of a worker
 	// Grace is how long a leader without the state service goes on answering
 	// reports. With the lease of a worker that heard it last it must stay
 	// below the time within which a cancelled job has to be gone.
@@ -46,11 +46,11 @@
 }
 
 const (
-	stagger      = 120 * time.Millisecond
-	abstainFor   = 10 * time.Second
-	retryPause   = 300 * time.Millisecond
-	driftPercent = 5 // of the life that we do not rely on
-	proofMargin  = 2 * time.Second
+	stagger         = 120 * time.Millisecond
+	abstainDuration = 10 * time.Second
+	retryPause      = 300 * time.Millisecond
+	driftPercent    = 5 // of the life that we do not rely on
+	proofMargin     = 2 * time.Second
 )
 
 // Lead is one controller's view of the term.
@@ -60,47 +60,47 @@
 	log   *slog.Logger
 
 	holder      string // as the replica shows it
-	holderFence uint64
-	stamp       uint64
+	holderToken uint64
+	version     uint64
 	count       uint64
-	freeAt      event.Time // when we saw the term free, plus our stagger
+	campaignAt  event.Time // when we saw the term free, plus our stagger
 
-	busy      bool
-	notBefore event.Time
-	tether    uint64 // of the term that we hold, else 0
-	fence     uint64
-	since     event.Time
-	validTo   event.Time
-	extendAt  event.Time
-	extending bool
-	termStamp uint64
-	acquired  bool
-	highest   uint64 // highest fence that any worker or peer showed
+	busy        bool
+	notBefore   event.Time
+	leaseID     uint64 // of the term that we hold, else 0
+	token       uint64
+	since       event.Time
+	validUntil  event.Time
+	renewAt     event.Time
+	renewing    bool
+	termVersion uint64
+	acquired    bool
+	highest     uint64 // highest fence that any worker or peer showed
 }
 
 // New returns the slice.
 func New(cfg Config, s *store.Client, log *slog.Logger) *Election {
-	return &Election{cfg: cfg, store: s, log: log, freeAt: -1}
+	return &Election{cfg: cfg, store: s, log: log, campaignAt: -1}
 }
 
 // Listen takes a change of the replica.
-func (l *Election) Listen(key string, data []byte, stamp uint64) {
+func (l *Election) Listen(key string, data []byte, version uint64) {
 	var r termRecord
 	if data != nil && json.Unmarshal(data, &r) != nil {
 		return
 	}
 	switch key {
 	case TermKey:
-		l.holder, l.holderFence, l.stamp = r.Label, r.Fence, stamp
+		l.holder, l.holderToken, l.version = r.Label, r.FencingToken, version
 		if data == nil {
-			l.holder, l.holderFence, l.stamp = "", 0, 0
+			l.holder, l.holderToken, l.version = "", 0, 0
 		}
-		l.freeAt = -1
-		if l.tether != 0 && l.termStamp != 0 && l.stamp != l.termStamp {
-			l.lose("the term key changed")
+		l.campaignAt = -1
+		if l.leaseID != 0 && l.termVersion != 0 && l.version != l.termVersion {
+			l.stepDown("the term key changed")
 		}
 	case countKey:
-		l.count = r.Fence
+		l.count = r.FencingToken
 	}
 }
 
@@ -108,25 +108,27 @@
 func (l *Election) Holder() string { return l.holder }
 
 // HolderFence is the number of the term that the replica shows.
-func (l *Election) HolderFence() uint64 { return l.holderFence }
+func (l *Election) HolderToken() uint64 { return l.holderToken }
 
 // Holds tells whether this node holds a term at all, be it only in grace.
-func (l *Election) Holds() bool { return l.tether != 0 && l.termStamp != 0 }
+func (l *Election) Holds() bool { return l.leaseID != 0 && l.termVersion != 0 }
 
 // Fence is the number of our term.
-func (l *Election) Fence() uint64 { return l.fence }
+func (l *Election) FencingToken() uint64 { return l.token }
 
 // Cond is the condition that every write of a leader carries.
-func (l *Election) Cond() store.Cond { return store.Cond{Key: TermKey, Stamp: l.termStamp} }
+func (l *Election) Condition() store.Condition {
+	return store.Condition{Key: TermKey, Version: l.termVersion}
+}
 
 // Entitled tells whether the lease is surely alive: starts may be ordered.
-func (l *Election) Entitled(now event.Time) bool { return l.caughtUp() && now < l.validTo }
+func (l *Election) MayStart(now event.Time) bool { return l.caughtUp() && now < l.validUntil }
 
 // caughtUp tells whether we hold a term and the replica shows everything up to
 // its beginning. A node that replaces its own term of before a restart, or that
 // has just read all keys page by page, would else miss what the term before had
 // written last, and give its room and its team's limit away once more.
-func (l *Election) caughtUp() bool { return l.Holds() && l.store.Epoch() >= l.termStamp }
+func (l *Election) caughtUp() bool { return l.Holds() && l.store.Revision() >= l.termVersion }
 
 // MayAnswer tells whether reports may be answered with 200: while entitled
 // and, with nothing started, for the grace after that.
@@ -134,55 +136,55 @@
 	// A cancellation that another node told may be missing from our replica
 	// for no longer than the grace, whatever the lease says: every 200 keeps
 	// the tasks of that worker alive.
-	return l.caughtUp() && l.lasts(now)
+	return l.caughtUp() && l.termLasts(now)
 }
 
 // lasts tells whether our term, or its grace, goes on.
-func (l *Election) lasts(now event.Time) bool {
+func (l *Election) termLasts(now event.Time) bool {
 	if now >= l.store.Fresh()+l.cfg.Grace {
 		return false
 	}
-	return now < l.validTo || (now < l.validTo-l.cfg.Life+l.cfg.Grace && l.highest <= l.fence)
+	return now < l.validUntil || (now < l.validUntil-l.cfg.TermLease+l.cfg.Grace && l.highest <= l.token)
 }
 
 // SilentProof is when the tasks on a machine are surely gone that nobody has
 // answered since the given time: its own lease has run out, counted from our
 // last answer or from the end of the grace of whoever held the term before.
-func (l *Election) SilentProof(lastAnswer event.Time) event.Time {
-	before := l.since + max(0, l.cfg.Grace-l.cfg.Life)
-	return max(lastAnswer, before) + l.Lease() + proofMargin
+func (l *Election) TasksExpireAt(lastAnswer event.Time) event.Time {
+	before := l.since + max(0, l.cfg.Grace-l.cfg.TermLease)
+	return max(lastAnswer, before) + l.WorkerLease() + proofMargin
 }
 
 // Lease is a worker's lease, with the drift of its clock.
-func (l *Election) Lease() time.Duration { return l.cfg.Lease + l.cfg.Lease/1000 }
+func (l *Election) WorkerLease() time.Duration { return l.cfg.WorkerLease + l.cfg.WorkerLease/1000 }
 
 // SawFence notes a fence shown by a worker or another controller.
-func (l *Election) SawFence(f uint64) { l.highest = max(l.highest, f) }
+func (l *Election) ObserveToken(f uint64) { l.highest = max(l.highest, f) }
 
 // Yield gives the term up for others to take.
-func (l *Election) Yield(now event.Time, out *event.Effects, why string) {
+func (l *Election) Resign(now event.Time, out *event.Effects, why string) {
 	if !l.Holds() {
 		return
 	}
-	l.store.Drop(l.tether, now, out)
-	l.notBefore = now + abstainFor
-	l.lose(why)
+	l.store.Drop(l.leaseID, now, out)
+	l.notBefore = now + abstainDuration
+	l.stepDown(why)
 }
 
-func (l *Election) lose(why string) {
-	l.log.Info("term lost", "fence", l.fence, "why", why)
-	l.tether, l.termStamp = 0, 0
+func (l *Election) stepDown(why string) {
+	l.log.Info("term lost", "fence", l.token, "why", why)
+	l.leaseID, l.termVersion = 0, 0
 }
 
 // Tick renews or stands for election.
 func (l *Election) Tick(now event.Time, out *event.Effects) {
 	if l.Holds() {
-		if !l.lasts(now) {
-			l.lose("grace is over")
+		if !l.termLasts(now) {
+			l.stepDown("grace is over")
 			return
 		}
-		if !l.extending && now >= l.extendAt {
-			l.extend(now, out)
+		if !l.renewing && now >= l.renewAt {
+			l.renew(now, out)
 		}
 		return
 	}
@@ -194,36 +196,36 @@
 	if l.holder != "" && l.holder != l.cfg.Label {
 		return
 	}
-	if l.freeAt < 0 {
-		l.freeAt = now + time.Duration(l.cfg.Rank)*stagger
+	if l.campaignAt < 0 {
+		l.campaignAt = now + time.Duration(l.cfg.Position)*stagger
 	}
-	if now >= l.freeAt {
-		l.stand(now, out)
+	if now >= l.campaignAt {
+		l.campaign(now, out)
 	}
 }
 
-func (l *Election) stand(now event.Time, out *event.Effects) {
+func (l *Election) campaign(now event.Time, out *event.Effects) {
 	l.busy = true
 	fail := func(now event.Time) {
 		l.busy = false
 		l.notBefore = max(l.notBefore, now+retryPause)
 	}
 	asked := now
-	l.store.Lease(l.cfg.Life, now, out, func(now event.Time, tether uint64, out *event.Effects) {
-		if tether == 0 {
+	l.store.Lease(l.cfg.TermLease, now, out, func(now event.Time, leaseID uint64, out *event.Effects) {
+		if leaseID == 0 {
 			fail(now)
 			return
 		}
 		if l.holder != "" && l.holder != l.cfg.Label {
-			l.store.Drop(tether, now, out)
+			l.store.Drop(leaseID, now, out)
 			fail(now)
 			return
 		}
-		fence := max(l.count, l.holderFence, l.highest) + 1
-		rec, _ := json.Marshal(termRecord{Label: l.cfg.Label, Fence: fence})
+		token := max(l.count, l.holderToken, l.highest) + 1
+		rec, _ := json.Marshal(termRecord{Label: l.cfg.Label, FencingToken: token})
 		l.store.Submit(&store.Intent{Priority: store.Term,
-			Conds:  []store.Cond{{Key: TermKey, Stamp: l.stamp}, {Key: countKey, Stamp: l.store.Stamp(countKey)}},
-			Writes: []store.Write{{Key: TermKey, Data: rec, Tether: tether}, {Key: countKey, Data: rec}},
+			Conditions: []store.Condition{{Key: TermKey, Version: l.version}, {Key: countKey, Version: l.store.Version(countKey)}},
+			Writes:     []store.Write{{Key: TermKey, Data: rec, LeaseID: leaseID}, {Key: countKey, Data: rec}},
 			Done: func(r store.Result) {
 				l.busy = false
 				if r.Outcome != store.OK {
@@ -232,14 +234,14 @@
 					l.notBefore = max(l.notBefore, r.Now+retryPause)
 					return
 				}
-				l.tether, l.termStamp, l.fence = tether, r.Epoch, fence
-				l.validTo = asked + l.life()
-				l.extendAt = now
+				l.leaseID, l.termVersion, l.token = leaseID, r.Revision, token
+				l.validUntil = asked + l.termLease()
+				l.renewAt = now
 				// The term was seen free before the lease was granted.
 				l.acquired, l.since = true, now
 				// The read that shows the replica all that came before.
 				l.store.Barrier(func(event.Time, bool, *event.Effects) {})
-			}}, now+l.cfg.Life/2)
+			}}, now+l.cfg.TermLease/2)
 	})
 }
 
@@ -250,30 +252,32 @@
 	}
 	l.acquired = false
 	if l.Holds() {
-		l.log.Info("term begun", "fence", l.fence)
+		l.log.Info("term begun", "fence", l.token)
 	}
 	return l.Holds()
 }
 
-func (l *Election) life() time.Duration { return l.cfg.Life - l.cfg.Life*driftPercent/100 }
+func (l *Election) termLease() time.Duration {
+	return l.cfg.TermLease - l.cfg.TermLease*driftPercent/100
+}
 
-func (l *Election) extend(now event.Time, out *event.Effects) {
-	l.extending = true
-	sent, fence := now, l.fence
-	l.store.Extend(l.tether, l.cfg.Life/4, now, out, func(now event.Time, status int, _ *event.Effects) {
-		l.extending = false
-		l.log.Debug("term renewal answered", "status", status, "after", now-sent, "fence", fence)
-		if fence != l.fence || !l.Holds() {
+func (l *Election) renew(now event.Time, out *event.Effects) {
+	l.renewing = true
+	sent, token := now, l.token
+	l.store.Extend(l.leaseID, l.cfg.TermLease/4, now, out, func(now event.Time, status int, _ *event.Effects) {
+		l.renewing = false
+		l.log.Debug("term renewal answered", "status", status, "after", now-sent, "fence", token)
+		if token != l.token || !l.Holds() {
 			return
 		}
 		switch status {
 		case 200:
-			l.validTo = max(l.validTo, sent+l.life())
-			l.extendAt = sent + l.cfg.Life/4
+			l.validUntil = max(l.validUntil, sent+l.termLease())
+			l.renewAt = sent + l.cfg.TermLease/4
 		case 404:
-			l.lose("the lease ended")
+			l.stepDown("the lease ended")
 		default:
-			l.extendAt = max(now, sent+l.cfg.Life/8)
+			l.renewAt = max(now, sent+l.cfg.TermLease/8)
 		}
 	})
 }
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -19,8 +19,8 @@
 	var out event.Effects
 	var l *Election
 	s := store.New("state", store.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60, StaleAfter: time.Hour},
-		func(key string, data []byte, stamp uint64) { l.Listen(key, data, stamp) })
-	l = New(Config{Label: "n0", Life: 4 * time.Second, Lease: 10 * time.Second, Grace: 10 * time.Second}, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		func(key string, data []byte, version uint64) { l.Listen(key, data, version) })
+	l = New(Config{Label: "n0", TermLease: 4 * time.Second, WorkerLease: 10 * time.Second, Grace: 10 * time.Second}, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	answer := func(now event.Time, path, body string) {
 		t.Helper()
 		for i, c := range out.Calls {
@@ -49,7 +49,7 @@
 	if !l.Holds() {
 		t.Fatal("the term was not taken")
 	}
-	if l.Entitled(now) || l.MayAnswer(now) || l.Acquired() {
+	if l.MayStart(now) || l.MayAnswer(now) || l.Acquired() {
 		t.Error("acts on a replica that lacks what was written before its term")
 	}
 	tick(now)
@@ -59,7 +59,7 @@
 	answer(now+time.Millisecond, "/follow", `{"epoch":7,"log":[{"write":"r/req-1/0","data":{},"stamp":6},`+
 		`{"write":"t/lead","data":{"l":"n0","f":2},"stamp":7},{"write":"t/count","data":{"l":"n0","f":2},"stamp":7}]}`)
 	now += time.Millisecond
-	if !l.Entitled(now) || !l.MayAnswer(now) || !l.Acquired() || l.Acquired() {
+	if !l.MayStart(now) || !l.MayAnswer(now) || !l.Acquired() || l.Acquired() {
 		t.Error("does not act, or begins other than once, though the replica is complete")
 	}
 }
--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -206,12 +206,12 @@
 }
 
 // AppendRequest writes a request to dst.
-func AppendRequest(dst []byte, method, target, host string, body []byte) []byte {
+func AppendRequest(dst []byte, method, target, machine string, body []byte) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
 	dst = append(dst, target...)
 	dst = append(dst, " HTTP/1.1\r\nHost: "...)
-	dst = append(dst, host...)
+	dst = append(dst, machine...)
 	if len(body) > 0 {
 		dst = append(dst, "\r\nContent-Type: application/json"...)
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -12,9 +12,9 @@
 
 // The kinds.
 const (
-	Beat     Kind = 1 // I am alive, and this is what I see
-	Relay    Kind = 2 // a worker's report that reached me instead of the leader
-	RelayAck Kind = 3 // the leader's answer to it
+	Heartbeat Kind = 1 // I am alive, and this is what I see
+	Relay     Kind = 2 // a worker's report that reached me instead of the leader
+	RelayAck  Kind = 3 // the leader's answer to it
 )
 
 const version = 2
@@ -25,9 +25,9 @@
 	Label string // sender
 
 	// Beat
-	StateOK bool
-	Leads   bool
-	Fence   uint64
+	StateOK      bool
+	IsLeader     bool
+	FencingToken uint64
 	// What it could use of the state service's rates, per second.
 	Requests, Writes uint16
 
@@ -50,16 +50,16 @@
 	dst = append(dst, version, byte(f.Kind), byte(len(f.Label)))
 	dst = append(dst, f.Label[:byte(len(f.Label))]...)
 	switch f.Kind {
-	case Beat:
+	case Heartbeat:
 		var flags byte
 		if f.StateOK {
 			flags |= 1
 		}
-		if f.Leads {
+		if f.IsLeader {
 			flags |= 2
 		}
 		dst = append(dst, flags)
-		dst = binary.BigEndian.AppendUint64(dst, f.Fence)
+		dst = binary.BigEndian.AppendUint64(dst, f.FencingToken)
 		dst = binary.BigEndian.AppendUint16(dst, f.Requests)
 		dst = binary.BigEndian.AppendUint16(dst, f.Writes)
 	case Relay, RelayAck:
@@ -83,13 +83,13 @@
 	f.Kind = Kind(r.u8())
 	f.Label = string(r.take(int(r.u8())))
 	switch f.Kind {
-	case Beat:
+	case Heartbeat:
 		flags := r.u8()
-		f.StateOK, f.Leads = flags&1 != 0, flags&2 != 0
+		f.StateOK, f.IsLeader = flags&1 != 0, flags&2 != 0
 		if flags > 3 {
 			return f, ErrBad
 		}
-		f.Fence = r.u64()
+		f.FencingToken = r.u64()
 		f.Requests, f.Writes = r.u16(), r.u16()
 	case Relay, RelayAck:
 		f.ID = r.u64()
--- a/internal/peer/production_test.go
+++ b/internal/peer/production_test.go
@@ -32,7 +32,7 @@
 		}
 		kinds[f.Kind]++
 	}
-	if kinds[Beat] == 0 || kinds[Relay] == 0 || kinds[RelayAck] == 0 {
+	if kinds[Heartbeat] == 0 || kinds[Relay] == 0 || kinds[RelayAck] == 0 {
 		t.Errorf("kinds %v", kinds)
 	}
 }
--- a/internal/pipeline/graph.go
+++ b/internal/pipeline/graph.go
@@ -14,25 +14,25 @@
 )
 
 // NoDue is the deadline of a job that has none.
-const NoDue = math.MaxInt64
+const NoDeadline = math.MaxInt64
 
 // graph is what follows from the edges between jobs. Only held jobs have
 // edges here: once a job is ready all that it needs is over.
 type graph struct {
-	needs map[string]map[*Job]bool // by upstream id: the held jobs that wait for it
-	free  map[*Job]bool            // held jobs that wait for nothing any more
+	dependents map[string]map[*Job]bool // by upstream id: the held jobs that wait for it
+	releasable map[*Job]bool            // held jobs that wait for nothing any more
 	// doomed are the jobs below a cancelled one whose own mark is not stored.
-	doomed   map[*Job]bool
-	readying int               // ready marks under way
-	queue    []*Job            // of these, in the order in which they get it
-	marking  int               // marks of doomed jobs under way
-	stale    map[*Job]bool     // effective values are to be derived or handed on
-	parts    map[string]*parts // by job
-	cutting  int               // drops of parts under way
+	upstreamCancelled map[*Job]bool
+	readying          int               // ready marks under way
+	queue             []*Job            // of these, in the order in which they get it
+	marking           int               // marks of doomed jobs under way
+	stale             map[*Job]bool     // effective values are to be derived or handed on
+	parts             map[string]*parts // by job
+	deleting          int               // drops of parts under way
 }
 
 func newGraph() graph {
-	return graph{needs: map[string]map[*Job]bool{}, free: map[*Job]bool{}, doomed: map[*Job]bool{}, stale: map[*Job]bool{}, parts: map[string]*parts{}}
+	return graph{dependents: map[string]map[*Job]bool{}, releasable: map[*Job]bool{}, upstreamCancelled: map[*Job]bool{}, stale: map[*Job]bool{}, parts: map[string]*parts{}}
 }
 
 // SetClock tells the time of day at a steady time, so that what was stored by
@@ -55,22 +55,22 @@
 
 // onGraph takes a job's record, as it is now, into the graph.
 func (t *Table) onGraph(j *Job) {
-	if j.dueAt = NoDue; j.Due > 0 {
-		from := j.FirstSeen
+	if j.deadlineAt = NoDeadline; j.Deadline > 0 {
+		from := j.ReadySince
 		switch {
 		case j.Submitted != 0 && t.wall != 0:
 			from = t.steady(j.Submitted)
 		case from == 0:
 			from = max(t.Now, 1)
 		}
-		j.dueAt = from + int64(j.Due*1e9)
+		j.deadlineAt = from + int64(j.Deadline*1e9)
 	}
-	j.Chained = j.Chained || len(j.Up) > 0 || j.Parts > 0
-	if j.linked || len(t.graph.needs[j.ID]) > 0 {
-		j.full = true
+	j.Chained = j.Chained || len(j.Upstream) > 0 || j.UpstreamParts > 0
+	if j.linked || len(t.graph.dependents[j.ID]) > 0 {
+		j.inheritStale = true
 		t.graph.stale[j] = true
 	} else {
-		j.EffRank, j.EffDue = j.Rank, j.dueAt
+		j.EffectivePriority, j.EffectiveDeadline = j.Priority, j.deadlineAt
 	}
 	if j.Ready || j.Final != Queued {
 		t.unlink(j)
@@ -82,19 +82,19 @@
 // assemble links a held job once its whole list of upstream jobs is there:
 // until then it is neither ready nor judged.
 func (t *Table) assemble(j *Job) {
-	if j.linked || j.doomed || j.Ready || j.Stamp == 0 || j.Final != Queued {
+	if j.linked || j.upstreamCancelled || j.Ready || j.Version == 0 || j.Final != Queued {
 		return
 	}
-	list := j.Up
-	if j.Parts > 0 {
+	list := j.Upstream
+	if j.UpstreamParts > 0 {
 		p := t.graph.parts[j.ID]
 		if p == nil {
 			return
 		}
 		list = nil
-		for n := range j.Parts {
+		for n := range j.UpstreamParts {
 			part, ok := p.held[n]
-			if !ok || (n == 0 && part.stamp != j.Attempt) || part.stamp < j.Attempt {
+			if !ok || (n == 0 && part.version != j.SubmissionVersion) || part.version < j.SubmissionVersion {
 				return // not there, or of an older attempt
 			}
 			list = append(list, part.ids...)
@@ -106,31 +106,31 @@
 }
 
 func (t *Table) link(j *Job, list []string) {
-	j.linked, j.waits, j.missing = true, list, 0
-	j.toldRank, j.toldDue = Idle, NoDue // whatever it was before, nobody has inherited it
-	doomed := false
+	j.linked, j.linkedUpstream, j.unfinishedUpstream = true, list, 0
+	j.propagatedPriority, j.propagatedDeadline = Idle, NoDeadline // whatever it was before, nobody has inherited it
+	upstreamCancelled := false
 	for _, up := range list {
 		u := t.byID[up]
 		switch phase := t.Finals[up].Phase; {
 		case phase == Done:
-		case phase == Cancelled || (u != nil && u.doomed):
-			doomed = true
+		case phase == Cancelled || (u != nil && u.upstreamCancelled):
+			upstreamCancelled = true
 		default:
-			j.missing++
-			if t.graph.needs[up] == nil {
-				t.graph.needs[up] = map[*Job]bool{}
+			j.unfinishedUpstream++
+			if t.graph.dependents[up] == nil {
+				t.graph.dependents[up] = map[*Job]bool{}
 			}
-			t.graph.needs[up][j] = true
+			t.graph.dependents[up][j] = true
 		}
 	}
-	if doomed {
-		t.doom(j)
+	if upstreamCancelled {
+		t.cancelDownstream(j)
 		return
 	}
-	if j.missing == 0 {
-		t.graph.free[j] = true
+	if j.unfinishedUpstream == 0 {
+		t.graph.releasable[j] = true
 	}
-	j.full = true
+	j.inheritStale = true
 	t.graph.stale[j] = true
 }
 
@@ -139,71 +139,71 @@
 	if !j.linked {
 		return
 	}
-	for _, up := range j.waits {
-		if list := t.graph.needs[up]; list[j] {
+	for _, up := range j.linkedUpstream {
+		if list := t.graph.dependents[up]; list[j] {
 			delete(list, j)
 			if len(list) == 0 {
-				delete(t.graph.needs, up)
+				delete(t.graph.dependents, up)
 			}
 			if u := t.byID[up]; u != nil {
-				u.full = true
+				u.inheritStale = true
 				t.graph.stale[u] = true
 			}
 		}
 	}
-	j.linked, j.waits, j.missing = false, nil, 0
-	delete(t.graph.free, j)
+	j.linked, j.linkedUpstream, j.unfinishedUpstream = false, nil, 0
+	delete(t.graph.releasable, j)
 }
 
 // spare drops a job from those that still have to be marked: it has its mark,
 // or its record is gone.
-func (t *Table) spare(j *Job) {
-	j.doomed = false
-	delete(t.graph.doomed, j)
+func (t *Table) unmarkUpstreamCancelled(j *Job) {
+	j.upstreamCancelled = false
+	delete(t.graph.upstreamCancelled, j)
 }
 
 // settleMark hands a final mark on to the jobs that wait for its job.
-func (t *Table) settleMark(id string, phase Phase) {
-	list := t.graph.needs[id]
-	delete(t.graph.needs, id)
+func (t *Table) propagateFinal(id string, phase Phase) {
+	list := t.graph.dependents[id]
+	delete(t.graph.dependents, id)
 	if phase == Cancelled {
-		t.doom(inOrder(list)...)
+		t.cancelDownstream(inOrder(list)...)
 		return
 	}
 	for j := range list {
-		if j.missing--; j.missing == 0 {
-			t.graph.free[j] = true
+		if j.unfinishedUpstream--; j.unfinishedUpstream == 0 {
+			t.graph.releasable[j] = true
 		}
 	}
 }
 
 // doom judges jobs, and once each all that need them, by a cancelled ancestor.
-func (t *Table) doom(stack ...*Job) {
+func (t *Table) cancelDownstream(stack ...*Job) {
 	begin := len(t.graph.queue)
 	for len(stack) > 0 {
 		x := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		if x.doomed || x.Ready || x.Final != Queued {
+		if x.upstreamCancelled || x.Ready || x.Final != Queued {
 			continue
 		}
-		x.doomed = true
-		t.graph.doomed[x] = true
+		x.upstreamCancelled = true
+		t.graph.upstreamCancelled[x] = true
 		t.graph.queue = append(t.graph.queue, x)
 		t.unlink(x)
-		for d := range t.graph.needs[x.ID] {
+		for d := range t.graph.dependents[x.ID] {
 			stack = append(stack, d)
 		}
-		delete(t.graph.needs, x.ID)
+		delete(t.graph.dependents, x.ID)
 	}
 	slices.SortFunc(t.graph.queue[begin:], older)
 }
 
 // Held returns the held jobs that wait for nothing any more, the most important
 // first, in the order of their records.
-func (t *Table) Held() []*Job {
+func (t *Table) Releasable() []*Job {
 	t.inherit()
-	list := inOrder(t.graph.free)
-	slices.SortStableFunc(list, func(a, b *Job) int { return cmp.Compare(b.EffRank, a.EffRank) })
+	list := inOrder(t.graph.releasable)
+	slices.SortStableFunc(list, func(a, b *Job) int { return cmp.Compare(b.EffectivePriority, a.EffectivePriority) })
 	return list
 }
 
@@ -219,7 +219,7 @@
 	return list
 }
 
-func older(a, b *Job) int { return cmp.Or(cmp.Compare(a.Stamp, b.Stamp), cmp.Compare(a.ID, b.ID)) }
+func older(a, b *Job) int { return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.ID, b.ID)) }
 
 // byAge pops the youngest held job first, jobs that are ready last. A job names
 // only jobs that were accepted before it and a held job's record is rewritten
@@ -246,7 +246,7 @@
 	if j.Ready {
 		return 0
 	}
-	return j.Stamp
+	return j.Version
 }
 
 // inherit derives the effective priorities and deadlines that follow from what
@@ -273,27 +273,27 @@
 		if t.byID[j.ID] != j {
 			continue
 		}
-		if j.full {
-			j.full = false
-			j.EffRank, j.EffDue = j.Rank, j.dueAt
-			for d := range t.graph.needs[j.ID] {
-				j.heir(d)
+		if j.inheritStale {
+			j.inheritStale = false
+			j.EffectivePriority, j.EffectiveDeadline = j.Priority, j.deadlineAt
+			for d := range t.graph.dependents[j.ID] {
+				j.inheritFrom(d)
 			}
 		}
-		if j.EffRank == j.toldRank && j.EffDue == j.toldDue {
+		if j.EffectivePriority == j.propagatedPriority && j.EffectiveDeadline == j.propagatedDeadline {
 			continue
 		}
-		lower := j.EffRank < j.toldRank || j.EffDue > j.toldDue
-		j.toldRank, j.toldDue = j.EffRank, j.EffDue
-		for _, up := range j.waits {
+		lower := j.EffectivePriority < j.propagatedPriority || j.EffectiveDeadline > j.propagatedDeadline
+		j.propagatedPriority, j.propagatedDeadline = j.EffectivePriority, j.EffectiveDeadline
+		for _, up := range j.linkedUpstream {
 			u := t.byID[up]
 			if u == nil || u.Final != Queued {
 				continue
 			}
 			if lower {
-				u.full = true
+				u.inheritStale = true
 				push(u)
-			} else if u.heir(j) {
+			} else if u.inheritFrom(j) {
 				push(u)
 			}
 		}
@@ -301,31 +301,31 @@
 }
 
 // heir raises a job's effective values by those of one that needs it.
-func (j *Job) heir(d *Job) bool {
-	rank, due := max(j.EffRank, d.EffRank), j.EffDue
-	if d.EffDue != NoDue {
-		due = min(due, d.EffDue-int64(d.Expect*1e9))
+func (j *Job) inheritFrom(d *Job) bool {
+	priority, deadline := max(j.EffectivePriority, d.EffectivePriority), j.EffectiveDeadline
+	if d.EffectiveDeadline != NoDeadline {
+		deadline = min(deadline, d.EffectiveDeadline-int64(d.EstimatedRuntime*1e9))
 	}
-	changed := rank != j.EffRank || due != j.EffDue
-	j.EffRank, j.EffDue, j.Chained = rank, due, true
+	changed := priority != j.EffectivePriority || deadline != j.EffectiveDeadline
+	j.EffectivePriority, j.EffectiveDeadline, j.Chained = priority, deadline, true
 	return changed
 }
 
 const (
-	mostRetryWait = int64(30 * time.Second)
-	mostReadying  = 32 // ready marks at a time: placements wait behind them
-	mostMarking   = 8  // marks of doomed jobs at a time: what users ask for goes first
-	mostCutting   = 4
-	leftoverFor   = int64(time.Minute) // a list without its job is given up after this
+	maxRetryWait     = int64(30 * time.Second)
+	maxReadyMarks    = 32 // ready marks at a time: placements wait behind them
+	maxCancelMarks   = 8  // marks of doomed jobs at a time: what users ask for goes first
+	maxDeletingParts = 4
+	orphanTimeout    = int64(time.Minute) // a list without its job is given up after this
 	// RivalFor is how long a list that another attempt began keeps others from
 	// beginning anew.
-	RivalFor = 6 * time.Second
+	RivalTimeout = 6 * time.Second
 )
 
 // backOff puts off the next write about a job. One that the state service calls
 // malformed stays so: it is tried ever less often.
 func (j *Job) backOff(r store.Result) {
-	j.retryAt = int64(r.Now) + retryAfter(r, &j.refused)
+	j.retryAt = int64(r.Now) + retryAfter(r, &j.rejectedWrites)
 }
 
 // retryAfter is how long to wait after a write; refused counts those in a row
@@ -336,16 +336,16 @@
 		return retryWait
 	}
 	*refused = min(*refused+1, 10)
-	return min(mostRetryWait, int64(time.Second)<<*refused)
+	return min(maxRetryWait, int64(time.Second)<<*refused)
 }
 
 // MarkReady logs that held jobs of ours may start: all that they need is done.
 func (t *Table) MarkReady(now time.Duration, s Submitter, ours func(*Job) bool) {
-	if len(t.graph.free) == 0 || t.graph.readying >= mostReadying {
+	if len(t.graph.releasable) == 0 || t.graph.readying >= maxReadyMarks {
 		return
 	}
-	for _, j := range t.Held() {
-		if t.graph.readying >= mostReadying {
+	for _, j := range t.Releasable() {
+		if t.graph.readying >= maxReadyMarks {
 			return
 		}
 		if !j.marking && int64(now) >= j.retryAt && ours(j) {
@@ -356,7 +356,7 @@
 
 func (t *Table) markReady(j *Job, now time.Duration, s Submitter) {
 	ready := *j
-	ready.Ready, ready.Parts, ready.Attempt, ready.ReadyAt = true, 0, 0, t.UnixMS(now)
+	ready.Ready, ready.UpstreamParts, ready.SubmissionVersion, ready.ReadyAt = true, 0, 0, t.UnixMS(now)
 	j.mark(&t.graph.readying, now, s, &store.Intent{Priority: store.Place,
 		Writes: []store.Write{{Key: JobKeyOf(j.ID), Data: Encode(t.Names, &ready)}}})
 }
@@ -366,35 +366,35 @@
 func (j *Job) mark(count *int, now time.Duration, s Submitter, in *store.Intent) {
 	j.marking = true
 	*count++
-	in.Conds = []store.Cond{{Key: JobKeyOf(j.ID), Stamp: j.Stamp}, {Key: FinalKeyOf(j.ID)}}
+	in.Conditions = []store.Condition{{Key: JobKeyOf(j.ID), Version: j.Version}, {Key: FinalKeyOf(j.ID)}}
 	in.Done = func(r store.Result) {
 		j.marking = false
 		*count--
 		j.backOff(r)
 	}
-	s.Submit(in, now+writeFor)
+	s.Submit(in, now+writeTimeout)
 }
 
 // MarkDoomed logs, a few at a time, that jobs of ours are cancelled with one
 // that they need. What users are told does not wait for it.
-func (t *Table) MarkDoomed(now time.Duration, s Submitter, ours func(*Job) bool) {
+func (t *Table) MarkUpstreamCancelled(now time.Duration, s Submitter, ours func(*Job) bool) {
 	g := &t.graph
-	if len(g.queue) == 0 || g.marking >= mostMarking {
+	if len(g.queue) == 0 || g.marking >= maxCancelMarks {
 		return
 	}
-	g.queue = slices.DeleteFunc(g.queue, func(j *Job) bool { return !g.doomed[j] })
+	g.queue = slices.DeleteFunc(g.queue, func(j *Job) bool { return !g.upstreamCancelled[j] })
 	for _, j := range g.queue {
-		if g.marking >= mostMarking {
+		if g.marking >= maxCancelMarks {
 			return
 		}
 		if !j.marking && int64(now) >= j.retryAt && ours(j) {
-			t.markDoomed(j, now, s)
+			t.markUpstreamCancelled(j, now, s)
 		}
 	}
 }
 
 // markDoomed writes the mark and drops the record.
-func (t *Table) markDoomed(j *Job, now time.Duration, s Submitter) {
+func (t *Table) markUpstreamCancelled(j *Job, now time.Duration, s Submitter) {
 	j.mark(&t.graph.marking, now, s, &store.Intent{Priority: store.Progress,
 		Writes: []store.Write{{Key: FinalKeyOf(j.ID), Data: EncodeFinal(Cancelled, j)}, {Key: JobKeyOf(j.ID)}}})
 }
@@ -408,8 +408,8 @@
 func PartKeyOf(id string, n int) string { return PartKey + "/" + id + "/" + strconv.Itoa(n) }
 
 type part struct {
-	stamp uint64
-	ids   []string
+	version uint64
+	ids     []string
 }
 
 // parts are what is stored of a job's list.
@@ -450,7 +450,7 @@
 	return ids, true
 }
 
-func (t *Table) onPart(id string, n int, data []byte, stamp uint64) {
+func (t *Table) onPart(id string, n int, data []byte, version uint64) {
 	p := t.graph.parts[id]
 	if data == nil {
 		if p != nil {
@@ -472,7 +472,7 @@
 	if n == 0 {
 		p.seen = t.Now
 	}
-	p.held[n] = part{stamp, ids}
+	p.held[n] = part{version, ids}
 	if j := t.byID[id]; j != nil {
 		t.assemble(j)
 	}
@@ -480,19 +480,19 @@
 
 // Attempt returns the stamp of the attempt to submit a job that part 0 of its
 // list stands for, and for how long it has shown; 0: there is none.
-func (t *Table) Attempt(id string, now time.Duration) (stamp uint64, shown time.Duration) {
+func (t *Table) SubmissionAttempt(id string, now time.Duration) (version uint64, shown time.Duration) {
 	p := t.graph.parts[id]
 	if p == nil {
 		return 0, 0
 	}
-	return p.held[0].stamp, now - time.Duration(p.seen)
+	return p.held[0].version, now - time.Duration(p.seen)
 }
 
 // CutParts drops the lists that nobody needs: of jobs that are ready or over,
 // and what attempts to submit left behind. Part 0 goes first, so that nothing
 // is added to an attempt that is being dropped.
-func (t *Table) CutParts(now time.Duration, term store.Cond, s Submitter) {
-	if len(t.graph.parts) == 0 || t.graph.cutting > 0 {
+func (t *Table) DeleteStaleParts(now time.Duration, term store.Condition, s Submitter) {
+	if len(t.graph.parts) == 0 || t.graph.deleting > 0 {
 		return
 	}
 	ids := make([]string, 0, len(t.graph.parts))
@@ -503,8 +503,8 @@
 	for _, id := range ids {
 		p, j := t.graph.parts[id], t.byID[id]
 		_, over := t.Finals[id]
-		accepted := j != nil && j.Stamp != 0
-		if !over && ((accepted && !j.Ready) || (!accepted && int64(now)-p.seen < leftoverFor)) {
+		accepted := j != nil && j.Version != 0
+		if !over && ((accepted && !j.Ready) || (!accepted && int64(now)-p.seen < orphanTimeout)) {
 			continue
 		}
 		first, zero := p.held[0]
@@ -516,21 +516,21 @@
 		}
 		slices.Sort(list)
 		for _, n := range list {
-			if t.graph.cutting >= mostCutting {
+			if t.graph.deleting >= maxDeletingParts {
 				return
 			}
-			conds := []store.Cond{term}
+			conds := []store.Condition{term}
 			if n == 0 {
-				conds = append(conds, store.Cond{Key: PartKeyOf(id, 0), Stamp: first.stamp})
+				conds = append(conds, store.Condition{Key: PartKeyOf(id, 0), Version: first.version})
 			} else {
-				conds = append(conds, store.Cond{Key: PartKeyOf(id, 0)}, store.Cond{Key: PartKeyOf(id, n), Stamp: p.held[n].stamp})
+				conds = append(conds, store.Condition{Key: PartKeyOf(id, 0)}, store.Condition{Key: PartKeyOf(id, n), Version: p.held[n].version})
 			}
 			if !accepted {
-				conds = append(conds, store.Cond{Key: JobKeyOf(id)})
+				conds = append(conds, store.Condition{Key: JobKeyOf(id)})
 			}
-			t.graph.cutting++
-			s.Submit(&store.Intent{Priority: store.Progress, Conds: conds, Writes: []store.Write{{Key: PartKeyOf(id, n)}},
-				Done: func(store.Result) { t.graph.cutting-- }}, now+writeFor)
+			t.graph.deleting++
+			s.Submit(&store.Intent{Priority: store.Progress, Conditions: conds, Writes: []store.Write{{Key: PartKeyOf(id, n)}},
+				Done: func(store.Result) { t.graph.deleting-- }}, now+writeTimeout)
 		}
 	}
 }
--- a/internal/pipeline/graph_test.go
+++ b/internal/pipeline/graph_test.go
@@ -15,14 +15,14 @@
 type line struct {
 	kind, rest string
 	data       []byte
-	stamp      uint64
+	version    uint64
 }
 
 // rig is a table together with what is stored.
 type rig struct {
 	*Table
-	epoch uint64
-	log   []line
+	revision uint64
+	log      []line
 }
 
 func newRig() *rig {
@@ -33,19 +33,19 @@
 }
 
 func (r *rig) write(kind, rest string, data []byte) {
-	r.epoch++
-	r.log = append(r.log, line{kind, rest, data, r.epoch})
-	r.Listen(kind, rest, data, r.epoch)
+	r.revision++
+	r.log = append(r.log, line{kind, rest, data, r.revision})
+	r.Listen(kind, rest, data, r.revision)
 }
 
 func id(n int) string { return fmt.Sprintf("req-%06d", n) }
 
 // job stores a held job below others, or one that is ready if there are none.
 func (r *rig) job(n int, set func(*Job), up ...int) *Job {
-	j := &Job{ID: id(n), Owner: "n0", Ready: len(up) == 0, Spec: Spec{N: 1, Cores: 1, Rank: Normal, Zone: -1, Expect: 10}}
-	j.Class, j.Team, j.Bundle = r.Names.Classes.Index("c"), r.Names.Teams.Index("t"), r.Names.Bundles.Index("b")
+	j := &Job{ID: id(n), Owner: "n0", Ready: len(up) == 0, Spec: Spec{TaskCount: 1, CPUs: 1, Priority: Normal, Zone: -1, EstimatedRuntime: 10}}
+	j.Class, j.Team, j.Image = r.Names.Classes.Index("c"), r.Names.Teams.Index("t"), r.Names.Images.Index("b")
 	for _, u := range up {
-		j.Up = append(j.Up, id(u))
+		j.Upstream = append(j.Upstream, id(u))
 	}
 	if set != nil {
 		set(j)
@@ -55,7 +55,7 @@
 }
 
 func (r *rig) final(n int, p Phase) {
-	j := &Job{Spec: Spec{N: 1}}
+	j := &Job{Spec: Spec{TaskCount: 1}}
 	r.write(FinalKey, id(n), EncodeFinal(p, j))
 }
 
@@ -67,7 +67,7 @@
 	return strings.Join(s, " ")
 }
 
-func (r *rig) doomedIDs() string { return idsOf(inOrder(r.graph.doomed)) }
+func (r *rig) upstreamCancelledIDs() string { return idsOf(inOrder(r.graph.upstreamCancelled)) }
 
 func expect(t *testing.T, what, got, want string) {
 	t.Helper()
@@ -82,13 +82,13 @@
 	r.job(2, nil, 1)
 	r.job(3, nil, 1, 1)
 	d := r.job(4, nil, 2, 3)
-	expect(t, "before", idsOf(r.Held()), "")
+	expect(t, "before", idsOf(r.Releasable()), "")
 	r.final(1, Done)
-	expect(t, "first done", idsOf(r.Held()), "2 3")
+	expect(t, "first done", idsOf(r.Releasable()), "2 3")
 	r.final(2, Done)
-	expect(t, "second done", idsOf(r.Held()), "3")
+	expect(t, "second done", idsOf(r.Releasable()), "3")
 	r.final(3, Done)
-	expect(t, "all done", idsOf(r.Held()), "4")
+	expect(t, "all done", idsOf(r.Releasable()), "4")
 	if d.Phase() != Queued || len(r.Unfinished()) != 0 {
 		t.Errorf("a held job is %v, %d are to be placed", d.Phase(), len(r.Unfinished()))
 	}
@@ -96,10 +96,10 @@
 	ready := *d
 	ready.Ready = true
 	r.write(JobKey, d.ID, Encode(r.Names, &ready))
-	expect(t, "ready", idsOf(r.Held()), "")
+	expect(t, "ready", idsOf(r.Releasable()), "")
 	expect(t, "to be placed", idsOf(r.Unfinished()), "4")
-	if len(r.graph.needs)+len(r.graph.free) != 0 {
-		t.Errorf("the lists keep %d and %d", len(r.graph.needs), len(r.graph.free))
+	if len(r.graph.dependents)+len(r.graph.releasable) != 0 {
+		t.Errorf("the lists keep %d and %d", len(r.graph.dependents), len(r.graph.releasable))
 	}
 }
 
@@ -111,7 +111,7 @@
 	r.job(2, nil, 1)
 	r.final(1, Done)
 	r.final(1, Done)
-	expect(t, "held", idsOf(r.Held()), "2")
+	expect(t, "held", idsOf(r.Releasable()), "2")
 }
 
 func TestDiamondCancelled(t *testing.T) {
@@ -123,24 +123,24 @@
 	r.job(5, nil)
 	r.job(6, nil, 5)
 	r.final(1, Cancelled)
-	expect(t, "doomed", r.doomedIDs(), "2 3 4")
+	expect(t, "doomed", r.upstreamCancelledIDs(), "2 3 4")
 	if d.Phase() != Cancelled || r.Job(id(6)).Phase() != Queued {
 		t.Errorf("below: %v, beside: %v", d.Phase(), r.Job(id(6)).Phase())
 	}
 	// One that names a cancelled job, or one below it, comes later.
 	r.job(7, nil, 4, 5)
 	r.job(8, nil, 7)
-	expect(t, "doomed", r.doomedIDs(), "2 3 4 7 8")
+	expect(t, "doomed", r.upstreamCancelledIDs(), "2 3 4 7 8")
 	// Its own mark settles it; what comes below it is judged by that.
 	r.final(7, Cancelled)
 	r.write(JobKey, id(7), nil)
 	r.job(9, nil, 7)
-	expect(t, "doomed", r.doomedIDs(), "2 3 4 8 9")
+	expect(t, "doomed", r.upstreamCancelledIDs(), "2 3 4 8 9")
 	if r.Job(id(7)) != nil {
 		t.Error("a job without a key is kept")
 	}
 	r.final(5, Done)
-	expect(t, "held", idsOf(r.Held()), "6")
+	expect(t, "held", idsOf(r.Releasable()), "6")
 }
 
 // A cancellation that loses to done leaves the jobs below alone.
@@ -149,8 +149,8 @@
 	r.job(1, nil)
 	r.job(2, nil, 1)
 	r.final(1, Done)
-	expect(t, "doomed", r.doomedIDs(), "")
-	expect(t, "held", idsOf(r.Held()), "2")
+	expect(t, "doomed", r.upstreamCancelledIDs(), "")
+	expect(t, "held", idsOf(r.Releasable()), "2")
 }
 
 // Ready marks of several owners: only the replica tells that one is through,
@@ -169,8 +169,8 @@
 		t.Fatalf("%d writes", len(q.list))
 	}
 	in := q.next(t)
-	if !slices.Contains(in.Conds, store.Cond{Key: JobKeyOf(j.ID), Stamp: j.Stamp}) || !slices.Contains(in.Conds, store.Cond{Key: FinalKeyOf(j.ID)}) {
-		t.Errorf("conditions %v", in.Conds)
+	if !slices.Contains(in.Conditions, store.Condition{Key: JobKeyOf(j.ID), Version: j.Version}) || !slices.Contains(in.Conditions, store.Condition{Key: FinalKeyOf(j.ID)}) {
+		t.Errorf("conditions %v", in.Conditions)
 	}
 	in.Done(store.Result{Outcome: store.Conflict, Now: now})
 	mark()
@@ -179,8 +179,8 @@
 	}
 	now += time.Second
 	mark()
-	r.epoch++
-	carryOut(r.Table, q.next(t), r.epoch)
+	r.revision++
+	carryOut(r.Table, q.next(t), r.revision)
 	mark()
 	if len(q.list) != 0 || !j.Ready || j.Submitted != 1000_500 || j.ReadyAt != 1002_000 {
 		t.Errorf("%d writes, ready %v, submitted %d, ready at %d", len(q.list), j.Ready, j.Submitted, j.ReadyAt)
@@ -202,26 +202,26 @@
 	marked, now := 0, time.Duration(0)
 	step := func(r *rig) {
 		now += time.Second
-		r.MarkDoomed(now, q, everything)
-		r.MarkDoomed(now, q, everything)
-		if len(q.list) > mostMarking {
+		r.MarkUpstreamCancelled(now, q, everything)
+		r.MarkUpstreamCancelled(now, q, everything)
+		if len(q.list) > maxCancelMarks {
 			t.Fatalf("%d at a time", len(q.list))
 		}
 		for i := 0; len(q.list) > 0; i++ {
 			in := q.next(t)
-			if len(in.Writes) > 4 || len(in.Conds) > 16 {
-				t.Fatalf("%d writes, %d conditions", len(in.Writes), len(in.Conds))
+			if len(in.Writes) > 4 || len(in.Conditions) > 16 {
+				t.Fatalf("%d writes, %d conditions", len(in.Writes), len(in.Conditions))
 			}
 			if i%3 == 2 {
 				in.Done(store.Result{Outcome: store.Unknown, Now: now})
 				continue
 			}
-			r.epoch++
+			r.revision++
 			for _, w := range in.Writes {
 				kind, rest := store.SplitKey(w.Key)
-				r.log = append(r.log, line{kind, rest, w.Data, r.epoch})
+				r.log = append(r.log, line{kind, rest, w.Data, r.revision})
 			}
-			carryOut(r.Table, in, r.epoch)
+			carryOut(r.Table, in, r.revision)
 			marked++
 		}
 	}
@@ -230,11 +230,11 @@
 	}
 	after := newRig()
 	for _, l := range r.log {
-		after.Listen(l.kind, l.rest, l.data, l.stamp)
+		after.Listen(l.kind, l.rest, l.data, l.version)
 	}
-	after.epoch, after.log = r.epoch, r.log
-	if len(after.graph.doomed) != n-marked || marked == 0 {
-		t.Fatalf("%d marked, %d left to the successor", marked, len(after.graph.doomed))
+	after.revision, after.log = r.revision, r.log
+	if len(after.graph.upstreamCancelled) != n-marked || marked == 0 {
+		t.Fatalf("%d marked, %d left to the successor", marked, len(after.graph.upstreamCancelled))
 	}
 	for range n {
 		step(after)
@@ -244,20 +244,20 @@
 			t.Fatalf("job %d is left", i)
 		}
 	}
-	if marked != n || len(after.graph.queue) > mostMarking {
+	if marked != n || len(after.graph.queue) > maxCancelMarks {
 		t.Errorf("%d marks for %d jobs, %d queued", marked, n, len(after.graph.queue))
 	}
 }
 
 // Jobs of others are left to them.
-func TestMarkDoomedOurs(t *testing.T) {
+func TestMarkUpstreamCancelledOurs(t *testing.T) {
 	r := newRig()
 	r.job(1, nil)
 	r.job(2, func(j *Job) { j.Owner = "n1" }, 1)
 	r.job(3, nil, 1)
 	r.final(1, Cancelled)
 	q := &queue{}
-	r.MarkDoomed(time.Second, q, func(j *Job) bool { return j.Owner == "n0" })
+	r.MarkUpstreamCancelled(time.Second, q, func(j *Job) bool { return j.Owner == "n0" })
 	if len(q.list) != 1 || q.list[0].Writes[0].Key != FinalKeyOf(id(3)) {
 		t.Errorf("%d marks", len(q.list))
 	}
@@ -274,9 +274,9 @@
 	slices.Sort(names)
 	for _, id := range names {
 		j := r.byID[id]
-		fmt.Fprint(&b, id, " ", j.Stamp, j.Phase(), j.doomed, r.graph.free[j])
+		fmt.Fprint(&b, id, " ", j.Version, j.Phase(), j.upstreamCancelled, r.graph.releasable[j])
 		if j.Phase() == Queued {
-			fmt.Fprint(&b, " ", j.EffRank, j.EffDue)
+			fmt.Fprint(&b, " ", j.EffectivePriority, j.EffectiveDeadline)
 		}
 		fmt.Fprintln(&b)
 	}
@@ -298,16 +298,16 @@
 				}
 			}
 			r.job(i, func(j *Job) {
-				j.Rank = Rank(rng.IntN(4))
+				j.Priority = Priority(rng.IntN(4))
 				j.Submitted = 1000_000 + int64(i)
 				if rng.IntN(3) == 0 {
-					j.Due = float64(100 + rng.IntN(100))
+					j.Deadline = float64(100 + rng.IntN(100))
 				}
 				if len(up) > 2 {
-					r.write(PartKey, j.ID+"/0", EncodeParts(j.Up[:2], 4096)[0])
-					j.Attempt = r.epoch
-					r.write(PartKey, j.ID+"/1", EncodeParts(j.Up[2:], 4096)[0])
-					j.Up, j.Parts = nil, 2
+					r.write(PartKey, j.ID+"/0", EncodeParts(j.Upstream[:2], 4096)[0])
+					j.SubmissionVersion = r.revision
+					r.write(PartKey, j.ID+"/1", EncodeParts(j.Upstream[2:], 4096)[0])
+					j.Upstream, j.UpstreamParts = nil, 2
 				}
 			}, up...)
 			if v := rng.IntN(12); v < 3 && i > 5 {
@@ -316,7 +316,7 @@
 				j := r.Job(id(over))
 				if _, ok := r.Finals[id(over)]; !ok && j != nil && v == 0 {
 					r.final(over, Cancelled)
-				} else if !ok && j != nil && (j.Ready || r.graph.free[j]) && j.Phase() == Queued {
+				} else if !ok && j != nil && (j.Ready || r.graph.releasable[j]) && j.Phase() == Queued {
 					r.final(over, Done)
 				}
 			}
@@ -327,7 +327,7 @@
 			rng.Shuffle(len(r.log), func(a, b int) { r.log[a], r.log[b] = r.log[b], r.log[a] })
 			o := newRig()
 			for _, l := range r.log {
-				o.Listen(l.kind, l.rest, l.data, l.stamp)
+				o.Listen(l.kind, l.rest, l.data, l.version)
 				if rng.IntN(4) == 0 {
 					o.inherit()
 				}
@@ -350,27 +350,27 @@
 func checkDerived(t *testing.T, r *rig) {
 	t.Helper()
 	r.inherit()
-	var derive func(j *Job) (Rank, int64)
-	derive = func(j *Job) (Rank, int64) {
-		rank, due := j.Rank, j.dueAt
+	var derive func(j *Job) (Priority, int64)
+	derive = func(j *Job) (Priority, int64) {
+		priority, deadline := j.Priority, j.deadlineAt
 		for _, d := range r.byID {
-			if d.Ready || d.Final != Queued || d.doomed || !slices.Contains(d.waits, j.ID) {
+			if d.Ready || d.Final != Queued || d.upstreamCancelled || !slices.Contains(d.linkedUpstream, j.ID) {
 				continue
 			}
 			dr, dd := derive(d)
-			rank = max(rank, dr)
-			if dd != NoDue {
-				due = min(due, dd-int64(d.Expect*1e9))
+			priority = max(priority, dr)
+			if dd != NoDeadline {
+				deadline = min(deadline, dd-int64(d.EstimatedRuntime*1e9))
 			}
 		}
-		return rank, due
+		return priority, deadline
 	}
 	for _, j := range r.byID {
-		if j.Final != Queued || j.doomed {
+		if j.Final != Queued || j.upstreamCancelled {
 			continue
 		}
-		if rank, due := derive(j); rank != j.EffRank || due != j.EffDue {
-			t.Errorf("%s has %v and %v, want %v and %v", j.ID, j.EffRank, j.EffDue, rank, due)
+		if priority, deadline := derive(j); priority != j.EffectivePriority || deadline != j.EffectiveDeadline {
+			t.Errorf("%s has %v and %v, want %v and %v", j.ID, j.EffectivePriority, j.EffectiveDeadline, priority, deadline)
 		}
 	}
 }
@@ -379,26 +379,26 @@
 // when it is cancelled they fall back.
 func TestInherit(t *testing.T) {
 	r := newRig()
-	a := r.job(1, func(j *Job) { j.Rank = Idle })
-	b := r.job(2, func(j *Job) { j.Rank = Idle }, 1)
+	a := r.job(1, func(j *Job) { j.Priority = Idle })
+	b := r.job(2, func(j *Job) { j.Priority = Idle }, 1)
 	c := r.job(3, nil, 1)
-	if r.inherit(); a.EffRank != Normal || a.EffDue != NoDue || b.EffRank != Idle {
-		t.Errorf("%v %v %v", a.EffRank, a.EffDue, b.EffRank)
+	if r.inherit(); a.EffectivePriority != Normal || a.EffectiveDeadline != NoDeadline || b.EffectivePriority != Idle {
+		t.Errorf("%v %v %v", a.EffectivePriority, a.EffectiveDeadline, b.EffectivePriority)
 	}
-	last := r.job(4, func(j *Job) { j.Rank, j.Due, j.Submitted = High, 100, 1000_000 }, 2, 3)
+	last := r.job(4, func(j *Job) { j.Priority, j.Deadline, j.Submitted = High, 100, 1000_000 }, 2, 3)
 	r.inherit()
 	// Submitted a second after steady time 0, due 100 s later.
-	due := int64(101 * time.Second)
+	deadline := int64(101 * time.Second)
 	step := int64(10 * time.Second)
-	if a.EffRank != High || b.EffRank != High || c.EffRank != High || last.EffDue != due || b.EffDue != due-step || a.EffDue != due-2*step {
-		t.Errorf("%v %v %v; %d %d %d", a.EffRank, b.EffRank, c.EffRank, last.EffDue, b.EffDue, a.EffDue)
+	if a.EffectivePriority != High || b.EffectivePriority != High || c.EffectivePriority != High || last.EffectiveDeadline != deadline || b.EffectiveDeadline != deadline-step || a.EffectiveDeadline != deadline-2*step {
+		t.Errorf("%v %v %v; %d %d %d", a.EffectivePriority, b.EffectivePriority, c.EffectivePriority, last.EffectiveDeadline, b.EffectiveDeadline, a.EffectiveDeadline)
 	}
-	if a.Rank != Idle || a.Due != 0 || !a.Chained {
-		t.Errorf("what the user gave has changed: %v, %v", a.Rank, a.Due)
+	if a.Priority != Idle || a.Deadline != 0 || !a.Chained {
+		t.Errorf("what the user gave has changed: %v, %v", a.Priority, a.Deadline)
 	}
 	r.final(4, Cancelled)
-	if r.inherit(); a.EffRank != Normal || b.EffRank != Idle || a.EffDue != NoDue || c.EffDue != NoDue {
-		t.Errorf("after the cancellation %v %v %v %v", a.EffRank, b.EffRank, a.EffDue, c.EffDue)
+	if r.inherit(); a.EffectivePriority != Normal || b.EffectivePriority != Idle || a.EffectiveDeadline != NoDeadline || c.EffectiveDeadline != NoDeadline {
+		t.Errorf("after the cancellation %v %v %v %v", a.EffectivePriority, b.EffectivePriority, a.EffectiveDeadline, c.EffectiveDeadline)
 	}
 	checkDerived(t, r)
 }
@@ -413,14 +413,14 @@
 		r.job(i, nil, i-1, max(1, i-2))
 	}
 	r.inherit()
-	r.job(n+1, func(j *Job) { j.Rank, j.Due, j.Submitted = Production, 1e6, 1000_000 }, n)
+	r.job(n+1, func(j *Job) { j.Priority, j.Deadline, j.Submitted = Production, 1e6, 1000_000 }, n)
 	r.inherit()
-	if root := r.Job(id(1)); root.EffRank != Production || root.EffDue != int64((1e6+1-10*n)*1e9) {
-		t.Errorf("the root has %v and %v", root.EffRank, root.EffDue)
+	if root := r.Job(id(1)); root.EffectivePriority != Production || root.EffectiveDeadline != int64((1e6+1-10*n)*1e9) {
+		t.Errorf("the root has %v and %v", root.EffectivePriority, root.EffectiveDeadline)
 	}
 	r.final(1, Cancelled)
-	if len(r.graph.doomed) != n || len(r.graph.needs) != 0 || r.Job(id(n+1)).Phase() != Cancelled {
-		t.Errorf("%d doomed, %d lists", len(r.graph.doomed), len(r.graph.needs))
+	if len(r.graph.upstreamCancelled) != n || len(r.graph.dependents) != 0 || r.Job(id(n+1)).Phase() != Cancelled {
+		t.Errorf("%d doomed, %d lists", len(r.graph.upstreamCancelled), len(r.graph.dependents))
 	}
 }
 
@@ -430,18 +430,18 @@
 	r := newRig()
 	r.Now = int64(50 * time.Second)
 	r.SetClock(50*time.Second, time.Unix(5000, 0)) // steady time 0 is 4950 s
-	j := r.job(1, func(j *Job) { j.Submitted, j.ReadyAt, j.Due = 4900_000, 4960_000, 100 })
-	if j.FirstSeen != int64(10*time.Second) || j.EffDue != int64(50*time.Second) {
-		t.Errorf("ready since %v, due at %v", time.Duration(j.FirstSeen), time.Duration(j.EffDue))
+	j := r.job(1, func(j *Job) { j.Submitted, j.ReadyAt, j.Deadline = 4900_000, 4960_000, 100 })
+	if j.ReadySince != int64(10*time.Second) || j.EffectiveDeadline != int64(50*time.Second) {
+		t.Errorf("ready since %v, due at %v", time.Duration(j.ReadySince), time.Duration(j.EffectiveDeadline))
 	}
-	j = r.job(2, func(j *Job) { j.Submitted, j.Due = 4900_000, 100 })
-	if j.FirstSeen != int64(-50*time.Second) || j.ReadyAt != 4900_000 {
-		t.Errorf("ready since %v, at %d", time.Duration(j.FirstSeen), j.ReadyAt)
+	j = r.job(2, func(j *Job) { j.Submitted, j.Deadline = 4900_000, 100 })
+	if j.ReadySince != int64(-50*time.Second) || j.ReadyAt != 4900_000 {
+		t.Errorf("ready since %v, at %d", time.Duration(j.ReadySince), j.ReadyAt)
 	}
 	// A clock that is ahead puts nothing into the future, an old record tells nothing.
 	for _, at := range []int64{9000_000, 0} {
-		if j = r.job(3+int(at), func(j *Job) { j.Submitted, j.Due = at, 100 }); j.FirstSeen != r.Now || j.EffDue != r.Now+int64(100*time.Second) {
-			t.Errorf("at %d: ready since %v, due at %v", at, time.Duration(j.FirstSeen), time.Duration(j.EffDue))
+		if j = r.job(3+int(at), func(j *Job) { j.Submitted, j.Deadline = at, 100 }); j.ReadySince != r.Now || j.EffectiveDeadline != r.Now+int64(100*time.Second) {
+			t.Errorf("at %d: ready since %v, due at %v", at, time.Duration(j.ReadySince), time.Duration(j.EffectiveDeadline))
 		}
 	}
 }
@@ -478,10 +478,10 @@
 	p := func(n int) []byte { return EncodeParts([]string{id(n)}, 4096)[0] }
 	r.write(PartKey, id(5)+"/0", p(1)) // abandoned
 	r.write(PartKey, id(5)+"/1", p(1))
-	old := r.epoch
-	r.epoch += 10
-	j := r.job(5, func(j *Job) { j.Up, j.Parts, j.Attempt = nil, 2, old+3 }, 9)
-	if j.linked || j.doomed || len(r.Held()) != 0 {
+	old := r.revision
+	r.revision += 10
+	j := r.job(5, func(j *Job) { j.Upstream, j.UpstreamParts, j.SubmissionVersion = nil, 2, old+3 }, 9)
+	if j.linked || j.upstreamCancelled || len(r.Releasable()) != 0 {
 		t.Fatal("judged by an abandoned list")
 	}
 	r.Listen(PartKey, id(5)+"/0", p(2), old+3)
@@ -489,49 +489,49 @@
 		t.Fatal("judged by half a list")
 	}
 	r.Listen(PartKey, id(5)+"/1", p(2), old+4)
-	expect(t, "held", idsOf(r.Held()), "5")
+	expect(t, "held", idsOf(r.Releasable()), "5")
 	// The list may go once it is ready; what was linked stays linked till then.
-	r.Listen(PartKey, id(5)+"/0", nil, r.epoch+1)
-	expect(t, "held", idsOf(r.Held()), "5")
+	r.Listen(PartKey, id(5)+"/0", nil, r.revision+1)
+	expect(t, "held", idsOf(r.Releasable()), "5")
 }
 
-func TestCutParts(t *testing.T) {
+func TestDeleteStaleParts(t *testing.T) {
 	r := newRig()
 	part := EncodeParts([]string{id(1)}, 4096)[0]
 	r.job(1, nil)
 	for _, k := range []string{"/0", "/1", "/2"} {
 		r.write(PartKey, id(2)+k, part) // left behind
 	}
-	first := r.graph.parts[id(2)].held[0].stamp
+	first := r.graph.parts[id(2)].held[0].version
 	r.write(PartKey, id(3)+"/0", part)
-	held := r.job(3, func(j *Job) { j.Up, j.Parts, j.Attempt = nil, 1, r.epoch }, 1)
+	held := r.job(3, func(j *Job) { j.Upstream, j.UpstreamParts, j.SubmissionVersion = nil, 1, r.revision }, 1)
 	q := &queue{}
-	r.CutParts(time.Minute, term, q)
+	r.DeleteStaleParts(time.Minute, term, q)
 	if len(q.list) != 0 {
 		t.Fatalf("%d drops of what is young or needed", len(q.list))
 	}
-	r.CutParts(2*time.Minute, term, q)
-	r.CutParts(2*time.Minute, term, q)
+	r.DeleteStaleParts(2*time.Minute, term, q)
+	r.DeleteStaleParts(2*time.Minute, term, q)
 	if len(q.list) != 1 || q.list[0].Writes[0].Key != PartKeyOf(id(2), 0) ||
-		!slices.Contains(q.list[0].Conds, store.Cond{Key: PartKeyOf(id(2), 0), Stamp: first}) || !slices.Contains(q.list[0].Conds, store.Cond{Key: JobKeyOf(id(2))}) {
+		!slices.Contains(q.list[0].Conditions, store.Condition{Key: PartKeyOf(id(2), 0), Version: first}) || !slices.Contains(q.list[0].Conditions, store.Condition{Key: JobKeyOf(id(2))}) {
 		t.Fatalf("%d drops", len(q.list))
 	}
-	carryOut(r.Table, q.next(t), r.epoch+1)
-	r.CutParts(2*time.Minute, term, q)
-	if len(q.list) != 2 || !slices.Contains(q.list[0].Conds, store.Cond{Key: PartKeyOf(id(2), 0)}) {
+	carryOut(r.Table, q.next(t), r.revision+1)
+	r.DeleteStaleParts(2*time.Minute, term, q)
+	if len(q.list) != 2 || !slices.Contains(q.list[0].Conditions, store.Condition{Key: PartKeyOf(id(2), 0)}) {
 		t.Fatalf("%d drops", len(q.list))
 	}
-	carryOut(r.Table, q.next(t), r.epoch+2)
-	carryOut(r.Table, q.next(t), r.epoch+3)
+	carryOut(r.Table, q.next(t), r.revision+2)
+	carryOut(r.Table, q.next(t), r.revision+3)
 	if r.graph.parts[id(2)] != nil || !held.linked {
 		t.Error("not all dropped, or too much")
 	}
 	ready := *held
-	ready.Ready, ready.Parts, ready.Attempt = true, 0, 0
-	r.epoch += 5
+	ready.Ready, ready.UpstreamParts, ready.SubmissionVersion = true, 0, 0
+	r.revision += 5
 	r.write(JobKey, held.ID, Encode(r.Names, &ready))
-	r.CutParts(2*time.Minute, term, q)
-	carryOut(r.Table, q.next(t), r.epoch+1)
+	r.DeleteStaleParts(2*time.Minute, term, q)
+	carryOut(r.Table, q.next(t), r.revision+1)
 	if len(r.graph.parts) != 0 {
 		t.Error("the list of a ready job is kept")
 	}
@@ -543,26 +543,26 @@
 	r := newRig()
 	r.job(1, nil)
 	for i := range 200 {
-		r.job(10+i, func(j *Job) { j.Rank = Idle }, 1)
+		r.job(10+i, func(j *Job) { j.Priority = Idle }, 1)
 	}
-	r.job(300, func(j *Job) { j.Rank = High }, 209)
+	r.job(300, func(j *Job) { j.Priority = High }, 209)
 	r.final(1, Done)
 	q := &queue{}
 	r.MarkReady(time.Second, q, func(*Job) bool { return true })
 	r.MarkReady(time.Second, q, func(*Job) bool { return true })
-	if len(q.list) != mostReadying || q.list[0].Writes[0].Key != JobKeyOf(id(209)) || q.list[1].Writes[0].Key != JobKeyOf(id(10)) {
+	if len(q.list) != maxReadyMarks || q.list[0].Writes[0].Key != JobKeyOf(id(209)) || q.list[1].Writes[0].Key != JobKeyOf(id(10)) {
 		t.Errorf("%d marks, first %s", len(q.list), q.list[0].Writes[0].Key)
 	}
 	marked := 0
 	for now := 2 * time.Second; len(q.list) > 0; now += time.Second {
 		for len(q.list) > 0 {
-			r.epoch++
-			carryOut(r.Table, q.next(t), r.epoch)
+			r.revision++
+			carryOut(r.Table, q.next(t), r.revision)
 			marked++
 		}
 		r.MarkReady(now, q, func(*Job) bool { return true })
 	}
-	if marked != 200 || len(r.graph.free) != 0 {
-		t.Errorf("%d marked, %d left", marked, len(r.graph.free))
+	if marked != 200 || len(r.graph.releasable) != 0 {
+		t.Errorf("%d marked, %d left", marked, len(r.graph.releasable))
 	}
 }
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -17,11 +17,11 @@
 )
 
 // Rank orders jobs; a higher rank is more important.
-type Rank uint8
+type Priority uint8
 
 // The ranks.
 const (
-	Idle Rank = iota
+	Idle Priority = iota
 	Normal
 	High
 	Production
@@ -40,31 +40,31 @@
 
 // Spec is what a job asks for, with names as dense indices.
 type Spec struct {
-	Class, Team       int
-	Shape             Shape
-	Rank              Rank
-	N                 int // tasks
-	Cores, Cards, RAM float64
-	Bundle            int
-	ImageGB           float64
-	Flavors           []int // nil: any
-	Zone              int   // -1: any
-	SamePlace         bool
-	Scatter           bool
-	Loaners           bool
-	Expect            float64
-	SnapEvery         float64
-	SnapCost          float64
-	Due               float64 // 0: none
+	Class, Team        int
+	Shape              Shape
+	Priority           Priority
+	TaskCount          int // tasks
+	CPUs, GPUs, Memory float64
+	Image              int
+	ImageGB            float64
+	MachineTypes       []int // nil: any
+	Zone               int   // -1: any
+	SamePlace          bool
+	Scatter            bool
+	AllowSpot          bool
+	EstimatedRuntime   float64
+	CheckpointInterval float64
+	CheckpointDuration float64
+	Deadline           float64 // 0: none
 }
 
 // Allows tells whether the job may use a machine type.
-func (s *Spec) Allows(flavor int) bool {
-	if s.Flavors == nil {
+func (s *Spec) Allows(machineType int) bool {
+	if s.MachineTypes == nil {
 		return true
 	}
-	for _, f := range s.Flavors {
-		if f == flavor {
+	for _, f := range s.MachineTypes {
+		if f == machineType {
 			return true
 		}
 	}
@@ -72,11 +72,11 @@
 }
 
 // Whole tells whether all tasks count together against the team's limit.
-func (s *Spec) Whole() bool { return s.Shape != Array }
+func (s *Spec) CountsAsWhole() bool { return s.Shape != Array }
 
 // Names are the tables that map names to the indices used everywhere else.
 type Names struct {
-	Classes, Teams, Bundles, Flavors, Zones, Hosts intern.Table
+	Classes, Teams, Images, MachineTypes, Zones, Machines intern.Table
 }
 
 // Entry says that an attempt of a task may be on a machine. It exists from
@@ -84,31 +84,31 @@
 type Entry struct {
 	Job     *Job
 	Task    int
-	Host    int
-	Try     uint64
+	Machine int
+	Attempt uint64
 	Durable bool // as read back from the state service
 	sent    bool // part of some write whose outcome may still turn out well
 	dropped bool // a write without it is under way
 
 	// What the leader has learnt; lost with the term.
-	Wish    Wish
-	Seen    TaskPhase
-	Evict   bool    // to be stopped, to run elsewhere
-	Wind    float64 // grace of that stop
-	Ordered uint64  // tick of the report whose answer last carried the start
-	Missed  int     // reports in a row that do not show it
-	Started int64   // steady time in ns when first seen on its machine, 0 before
-	Placed  int64   // steady time in ns of the decision
+	Pending         PendingWrite
+	Phase           TaskPhase
+	Evict           bool    // to be stopped, to run elsewhere
+	GracePeriod     float64 // grace of that stop
+	OrderedSequence uint64  // tick of the report whose answer last carried the start
+	MissedReports   int     // reports in a row that do not show it
+	StartedAt       int64   // steady time in ns when first seen on its machine, 0 before
+	PlacedAt        int64   // steady time in ns of the decision
 }
 
 // Wish is the change the leader wants for an entry.
-type Wish uint8
+type PendingWrite uint8
 
 // The wishes.
 const (
-	Keep Wish = iota
-	Clear
-	MarkDone
+	NoPendingWrite PendingWrite = iota
+	PendingClear
+	PendingDone
 )
 
 // TaskPhase is a task's state as its worker last reported it.
@@ -129,13 +129,13 @@
 	ID    string
 	Index int
 	Spec
-	Owner string
-	Up    []string // upstream jobs that the record lists itself
-	Parts int      // so many keys hold the list instead, 0: none
+	Owner         string
+	Upstream      []string // upstream jobs that the record lists itself
+	UpstreamParts int      // so many keys hold the list instead, 0: none
 	// Attempt is the stamp of the list's part 0: what another attempt to submit
 	// the job has left behind is no part of it.
-	Attempt uint64
-	Ready   bool
+	SubmissionVersion uint64
+	Ready             bool
 	// Submitted and ReadyAt are when it was submitted and when the last job
 	// that it needs was done, in unix ms; 0: not known.
 	Submitted, ReadyAt int64
@@ -144,27 +144,27 @@
 	Order uint64
 	// FirstSeen is the steady time at which it became ready, or at which this
 	// node saw it ready if its record does not tell.
-	FirstSeen int64
+	ReadySince int64
 	// EffRank and EffDue are its effective priority and deadline (steady time in
 	// ns): its own, or those of the unfinished jobs that need it if they ask for
 	// more. They are derived as the graph changes and never stored.
-	EffRank Rank
-	EffDue  int64
-	Chained bool // it has upstream jobs, or had one that needs it
-
-	dueAt    int64    // its own deadline, steady time in ns
-	waits    []string // the upstream ids under which it is listed, while linked
-	linked   bool
-	missing  int  // of these, those without a done mark
-	doomed   bool // a job that it needs is cancelled
-	full     bool // its effective values are to be derived anew
-	toldRank Rank // what its upstream jobs inherited of it
-	toldDue  int64
-	retryAt  int64  // no mark is written before this steady time
-	refused  int    // writes in a row that the state service called malformed
-	Stamp    uint64 // of the job record, 0: none held
-	Final    Phase  // Done or Cancelled once marked, else Queued
-	Chunk    []Chunk
+	EffectivePriority Priority
+	EffectiveDeadline int64
+	Chained           bool // it has upstream jobs, or had one that needs it
+
+	deadlineAt         int64    // its own deadline, steady time in ns
+	linkedUpstream     []string // the upstream ids under which it is listed, while linked
+	linked             bool
+	unfinishedUpstream int      // of these, those without a done mark
+	upstreamCancelled  bool     // a job that it needs is cancelled
+	inheritStale       bool     // its effective values are to be derived anew
+	propagatedPriority Priority // what its upstream jobs inherited of it
+	propagatedDeadline int64
+	retryAt            int64  // no mark is written before this steady time
+	rejectedWrites     int    // writes in a row that the state service called malformed
+	Version            uint64 // of the job record, 0: none held
+	Final              Phase  // Done or Cancelled once marked, else Queued
+	Chunk              []Chunk
 
 	done     int // tasks marked done in run records
 	active   int // entries
@@ -174,36 +174,36 @@
 	finishing bool
 	marking   bool
 	// Leader's notes, lost with the term.
-	Parked    int64 // not to be placed before this steady time
-	Errors    int
-	BadHosts  map[int]bool // machines on which a task of the job failed
-	Breaking  bool         // gang: the attempt is being ended
-	Within    bool         // its team's guarantee
-	Gather    int          // 1 + the zone where room is gathered for it, 0: none
-	doneUnlog map[int]bool // done tasks whose entry is not ours to mark
-	cleaning  bool
+	BackoffUntil    int64 // not to be placed before this steady time
+	Errors          int
+	FailedMachines  map[int]bool // machines on which a task of the job failed
+	Stopping        bool         // gang: the attempt is being ended
+	WithinGuarantee bool         // its team's guarantee
+	ReservedZone    int          // 1 + the zone where room is gathered for it, 0: none
+	doneUnlogged    map[int]bool // done tasks whose entry is not ours to mark
+	cleaning        bool
 }
 
 // Chunk is the part of a job's run record that one key holds.
 type Chunk struct {
-	Stamp   uint64
-	Try     uint64 // highest attempt used
-	Done    []uint64
-	Entries map[int]*Entry
-	queued  [2]bool // a write waits for its turn: of progress, of placements
-	dirty   bool
-	placing bool // a placement is not part of any write yet, or its write failed
-	version int  // counts the wishes, to tell what a write has carried
-	small   bool // stored in the compact form
-	left    int  // placements that the last write had no room for
-	refused int  // writes in a row that the state service called malformed
-	retryAt int64
+	Version            uint64
+	Attempt            uint64 // highest attempt used
+	Done               []uint64
+	Entries            map[int]*Entry
+	queued             [2]bool // a write waits for its turn: of progress, of placements
+	dirty              bool
+	placing            bool // a placement is not part of any write yet, or its write failed
+	changeCount        int  // counts the wishes, to tell what a write has carried
+	compacted          bool // stored in the compact form
+	deferredPlacements int  // placements that the last write had no room for
+	rejectedWrites     int  // writes in a row that the state service called malformed
+	retryAt            int64
 }
 
 // DoneCount counts tasks that are marked done.
 func (j *Job) DoneCount() int {
 	if j.Final == Done {
-		return j.N
+		return j.TaskCount
 	}
 	return j.done
 }
@@ -243,21 +243,21 @@
 
 // Open tells whether a task waits to be placed.
 func (j *Job) Open(task int) bool {
-	return !j.IsDone(task) && j.Entry(task) == nil && !j.doneUnlog[task]
+	return !j.IsDone(task) && j.Entry(task) == nil && !j.doneUnlogged[task]
 }
 
 // OpenCount counts the tasks that wait to be placed.
-func (j *Job) OpenCount() int { return max(0, j.N-j.done-j.active-len(j.doneUnlog)) }
+func (j *Job) OpenCount() int { return max(0, j.TaskCount-j.done-j.active-len(j.doneUnlogged)) }
 
 // Waits tells whether an unfinished ready job has tasks to place.
-func (j *Job) Waits(now int64) bool { return j.OpenCount() > 0 && !j.Breaking && j.Parked <= now }
+func (j *Job) Waits(now int64) bool { return j.OpenCount() > 0 && !j.Stopping && j.BackoffUntil <= now }
 
 // Phase is what users are told.
 func (j *Job) Phase() Phase {
 	if j.Final != Queued {
 		return j.Final
 	}
-	if j.doomed {
+	if j.upstreamCancelled {
 		return Cancelled
 	}
 	if j.active > 0 {
@@ -268,13 +268,13 @@
 
 // Doomed tells whether a job that it needs is cancelled: it is cancelled with
 // that, whether its own mark is stored yet or not.
-func (j *Job) Doomed() bool { return j.doomed }
+func (j *Job) UpstreamCancelled() bool { return j.upstreamCancelled }
 
 // MaxTry is the highest attempt used by any task of the job.
-func (j *Job) MaxTry() uint64 {
+func (j *Job) MaxAttempt() uint64 {
 	var t uint64
 	for i := range j.Chunk {
-		t = max(t, j.Chunk[i].Try)
+		t = max(t, j.Chunk[i].Attempt)
 	}
 	return t
 }
--- a/internal/pipeline/production_test.go
+++ b/internal/pipeline/production_test.go
@@ -23,13 +23,13 @@
 	}
 	for _, s := range strings.Split(strings.TrimRight(string(raw), "\n"), "\n") {
 		f := strings.Split(s, "\t")
-		stamp, err := strconv.ParseUint(f[0], 10, 64)
+		version, err := strconv.ParseUint(f[0], 10, 64)
 		if err != nil || len(f) != 3 {
 			t.Fatalf("%q", s)
 		}
 		var l line
 		l.kind, l.rest = store.SplitKey(f[1])
-		if l.stamp = stamp; f[2] != "" {
+		if l.version = version; f[2] != "" {
 			l.data = []byte(f[2])
 		}
 		list = append(list, l)
@@ -44,7 +44,7 @@
 	seen := map[string]int{}
 	most := 0
 	for _, l := range stored(t, "production_store.txt") {
-		tb.Listen(l.kind, l.rest, l.data, l.stamp)
+		tb.Listen(l.kind, l.rest, l.data, l.version)
 		if l.data == nil {
 			continue
 		}
@@ -52,7 +52,7 @@
 		switch l.kind {
 		case JobKey:
 			j := tb.Job(l.rest)
-			if j == nil || !j.Ready || j.Stamp != l.stamp || j.Order != l.stamp || j.EffRank != j.Rank {
+			if j == nil || !j.Ready || j.Version != l.version || j.Order != l.version || j.EffectivePriority != j.Priority {
 				t.Fatalf("%s is read as %+v", l.rest, j)
 			}
 			if got := Encode(tb.Names, j); !bytes.Equal(got, l.data) {
@@ -70,7 +70,7 @@
 				active = append(active, e)
 			}
 			most = max(most, len(active))
-			if got := encodeRun(tb.Names, j.Chunk[c].Try, j.Chunk[c].Done, active, false); !bytes.Equal(got, l.data) {
+			if got := encodeRun(tb.Names, j.Chunk[c].Attempt, j.Chunk[c].Done, active, false); !bytes.Equal(got, l.data) {
 				t.Errorf("%s becomes %s", l.data, got)
 			}
 		case FinalKey:
@@ -79,7 +79,7 @@
 				t.Fatal(string(l.data))
 			}
 			f := tb.Finals[l.rest]
-			if got := EncodeFinal(f.Phase, &Job{Spec: Spec{N: f.N}}); !bytes.Equal(got, l.data) {
+			if got := EncodeFinal(f.Phase, &Job{Spec: Spec{TaskCount: f.N}}); !bytes.Equal(got, l.data) {
 				t.Errorf("%s becomes %s", l.data, got)
 			}
 		}
@@ -100,21 +100,21 @@
 // The records as the version in production knows them.
 type (
 	oldJob struct {
-		Class   string    `json:"c"`
-		Team    string    `json:"t"`
-		Shape   Shape     `json:"s"`
-		Rank    Rank      `json:"k"`
-		N       int       `json:"n"`
-		Need    []float64 `json:"u"`
-		Bundle  string    `json:"b"`
-		ImageGB float64   `json:"g"`
-		Flavors []string  `json:"f,omitempty"`
-		Zone    string    `json:"z,omitempty"`
-		Flags   int       `json:"x,omitempty"`
-		Times   []float64 `json:"e"`
-		Owner   string    `json:"o"`
-		Up      []string  `json:"up,omitempty"`
-		Ready   bool      `json:"r,omitempty"`
+		Class        string    `json:"c"`
+		Team         string    `json:"t"`
+		Shape        Shape     `json:"s"`
+		Priority     Priority  `json:"k"`
+		N            int       `json:"n"`
+		Need         []float64 `json:"u"`
+		Image        string    `json:"b"`
+		ImageGB      float64   `json:"g"`
+		MachineTypes []string  `json:"f,omitempty"`
+		Zone         string    `json:"z,omitempty"`
+		Flags        int       `json:"x,omitempty"`
+		Times        []float64 `json:"e"`
+		Owner        string    `json:"o"`
+		Up           []string  `json:"up,omitempty"`
+		Ready        bool      `json:"r,omitempty"`
 	}
 	oldFinal struct {
 		Phase string `json:"p"`
@@ -123,11 +123,11 @@
 )
 
 // oldRun reads a run record as that version does.
-func oldRun(data []byte, words int) (try uint64, done []uint64, active []runEntry, ok bool) {
+func oldRun(data []byte, words int) (attempt uint64, done []uint64, active []runEntry, ok bool) {
 	var r struct {
-		Try    uint64               `json:"t"`
-		Done   string               `json:"d"`
-		Active [][3]json.RawMessage `json:"a"`
+		Attempt uint64               `json:"t"`
+		Done    string               `json:"d"`
+		Active  [][3]json.RawMessage `json:"a"`
 	}
 	if json.Unmarshal(data, &r) != nil {
 		return
@@ -142,40 +142,40 @@
 	}
 	for _, a := range r.Active {
 		var e runEntry
-		if json.Unmarshal(a[0], &e.task) != nil || json.Unmarshal(a[1], &e.try) != nil || json.Unmarshal(a[2], &e.host) != nil {
+		if json.Unmarshal(a[0], &e.task) != nil || json.Unmarshal(a[1], &e.attempt) != nil || json.Unmarshal(a[2], &e.machine) != nil {
 			return
 		}
 		active = append(active, e)
 	}
-	return r.Try, done, active, true
+	return r.Attempt, done, active, true
 }
 
 // What this version stores of a job is read by the version in production as
 // all that it knows, whatever else there is.
 func TestOldReadsNewJobs(t *testing.T) {
 	n := &Names{}
-	j := &Job{ID: "req-1", Owner: "n2", Up: []string{"req-2", "req-3"}, Ready: true, Submitted: 1_700_000_000_123, ReadyAt: 1_700_000_060_456, Spec: Spec{
-		Class: n.Classes.Index("c"), Team: n.Teams.Index("t"), Bundle: n.Bundles.Index("b"), Shape: Gang, Rank: High, N: 7, Cores: 1.5, Cards: 2, RAM: 3,
-		ImageGB: 4.5, Flavors: []int{n.Flavors.Index("x"), n.Flavors.Index("y")}, Zone: n.Zones.Index("z"), SamePlace: true, Loaners: true,
-		Expect: 10, SnapEvery: 20, SnapCost: 30, Due: 40}}
+	j := &Job{ID: "req-1", Owner: "n2", Upstream: []string{"req-2", "req-3"}, Ready: true, Submitted: 1_700_000_000_123, ReadyAt: 1_700_000_060_456, Spec: Spec{
+		Class: n.Classes.Index("c"), Team: n.Teams.Index("t"), Image: n.Images.Index("b"), Shape: Gang, Priority: High, TaskCount: 7, CPUs: 1.5, GPUs: 2, Memory: 3,
+		ImageGB: 4.5, MachineTypes: []int{n.MachineTypes.Index("x"), n.MachineTypes.Index("y")}, Zone: n.Zones.Index("z"), SamePlace: true, AllowSpot: true,
+		EstimatedRuntime: 10, CheckpointInterval: 20, CheckpointDuration: 30, Deadline: 40}}
 	want := oldJob{"c", "t", Gang, High, 7, []float64{1.5, 2, 3}, "b", 4.5, []string{"x", "y"}, "z", 5, []float64{10, 20, 30, 40}, "n2", []string{"req-2", "req-3"}, true}
-	for _, change := range []func(){func() {}, func() { j.Up, j.Parts, j.Attempt, j.Ready, j.ReadyAt = nil, 9, 1<<63, false, 0 }} {
+	for _, change := range []func(){func() {}, func() { j.Upstream, j.UpstreamParts, j.SubmissionVersion, j.Ready, j.ReadyAt = nil, 9, 1<<63, false, 0 }} {
 		change()
-		want.Up, want.Ready = j.Up, j.Ready
+		want.Up, want.Ready = j.Upstream, j.Ready
 		var got oldJob
 		data := Encode(n, j)
 		if err := json.Unmarshal(data, &got); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: %+v, %v", data, got, err)
 		}
 		back := &Job{ID: "req-1"}
-		if !decode(n, data, back) || back.Submitted != j.Submitted || back.ReadyAt != j.ReadyAt || back.Parts != j.Parts || back.Attempt != j.Attempt || !reflect.DeepEqual(back.Spec, j.Spec) {
+		if !decode(n, data, back) || back.Submitted != j.Submitted || back.ReadyAt != j.ReadyAt || back.UpstreamParts != j.UpstreamParts || back.SubmissionVersion != j.SubmissionVersion || !reflect.DeepEqual(back.Spec, j.Spec) {
 			t.Errorf("%s: %+v", data, back)
 		}
 	}
 	for _, shape := range []Shape{Array, Daemon} {
 		for _, p := range []Phase{Done, Cancelled} {
 			var got oldFinal
-			data := EncodeFinal(p, &Job{Spec: Spec{N: 3, Shape: shape}})
+			data := EncodeFinal(p, &Job{Spec: Spec{TaskCount: 3, Shape: shape}})
 			if err := json.Unmarshal(data, &got); err != nil || got.N != 3 || got.Phase != map[Phase]string{Done: "done", Cancelled: "cancelled"}[p] {
 				t.Errorf("%s: %+v, %v", data, got, err)
 			}
@@ -189,12 +189,12 @@
 	n := &Names{}
 	var active []*Entry
 	for task := range 30 {
-		active = append(active, &Entry{Task: task, Host: n.Hosts.Index("i-00000" + strconv.Itoa(task/7)), Try: uint64(1 + task%2)})
+		active = append(active, &Entry{Task: task, Machine: n.Machines.Index("i-00000" + strconv.Itoa(task/7)), Attempt: uint64(1 + task%2)})
 	}
 	done := []uint64{5 << 40, 0}
-	try, bits, list, ok := oldRun(encodeRun(n, 9, done, active, false), 2)
-	if !ok || try != 9 || !reflect.DeepEqual(bits, done) || len(list) != len(active) {
-		t.Errorf("%v, %d, %v, %d entries", ok, try, bits, len(list))
+	attempt, bits, list, ok := oldRun(encodeRun(n, 9, done, active, false), 2)
+	if !ok || attempt != 9 || !reflect.DeepEqual(bits, done) || len(list) != len(active) {
+		t.Errorf("%v, %d, %v, %d entries", ok, attempt, bits, len(list))
 	}
 	data := encodeRun(n, 9, done, active, true)
 	if _, _, _, ok = oldRun(data, 2); ok {
--- a/internal/pipeline/record.go
+++ b/internal/pipeline/record.go
@@ -19,21 +19,21 @@
 
 // jobRecord is a job record's stored form.
 type jobRecord struct {
-	Class   string    `json:"c"`
-	Team    string    `json:"t"`
-	Shape   Shape     `json:"s"`
-	Rank    Rank      `json:"k"`
-	N       int       `json:"n"`
-	Need    []float64 `json:"u"` // cores, cards, ram
-	Bundle  string    `json:"b"`
-	ImageGB float64   `json:"g"`
-	Flavors []string  `json:"f,omitempty"`
-	Zone    string    `json:"z,omitempty"`
-	Flags   int       `json:"x,omitempty"`
-	Times   []float64 `json:"e"` // expected, save interval, save time, due
-	Owner   string    `json:"o"`
-	Up      []string  `json:"up,omitempty"`
-	Ready   bool      `json:"r,omitempty"`
+	Class        string    `json:"c"`
+	Team         string    `json:"t"`
+	Shape        Shape     `json:"s"`
+	Priority     Priority  `json:"k"`
+	N            int       `json:"n"`
+	Need         []float64 `json:"u"` // cores, cards, ram
+	Image        string    `json:"b"`
+	ImageGB      float64   `json:"g"`
+	MachineTypes []string  `json:"f,omitempty"`
+	Zone         string    `json:"z,omitempty"`
+	Flags        int       `json:"x,omitempty"`
+	Times        []float64 `json:"e"` // expected, save interval, save time, due
+	Owner        string    `json:"o"`
+	Up           []string  `json:"up,omitempty"`
+	Ready        bool      `json:"r,omitempty"`
 	// The production version before chained jobs ignores these.
 	Submitted int64  `json:"at,omitempty"` // unix ms
 	ReadyAt   int64  `json:"ra,omitempty"` // unix ms, if not at submission
@@ -44,24 +44,24 @@
 const (
 	flagSamePlace = 1 << iota
 	flagScatter
-	flagLoaners
+	flagAllowSpot
 )
 
 // Encode returns the stored form of a job.
 func Encode(n *Names, j *Job) []byte {
-	r := jobRecord{Class: n.Classes.Name(j.Class), Team: n.Teams.Name(j.Team), Shape: j.Shape, Rank: j.Rank, N: j.N,
-		Need: []float64{j.Cores, j.Cards, j.RAM}, Bundle: n.Bundles.Name(j.Bundle), ImageGB: j.ImageGB,
-		Times: []float64{j.Expect, j.SnapEvery, j.SnapCost, j.Due}, Owner: j.Owner, Up: j.Up, Ready: j.Ready, Submitted: j.Submitted, Parts: j.Parts, Attempt: j.Attempt}
+	r := jobRecord{Class: n.Classes.Name(j.Class), Team: n.Teams.Name(j.Team), Shape: j.Shape, Priority: j.Priority, N: j.TaskCount,
+		Need: []float64{j.CPUs, j.GPUs, j.Memory}, Image: n.Images.Name(j.Image), ImageGB: j.ImageGB,
+		Times: []float64{j.EstimatedRuntime, j.CheckpointInterval, j.CheckpointDuration, j.Deadline}, Owner: j.Owner, Up: j.Upstream, Ready: j.Ready, Submitted: j.Submitted, Parts: j.UpstreamParts, Attempt: j.SubmissionVersion}
 	if j.Ready && j.ReadyAt != j.Submitted {
 		r.ReadyAt = j.ReadyAt
 	}
-	for _, f := range j.Flavors {
-		r.Flavors = append(r.Flavors, n.Flavors.Name(f))
+	for _, f := range j.MachineTypes {
+		r.MachineTypes = append(r.MachineTypes, n.MachineTypes.Name(f))
 	}
 	if j.Zone >= 0 {
 		r.Zone = n.Zones.Name(j.Zone)
 	}
-	for i, on := range []bool{j.SamePlace, j.Scatter, j.Loaners} {
+	for i, on := range []bool{j.SamePlace, j.Scatter, j.AllowSpot} {
 		if on {
 			r.Flags |= 1 << i
 		}
@@ -78,17 +78,17 @@
 	if json.Unmarshal(data, &r) != nil || len(r.Need) != 3 || len(r.Times) != 4 || r.N < 1 {
 		return false
 	}
-	j.Spec = Spec{Class: n.Classes.Index(r.Class), Team: n.Teams.Index(r.Team), Shape: r.Shape, Rank: r.Rank, N: r.N,
-		Cores: r.Need[0], Cards: r.Need[1], RAM: r.Need[2], Bundle: n.Bundles.Index(r.Bundle), ImageGB: r.ImageGB,
-		Zone: -1, SamePlace: r.Flags&flagSamePlace != 0, Scatter: r.Flags&flagScatter != 0, Loaners: r.Flags&flagLoaners != 0,
-		Expect: r.Times[0], SnapEvery: r.Times[1], SnapCost: r.Times[2], Due: r.Times[3]}
-	for _, f := range r.Flavors {
-		j.Flavors = append(j.Flavors, n.Flavors.Index(f))
+	j.Spec = Spec{Class: n.Classes.Index(r.Class), Team: n.Teams.Index(r.Team), Shape: r.Shape, Priority: r.Priority, TaskCount: r.N,
+		CPUs: r.Need[0], GPUs: r.Need[1], Memory: r.Need[2], Image: n.Images.Index(r.Image), ImageGB: r.ImageGB,
+		Zone: -1, SamePlace: r.Flags&flagSamePlace != 0, Scatter: r.Flags&flagScatter != 0, AllowSpot: r.Flags&flagAllowSpot != 0,
+		EstimatedRuntime: r.Times[0], CheckpointInterval: r.Times[1], CheckpointDuration: r.Times[2], Deadline: r.Times[3]}
+	for _, f := range r.MachineTypes {
+		j.MachineTypes = append(j.MachineTypes, n.MachineTypes.Index(f))
 	}
 	if r.Zone != "" {
 		j.Zone = n.Zones.Index(r.Zone)
 	}
-	j.Owner, j.Up, j.Parts, j.Attempt, j.Ready = r.Owner, r.Up, r.Parts, r.Attempt, r.Ready
+	j.Owner, j.Upstream, j.UpstreamParts, j.SubmissionVersion, j.Ready = r.Owner, r.Up, r.Parts, r.Attempt, r.Ready
 	j.Submitted, j.ReadyAt = r.Submitted, r.ReadyAt
 	if r.Ready && r.ReadyAt == 0 {
 		j.ReadyAt = r.Submitted
@@ -99,13 +99,13 @@
 // runRecord is a chunk's stored form. An active task is [task, try, host] in a
 // list, or part of a text (compact) that holds many in less room.
 type runRecord struct {
-	Try    uint64 `json:"t"`
-	Done   string `json:"d,omitempty"` // little-endian bitmap, base64, zero tail cut
-	Active any    `json:"a,omitempty"`
+	Attempt uint64 `json:"t"`
+	Done    string `json:"d,omitempty"` // little-endian bitmap, base64, zero tail cut
+	Active  any    `json:"a,omitempty"`
 }
 
-func encodeRun(n *Names, try uint64, done []uint64, active []*Entry, small bool) []byte {
-	r := runRecord{Try: try}
+func encodeRun(n *Names, attempt uint64, done []uint64, active []*Entry, small bool) []byte {
+	r := runRecord{Attempt: attempt}
 	last := len(done)
 	for last > 0 && done[last-1] == 0 {
 		last--
@@ -128,7 +128,7 @@
 	default:
 		list := make([][3]any, len(active))
 		for i, e := range active {
-			list[i] = [3]any{e.Task, e.Try, n.Hosts.Name(e.Host)}
+			list[i] = [3]any{e.Task, e.Attempt, n.Machines.Name(e.Machine)}
 		}
 		r.Active = list
 	}
@@ -155,19 +155,19 @@
 // a list, so it refuses the record instead of reading it as empty.
 func compact(n *Names, active []*Entry) string {
 	same, counted := map[int64]int{}, map[int64]int{}
-	prefix := n.Hosts.Name(active[0].Host)
+	prefix := n.Machines.Name(active[0].Machine)
 	var order []int
-	byHost := map[int][]*Entry{}
+	byMachine := map[int][]*Entry{}
 	for _, e := range active { // in order of tasks
-		for name := n.Hosts.Name(e.Host); !strings.HasPrefix(name, prefix) || !utf8.ValidString(prefix); {
+		for name := n.Machines.Name(e.Machine); !strings.HasPrefix(name, prefix) || !utf8.ValidString(prefix); {
 			prefix = prefix[:len(prefix)-1]
 		}
-		if byHost[e.Host] == nil {
-			order = append(order, e.Host)
+		if byMachine[e.Machine] == nil {
+			order = append(order, e.Machine)
 		}
-		byHost[e.Host] = append(byHost[e.Host], e)
-		same[int64(e.Try)]++
-		counted[int64(e.Try)-int64(e.Task)]++
+		byMachine[e.Machine] = append(byMachine[e.Machine], e)
+		same[int64(e.Attempt)]++
+		counted[int64(e.Attempt)-int64(e.Task)]++
 	}
 	rule, base := byte('@'), most(same)
 	if c := most(counted); counted[c] > same[base] {
@@ -175,15 +175,15 @@
 	}
 	follows := func(e *Entry) bool {
 		if rule == '@' {
-			return int64(e.Try) == base
+			return int64(e.Attempt) == base
 		}
-		return int64(e.Try)-int64(e.Task) == base
+		return int64(e.Attempt)-int64(e.Task) == base
 	}
 	text := strconv.AppendInt([]byte{rule}, base, compactBase)
 	text = append(append(text, ' '), prefix...)
-	for _, host := range order {
+	for _, machine := range order {
 		sep := byte(' ')
-		for list := byHost[host]; len(list) > 0; sep = ',' {
+		for list := byMachine[machine]; len(list) > 0; sep = ',' {
 			first, to, kind := list[0], 1, byte(0)
 			for ; to < len(list) && list[to].Task == list[to-1].Task+1; to++ {
 				k := byte(0)
@@ -191,9 +191,9 @@
 				case follows(first) && follows(list[to]):
 				case follows(first) || follows(list[to]):
 					k = 'x'
-				case list[to].Try == list[to-1].Try:
+				case list[to].Attempt == list[to-1].Attempt:
 					k = '@'
-				case list[to].Try == list[to-1].Try+1:
+				case list[to].Attempt == list[to-1].Attempt+1:
 					k = '+'
 				default:
 					k = 'x'
@@ -211,11 +211,11 @@
 				if kind == 0 {
 					kind = '@'
 				}
-				text = strconv.AppendUint(append(text, kind), first.Try, compactBase)
+				text = strconv.AppendUint(append(text, kind), first.Attempt, compactBase)
 			}
 			list = list[to:]
 		}
-		text = append(append(text, ':'), n.Hosts.Name(host)[len(prefix):]...)
+		text = append(append(text, ':'), n.Machines.Name(machine)[len(prefix):]...)
 	}
 	return string(text)
 }
@@ -232,7 +232,7 @@
 }
 
 // mostSpan bounds what a damaged record can make of a span of tasks.
-const mostSpan = 1 << 10
+const maxSpan = 1 << 10
 
 func expand(text string) (active []runEntry, ok bool) {
 	groups := strings.Split(text, " ")
@@ -244,8 +244,8 @@
 		return nil, false
 	}
 	for _, g := range groups[2:] {
-		spans, host, found := strings.Cut(g, ":")
-		if !found || groups[1]+host == "" {
+		spans, machine, found := strings.Cut(g, ":")
+		if !found || groups[1]+machine == "" {
 			return nil, false
 		}
 		for _, span := range strings.Split(spans, ",") {
@@ -271,18 +271,18 @@
 			}
 			first, err1 := strconv.ParseUint(a, compactBase, 32)
 			last, err2 := strconv.ParseUint(b, compactBase, 32)
-			if err1 != nil || err2 != nil || last < first || last-first >= mostSpan {
+			if err1 != nil || err2 != nil || last < first || last-first >= maxSpan {
 				return nil, false
 			}
 			for task := int64(first); task <= int64(last); task++ {
-				try := from
+				attempt := from
 				if rule == '+' {
-					try += task
+					attempt += task
 				}
-				if try < 0 {
+				if attempt < 0 {
 					return nil, false
 				}
-				active = append(active, runEntry{int(task), uint64(try), groups[1] + host})
+				active = append(active, runEntry{int(task), uint64(attempt), groups[1] + machine})
 			}
 		}
 	}
@@ -290,16 +290,16 @@
 }
 
 type runEntry struct {
-	task int
-	try  uint64
-	host string
+	task    int
+	attempt uint64
+	machine string
 }
 
-func decodeRun(data []byte, words int) (try uint64, done []uint64, active []runEntry, small, ok bool) {
+func decodeRun(data []byte, words int) (attempt uint64, done []uint64, active []runEntry, small, ok bool) {
 	var r struct {
-		Try    uint64          `json:"t"`
-		Done   string          `json:"d"`
-		Active json.RawMessage `json:"a"`
+		Attempt uint64          `json:"t"`
+		Done    string          `json:"d"`
+		Active  json.RawMessage `json:"a"`
 	}
 	if json.Unmarshal(data, &r) != nil {
 		return
@@ -318,7 +318,7 @@
 			return
 		}
 		active, ok = expand(text)
-		return r.Try, done, active, true, ok
+		return r.Attempt, done, active, true, ok
 	}
 	var list [][3]json.RawMessage
 	if len(r.Active) > 0 && json.Unmarshal(r.Active, &list) != nil {
@@ -326,12 +326,12 @@
 	}
 	for _, a := range list {
 		var e runEntry
-		if json.Unmarshal(a[0], &e.task) != nil || json.Unmarshal(a[1], &e.try) != nil || json.Unmarshal(a[2], &e.host) != nil {
+		if json.Unmarshal(a[0], &e.task) != nil || json.Unmarshal(a[1], &e.attempt) != nil || json.Unmarshal(a[2], &e.machine) != nil {
 			return
 		}
 		active = append(active, e)
 	}
-	return r.Try, done, active, false, true
+	return r.Attempt, done, active, false, true
 }
 
 // finalRecord is a final mark's stored form.
@@ -348,7 +348,7 @@
 
 // EncodeFinal returns the stored form of a final mark.
 func EncodeFinal(p Phase, j *Job) []byte {
-	r := finalRecord{Phase: markDone, N: j.N, Daemon: j.Shape == Daemon}
+	r := finalRecord{Phase: markDone, N: j.TaskCount, Daemon: j.Shape == Daemon}
 	if p == Cancelled {
 		r.Phase = markCancelled
 	}
--- a/internal/pipeline/size_test.go
+++ b/internal/pipeline/size_test.go
@@ -38,13 +38,13 @@
 			if next++; rng.IntN(5) == 0 {
 				next = rng.Uint64N(300)
 			}
-			try := next
+			attempt := next
 			if rng.IntN(3) == 0 {
-				try = 3
+				attempt = 3
 			}
 			if rng.IntN(4) > 0 {
-				host := n.Hosts.Index(fmt.Sprintf(form, rng.IntN(1+rng.IntN(100))))
-				active = append(active, &Entry{Task: first + task, Host: host, Try: try})
+				machine := n.Machines.Index(fmt.Sprintf(form, rng.IntN(1+rng.IntN(100))))
+				active = append(active, &Entry{Task: first + task, Machine: machine, Attempt: attempt})
 			}
 		}
 		if len(active) > 0 {
@@ -57,11 +57,11 @@
 // their tasks are spread.
 func TestCompactSize(t *testing.T) {
 	for _, c := range []struct {
-		what string
-		n    int
-		host func(task int) int
-		try  func(task int) uint64
-		most int
+		what    string
+		n       int
+		machine func(task int) int
+		attempt func(task int) uint64
+		most    int
 	}{
 		{"each on a machine of its own", 128, func(t int) int { return 100 + t*7 }, func(t int) uint64 { return uint64(t + 1) }, 2048},
 		{"and placed again in any order", 128, func(t int) int { return 100 + t*7 }, func(t int) uint64 { return uint64(200 + t*37%128) }, 2048},
@@ -71,7 +71,7 @@
 		n := &Names{}
 		var active []*Entry
 		for task := range c.n {
-			active = append(active, &Entry{Task: task, Host: n.Hosts.Index(fmt.Sprintf("i-%06d", c.host(task))), Try: c.try(task)})
+			active = append(active, &Entry{Task: task, Machine: n.Machines.Index(fmt.Sprintf("i-%06d", c.machine(task))), Attempt: c.attempt(task)})
 		}
 		if size := roundTrip(t, n, active); size > c.most {
 			t.Errorf("%s: %d bytes", c.what, size)
@@ -97,18 +97,18 @@
 	t.Helper()
 	tb, _ := newJob(t, 1)
 	tb.ValueLimit, tb.Labels = 2048, []string{"n0", "n1"}
-	j := &Job{ID: "req-2", Ready: true, Spec: Spec{N: 128, Shape: shape, Cores: 1, Zone: -1}}
+	j := &Job{ID: "req-2", Ready: true, Spec: Spec{TaskCount: 128, Shape: shape, CPUs: 1, Zone: -1}}
 	tb.Listen(JobKey, j.ID, Encode(tb.Names, j), 2)
 	return tb, tb.Job(j.ID)
 }
 
 func place(tb *Table, j *Job, n int) {
-	try := uint64(0)
+	attempt := uint64(0)
 	if j.Shape == Gang {
-		try = 1
+		attempt = 1
 	}
 	for task := range n {
-		tb.Place(j, task, tb.Names.Hosts.Index(fmt.Sprintf("i-%06d", 100+task)), try, 0)
+		tb.Place(j, task, tb.Names.Machines.Index(fmt.Sprintf("i-%06d", 100+task)), attempt, 0)
 	}
 }
 
@@ -130,7 +130,7 @@
 	place(tb, j, 128)
 	now := time.Duration(0)
 	flush := func() { now += 2 * time.Second; tb.Flush(now, term, q) }
-	written := func(epoch uint64) string {
+	written := func(revision uint64) string {
 		in := q.next(t)
 		data := string(in.Writes[0].Data)
 		if len(data) > tb.ValueLimit {
@@ -138,9 +138,9 @@
 		}
 		for _, w := range in.Writes {
 			kind, rest := store.SplitKey(w.Key)
-			tb.Listen(kind, rest, w.Data, epoch)
+			tb.Listen(kind, rest, w.Data, revision)
 		}
-		in.Done(store.Result{Outcome: store.OK, Epoch: epoch, Now: now})
+		in.Done(store.Result{Outcome: store.OK, Revision: revision, Now: now})
 		return data
 	}
 	flush()
@@ -187,7 +187,7 @@
 
 // Once the larger limit counts again what is compact is written plain, without
 // any other change.
-func TestUnfold(t *testing.T) {
+func TestExpandRecords(t *testing.T) {
 	tb, j := limited(t, Array)
 	for _, l := range tb.Labels {
 		tb.Listen(VersionKey, l, Version, 3)
@@ -196,15 +196,15 @@
 	place(tb, j, 128)
 	tb.Flush(0, term, q)
 	carryOut(tb, q.next(t), 4)
-	tb.Unfold(2)
+	tb.ExpandRecords(2)
 	if tb.Flush(time.Second, term, q); len(q.list) != 0 || tb.Compact() != 1 {
 		t.Errorf("%d writes, %d compact", len(q.list), tb.Compact())
 	}
 	tb.ValueLimit = 4096
-	tb.Unfold(2)
+	tb.ExpandRecords(2)
 	tb.Flush(time.Second, term, q)
 	carryOut(tb, q.next(t), 5)
-	tb.Unfold(2)
+	tb.ExpandRecords(2)
 	if tb.Flush(2*time.Second, term, q); len(q.list) != 0 || tb.Compact() != 0 || durable(j) != 128 {
 		t.Errorf("%d writes, %d compact, %d stored", len(q.list), tb.Compact(), durable(j))
 	}
@@ -246,11 +246,11 @@
 		if len(l.data) <= tb.ValueLimit {
 			t.Fatal("the record is not large")
 		}
-		tb.Listen(l.kind, l.rest, l.data, l.stamp)
+		tb.Listen(l.kind, l.rest, l.data, l.version)
 		id, _, _ := strings.Cut(l.rest, "/")
-		job := &Job{ID: id, Ready: true, Spec: Spec{N: 10_000, Zone: -1}}
-		job.Class, job.Team, job.Bundle = tb.Names.Classes.Index("c"), tb.Names.Teams.Index("t"), tb.Names.Bundles.Index("b")
-		tb.Listen(JobKey, id, Encode(tb.Names, job), l.stamp)
+		job := &Job{ID: id, Ready: true, Spec: Spec{TaskCount: 10_000, Zone: -1}}
+		job.Class, job.Team, job.Image = tb.Names.Classes.Index("c"), tb.Names.Teams.Index("t"), tb.Names.Images.Index("b")
+		tb.Listen(JobKey, id, Encode(tb.Names, job), l.version)
 		j := tb.Job(id)
 		before := durable(j)
 		var one *Entry
@@ -262,7 +262,7 @@
 		if size := len(in.Writes[0].Data); (size <= tb.ValueLimit) != all || size > 4096 {
 			t.Errorf("%d bytes, all new: %v", size, all)
 		}
-		carryOut(tb, in, l.stamp+1)
+		carryOut(tb, in, l.version+1)
 		if durable(j) != before-1 || j.DoneCount() != 1 {
 			t.Errorf("%d of %d entries, %d done", durable(j), before, j.DoneCount())
 		}
@@ -281,20 +281,20 @@
 		"clean-up":       func(r *rig) { r.final(3, Cancelled) },
 	} {
 		r := newRig()
-		r.Names.Hosts.Index("i-1")
+		r.Names.Machines.Index("i-1")
 		r.job(1, nil)
 		r.job(2, nil, 1)
 		r.job(3, nil)
 		begin(r)
 		q := &queue{}
-		tries := 0
+		attempts := 0
 		const minutes = 10
 		for now := time.Duration(0); now < minutes*time.Minute; now += 50 * time.Millisecond {
 			if what == "ready mark" {
 				r.MarkReady(now, q, everything)
 			}
 			if what == "cancelled mark" {
-				r.MarkDoomed(now, q, everything)
+				r.MarkUpstreamCancelled(now, q, everything)
 			}
 			if what == "clean-up" {
 				r.Clean(now, term, q, 1)
@@ -304,15 +304,15 @@
 				in := q.list[0]
 				q.list = q.list[1:]
 				if in.Build == nil || in.Build(in) {
-					tries++
+					attempts++
 					in.Done(store.Result{Outcome: store.Refused, Invalid: true, Now: now})
 				} else {
 					in.Done(store.Result{Outcome: store.Refused, Now: now})
 				}
 			}
 		}
-		if tries < 5 || tries > 2*minutes+8 {
-			t.Errorf("%s: %d tries in %d minutes", what, tries, minutes)
+		if attempts < 5 || attempts > 2*minutes+8 {
+			t.Errorf("%s: %d tries in %d minutes", what, attempts, minutes)
 		}
 	}
 }
