--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -19,31 +19,31 @@
 }
 
 // Usage is what tasks take of machines or of a team's limit.
-type Usage struct{ Cores, Cards, RAM float64 }
+type Usage struct{ CPUs, GPUs, Memory float64 }
 
 // Add counts n tasks.
 func (u *Usage) Add(s *Spec, n float64) {
-	u.Cores += n * s.Cores
-	u.Cards += n * s.Cards
+	u.CPUs += n * s.CPUs
+	u.GPUs += n * s.GPUs
 }
 
 // Table is the replica of the graph with the leader's wishes.
 type Table struct {
-	Names    *Names
-	chunkLen int
-	txnOps   int
-	Jobs     []*Job // by index; nil once gone
-	byID     map[string]*Job
-	Finals   map[string]Final
-	byHost   [][]*Entry // by machine
-	team     map[int]Usage
-	graph    graph
-	dirty    map[*Job]bool
-	free     []int
-	ended    map[*Job]bool // marked while tasks of theirs may be on machines
-	touched  []int         // machines whose entries have changed, in that order
-	isListed map[int]bool  // those in touched
-	changes  []uint32      // by machine, how often its entries have changed
+	Names           *Names
+	chunkLen        int
+	txnOps          int
+	Jobs            []*Job // by index; nil once gone
+	byID            map[string]*Job
+	Finals          map[string]Final
+	byMachine       [][]*Entry // by machine
+	team            map[int]Usage
+	graph           graph
+	dirty           map[*Job]bool
+	freeIndexes     []int
+	ended           map[*Job]bool // marked while tasks of theirs may be on machines
+	changedMachines []int         // machines whose entries have changed, in that order
+	isChanged       map[int]bool  // those in touched
+	changes         []uint32      // by machine, how often its entries have changed
 
 	// Now is the steady time of the input that is being handled.
 	Now int64
@@ -55,7 +55,7 @@
 	// Labels are those of all controllers.
 	Labels []string
 
-	versions map[string]bool // the controllers that have shown this version
+	upgraded map[string]bool // the controllers that have shown this version
 	wall     int64           // unix ns at steady time 0, 0: not told yet
 }
 
@@ -63,8 +63,8 @@
 // service's limits.
 func NewTable(n *Names, valueBytes, txnOps int) *Table {
 	return &Table{Names: n, chunkLen: max(16, min(1024, valueBytes/32)), txnOps: txnOps, byID: map[string]*Job{}, Finals: map[string]Final{},
-		team: map[int]Usage{}, graph: newGraph(), versions: map[string]bool{}, ValueLimit: valueBytes, dirty: map[*Job]bool{}, ended: map[*Job]bool{},
-		isListed: map[int]bool{}}
+		team: map[int]Usage{}, graph: newGraph(), upgraded: map[string]bool{}, ValueLimit: valueBytes, dirty: map[*Job]bool{}, ended: map[*Job]bool{},
+		isChanged: map[int]bool{}}
 }
 
 // Job returns an unfinished job, or one that is finished but not cleaned up.
@@ -72,16 +72,16 @@
 
 // OnHost returns the entries of a machine, as they are now: what is removed
 // meanwhile stays in the list that was returned.
-func (t *Table) OnHost(host int) []*Entry {
-	if host < 0 || host >= len(t.byHost) {
+func (t *Table) OnMachine(machine int) []*Entry {
+	if machine < 0 || machine >= len(t.byMachine) {
 		return nil
 	}
-	return t.byHost[host]
+	return t.byMachine[machine]
 }
 
 // HostsInUse calls f for every machine with entries.
-func (t *Table) HostsInUse(f func(host int)) {
-	for h, list := range t.byHost {
+func (t *Table) MachinesInUse(f func(machine int)) {
+	for h, list := range t.byMachine {
 		if len(list) > 0 {
 			f(h)
 		}
@@ -89,31 +89,31 @@
 }
 
 // Touch notes that something about the entries of a machine has changed.
-func (t *Table) Touch(host int) {
-	for len(t.changes) <= host {
+func (t *Table) MarkMachineChanged(machine int) {
+	for len(t.changes) <= machine {
 		t.changes = append(t.changes, 0)
 	}
-	t.changes[host]++
-	if !t.isListed[host] {
-		t.isListed[host] = true
-		t.touched = append(t.touched, host)
+	t.changes[machine]++
+	if !t.isChanged[machine] {
+		t.isChanged[machine] = true
+		t.changedMachines = append(t.changedMachines, machine)
 	}
 }
 
 // Changes counts the changes of a machine's entries: whoever keeps something
 // that follows from them compares it.
-func (t *Table) Changes(host int) uint32 {
-	if host >= len(t.changes) {
+func (t *Table) Changes(machine int) uint32 {
+	if machine >= len(t.changes) {
 		return 0
 	}
-	return t.changes[host]
+	return t.changes[machine]
 }
 
 // TakeTouched returns, once each, the machines whose entries have changed.
-func (t *Table) TakeTouched() []int {
-	list := t.touched
-	t.touched = nil
-	clear(t.isListed)
+func (t *Table) TakeChangedMachines() []int {
+	list := t.changedMachines
+	t.changedMachines = nil
+	clear(t.isChanged)
 	return list
 }
 
@@ -121,29 +121,29 @@
 func (t *Table) Team(team int) Usage { return t.team[team] }
 
 // Listen takes one change of the replica.
-func (t *Table) Listen(kind, rest string, data []byte, stamp uint64) {
+func (t *Table) Listen(kind, rest string, data []byte, version uint64) {
 	switch kind {
 	case JobKey:
-		t.onJob(rest, data, stamp)
+		t.onJob(rest, data, version)
 	case RunKey:
 		i := strings.LastIndexByte(rest, '/')
 		if i < 0 {
 			return
 		}
 		if c, err := strconv.Atoi(rest[i+1:]); err == nil && c >= 0 {
-			t.onRun(rest[:i], c, data, stamp)
+			t.onRun(rest[:i], c, data, version)
 		}
 	case FinalKey:
 		t.onFinal(rest, data)
 	case VersionKey:
-		t.versions[rest] = data != nil
+		t.upgraded[rest] = data != nil
 	case PartKey:
 		i := strings.LastIndexByte(rest, '/')
 		if i < 0 {
 			return
 		}
 		if n, err := strconv.Atoi(rest[i+1:]); err == nil && n >= 0 {
-			t.onPart(rest[:i], n, data, stamp)
+			t.onPart(rest[:i], n, data, version)
 		}
 	default:
 		return
@@ -155,9 +155,9 @@
 func (t *Table) get(id string) *Job {
 	j := t.byID[id]
 	if j == nil {
-		j = &Job{ID: id, chunkLen: t.chunkLen, Spec: Spec{Zone: -1}, EffDue: NoDue, dueAt: NoDue, toldDue: NoDue}
-		if n := len(t.free); n > 0 {
-			j.Index, t.free = t.free[n-1], t.free[:n-1]
+		j = &Job{ID: id, chunkLen: t.chunkLen, Spec: Spec{Zone: -1}, EffectiveDeadline: NoDeadline, deadlineAt: NoDeadline, propagatedDeadline: NoDeadline}
+		if n := len(t.freeIndexes); n > 0 {
+			j.Index, t.freeIndexes = t.freeIndexes[n-1], t.freeIndexes[:n-1]
 			t.Jobs[j.Index] = j
 		} else {
 			j.Index = len(t.Jobs)
@@ -173,11 +173,11 @@
 
 // forget removes a job of which no key is left.
 func (t *Table) forget(j *Job) {
-	if j.Stamp != 0 || j.active > 0 {
+	if j.Version != 0 || j.active > 0 {
 		return
 	}
 	for i := range j.Chunk {
-		if j.Chunk[i].Stamp != 0 {
+		if j.Chunk[i].Version != 0 {
 			return
 		}
 	}
@@ -186,15 +186,15 @@
 	delete(t.ended, j)
 	delete(t.graph.stale, j)
 	t.Jobs[j.Index] = nil
-	t.free = append(t.free, j.Index)
+	t.freeIndexes = append(t.freeIndexes, j.Index)
 }
 
-func (t *Table) onJob(id string, data []byte, stamp uint64) {
+func (t *Table) onJob(id string, data []byte, version uint64) {
 	if data == nil {
 		if j := t.byID[id]; j != nil {
-			j.Stamp = 0
+			j.Version = 0
 			t.unlink(j)
-			t.spare(j)
+			t.unmarkUpstreamCancelled(j)
 			t.forget(j)
 		}
 		return
@@ -208,11 +208,11 @@
 		return
 	}
 	t.recount(j, 1)
-	j.Stamp = stamp
+	j.Version = version
 	if j.Ready && !was {
-		j.Order, j.FirstSeen = stamp, max(t.Now, 1)
+		j.Order, j.ReadySince = version, max(t.Now, 1)
 		if j.ReadyAt != 0 && t.wall != 0 {
-			j.FirstSeen = t.steady(j.ReadyAt)
+			j.ReadySince = t.steady(j.ReadyAt)
 		}
 	}
 	t.onGraph(j)
@@ -221,7 +221,7 @@
 func (t *Table) recount(j *Job, sign float64) {
 	j.Entries(func(e *Entry) {
 		t.count(e, sign)
-		t.Touch(e.Host)
+		t.MarkMachineChanged(e.Machine)
 	})
 }
 
@@ -234,21 +234,21 @@
 func (t *Table) add(e *Entry) {
 	e.Job.active++
 	t.count(e, 1)
-	for len(t.byHost) <= e.Host {
-		t.byHost = append(t.byHost, nil)
+	for len(t.byMachine) <= e.Machine {
+		t.byMachine = append(t.byMachine, nil)
 	}
-	t.byHost[e.Host] = append(slices.Clip(t.byHost[e.Host]), e)
-	t.Touch(e.Host)
+	t.byMachine[e.Machine] = append(slices.Clip(t.byMachine[e.Machine]), e)
+	t.MarkMachineChanged(e.Machine)
 }
 
 func (t *Table) remove(e *Entry) {
 	e.Job.active--
-	if e.Wish == MarkDone {
+	if e.Pending == PendingDone {
 		e.Job.marked--
 	}
 	t.count(e, -1)
-	t.Touch(e.Host)
-	t.byHost[e.Host] = slices.DeleteFunc(slices.Clone(t.byHost[e.Host]), func(o *Entry) bool { return o == e })
+	t.MarkMachineChanged(e.Machine)
+	t.byMachine[e.Machine] = slices.DeleteFunc(slices.Clone(t.byMachine[e.Machine]), func(o *Entry) bool { return o == e })
 }
 
 // chunk returns the job's chunk c, growing the list.
@@ -261,7 +261,7 @@
 
 // onRun replaces what the table knows of a chunk by what is stored: this is
 // the only place where an entry becomes durable or goes away for good.
-func (t *Table) onRun(id string, c int, data []byte, stamp uint64) {
+func (t *Table) onRun(id string, c int, data []byte, version uint64) {
 	if data == nil && t.byID[id] == nil {
 		return
 	}
@@ -270,37 +270,37 @@
 	}
 	j := t.get(id)
 	ch := t.chunk(j, c)
-	var try uint64
+	var attempt uint64
 	var done []uint64
 	var active []runEntry
 	if data != nil {
 		var ok bool
-		if try, done, active, ch.small, ok = decodeRun(data, len(ch.Done)); !ok {
+		if attempt, done, active, ch.compacted, ok = decodeRun(data, len(ch.Done)); !ok {
 			return
 		}
-		ch.Try = max(ch.Try, try)
+		ch.Attempt = max(ch.Attempt, attempt)
 		for i := range done {
 			ch.Done[i] |= done[i] // a done task stays done
 		}
 	}
-	ch.Stamp = stamp
+	ch.Version = version
 	if data == nil {
-		ch.Stamp = 0
+		ch.Version = 0
 	}
 	stored := map[int]*Entry{}
 	for _, a := range active {
-		host := t.Names.Hosts.Index(a.host)
+		machine := t.Names.Machines.Index(a.machine)
 		e := ch.Entries[a.task]
-		if e == nil || e.Host != host || e.Try != a.try {
+		if e == nil || e.Machine != machine || e.Attempt != a.attempt {
 			if e != nil {
 				t.remove(e)
 			}
-			e = &Entry{Job: j, Task: a.task, Host: host, Try: a.try}
+			e = &Entry{Job: j, Task: a.task, Machine: machine, Attempt: a.attempt}
 			ch.Entries[a.task] = e
 			t.add(e)
 		}
 		if !e.Durable {
-			t.Touch(host)
+			t.MarkMachineChanged(machine)
 		}
 		e.Durable, e.sent = true, true
 		stored[a.task] = e
@@ -320,9 +320,9 @@
 		}
 	}
 	j.done = n
-	for task := range j.doneUnlog {
+	for task := range j.doneUnlogged {
 		if j.IsDone(task) {
-			delete(j.doneUnlog, task)
+			delete(j.doneUnlogged, task)
 		}
 	}
 	if j.complete() {
@@ -346,14 +346,14 @@
 		f.Phase = Cancelled
 	}
 	t.Finals[id] = f
-	t.settleMark(id, f.Phase)
+	t.propagateFinal(id, f.Phase)
 	if j := t.byID[id]; j != nil {
 		j.Final = f.Phase
 		t.unlink(j)
-		t.spare(j)
+		t.unmarkUpstreamCancelled(j)
 		if j.active > 0 {
 			t.ended[j] = true
-			j.Entries(func(e *Entry) { t.Touch(e.Host) })
+			j.Entries(func(e *Entry) { t.MarkMachineChanged(e.Machine) })
 		}
 		// A placement that is not stored by now never will be: its write
 		// requires that there is no final mark.
@@ -389,7 +389,7 @@
 	t.inherit()
 	var list []*Job
 	for _, j := range t.Jobs {
-		if j != nil && j.Stamp != 0 && j.Ready && j.Final == Queued {
+		if j != nil && j.Version != 0 && j.Ready && j.Final == Queued {
 			list = append(list, j)
 		}
 	}
@@ -399,29 +399,29 @@
 
 // Place records the wish to start a task on a machine. The start may be sent
 // once the entry is durable.
-func (t *Table) Place(j *Job, task, host int, try uint64, now int64) *Entry {
+func (t *Table) Place(j *Job, task, machine int, attempt uint64, now int64) *Entry {
 	ch := t.chunk(j, task/t.chunkLen)
-	if try == 0 {
-		try = ch.Try + 1
+	if attempt == 0 {
+		attempt = ch.Attempt + 1
 	}
-	ch.Try = max(ch.Try, try)
-	e := &Entry{Job: j, Task: task, Host: host, Try: try, Placed: now}
+	ch.Attempt = max(ch.Attempt, attempt)
+	e := &Entry{Job: j, Task: task, Machine: machine, Attempt: attempt, PlacedAt: now}
 	ch.Entries[task] = e
 	t.add(e)
 	ch.placing = true
-	t.touch(j, ch)
+	t.markDirty(j, ch)
 	return e
 }
 
-func (t *Table) touch(j *Job, ch *Chunk) {
+func (t *Table) markDirty(j *Job, ch *Chunk) {
 	ch.dirty = true
-	ch.version++
+	ch.changeCount++
 	t.dirty[j] = true
 }
 
 // Clear records that an attempt is proven to be gone.
 func (t *Table) Clear(e *Entry) {
-	if e.Wish == MarkDone {
+	if e.Pending == PendingDone {
 		return
 	}
 	ch := &e.Job.Chunk[e.Task/t.chunkLen]
@@ -434,46 +434,46 @@
 		}
 		return
 	}
-	if e.Wish != Clear {
-		e.Wish = Clear
-		t.Touch(e.Host)
-		t.touch(e.Job, ch)
+	if e.Pending != PendingClear {
+		e.Pending = PendingClear
+		t.MarkMachineChanged(e.Machine)
+		t.markDirty(e.Job, ch)
 	}
 }
 
 // MarkDone records that a task has completed, whichever attempt it was.
 func (t *Table) MarkDone(j *Job, task int) {
-	if task < 0 || task >= j.N || j.IsDone(task) || j.Final != Queued {
+	if task < 0 || task >= j.TaskCount || j.IsDone(task) || j.Final != Queued {
 		return
 	}
 	ch := t.chunk(j, task/t.chunkLen)
 	if e := ch.Entries[task]; e != nil {
-		if e.Wish != MarkDone {
-			e.Wish = MarkDone
+		if e.Pending != PendingDone {
+			e.Pending = PendingDone
 			j.marked++
-			t.Touch(e.Host)
-			t.touch(j, ch)
+			t.MarkMachineChanged(e.Machine)
+			t.markDirty(j, ch)
 		}
 		return
 	}
-	if !j.doneUnlog[task] {
-		if j.doneUnlog == nil {
-			j.doneUnlog = map[int]bool{}
+	if !j.doneUnlogged[task] {
+		if j.doneUnlogged == nil {
+			j.doneUnlogged = map[int]bool{}
 		}
-		j.doneUnlog[task] = true
-		t.touch(j, ch)
+		j.doneUnlogged[task] = true
+		t.markDirty(j, ch)
 	}
 }
 
 // Forget drops everything that only a leader knows.
-func (t *Table) Forget() {
+func (t *Table) Reset() {
 	for _, j := range t.Jobs {
 		if j == nil {
 			continue
 		}
-		j.BadHosts = nil
-		j.Within, j.Gather = false, 0
-		j.Parked, j.Errors, j.Breaking, j.doneUnlog, j.cleaning, j.finishing = 0, 0, false, nil, false, false
+		j.FailedMachines = nil
+		j.WithinGuarantee, j.ReservedZone = false, 0
+		j.BackoffUntil, j.Errors, j.Stopping, j.doneUnlogged, j.cleaning, j.finishing = 0, 0, false, nil, false, false
 		for i := range j.Chunk {
 			ch := &j.Chunk[i]
 			ch.dirty, ch.placing, ch.retryAt = false, false, 0
@@ -483,8 +483,8 @@
 					t.remove(e)
 					continue
 				}
-				t.Touch(e.Host)
-				e.Wish, e.Seen, e.Evict, e.Started, e.Placed, e.Ordered, e.Missed = Keep, Unseen, false, 0, 0, 0, 0
+				t.MarkMachineChanged(e.Machine)
+				e.Pending, e.Phase, e.Evict, e.StartedAt, e.PlacedAt, e.OrderedSequence, e.MissedReports = NoPendingWrite, Unseen, false, 0, 0, 0, 0
 			}
 		}
 		j.marked = 0
@@ -511,9 +511,9 @@
 func runKey(id string, c int) string { return RunKey + "/" + id + "/" + strconv.Itoa(c) }
 
 const (
-	writeFor  = 20 * time.Second // a wish waits this long for the write rate
-	retryWait = int64(200 * time.Millisecond)
-	leftWait  = int64(time.Second) // until placements that had no room are tried again
+	writeTimeout = 20 * time.Second // a wish waits this long for the write rate
+	retryWait    = int64(200 * time.Millisecond)
+	deferredWait = int64(time.Second) // until placements that had no room are tried again
 )
 
 // Submitter queues intents; *store.Client is one.
@@ -522,7 +522,7 @@
 }
 
 // Flush turns wishes into intents. term is the condition that our term holds.
-func (t *Table) Flush(now time.Duration, term store.Cond, s Submitter) {
+func (t *Table) Flush(now time.Duration, term store.Condition, s Submitter) {
 	if len(t.dirty) == 0 {
 		return
 	}
@@ -554,14 +554,14 @@
 
 // complete tells whether every task is done, counting what is not stored yet.
 func (j *Job) complete() bool {
-	if j.Shape == Daemon || j.Final != Queued || j.Stamp == 0 {
+	if j.Shape == Daemon || j.Final != Queued || j.Version == 0 {
 		return false
 	}
-	return j.done+len(j.doneUnlog)+j.marked >= j.N
+	return j.done+len(j.doneUnlogged)+j.marked >= j.TaskCount
 }
 
 // finish marks a job done and drops its records in one transaction.
-func (t *Table) finish(j *Job, now time.Duration, term store.Cond, s Submitter) bool {
+func (t *Table) finish(j *Job, now time.Duration, term store.Condition, s Submitter) bool {
 	if j.finishing {
 		return true
 	}
@@ -573,7 +573,7 @@
 			return true // the replica does not show what was written last
 		}
 	}
-	if j.done < j.N && !t.atOnce(j) {
+	if j.done < j.TaskCount && !t.fitsOneTransaction(j) {
 		// Too many records for one transaction: the done bits are stored
 		// first, the mark follows, and Clean drops the records.
 		return false
@@ -584,12 +584,12 @@
 		if !j.complete() {
 			return false
 		}
-		in.Conds = []store.Cond{term, {Key: JobKeyOf(j.ID), Stamp: j.Stamp}, {Key: FinalKeyOf(j.ID)}}
+		in.Conditions = []store.Condition{term, {Key: JobKeyOf(j.ID), Version: j.Version}, {Key: FinalKeyOf(j.ID)}}
 		in.Writes = []store.Write{{Key: FinalKeyOf(j.ID), Data: EncodeFinal(Done, j)}, {Key: JobKeyOf(j.ID)}}
-		if t.atOnce(j) {
+		if t.fitsOneTransaction(j) {
 			for c := range j.Chunk {
-				in.Conds = append(in.Conds, store.Cond{Key: runKey(j.ID, c), Stamp: j.Chunk[c].Stamp})
-				if j.Chunk[c].Stamp != 0 {
+				in.Conditions = append(in.Conditions, store.Condition{Key: runKey(j.ID, c), Version: j.Chunk[c].Version})
+				if j.Chunk[c].Version != 0 {
 					in.Writes = append(in.Writes, store.Write{Key: runKey(j.ID, c)})
 				}
 			}
@@ -605,16 +605,16 @@
 			}
 		}
 	}
-	s.Submit(in, now+writeFor)
+	s.Submit(in, now+writeTimeout)
 	return true
 }
 
 // atOnce tells whether a job's records can be dropped together with its mark.
-func (t *Table) atOnce(j *Job) bool { return len(j.Chunk)+2 <= t.txnOps }
+func (t *Table) fitsOneTransaction(j *Job) bool { return len(j.Chunk)+2 <= t.txnOps }
 
 // write queues the write of a chunk. What it holds is decided when its turn
 // comes: a busy job's tasks share one write however many change meanwhile.
-func (t *Table) write(j *Job, c int, now time.Duration, term store.Cond, s Submitter) {
+func (t *Table) write(j *Job, c int, now time.Duration, term store.Condition, s Submitter) {
 	if j.Chunk[c].queued[1] {
 		return // it will carry whatever has changed by then
 	}
@@ -633,7 +633,7 @@
 		if !ch.dirty || j.finishing {
 			return false
 		}
-		built = ch.version
+		built = ch.changeCount
 		return t.build(in, j, c, term)
 	}
 	in.Done = func(r store.Result) {
@@ -650,72 +650,72 @@
 					t.Changed = true
 				}
 			}
-			ch.refused = 0
+			ch.rejectedWrites = 0
 			switch {
-			case ch.version != built:
-			case ch.left > 0:
-				ch.placing, ch.retryAt = true, int64(r.Now)+leftWait
+			case ch.changeCount != built:
+			case ch.deferredPlacements > 0:
+				ch.placing, ch.retryAt = true, int64(r.Now)+deferredWait
 			default:
 				ch.dirty = false
 			}
 		case ch.dirty:
 			// The wish stands. If the write was carried out unseen, its
 			// retry conflicts until the replica shows it, then builds on it.
-			ch.retryAt = int64(r.Now) + retryAfter(r, &ch.refused)
-			if ch.left > 0 {
-				ch.retryAt = max(ch.retryAt, int64(r.Now)+leftWait)
+			ch.retryAt = int64(r.Now) + retryAfter(r, &ch.rejectedWrites)
+			if ch.deferredPlacements > 0 {
+				ch.retryAt = max(ch.retryAt, int64(r.Now)+deferredWait)
 			}
 			t.dirty[j] = true
 			for _, e := range ch.Entries {
-				ch.placing = ch.placing || (e.Wish == Keep && !e.Durable)
+				ch.placing = ch.placing || (e.Pending == NoPendingWrite && !e.Durable)
 			}
 		}
 	}
-	s.Submit(in, now+writeFor)
+	s.Submit(in, now+writeTimeout)
 }
 
 // build fills in a write of a chunk as things stand.
-func (t *Table) build(in *store.Intent, j *Job, c int, term store.Cond) bool {
+func (t *Table) build(in *store.Intent, j *Job, c int, term store.Condition) bool {
 	ch := &j.Chunk[c]
 	done := append([]uint64(nil), ch.Done...)
 	var active, fresh []*Entry
 	ch.placing = false
 	changed := false
 	for _, e := range ch.Entries {
-		changed = changed || e.Wish != Keep
-		switch e.Wish {
-		case Keep:
+		changed = changed || e.Pending != NoPendingWrite
+		switch e.Pending {
+		case NoPendingWrite:
 			if e.Durable {
 				active = append(active, e)
 			} else {
 				fresh = append(fresh, e)
 			}
-		case MarkDone:
+		case PendingDone:
 			done[e.Task%t.chunkLen/64] |= 1 << (e.Task % t.chunkLen % 64)
-		case Clear:
+		case PendingClear:
 			e.dropped = true
 		}
 	}
-	for task := range j.doneUnlog {
+	for task := range j.doneUnlogged {
 		if task/t.chunkLen == c {
 			changed = true
 			done[task%t.chunkLen/64] |= 1 << (task % t.chunkLen % 64)
 		}
 	}
-	in.Conds = []store.Cond{term, {Key: runKey(j.ID, c), Stamp: ch.Stamp}}
+	in.Conditions = []store.Condition{term, {Key: runKey(j.ID, c), Version: ch.Version}}
 	if j.Final == Queued {
-		in.Conds = append(in.Conds, store.Cond{Key: FinalKeyOf(j.ID)})
+		in.Conditions = append(in.Conditions, store.Condition{Key: FinalKeyOf(j.ID)})
 	}
 	if j.Final != Queued && len(active)+len(fresh) == 0 {
-		ch.left = 0
-		if ch.Stamp == 0 {
+		ch.deferredPlacements = 0
+		if ch.Version == 0 {
 			ch.dirty = false
 			return false
 		}
 		in.Writes = []store.Write{{Key: runKey(j.ID, c)}}
 	} else {
 		data, taken := t.fit(j, ch, done, active, fresh)
-		if ch.left = len(fresh) - len(taken); ch.left > 0 && len(taken) == 0 && !changed {
+		if ch.deferredPlacements = len(fresh) - len(taken); ch.deferredPlacements > 0 && len(taken) == 0 && !changed {
 			return false // what is stored says it all
 		}
 		for _, e := range taken {
@@ -733,9 +733,9 @@
 func (t *Table) fit(j *Job, ch *Chunk, done []uint64, active, fresh []*Entry) (data []byte, taken []*Entry) {
 	encode := func(n int) []byte {
 		list := slices.Concat(active, fresh[:n])
-		data := encodeRun(t.Names, ch.Try, done, list, false)
-		if len(data) > t.ValueLimit && t.AllNew() {
-			data = encodeRun(t.Names, ch.Try, done, list, true)
+		data := encodeRun(t.Names, ch.Attempt, done, list, false)
+		if len(data) > t.ValueLimit && t.AllUpgraded() {
+			data = encodeRun(t.Names, ch.Attempt, done, list, true)
 		}
 		return data
 	}
@@ -758,9 +758,9 @@
 var Version = []byte(`{"v":3}`)
 
 // AllNew tells whether every controller has shown that it runs this version.
-func (t *Table) AllNew() bool {
+func (t *Table) AllUpgraded() bool {
 	for _, l := range t.Labels {
-		if !t.versions[l] {
+		if !t.upgraded[l] {
 			return false
 		}
 	}
@@ -774,7 +774,7 @@
 			continue
 		}
 		for c := range j.Chunk {
-			if j.Chunk[c].small && j.Chunk[c].Stamp != 0 {
+			if j.Chunk[c].compacted && j.Chunk[c].Version != 0 {
 				n++
 			}
 		}
@@ -785,14 +785,14 @@
 // Unfold has compact records written plain that fit so again, as they do once
 // the limit is the larger one: before the service can go back to a version that
 // does not read them. At most limit at a time.
-func (t *Table) Unfold(limit int) {
+func (t *Table) ExpandRecords(limit int) {
 	for _, j := range t.Jobs {
 		if j == nil || j.Final != Queued {
 			continue
 		}
 		for c := range j.Chunk {
 			ch := &j.Chunk[c]
-			if !ch.small || ch.dirty || ch.Stamp == 0 {
+			if !ch.compacted || ch.dirty || ch.Version == 0 {
 				continue
 			}
 			if limit--; limit < 0 {
@@ -802,8 +802,8 @@
 			for _, e := range ch.Entries {
 				list = append(list, e)
 			}
-			if len(encodeRun(t.Names, ch.Try, ch.Done, list, false)) <= t.ValueLimit {
-				t.touch(j, ch)
+			if len(encodeRun(t.Names, ch.Attempt, ch.Done, list, false)) <= t.ValueLimit {
+				t.markDirty(j, ch)
 			}
 		}
 	}
@@ -811,7 +811,7 @@
 
 // Clean drops the records that finished jobs leave behind, once nothing of
 // theirs can be on a machine; at most limit jobs at a time.
-func (t *Table) Clean(now time.Duration, term store.Cond, s Submitter, limit int) {
+func (t *Table) Clean(now time.Duration, term store.Condition, s Submitter, limit int) {
 	for _, j := range t.Jobs {
 		if limit == 0 {
 			return
@@ -819,15 +819,15 @@
 		if j == nil || j.Final == Queued || j.cleaning || j.active > 0 || int64(now) < j.retryAt {
 			continue
 		}
-		in := &store.Intent{Priority: store.Progress, Conds: []store.Cond{term}}
+		in := &store.Intent{Priority: store.Progress, Conditions: []store.Condition{term}}
 		for c := range j.Chunk {
-			if j.Chunk[c].Stamp != 0 && len(in.Writes) < t.txnOps-1 {
-				in.Conds = append(in.Conds, store.Cond{Key: runKey(j.ID, c), Stamp: j.Chunk[c].Stamp})
+			if j.Chunk[c].Version != 0 && len(in.Writes) < t.txnOps-1 {
+				in.Conditions = append(in.Conditions, store.Condition{Key: runKey(j.ID, c), Version: j.Chunk[c].Version})
 				in.Writes = append(in.Writes, store.Write{Key: runKey(j.ID, c)})
 			}
 		}
-		if j.Stamp != 0 {
-			in.Conds = append(in.Conds, store.Cond{Key: JobKeyOf(j.ID), Stamp: j.Stamp})
+		if j.Version != 0 {
+			in.Conditions = append(in.Conditions, store.Condition{Key: JobKeyOf(j.ID), Version: j.Version})
 			in.Writes = append(in.Writes, store.Write{Key: JobKeyOf(j.ID)})
 		}
 		if len(in.Writes) == 0 {
@@ -838,7 +838,7 @@
 			j.cleaning = false
 			j.backOff(r)
 		}
-		s.Submit(in, now+writeFor)
+		s.Submit(in, now+writeTimeout)
 		limit--
 	}
 }
--- a/internal/pipeline/table_test.go
+++ b/internal/pipeline/table_test.go
@@ -29,31 +29,31 @@
 }
 
 // carryOut applies a write as the state service would, and tells its outcome.
-func carryOut(tb *Table, in *store.Intent, epoch uint64) {
+func carryOut(tb *Table, in *store.Intent, revision uint64) {
 	for _, w := range in.Writes {
 		kind, rest := store.SplitKey(w.Key)
-		tb.Listen(kind, rest, w.Data, epoch)
+		tb.Listen(kind, rest, w.Data, revision)
 	}
-	in.Done(store.Result{Outcome: store.OK, Epoch: epoch})
+	in.Done(store.Result{Outcome: store.OK, Revision: revision})
 }
 
 func newJob(t *testing.T, n int) (*Table, *Job) {
 	t.Helper()
 	tb := NewTable(&Names{}, 4096, 12)
-	j := &Job{ID: "req-1", Ready: true, Spec: Spec{N: n, Cores: 1, Zone: -1}}
-	j.Class, j.Team, j.Bundle = tb.Names.Classes.Index("c"), tb.Names.Teams.Index("t"), tb.Names.Bundles.Index("b")
+	j := &Job{ID: "req-1", Ready: true, Spec: Spec{TaskCount: n, CPUs: 1, Zone: -1}}
+	j.Class, j.Team, j.Image = tb.Names.Classes.Index("c"), tb.Names.Teams.Index("t"), tb.Names.Images.Index("b")
 	tb.Listen(JobKey, j.ID, Encode(tb.Names, j), 1)
 	return tb, tb.Job(j.ID)
 }
 
-var term = store.Cond{Key: "t/lead", Stamp: 1}
+var term = store.Condition{Key: "t/lead", Version: 1}
 
 // A leader that ends between the last task's mark and the job's leaves a job
 // on which nothing is due any more: its successor must mark it.
 func TestSuccessorMarksCompleteJob(t *testing.T) {
 	tb, j := newJob(t, 2)
 	tb.Listen(RunKey, "req-1/0", []byte(`{"t":1,"d":"Aw"}`), 2)
-	tb.Forget()
+	tb.Reset()
 	q := &queue{}
 	tb.Flush(0, term, q)
 	carryOut(tb, q.next(t), 3)
@@ -67,7 +67,7 @@
 func TestClearedBeforeStored(t *testing.T) {
 	tb, j := newJob(t, 1)
 	q := &queue{}
-	e := tb.Place(j, 0, tb.Names.Hosts.Index("i-1"), 0, 0)
+	e := tb.Place(j, 0, tb.Names.Machines.Index("i-1"), 0, 0)
 	tb.Flush(0, term, q)
 	q.next(t).Done(store.Result{Outcome: store.Unknown, Now: time.Second})
 	tb.Clear(e)
@@ -86,7 +86,7 @@
 	tb, j := newJob(t, 40)
 	q := &queue{}
 	for task := range 40 {
-		tb.Place(j, task, tb.Names.Hosts.Index("i-1"), 0, 0)
+		tb.Place(j, task, tb.Names.Machines.Index("i-1"), 0, 0)
 		tb.Flush(0, term, q)
 	}
 	if len(q.list) != 1 {
--- a/internal/scheduler/chain_test.go
+++ b/internal/scheduler/chain_test.go
@@ -14,33 +14,35 @@
 // site is a table with one machine of eight cores.
 type site struct {
 	*Scheduler
-	epoch uint64
-	now   time.Duration
+	revision uint64
+	now      time.Duration
 }
 
 func newSite() *site {
 	n := names(&pipeline.Names{})
 	jobs := pipeline.NewTable(n, 4096, 12)
 	f := worker.New(n, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	s := &site{Scheduler: &Scheduler{Jobs: jobs, Workers: f, MachineTypes: &MachineTypes{{Cores: 8, RAM: 32}}, Silent: time.Minute}, now: 100 * time.Second}
+	s := &site{Scheduler: &Scheduler{Jobs: jobs, Workers: f, MachineTypes: &MachineTypes{{CPUs: 8, Memory: 32}}, SilentAfter: time.Minute}, now: 100 * time.Second}
 	jobs.Now = int64(s.now)
 	h := f.Machine("i-1", s.now)
-	h.Flavor, h.Zone, h.Known, h.Fenced, h.Heard = 0, 0, true, true, s.now
+	h.MachineType, h.Zone, h.Known, h.TokenConfirmed, h.LastReport = 0, 0, true, true, s.now
 	return s
 }
 
 func (s *site) job(id string, set func(*pipeline.Job)) *pipeline.Job {
-	j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{N: 1, Cores: 8, RAM: 1, Zone: -1, Rank: pipeline.Normal, Expect: 10}}
+	j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{TaskCount: 1, CPUs: 8, Memory: 1, Zone: -1, Priority: pipeline.Normal, EstimatedRuntime: 10}}
 	if set != nil {
 		set(j)
 	}
-	s.epoch++
-	s.Jobs.Listen(pipeline.JobKey, id, pipeline.Encode(s.Jobs.Names, j), s.epoch)
+	s.revision++
+	s.Jobs.Listen(pipeline.JobKey, id, pipeline.Encode(s.Jobs.Names, j), s.revision)
 	return s.Jobs.Job(id)
 }
 
-func below(up string, rank pipeline.Rank, due float64) func(*pipeline.Job) {
-	return func(j *pipeline.Job) { j.Ready, j.Up, j.Rank, j.Due = false, []string{up}, rank, due }
+func below(up string, priority pipeline.Priority, deadline float64) func(*pipeline.Job) {
+	return func(j *pipeline.Job) {
+		j.Ready, j.Upstream, j.Priority, j.Deadline = false, []string{up}, priority, deadline
+	}
 }
 
 func (s *site) order() string {
@@ -58,7 +60,7 @@
 func TestOrderInherits(t *testing.T) {
 	s := newSite()
 	s.job("req-1", nil)
-	s.job("req-2", func(j *pipeline.Job) { j.Rank = pipeline.Idle })
+	s.job("req-2", func(j *pipeline.Job) { j.Priority = pipeline.Idle })
 	if got := s.order(); got != "req-1 req-2" {
 		t.Errorf("alone: %s", got)
 	}
@@ -67,8 +69,8 @@
 	if got := s.order(); got != "req-2 req-1" {
 		t.Errorf("with the last: %s", got)
 	}
-	s.epoch++
-	s.Jobs.Listen(pipeline.FinalKey, "req-4", pipeline.EncodeFinal(pipeline.Cancelled, s.Jobs.Job("req-4")), s.epoch)
+	s.revision++
+	s.Jobs.Listen(pipeline.FinalKey, "req-4", pipeline.EncodeFinal(pipeline.Cancelled, s.Jobs.Job("req-4")), s.revision)
 	if got := s.order(); got != "req-1 req-2" {
 		t.Errorf("without it: %s", got)
 	}
@@ -83,7 +85,7 @@
 	if other.Active() != 1 {
 		t.Fatal("the machine is not taken")
 	}
-	s.job("req-2", func(j *pipeline.Job) { j.Rank = pipeline.Idle })
+	s.job("req-2", func(j *pipeline.Job) { j.Priority = pipeline.Idle })
 	s.Round(s.now)
 	if e := other.Entry(0); e == nil || e.Evict {
 		t.Fatal("stopped for less important work")
@@ -95,7 +97,7 @@
 	}
 
 	s = newSite()
-	low := s.job("req-2", func(j *pipeline.Job) { j.Rank = pipeline.Idle })
+	low := s.job("req-2", func(j *pipeline.Job) { j.Priority = pipeline.Idle })
 	s.job("req-3", below("req-2", pipeline.High, 0))
 	s.Round(s.now)
 	s.job("req-1", nil)
@@ -107,10 +109,10 @@
 
 // Within equal rank and standing the order of readiness stays, except for a
 // job of a chain whose deadline is near.
-func TestOrderPressed(t *testing.T) {
+func TestOrderDeadlineAtRisk(t *testing.T) {
 	s := newSite()
 	s.job("req-1", nil)
-	s.job("req-2", func(j *pipeline.Job) { j.Due = 1 }) // not of a chain
+	s.job("req-2", func(j *pipeline.Job) { j.Deadline = 1 }) // not of a chain
 	s.job("req-3", nil)
 	s.job("req-4", nil)
 	s.job("req-5", below("req-3", pipeline.Normal, 1000))
@@ -126,7 +128,7 @@
 	if got := s.order(); got != "req-3 req-1 req-2 req-4" {
 		t.Errorf("with little left: %s", got)
 	}
-	s.job("req-7", func(j *pipeline.Job) { j.Rank = pipeline.High })
+	s.job("req-7", func(j *pipeline.Job) { j.Priority = pipeline.High })
 	if got := s.order(); got != "req-7 req-3 req-1 req-2 req-4" {
 		t.Errorf("beside a higher rank: %s", got)
 	}
--- a/internal/scheduler/choose.go
+++ b/internal/scheduler/choose.go
@@ -9,9 +9,9 @@
 
 // pick is room for one task of a job on a machine, and what it costs.
 type pick struct {
-	room    *Capacity
-	cost    float64
-	victims []*pipeline.Entry // to be stopped for it
+	capacity *Capacity
+	cost     float64
+	victims  []*pipeline.Entry // to be stopped for it
 }
 
 // pricing tells what one more task costs on what is left of a machine. taken
@@ -21,15 +21,15 @@
 // offer is the cheapest next pick on one machine.
 type offer struct {
 	pick
-	left *Capacity // as the picks before leave it, nil: none yet
-	rank int       // of the machine among the others, so that equal costs keep an order
+	remaining *Capacity // as the picks before leave it, nil: none yet
+	index     int       // of the machine among the others, so that equal costs keep an order
 }
 
 type offers []offer
 
 func (o offers) Len() int { return len(o) }
 func (o offers) Less(a, b int) bool {
-	return o[a].cost < o[b].cost || (o[a].cost == o[b].cost && o[a].rank < o[b].rank)
+	return o[a].cost < o[b].cost || (o[a].cost == o[b].cost && o[a].index < o[b].index)
 }
 func (o offers) Swap(a, b int) { o[a], o[b] = o[b], o[a] }
 func (o *offers) Push(x any)   { *o = append(*o, x.(offer)) }
@@ -44,15 +44,15 @@
 
 // choose picks room for n tasks of a job, the cheapest first, in one zone or
 // in any. Nothing is changed by it.
-func (p *Scheduler) choose(j *pipeline.Job, rooms []*Capacity, zone, n int, price pricing, now event.Time) []pick {
+func (p *Scheduler) choose(j *pipeline.Job, capacities []*Capacity, zone, n int, price pricing, now event.Time) []pick {
 	taken := map[*pipeline.Entry]bool{}
 	list := p.offers[:0]
-	for i, r := range rooms {
-		if (zone != anyZone && r.Zone != zone) || !p.Suits(j, r, now) || !r.holds(&j.Spec) || j.BadHosts[r.Host.Index] || r.Host.Draining {
+	for i, r := range capacities {
+		if (zone != anyZone && r.Zone != zone) || !p.Matches(j, r, now) || !r.fitsEmpty(&j.Spec) || j.FailedMachines[r.Machine.Index] || r.Machine.Draining {
 			continue
 		}
 		if cost, victims, ok := price(r, taken); ok {
-			list = append(list, offer{pick: pick{r, cost, victims}, rank: i})
+			list = append(list, offer{pick: pick{r, cost, victims}, index: i})
 		}
 	}
 	p.offers = list
@@ -61,23 +61,23 @@
 	var picks []pick
 	for len(picks) < n && len(list) > 0 {
 		o := &list[0]
-		if ZoneRoom(j, inZone, o.room.Zone) <= 0 {
+		if ZoneCapacity(j, inZone, o.capacity.Zone) <= 0 {
 			heap.Pop(&list)
 			continue
 		}
 		picks = append(picks, o.pick)
-		inZone[o.room.Zone]++
-		if o.left == nil {
-			left := *o.room
-			o.left = &left
+		inZone[o.capacity.Zone]++
+		if o.remaining == nil {
+			left := *o.capacity
+			o.remaining = &left
 		}
 		for _, e := range o.victims {
 			taken[e] = true
-			o.left.give(&e.Job.Spec)
+			o.remaining.release(&e.Job.Spec)
 		}
-		o.left.Take(&j.Spec, 1)
+		o.remaining.Allocate(&j.Spec, 1)
 		var ok bool
-		if o.cost, o.victims, ok = price(o.left, taken); ok {
+		if o.cost, o.victims, ok = price(o.remaining, taken); ok {
 			heap.Fix(&list, 0)
 		} else {
 			heap.Pop(&list)
@@ -88,8 +88,8 @@
 
 // zonesOf lists the zones to try for a job: one at a time if its tasks must
 // be together, beginning with the one where room is being gathered for it.
-func (p *Scheduler) zonesOf(j *pipeline.Job, rooms []*Capacity) []int {
-	if !j.SamePlace || j.N == 1 {
+func (p *Scheduler) zonesOf(j *pipeline.Job, capacities []*Capacity) []int {
+	if !j.SamePlace || j.TaskCount == 1 {
 		return []int{anyZone}
 	}
 	inZone := p.Zones(j)
@@ -103,10 +103,10 @@
 		return zones // tasks of it may still be there
 	}
 	seen := map[int]bool{}
-	if j.Gather != 0 {
-		zones, seen[j.Gather-1] = append(zones, j.Gather-1), true
+	if j.ReservedZone != 0 {
+		zones, seen[j.ReservedZone-1] = append(zones, j.ReservedZone-1), true
 	}
-	for _, r := range rooms {
+	for _, r := range capacities {
 		if !seen[r.Zone] {
 			seen[r.Zone] = true
 			zones = append(zones, r.Zone)
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -15,22 +15,22 @@
 
 // countCost is what it costs in seconds that a start does not count for its
 // user because a stop follows it at once.
-const countCost = 20.0
+const uncountedStartCost = 20.0
 
 // preempt makes room for a job that found none by stopping work that it
 // outranks, for all tasks of a gang or for none. Room that is already being
 // emptied is counted first, so that a job does not stop more than it needs. It
 // returns how many tasks are left without a promise.
-func (p *Scheduler) preempt(j *pipeline.Job, rooms []*Capacity, now event.Time) (left int) {
-	left = min(j.OpenCount(), p.QuotaBeside(j, p.promised[j.Team]))
+func (p *Scheduler) preempt(j *pipeline.Job, capacities []*Capacity, now event.Time) (left int) {
+	left = min(j.OpenCount(), p.QuotaBeside(j, p.committed[j.Team]))
 	if j.Shape == pipeline.Gang && left < j.OpenCount() {
 		return 0 // whole or not at all
 	}
-	if left == 0 || (j.EffRank <= p.lowest && !j.Within) {
+	if left == 0 || (j.EffectivePriority <= p.lowestPriority && !j.WithinGuarantee) {
 		return left
 	}
 	price := func(r *Capacity, taken map[*pipeline.Entry]bool) (float64, []*pipeline.Entry, bool) {
-		f := r.future()
+		f := r.afterPreemption()
 		fetch := fetchCost * r.FetchTime(j)
 		if f.Fits(&j.Spec) > 0 {
 			return fetch, nil, true
@@ -40,8 +40,8 @@
 	}
 	var best []pick
 	least := math.Inf(1)
-	for _, z := range p.zonesOf(j, rooms) {
-		picks := p.choose(j, rooms, z, left, price, now)
+	for _, z := range p.zonesOf(j, capacities) {
+		picks := p.choose(j, capacities, z, left, price, now)
 		if len(picks) == 0 || (j.Shape == pipeline.Gang && len(picks) < left) {
 			continue
 		}
@@ -51,22 +51,22 @@
 		}
 		if cost < least {
 			least, best = cost, picks
-			j.Gather = z + 1
+			j.ReservedZone = z + 1
 		}
 	}
-	try := p.attempt(j)
+	attempt := p.attempt(j)
 	for _, k := range best {
 		for _, e := range k.victims {
-			p.Workers.Evict(e, e.Job.SnapCost+1)
-			k.room.Leaving = append(k.room.Leaving, e)
-			p.leave(e)
+			p.Workers.Evict(e, e.Job.CheckpointDuration+1)
+			k.capacity.Preempting = append(k.capacity.Preempting, e)
+			p.notePreempted(e)
 		}
-		if k.victims == nil && k.room.Fits(&j.Spec) > 0 {
+		if k.victims == nil && k.capacity.Fits(&j.Spec) > 0 {
 			// A gang's tasks fetch their image while room is made for the
 			// others: all have a promise, and the wait is short.
-			p.put(j, k.room, 1, try, now)
+			p.placeTasks(j, k.capacity, 1, attempt, now)
 		} else {
-			p.hold(j, k.room, now)
+			p.reserveTask(j, k.capacity, now)
 		}
 		left--
 	}
@@ -74,37 +74,37 @@
 }
 
 // future is the room with what is leaving already gone.
-func (r *Capacity) future() Capacity {
+func (r *Capacity) afterPreemption() Capacity {
 	f := *r
-	for _, e := range r.Leaving {
-		f.give(&e.Job.Spec)
+	for _, e := range r.Preempting {
+		f.release(&e.Job.Spec)
 	}
 	return f
 }
 
 // leave notes that a team gives up what a task uses.
-func (p *Scheduler) leave(e *pipeline.Entry) {
-	u := p.leaving[e.Job.Team]
+func (p *Scheduler) notePreempted(e *pipeline.Entry) {
+	u := p.preempting[e.Job.Team]
 	u.Add(&e.Job.Spec, 1)
-	p.leaving[e.Job.Team] = u
+	p.preempting[e.Job.Team] = u
 }
 
 // outranks tells whether a job may stop a running task.
-func (p *Scheduler) outranks(j *pipeline.Job, e *pipeline.Entry) bool {
+func (p *Scheduler) mayPreempt(j *pipeline.Job, e *pipeline.Entry) bool {
 	o := e.Job
-	if j.EffRank > o.EffRank {
+	if j.EffectivePriority > o.EffectivePriority {
 		return true
 	}
 	// What a team runs within its own guarantee is not stopped for another's,
 	// nor what was placed a moment ago: of two jobs that stopped each other so
 	// in every round, before either was stored, none would ever start.
-	if !j.Within || j.Team == o.Team || o.Within || !e.Durable {
+	if !j.WithinGuarantee || j.Team == o.Team || o.WithinGuarantee || !e.Durable {
 		return false
 	}
 	// Only what borrows the very thing that is guaranteed gives way.
-	mine, t, u, gone := p.Teams[j.Team], p.Teams[o.Team], p.Jobs.Team(o.Team), p.leaving[o.Team]
-	return (mine.Cores > 0 && j.Cores > 0 && o.Cores > 0 && u.Cores-gone.Cores > t.Cores+slack) ||
-		(mine.Cards > 0 && j.Cards > 0 && o.Cards > 0 && u.Cards-gone.Cards > t.Cards+slack)
+	mine, t, u, gone := p.Teams[j.Team], p.Teams[o.Team], p.Jobs.Team(o.Team), p.preempting[o.Team]
+	return (mine.CPUs > 0 && j.CPUs > 0 && o.CPUs > 0 && u.CPUs-gone.CPUs > t.CPUs+tolerance) ||
+		(mine.GPUs > 0 && j.GPUs > 0 && o.GPUs > 0 && u.GPUs-gone.GPUs > t.GPUs+tolerance)
 }
 
 // candidate is a task that may be stopped, and what that costs.
@@ -116,32 +116,32 @@
 // victims picks tasks to stop on a machine until the job fits, those that
 // lose least first. cost is in seconds of work lost or delayed.
 func (p *Scheduler) victims(j *pipeline.Job, r *Capacity, f Capacity, taken map[*pipeline.Entry]bool, now event.Time) (list []*pipeline.Entry, cost float64) {
-	cands := p.cands[:0]
-	defer func() { p.cands = cands }()
-	for _, e := range p.Jobs.OnHost(r.Host.Index) {
-		if taken[e] || e.Evict || e.Wish != pipeline.Keep || e.Job.Final != pipeline.Queued || (e.Job.Shape == pipeline.Gang && e.Job.N > 1) || !p.outranks(j, e) {
+	candidates := p.candidates[:0]
+	defer func() { p.candidates = candidates }()
+	for _, e := range p.Jobs.OnMachine(r.Machine.Index) {
+		if taken[e] || e.Evict || e.Pending != pipeline.NoPendingWrite || e.Job.Final != pipeline.Queued || (e.Job.Shape == pipeline.Gang && e.Job.TaskCount > 1) || !p.mayPreempt(j, e) {
 			continue
 		}
-		c := e.Job.SnapCost + 10 // to save, move and fetch
-		if e.Job.SnapEvery == 0 && e.Started != 0 {
-			c += float64(int64(now)-e.Started) / 1e9 // all of it is lost
+		c := e.Job.CheckpointDuration + 10 // to save, move and fetch
+		if e.Job.CheckpointInterval == 0 && e.StartedAt != 0 {
+			c += float64(int64(now)-e.StartedAt) / 1e9 // all of it is lost
 		}
-		if e.Started != 0 && int64(now)-e.Started < countsAfter {
-			c += countCost
+		if e.StartedAt != 0 && int64(now)-e.StartedAt < startCountsAfter {
+			c += uncountedStartCost
 		}
-		cands = append(cands, candidate{e, c})
+		candidates = append(candidates, candidate{e, c})
 	}
-	if len(cands) == 0 {
+	if len(candidates) == 0 {
 		return nil, 0
 	}
-	slices.SortFunc(cands, func(a, b candidate) int {
+	slices.SortFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(b.e.Job.Order, a.e.Job.Order), cmp.Compare(a.e.Task, b.e.Task))
 	})
-	for i, c := range cands {
+	for i, c := range candidates {
 		cost += c.cost
-		f.give(&c.e.Job.Spec)
+		f.release(&c.e.Job.Spec)
 		if f.Fits(&j.Spec) > 0 {
-			for _, c := range cands[:i+1] {
+			for _, c := range candidates[:i+1] {
 				list = append(list, c.e)
 			}
 			return list, cost
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -14,35 +14,35 @@
 func TestStoppedForGuarantee(t *testing.T) {
 	s := newSite()
 	mine, other := s.Jobs.Names.Teams.Index("t"), s.Jobs.Names.Teams.Index("u")
-	s.Teams = map[int]config.Team{mine: {Cores: 8}, other: {Cores: 4}}
+	s.Teams = map[int]config.Team{mine: {CPUs: 8}, other: {CPUs: 4}}
 	asks := s.job("req-1", nil)
-	borrower := func(j *pipeline.Job) { j.Team, j.Cores = other, 4 }
+	borrower := func(j *pipeline.Job) { j.Team, j.CPUs = other, 4 }
 	within, beyond := s.job("req-2", borrower), s.job("req-3", borrower)
 	fresh := s.Jobs.Place(beyond, 0, 0, 1, int64(s.now))
 	s.Jobs.Listen(pipeline.RunKey, "req-2/0", []byte(`{"t":1,"a":[[0,1,"i-1"]]}`), 9)
-	s.standing(s.Jobs.Unfinished())
-	if !asks.Within || !within.Within || beyond.Within {
-		t.Fatalf("within the guarantee: %v %v %v", asks.Within, within.Within, beyond.Within)
+	s.updateGuarantees(s.Jobs.Unfinished())
+	if !asks.WithinGuarantee || !within.WithinGuarantee || beyond.WithinGuarantee {
+		t.Fatalf("within the guarantee: %v %v %v", asks.WithinGuarantee, within.WithinGuarantee, beyond.WithinGuarantee)
 	}
-	if s.outranks(asks, within.Entry(0)) {
+	if s.mayPreempt(asks, within.Entry(0)) {
 		t.Error("a job within its own team's guarantee is stopped")
 	}
-	if s.outranks(asks, fresh) {
+	if s.mayPreempt(asks, fresh) {
 		t.Error("a task is stopped before it is stored")
 	}
 	s.Jobs.Listen(pipeline.RunKey, "req-3/0", []byte(`{"t":1,"a":[[0,1,"i-1"]]}`), 10)
-	if e := beyond.Entry(0); !e.Durable || !s.outranks(asks, e) {
+	if e := beyond.Entry(0); !e.Durable || !s.mayPreempt(asks, e) {
 		t.Error("what a team borrows does not give way")
 	}
-	asks.EffRank = pipeline.High
-	if !s.outranks(asks, within.Entry(0)) {
+	asks.EffectivePriority = pipeline.High
+	if !s.mayPreempt(asks, within.Entry(0)) {
 		t.Error("work of lower rank does not give way")
 	}
 }
 
 // All jobs of a team together are promised what its limit leaves, not each of
 // them; a gang that the limit does not admit whole is promised nothing.
-func TestPromisedWithinLimit(t *testing.T) {
+func TestCommittedWithinLimit(t *testing.T) {
 	for _, c := range []struct {
 		shape pipeline.Shape
 		n     int
@@ -51,11 +51,11 @@
 	}{{pipeline.Array, 4, 4, 4}, {pipeline.Array, 4, 6, 6}, {pipeline.Array, 4, 0, 8}, {pipeline.Gang, 6, 4, 0}} {
 		s := newSite()
 		other := s.Jobs.Names.Teams.Index("u")
-		s.Teams = map[int]config.Team{s.Jobs.Names.Teams.Index("t"): {CoresMax: c.limit}}
+		s.Teams = map[int]config.Team{s.Jobs.Names.Teams.Index("t"): {CPUsMax: c.limit}}
 		s.job("req-1", func(j *pipeline.Job) { j.Team = other })
 		s.Jobs.Listen(pipeline.RunKey, "req-1/0", []byte(`{"t":1,"a":[[0,1,"i-1"]]}`), 9)
 		for _, id := range []string{"req-2", "req-3"} {
-			s.job(id, func(j *pipeline.Job) { j.Shape, j.N, j.Cores = c.shape, c.n, 1 })
+			s.job(id, func(j *pipeline.Job) { j.Shape, j.TaskCount, j.CPUs = c.shape, c.n, 1 })
 		}
 		s.Round(s.now)
 		if got := s.Reserved(); got != c.want {
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -10,19 +10,19 @@
 // mostReserved bounds the reservations of one round: what is further back in
 // the order waits for later ones. A gang begun within the bound is reserved for
 // as a whole.
-const mostReserved = 64
+const maxReservations = 64
 
 // reserve keeps room for tasks of a job that found none: on each machine it
 // takes what will be free first, so that jobs behind it in the order of
 // readiness use only what does not delay it. For a gang that must be in one
 // place a zone is chosen once and kept: else the room that gathers in one is
 // left for another whenever that looks a little better, and small work takes it.
-func (p *Scheduler) reserve(j *pipeline.Job, left int, rooms []*Capacity, now event.Time) {
-	if left <= 0 || p.reserved >= mostReserved {
+func (p *Scheduler) reserve(j *pipeline.Job, left int, capacities []*Capacity, now event.Time) {
+	if left <= 0 || p.reserved >= maxReservations {
 		return
 	}
 	if j.Shape != pipeline.Gang {
-		left = min(left, mostReserved-p.reserved)
+		left = min(left, maxReservations-p.reserved)
 	}
 	price := func(r *Capacity, _ map[*pipeline.Entry]bool) (float64, []*pipeline.Entry, bool) {
 		at := p.fitsAt(j, r, now)
@@ -30,8 +30,8 @@
 	}
 	var best []pick
 	soonest, chosen := math.Inf(1), anyZone
-	for _, z := range p.zonesOf(j, rooms) {
-		picks := p.choose(j, rooms, z, left, price, now)
+	for _, z := range p.zonesOf(j, capacities) {
+		picks := p.choose(j, capacities, z, left, price, now)
 		if len(picks) == 0 {
 			continue
 		}
@@ -44,16 +44,16 @@
 		if at < soonest {
 			soonest, best, chosen = at, picks, z
 		}
-		if j.Gather != 0 && z == j.Gather-1 {
+		if j.ReservedZone != 0 && z == j.ReservedZone-1 {
 			break // kept
 		}
 	}
 	if chosen != anyZone && len(best) == left {
-		j.Gather = chosen + 1
+		j.ReservedZone = chosen + 1
 	}
 	for _, k := range best {
 		p.reserved++
-		p.hold(j, k.room, now)
+		p.reserveTask(j, k.capacity, now)
 	}
 }
 
@@ -64,18 +64,18 @@
 	}
 	if !r.sorted {
 		r.sorted = true
-		for _, e := range p.Jobs.OnHost(r.Host.Index) {
+		for _, e := range p.Jobs.OnMachine(r.Machine.Index) {
 			at := p.Remaining(e, now)
 			if e.Evict {
-				at = e.Job.SnapCost
+				at = e.Job.CheckpointDuration
 			}
-			r.ends = append(r.ends, ending{e, at})
+			r.endings = append(r.endings, ending{e, at})
 		}
-		sortEnds(r.ends)
+		sortEnds(r.endings)
 	}
 	free := *r
-	for _, x := range r.ends {
-		free.give(&x.e.Job.Spec)
+	for _, x := range r.endings {
+		free.release(&x.e.Job.Spec)
 		if free.Fits(&j.Spec) > 0 {
 			return x.at
 		}
--- a/internal/simtest/chains.go
+++ b/internal/simtest/chains.go
@@ -40,7 +40,7 @@
 		return nil
 	}
 	ids := awaited(text)
-	if w.check.told[j.id] == "" {
+	if w.check.acknowledged[j.id] == "" {
 		j.awaits = ids
 	}
 	return ids
@@ -86,7 +86,7 @@
 	for _, up := range c.w.needed(id) {
 		u := c.w.jobs[up]
 		switch {
-		case u == nil || len(u.complete) < u.n:
+		case u == nil || len(u.complete) < u.taskCount:
 			return up, "all its tasks are complete"
 		case !c.w.markedDone(up):
 			return up, "it is marked done"
@@ -102,10 +102,10 @@
 }
 
 // noteFreed notes when jobs cease to be held: other times count from then.
-func (c *Checker) noteFreed() {
+func (c *Checker) noteReleased() {
 	for id, j := range c.w.jobs {
-		if _, ok := c.freed[id]; !ok && len(j.awaits) > 0 && !c.held(id) {
-			c.freed[id] = c.w.now
+		if _, ok := c.releasedAt[id]; !ok && len(j.awaits) > 0 && !c.held(id) {
+			c.releasedAt[id] = c.w.now
 		}
 	}
 }
@@ -113,18 +113,18 @@
 // early checks that all that a task's job needs is done when it starts.
 func (c *Checker) early(t *task) {
 	if up, why := c.waitsFor(t.job.id); up != "" {
-		c.broken("too_early: %s starts on %s, needs %s, before %s", t.shard, t.on.name, up, why)
+		c.broken("too_early: %s starts on %s, needs %s, before %s", t.name, t.on.name, up, why)
 	}
 }
 
 // calledOff tells whether the user of a job, or of one that it needs, asked to
 // cancel it and was not told that it is done.
-func (c *Checker) calledOff(id string) bool {
+func (c *Checker) cancelRequested(id string) bool {
 	if c.asked[id] {
 		return true
 	}
 	for _, up := range c.w.needed(id) {
-		if c.asked[up] && c.told[up] != "done" {
+		if c.asked[up] && c.acknowledged[up] != "done" {
 			return true
 		}
 	}
@@ -133,10 +133,10 @@
 
 // offSince is when a user was first told that a job, or one that it needs, is
 // cancelled.
-func (c *Checker) offSince(id string) (time.Duration, bool) {
+func (c *Checker) cancelledSince(id string) (time.Duration, bool) {
 	at, ok := c.cancelAt[id]
 	for _, up := range c.w.needed(id) {
-		if a, told := c.cancelAt[up]; told && (!ok || a < at) {
+		if a, acknowledged := c.cancelAt[up]; acknowledged && (!ok || a < at) {
 			at, ok = a, true
 		}
 	}
@@ -167,20 +167,20 @@
 			}
 		}
 	}
-	if phase != "done" || c.told[id] == "done" || !c.asked[id] {
+	if phase != "done" || c.acknowledged[id] == "done" || !c.asked[id] {
 		return
 	}
 	// The cancellation lost: what needs the job goes on.
 	var ids []string
-	for o, told := range c.told {
-		if told == "cancelled" && !c.asked[o] {
+	for o, acknowledged := range c.acknowledged {
+		if acknowledged == "cancelled" && !c.asked[o] {
 			ids = append(ids, o)
 		}
 	}
 	slices.Sort(ids)
 	for _, o := range ids {
 		if needs := c.w.needed(o); slices.Contains(needs, id) && !slices.ContainsFunc(needs, func(up string) bool {
-			return up != id && c.asked[up] && c.told[up] != "done"
+			return up != id && c.asked[up] && c.acknowledged[up] != "done"
 		}) {
 			c.broken("went_back: %s cancelled by nobody, as %s is done", o, id)
 		}
@@ -245,14 +245,14 @@
 		open := 0
 		for i := range n {
 			id := fmt.Sprintf("req-%06d", first+i)
-			if told := w.check.told[id]; told != "done" && told != "cancelled" {
+			if acknowledged := w.check.acknowledged[id]; acknowledged != "done" && acknowledged != "cancelled" {
 				w.Poll(id)
 			}
-			told := w.check.told[id]
-			if told != "done" && told != "cancelled" {
+			acknowledged := w.check.acknowledged[id]
+			if acknowledged != "done" && acknowledged != "cancelled" {
 				open++
 			}
-			count[told]++
+			count[acknowledged]++
 		}
 		if open == 0 || w.now >= end {
 			var parts []string
@@ -305,12 +305,12 @@
 	for end := w.now + a.dur("within", "120s"); ; w.Run(time.Second) {
 		clear(ends)
 		for i := range 2 * n {
-			if told := w.check.told[id(first+i)]; told != "done" && told != "cancelled" {
+			if acknowledged := w.check.acknowledged[id(first+i)]; acknowledged != "done" && acknowledged != "cancelled" {
 				w.Poll(id(first + i))
 			}
 		}
 		for i := range n {
-			ends[w.check.told[id(first+2*i)]+"/"+w.check.told[id(first+2*i+1)]]++
+			ends[w.check.acknowledged[id(first+2*i)]+"/"+w.check.acknowledged[id(first+2*i+1)]]++
 		}
 		if ends["done/done"]+ends["cancelled/cancelled"] == n {
 			if a.flag("both") && (ends["done/done"] == 0 || ends["cancelled/cancelled"] == 0) {
@@ -337,7 +337,7 @@
 		} else {
 			w.check.asked[id] = true
 		}
-		w.check.told[id] = phase
+		w.check.acknowledged[id] = phase
 		w.store("f/"+id, fmt.Sprintf(`{"p":%q,"n":1}`, phase))
 	}
 	w.state.wake()
@@ -345,9 +345,9 @@
 
 // store puts a record as it is.
 func (w *World) store(key, data string) {
-	w.state.epoch++
-	w.state.keys[key] = stateKey{data: json.RawMessage(data), stamp: w.state.epoch}
-	w.state.log = append(w.state.log, stateChange{Write: key, Data: json.RawMessage(data), Stamp: w.state.epoch})
+	w.state.revision++
+	w.state.keys[key] = stateKey{data: json.RawMessage(data), version: w.state.revision}
+	w.state.log = append(w.state.log, stateChange{Write: key, Data: json.RawMessage(data), Version: w.state.revision})
 }
 
 // doChain carries out the commands that belong to chains and to a change of
@@ -360,7 +360,7 @@
 		_ = json.Unmarshal(w.Body(a), &o)
 		o["awaits"] = json.RawMessage(strings.TrimSpace(input))
 		b, _ := json.Marshal(o)
-		n := w.door()
+		n := w.entryNode()
 		if name, ok := a["node"]; ok {
 			n = w.pick(name)[0]
 		}
@@ -381,7 +381,7 @@
 			// Its user gives up.
 			body := w.Body(a)
 			w.jobs[a["id"]].submitted = true
-			w.request("user", w.door(), "POST", "/submissions", body, 5*time.Second, func(int, []byte) {})
+			w.request("user", w.entryNode(), "POST", "/submissions", body, 5*time.Second, func(int, []byte) {})
 		default:
 			w.submitOn(a)
 		}
--- a/internal/simtest/chains_check_test.go
+++ b/internal/simtest/chains_check_test.go
@@ -9,7 +9,7 @@
 
 // chain adds a job of one task that needs others, accepted.
 func chain(w *World, id string, awaits ...string) *job {
-	j := &job{id: id, team: "red", class: "c", n: 1, submitted: true, complete: map[int]bool{}, awaits: awaits}
+	j := &job{id: id, team: "red", class: "c", taskCount: 1, submitted: true, complete: map[int]bool{}, awaits: awaits}
 	w.jobs[id] = j
 	w.check.answered(w.now, id, 201, "queued")
 	return j
@@ -17,7 +17,7 @@
 
 // finish lets all tasks of a job complete and, marked, stores its done mark.
 func finish(w *World, j *job, marked bool) {
-	for i := range j.n {
+	for i := range j.taskCount {
 		j.complete[i] = true
 	}
 	if marked {
@@ -29,10 +29,10 @@
 // of chained jobs, and nothing where they are kept.
 func TestCheckerCatchesChains(t *testing.T) {
 	start := func(w *World, j *job) {
-		k := &worker{w: w, name: "i-a", addr: "i-a", flavor: "small", zone: "a", up: true, tasks: map[string]*task{}}
+		k := &worker{w: w, name: "i-a", addr: "i-a", machineType: "small", zone: "a", up: true, tasks: map[string]*task{}}
 		w.workers[k.name] = k
-		x := &task{on: k, job: j, shard: j.id + "/0", try: 1, phase: "running"}
-		k.tasks[x.shard] = x
+		x := &task{on: k, job: j, name: j.id + "/0", attempt: 1, phase: "running"}
+		k.tasks[x.name] = x
 		w.check.started(x)
 	}
 	cancel := func(w *World, id string) {
@@ -202,7 +202,7 @@
 		if ok != 5 || w.state.refused != 5 {
 			t.Errorf("%d of 10 writes of three were taken at 15 a second", ok)
 		}
-		for range 3 * mostRepeats {
+		for range 3 * maxRepeats {
 			w.Run(100 * time.Millisecond)
 			commit(w, large)
 		}
--- a/internal/simtest/chains_test.go
+++ b/internal/simtest/chains_test.go
@@ -135,17 +135,17 @@
 		}
 	}
 	lower()
-	w.calm()
+	w.endFaults()
 	w.settled(2 * userRetry)
 	w.state.lagged = 0
 	for _, id := range all {
-		if w.check.told[id] == "" {
+		if w.check.acknowledged[id] == "" {
 			w.Poll(id) // its user gave up; it may be accepted all the same
 		}
 	}
 	left := func() (ids []string) {
 		for _, id := range all {
-			if told := w.check.told[id]; told != "" && told != "done" && told != "cancelled" {
+			if acknowledged := w.check.acknowledged[id]; acknowledged != "" && acknowledged != "done" && acknowledged != "cancelled" {
 				ids = append(ids, id)
 			}
 		}
@@ -162,13 +162,13 @@
 		w.Run(seconds(2))
 	}
 	for _, id := range left() {
-		t.Errorf("seed %d: %s is still %s, needs %v\n%s", seed, id, w.check.told[id], w.jobs[id].awaits,
+		t.Errorf("seed %d: %s is still %s, needs %v\n%s", seed, id, w.check.acknowledged[id], w.jobs[id].awaits,
 			strings.Join(append(w.Keys("j/"+id), w.Keys("r/"+id)...), "\n"))
 	}
 	for _, id := range all {
 		for _, up := range w.jobs[id].awaits {
-			if told, above := w.check.told[id], w.check.told[up]; told == "done" && above != "done" || above == "cancelled" && told != "" && told != "cancelled" {
-				t.Errorf("seed %d: %s is %s, needs %s, which is %s", seed, id, told, up, above)
+			if acknowledged, above := w.check.acknowledged[id], w.check.acknowledged[up]; acknowledged == "done" && above != "done" || above == "cancelled" && acknowledged != "" && acknowledged != "cancelled" {
+				t.Errorf("seed %d: %s is %s, needs %s, which is %s", seed, id, acknowledged, up, above)
 			}
 		}
 	}
--- a/internal/simtest/check.go
+++ b/internal/simtest/check.go
@@ -11,26 +11,26 @@
 // own records: only what workers do and what users are told. The one
 // exception are done marks, without which no job that needs another may start.
 type Checker struct {
-	w        *World
-	Broken   []string
-	told     map[string]string        // last phase told, per job
-	cancelAt map[string]time.Duration // when the cancellation was told
-	asked    map[string]bool          // cancellations asked for
-	starts   int
-	refusals map[string]int
-	calmAt   time.Duration            // when the last trouble ended, 0: not yet
-	heardOf  map[string]time.Duration // when a question about a job was last answered
-	freed    map[string]time.Duration // when all was done that a job needs
-	toldAt   map[string]time.Duration // when the phase last told was first told
-	after    int                      // starts after a confirmed cancellation
-	beside   map[string]time.Duration // since when a job waits beside room for it
-	wrote    []int                    // what was written in all, lately
-	free     map[*worker][]room       // what was free on machines lately
+	w              *World
+	Broken         []string
+	acknowledged   map[string]string        // last phase told, per job
+	cancelAt       map[string]time.Duration // when the cancellation was told
+	asked          map[string]bool          // cancellations asked for
+	starts         int
+	refusals       map[string]int
+	calmAt         time.Duration            // when the last trouble ended, 0: not yet
+	heardOf        map[string]time.Duration // when a question about a job was last answered
+	releasedAt     map[string]time.Duration // when all was done that a job needs
+	acknowledgedAt map[string]time.Duration // when the phase last told was first told
+	after          int                      // starts after a confirmed cancellation
+	beside         map[string]time.Duration // since when a job waits beside room for it
+	wrote          []int                    // what was written in all, lately
+	free           map[*worker][]capacity   // what was free on machines lately
 }
 
 func newChecker(w *World) *Checker {
-	return &Checker{w: w, told: map[string]string{}, cancelAt: map[string]time.Duration{}, asked: map[string]bool{}, refusals: map[string]int{}, heardOf: map[string]time.Duration{},
-		freed: map[string]time.Duration{}, toldAt: map[string]time.Duration{}, beside: map[string]time.Duration{}, free: map[*worker][]room{}}
+	return &Checker{w: w, acknowledged: map[string]string{}, cancelAt: map[string]time.Duration{}, asked: map[string]bool{}, refusals: map[string]int{}, heardOf: map[string]time.Duration{},
+		releasedAt: map[string]time.Duration{}, acknowledgedAt: map[string]time.Duration{}, beside: map[string]time.Duration{}, free: map[*worker][]capacity{}}
 }
 
 func (c *Checker) broken(f string, a ...any) {
@@ -43,7 +43,7 @@
 func (c *Checker) onMachines() []*task {
 	var list []*task
 	for _, k := range c.w.workers {
-		if !k.up || k.doomed() {
+		if !k.up || k.certainlyLost() {
 			continue
 		}
 		for _, t := range k.tasks {
@@ -53,7 +53,7 @@
 		}
 	}
 	sort.Slice(list, func(a, b int) bool {
-		return list[a].shard < list[b].shard || (list[a].shard == list[b].shard && list[a].on.name < list[b].on.name)
+		return list[a].name < list[b].name || (list[a].name == list[b].name && list[a].on.name < list[b].on.name)
 	})
 	return list
 }
@@ -66,7 +66,7 @@
 	use := map[string][2]float64{}
 	add := func(o *task) {
 		u := use[o.job.team]
-		use[o.job.team] = [2]float64{u[0] + o.job.cores, u[1] + o.job.cards}
+		use[o.job.team] = [2]float64{u[0] + o.job.cpus, u[1] + o.job.gpus}
 	}
 	add(t)
 	for _, o := range c.onMachines() {
@@ -74,54 +74,54 @@
 			continue
 		}
 		add(o)
-		if o.shard == t.shard {
-			c.broken("ran_twice: %s starts on %s while on %s", t.shard, k.name, o.on.name)
+		if o.name == t.name {
+			c.broken("ran_twice: %s starts on %s while on %s", t.name, k.name, o.on.name)
 		}
-		if o.job == j && o.shard != t.shard {
+		if o.job == j && o.name != t.name {
 			inZone[o.on.zone]++
 		}
 	}
 	for _, team := range c.w.cfg.Settings.Teams {
 		u := use[team.Name]
-		if team.Name == j.team && ((team.CoresMax > 0 && u[0] > team.CoresMax+1e-6) || (team.CardsMax > 0 && u[1] > team.CardsMax+1e-6)) {
+		if team.Name == j.team && ((team.CPUsMax > 0 && u[0] > team.CPUsMax+1e-6) || (team.GPUsMax > 0 && u[1] > team.GPUsMax+1e-6)) {
 			c.broken("quota: team %s uses %v", team.Name, u)
 		}
 	}
-	allowed := j.flavors == nil
-	for _, f := range j.flavors {
-		allowed = allowed || f == k.flavor
+	allowed := j.machineTypes == nil
+	for _, f := range j.machineTypes {
+		allowed = allowed || f == k.machineType
 	}
-	if !allowed || (j.yard != "" && j.yard != k.zone) || (k.spot && !j.loaners) || (j.same && len(inZone) > 1) ||
-		(j.scatter && inZone[k.zone] > (j.n+1)/2) {
-		c.broken("wrong_place: %s try %d on %s (%s, %s, spot %v), zones %v, job same %v scatter %v loaners %v of %d", t.shard, t.try, k.name, k.flavor,
-			k.zone, k.spot, inZone, j.same, j.scatter, j.loaners, j.n)
+	if !allowed || (j.zone != "" && j.zone != k.zone) || (k.spot && !j.allowSpot) || (j.sameZone && len(inZone) > 1) ||
+		(j.scatter && inZone[k.zone] > (j.taskCount+1)/2) {
+		c.broken("wrong_place: %s try %d on %s (%s, %s, spot %v), zones %v, job same %v scatter %v loaners %v of %d", t.name, t.attempt, k.name, k.machineType,
+			k.zone, k.spot, inZone, j.sameZone, j.scatter, j.allowSpot, j.taskCount)
 	}
 	c.early(t)
-	if at, ok := c.offSince(j.id); ok {
+	if at, ok := c.cancelledSince(j.id); ok {
 		c.after++
 		if c.overdue(at) {
-			c.broken("ran_cancelled: %s starts", t.shard)
+			c.broken("ran_cancelled: %s starts", t.name)
 		}
 	}
 }
 
 // moment checks what must hold at any time.
 func (c *Checker) moment() {
-	c.noteFreed()
+	c.noteReleased()
 	for _, t := range c.onMachines() {
-		if at, ok := c.offSince(t.job.id); ok && c.overdue(at) {
-			c.broken("ran_cancelled: %s on %s", t.shard, t.on.name)
+		if at, ok := c.cancelledSince(t.job.id); ok && c.overdue(at) {
+			c.broken("ran_cancelled: %s on %s", t.name, t.on.name)
 		}
 	}
-	c.waitsBesideRoom()
+	c.checkWaitsBesideCapacity()
 }
 
 // answered checks what a user was told in answer to a question asked at that
 // time: one that was under way when another was answered may be older.
 func (c *Checker) answered(asked time.Duration, id string, status int, phase string) {
 	j := c.w.jobs[id]
-	older := c.told[id] != "" && asked < c.toldAt[id]
-	known := c.told[id] != ""
+	older := c.acknowledged[id] != "" && asked < c.acknowledgedAt[id]
+	known := c.acknowledged[id] != ""
 	switch {
 	case status == 200 || status == 201:
 		if j == nil || !j.submitted {
@@ -131,27 +131,27 @@
 		if j.never != 0 {
 			c.broken("accepted: %s answered %d, to be refused with %d", id, status, j.never)
 		}
-		last := c.told[id]
+		last := c.acknowledged[id]
 		if older && (last == "done" || last == "cancelled") && phase != "done" && phase != "cancelled" {
 			return
 		}
 		if (last == "done" || last == "cancelled") && phase != last {
 			c.broken("went_back: %s was %s, is %s", id, last, phase)
 		}
-		if phase == "cancelled" && !c.calledOff(id) {
+		if phase == "cancelled" && !c.cancelRequested(id) {
 			c.broken("went_back: %s cancelled by nobody", id)
 		}
-		if phase == "done" && len(j.complete) < j.n {
-			c.broken("not_done: %s has %d of %d tasks", id, len(j.complete), j.n)
+		if phase == "done" && len(j.complete) < j.taskCount {
+			c.broken("not_done: %s has %d of %d tasks", id, len(j.complete), j.taskCount)
 		}
 		c.chained(id, status, phase)
 		if phase == "cancelled" && last != phase {
 			c.cancelAt[id] = c.w.now
 		}
 		if last != phase {
-			c.toldAt[id] = c.w.now
+			c.acknowledgedAt[id] = c.w.now
 		}
-		c.told[id] = phase
+		c.acknowledged[id] = phase
 	case known && !older && (status == 404 || status == 400 || status == 422):
 		c.broken("forgotten: %s answered %d", id, status)
 	}
@@ -166,7 +166,7 @@
 	if _, ok := c.heardOf[id]; status == 200 || !ok {
 		c.heardOf[id] = c.w.now
 	}
-	if c.told[id] == "" || c.calledOff(id) || c.calmAt == 0 {
+	if c.acknowledged[id] == "" || c.cancelRequested(id) || c.calmAt == 0 {
 		return
 	}
 	if since := max(c.heardOf[id], c.calmAt); c.w.now-since > forgottenAfter {
@@ -194,16 +194,16 @@
 	}
 	largest := map[string]int{}
 	for _, j := range c.w.jobs {
-		largest[j.class] = max(largest[j.class], j.n)
+		largest[j.class] = max(largest[j.class], j.taskCount)
 	}
 	for id, j := range c.w.jobs {
-		if c.told[id] == "" || c.calledOff(id) || c.held(id) {
+		if c.acknowledged[id] == "" || c.cancelRequested(id) || c.held(id) {
 			continue
 		}
 		add("class "+j.class, j.began != 0)
 		add("team "+j.team, j.began != 0)
-		if j.n == largest[j.class] {
-			add("largest of "+j.class, j.began != 0 && j.began-max(j.asked, c.freed[id]) <= largestWithin)
+		if j.taskCount == largest[j.class] {
+			add("largest of "+j.class, j.began != 0 && j.began-max(j.asked, c.releasedAt[id]) <= largestWithin)
 		}
 	}
 	var short []string
--- a/internal/simtest/check_test.go
+++ b/internal/simtest/check_test.go
@@ -10,29 +10,29 @@
 // TestCheckerCatches shows that the checker sees each kind of violation.
 func TestCheckerCatches(t *testing.T) {
 	// place puts a task on a machine as a service that breaks rules would.
-	place := func(w *World, j *job, index int, flavor, zone string, spot bool) *task {
+	place := func(w *World, j *job, index int, machineType, zone string, spot bool) *task {
 		name := "i-" + string(rune('a'+len(w.workers)))
-		k := &worker{w: w, name: name, addr: name, flavor: flavor, zone: zone, spot: spot, up: true, tasks: map[string]*task{}}
+		k := &worker{w: w, name: name, addr: name, machineType: machineType, zone: zone, spot: spot, up: true, tasks: map[string]*task{}}
 		w.workers[name] = k
-		x := &task{on: k, job: j, shard: j.id + "/" + string(rune('0'+index)), index: index, try: 1, phase: "running"}
-		k.tasks[x.shard] = x
+		x := &task{on: k, job: j, name: j.id + "/" + string(rune('0'+index)), index: index, attempt: 1, phase: "running"}
+		k.tasks[x.name] = x
 		w.check.started(x)
 		return x
 	}
 	cases := map[string]func(w *World, j *job){
 		"ran_twice": func(w *World, j *job) { place(w, j, 0, "small", "a", false); place(w, j, 0, "small", "b", false) },
 		"quota": func(w *World, j *job) {
-			j.cards = 5
+			j.gpus = 5
 			place(w, j, 0, "card", "a", false)
 			place(w, j, 1, "card", "a", false)
 		},
 		"wrong_place: req-000001/0 try 1 on i-a (small": func(w *World, j *job) {
-			j.flavors = []string{"big"}
+			j.machineTypes = []string{"big"}
 			place(w, j, 0, "small", "a", false)
 		},
 		"spot true": func(w *World, j *job) { place(w, j, 0, "small", "a", true) },
 		"zones map[a:1 b:1]": func(w *World, j *job) {
-			j.same = true
+			j.sameZone = true
 			place(w, j, 0, "small", "a", false)
 			place(w, j, 1, "small", "b", false)
 		},
@@ -109,7 +109,7 @@
 	}
 	for want, breakIt := range cases {
 		w := New(1, 1, io.Discard)
-		j := &job{id: "req-000001", team: "red", class: "c", n: 2, submitted: true, complete: map[int]bool{}}
+		j := &job{id: "req-000001", team: "red", class: "c", taskCount: 2, submitted: true, complete: map[int]bool{}}
 		w.jobs[j.id] = j
 		breakIt(w, j)
 		if got := w.Verdict(); !strings.Contains(got, want) {
@@ -133,14 +133,14 @@
 			w.check.asked[j.id] = true
 			w.check.answered(w.now, j.id, 200, "cancelled")
 			k := newWorker(w, "i-a", "i-a", "small", "a", false)
-			k.tasks["req-000001/0"] = &task{on: k, job: j, shard: "req-000001/0", try: 1, phase: "running"}
+			k.tasks["req-000001/0"] = &task{on: k, job: j, name: "req-000001/0", attempt: 1, phase: "running"}
 			k.hang(26 * time.Second)
 			w.Run(25500 * time.Millisecond)
 			w.check.moment()
 			w.Run(time.Second)
 		},
 		"a job that waits where its team is at its limit": func(w *World, j *job) {
-			j.team, j.cores = "blue", 17
+			j.team, j.cpus = "blue", 17
 			w.check.answered(w.now, j.id, 201, "queued")
 			w.check.calmAt = 1
 			for range 2 * 100 {
@@ -152,7 +152,7 @@
 	}
 	for name, do := range cases {
 		w := New(1, 1, io.Discard)
-		j := &job{id: "req-000001", team: "red", class: "c", n: 2, submitted: true, complete: map[int]bool{}}
+		j := &job{id: "req-000001", team: "red", class: "c", taskCount: 2, submitted: true, complete: map[int]bool{}}
 		w.jobs[j.id] = j
 		do(w, j)
 		if got := w.Verdict(); got != "kept" {
@@ -164,10 +164,10 @@
 // TestCheckerCounts shows that starts after a confirmed cancellation count.
 func TestCheckerCounts(t *testing.T) {
 	w := New(1, 1, io.Discard)
-	j := &job{id: "req-000001", team: "red", class: "c", n: 2, submitted: true, complete: map[int]bool{}}
+	j := &job{id: "req-000001", team: "red", class: "c", taskCount: 2, submitted: true, complete: map[int]bool{}}
 	w.jobs[j.id] = j
 	k := newWorker(w, "i-a", "i-a", "small", "a", false)
-	start := func(shard string) { w.check.started(&task{on: k, job: j, shard: shard, try: 1, phase: "running"}) }
+	start := func(shard string) { w.check.started(&task{on: k, job: j, name: shard, attempt: 1, phase: "running"}) }
 	start("req-000001/0")
 	w.check.asked[j.id] = true
 	w.check.answered(w.now, j.id, 200, "cancelled")
--- a/internal/simtest/hang.go
+++ b/internal/simtest/hang.go
@@ -5,7 +5,7 @@
 // stillness is what a machine's hangs have done to it. While it hangs nothing
 // on it executes, but its lease runs on: if it goes on later than that, it kills
 // its tasks before anything else.
-type stillness struct {
+type hangState struct {
 	hung     bool
 	hungFrom time.Duration
 	hungTo   time.Duration
@@ -45,7 +45,7 @@
 	if j == nil {
 		return nil
 	}
-	return j.gangs[t.try]
+	return j.gangs[t.attempt]
 }
 
 func (g *gang) anyAwake() bool {
@@ -68,7 +68,7 @@
 	k.hung = false
 	k.hungSum += k.w.now - k.hungFrom
 	k.endLease()
-	k.w.check.wentOn(k)
+	k.w.check.resumed(k)
 	list := k.onWake
 	k.onWake = nil
 	for _, f := range list {
@@ -84,7 +84,7 @@
 		return
 	}
 	k.killAll()
-	k.tenure++
+	k.session++
 	k.leaseFrom = k.w.now
 	k.changed = true
 }
@@ -96,7 +96,7 @@
 
 // doomed tells whether the tasks are certain not to go on: the machine hangs
 // and has outlived its lease.
-func (k *worker) doomed() bool { return k.hung && k.leaseOver() }
+func (k *worker) certainlyLost() bool { return k.hung && k.leaseOver() }
 
 // whenAwake runs f at once, or when the machine goes on.
 func (k *worker) whenAwake(f func()) {
@@ -135,10 +135,10 @@
 // endGang lets the tasks of a gang that lost one exit, on a machine that hangs
 // once it goes on.
 func (w *World) endGang(j *job, g *gang) {
-	for i := range j.n {
+	for i := range j.taskCount {
 		if m := g.tasks[i]; m != nil && m.onMachine() {
 			m.on.whenAwake(func() {
-				if m.onMachine() && m.on.tasks[m.shard] == m {
+				if m.onMachine() && m.on.tasks[m.name] == m {
 					m.on.exit(m, "peers", false)
 				}
 			})
@@ -148,10 +148,10 @@
 
 // wentOn looks at what goes on when a machine does: a task that should be gone
 // by then is on it, however soon it is stopped after that.
-func (c *Checker) wentOn(k *worker) {
+func (c *Checker) resumed(k *worker) {
 	for _, t := range k.sorted() {
-		if at, ok := c.offSince(t.job.idOf()); ok && t.onMachine() && c.overdue(at) {
-			c.broken("ran_cancelled: %s goes on on %s", t.shard, k.name)
+		if at, ok := c.cancelledSince(t.job.idOf()); ok && t.onMachine() && c.overdue(at) {
+			c.broken("ran_cancelled: %s goes on on %s", t.name, k.name)
 		}
 	}
 }
--- a/internal/simtest/limits.go
+++ b/internal/simtest/limits.go
@@ -46,8 +46,8 @@
 // Many writes too large in a short time are one that is tried for ever. Only
 // the first ones are named.
 const (
-	mostNamed     = 5
-	mostRepeats   = 20
+	maxNamed      = 5
+	maxRepeats    = 20
 	repeatsWithin = 10 * time.Second
 )
 
@@ -55,15 +55,15 @@
 // where it was told the limits; where it was not it may try, but not for ever.
 func (s *state) refuseSize(what, f string, a ...any) (int, any) {
 	s.tooLarge++
-	if (s.now == nil || s.w.announced) && s.tooLarge <= mostNamed {
+	if (s.now == nil || s.w.announced) && s.tooLarge <= maxNamed {
 		s.w.fault("%.2fs state service got %s", s.w.now.Seconds(), fmt.Sprintf(f, a...))
 	}
 	if s.repeats == nil {
 		s.repeats = map[string][]time.Duration{}
 	}
 	list := append(s.repeats[what], s.w.now)
-	if len(list) > mostRepeats {
-		list = list[len(list)-mostRepeats:]
+	if len(list) > maxRepeats {
+		list = list[len(list)-maxRepeats:]
 		if s.w.now-list[0] < repeatsWithin {
 			s.endless++
 			if s.endless == 1 {
--- a/internal/simtest/misfortunes_test.go
+++ b/internal/simtest/misfortunes_test.go
@@ -34,15 +34,15 @@
 	case 10:
 		if on := w.check.onMachines(); len(on) > 0 {
 			k := on[w.rng.IntN(len(on))].on
-			w.Deafen(k, true)
-			w.after(long, func() { w.Deafen(k, false) })
+			w.BlockInbound(k, true)
+			w.after(long, func() { w.BlockInbound(k, false) })
 		}
 	case 12:
 		if l := w.Leader(); l != nil && w.rng.IntN(2) == 0 {
 			n = l
 		}
-		if n.up && !n.frozen {
-			n.freeze(long/2, w.rng.IntN(2) == 0)
+		if n.up && !n.paused {
+			n.pause(long/2, w.rng.IntN(2) == 0)
 		}
 	case 11:
 		if l := w.Leader(); l != nil {
@@ -97,7 +97,7 @@
 	case 15:
 		w.forWhile(&w.heldCommands, 0.5, long)
 	case 16:
-		w.someMachines(func(k *worker) { w.muteFor(k, long) })
+		w.someMachines(func(k *worker) { w.blockReportsFor(k, long) })
 	case 17, 18:
 		w.gap()
 	case 19:
@@ -107,10 +107,10 @@
 	case 20:
 		w.forWhile(&w.cancelEnds, 0.5, long)
 	case 21:
-		if !w.odd {
-			w.odd = true
-			w.oddly()
-			w.after(long, func() { w.odd = false })
+		if !w.invalidRequests {
+			w.invalidRequests = true
+			w.sendInvalidRequests()
+			w.after(long, func() { w.invalidRequests = false })
 		}
 	case 22:
 		w.churn(10, 2*time.Minute, "")
@@ -137,12 +137,12 @@
 		if l := w.Leader(); l != nil && w.rng.IntN(2) == 0 {
 			n = l
 		}
-		n.blind = true
-		w.after(long, func() { n.blind = false })
+		n.watchBlocked = true
+		w.after(long, func() { n.watchBlocked = false })
 	case 25:
 		w.someMachines(func(k *worker) {
-			w.Deafen(k, true)
-			w.after(long, func() { w.Deafen(k, false) })
+			w.BlockInbound(k, true)
+			w.after(long, func() { w.BlockInbound(k, false) })
 		})
 	}
 }
--- a/internal/simtest/scenario_test.go
+++ b/internal/simtest/scenario_test.go
@@ -52,7 +52,7 @@
 						p.Settings.Workers.ReportS = a.num("report", "1")
 						p.Settings.Workers.CancelS = a.num("cancel", "25")
 						if most := a.num("maxgpus", "0"); most > 0 {
-							p.Settings.Teams[0].CardsMax = most
+							p.Settings.Teams[0].GPUsMax = most
 						}
 						p.Settings.State.RPS, p.Settings.State.WriteRPS = a.num("rps", "100"), a.num("writes", "60")
 					})
@@ -146,7 +146,7 @@
 			w.Cancel(open[w.rng.IntN(len(open))])
 		}
 	}
-	w.calm()
+	w.endFaults()
 	for _, id := range open {
 		if w.jobs[id].shape == "daemon" {
 			w.Cancel(id)
@@ -155,7 +155,7 @@
 	for range 120 {
 		left := 0
 		for _, id := range open {
-			if told := w.check.told[id]; told != "done" && told != "cancelled" {
+			if acknowledged := w.check.acknowledged[id]; acknowledged != "done" && acknowledged != "cancelled" {
 				left++
 				w.Poll(id)
 			}
@@ -166,8 +166,8 @@
 		w.Run(seconds(2))
 	}
 	for _, id := range open {
-		if told := w.check.told[id]; told != "done" && told != "cancelled" {
-			t.Errorf("seed %d: %s is still %s: %+v\n%s", seed, id, told, *w.jobs[id], strings.Join(append(w.Keys("j/"+id), w.Keys("r/"+id)...), "\n"))
+		if acknowledged := w.check.acknowledged[id]; acknowledged != "done" && acknowledged != "cancelled" {
+			t.Errorf("seed %d: %s is still %s: %+v\n%s", seed, id, acknowledged, *w.jobs[id], strings.Join(append(w.Keys("j/"+id), w.Keys("r/"+id)...), "\n"))
 		}
 	}
 	if v := w.Verdict(); v != "kept" {
@@ -176,11 +176,11 @@
 }
 
 // calm ends all faults.
-func (w *World) calm() {
+func (w *World) endFaults() {
 	w.Run(max(seconds(25), w.troubleTo-w.now))
 	w.loss, w.late, w.cloud.never, w.cloud.down, w.copies = 0, 0, 0, false, 0
-	w.lateWrites, w.heldReports, w.heldCommands, w.cancelEnds, w.odd = 0, 0, 0, 0, false
-	w.Run(lateMost) // what was held up arrives
+	w.lateWrites, w.heldReports, w.heldCommands, w.cancelEnds, w.invalidRequests = 0, 0, 0, 0, false
+	w.Run(maxDelay) // what was held up arrives
 	w.check.calmAt = w.now
 	for _, n := range w.nodes {
 		if !n.up {
--- a/internal/simtest/script.go
+++ b/internal/simtest/script.go
@@ -54,21 +54,21 @@
 		w.jobs[id] = j
 	}
 	j.team, j.shape, j.class = a.or("team", "red"), a.or("shape", "array"), a.or("class", "c")
-	j.n = int(a.num("shards", "1"))
-	j.cores, j.cards, j.ram = a.num("cores", "1"), a.num("cards", "0"), a.num("ram", "1")
+	j.taskCount = int(a.num("shards", "1"))
+	j.cpus, j.gpus, j.memory = a.num("cores", "1"), a.num("cards", "0"), a.num("ram", "1")
 	if f, ok := a["flavors"]; ok {
-		j.flavors = strings.Split(f, "+")
+		j.machineTypes = strings.Split(f, "+")
 	}
-	j.yard = a["yard"]
-	j.same, j.scatter, j.loaners, j.broken = a.flag("same"), a.flag("scatter"), a.flag("loaners"), a.flag("broken")
+	j.zone = a["yard"]
+	j.sameZone, j.scatter, j.allowSpot, j.broken = a.flag("same"), a.flag("scatter"), a.flag("loaners"), a.flag("broken")
 	j.run, j.image = a.dur("run", "5s"), a.dur("image", "1s")
-	j.snapEvery, j.snapCost = a.dur("snap", "0s"), a.dur("cost", "1s")
-	o := object{"name_id": id, "jobclass": j.class, "owner": j.team, "shape": j.shape, "rank": a.or("rank", "normal"), "shards": j.n,
-		"cores": j.cores, "cards": j.cards, "ram_gb": j.ram, "bundle": a.or("bundle", "img"), "image_gb": 1, "flavors": j.flavors, "yard": nil,
-		"same_place": j.same, "scatter": j.scatter, "loaners": j.loaners, "expect_s": j.run.Seconds(),
-		"snapshot_every_s": j.snapEvery.Seconds(), "snapshot_s": j.snapCost.Seconds(), "due_s": nil}
-	if j.yard != "" {
-		o["yard"] = j.yard
+	j.checkpointInterval, j.checkpointDuration = a.dur("snap", "0s"), a.dur("cost", "1s")
+	o := object{"name_id": id, "jobclass": j.class, "owner": j.team, "shape": j.shape, "rank": a.or("rank", "normal"), "shards": j.taskCount,
+		"cores": j.cpus, "cards": j.gpus, "ram_gb": j.memory, "bundle": a.or("bundle", "img"), "image_gb": 1, "flavors": j.machineTypes, "yard": nil,
+		"same_place": j.sameZone, "scatter": j.scatter, "loaners": j.allowSpot, "expect_s": j.run.Seconds(),
+		"snapshot_every_s": j.checkpointInterval.Seconds(), "snapshot_s": j.checkpointDuration.Seconds(), "due_s": nil}
+	if j.zone != "" {
+		o["yard"] = j.zone
 	}
 	if ids := w.await(j, a); ids != nil {
 		o["awaits"] = ids
@@ -92,7 +92,7 @@
 }
 
 // door is the controller that the next request of a user goes to.
-func (w *World) door() *node {
+func (w *World) entryNode() *node {
 	if w.users != nil {
 		return w.users
 	}
@@ -103,7 +103,7 @@
 func (w *World) user(id, method, path string, body []byte) (int, string) {
 	for end := w.now + userRetry; ; w.Run(time.Second) {
 		asked := w.now
-		status, v := w.ask(w.door(), method, path, body)
+		status, v := w.ask(w.entryNode(), method, path, body)
 		phase, _ := v["phase"].(string)
 		w.check.answered(asked, id, status, phase)
 		if j := w.jobs[id]; j != nil && j.asked == 0 {
@@ -140,10 +140,10 @@
 		body := w.Body(one)
 		j := w.jobs[one["id"]]
 		j.submitted = true
-		var try func()
-		try = func() {
+		var attempt func()
+		attempt = func() {
 			asked := w.now
-			w.request("user", w.door(), "POST", "/submissions", body, 5*time.Second, func(status int, b []byte) {
+			w.request("user", w.entryNode(), "POST", "/submissions", body, 5*time.Second, func(status int, b []byte) {
 				var v struct {
 					Phase string `json:"phase"`
 				}
@@ -161,11 +161,11 @@
 				case w.now >= end:
 					open--
 				default:
-					w.after(time.Second, try)
+					w.after(time.Second, attempt)
 				}
 			})
 		}
-		try()
+		attempt()
 	}
 	for open > 0 {
 		w.Run(100 * time.Millisecond)
@@ -184,7 +184,7 @@
 // Poll asks for a job's state once, without insisting.
 func (w *World) Poll(id string) (int, string) {
 	asked := w.now
-	status, v := w.ask(w.door(), "GET", "/submissions/"+id, nil)
+	status, v := w.ask(w.entryNode(), "GET", "/submissions/"+id, nil)
 	phase, _ := v["phase"].(string)
 	w.check.answered(asked, id, status, phase)
 	w.check.polled(id, status)
@@ -217,8 +217,8 @@
 // accepted lists the jobs whose users got an answer and did not cancel.
 func (w *World) accepted() []string {
 	var ids []string
-	for id := range w.check.told {
-		if !w.check.calledOff(id) {
+	for id := range w.check.acknowledged {
+		if !w.check.cancelRequested(id) {
 			ids = append(ids, id)
 		}
 	}
@@ -244,9 +244,9 @@
 }
 
 // hostOf finds the machine that a task is on.
-func (w *World) hostOf(shard string) *worker {
+func (w *World) machineOf(shard string) *worker {
 	for _, t := range w.check.onMachines() {
-		if t.shard == shard {
+		if t.name == shard {
 			return t.on
 		}
 	}
@@ -262,11 +262,11 @@
 		one := n.core.Work()
 		sum.Reports += one.Reports
 		sum.Decoded += one.Decoded
-		sum.Same += one.Same
+		sum.Unchanged += one.Unchanged
 		sum.Rounds += one.Rounds
-		sum.Counted += one.Counted
+		sum.CapacitiesRecounted += one.CapacitiesRecounted
 	}
-	if float64(sum.Decoded) <= a.num("decoded", "0")/100*float64(sum.Decoded+sum.Same) && float64(sum.Counted) <= a.num("counted", "0")*float64(sum.Rounds) &&
+	if float64(sum.Decoded) <= a.num("decoded", "0")/100*float64(sum.Decoded+sum.Unchanged) && float64(sum.CapacitiesRecounted) <= a.num("counted", "0")*float64(sum.Rounds) &&
 		w.state.written <= int(a.num("writes", "0")) {
 		return "within"
 	}
@@ -283,7 +283,7 @@
 	case "capacity":
 		for _, spot := range []bool{false, true} {
 			for _, z := range []string{"a", "b"} {
-				w.cloud.capacity[capacityKey(a["flavor"], z, spot)] = int(a.num("count", "0"))
+				w.cloud.available[capacityKey(a["flavor"], z, spot)] = int(a.num("count", "0"))
 			}
 		}
 	case "never":
@@ -311,10 +311,10 @@
 		for end := w.now + a.dur("within", "60s"); w.now < end; w.Run(time.Second) {
 			done = 0
 			for _, id := range w.accepted() {
-				if w.check.told[id] != "done" {
+				if w.check.acknowledged[id] != "done" {
 					w.Poll(id)
 				}
-				if w.check.told[id] == "done" {
+				if w.check.acknowledged[id] == "done" {
 					done++
 				}
 			}
@@ -334,9 +334,9 @@
 		return strconv.Itoa(status)
 	case "write":
 		// A record as another version or a pipeline's author would store it.
-		w.state.epoch++
-		w.state.keys[a["key"]] = stateKey{data: json.RawMessage(strings.TrimSpace(input)), stamp: w.state.epoch}
-		w.state.log = append(w.state.log, stateChange{Write: a["key"], Data: w.state.keys[a["key"]].data, Stamp: w.state.epoch})
+		w.state.revision++
+		w.state.keys[a["key"]] = stateKey{data: json.RawMessage(strings.TrimSpace(input)), version: w.state.revision}
+		w.state.log = append(w.state.log, stateChange{Write: a["key"], Data: w.state.keys[a["key"]].data, Version: w.state.revision})
 		w.state.wake()
 	case "job":
 		w.Body(a)
@@ -369,10 +369,10 @@
 		}
 	case "forgetlog":
 		// As many changes come as the state service keeps.
-		w.state.oldest = w.state.epoch
+		w.state.oldest = w.state.revision
 	case "freeze":
 		for _, n := range w.pick(a["node"]) {
-			n.freeze(a.dur("for", "2s"), a.flag("within"))
+			n.pause(a.dur("for", "2s"), a.flag("within"))
 		}
 	case "cut", "heal":
 		on := cmd == "cut"
@@ -392,17 +392,17 @@
 	case "cloud":
 		w.cloud.down = !a.flag("over")
 	case "deaf":
-		k := w.hostOf(a["shard"])
+		k := w.machineOf(a["shard"])
 		if k == nil {
 			return "not on a machine"
 		}
-		w.Deafen(k, true)
+		w.BlockInbound(k, true)
 		if a.flag("for") {
-			w.after(a.dur("for", "5s"), func() { w.Deafen(k, false) })
+			w.after(a.dur("for", "5s"), func() { w.BlockInbound(k, false) })
 		}
 	case "deafnext":
 		// The machine that comes up next never hears anybody.
-		w.deafNext += int(a.num("count", "1"))
+		w.unreachableNext += int(a.num("count", "1"))
 	case "copies":
 		w.copies, w.copyLate = a.num("share", "0"), a.dur("within", "30s")
 	case "isolate", "join":
@@ -444,7 +444,7 @@
 			}
 			break
 		}
-		k := w.hostOf(a["shard"])
+		k := w.machineOf(a["shard"])
 		if k == nil {
 			return "not on a machine"
 		}
@@ -458,7 +458,7 @@
 		case "hang":
 			k.hang(a.dur("for", "5s"))
 		case "recall":
-			k.recallAt, k.changed = w.now+a.dur("in", "8s"), true
+			k.reclaimAt, k.changed = w.now+a.dur("in", "8s"), true
 			w.after(a.dur("in", "8s"), func() { w.cloud.remove(k.name) })
 		}
 	case "zones":
@@ -474,8 +474,8 @@
 		return fmt.Sprintf("a=%d b=%d", count["a"], count["b"])
 	case "machines":
 		types := map[string]int{}
-		for _, h := range w.cloud.hosts {
-			types[h.flavor]++
+		for _, h := range w.cloud.machines {
+			types[h.machineType]++
 		}
 		var names []string
 		for n := range types {
--- a/internal/simtest/state.go
+++ b/internal/simtest/state.go
@@ -12,15 +12,15 @@
 // state is a stand-in of the state service, written from its published
 // protocol.
 type state struct {
-	w      *World
-	keys   map[string]stateKey
-	epoch  uint64
-	oldest uint64 // changes from before are not kept
-	log    []stateChange
-	leases map[uint64]*stateLease
-	last   uint64
-	waits  []*stateWait
-	down   bool
+	w        *World
+	keys     map[string]stateKey
+	revision uint64
+	oldest   uint64 // changes from before are not kept
+	log      []stateChange
+	leases   map[uint64]*stateLease
+	last     uint64
+	waits    []*stateWait
+	down     bool
 
 	requests, writes budget
 	refused          int // for exceeding them
@@ -45,16 +45,16 @@
 }
 
 type stateKey struct {
-	data   json.RawMessage
-	stamp  uint64
-	tether uint64
+	data    json.RawMessage
+	version uint64
+	leaseID uint64
 }
 
 type stateChange struct {
-	Write string          `json:"write,omitempty"`
-	Drop  string          `json:"drop,omitempty"`
-	Data  json.RawMessage `json:"data,omitempty"`
-	Stamp uint64          `json:"stamp"`
+	Write   string          `json:"write,omitempty"`
+	Drop    string          `json:"drop,omitempty"`
+	Data    json.RawMessage `json:"data,omitempty"`
+	Version uint64          `json:"stamp"`
 }
 
 type stateLease struct {
@@ -134,11 +134,11 @@
 	case u.Path == "/follow":
 		from, _ := strconv.ParseUint(q.Get("from"), 10, 64)
 		wait, _ := strconv.Atoi(q.Get("wait_ms"))
-		if from+logKept < s.epoch || from < s.oldest {
+		if from+logKept < s.revision || from < s.oldest {
 			answer(410, nil)
 			return
 		}
-		if from < s.epoch || wait == 0 {
+		if from < s.revision || wait == 0 {
 			answer(200, s.changes(from))
 			return
 		}
@@ -170,27 +170,27 @@
 	limit = min(limit, s.w.pageLimit)
 	items := []object{}
 	for _, k := range keys[:min(limit, len(keys))] {
-		items = append(items, object{"key": k, "data": s.keys[k].data, "stamp": s.keys[k].stamp})
+		items = append(items, object{"key": k, "data": s.keys[k].data, "stamp": s.keys[k].version})
 	}
-	return object{"items": items, "has_next": len(keys) > limit, "epoch": s.epoch}
+	return object{"items": items, "has_next": len(keys) > limit, "epoch": s.revision}
 }
 
 func (s *state) changes(from uint64) object {
-	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].Stamp > from })
-	return object{"epoch": s.epoch, "log": append([]stateChange{}, s.log[i:]...)}
+	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].Version > from })
+	return object{"epoch": s.revision, "log": append([]stateChange{}, s.log[i:]...)}
 }
 
 func (s *state) commit(body []byte) (int, any) {
 	var t struct {
 		If []struct {
-			Key   string `json:"key"`
-			Stamp uint64 `json:"stamp"`
+			Key     string `json:"key"`
+			Version uint64 `json:"stamp"`
 		} `json:"if"`
 		Then []struct {
-			Write  string          `json:"write"`
-			Drop   string          `json:"drop"`
-			Data   json.RawMessage `json:"data"`
-			Tether uint64          `json:"tether"`
+			Write   string          `json:"write"`
+			Drop    string          `json:"drop"`
+			Data    json.RawMessage `json:"data"`
+			LeaseID uint64          `json:"tether"`
 		} `json:"then"`
 	}
 	set := s.limits()
@@ -202,7 +202,7 @@
 		return 429, nil
 	}
 	for _, op := range t.Then {
-		if op.Tether != 0 && s.leases[op.Tether] == nil {
+		if op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
 			return 400, object{"error": "no such lease"}
 		}
 		if float64(len(op.Data)) > set.valueKB*1024 {
@@ -211,28 +211,28 @@
 	}
 	failed := []string{}
 	for _, c := range t.If {
-		if s.keys[c.Key].stamp != c.Stamp {
+		if s.keys[c.Key].version != c.Version {
 			failed = append(failed, c.Key)
 		}
 	}
 	if len(failed) > 0 {
-		return 409, object{"failed": failed, "epoch": s.epoch}
+		return 409, object{"failed": failed, "epoch": s.revision}
 	}
 	if len(t.Then) > 0 {
-		s.epoch++
+		s.revision++
 	}
 	s.written += len(t.Then)
 	for _, op := range t.Then {
 		if op.Drop != "" {
 			delete(s.keys, op.Drop)
-			s.log = append(s.log, stateChange{Drop: op.Drop, Stamp: s.epoch})
+			s.log = append(s.log, stateChange{Drop: op.Drop, Version: s.revision})
 			continue
 		}
-		s.keys[op.Write] = stateKey{op.Data, s.epoch, op.Tether}
-		s.log = append(s.log, stateChange{Write: op.Write, Data: op.Data, Stamp: s.epoch})
+		s.keys[op.Write] = stateKey{op.Data, s.revision, op.LeaseID}
+		s.log = append(s.log, stateChange{Write: op.Write, Data: op.Data, Version: s.revision})
 	}
 	s.wake()
-	return 200, object{"epoch": s.epoch}
+	return 200, object{"epoch": s.revision}
 }
 
 func (s *state) wake() {
@@ -242,7 +242,7 @@
 		if wt.expired {
 			continue
 		}
-		if s.epoch > wt.from && !s.down {
+		if s.revision > wt.from && !s.down {
 			wt.expired = true
 			wt.answer(200, s.changes(wt.from))
 		} else {
@@ -267,15 +267,15 @@
 		delete(s.leases, id)
 		var keys []string
 		for k, v := range s.keys {
-			if v.tether == id {
+			if v.leaseID == id {
 				keys = append(keys, k)
 			}
 		}
 		sort.Strings(keys)
 		for _, k := range keys {
-			s.epoch++
+			s.revision++
 			delete(s.keys, k)
-			s.log = append(s.log, stateChange{Drop: k, Stamp: s.epoch})
+			s.log = append(s.log, stateChange{Drop: k, Version: s.revision})
 		}
 	}
 	if len(ended) > 0 {
--- a/internal/simtest/troubles.go
+++ b/internal/simtest/troubles.go
@@ -14,19 +14,19 @@
 // troubles are those of the network and of users that last for a while, each
 // as the share of what it befalls.
 type troubles struct {
-	lateWrites   float64       // transactions that get no answer and are carried out late
-	heldReports  float64       // reports that arrive seconds late, maybe elsewhere
-	heldCommands float64       // direct commands that arrive, or whose answers arrive, seconds late
-	slowState    time.Duration // within which the state service answers
-	cancelEnds   float64       // jobs that end that are cancelled at that moment
-	odd          bool          // users ask odd things
-	oddIDs       int
-	troubleTo    time.Duration // when the last trouble that was brought ends
+	lateWrites      float64       // transactions that get no answer and are carried out late
+	heldReports     float64       // reports that arrive seconds late, maybe elsewhere
+	heldCommands    float64       // direct commands that arrive, or whose answers arrive, seconds late
+	slowState       time.Duration // within which the state service answers
+	cancelEnds      float64       // jobs that end that are cancelled at that moment
+	invalidRequests bool          // users ask odd things
+	invalidIDs      int
+	troubleTo       time.Duration // when the last trouble that was brought ends
 }
 
 const (
-	lateLeast = 2 * time.Second
-	lateMost  = 12 * time.Second
+	minDelay = 2 * time.Second
+	maxDelay = 12 * time.Second
 )
 
 func (w *World) between(least, most time.Duration) time.Duration {
@@ -51,7 +51,7 @@
 		w.state.expire()
 		w.state.commit(c.Body)
 	}
-	w.after(w.between(lateLeast, lateMost), do)
+	w.after(w.between(minDelay, maxDelay), do)
 	return true
 }
 
@@ -73,9 +73,9 @@
 		return 0, 0
 	}
 	if w.rng.IntN(2) == 0 {
-		return w.between(time.Second, lateMost), 0
+		return w.between(time.Second, maxDelay), 0
 	}
-	return 0, w.between(time.Second, lateMost)
+	return 0, w.between(time.Second, maxDelay)
 }
 
 // heldReport draws where a report arrives, and for how long it and its answer
@@ -86,14 +86,14 @@
 	}
 	switch w.rng.IntN(4) {
 	case 0:
-		return n, 0, w.between(time.Second, lateMost/2)
+		return n, 0, w.between(time.Second, maxDelay/2)
 	case 1:
 		return n, w.between(500*time.Millisecond, answerTimeout), 0
 	case 2:
-		return n, w.between(lateLeast, lateMost), 0
+		return n, w.between(minDelay, maxDelay), 0
 	}
 	lease := seconds(w.cfg.Settings.Workers.LeaseS)
-	return w.nodes[w.rng.IntN(len(w.nodes))], w.between(lateLeast, 2*lease), 0
+	return w.nodes[w.rng.IntN(len(w.nodes))], w.between(minDelay, 2*lease), 0
 }
 
 // unreachable tells whether some controller and the machine can't talk.
@@ -112,20 +112,20 @@
 // goes on.
 func (w *World) insist(method, path string, body []byte, take func(asked time.Duration, status int, phase string) bool) {
 	end := w.now + userRetry
-	var try func()
-	try = func() {
+	var attempt func()
+	attempt = func() {
 		asked := w.now
-		w.request("user", w.door(), method, path, body, 5*time.Second, func(status int, b []byte) {
+		w.request("user", w.entryNode(), method, path, body, 5*time.Second, func(status int, b []byte) {
 			var v struct {
 				Phase string `json:"phase"`
 			}
 			_ = json.Unmarshal(b, &v)
 			if !take(asked, status, v.Phase) && w.now < end {
-				w.after(time.Second, try)
+				w.after(time.Second, attempt)
 			}
 		})
 	}
-	try()
+	attempt()
 }
 
 // cancelSoon cancels a job while the world goes on.
@@ -143,7 +143,7 @@
 	var ids []string
 	seen := map[string]bool{}
 	for _, t := range w.check.onMachines() {
-		if id := t.job.id; !seen[id] && w.check.told[id] != "" && !w.check.asked[id] {
+		if id := t.job.id; !seen[id] && w.check.acknowledged[id] != "" && !w.check.asked[id] {
 			seen[id] = true
 			ids = append(ids, id)
 		}
@@ -179,7 +179,7 @@
 // ended is called when a task completes: the last one's job may be cancelled,
 // asked about and submitted again at that very moment.
 func (w *World) ended(j *job) {
-	if len(j.complete) < j.n || w.check.asked[j.id] || !w.befalls(w.cancelEnds) {
+	if len(j.complete) < j.taskCount || w.check.asked[j.id] || !w.befalls(w.cancelEnds) {
 		return
 	}
 	w.check.asked[j.id] = true
@@ -198,12 +198,12 @@
 // repeat submits a known job again: it is never accepted anew.
 func (w *World) repeat(id string) {
 	j := w.jobs[id]
-	if j.body == nil || w.check.told[id] == "" {
+	if j.body == nil || w.check.acknowledged[id] == "" {
 		return
 	}
 	w.insist("POST", "/submissions", j.body, func(asked time.Duration, status int, phase string) bool {
 		if status == 201 {
-			w.check.broken("accepted: %s once more, it was %s", id, w.check.told[id])
+			w.check.broken("accepted: %s once more, it was %s", id, w.check.acknowledged[id])
 		}
 		w.check.answered(asked, id, status, phase)
 		return status == 200
@@ -211,13 +211,13 @@
 }
 
 // oddly lets users ask odd things until it is over.
-func (w *World) oddly() {
-	if !w.odd {
+func (w *World) sendInvalidRequests() {
+	if !w.invalidRequests {
 		return
 	}
-	w.after(w.between(200*time.Millisecond, 2*time.Second), w.oddly)
+	w.after(w.between(200*time.Millisecond, 2*time.Second), w.sendInvalidRequests)
 	var open, done []string
-	for id, phase := range w.check.told {
+	for id, phase := range w.check.acknowledged {
 		switch phase {
 		case "done":
 			done = append(done, id)
@@ -237,22 +237,22 @@
 			w.cancelSoon(done[w.rng.IntN(len(done))])
 		}
 	case 2:
-		w.unknown()
+		w.askUnknown()
 	case 3:
-		w.unfit()
+		w.submitImpossible()
 	case 4:
-		w.lacking()
+		w.submitIncomplete()
 	}
 }
 
-func (w *World) oddID() string {
-	w.oddIDs++
-	return fmt.Sprintf("req-9%06d", w.oddIDs)
+func (w *World) invalidID() string {
+	w.invalidIDs++
+	return fmt.Sprintf("req-9%06d", w.invalidIDs)
 }
 
 // unknown asks about and cancels a job that nobody submitted.
-func (w *World) unknown() {
-	id := w.oddID()
+func (w *World) askUnknown() {
+	id := w.invalidID()
 	for _, r := range [][2]string{{"GET", ""}, {"POST", "/cancel"}} {
 		w.insist(r[0], "/submissions/"+id+r[1], nil, func(asked time.Duration, status int, phase string) bool {
 			w.check.answered(asked, id, status, phase)
@@ -263,8 +263,8 @@
 }
 
 // unfit submits a job that no machine or no limit fits.
-func (w *World) unfit() {
-	a := Args{"id": w.oddID()}
+func (w *World) submitImpossible() {
+	a := Args{"id": w.invalidID()}
 	switch w.rng.IntN(4) {
 	case 0:
 		a["cores"] = "17"
@@ -279,8 +279,8 @@
 }
 
 // lacking submits a job without one of its fields.
-func (w *World) lacking() {
-	a := Args{"id": w.oddID()}
+func (w *World) submitIncomplete() {
+	a := Args{"id": w.invalidID()}
 	var o map[string]any
 	_ = json.Unmarshal(w.Body(a), &o)
 	var fields []string
@@ -342,8 +342,8 @@
 			case "isolate":
 				w.isolateFor(l, long)
 			case "freeze":
-				if !l.frozen {
-					l.freeze(long, w.rng.IntN(2) == 0)
+				if !l.paused {
+					l.pause(long, w.rng.IntN(2) == 0)
 				}
 			}
 		})
@@ -361,9 +361,9 @@
 }
 
 // muteFor lets a machine reach no controller.
-func (w *World) muteFor(k *worker, d time.Duration) {
-	k.mute = true
-	w.after(d, func() { k.mute = false })
+func (w *World) blockReportsFor(k *worker, d time.Duration) {
+	k.reportsBlocked = true
+	w.after(d, func() { k.reportsBlocked = false })
 }
 
 // trouble carries out the commands of a scenario that bring troubles, and those
@@ -383,27 +383,27 @@
 	case "cancel_now":
 		return strconv.Itoa(len(w.cancelNow(int(a.num("count", "1")), a.dur("hang", "0s"))))
 	case "odd":
-		w.odd = true
-		w.oddly()
-		w.after(a.dur("for", "10s"), func() { w.odd = false })
+		w.invalidRequests = true
+		w.sendInvalidRequests()
+		w.after(a.dur("for", "10s"), func() { w.invalidRequests = false })
 	case "churn":
 		w.churn(int(a.num("times", "10")), a.dur("over", "120s"), a["how"])
 	case "mute":
 		for _, k := range w.Workers() {
 			if z, ok := a["zone"]; k.up && (!ok || z == k.zone) {
-				w.muteFor(k, a.dur("for", "5s"))
+				w.blockReportsFor(k, a.dur("for", "5s"))
 			}
 		}
 	case "deafen":
 		for _, k := range w.Workers() {
 			if z, ok := a["zone"]; k.up && (!ok || z == k.zone) {
-				w.Deafen(k, true)
-				w.after(a.dur("for", "5s"), func() { w.Deafen(k, false) })
+				w.BlockInbound(k, true)
+				w.after(a.dur("for", "5s"), func() { w.BlockInbound(k, false) })
 			}
 		}
 	case "blind", "seeing":
 		for _, n := range w.pick(a["node"]) {
-			n.blind = cmd == "blind"
+			n.watchBlocked = cmd == "blind"
 		}
 	case "slow_state":
 		w.slowState = a.dur("within", "0s")
@@ -422,7 +422,7 @@
 		}
 		return strconv.Itoa(n)
 	case "told":
-		return w.check.told[a["id"]]
+		return w.check.acknowledged[a["id"]]
 	case "after":
 		// Starts after a confirmed cancellation.
 		return strconv.Itoa(w.check.after)
--- a/internal/simtest/troubles_test.go
+++ b/internal/simtest/troubles_test.go
@@ -16,7 +16,7 @@
 	w.nodes[0].kill()
 	w.Body(Args{"id": "req-000001", "run": run.String(), "image": "0s"})
 	k := newWorker(w, "i-a", "i-a", "small", "a", false)
-	k.execute([]order{{Verb: "start", Shard: "req-000001/0", Try: 1}})
+	k.execute([]order{{Verb: "start", Task: "req-000001/0", Attempt: 1}})
 	w.Run(100 * time.Millisecond)
 	return w, k
 }
@@ -32,8 +32,8 @@
 		t.Fatalf("before it goes on: %+v", x)
 	}
 	w.Run(2 * time.Second)
-	if x := k.tasks["req-000001/0"]; x == nil || x.phase != "running" || k.tenure != 1 {
-		t.Fatalf("after it went on: %+v, tenure %d", x, k.tenure)
+	if x := k.tasks["req-000001/0"]; x == nil || x.phase != "running" || k.session != 1 {
+		t.Fatalf("after it went on: %+v, tenure %d", x, k.session)
 	}
 	k.leaseFrom = w.now
 	w.Run(5 * time.Second)
@@ -51,12 +51,12 @@
 	status := 0
 	k.serve("/do", []byte(`{"fence":7,"tenure":1,"orders":[{"verb":"start","shard":"req-000001/0","try":2}]}`), func(s int, _ any) { status = s })
 	w.Run(10500 * time.Millisecond)
-	if status != 0 || !k.doomed() || len(w.check.onMachines()) != 0 {
-		t.Fatalf("while it hangs: %d, doomed %v", status, k.doomed())
+	if status != 0 || !k.certainlyLost() || len(w.check.onMachines()) != 0 {
+		t.Fatalf("while it hangs: %d, doomed %v", status, k.certainlyLost())
 	}
 	w.Run(time.Second)
-	if status != 409 || len(k.tasks) != 0 || k.tenure != 2 {
-		t.Fatalf("after it went on: %d, %d tasks, tenure %d", status, len(k.tasks), k.tenure)
+	if status != 409 || len(k.tasks) != 0 || k.session != 2 {
+		t.Fatalf("after it went on: %d, %d tasks, tenure %d", status, len(k.tasks), k.session)
 	}
 }
 
@@ -72,7 +72,7 @@
 		before := k.leaseFrom
 		k.inflight = false
 		n := w.nodes[0]
-		n.up, n.frozen, n.conns = true, true, map[uint64]func(int, []byte){} // it takes the report and says nothing
+		n.up, n.paused, n.conns = true, true, map[uint64]func(int, []byte){} // it takes the report and says nothing
 		k.report()
 		sent := k.lastSent
 		w.Run(10 * time.Millisecond)
@@ -97,7 +97,7 @@
 	var list []*worker
 	for i, name := range []string{"i-a", "i-b"} {
 		k := newWorker(w, name, name, "small", "a", false)
-		k.execute([]order{{Verb: "start", Shard: "req-000001/" + string(rune('0'+i)), Try: 1}})
+		k.execute([]order{{Verb: "start", Task: "req-000001/" + string(rune('0'+i)), Attempt: 1}})
 		list = append(list, k)
 	}
 	w.Run(time.Second)
@@ -113,11 +113,11 @@
 }
 
 // A mute machine's reports reach nobody; direct commands reach it.
-func TestMute(t *testing.T) {
+func TestReportsBlocked(t *testing.T) {
 	w, k := machineWith(60 * time.Second)
 	n := w.nodes[0]
-	n.up, n.frozen, n.conns = true, true, map[uint64]func(int, []byte){}
-	k.mute, n.next = true, 0
+	n.up, n.paused, n.conns = true, true, map[uint64]func(int, []byte){}
+	k.reportsBlocked, n.next = true, 0
 	w.Run(5 * time.Second)
 	reports := n.next
 	got := 0
@@ -125,7 +125,7 @@
 	if got != 200 || reports != 0 {
 		t.Errorf("inspect answered %d, %d reports arrived", got, reports)
 	}
-	k.mute = false
+	k.reportsBlocked = false
 	w.Run(2 * time.Second)
 	if n.next == 0 {
 		t.Error("no report once it is mute no more")
@@ -139,8 +139,8 @@
 	n := w.nodes[0]
 	n.kill()
 	w.lateWrites = 1
-	write := func(key string, stamp uint64) {
-		body, _ := json.Marshal(object{"if": []object{{"key": key, "stamp": stamp}}, "then": []object{{"write": key, "data": 1}}})
+	write := func(key string, version uint64) {
+		body, _ := json.Marshal(object{"if": []object{{"key": key, "stamp": version}}, "then": []object{{"write": key, "data": 1}}})
 		if !n.lateWrite(event.Call{Method: "POST", Path: "/commit", Body: body}) {
 			t.Fatal("not late")
 		}
--- a/internal/simtest/upgrade.go
+++ b/internal/simtest/upgrade.go
@@ -15,7 +15,7 @@
 // (TestRecord), so that a change of version is played without its code.
 type recording struct {
 	Note     string            `json:"note"`
-	Epoch    uint64            `json:"epoch"`
+	Revision uint64            `json:"epoch"`
 	Keys     []recordedKey     `json:"keys"`
 	Leases   map[uint64]int64  `json:"leases"` // life in milliseconds
 	Jobs     []recordedJob     `json:"jobs"`
@@ -24,18 +24,18 @@
 }
 
 type recordedKey struct {
-	Key    string          `json:"key"`
-	Data   json.RawMessage `json:"data"`
-	Stamp  uint64          `json:"stamp"`
-	Tether uint64          `json:"tether,omitempty"`
+	Key     string          `json:"key"`
+	Data    json.RawMessage `json:"data"`
+	Version uint64          `json:"stamp"`
+	LeaseID uint64          `json:"tether,omitempty"`
 }
 
 type recordedJob struct {
-	Args      Args                  `json:"args"`
-	Told      string                `json:"told"`
-	Cancelled bool                  `json:"cancelled,omitempty"`
-	Complete  []int                 `json:"complete,omitempty"`
-	Progress  map[int]time.Duration `json:"progress,omitempty"`
+	Args         Args                  `json:"args"`
+	Acknowledged string                `json:"told"`
+	Cancelled    bool                  `json:"cancelled,omitempty"`
+	Complete     []int                 `json:"complete,omitempty"`
+	Progress     map[int]time.Duration `json:"progress,omitempty"`
 }
 
 type recordedMachine struct {
@@ -58,9 +58,9 @@
 
 // Record takes down what there is. jobs are the arguments of the submissions.
 func (w *World) Record(note string, jobs []Args) ([]byte, error) {
-	r := recording{Note: note, Epoch: w.state.epoch, Leases: map[uint64]int64{}, Hires: w.cloud.hires}
+	r := recording{Note: note, Revision: w.state.revision, Leases: map[uint64]int64{}, Hires: w.cloud.provisioned}
 	for k, v := range w.state.keys {
-		r.Keys = append(r.Keys, recordedKey{k, v.data, v.stamp, v.tether})
+		r.Keys = append(r.Keys, recordedKey{k, v.data, v.version, v.leaseID})
 	}
 	sort.Slice(r.Keys, func(a, b int) bool { return r.Keys[a].Key < r.Keys[b].Key })
 	for id, l := range w.state.leases {
@@ -68,7 +68,7 @@
 	}
 	for _, a := range jobs {
 		j := w.jobs[a["id"]]
-		o := recordedJob{Args: a, Told: w.check.told[j.id], Cancelled: w.check.asked[j.id], Progress: j.progress}
+		o := recordedJob{Args: a, Acknowledged: w.check.acknowledged[j.id], Cancelled: w.check.asked[j.id], Progress: j.progress}
 		for i := range j.complete {
 			o.Complete = append(o.Complete, i)
 		}
@@ -76,10 +76,10 @@
 		r.Jobs = append(r.Jobs, o)
 	}
 	for _, k := range w.Workers() {
-		m := recordedMachine{Name: k.name, Addr: k.addr, Flavor: k.flavor, Zone: k.zone, Spot: k.spot, Up: k.up, Tenure: k.tenure, Tick: k.tick,
-			Fence: k.fence, Answered: w.now - k.leaseFrom}
+		m := recordedMachine{Name: k.name, Addr: k.addr, Flavor: k.machineType, Zone: k.zone, Spot: k.spot, Up: k.up, Tenure: k.session, Tick: k.sequence,
+			Fence: k.token, Answered: w.now - k.leaseFrom}
 		for _, t := range k.sorted() {
-			o := recordedTask{Shard: t.shard, Index: t.index, Try: t.try, Phase: t.phase, Cause: t.cause, Stored: t.stored}
+			o := recordedTask{Shard: t.name, Index: t.index, Try: t.attempt, Phase: t.phase, Cause: t.cause, Stored: t.stored}
 			if t.phase == "running" {
 				o.Ran = w.now - t.begun
 			}
@@ -104,7 +104,7 @@
 	for _, n := range w.nodes {
 		n.kill()
 	}
-	w.state.epoch, w.state.oldest, w.state.log = r.Epoch, r.Epoch, nil
+	w.state.revision, w.state.oldest, w.state.log = r.Revision, r.Revision, nil
 	w.state.leases = map[uint64]*stateLease{}
 	for id, ms := range r.Leases {
 		life := time.Duration(ms) * time.Millisecond
@@ -113,7 +113,7 @@
 	}
 	w.state.keys = map[string]stateKey{}
 	for _, k := range r.Keys {
-		w.state.keys[k.Key] = stateKey{data: k.Data, stamp: k.Stamp, tether: k.Tether}
+		w.state.keys[k.Key] = stateKey{data: k.Data, version: k.Version, leaseID: k.LeaseID}
 	}
 	for _, o := range r.Jobs {
 		w.Body(o.Args)
@@ -125,15 +125,15 @@
 		for i, p := range o.Progress {
 			j.progress[i] = p
 		}
-		w.check.told[j.id] = o.Told
+		w.check.acknowledged[j.id] = o.Acknowledged
 		if o.Cancelled {
 			w.check.asked[j.id], w.check.cancelAt[j.id] = true, w.now
 		}
 	}
-	w.cloud.hires = r.Hires
-	w.cloud.hosts = map[string]*rented{}
+	w.cloud.provisioned = r.Hires
+	w.cloud.machines = map[string]*rented{}
 	for i, m := range r.Machines {
-		h := &rented{name: m.Name, addr: m.Addr, flavor: m.Flavor, zone: m.Zone, spot: m.Spot, since: w.now - time.Minute}
+		h := &rented{name: m.Name, addr: m.Addr, machineType: m.Flavor, zone: m.Zone, spot: m.Spot, since: w.now - time.Minute}
 		w.cloud.last = max(w.cloud.last, i+1)
 		k := newWorker(w, m.Name, m.Addr, m.Flavor, m.Zone, m.Spot)
 		h.worker = k
@@ -141,8 +141,8 @@
 			k.die()
 			continue
 		}
-		w.cloud.hosts[m.Name] = h
-		k.tenure, k.tick, k.fence, k.leaseFrom = m.Tenure, m.Tick, m.Fence, w.now-m.Answered
+		w.cloud.machines[m.Name] = h
+		k.session, k.sequence, k.token, k.leaseFrom = m.Tenure, m.Tick, m.Fence, w.now-m.Answered
 		for _, o := range m.Tasks {
 			k.resume(o)
 		}
@@ -157,23 +157,23 @@
 func (k *worker) resume(o recordedTask) {
 	w := k.w
 	j := w.jobs[o.Shard[:strings.LastIndexByte(o.Shard, '/')]]
-	t := &task{on: k, job: j, shard: o.Shard, index: o.Index, try: o.Try, phase: o.Phase, cause: o.Cause, stored: o.Stored, begun: w.now - o.Ran}
+	t := &task{on: k, job: j, name: o.Shard, index: o.Index, attempt: o.Try, phase: o.Phase, cause: o.Cause, stored: o.Stored, begun: w.now - o.Ran}
 	switch {
 	case o.Phase == "exited":
 		k.tasks[o.Shard] = t
 	case o.Phase != "running" || j.shape == "gang" && len(j.complete) > 0:
 		// Its image is fetched anew: the machine had it or nearly so.
-		k.start(order{Verb: "start", Shard: o.Shard, Try: o.Try})
+		k.start(order{Verb: "start", Task: o.Shard, Attempt: o.Try})
 	case j.shape == "gang":
 		k.tasks[o.Shard] = t
 		k.images[j.id] = true
-		g := j.gangs[t.try]
+		g := j.gangs[t.attempt]
 		if g == nil {
 			g = &gang{tasks: map[int]*task{}, stopped: map[int]bool{}}
-			j.gangs[t.try] = g
+			j.gangs[t.attempt] = g
 		}
 		g.tasks[t.index] = t
-		if len(g.tasks) == j.n {
+		if len(g.tasks) == j.taskCount {
 			g.started = true
 			w.endsAfter(j, g, j.run-j.progress[0]-o.Ran)
 		}
@@ -197,17 +197,17 @@
 		if g.over || g.stopAt != 0 {
 			return
 		}
-		for i := range j.n {
+		for i := range j.taskCount {
 			if m := g.tasks[i]; m != nil && m.on.hung {
 				m.on.whenAwake(end)
 				return
 			}
 		}
 		g.over = true
-		for i := range j.n {
+		for i := range j.taskCount {
 			j.complete[i] = true
 		}
-		for i := range j.n {
+		for i := range j.taskCount {
 			if m := g.tasks[i]; m != nil && m.phase == "running" {
 				m.on.exit(m, "done", false)
 			}
--- a/internal/simtest/upgrade_test.go
+++ b/internal/simtest/upgrade_test.go
@@ -46,7 +46,7 @@
 	w.Run(24 * time.Second)
 	w.Poll("req-000900")
 	w.Poll("req-000908")
-	if on := w.hostOf("req-000909/1"); on != nil {
+	if on := w.machineOf("req-000909/1"); on != nil {
 		on.die()
 	}
 	w.Run(time.Second)
@@ -66,10 +66,10 @@
 		t.Fatal(err)
 	}
 	for _, id := range w.accepted() {
-		told := w.check.told[id]
+		acknowledged := w.check.acknowledged[id]
 		status, phase := w.user(id, "GET", "/submissions/"+id, nil)
-		if status != 200 || (told == "done" && phase != told) {
-			t.Errorf("%s was %s, is %d %s", id, told, status, phase)
+		if status != 200 || (acknowledged == "done" && phase != acknowledged) {
+			t.Errorf("%s was %s, is %d %s", id, acknowledged, status, phase)
 		}
 	}
 	// New jobs need old ones: one done long ago and one that still runs, and
@@ -88,8 +88,8 @@
 	if got := w.Do("all", Args{"within": "240s"}, ""); got != fmt.Sprintf("%d done", len(w.accepted())) {
 		t.Errorf("%s of %d", got, len(w.accepted()))
 		for _, id := range w.accepted() {
-			if w.check.told[id] != "done" {
-				t.Errorf("%s is %s:\n%.600s", id, w.check.told[id], strings.Join(append(w.Keys("j/"+id), w.Keys("r/"+id)...), "\n"))
+			if w.check.acknowledged[id] != "done" {
+				t.Errorf("%s is %s:\n%.600s", id, w.check.acknowledged[id], strings.Join(append(w.Keys("j/"+id), w.Keys("r/"+id)...), "\n"))
 			}
 		}
 	}
--- a/internal/simtest/waiting.go
+++ b/internal/simtest/waiting.go
@@ -7,10 +7,10 @@
 
 // besideRoom is how long a job may be left waiting beside a machine that fits
 // and has room, with its team under its limit, once all troubles are over.
-const besideRoom = 90 * time.Second
+const besideCapacityLimit = 90 * time.Second
 
 // waitsBesideRoom notes which jobs wait beside room for them, and since when.
-func (c *Checker) waitsBesideRoom() {
+func (c *Checker) checkWaitsBesideCapacity() {
 	if c.calmAt == 0 {
 		return
 	}
@@ -18,10 +18,10 @@
 		// The state service's rate is what they wait for: a trouble that lasts.
 		clear(c.beside)
 	}
-	rooms, used := c.rooms(), c.used()
-	for id, phase := range c.told {
+	capacities, used := c.capacities(), c.used()
+	for id, phase := range c.acknowledged {
 		j := c.w.jobs[id]
-		if phase == "done" || j == nil || c.calledOff(id) || c.held(id) || j.broken || j.never != 0 || !c.fits(j, rooms, used) {
+		if phase == "done" || j == nil || c.cancelRequested(id) || c.held(id) || j.broken || j.never != 0 || !c.fits(j, capacities, used) {
 			delete(c.beside, id)
 			continue
 		}
@@ -31,7 +31,7 @@
 	}
 	var ids []string
 	for id, since := range c.beside {
-		if c.w.now-since > besideRoom {
+		if c.w.now-since > besideCapacityLimit {
 			ids = append(ids, id)
 		}
 	}
@@ -45,40 +45,40 @@
 // writesExhausted tells whether lately as much was written as a service may
 // that leaves a part of the rate for what is in flight.
 func (c *Checker) writesExhausted() bool {
-	const moments, most = int(lastingRoom / watchEvery), 0.75
+	const moments, most = int(capacityWindow / watchEvery), 0.75
 	c.wrote = append(c.wrote, c.w.state.written)
 	if len(c.wrote) <= moments {
 		return false
 	}
 	c.wrote = c.wrote[len(c.wrote)-moments-1:]
-	return float64(c.wrote[moments]-c.wrote[0]) > most*c.w.cfg.Settings.State.WriteRPS*lastingRoom.Seconds()
+	return float64(c.wrote[moments]-c.wrote[0]) > most*c.w.cfg.Settings.State.WriteRPS*capacityWindow.Seconds()
 }
 
 // room is what is left of a machine.
-type room struct {
-	k                 *worker
-	cores, cards, ram float64
+type capacity struct {
+	k                  *worker
+	cpus, gpus, memory float64
 }
 
 // lastingRoom is for how long room must have been there to count: what comes
 // free and is taken again within that time is a queue that moves.
-const lastingRoom = 5 * time.Second
+const capacityWindow = 5 * time.Second
 
 // rooms lists what has been free for a while on each machine that everybody
 // reaches.
-func (c *Checker) rooms() []room {
-	const moments = int(lastingRoom / watchEvery)
-	var list []room
+func (c *Checker) capacities() []capacity {
+	const moments = int(capacityWindow / watchEvery)
+	var list []capacity
 	for _, k := range c.w.Workers() {
-		if !k.up || k.hung || k.mute || k.recallAt != 0 || k.slow > 0 || c.w.unreachable(k) {
+		if !k.up || k.hung || k.reportsBlocked || k.reclaimAt != 0 || k.slow > 0 || c.w.unreachable(k) {
 			delete(c.free, k)
 			continue
 		}
-		f := flavors[k.flavor]
-		r := room{k, f.cores, f.cards, f.ram}
+		f := machineTypes[k.machineType]
+		r := capacity{k, f.cpus, f.gpus, f.memory}
 		for _, t := range k.tasks {
 			if t.phase != "exited" {
-				r.cores, r.cards, r.ram = r.cores-t.job.cores, r.cards-t.job.cards, r.ram-t.job.ram
+				r.cpus, r.gpus, r.memory = r.cpus-t.job.cpus, r.gpus-t.job.gpus, r.memory-t.job.memory
 			}
 		}
 		c.free[k] = append(c.free[k], r)
@@ -87,7 +87,7 @@
 		}
 		c.free[k] = c.free[k][len(c.free[k])-moments:]
 		for _, o := range c.free[k] {
-			r.cores, r.cards, r.ram = min(r.cores, o.cores), min(r.cards, o.cards), min(r.ram, o.ram)
+			r.cpus, r.gpus, r.memory = min(r.cpus, o.cpus), min(r.gpus, o.gpus), min(r.memory, o.memory)
 		}
 		list = append(list, r)
 	}
@@ -104,7 +104,7 @@
 		for _, t := range k.tasks {
 			if t.phase != "exited" {
 				u := use[t.job.team]
-				use[t.job.team] = [2]float64{u[0] + t.job.cores, u[1] + t.job.cards}
+				use[t.job.team] = [2]float64{u[0] + t.job.cpus, u[1] + t.job.gpus}
 			}
 		}
 	}
@@ -113,10 +113,10 @@
 
 // fits tells whether a job waits though its next task, or all those of a gang,
 // could be started on these rooms.
-func (c *Checker) fits(j *job, rooms []room, used map[string][2]float64) bool {
+func (c *Checker) fits(j *job, capacities []capacity, used map[string][2]float64) bool {
 	held, inZone := map[int]bool{}, map[string]int{}
 	for _, k := range c.w.workers {
-		if !k.up || k.doomed() {
+		if !k.up || k.certainlyLost() {
 			continue
 		}
 		for _, t := range k.tasks {
@@ -127,12 +127,12 @@
 		}
 	}
 	need := 0
-	for i := range j.n {
+	for i := range j.taskCount {
 		if !held[i] && !j.complete[i] {
 			need++
 		}
 	}
-	if need == 0 || (j.shape == "gang" && need < j.n) {
+	if need == 0 || (j.shape == "gang" && need < j.taskCount) {
 		return false
 	}
 	if j.shape != "gang" {
@@ -141,33 +141,33 @@
 	u := used[j.team]
 	for _, team := range c.w.cfg.Settings.Teams {
 		n := float64(need)
-		if team.Name == j.team && ((team.CoresMax > 0 && u[0]+n*j.cores > team.CoresMax) || (team.CardsMax > 0 && u[1]+n*j.cards > team.CardsMax)) {
+		if team.Name == j.team && ((team.CPUsMax > 0 && u[0]+n*j.cpus > team.CPUsMax) || (team.GPUsMax > 0 && u[1]+n*j.gpus > team.GPUsMax)) {
 			return false
 		}
 	}
 	inOne := map[string]int{}
-	for _, r := range rooms {
-		allowed := j.flavors == nil
-		for _, f := range j.flavors {
-			allowed = allowed || f == r.k.flavor
+	for _, r := range capacities {
+		allowed := j.machineTypes == nil
+		for _, f := range j.machineTypes {
+			allowed = allowed || f == r.k.machineType
 		}
-		if !allowed || (j.yard != "" && j.yard != r.k.zone) || (r.k.spot && !j.loaners) || (j.same && len(inZone) > 0 && inZone[r.k.zone] == 0) {
+		if !allowed || (j.zone != "" && j.zone != r.k.zone) || (r.k.spot && !j.allowSpot) || (j.sameZone && len(inZone) > 0 && inZone[r.k.zone] == 0) {
 			continue
 		}
-		for x := 0; x < need && r.cores >= j.cores && r.cards >= j.cards && r.ram >= j.ram; x++ {
-			r.cores, r.cards, r.ram = r.cores-j.cores, r.cards-j.cards, r.ram-j.ram
+		for x := 0; x < need && r.cpus >= j.cpus && r.gpus >= j.gpus && r.memory >= j.memory; x++ {
+			r.cpus, r.gpus, r.memory = r.cpus-j.cpus, r.gpus-j.gpus, r.memory-j.memory
 			inOne[r.k.zone]++
 		}
 	}
 	sum := 0
 	for z, n := range inOne {
 		if j.scatter {
-			n = min(n, (j.n+1)/2-inZone[z])
+			n = min(n, (j.taskCount+1)/2-inZone[z])
 		}
-		if j.same && n >= need {
+		if j.sameZone && n >= need {
 			return true
 		}
 		sum += n
 	}
-	return !j.same && sum >= need
+	return !j.sameZone && sum >= need
 }
--- a/internal/simtest/worker.go
+++ b/internal/simtest/worker.go
@@ -12,13 +12,13 @@
 type worker struct {
 	w                  *World
 	name, addr         string
-	flavor, zone       string
+	machineType, zone  string
 	spot               bool
 	up                 bool
 	slow               float64 // run times are multiplied by this, 0: by 1
-	tenure, tick       uint64
-	fence              uint64
-	recallAt           time.Duration
+	session, sequence  uint64
+	token              uint64
+	reclaimAt          time.Duration
 	tasks              map[string]*task
 	images             map[string]bool
 	target             int
@@ -26,22 +26,22 @@
 	changed            bool
 	lastSent, nextTime time.Duration
 	leaseFrom          time.Duration
-	fenceSeen          time.Duration
-	mute               bool // it reaches no controller, direct commands reach it
-	stillness
+	tokenSeen          time.Duration
+	reportsBlocked     bool // it reaches no controller, direct commands reach it
+	hangState
 }
 
 type task struct {
-	on     *worker
-	job    *job
-	shard  string
-	index  int
-	try    uint64
-	phase  string
-	cause  string
-	stored bool
-	begun  time.Duration // of running, in time that the machine executed, for progress
-	gen    int           // outdates scheduled events
+	on      *worker
+	job     *job
+	name    string
+	index   int
+	attempt uint64
+	phase   string
+	cause   string
+	stored  bool
+	begun   time.Duration // of running, in time that the machine executed, for progress
+	gen     int           // outdates scheduled events
 }
 
 func (t *task) onMachine() bool {
@@ -50,30 +50,30 @@
 
 // job is what users upload.
 type job struct {
-	id            string
-	team, class   string
-	asked         time.Duration // when its user first got an answer
-	began         time.Duration // when it first ran, a gang as a whole
-	shape         string
-	n             int
-	cores, cards  float64
-	ram           float64
-	flavors       []string
-	yard          string
-	same, scatter bool
-	loaners       bool
-	snapEvery     time.Duration
-	snapCost      time.Duration
-	run           time.Duration
-	image         time.Duration
-	broken        bool // fails on every machine
-	progress      map[int]time.Duration
-	complete      map[int]bool
-	gangs         map[uint64]*gang
-	submitted     bool
-	awaits        []string // jobs that must be done before any task of it starts
-	body          []byte   // the submission
-	never         int      // the status with which it is to be refused, 0: it can run
+	id                 string
+	team, class        string
+	asked              time.Duration // when its user first got an answer
+	began              time.Duration // when it first ran, a gang as a whole
+	shape              string
+	taskCount          int
+	cpus, gpus         float64
+	memory             float64
+	machineTypes       []string
+	zone               string
+	sameZone, scatter  bool
+	allowSpot          bool
+	checkpointInterval time.Duration
+	checkpointDuration time.Duration
+	run                time.Duration
+	image              time.Duration
+	broken             bool // fails on every machine
+	progress           map[int]time.Duration
+	complete           map[int]bool
+	gangs              map[uint64]*gang
+	submitted          bool
+	awaits             []string // jobs that must be done before any task of it starts
+	body               []byte   // the submission
+	never              int      // the status with which it is to be refused, 0: it can run
 }
 
 func (j *job) begin(now time.Duration) {
@@ -90,13 +90,13 @@
 	stopped map[int]bool
 }
 
-func newWorker(w *World, name, addr, flavor, zone string, spot bool) *worker {
-	k := &worker{w: w, name: name, addr: addr, flavor: flavor, zone: zone, spot: spot, up: true, tenure: 1, tasks: map[string]*task{},
+func newWorker(w *World, name, addr, machineType, zone string, spot bool) *worker {
+	k := &worker{w: w, name: name, addr: addr, machineType: machineType, zone: zone, spot: spot, up: true, session: 1, tasks: map[string]*task{},
 		images: map[string]bool{}, leaseFrom: w.now, target: w.rng.IntN(len(w.nodes)), changed: true}
 	w.workers[addr] = k
-	if w.deafNext > 0 {
-		w.deafNext--
-		w.Deafen(k, true)
+	if w.unreachableNext > 0 {
+		w.unreachableNext--
+		w.BlockInbound(k, true)
 	}
 	k.loop()
 	return k
@@ -131,19 +131,19 @@
 	for _, t := range k.tasks {
 		list = append(list, t)
 	}
-	sort.Slice(list, func(a, b int) bool { return list[a].shard < list[b].shard })
+	sort.Slice(list, func(a, b int) bool { return list[a].name < list[b].name })
 	return list
 }
 
 func (k *worker) body() map[string]any {
-	k.tick++
-	var recall any
-	if k.recallAt != 0 {
-		recall = (k.recallAt - k.w.now).Seconds()
+	k.sequence++
+	var reclaimIn any
+	if k.reclaimAt != 0 {
+		reclaimIn = (k.reclaimAt - k.w.now).Seconds()
 	}
 	shards := []object{}
 	for _, t := range k.sorted() {
-		o := object{"shard": t.shard, "try": t.try, "phase": t.phase}
+		o := object{"shard": t.name, "try": t.attempt, "phase": t.phase}
 		if t.phase == "exited" {
 			o["cause"] = t.cause
 			if t.stored {
@@ -152,8 +152,8 @@
 		}
 		shards = append(shards, o)
 	}
-	return object{"host": k.name, "addr": k.addr, "flavor": k.flavor, "yard": k.zone, "loaners": k.spot, "tenure": k.tenure,
-		"tick": k.tick, "fence": k.fence, "recall_s": recall, "shards": shards}
+	return object{"host": k.name, "addr": k.addr, "flavor": k.machineType, "yard": k.zone, "loaners": k.spot, "tenure": k.session,
+		"tick": k.sequence, "fence": k.token, "recall_s": reclaimIn, "shards": shards}
 }
 
 func (k *worker) report() {
@@ -162,16 +162,16 @@
 	every := seconds(k.w.cfg.Settings.Workers.ReportS)
 	k.nextTime = k.w.now + every*3/4 + time.Duration(k.w.rng.Int64N(int64(every/2)))
 	body, _ := json.Marshal(k.body())
-	sent, tenure := k.w.now, k.tenure
+	sent, session := k.w.now, k.session
 	take := func(status int, body []byte) {
 		k.inflight = false
 		if !k.up {
 			return
 		}
 		var v struct {
-			Fence   uint64  `json:"fence"`
-			Steward string  `json:"steward"`
-			Orders  []order `json:"orders"`
+			FencingToken uint64  `json:"fence"`
+			Steward      string  `json:"steward"`
+			Orders       []order `json:"orders"`
 		}
 		_ = json.Unmarshal(body, &v)
 		if status == 421 && v.Steward != "" {
@@ -189,14 +189,14 @@
 			k.nextTime = k.w.now + time.Second
 			return
 		}
-		if v.Fence < k.fence || v.Fence == 0 || tenure != k.tenure {
+		if v.FencingToken < k.token || v.FencingToken == 0 || session != k.session {
 			return
 		}
-		k.see(v.Fence)
+		k.see(v.FencingToken)
 		k.leaseFrom = max(k.leaseFrom, sent)
 		k.execute(v.Orders)
 	}
-	if k.mute {
+	if k.reportsBlocked {
 		// No connection comes about, at once or after a while.
 		k.w.after(time.Duration(k.w.rng.Int64N(int64(answerTimeout))), func() { k.whenAwake(func() { take(0, nil) }) })
 		return
@@ -211,20 +211,20 @@
 	})
 }
 
-func (k *worker) see(fence uint64) {
-	if fence > k.fence {
-		k.fence = fence
-		if k.w.now-k.fenceSeen > seconds(k.w.cfg.Settings.Workers.LeaseS/2) || k.fenceSeen == 0 {
-			k.changed, k.fenceSeen = true, k.w.now
+func (k *worker) see(token uint64) {
+	if token > k.token {
+		k.token = token
+		if k.w.now-k.tokenSeen > seconds(k.w.cfg.Settings.Workers.LeaseS/2) || k.tokenSeen == 0 {
+			k.changed, k.tokenSeen = true, k.w.now
 		}
 	}
 }
 
 type order struct {
-	Verb  string  `json:"verb"`
-	Shard string  `json:"shard"`
-	Try   uint64  `json:"try"`
-	Wind  float64 `json:"wind_down_s"`
+	Verb    string  `json:"verb"`
+	Task    string  `json:"shard"`
+	Attempt uint64  `json:"try"`
+	Wind    float64 `json:"wind_down_s"`
 }
 
 // serve answers a direct command.
@@ -239,20 +239,20 @@
 	}
 	if path == "/do" {
 		var v struct {
-			Fence  *uint64 `json:"fence"`
-			Tenure *uint64 `json:"tenure"`
-			Orders []order `json:"orders"`
+			FencingToken *uint64 `json:"fence"`
+			Session      *uint64 `json:"tenure"`
+			Orders       []order `json:"orders"`
 		}
-		if json.Unmarshal(body, &v) != nil || v.Fence == nil || v.Tenure == nil {
+		if json.Unmarshal(body, &v) != nil || v.FencingToken == nil || v.Session == nil {
 			k.w.fault("bad direct command %s", body)
 			answer(400, nil)
 			return
 		}
-		if *v.Fence < k.fence || *v.Tenure != k.tenure {
+		if *v.FencingToken < k.token || *v.Session != k.session {
 			answer(409, k.body())
 			return
 		}
-		k.see(*v.Fence)
+		k.see(*v.FencingToken)
 		k.execute(v.Orders)
 	}
 	answer(200, k.body())
@@ -260,20 +260,20 @@
 
 func (k *worker) execute(orders []order) {
 	for _, o := range orders {
-		t := k.tasks[o.Shard]
+		t := k.tasks[o.Task]
 		switch o.Verb {
 		case "start":
-			if t != nil && t.try == o.Try {
+			if t != nil && t.attempt == o.Attempt {
 				continue
 			}
 			k.start(o)
 		case "stop":
-			if t != nil && t.try == o.Try && t.phase != "exited" {
+			if t != nil && t.attempt == o.Attempt && t.phase != "exited" {
 				k.stop(t, seconds(o.Wind))
 			}
 		case "reap":
-			if t != nil && t.try == o.Try && t.phase == "exited" {
-				delete(k.tasks, o.Shard)
+			if t != nil && t.attempt == o.Attempt && t.phase == "exited" {
+				delete(k.tasks, o.Task)
 				k.changed = true
 			}
 		default:
@@ -284,32 +284,32 @@
 
 func (k *worker) start(o order) {
 	k.changed = true
-	i := strings.LastIndexByte(o.Shard, '/')
+	i := strings.LastIndexByte(o.Task, '/')
 	var index int
-	_, _ = fmt.Sscan(o.Shard[i+1:], &index)
-	j := k.w.jobs[o.Shard[:i]]
-	t := &task{on: k, job: j, shard: o.Shard, index: index, try: o.Try, phase: "exited"}
-	if old := k.tasks[o.Shard]; old != nil {
-		k.w.check.refused("in_use", o.Shard)
+	_, _ = fmt.Sscan(o.Task[i+1:], &index)
+	j := k.w.jobs[o.Task[:i]]
+	t := &task{on: k, job: j, name: o.Task, index: index, attempt: o.Attempt, phase: "exited"}
+	if old := k.tasks[o.Task]; old != nil {
+		k.w.check.refused("in_use", o.Task)
 		return // refused without a trace: the old attempt keeps its line
 	}
-	k.tasks[o.Shard] = t
-	if j == nil || index >= j.n {
+	k.tasks[o.Task] = t
+	if j == nil || index >= j.taskCount {
 		t.cause = "unknown"
 		return
 	}
-	f := flavors[k.flavor]
-	cores, cards, ram := f.cores, f.cards, f.ram
+	f := machineTypes[k.machineType]
+	cpus, gpus, memory := f.cpus, f.gpus, f.memory
 	for _, x := range k.tasks {
 		if x.phase != "exited" {
-			cores -= x.job.cores
-			cards -= x.job.cards
-			ram -= x.job.ram
+			cpus -= x.job.cpus
+			gpus -= x.job.gpus
+			memory -= x.job.memory
 		}
 	}
-	if j.cores > cores+1e-9 || j.cards > cards+1e-9 || j.ram > ram+1e-9 {
+	if j.cpus > cpus+1e-9 || j.gpus > gpus+1e-9 || j.memory > memory+1e-9 {
 		t.cause = "full"
-		k.w.check.refused("full", o.Shard)
+		k.w.check.refused("full", o.Task)
 		return
 	}
 	t.phase = "pulling"
@@ -353,7 +353,7 @@
 	t.gen++
 	gen := t.gen
 	t.on.afterExecuting(max(d, 0), func() {
-		if t.gen == gen && t.on.up && t.on.tasks[t.shard] == t {
+		if t.gen == gen && t.on.up && t.on.tasks[t.name] == t {
 			f()
 		}
 	})
@@ -363,7 +363,7 @@
 	t.gen++
 	t.phase, t.cause, t.stored = "exited", cause, stored
 	k.changed = true
-	if g := t.job.gangs[t.try]; g != nil && cause != "done" {
+	if g := t.job.gangs[t.attempt]; g != nil && cause != "done" {
 		k.w.leaveGang(t, g)
 	}
 }
@@ -373,7 +373,7 @@
 	t.gen++
 	t.phase = "exited"
 	if g := t.job; g != nil {
-		if g := g.gangs[t.try]; g != nil {
+		if g := g.gangs[t.attempt]; g != nil {
 			k.w.leaveGang(t, g)
 		}
 	}
@@ -381,16 +381,16 @@
 
 func (k *worker) joinGang(t *task) {
 	j := t.job
-	g := j.gangs[t.try]
+	g := j.gangs[t.attempt]
 	if g == nil {
 		g = &gang{tasks: map[int]*task{}, stopped: map[int]bool{}}
-		j.gangs[t.try] = g
+		j.gangs[t.attempt] = g
 	}
 	g.tasks[t.index] = t
-	if !g.started && len(g.tasks) == j.n {
+	if !g.started && len(g.tasks) == j.taskCount {
 		g.started = true
 		j.begin(k.w.now)
-		for i := range j.n {
+		for i := range j.taskCount {
 			m := g.tasks[i]
 			m.phase, m.begun = "running", m.on.executed()
 			m.on.changed = true
@@ -425,20 +425,20 @@
 		}
 		return
 	}
-	if t.phase != "running" || j.snapEvery == 0 || wind < j.snapCost {
+	if t.phase != "running" || j.checkpointInterval == 0 || wind < j.checkpointDuration {
 		k.exit(t, "halted", false)
 		return
 	}
 	made := j.progress[t.index] + k.executed() - t.begun
 	if j.shape == "gang" {
-		g := j.gangs[t.try]
+		g := j.gangs[t.attempt]
 		if g.stopAt == 0 {
 			g.stopAt = k.w.now
 		}
 		g.stopped[t.index] = true
 		t.phase = "saving"
-		k.w.later(t, j.snapCost, func() {
-			saved := len(g.stopped) == j.n && !g.over
+		k.w.later(t, j.checkpointDuration, func() {
+			saved := len(g.stopped) == j.taskCount && !g.over
 			if saved {
 				j.progress[0] = made
 			}
@@ -447,7 +447,7 @@
 		return
 	}
 	t.phase = "saving"
-	k.w.later(t, j.snapCost, func() {
+	k.w.later(t, j.checkpointDuration, func() {
 		j.progress[t.index] = made
 		k.exit(t, "halted", true)
 	})
--- a/internal/simtest/world.go
+++ b/internal/simtest/world.go
@@ -43,20 +43,20 @@
 	jobs    map[string]*job
 	check   *Checker
 
-	cut       map[[2]string]bool
-	lost      map[[2]string]bool // packets that way vanish
-	copies    float64            // share of reports of which a copy comes later, to any node
-	copyLate  time.Duration      // by at most this
-	deafNext  int                // so many of the next machines are deaf
-	users     *node              // whom users ask, nil: any
-	held      []heldPacket
-	loss      float64 // share of packets between hosts that are lost
-	late      float64 // share of calls to the state service and cloud executed late as well
-	pageLimit int
-	announced bool              // the settings tell of lower limits of the state service
-	answers   map[string]string // to requests that nobody waits for, by what was asked
-	faults    []string          // errors of the service against its own limits
-	log       *slog.Logger
+	cut             map[[2]string]bool
+	lost            map[[2]string]bool // packets that way vanish
+	copies          float64            // share of reports of which a copy comes later, to any node
+	copyLate        time.Duration      // by at most this
+	unreachableNext int                // so many of the next machines are deaf
+	users           *node              // whom users ask, nil: any
+	held            []heldPacket
+	loss            float64 // share of packets between hosts that are lost
+	late            float64 // share of calls to the state service and cloud executed late as well
+	pageLimit       int
+	announced       bool              // the settings tell of lower limits of the state service
+	answers         map[string]string // to requests that nobody waits for, by what was asked
+	faults          []string          // errors of the service against its own limits
+	log             *slog.Logger
 	troubles
 }
 
@@ -159,7 +159,7 @@
 }
 
 // Deafen lets a machine be heard while nothing reaches it, or ends that.
-func (w *World) Deafen(k *worker, on bool) {
+func (w *World) BlockInbound(k *worker, on bool) {
 	for _, n := range w.nodes {
 		w.lost[[2]string{n.name, k.name}] = on
 	}
@@ -204,12 +204,12 @@
 	conns map[uint64]func(status int, body []byte)
 	next  uint64
 
-	blind      bool // its questions about changes get no answer, its other requests do
-	denied     bool // the state service answers everybody but this one
-	frozen     bool
-	freezeNext time.Duration
-	stopped    []func() // inputs that wait while it stands still
-	decided    func()   // what its last step decided and did not carry out
+	watchBlocked bool // its questions about changes get no answer, its other requests do
+	denied       bool // the state service answers everybody but this one
+	paused       bool
+	pauseNext    time.Duration
+	stopped      []func() // inputs that wait while it stands still
+	decided      func()   // what its last step decided and did not carry out
 }
 
 func (n *node) addr() string { return fmt.Sprintf("10.0.0.%d:8080", n.index+1) }
@@ -231,7 +231,7 @@
 }
 
 func (n *node) kill() {
-	n.up, n.frozen, n.stopped, n.decided, n.freezeNext = false, false, nil, nil, 0
+	n.up, n.paused, n.stopped, n.decided, n.pauseNext = false, false, nil, nil, 0
 	conns := n.conns
 	n.conns = nil
 	var ids []uint64
@@ -248,7 +248,7 @@
 	if !n.up || n.life != life {
 		return
 	}
-	if !n.frozen {
+	if !n.paused {
 		n.step(func(now event.Time) {
 			n.core.Clock(now, dayBegin.Add(n.w.now))
 			n.core.Tick(now, &n.out)
@@ -261,18 +261,18 @@
 // within a step, from when its next decision is made but not carried out yet.
 // What arrives meanwhile waits, and comes in any order before anything that
 // time brings.
-func (n *node) freeze(d time.Duration, within bool) {
+func (n *node) pause(d time.Duration, within bool) {
 	if within {
-		n.freezeNext = d
+		n.pauseNext = d
 		return
 	}
-	n.frozen = true
+	n.paused = true
 	life := n.life
 	n.w.after(d, func() {
-		if n.life != life || !n.frozen {
+		if n.life != life || !n.paused {
 			return
 		}
-		n.frozen = false
+		n.paused = false
 		list := n.stopped
 		n.stopped = nil
 		n.w.rng.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
@@ -288,17 +288,17 @@
 
 // step gives one input to the core and carries out the effects.
 func (n *node) step(f func(now event.Time)) {
-	if n.frozen {
+	if n.paused {
 		n.stopped = append(n.stopped, func() { n.step(f) })
 		return
 	}
 	f(n.w.now - n.start)
 	replies, calls, frames := n.out.Replies, n.out.Calls, n.out.Frames
 	n.out.Replies, n.out.Calls, n.out.Frames = nil, nil, nil
-	if d := n.freezeNext; d > 0 && len(replies)+len(calls) > 0 {
-		n.freezeNext = 0
+	if d := n.pauseNext; d > 0 && len(replies)+len(calls) > 0 {
+		n.pauseNext = 0
 		n.decided = func() { n.perform(replies, calls, frames) }
-		n.freeze(d, false)
+		n.pause(d, false)
 		return
 	}
 	n.perform(replies, calls, frames)
@@ -375,7 +375,7 @@
 		to = wk.name
 		serve = func(a func(int, any)) { wk.serve(c.Path, c.Body, a) }
 	}
-	if to == "state" && (n.lateWrite(c) || n.blind && strings.HasPrefix(c.Path, "/follow")) {
+	if to == "state" && (n.lateWrite(c) || n.watchBlocked && strings.HasPrefix(c.Path, "/follow")) {
 		return
 	}
 	there, back := n.w.heldCommand(to)
--- a/internal/store/share.go
+++ b/internal/store/share.go
@@ -88,7 +88,7 @@
 			waiting += float64(in.ops())
 		}
 	}
-	return c.asked.rate(now), c.written.rate(now) + waiting
+	return c.requestMeter.rate(now), c.written.rate(now) + waiting
 }
 
 // Backlog tells how long a new intent of a priority waits for its turn, by the
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -31,15 +31,15 @@
 
 // Write is one change of a transaction.
 type Write struct {
-	Key    string
-	Data   []byte // JSON; nil drops the key
-	Tether uint64
+	Key     string
+	Data    []byte // JSON; nil drops the key
+	LeaseID uint64
 }
 
 // Cond requires that a key has a stamp (0: does not exist).
-type Cond struct {
-	Key   string
-	Stamp uint64
+type Condition struct {
+	Key     string
+	Version uint64
 }
 
 // Outcome of an intent.
@@ -60,8 +60,8 @@
 
 // Result is how an intent ended.
 type Result struct {
-	Outcome Outcome
-	Epoch   uint64 // of the transaction when OK
+	Outcome  Outcome
+	Revision uint64 // of the transaction when OK
 	// Invalid: refused with 400. The same write will be refused again, be it
 	// for its size, so it is to be tried ever less often.
 	Invalid bool
@@ -72,10 +72,10 @@
 // Intent is a set of writes that happen together or not at all. Several
 // intents may share one transaction.
 type Intent struct {
-	Priority Priority
-	Conds    []Cond
-	Writes   []Write
-	Done     func(r Result)
+	Priority   Priority
+	Conditions []Condition
+	Writes     []Write
+	Done       func(r Result)
 	// Build, if set, fills in Conds and Writes when the intent's turn comes, so
 	// that one write carries all that changed while it waited. It may be called
 	// again for another try. False: there is nothing to write any more; Done is
@@ -84,8 +84,8 @@
 	Build func(in *Intent) bool
 	Key   string
 
-	expires event.Time
-	tries   int
+	expires  event.Time
+	attempts int
 }
 
 func (in *Intent) ops() int { return max(1, len(in.Writes)) }
@@ -103,7 +103,7 @@
 }
 
 // ListenFunc hears every change of the replica. data is nil when the key is gone.
-type ListenFunc func(key string, data []byte, stamp uint64)
+type ListenFunc func(key string, data []byte, version uint64)
 
 const (
 	maxTxn       = 60 << 10
@@ -124,18 +124,18 @@
 	limits Limits
 	listen ListenFunc
 
-	stamps map[string]uint64
-	tombs  map[string]uint64 // dropped keys until the replica has passed the drop
-	epoch  uint64
-	synced bool
+	versions   map[string]uint64
+	tombstones map[string]uint64 // dropped keys until the replica has passed the drop
+	revision   uint64
+	synced     bool
 
-	loading   bool
-	loadEpoch uint64
-	loadSeen  map[string]bool
-	loadNext  event.Time
+	loading      bool
+	loadRevision uint64
+	loadSeen     map[string]bool
+	loadNext     event.Time
 
-	requests, writes bucket
-	asked, written   meter
+	requests, writes      bucket
+	requestMeter, written meter
 
 	queue    [priorities][]*Intent
 	inflight int
@@ -162,7 +162,7 @@
 
 // New returns a client for the service at addr.
 func New(addr string, limits Limits, listen ListenFunc) *Client {
-	return &Client{addr: addr, limits: limits, listen: listen, stamps: map[string]uint64{}, tombs: map[string]uint64{},
+	return &Client{addr: addr, limits: limits, listen: listen, versions: map[string]uint64{}, tombstones: map[string]uint64{},
 		busyKeys: map[string]bool{}, calls: map[uint64]func(event.Time, int, []byte, *event.Effects){},
 		requests: newBucket(limits.RPS), writes: newBucket(limits.WriteRPS), contact: -time.Hour,
 		watchEvery: leastPause, barrierEvery: leastPause}
@@ -179,13 +179,13 @@
 func (c *Client) Fresh() event.Time { return c.fresh }
 
 // Epoch is the change up to which the replica is complete.
-func (c *Client) Epoch() uint64 { return c.epoch }
+func (c *Client) Revision() uint64 { return c.revision }
 
 // Outage tells whether the service failed to answer lately.
 func (c *Client) Outage() bool { return c.outage }
 
 // Stamp returns the stamp of a key in the replica, 0 if absent.
-func (c *Client) Stamp(key string) uint64 { return c.stamps[key] }
+func (c *Client) Version(key string) uint64 { return c.versions[key] }
 
 // SetShare changes this node's part of the rates. Watches and barriers are
 // paced so that they leave room for the rest.
@@ -222,34 +222,34 @@
 }
 
 // Lease sends a request for a new lease, Extend and Drop work on one.
-func (c *Client) Lease(life time.Duration, now event.Time, out *event.Effects, done func(now event.Time, tether uint64, out *event.Effects)) {
+func (c *Client) Lease(life time.Duration, now event.Time, out *event.Effects, done func(now event.Time, leaseID uint64, out *event.Effects)) {
 	body := fmt.Appendf(nil, `{"life_ms":%d}`, life.Milliseconds())
 	c.call("POST", "/leases", body, callTimeout, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		var v struct {
-			Tether uint64 `json:"tether"`
+			LeaseID uint64 `json:"tether"`
 		}
 		if status != 200 || json.Unmarshal(body, &v) != nil {
-			v.Tether = 0
+			v.LeaseID = 0
 		}
-		done(now, v.Tether, out)
+		done(now, v.LeaseID, out)
 	})
 }
 
 // Extend renews a lease; done gets the status.
-func (c *Client) Extend(tether uint64, timeout time.Duration, now event.Time, out *event.Effects, done func(now event.Time, status int, out *event.Effects)) {
-	c.call("POST", "/leases/"+strconv.FormatUint(tether, 10)+"/extend", nil, timeout, now, out,
+func (c *Client) Extend(leaseID uint64, timeout time.Duration, now event.Time, out *event.Effects, done func(now event.Time, status int, out *event.Effects)) {
+	c.call("POST", "/leases/"+strconv.FormatUint(leaseID, 10)+"/extend", nil, timeout, now, out,
 		func(now event.Time, status int, _ []byte, out *event.Effects) { done(now, status, out) })
 }
 
 // Drop ends a lease at once.
-func (c *Client) Drop(tether uint64, now event.Time, out *event.Effects) {
-	c.call("DELETE", "/leases/"+strconv.FormatUint(tether, 10), nil, callTimeout, now, out,
+func (c *Client) Drop(leaseID uint64, now event.Time, out *event.Effects) {
+	c.call("DELETE", "/leases/"+strconv.FormatUint(leaseID, 10), nil, callTimeout, now, out,
 		func(event.Time, int, []byte, *event.Effects) {})
 }
 
 func (c *Client) call(method, path string, body []byte, timeout time.Duration, now event.Time, out *event.Effects, f func(event.Time, int, []byte, *event.Effects)) {
 	c.requests.take(now, 1)
-	c.asked.add(now, 1)
+	c.requestMeter.add(now, 1)
 	sent := now
 	c.calls[out.Call(c.addr, method, path, body, timeout)] = func(now event.Time, status int, body []byte, out *event.Effects) {
 		if status != 0 && status != 503 && status != 429 {
@@ -314,14 +314,14 @@
 // load reads every key, page by page. The pages are not one moment's, but
 // following from the first page's epoch replays whatever changed meanwhile.
 func (c *Client) load(now event.Time, out *event.Effects) {
-	c.loading, c.loadEpoch, c.loadSeen = true, 0, map[string]bool{}
+	c.loading, c.loadRevision, c.loadSeen = true, 0, map[string]bool{}
 	c.page("", now, out)
 }
 
 type item struct {
-	Key   string          `json:"key"`
-	Data  json.RawMessage `json:"data"`
-	Stamp uint64          `json:"stamp"`
+	Key     string          `json:"key"`
+	Data    json.RawMessage `json:"data"`
+	Version uint64          `json:"stamp"`
 }
 
 func (c *Client) page(from string, now event.Time, out *event.Effects) {
@@ -331,33 +331,33 @@
 	}
 	c.call("GET", path, nil, 4*time.Second, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		var v struct {
-			Items   []item `json:"items"`
-			HasNext bool   `json:"has_next"`
-			Epoch   uint64 `json:"epoch"`
+			Items    []item `json:"items"`
+			HasNext  bool   `json:"has_next"`
+			Revision uint64 `json:"epoch"`
 		}
 		if status != 200 || json.Unmarshal(body, &v) != nil || (v.HasNext && len(v.Items) == 0) {
 			c.loading, c.loadNext = false, now+reloadPause
 			return
 		}
 		if from == "" {
-			c.loadEpoch = v.Epoch
+			c.loadRevision = v.Revision
 		}
 		for _, it := range v.Items {
 			c.loadSeen[it.Key] = true
-			c.apply(it.Key, it.Data, it.Stamp)
+			c.apply(it.Key, it.Data, it.Version)
 		}
 		if v.HasNext {
 			c.page(v.Items[len(v.Items)-1].Key, now, out)
 			return
 		}
 		// Keys that we still hold from before a 410 but that are gone now.
-		for key, stamp := range c.stamps {
-			if !c.loadSeen[key] && stamp <= c.loadEpoch {
-				c.apply(key, nil, c.loadEpoch)
+		for key, version := range c.versions {
+			if !c.loadSeen[key] && version <= c.loadRevision {
+				c.apply(key, nil, c.loadRevision)
 			}
 		}
 		c.loadSeen = nil
-		c.loading, c.synced, c.epoch = false, true, c.loadEpoch
+		c.loading, c.synced, c.revision = false, true, c.loadRevision
 		c.Tick(now, out)
 	})
 }
@@ -365,35 +365,35 @@
 // change takes one change of the log or of a write of ours. What the replica
 // has passed already is left out: an answer that was held up for longer than
 // those after it would else bring back keys that were dropped since.
-func (c *Client) change(key string, data []byte, stamp uint64) {
-	if stamp > c.epoch {
-		c.apply(key, data, stamp)
+func (c *Client) change(key string, data []byte, version uint64) {
+	if version > c.revision {
+		c.apply(key, data, version)
 	}
 }
 
 // apply takes one change unless the replica holds a newer one.
-func (c *Client) apply(key string, data []byte, stamp uint64) {
-	if stamp <= c.stamps[key] || stamp <= c.tombs[key] {
+func (c *Client) apply(key string, data []byte, version uint64) {
+	if version <= c.versions[key] || version <= c.tombstones[key] {
 		return
 	}
 	if data == nil {
-		c.tombs[key] = stamp
-		if _, ok := c.stamps[key]; !ok {
+		c.tombstones[key] = version
+		if _, ok := c.versions[key]; !ok {
 			return
 		}
-		delete(c.stamps, key)
+		delete(c.versions, key)
 	} else {
-		delete(c.tombs, key)
-		c.stamps[key] = stamp
+		delete(c.tombstones, key)
+		c.versions[key] = version
 	}
-	c.listen(key, data, stamp)
+	c.listen(key, data, version)
 }
 
 type change struct {
-	Write string          `json:"write"`
-	Drop  string          `json:"drop"`
-	Data  json.RawMessage `json:"data"`
-	Stamp uint64          `json:"stamp"`
+	Write   string          `json:"write"`
+	Drop    string          `json:"drop"`
+	Data    json.RawMessage `json:"data"`
+	Version uint64          `json:"stamp"`
 }
 
 // follow handles a /follow answer; it tells whether the replica is current as
@@ -405,8 +405,8 @@
 		return false
 	}
 	var v struct {
-		Epoch uint64   `json:"epoch"`
-		Log   []change `json:"log"`
+		Revision uint64   `json:"epoch"`
+		Log      []change `json:"log"`
 	}
 	if status != 200 || json.Unmarshal(body, &v) != nil {
 		return false
@@ -414,16 +414,16 @@
 	c.fresh = max(c.fresh, sent)
 	for _, ch := range v.Log {
 		if ch.Drop != "" {
-			c.change(ch.Drop, nil, ch.Stamp)
+			c.change(ch.Drop, nil, ch.Version)
 		} else if ch.Write != "" {
-			c.change(ch.Write, ch.Data, ch.Stamp)
+			c.change(ch.Write, ch.Data, ch.Version)
 		}
 	}
-	if v.Epoch > c.epoch {
-		c.epoch = v.Epoch
-		for k, s := range c.tombs {
-			if s <= c.epoch {
-				delete(c.tombs, k)
+	if v.Revision > c.revision {
+		c.revision = v.Revision
+		for k, s := range c.tombstones {
+			if s <= c.revision {
+				delete(c.tombstones, k)
 			}
 		}
 	}
@@ -434,7 +434,7 @@
 	c.watchOpen = true
 	sent := now
 	c.watchNext = now + c.watchEvery
-	path := fmt.Sprintf("/follow?starts=&from=%d&wait_ms=%d", c.epoch, watchWait.Milliseconds())
+	path := fmt.Sprintf("/follow?starts=&from=%d&wait_ms=%d", c.revision, watchWait.Milliseconds())
 	c.call("GET", path, nil, watchWait+watchSlack, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		c.watchOpen = false
 		if !c.follow(sent, now, status, body) {
@@ -458,7 +458,7 @@
 	}
 	list, sent := c.barriers, now
 	c.barriers, c.barrierOpen, c.barrierNext = nil, true, now+c.barrierEvery
-	path := fmt.Sprintf("/follow?starts=&from=%d&wait_ms=0", c.epoch)
+	path := fmt.Sprintf("/follow?starts=&from=%d&wait_ms=0", c.revision)
 	c.call("GET", path, nil, callTimeout, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		c.barrierOpen = false
 		ok := c.follow(sent, now, status, body)
@@ -492,9 +492,9 @@
 	taken := map[string]bool{}
 	requests, writes := c.requests.has(now, 1), c.writes.whole(now)
 	for p := range c.queue {
-		room := c.limits.TxnOps
+		capacity := c.limits.TxnOps
 		if Priority(p) > Cancel {
-			room = min(room, writes)
+			capacity = min(capacity, writes)
 			if !requests {
 				break
 			}
@@ -503,8 +503,8 @@
 		kept := list[:0]
 		full := false
 		for _, in := range list {
-			room := max(room, c.lend(in, ops))
-			if full || ops+in.ops() > room || (in.tries > 1 && len(batch) > 0) {
+			capacity := max(capacity, c.lend(in, ops))
+			if full || ops+in.ops() > capacity || (in.attempts > 1 && len(batch) > 0) {
 				full = true
 				kept = append(kept, in)
 				continue
@@ -517,16 +517,16 @@
 				in.Done(Result{Outcome: Refused, Now: now})
 				continue
 			}
-			room = max(room, c.lend(in, ops))
+			capacity = max(capacity, c.lend(in, ops))
 			bytes := 0
 			clash := false
 			for _, w := range in.Writes {
 				bytes += len(w.Key) + len(w.Data) + 60
 				clash = clash || c.busyKeys[w.Key] || taken[w.Key]
 			}
-			bytes += 120 * len(in.Conds)
+			bytes += 120 * len(in.Conditions)
 			// What failed in company goes alone the next time.
-			if clash || ops+len(in.Writes) > room || size+bytes > maxTxn || conds+len(in.Conds) > 4*c.limits.TxnOps {
+			if clash || ops+len(in.Writes) > capacity || size+bytes > maxTxn || conds+len(in.Conditions) > 4*c.limits.TxnOps {
 				// Order within a priority is kept: a large intent is not
 				// starved by small ones behind it.
 				full = full || !clash
@@ -537,10 +537,10 @@
 				taken[w.Key] = true
 			}
 			ops += len(in.Writes)
-			conds += len(in.Conds)
+			conds += len(in.Conditions)
 			size += bytes
 			batch = append(batch, in)
-			full = full || in.tries > 1
+			full = full || in.attempts > 1
 		}
 		c.queue[p] = kept
 		if full && len(batch) > 0 {
@@ -559,30 +559,30 @@
 	return 0
 }
 
-type wireCond struct {
-	Key   string `json:"key"`
-	Stamp uint64 `json:"stamp"`
+type wireCondition struct {
+	Key     string `json:"key"`
+	Version uint64 `json:"stamp"`
 }
 
 type wireWrite struct {
-	Write  string          `json:"write,omitempty"`
-	Drop   string          `json:"drop,omitempty"`
-	Data   json.RawMessage `json:"data,omitempty"`
-	Tether uint64          `json:"tether,omitempty"`
+	Write   string          `json:"write,omitempty"`
+	Drop    string          `json:"drop,omitempty"`
+	Data    json.RawMessage `json:"data,omitempty"`
+	LeaseID uint64          `json:"tether,omitempty"`
 }
 
 func (c *Client) send(batch []*Intent, ops int, now event.Time, out *event.Effects) {
 	var txn struct {
-		If   []wireCond  `json:"if"`
-		Then []wireWrite `json:"then"`
+		If   []wireCondition `json:"if"`
+		Then []wireWrite     `json:"then"`
 	}
-	seen := map[Cond]bool{}
+	seen := map[Condition]bool{}
 	for _, in := range batch {
-		in.tries++
-		for _, cond := range in.Conds {
+		in.attempts++
+		for _, cond := range in.Conditions {
 			if !seen[cond] {
 				seen[cond] = true
-				txn.If = append(txn.If, wireCond(cond))
+				txn.If = append(txn.If, wireCondition(cond))
 			}
 		}
 		for _, w := range in.Writes {
@@ -590,7 +590,7 @@
 			if w.Data == nil {
 				txn.Then = append(txn.Then, wireWrite{Drop: w.Key})
 			} else {
-				txn.Then = append(txn.Then, wireWrite{Write: w.Key, Data: w.Data, Tether: w.Tether})
+				txn.Then = append(txn.Then, wireWrite{Write: w.Key, Data: w.Data, LeaseID: w.LeaseID})
 			}
 		}
 	}
@@ -615,8 +615,8 @@
 
 func (c *Client) committed(batch []*Intent, now event.Time, status int, body []byte, out *event.Effects) {
 	var v struct {
-		Epoch  uint64   `json:"epoch"`
-		Failed []string `json:"failed"`
+		Revision uint64   `json:"epoch"`
+		Failed   []string `json:"failed"`
 	}
 	if status == 200 || status == 409 {
 		if json.Unmarshal(body, &v) != nil {
@@ -627,11 +627,11 @@
 	case 200:
 		for _, in := range batch {
 			for _, w := range in.Writes {
-				c.change(w.Key, w.Data, v.Epoch)
+				c.change(w.Key, w.Data, v.Revision)
 			}
 		}
 		for _, in := range batch {
-			in.Done(Result{Outcome: OK, Epoch: v.Epoch, Now: now, Out: out})
+			in.Done(Result{Outcome: OK, Revision: v.Revision, Now: now, Out: out})
 		}
 	case 409:
 		// One failing condition must not fail its neighbours for good.
@@ -642,7 +642,7 @@
 		var again []*Intent
 		for _, in := range batch {
 			bad := false
-			for _, cond := range in.Conds {
+			for _, cond := range in.Conditions {
 				bad = bad || failed[cond.Key]
 			}
 			if bad || len(batch) == 1 {
@@ -658,7 +658,7 @@
 	case 400:
 		if len(batch) > 1 {
 			for _, in := range batch {
-				in.tries = max(in.tries, 2)
+				in.attempts = max(in.attempts, 2)
 			}
 			c.requeue(batch)
 			return
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -125,7 +125,7 @@
 		k := string(rune('a' + i))
 		in, _ := write(k)
 		for _, c := range "12345" {
-			in.Conds = append(in.Conds, Cond{Key: k + string(c), Stamp: 1})
+			in.Conditions = append(in.Conditions, Condition{Key: k + string(c), Version: 1})
 		}
 		in.Done = func(Result) { done++ }
 		b.Submit(in, b.now+time.Minute)
@@ -158,11 +158,11 @@
 	barrier := b.take("/follow")[0]
 	b.answer(barrier, 200, `{"epoch":9,"log":[{"write":"j/req-1","data":{"n":2},"stamp":7},{"drop":"j/req-1","stamp":9}]}`)
 	b.answer(watch, 200, `{"epoch":7,"log":[{"write":"j/req-1","data":{"n":2},"stamp":7}]}`)
-	if got := b.held["j/req-1"]; got != "" || b.Stamp("j/req-1") != 0 {
-		t.Errorf("a dropped key is back: %s, stamp %d", got, b.Stamp("j/req-1"))
+	if got := b.held["j/req-1"]; got != "" || b.Version("j/req-1") != 0 {
+		t.Errorf("a dropped key is back: %s, stamp %d", got, b.Version("j/req-1"))
 	}
-	if b.Epoch() != 9 {
-		t.Errorf("the replica is at %d", b.Epoch())
+	if b.Revision() != 9 {
+		t.Errorf("the replica is at %d", b.Revision())
 	}
 }
 
@@ -171,13 +171,13 @@
 	b := newBench(open)
 	watch := b.take("/follow")[0]
 	outcome := Refused
-	b.Submit(&Intent{Priority: Accept, Conds: []Cond{{Key: "j/req-1"}}, Writes: []Write{{Key: "j/req-1", Data: []byte(`{"n":1}`)}},
+	b.Submit(&Intent{Priority: Accept, Conditions: []Condition{{Key: "j/req-1"}}, Writes: []Write{{Key: "j/req-1", Data: []byte(`{"n":1}`)}},
 		Done: func(r Result) { outcome = r.Outcome }}, time.Minute)
 	b.wait(time.Second)
 	commit := b.take("/commit")[0]
 	b.answer(watch, 200, `{"epoch":8,"log":[{"write":"j/req-1","data":{"n":1},"stamp":6},{"drop":"j/req-1","stamp":8}]}`)
 	b.answer(commit, 200, `{"epoch":6}`)
-	if outcome != OK || b.held["j/req-1"] != "" || b.Stamp("j/req-1") != 0 {
+	if outcome != OK || b.held["j/req-1"] != "" || b.Version("j/req-1") != 0 {
 		t.Errorf("outcome %v, the dropped key shows %q", outcome, b.held["j/req-1"])
 	}
 }
@@ -188,8 +188,8 @@
 	b.Submit(&Intent{Priority: Accept, Writes: []Write{{Key: "f/req-1", Data: []byte(`{}`)}}, Done: func(Result) {}}, time.Minute)
 	b.wait(time.Second)
 	b.answer(b.take("/commit")[0], 200, `{"epoch":6}`)
-	if b.Stamp("f/req-1") != 6 || b.Epoch() != 5 {
-		t.Errorf("stamp %d at %d", b.Stamp("f/req-1"), b.Epoch())
+	if b.Version("f/req-1") != 6 || b.Revision() != 5 {
+		t.Errorf("stamp %d at %d", b.Version("f/req-1"), b.Revision())
 	}
 }
 
--- a/internal/worker/report.go
+++ b/internal/worker/report.go
@@ -9,33 +9,33 @@
 
 // Report is a worker's report.
 type Report struct {
-	Machine string   `json:"host"`
-	Addr    string   `json:"addr"`
-	Flavor  string   `json:"flavor"`
-	Yard    string   `json:"yard"`
-	Spot    bool     `json:"loaners"`
-	Tenure  uint64   `json:"tenure"`
-	Tick    uint64   `json:"tick"`
-	Fence   uint64   `json:"fence"`
-	Recall  *float64 `json:"recall_s"`
-	Shards  []Shard  `json:"shards"`
+	Machine      string       `json:"host"`
+	Addr         string       `json:"addr"`
+	MachineType  string       `json:"flavor"`
+	Zone         string       `json:"yard"`
+	Spot         bool         `json:"loaners"`
+	Session      uint64       `json:"tenure"`
+	Sequence     uint64       `json:"tick"`
+	FencingToken uint64       `json:"fence"`
+	ReclaimIn    *float64     `json:"recall_s"`
+	Tasks        []TaskReport `json:"shards"`
 }
 
 // Shard is one task in a report.
-type Shard struct {
-	Shard  string `json:"shard"`
-	Try    uint64 `json:"try"`
-	Phase  string `json:"phase"`
-	Cause  string `json:"cause"`
-	Stored bool   `json:"stored"`
+type TaskReport struct {
+	Task    string `json:"shard"`
+	Attempt uint64 `json:"try"`
+	Phase   string `json:"phase"`
+	Cause   string `json:"cause"`
+	Stored  bool   `json:"stored"`
 }
 
 // Order is a command to a worker.
 type Order struct {
-	Verb  string   `json:"verb"`
-	Shard string   `json:"shard"`
-	Try   uint64   `json:"try"`
-	Wind  *float64 `json:"wind_down_s,omitempty"`
+	Verb        string   `json:"verb"`
+	Task        string   `json:"shard"`
+	Attempt     uint64   `json:"try"`
+	GracePeriod *float64 `json:"wind_down_s,omitempty"`
 }
 
 // Parser reads reports. Most say what the last one of their machine said, but
@@ -45,7 +45,7 @@
 	key  map[string]string      // of a machine's, in last
 
 	// Decoded counts the bytes that were decoded, Same those that were not.
-	Decoded, Same int
+	Decoded, Unchanged int
 }
 
 type lastReport struct {
@@ -54,26 +54,26 @@
 }
 
 // mostKept bounds what garbage can make a parser keep.
-const mostKept = 1 << 14
+const maxCachedReports = 1 << 14
 
 // Parse reads and checks a report. What it returns shares its list of tasks
 // with other reports that say the same.
 func (p *Parser) Parse(body []byte) (*Report, error) {
-	before, tick, rest, ok := splitTick(body)
+	before, sequence, rest, ok := splitSequence(body)
 	if ok {
 		if l := p.last[string(before)]; l != nil && bytes.Equal(l.rest, rest) {
-			p.Same += len(body)
+			p.Unchanged += len(body)
 			r := l.report
-			r.Tick = tick
+			r.Sequence = sequence
 			return &r, nil
 		}
 	}
 	p.Decoded += len(body)
 	r, err := parseReport(body)
-	if err != nil || !ok || r.Tick != tick {
+	if err != nil || !ok || r.Sequence != sequence {
 		return r, err
 	}
-	if p.last == nil || len(p.last) >= mostKept {
+	if p.last == nil || len(p.last) >= maxCachedReports {
 		p.last, p.key = map[string]*lastReport{}, map[string]string{}
 	}
 	delete(p.last, p.key[r.Machine])
@@ -83,16 +83,16 @@
 	return r, nil
 }
 
-var tickName = []byte(`"tick":`)
+var sequenceName = []byte(`"tick":`)
 
 // splitTick cuts a report's text around the digits of its tick. ok is false
 // where that can't be told without decoding it.
-func splitTick(body []byte) (before []byte, tick uint64, rest []byte, ok bool) {
-	i := bytes.Index(body, tickName)
-	if i < 0 || bytes.Contains(body[i+1:], tickName) {
+func splitSequence(body []byte) (before []byte, sequence uint64, rest []byte, ok bool) {
+	i := bytes.Index(body, sequenceName)
+	if i < 0 || bytes.Contains(body[i+1:], sequenceName) {
 		return nil, 0, nil, false
 	}
-	from := i + len(tickName)
+	from := i + len(sequenceName)
 	for from < len(body) && body[from] == ' ' {
 		from++
 	}
@@ -103,8 +103,8 @@
 	if to == len(body) || (body[to] != ',' && body[to] != '}') || (body[from] == '0' && to > from+1) {
 		return nil, 0, nil, false
 	}
-	tick, err := strconv.ParseUint(string(body[from:to]), 10, 64)
-	return body[:from], tick, body[to:], err == nil
+	sequence, err := strconv.ParseUint(string(body[from:to]), 10, 64)
+	return body[:from], sequence, body[to:], err == nil
 }
 
 func parseReport(body []byte) (*Report, error) {
@@ -112,7 +112,7 @@
 	if err := json.Unmarshal(body, r); err != nil {
 		return nil, err
 	}
-	if r.Machine == "" || r.Flavor == "" || r.Yard == "" || r.Tenure == 0 {
+	if r.Machine == "" || r.MachineType == "" || r.Zone == "" || r.Session == 0 {
 		return nil, fmt.Errorf("report lacks a field")
 	}
 	return r, nil
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -15,23 +15,23 @@
 // term is a leader that has always led, with a lease of 30 s for workers.
 type term struct{}
 
-func (term) Fence() uint64                          { return 5 }
-func (term) Entitled(event.Time) bool               { return true }
-func (term) SawFence(uint64)                        {}
-func (term) Lease() time.Duration                   { return 30 * time.Second }
-func (term) SilentProof(last event.Time) event.Time { return last + 32*time.Second }
+func (term) FencingToken() uint64                     { return 5 }
+func (term) MayStart(event.Time) bool                 { return true }
+func (term) ObserveToken(uint64)                      {}
+func (term) WorkerLease() time.Duration               { return 30 * time.Second }
+func (term) TasksExpireAt(last event.Time) event.Time { return last + 32*time.Second }
 
 // TestReports: which reports are believed, in the order in which they arrive.
 func TestReports(t *testing.T) {
 	n := &pipeline.Names{}
 	f := New(n, pipeline.NewTable(n, 4096, 12), slog.New(slog.NewTextHandler(io.Discard, nil)))
-	f.Silent = 13 * time.Second
+	f.SilentAfter = 13 * time.Second
 	for _, r := range []struct {
-		at           time.Duration
-		tenure, tick uint64
-		fence        uint64
-		taken, up    bool
-		what         string
+		at                time.Duration
+		session, sequence uint64
+		token             uint64
+		taken, up         bool
+		what              string
 	}{
 		{1, 1, 7, 4, true, false, "the first of a term may be a copy: nothing is placed there"},
 		{2, 1, 8, 5, true, true, "our answer arrived"},
@@ -43,12 +43,12 @@
 		{52, 2, 31, 5, true, true, "the machine itself, in its next session"},
 	} {
 		now := r.at * time.Second
-		rep := &Report{Machine: "i-1", Addr: "10.1.0.1:9000", Flavor: "f", Yard: "a", Tenure: r.tenure, Tick: r.tick, Fence: r.fence}
-		taken := f.Take(rep, now, term{})
+		rep := &Report{Machine: "i-1", Addr: "10.1.0.1:9000", MachineType: "f", Zone: "a", Session: r.session, Sequence: r.sequence, FencingToken: r.token}
+		taken := f.TakeReport(rep, now, term{})
 		if taken {
 			f.Orders(rep, now, term{})
 		}
-		if up := f.Machine("i-1", now).Up(now, f.Silent); taken != r.taken || up != r.up {
+		if up := f.Machine("i-1", now).Up(now, f.SilentAfter); taken != r.taken || up != r.up {
 			t.Errorf("%s: taken %v, usable %v", r.what, taken, up)
 		}
 	}
@@ -57,16 +57,16 @@
 // TestParser: a report that says what the last one said is not decoded again,
 // and comes out the same; whatever else differs is.
 func TestParser(t *testing.T) {
-	body := func(tick string, more string) []byte {
-		return []byte(`{"host":"i-1","addr":"10.1.0.1:9000","flavor":"f","yard":"a","loaners":true,"tenure":2,"tick":` + tick + `,"fence":3,` + more +
+	body := func(sequence string, more string) []byte {
+		return []byte(`{"host":"i-1","addr":"10.1.0.1:9000","flavor":"f","yard":"a","loaners":true,"tenure":2,"tick":` + sequence + `,"fence":3,` + more +
 			`"shards":[{"shard":"req-1/0","try":4,"phase":"running"}]}`)
 	}
 	var p Parser
 	for _, c := range []struct {
-		body    []byte
-		tick    uint64
-		decoded bool
-		what    string
+		body     []byte
+		sequence uint64
+		decoded  bool
+		what     string
 	}{
 		{body("7", ""), 7, true, "the first"},
 		{body("8", ""), 8, false, "the same"},
@@ -89,8 +89,8 @@
 		if (err == nil) != (wantErr == nil) || (err == nil && !reflect.DeepEqual(got, want)) {
 			t.Errorf("%s: %+v (%v), not %+v (%v)", c.what, got, err, want, wantErr)
 		}
-		if err == nil && got.Tick != c.tick {
-			t.Errorf("%s: tick %d", c.what, got.Tick)
+		if err == nil && got.Sequence != c.sequence {
+			t.Errorf("%s: tick %d", c.what, got.Sequence)
 		}
 	}
 }
@@ -98,28 +98,28 @@
 // A cancelled job's task that goes on, on a machine that hung, is told to stop
 // even if it was taken to be over.
 func TestCancelledIsStoppedWhatever(t *testing.T) {
-	for _, wish := range []pipeline.Wish{pipeline.Keep, pipeline.Clear, pipeline.MarkDone} {
+	for _, pending := range []pipeline.PendingWrite{pipeline.NoPendingWrite, pipeline.PendingClear, pipeline.PendingDone} {
 		n := &pipeline.Names{}
 		tb := pipeline.NewTable(n, 4096, 12)
-		j := &pipeline.Job{ID: "req-1", Ready: true, Spec: pipeline.Spec{N: 1, Zone: -1}}
-		j.Class, j.Team, j.Bundle = n.Classes.Index("c"), n.Teams.Index("t"), n.Bundles.Index("b")
+		j := &pipeline.Job{ID: "req-1", Ready: true, Spec: pipeline.Spec{TaskCount: 1, Zone: -1}}
+		j.Class, j.Team, j.Image = n.Classes.Index("c"), n.Teams.Index("t"), n.Images.Index("b")
 		tb.Listen(pipeline.JobKey, j.ID, pipeline.Encode(n, j), 1)
 		tb.Listen(pipeline.RunKey, "req-1/0", []byte(`{"t":3,"a":[[0,3,"i-1"]]}`), 2)
 		e := tb.Job(j.ID).Entry(0)
-		switch wish {
-		case pipeline.Clear:
+		switch pending {
+		case pipeline.PendingClear:
 			tb.Clear(e)
-		case pipeline.MarkDone:
+		case pipeline.PendingDone:
 			tb.MarkDone(e.Job, 0)
 		}
 		tb.Listen(pipeline.FinalKey, "req-1", pipeline.EncodeFinal(pipeline.Cancelled, j), 3)
 		f := New(n, tb, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		rep := &Report{Machine: "i-1", Addr: "10.1.0.1:9000", Flavor: "f", Yard: "a", Tenure: 1, Tick: 9, Fence: 5,
-			Shards: []Shard{{Shard: "req-1/0", Try: 3, Phase: "running"}}}
-		f.Take(rep, time.Second, term{})
+		rep := &Report{Machine: "i-1", Addr: "10.1.0.1:9000", MachineType: "f", Zone: "a", Session: 1, Sequence: 9, FencingToken: 5,
+			Tasks: []TaskReport{{Task: "req-1/0", Attempt: 3, Phase: "running"}}}
+		f.TakeReport(rep, time.Second, term{})
 		got := f.Orders(rep, time.Second, term{})
-		if len(got) != 1 || got[0].Verb != "stop" || got[0].Shard != "req-1/0" || *got[0].Wind != 0 {
-			t.Errorf("wish %d: %+v", wish, got)
+		if len(got) != 1 || got[0].Verb != "stop" || got[0].Task != "req-1/0" || *got[0].GracePeriod != 0 {
+			t.Errorf("wish %d: %+v", pending, got)
 		}
 	}
 }
