--- a/cmd/limits/main.go
+++ b/cmd/limits/main.go
@@ -5,7 +5,7 @@
 //
 // Every bound relaxes the problem: classes do not compete for machines, tasks
 // pack without waste, and the future is known. Classes may share a machine, so
-// a task is charged by weighted shares of cores and cards; any weights give a
+// a task is charged by weighted shares of CPUs and GPUs; any weights give a
 // valid bound, and the highest is taken. docs/limits.md explains the rest.
 package main
 
@@ -136,7 +136,7 @@
 }
 
 // bounds computes the bounds with so much of a machine's price laid on its
-// cores, the rest on its cards.
+// CPUs, the rest on its GPUs.
 func (s *site) bounds(weight float64) (float64, string, error) {
 	var w strings.Builder
 	horizon := s.Warmup + s.Duration
@@ -206,7 +206,7 @@
 				}
 			}
 		}
-		// That share of the work comes no sooner, and all cores need their time for it.
+		// That share of the work comes no sooner, and all CPUs need their time for it.
 		fmt.Fprintf(&w, "makespan: at least %.0f s (%.0f s of every core there is)\n", t.Share*math.Max(horizon, work/cpus), work/cpus)
 	}
 	fmt.Fprintf(&w, "price: at least %.2f\nuseful: at most %.2f (each rented machine boots once)\n", (cost+booted)/lowest, cost/(cost+booted))
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -484,7 +484,7 @@
 	return b
 }
 
-// layOut puts a list of upstream jobs into the record if it still fits there
+// layOutUpstream puts a list of upstream jobs into the record if it still fits there
 // once the record tells when the job became ready; else it returns the values
 // of the keys that hold it. A job that is ready needs no list.
 func (in *Server) layOutUpstream(j *pipeline.Job, up []string) [][]byte {
@@ -505,7 +505,7 @@
 	return lists
 }
 
-// stampRoom is what the stamp of a list takes in a record at most.
+// versionSize is what the version of a list takes in a record at most.
 const versionSize = 32
 
 // later refuses a submission for as long as what waits before it takes.
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -159,7 +159,7 @@
 	return status, body, true
 }
 
-// node is the intake of one controller. It hears of what others have stored
+// node is the API of one controller. It hears of what others have stored
 // only through a read barrier.
 type node struct {
 	t       *testing.T
--- a/internal/api/attempt.go
+++ b/internal/api/attempt.go
@@ -10,13 +10,13 @@
 	"lugward/internal/store"
 )
 
-// attemptFor bounds how long a list of upstream jobs is being stored: the user
+// submissionTimeout bounds how long a list of upstream jobs is being stored: the user
 // is long told to come back, and what is there is left to be cleaned up.
 const submissionTimeout = 20 * time.Second
 
 // attempt is a submission whose list of upstream jobs takes several values.
 // Part 0 stands for it: whatever follows, and last the job's record, requires
-// part 0 to have the attempt's stamp. So a late write or a rival's fails, and
+// part 0 to have the attempt's version. So a late write or a rival's fails, and
 // only the last write makes the job accepted.
 type pendingSubmission struct {
 	id       string
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,5 +1,5 @@
-// Package autoscaler deals with the cloud: it learns machine types, rents for
-// work that finds no room, and returns what nothing can use.
+// Package autoscaler deals with the cloud: it learns machine types, provisions for
+// work that finds no capacity, and returns what nothing can use.
 package autoscaler
 
 import (
@@ -23,7 +23,7 @@
 const (
 	TypesKey   = "c/types" // the machine types as last seen
 	Kind       = "c"
-	RetireKind = "h" // h/<host>: retired, to be returned
+	RetireKind = "h" // h/<machine>: retired, to be returned
 )
 
 // Config are the settings of this slice.
@@ -54,7 +54,7 @@
 	partitionedTimeout = 150 * time.Second
 	scanInterval       = 500 * time.Millisecond // between two looks at all machines
 	releaseInterval    = 100 * time.Millisecond // between two looks at what is to be returned
-	// A machine that is up and has not come over by then is shown our fence, so
+	// A machine that is up and has not come over by then is told our fencing token, so
 	// many at a look: a connection to a silent one is held for a while.
 	announceAfter    = 2 * time.Second
 	maxAnnouncements = 20
@@ -74,13 +74,13 @@
 	spot              bool
 }
 
-// booting is a rented machine that has not reported yet.
+// booting is a provisioned machine that has not reported yet.
 type bootingMachine struct {
 	offer
 	since event.Time
 	up    bool       // by the list, though silent to us
 	idle  event.Time // since when no task is planned for it, 0: one is
-	ours  bool       // rented in this term
+	ours  bool       // provisioned in this term
 }
 
 // Rental is the slice.
@@ -106,7 +106,7 @@
 	provisioning map[offer]int // machines asked for
 	refused      map[offer]refusal
 	booting      map[int]*bootingMachine
-	retired      map[string]uint64 // by name: stamp of the logged retirement
+	retired      map[string]uint64 // by name: version of the logged retirement
 	releasing    map[string]bool
 	logging      map[string]bool
 	released     map[string]event.Time // machines the cloud has taken back from us
@@ -115,7 +115,7 @@
 	releaseAt    event.Time
 	bootRatio    map[int]float64 // of the time a type takes to come up to what the cloud says
 	partitioned  map[int]bool    // zones most of whose machines are silent
-	retries      []pendingRetry  // hires to repeat
+	retries      []pendingRetry  // provisioning requests to repeat
 
 	planFrom event.Time // plans need a list that was asked for after this
 	mayPlan  bool
@@ -145,8 +145,8 @@
 func (r *Autoscaler) Begin(now event.Time, token uint64) {
 	r.Forget()
 	r.since, r.serial = now, 0
-	// What a leader before us rented last is not on the list yet: renting by
-	// an older list would rent it twice.
+	// What a leader before us provisioned last is not on the list yet: provisioning by
+	// an older list would provision it twice.
 	r.planFrom = now
 	if token > 1 {
 		r.planFrom += r.cfg.ListLag
@@ -341,7 +341,7 @@
 			wait = partitionedTimeout
 		}
 		if f != nil && now-b.since > wait {
-			r.log.Info("machine never came up", "host", h.Name)
+			r.log.Info("machine never came up", "machine", h.Name)
 			delete(r.booting, i)
 			r.Retire(h, now, term)
 		}
@@ -355,7 +355,7 @@
 			continue
 		}
 		if r.workers.UnreachableBeyondLease(h, now, t) && !r.partitioned[h.Zone] {
-			r.log.Info("deaf machine given up", "host", h.Name)
+			r.log.Info("unreachable machine released", "machine", h.Name)
 			r.Retire(h, now, term)
 			continue
 		}
@@ -373,8 +373,8 @@
 	}
 }
 
-// learnBoot notes how long a machine took to come up. Since a term may begin
-// while it boots, only those that we rented ourselves count.
+// recordBootTime notes how long a machine took to come up. Since a term may begin
+// while it boots, only those that we provisioned ourselves count.
 func (r *Autoscaler) recordBootTime(b *bootingMachine, now event.Time) {
 	f := r.MachineTypes.Get(b.machineType)
 	if !b.ours || f == nil || f.BootTime <= 0 {
@@ -410,8 +410,8 @@
 	return zones
 }
 
-// findDark finds the zones most of whose machines are silent: nothing is
-// rented there, and what is there is not given up soon.
+// findPartitioned finds the zones most of whose machines are silent: nothing is
+// provisioned there, and what is there is not given up soon.
 func (r *Autoscaler) findPartitioned(zones map[int][]*worker.Machine, now event.Time, silent time.Duration) {
 	partitioned := map[int]bool{}
 	for z, machines := range zones {
@@ -428,15 +428,15 @@
 		if lost > 1 && 2*lost > len(machines) {
 			partitioned[z] = true
 			if !r.partitioned[z] {
-				r.log.Info("zone is dark", "zone", r.names.Zones.Name(z), "machines", len(machines), "silent", lost)
+				r.log.Info("zone is partitioned", "zone", r.names.Zones.Name(z), "machines", len(machines), "silent", lost)
 			}
 		}
 	}
 	r.partitioned = partitioned
 }
 
-// giveUpSilent returns a machine that alone in its zone went silent: the
-// cloud's answer proves its tasks gone long before its lease does. Where
+// releaseSilent returns a machine that alone in its zone went silent: the
+// cloud's answer proves its tasks terminated long before its lease does. Where
 // several are silent the network is the likelier cause, and they are left to
 // go on working; so they are while the zone comes back machine by machine.
 func (r *Autoscaler) releaseSilent(zones map[int][]*worker.Machine, now event.Time, term store.Condition, silent time.Duration) {
@@ -457,7 +457,7 @@
 				}
 			}
 			if heard >= silentShare*len(lost) {
-				r.log.Info("silent machine given up", "host", l.Name, "tasks", len(r.jobs.OnMachine(l.Index)))
+				r.log.Info("silent machine released", "machine", l.Name, "tasks", len(r.jobs.OnMachine(l.Index)))
 				r.Retire(l, now, term)
 			}
 		}
@@ -588,9 +588,9 @@
 	}
 }
 
-// Plan rents for the tasks that found no room, as things will stand when a
-// machine asked for now is up: what ends or leaves by then makes room, what
-// was stopped needs room again, and machines that are booting are filled in
+// Plan provisions for the tasks that found no capacity, as things will stand when a
+// machine asked for now is up: what ends or leaves by then frees capacity, what
+// was stopped needs capacity again, and machines that are booting are filled in
 // thought. What is left is bought where a task costs least.
 func (r *Autoscaler) Plan(now event.Time, blocked []*pipeline.Job, p *scheduler.Scheduler, term uint64, out *event.Effects) {
 	if !r.mayPlan {
@@ -669,7 +669,7 @@
 		}
 	}
 	for i, capacity := range coming {
-		// What it was rented for may be done or have found room elsewhere.
+		// What it was provisioned for may be done or have found capacity elsewhere.
 		switch b := r.booting[i]; {
 		case capacity == nil || capacity.Busy:
 			b.idle = 0
@@ -813,7 +813,7 @@
 		err := json.Unmarshal(body, &v)
 		switch {
 		case status == 200 && err == nil:
-			r.log.Info("rented", "hire", name, "flavor", r.names.MachineTypes.Name(o.machineType), "spot", o.spot, "asked", n, "got", len(v.Machines))
+			r.log.Info("provisioned", "request", name, "machine_type", r.names.MachineTypes.Name(o.machineType), "spot", o.spot, "asked", n, "got", len(v.Machines))
 			for _, name := range v.Machines {
 				h := r.workers.Machine(name, now)
 				if h.LastReport == 0 {
@@ -827,7 +827,7 @@
 		case status == 503 && v.Error == "no capacity" || status == 400:
 			r.refuse(o, now)
 		case attempts < maxProvisionRetries:
-			// Lost or in trouble: the same name again, so that it is rented
+			// Lost or in trouble: the same name again, so that it is provisioned
 			// once at most.
 			if status != 0 {
 				r.pauseTo = now + errorPause
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -15,7 +15,7 @@
 	"lugward/internal/worker"
 )
 
-// Machines are rented for what a team's limit lets all of its jobs together
+// Machines are provisioned for what a team's limit lets all of its jobs together
 // have, not for what it would let each of them have alone.
 func TestRentsWithinLimit(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -37,7 +37,7 @@
 	cleanJobs       = 2
 	staleAfter      = 3 * time.Second
 	versionStagger  = time.Second
-	versionRetry    = 5 * time.Second  // between two tries to store the version
+	versionRetry    = 5 * time.Second  // between two attempts to store the version
 	loadLogInterval = 10 * time.Second // between two lines of the log about the load
 	// A leader that hears no worker for this long gives the term up.
 	noReportsTimeout = 12 * time.Second
@@ -268,7 +268,7 @@
 // patience is until when a leader waits for a worker's report. If it gave a
 // term up for that before and no worker has come to it since, none may be left,
 // and terms given up one after the other would keep the proof that the tasks of
-// silent machines are gone from ever being reached: it stays until then.
+// silent machines have terminated from ever being reached: it stays until then.
 func (n *Node) reportDeadline() event.Time {
 	if n.yielded {
 		return n.election.TasksExpireAt(n.lastReportAt) + noReportsTimeout
@@ -276,7 +276,7 @@
 	return n.lastReportAt + noReportsTimeout
 }
 
-// anyWorkers tells whether there are workers that ought to report.
+// expectsReports tells whether there are workers that ought to report.
 func (n *Node) expectsReports() bool {
 	used := n.autoscaler.HasSilentMachines()
 	n.jobs.MachinesInUse(func(int) { used = true })
@@ -312,7 +312,7 @@
 		n.packAt = now
 		n.startBudget()
 		for _, h := range n.scheduler.Pack(now, n.capacities, n.blocked) {
-			n.log.Info("moving work off", "host", h.Name)
+			n.log.Info("draining machine", "machine", h.Name)
 		}
 	}
 	n.logLoad(now)
@@ -325,7 +325,7 @@
 	}
 }
 
-// startBudget gives the placer the time of one round.
+// startBudget gives the scheduler the time of one round.
 func (n *Node) startBudget() {
 	if n.clock != nil {
 		begin, budget := n.clock(), time.Duration(n.cfg.Operator.Scheduler.Budget)
@@ -368,7 +368,7 @@
 	}
 	_, writes := n.store.Demand(now)
 	n.log.Info("load", "jobs_waiting", jobs, "tasks_waiting", open, "unstored", unstored, "ordered", seen[pipeline.Unseen], "fetching", seen[pipeline.Pulling],
-		"gathering", seen[pipeline.Waiting], "running", seen[pipeline.RunningTask], "stopping", stopping, "machines", up, "idle", idle, "cards_free", free,
+		"waiting_for_gang", seen[pipeline.Waiting], "running", seen[pipeline.RunningTask], "stopping", stopping, "machines", up, "idle", idle, "gpus_free", free,
 		"reserved", n.scheduler.Reserved(), "cut_short", n.scheduler.Interrupted, "compact", n.jobs.Compact(), "writes", int(writes))
 	n.scheduler.Interrupted = 0
 }
@@ -379,7 +379,7 @@
 	Reports             int // that were read
 	Decoded, Unchanged  int // bytes of reports that were decoded, and compared only
 	Rounds              int
-	CapacitiesRecounted int // rooms that were counted anew
+	CapacitiesRecounted int // machine capacities that were counted anew
 }
 
 // Work returns the counts since the process began.
@@ -418,7 +418,7 @@
 	n.jobs.MarkUpstreamCancelled(now, n.store, ours)
 }
 
-// showVersion stores, once, that this controller runs this version. It is in no
+// publishVersion stores, once, that this controller runs this version. It is in no
 // hurry: after a start of all, terms and users go first and the controllers
 // follow one another.
 func (n *Node) publishVersion(now event.Time) {
@@ -608,7 +608,7 @@
 	}
 }
 
-// passOn sends a worker to the leader. One that comes back soon cannot reach
+// relayOrRedirect sends a worker to the leader. One that comes back soon cannot reach
 // it: its reports are passed on over the peer link, so that a cut between two
 // zones costs no lease as long as some node reaches both sides. The leader
 // treats them like any other; a late one is merely old.
@@ -635,7 +635,7 @@
 	default:
 		if p.relaying == 0 {
 			p.relaying = now
-			n.log.Info("passing on reports", "host", machine, "to", holder)
+			n.log.Info("relaying reports", "machine", machine, "to", holder)
 		}
 		p.sent = now
 		n.lastRelay++
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -22,8 +22,8 @@
 // machine has changed, when a round is over, and when its time has come.
 type reports struct {
 	byMachine map[int]*waitingReport
-	pending   []*waitingReport // oldest first: due after answerWait
-	idle      []*waitingReport // oldest first: due after idleWait
+	pending   []*waitingReport // oldest first: due after answerTimeout
+	idle      []*waitingReport // oldest first: due after idleAnswerTimeout
 	idleCount int              // unanswered ones in idle
 	review    []int            // machines whose reports are to be looked at again
 	change    bool             // a change was waiting for its round
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,7 +1,7 @@
 // Package election decides who acts for the controllers. The term is a counter
 // key raised by compare-and-set together with a key held by a lease; its
-// number is the fence that workers compare. Every write of a leader requires
-// the stamp of the term key, so a deposed leader's writes fail, however late
+// number is the fencing token that workers compare. Every write of a leader requires
+// the version of the term key, so a deposed leader's writes fail, however late
 // they arrive.
 package election
 
@@ -75,7 +75,7 @@
 	renewing    bool
 	termVersion uint64
 	acquired    bool
-	highest     uint64 // highest fence that any worker or peer showed
+	highest     uint64 // highest fencing token that any worker or peer showed
 }
 
 // New returns the slice.
@@ -107,7 +107,7 @@
 // Holder is the label of the node that holds the term, "" if none is known.
 func (l *Election) Holder() string { return l.holder }
 
-// HolderFence is the number of the term that the replica shows.
+// HolderToken is the number of the term that the replica shows.
 func (l *Election) HolderToken() uint64 { return l.holderToken }
 
 // Holds tells whether this node holds a term at all, be it only in grace.
@@ -127,7 +127,7 @@
 // caughtUp tells whether we hold a term and the replica shows everything up to
 // its beginning. A node that replaces its own term of before a restart, or that
 // has just read all keys page by page, would else miss what the term before had
-// written last, and give its room and its team's limit away once more.
+// written last, and give its capacity and its team's limit away once more.
 func (l *Election) caughtUp() bool { return l.Holds() && l.store.Revision() >= l.termVersion }
 
 // MayAnswer tells whether reports may be answered with 200: while entitled
@@ -147,7 +147,7 @@
 	return now < l.validUntil || (now < l.validUntil-l.cfg.TermLease+l.cfg.Grace && l.highest <= l.token)
 }
 
-// SilentProof is when the tasks on a machine are surely gone that nobody has
+// TasksExpireAt is when the tasks on a machine are surely terminated that nobody has
 // answered since the given time: its own lease has run out, counted from our
 // last answer or from the end of the grace of whoever held the term before.
 func (l *Election) TasksExpireAt(lastAnswer event.Time) event.Time {
@@ -158,7 +158,7 @@
 // Lease is a worker's lease, with the drift of its clock.
 func (l *Election) WorkerLease() time.Duration { return l.cfg.WorkerLease + l.cfg.WorkerLease/1000 }
 
-// SawFence notes a fence shown by a worker or another controller.
+// ObserveToken notes a fencing token shown by a worker or another controller.
 func (l *Election) ObserveToken(f uint64) { l.highest = max(l.highest, f) }
 
 // Yield gives the term up for others to take.
@@ -172,7 +172,7 @@
 }
 
 func (l *Election) stepDown(why string) {
-	l.log.Info("term lost", "fence", l.token, "why", why)
+	l.log.Info("term lost", "token", l.token, "why", why)
 	l.leaseID, l.termVersion = 0, 0
 }
 
@@ -252,7 +252,7 @@
 	}
 	l.acquired = false
 	if l.Holds() {
-		l.log.Info("term begun", "fence", l.token)
+		l.log.Info("term begun", "token", l.token)
 	}
 	return l.Holds()
 }
@@ -266,7 +266,7 @@
 	sent, token := now, l.token
 	l.store.Extend(l.leaseID, l.cfg.TermLease/4, now, out, func(now event.Time, status int, _ *event.Effects) {
 		l.renewing = false
-		l.log.Debug("term renewal answered", "status", status, "after", now-sent, "fence", token)
+		l.log.Debug("term renewal answered", "status", status, "after", now-sent, "token", token)
 		if token != l.token || !l.Holds() {
 			return
 		}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -51,12 +51,12 @@
 	maxResponse = 8 << 20   // follow responses have no size limit of their own
 	maxUnsent   = 512 << 10 // a reader this far behind is dropped
 	maxFrame    = 128 << 10
-	// For outgoing connections there is always room for some more than are in
+	// For outgoing connections there is always capacity for some more than are in
 	// use, and for 1/outgoingRoom of all sockets at least.
 	outgoingMore = 8
 	outgoingRoom = 16
 	// Workers keep their connections while these leave 1/userRoom of all
-	// sockets, beyond the outgoing ones' room, to users and probes.
+	// sockets, beyond the outgoing ones' capacity, to users and probes.
 	userRoom = 8
 )
 
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -246,7 +246,7 @@
 }
 
 // TestSpareCallsGiveWay: connections left from calls of ours, such as direct
-// commands to many machines, take no room from workers.
+// commands to many machines, take no capacity from workers.
 func TestSpareCallsGiveWay(t *testing.T) {
 	const sockets = 64
 	e, cfg := start(t, sockets)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -24,7 +24,7 @@
 	Kind  Kind
 	Label string // sender
 
-	// Beat
+	// Heartbeat
 	StateOK      bool
 	IsLeader     bool
 	FencingToken uint64
@@ -43,7 +43,7 @@
 // Append writes the frame to dst.
 //
 //	version u8 | kind u8 | label: len u8, bytes | body
-//	Beat:     flags u8 | fence u64 | requests u16 | writes u16
+//	Heartbeat: flags u8 | token u64 | requests u16 | writes u16
 //	Relay:    id u64 | bytes: len u32, bytes
 //	RelayAck: id u64 | status u16 | bytes: len u32, bytes
 func Append(dst []byte, f *Frame) []byte {
--- a/internal/pipeline/graph.go
+++ b/internal/pipeline/graph.go
@@ -13,7 +13,7 @@
 	"lugward/internal/store"
 )
 
-// NoDue is the deadline of a job that has none.
+// NoDeadline is the deadline of a job that has none.
 const NoDeadline = math.MaxInt64
 
 // graph is what follows from the edges between jobs. Only held jobs have
@@ -21,11 +21,11 @@
 type graph struct {
 	dependents map[string]map[*Job]bool // by upstream id: the held jobs that wait for it
 	releasable map[*Job]bool            // held jobs that wait for nothing any more
-	// doomed are the jobs below a cancelled one whose own mark is not stored.
+	// upstream-cancelled are the jobs below a cancelled one whose own mark is not stored.
 	upstreamCancelled map[*Job]bool
 	readying          int               // ready marks under way
 	queue             []*Job            // of these, in the order in which they get it
-	marking           int               // marks of doomed jobs under way
+	marking           int               // marks of jobs with a cancelled upstream job under way
 	stale             map[*Job]bool     // effective values are to be derived or handed on
 	parts             map[string]*parts // by job
 	deleting          int               // drops of parts under way
@@ -162,7 +162,7 @@
 	delete(t.graph.upstreamCancelled, j)
 }
 
-// settleMark hands a final mark on to the jobs that wait for its job.
+// propagateFinal hands a final mark on to the jobs that wait for its job.
 func (t *Table) propagateFinal(id string, phase Phase) {
 	list := t.graph.dependents[id]
 	delete(t.graph.dependents, id)
@@ -314,10 +314,10 @@
 const (
 	maxRetryWait     = int64(30 * time.Second)
 	maxReadyMarks    = 32 // ready marks at a time: placements wait behind them
-	maxCancelMarks   = 8  // marks of doomed jobs at a time: what users ask for goes first
+	maxCancelMarks   = 8  // marks of jobs with a cancelled upstream job at a time: what users ask for goes first
 	maxDeletingParts = 4
 	orphanTimeout    = int64(time.Minute) // a list without its job is given up after this
-	// RivalFor is how long a list that another attempt began keeps others from
+	// RivalTimeout is how long a list that another attempt began keeps others from
 	// beginning anew.
 	RivalTimeout = 6 * time.Second
 )
@@ -375,7 +375,7 @@
 	s.Submit(in, now+writeTimeout)
 }
 
-// MarkDoomed logs, a few at a time, that jobs of ours are cancelled with one
+// MarkUpstreamCancelled logs, a few at a time, that jobs of ours are cancelled with one
 // that they need. What users are told does not wait for it.
 func (t *Table) MarkUpstreamCancelled(now time.Duration, s Submitter, ours func(*Job) bool) {
 	g := &t.graph
@@ -393,14 +393,14 @@
 	}
 }
 
-// markDoomed writes the mark and drops the record.
+// markUpstreamCancelled writes the mark and drops the record.
 func (t *Table) markUpstreamCancelled(j *Job, now time.Duration, s Submitter) {
 	j.mark(&t.graph.marking, now, s, &store.Intent{Priority: store.Progress,
 		Writes: []store.Write{{Key: FinalKeyOf(j.ID), Data: EncodeFinal(Cancelled, j)}, {Key: JobKeyOf(j.ID)}}})
 }
 
 // PartKey is the kind of the keys that hold a long list of upstream jobs:
-// u/<id>/<n>. Part 0's stamp stands for the attempt to submit the job: the
+// u/<id>/<n>. Part 0's version stands for the attempt to submit the job: the
 // other parts and the job's record are written on condition of it.
 const PartKey = "u"
 
@@ -478,7 +478,7 @@
 	}
 }
 
-// Attempt returns the stamp of the attempt to submit a job that part 0 of its
+// Attempt returns the version of the attempt to submit a job that part 0 of its
 // list stands for, and for how long it has shown; 0: there is none.
 func (t *Table) SubmissionAttempt(id string, now time.Duration) (version uint64, shown time.Duration) {
 	p := t.graph.parts[id]
@@ -488,7 +488,7 @@
 	return p.held[0].version, now - time.Duration(p.seen)
 }
 
-// CutParts drops the lists that nobody needs: of jobs that are ready or over,
+// DeleteStaleParts drops the lists that nobody needs: of jobs that are ready or over,
 // and what attempts to submit left behind. Part 0 goes first, so that nothing
 // is added to an attempt that is being dropped.
 func (t *Table) DeleteStaleParts(now time.Duration, term store.Condition, s Submitter) {
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -1,7 +1,7 @@
 // Package pipeline holds the graph of jobs as it is logged in the state
 // service: job records, run records (what may be on which machine, what is
 // done) and final marks. Every controller keeps the same table by listening
-// to the store; only the leader adds wishes, which become writes.
+// to the store; only the leader adds pending writes, which become writes.
 package pipeline
 
 import "lugward/internal/intern"
@@ -16,10 +16,10 @@
 	Daemon
 )
 
-// Rank orders jobs; a higher rank is more important.
+// Rank orders jobs; a higher priority is more important.
 type Priority uint8
 
-// The ranks.
+// The priorities.
 const (
 	Idle Priority = iota
 	Normal
@@ -104,7 +104,7 @@
 // Wish is the change the leader wants for an entry.
 type PendingWrite uint8
 
-// The wishes.
+// The pending writes.
 const (
 	NoPendingWrite PendingWrite = iota
 	PendingClear
@@ -132,20 +132,20 @@
 	Owner         string
 	Upstream      []string // upstream jobs that the record lists itself
 	UpstreamParts int      // so many keys hold the list instead, 0: none
-	// Attempt is the stamp of the list's part 0: what another attempt to submit
+	// Attempt is the version of the list's part 0: what another attempt to submit
 	// the job has left behind is no part of it.
 	SubmissionVersion uint64
 	Ready             bool
 	// Submitted and ReadyAt are when it was submitted and when the last job
 	// that it needs was done, in unix ms; 0: not known.
 	Submitted, ReadyAt int64
-	// Order is the epoch at which the job became ready: ready jobs start in
+	// Order is the revision at which the job became ready: ready jobs start in
 	// that order.
 	Order uint64
-	// FirstSeen is the steady time at which it became ready, or at which this
+	// ReadySince is the steady time at which it became ready, or at which this
 	// node saw it ready if its record does not tell.
 	ReadySince int64
-	// EffRank and EffDue are its effective priority and deadline (steady time in
+	// EffectivePriority and EffectiveDeadline are its effective priority and deadline (steady time in
 	// ns): its own, or those of the unfinished jobs that need it if they ask for
 	// more. They are derived as the graph changes and never stored.
 	EffectivePriority Priority
@@ -179,7 +179,7 @@
 	FailedMachines  map[int]bool // machines on which a task of the job failed
 	Stopping        bool         // gang: the attempt is being ended
 	WithinGuarantee bool         // its team's guarantee
-	ReservedZone    int          // 1 + the zone where room is gathered for it, 0: none
+	ReservedZone    int          // 1 + the zone where capacity is gathered for it, 0: none
 	doneUnlogged    map[int]bool // done tasks whose entry is not ours to mark
 	cleaning        bool
 }
@@ -193,9 +193,9 @@
 	queued             [2]bool // a write waits for its turn: of progress, of placements
 	dirty              bool
 	placing            bool // a placement is not part of any write yet, or its write failed
-	changeCount        int  // counts the wishes, to tell what a write has carried
+	changeCount        int  // counts the pending writes, to tell what a write has carried
 	compacted          bool // stored in the compact form
-	deferredPlacements int  // placements that the last write had no room for
+	deferredPlacements int  // placements that the last write had no capacity for
 	rejectedWrites     int  // writes in a row that the state service called malformed
 	retryAt            int64
 }
@@ -270,7 +270,7 @@
 // that, whether its own mark is stored yet or not.
 func (j *Job) UpstreamCancelled() bool { return j.upstreamCancelled }
 
-// MaxTry is the highest attempt used by any task of the job.
+// MaxAttempt is the highest attempt used by any task of the job.
 func (j *Job) MaxAttempt() uint64 {
 	var t uint64
 	for i := range j.Chunk {
--- a/internal/pipeline/record.go
+++ b/internal/pipeline/record.go
@@ -12,7 +12,7 @@
 
 // Keys of the state service that belong to this slice.
 const (
-	JobKey   = "j" // j/<id>: the vertex, written once at intake
+	JobKey   = "j" // j/<id>: the vertex, written once at submission
 	RunKey   = "r" // r/<id>/<chunk>: what may run where, what is done
 	FinalKey = "f" // f/<id>: the final mark, created once, never changed
 )
@@ -68,7 +68,7 @@
 	}
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // intake admits finite numbers only
+		panic(err) // the API admits finite numbers only
 	}
 	return b
 }
@@ -96,8 +96,8 @@
 	return true
 }
 
-// runRecord is a chunk's stored form. An active task is [task, try, host] in a
-// list, or part of a text (compact) that holds many in less room.
+// runRecord is a chunk's stored form. An active task is [task, try, machine] in a
+// list, or part of a text (compact) that holds many in less capacity.
 type runRecord struct {
 	Attempt uint64 `json:"t"`
 	Done    string `json:"d,omitempty"` // little-endian bitmap, base64, zero tail cut
@@ -231,7 +231,7 @@
 	return best
 }
 
-// mostSpan bounds what a damaged record can make of a span of tasks.
+// maxSpan bounds what a damaged record can make of a span of tasks.
 const maxSpan = 1 << 10
 
 func expand(text string) (active []runEntry, ok bool) {
--- a/internal/pipeline/size_test.go
+++ b/internal/pipeline/size_test.go
@@ -162,7 +162,7 @@
 			in.Done(store.Result{Outcome: store.Refused, Now: now})
 		}
 	}
-	// Room comes free: others take it.
+	// Capacity comes free: others take it.
 	for task := range 10 {
 		tb.MarkDone(j, task)
 	}
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -27,7 +27,7 @@
 	u.GPUs += n * s.GPUs
 }
 
-// Table is the replica of the graph with the leader's wishes.
+// Table is the replica of the graph with the leader's pending writes.
 type Table struct {
 	Names           *Names
 	chunkLen        int
@@ -70,7 +70,7 @@
 // Job returns an unfinished job, or one that is finished but not cleaned up.
 func (t *Table) Job(id string) *Job { return t.byID[id] }
 
-// OnHost returns the entries of a machine, as they are now: what is removed
+// OnMachine returns the entries of a machine, as they are now: what is removed
 // meanwhile stays in the list that was returned.
 func (t *Table) OnMachine(machine int) []*Entry {
 	if machine < 0 || machine >= len(t.byMachine) {
@@ -79,7 +79,7 @@
 	return t.byMachine[machine]
 }
 
-// HostsInUse calls f for every machine with entries.
+// MachinesInUse calls f for every machine with entries.
 func (t *Table) MachinesInUse(f func(machine int)) {
 	for h, list := range t.byMachine {
 		if len(list) > 0 {
@@ -109,7 +109,7 @@
 	return t.changes[machine]
 }
 
-// TakeTouched returns, once each, the machines whose entries have changed.
+// TakeChangedMachines returns, once each, the machines whose entries have changed.
 func (t *Table) TakeChangedMachines() []int {
 	list := t.changedMachines
 	t.changedMachines = nil
@@ -397,7 +397,7 @@
 	return list
 }
 
-// Place records the wish to start a task on a machine. The start may be sent
+// Place records the pending write to start a task on a machine. The start may be sent
 // once the entry is durable.
 func (t *Table) Place(j *Job, task, machine int, attempt uint64, now int64) *Entry {
 	ch := t.chunk(j, task/t.chunkLen)
@@ -419,7 +419,7 @@
 	t.dirty[j] = true
 }
 
-// Clear records that an attempt is proven to be gone.
+// Clear records that an attempt is proven to have terminated.
 func (t *Table) Clear(e *Entry) {
 	if e.Pending == PendingDone {
 		return
@@ -441,7 +441,7 @@
 	}
 }
 
-// MarkDone records that a task has completed, whichever attempt it was.
+// PendingDone records that a task has completed, whichever attempt it was.
 func (t *Table) MarkDone(j *Job, task int) {
 	if task < 0 || task >= j.TaskCount || j.IsDone(task) || j.Final != Queued {
 		return
@@ -511,9 +511,9 @@
 func runKey(id string, c int) string { return RunKey + "/" + id + "/" + strconv.Itoa(c) }
 
 const (
-	writeTimeout = 20 * time.Second // a wish waits this long for the write rate
+	writeTimeout = 20 * time.Second // a pending write waits this long for the write rate
 	retryWait    = int64(200 * time.Millisecond)
-	deferredWait = int64(time.Second) // until placements that had no room are tried again
+	deferredWait = int64(time.Second) // until placements that had no capacity are tried again
 )
 
 // Submitter queues intents; *store.Client is one.
@@ -521,7 +521,7 @@
 	Submit(in *store.Intent, expires time.Duration)
 }
 
-// Flush turns wishes into intents. term is the condition that our term holds.
+// Flush turns pending writes into intents. term is the condition that our term holds.
 func (t *Table) Flush(now time.Duration, term store.Condition, s Submitter) {
 	if len(t.dirty) == 0 {
 		return
@@ -609,7 +609,7 @@
 	return true
 }
 
-// atOnce tells whether a job's records can be dropped together with its mark.
+// fitsOneTransaction tells whether a job's records can be dropped together with its mark.
 func (t *Table) fitsOneTransaction(j *Job) bool { return len(j.Chunk)+2 <= t.txnOps }
 
 // write queues the write of a chunk. What it holds is decided when its turn
@@ -642,7 +642,7 @@
 		switch {
 		case r.Outcome == store.OK:
 			// An entry that may have been in a write whose outcome never came
-			// is gone now: that write built on an older stamp.
+			// is gone now: that write built on an older version.
 			for task, e := range ch.Entries {
 				if e.dropped && !e.Durable {
 					delete(ch.Entries, task)
@@ -659,7 +659,7 @@
 				ch.dirty = false
 			}
 		case ch.dirty:
-			// The wish stands. If the write was carried out unseen, its
+			// The pending write stands. If the write was carried out unseen, its
 			// retry conflicts until the replica shows it, then builds on it.
 			ch.retryAt = int64(r.Now) + retryAfter(r, &ch.rejectedWrites)
 			if ch.deferredPlacements > 0 {
@@ -728,7 +728,7 @@
 
 // fit encodes a chunk within the limit on values: as every version reads it
 // while that fits, else compact once every controller is known to read that.
-// Placements that are not stored yet are left out until there is room for them,
+// Placements that are not stored yet are left out until there is capacity for them,
 // those of a gang all together; taken are the others.
 func (t *Table) fit(j *Job, ch *Chunk, done []uint64, active, fresh []*Entry) (data []byte, taken []*Entry) {
 	encode := func(n int) []byte {
@@ -757,7 +757,7 @@
 // Version is what is stored there.
 var Version = []byte(`{"v":3}`)
 
-// AllNew tells whether every controller has shown that it runs this version.
+// AllUpgraded tells whether every controller has shown that it runs this version.
 func (t *Table) AllUpgraded() bool {
 	for _, l := range t.Labels {
 		if !t.upgraded[l] {
--- a/internal/scheduler/chain_test.go
+++ b/internal/scheduler/chain_test.go
@@ -11,7 +11,7 @@
 	"lugward/internal/worker"
 )
 
-// site is a table with one machine of eight cores.
+// site is a table with one machine of eight CPUs.
 type site struct {
 	*Scheduler
 	revision uint64
@@ -77,7 +77,7 @@
 }
 
 // What a more important job needs stops less important work, and is not
-// stopped by what ranks between the two.
+// stopped by what priorities between the two.
 func TestPreemptInherits(t *testing.T) {
 	s := newSite()
 	other := s.job("req-1", nil)
@@ -107,7 +107,7 @@
 	}
 }
 
-// Within equal rank and standing the order of readiness stays, except for a
+// Within equal priority and standing the order of readiness stays, except for a
 // job of a chain whose deadline is near.
 func TestOrderDeadlineAtRisk(t *testing.T) {
 	s := newSite()
--- a/internal/scheduler/choose.go
+++ b/internal/scheduler/choose.go
@@ -7,7 +7,7 @@
 	"lugward/internal/pipeline"
 )
 
-// pick is room for one task of a job on a machine, and what it costs.
+// pick is capacity for one task of a job on a machine, and what it costs.
 type pick struct {
 	capacity *Capacity
 	cost     float64
@@ -42,7 +42,7 @@
 
 const anyZone = -1
 
-// choose picks room for n tasks of a job, the cheapest first, in one zone or
+// choose picks capacity for n tasks of a job, the cheapest first, in one zone or
 // in any. Nothing is changed by it.
 func (p *Scheduler) choose(j *pipeline.Job, capacities []*Capacity, zone, n int, price pricing, now event.Time) []pick {
 	taken := map[*pipeline.Entry]bool{}
@@ -87,7 +87,7 @@
 }
 
 // zonesOf lists the zones to try for a job: one at a time if its tasks must
-// be together, beginning with the one where room is being gathered for it.
+// be together, beginning with the one where capacity is being gathered for it.
 func (p *Scheduler) zonesOf(j *pipeline.Job, capacities []*Capacity) []int {
 	if !j.SamePlace || j.TaskCount == 1 {
 		return []int{anyZone}
--- a/internal/scheduler/pack.go
+++ b/internal/scheduler/pack.go
@@ -34,7 +34,7 @@
 
 // Pack finds machines whose tasks all fit on other busy ones, stops those with
 // time to save, and marks the machines as draining so that they are returned
-// once empty. rooms is what the last round left. The budget of a round bounds it.
+// once empty. machine capacities is what the last round left. The budget of a round bounds it.
 func (p *Scheduler) Pack(now event.Time, capacities []*Capacity, blocked []*pipeline.Job) (drained []*worker.Machine) {
 	wanted := map[*MachineType]bool{}
 	for _, r := range capacities {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -13,12 +13,12 @@
 // against a second that a stopped task loses.
 const fetchCost = 4.0
 
-// countCost is what it costs in seconds that a start does not count for its
+// uncountedStartCost is what it costs in seconds that a start does not count for its
 // user because a stop follows it at once.
 const uncountedStartCost = 20.0
 
-// preempt makes room for a job that found none by stopping work that it
-// outranks, for all tasks of a gang or for none. Room that is already being
+// preempt frees capacity for a job that found none by stopping work that it
+// outranks, for all tasks of a gang or for none. Capacity that is already being
 // emptied is counted first, so that a job does not stop more than it needs. It
 // returns how many tasks are left without a promise.
 func (p *Scheduler) preempt(j *pipeline.Job, capacities []*Capacity, now event.Time) (left int) {
@@ -62,7 +62,7 @@
 			p.notePreempted(e)
 		}
 		if k.victims == nil && k.capacity.Fits(&j.Spec) > 0 {
-			// A gang's tasks fetch their image while room is made for the
+			// A gang's tasks fetch their image while capacity is made for the
 			// others: all have a promise, and the wait is short.
 			p.placeTasks(j, k.capacity, 1, attempt, now)
 		} else {
@@ -73,7 +73,7 @@
 	return left
 }
 
-// future is the room with what is leaving already gone.
+// future is the capacity with what is leaving already gone.
 func (r *Capacity) afterPreemption() Capacity {
 	f := *r
 	for _, e := range r.Preempting {
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -9,7 +9,7 @@
 
 // For its guarantee a team stops what another runs beyond its own, once that is
 // stored: neither a job within its own guarantee nor what was placed a moment
-// ago. Two jobs that stopped each other before either was stored left room for
+// ago. Two jobs that stopped each other before either was stored left capacity for
 // both idle for minutes.
 func TestStoppedForGuarantee(t *testing.T) {
 	s := newSite()
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -7,15 +7,15 @@
 	"lugward/internal/pipeline"
 )
 
-// mostReserved bounds the reservations of one round: what is further back in
+// maxReservations bounds the reservations of one round: what is further back in
 // the order waits for later ones. A gang begun within the bound is reserved for
 // as a whole.
 const maxReservations = 64
 
-// reserve keeps room for tasks of a job that found none: on each machine it
+// reserve keeps capacity for tasks of a job that found none: on each machine it
 // takes what will be free first, so that jobs behind it in the order of
 // readiness use only what does not delay it. For a gang that must be in one
-// place a zone is chosen once and kept: else the room that gathers in one is
+// place a zone is chosen once and kept: else the capacity that gathers in one is
 // left for another whenever that looks a little better, and small work takes it.
 func (p *Scheduler) reserve(j *pipeline.Job, left int, capacities []*Capacity, now event.Time) {
 	if left <= 0 || p.reserved >= maxReservations {
@@ -38,7 +38,7 @@
 		at := picks[len(picks)-1].cost
 		if len(picks) < left {
 			// Not enough machines yet: it holds what there is only where more
-			// are being rented for it, and otherwise the most.
+			// are being provisioned for it, and otherwise the most.
 			at = math.MaxFloat64 / float64(1+len(picks))
 		}
 		if at < soonest {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -52,7 +52,7 @@
 	return false
 }
 
-// Room is what is left of a machine.
+// Capacity is what is left of a machine.
 type Capacity struct {
 	Machine            *worker.Machine // nil: not up yet
 	MachineType        *MachineType
@@ -89,7 +89,7 @@
 	return s.CPUs <= f.CPUs+tolerance && s.GPUs <= f.GPUs+tolerance && s.Memory <= f.Memory+tolerance
 }
 
-// Take uses room for n tasks.
+// Take uses capacity for n tasks.
 func (r *Capacity) Allocate(s *pipeline.Spec, n int) {
 	k := float64(n)
 	r.CPUs -= k * s.CPUs
@@ -105,25 +105,25 @@
 }
 
 const (
-	// Where a job that needs cards has not begun for this long, jobs without cards
-	// leave the machines with cards alone, since the largest are to begin within
-	// four minutes: for so long, in which others can be rented.
+	// Where a job that needs GPUs has not begun for this long, jobs without GPUs
+	// leave the machines with GPUs alone, since the largest are to begin within
+	// four minutes: for so long, in which others can be provisioned.
 	gpuWaitLimit   = 150 * time.Second
 	gpuReserveTime = time.Minute
 )
 
-// Suits tells whether the job is to use the machine: cards do not lie idle under
+// Suits tells whether the job is to use the machine: GPUs do not lie idle under
 // it while jobs that need them have waited for long.
 func (p *Scheduler) Matches(j *pipeline.Job, r *Capacity, now event.Time) bool {
 	return r.Matches(&j.Spec) && (!p.gpusWanted || j.GPUs > 0 || r.MachineType.GPUs == 0 || int64(now)-j.ReadySince > int64(gpuReserveTime) || !p.hasCPUOnlyType(j))
 }
 
-// plain tells whether there is a type without cards for the job.
+// plain tells whether there is a type without GPUs for the job.
 func (p *Scheduler) hasCPUOnlyType(j *pipeline.Job) bool {
 	return slices.ContainsFunc(*p.MachineTypes, func(f *MachineType) bool { return f != nil && f.GPUs == 0 && Allows(&j.Spec, f) })
 }
 
-// wantCards finds out whether a job that needs cards has not begun for long.
+// updateGPUsWanted finds out whether a job that needs GPUs has not begun for long.
 func (p *Scheduler) updateGPUsWanted(jobs []*pipeline.Job, now event.Time) {
 	p.gpusWanted = slices.ContainsFunc(jobs, func(j *pipeline.Job) bool {
 		return j.GPUs > 0 && j.Active() == 0 && j.DoneCount() == 0 && int64(now)-j.ReadySince > int64(gpuWaitLimit) && p.Quota(j) > 0
@@ -139,26 +139,26 @@
 	ReportInterval event.Time // between two reports of a machine
 	SilentAfter    event.Time // a machine not heard for this long gets nothing new
 
-	// CutShort counts the rounds that ran out of their budget, Counted the
-	// machines whose room was counted anew.
+	// Interrupted counts the rounds that ran out of their budget, Counted the
+	// machines whose capacity was counted anew.
 	Interrupted, Recounted int
 	// Elapsed tells how much of the budget is used; nil: no limit.
 	OverBudget func() bool
 
 	cached         []Capacity        // by machine, as its entries left it
-	offers         offers            // room for choose, and
+	offers         offers            // capacity for choose, and
 	candidates     []candidate       // for victims, to work in
 	resume         *pipeline.Job     // where the last round ran out of time
 	reservations   []reservation     // by the jobs before that
 	reserved       int               // tasks with a reservation in this round
 	lowestPriority pipeline.Priority // of what runs
-	// cardsWanted: a job that needs cards has not begun for long.
+	// gpusWanted: a job that needs GPUs has not begun for long.
 	gpusWanted bool
 	preempting map[int]pipeline.Usage // by team, of what this round stops
-	committed  map[int]pipeline.Usage // by team, of the room that this round keeps for it
+	committed  map[int]pipeline.Usage // by team, of the capacity that this round keeps for it
 }
 
-// room counts what is left of a machine, unless nothing has changed there.
+// capacity counts what is left of a machine, unless nothing has changed there.
 func (p *Scheduler) capacity(h *worker.Machine, f *MachineType) *Capacity {
 	for len(p.cached) <= h.Index {
 		p.cached = append(p.cached, Capacity{})
@@ -179,7 +179,7 @@
 	return r
 }
 
-// Rooms lists what is left of the machines that are up.
+// machine capacities lists what is left of the machines that are up.
 func (p *Scheduler) Capacities(now event.Time) []*Capacity {
 	all := make([]Capacity, 0, len(p.Workers.Machines))
 	for _, h := range p.Workers.Machines {
@@ -199,8 +199,8 @@
 	return capacities
 }
 
-// RoomsAhead lists what is left of the machines that are up once the tasks
-// that are told to stop are gone; those are returned. Advance then adds what
+// FutureCapacities lists what is left of the machines that are up once the tasks
+// that are told to stop have terminated; those are returned. Advance then adds what
 // ends later.
 func (p *Scheduler) FutureCapacities(now event.Time) (capacities []*Capacity, preempting []*pipeline.Entry) {
 	capacities = p.Capacities(now)
@@ -236,7 +236,7 @@
 	})
 }
 
-// Advance makes room of what ends within so many seconds.
+// Advance frees capacity of what ends within so many seconds.
 func (r *Capacity) ReleaseEnding(within float64) {
 	for len(r.endings) > 0 && r.endings[0].at <= within {
 		r.release(&r.endings[0].e.Job.Spec)
@@ -244,7 +244,7 @@
 	}
 }
 
-// give takes a task's use of the room back.
+// give takes a task's use of the capacity back.
 func (r *Capacity) release(s *pipeline.Spec) {
 	r.CPUs += s.CPUs
 	r.GPUs += s.GPUs
@@ -252,8 +252,8 @@
 }
 
 // Round places what it can and returns the jobs that still have tasks open,
-// with the rooms as they are left. A round that runs out of its budget goes on
-// where it stopped, and then still keeps the room that the jobs before that
+// with the machine capacities as they are left. A round that runs out of its budget goes on
+// where it stopped, and then still keeps the capacity that the jobs before that
 // point were promised: else the less important ones behind them would take it.
 func (p *Scheduler) Round(now event.Time) (blocked []*pipeline.Job, capacities []*Capacity) {
 	capacities = p.Capacities(now)
@@ -304,7 +304,7 @@
 // Reserved is how many tasks got a reservation in the last round.
 func (p *Scheduler) Reserved() int { return p.reserved }
 
-// hold gives room that is not free yet to a task that waits for it.
+// hold gives capacity that is not free yet to a task that waits for it.
 func (p *Scheduler) reserveTask(j *pipeline.Job, r *Capacity, now event.Time) {
 	r.Allocate(&j.Spec, 1)
 	p.commitQuota(j)
@@ -324,14 +324,14 @@
 	machine *worker.Machine
 }
 
-// gangPatience is how long a gang waits in the order of readiness. The largest
+// gangWaitLimit is how long a gang waits in the order of readiness. The largest
 // are to begin within four minutes; in a full site the tasks in their places
 // need most of that to end, and small work that was ready before keeps coming
 // into the places that end first.
 const gangWaitLimit = time.Minute
 
 // order puts jobs within their team's guarantee before others of the same
-// rank, and gangs that have waited for long before what is left; within equal
+// priority, and gangs that have waited for long before what is left; within equal
 // standing the order of readiness stays.
 func order(jobs []*pipeline.Job, now event.Time) {
 	standing := func(j *pipeline.Job) int {
@@ -511,7 +511,7 @@
 	return inZone
 }
 
-// ZoneRoom is how many more tasks of a job a zone may take. A new leader does
+// ZoneCapacity is how many more tasks of a job a zone may take. A new leader does
 // not know yet where a silent machine stands: its tasks count in every zone.
 func ZoneCapacity(j *pipeline.Job, inZone map[int]int, zone int) int {
 	if !j.Scatter {
@@ -520,7 +520,7 @@
 	return (j.TaskCount+1)/2 - inZone[zone] - inZone[unknownZone]
 }
 
-// onePlace keeps the candidates of a single zone: the one that tasks of the
+// singleZone keeps the candidates of a single zone: the one that tasks of the
 // job may still be in, else the one that holds most of them.
 func (p *Scheduler) singleZone(j *pipeline.Job, candidates []*Capacity, inZone map[int]int, want int) []*Capacity {
 	zone, best := -1, 0
@@ -570,7 +570,7 @@
 func (p *Scheduler) score(j *pipeline.Job, r *Capacity, now event.Time) float64 {
 	s := 0.0
 	if j.GPUs == 0 && r.MachineType.GPUs > 0 {
-		s += 100 // cards would lie idle
+		s += 100 // GPUs would lie idle
 	}
 	s += fetchWeight * r.FetchTime(j)
 	// The start travels in the answer to the machine's next report.
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -10,7 +10,7 @@
 	"lugward/internal/worker"
 )
 
-// TestRoomsFollow: the rooms show what was placed a moment ago, as the plan
+// TestCapacitiesFollow: the machine capacities show what was placed a moment ago, as the plan
 // that follows a round in the same step needs it; a machine on which nothing
 // changed is not counted again.
 func TestCapacitiesFollow(t *testing.T) {
@@ -31,7 +31,7 @@
 		return capacities[0].CPUs, capacities[1].CPUs
 	}
 	if a, b := left(); a != 8 || b != 8 || p.Recounted != 2 {
-		t.Fatalf("empty machines have %v and %v cores, %d counted", a, b, p.Recounted)
+		t.Fatalf("empty machines have %v and %v CPUs, %d recounted", a, b, p.Recounted)
 	}
 	e := jobs.Place(jobs.Job("req-1"), 0, 1, 1, int64(now))
 	if a, b := left(); a != 8 || b != 5 || p.Recounted != 3 {
@@ -51,17 +51,17 @@
 	return n
 }
 
-// Jobs without cards leave machines with cards alone for a while, in placing,
-// stopping and reserving alike, where one that needs cards has not begun for
+// Jobs without GPUs leave machines with GPUs alone for a while, in placing,
+// stopping and reserving alike, where one that needs GPUs has not begun for
 // long; not where it has, where no other type would do, or when they have waited.
 func TestGPUsAreReserved(t *testing.T) {
 	for _, c := range []struct {
 		what                   string
-		waited, hasCPUOnlyType time.Duration // of the job with cards, and the one without
+		waited, hasCPUOnlyType time.Duration // of the job with GPUs, and the one without
 		begun, onlyIt          bool
 		want                   bool
 	}{
-		{"a job with cards waits", gpuWaitLimit + time.Second, 0, false, false, true},
+		{"a job with GPUs waits", gpuWaitLimit + time.Second, 0, false, false, true},
 		{"not for long", gpuWaitLimit - time.Second, 0, false, false, false},
 		{"it has begun", gpuWaitLimit + time.Second, 0, true, false, false},
 		{"no other type", gpuWaitLimit + time.Second, 0, false, true, false},
--- a/internal/simtest/chains.go
+++ b/internal/simtest/chains.go
@@ -101,7 +101,7 @@
 	return up != ""
 }
 
-// noteFreed notes when jobs cease to be held: other times count from then.
+// noteReleased notes when jobs cease to be held: other times count from then.
 func (c *Checker) noteReleased() {
 	for id, j := range c.w.jobs {
 		if _, ok := c.releasedAt[id]; !ok && len(j.awaits) > 0 && !c.held(id) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// calledOff tells whether the user of a job, or of one that it needs, asked to
+// cancelRequested tells whether the user of a job, or of one that it needs, asked to
 // cancel it and was not told that it is done.
 func (c *Checker) cancelRequested(id string) bool {
 	if c.asked[id] {
@@ -131,7 +131,7 @@
 	return false
 }
 
-// offSince is when a user was first told that a job, or one that it needs, is
+// cancelledSince is when a user was first told that a job, or one that it needs, is
 // cancelled.
 func (c *Checker) cancelledSince(id string) (time.Duration, bool) {
 	at, ok := c.cancelAt[id]
@@ -394,7 +394,7 @@
 		}
 		return got
 	case "accept":
-		// A submission that is accepted at the first try or at a later one.
+		// A submission that is accepted at the first attempt or at a later one.
 		if status, phase := w.Submit(a); status != 200 && status != 201 {
 			return fmt.Sprintf("%d %s", status, phase)
 		}
@@ -412,11 +412,11 @@
 			}
 		}
 		return "accepted"
-	case "meet":
+	case "race":
 		return w.meetings(a)
 	case "tally":
 		return w.tally(a)
-	case "old":
+	case "finished_jobs":
 		w.old(a)
 	case "via":
 		// From here on users ask this controller.
@@ -444,7 +444,7 @@
 		// The next transactions that write such a key get no answer and are
 		// carried out later.
 		w.state.lagKey, w.state.lagFor, w.state.lagged = a["key"], a.dur("for", "8s"), int(a.num("count", "1"))
-	case "toolarge":
+	case "oversized_writes":
 		return strconv.Itoa(w.state.tooLarge)
 	case "load":
 		if err := w.Load(a["file"]); err != nil {
--- a/internal/simtest/chains_test.go
+++ b/internal/simtest/chains_test.go
@@ -49,15 +49,15 @@
 	next := 0
 	// one adds a job that needs others, at once or without waiting for it.
 	one := func(awaits []string, apart bool) (id string, accepted bool) {
-		a := Args{"id": fmt.Sprintf("req-%06d", next), "shape": []string{"array", "array", "gang"}[w.rng.IntN(3)], "shards": fmt.Sprint(1 + w.rng.IntN(4)),
+		a := Args{"id": fmt.Sprintf("req-%06d", next), "shape": []string{"array", "array", "gang"}[w.rng.IntN(3)], "tasks": fmt.Sprint(1 + w.rng.IntN(4)),
 			"run": fmt.Sprintf("%ds", 1+w.rng.IntN(12)), "team": []string{"red", "blue"}[w.rng.IntN(2)],
-			"rank": []string{"idle", "normal", "high", "production"}[w.rng.IntN(4)]}
+			"priority": []string{"idle", "normal", "high", "production"}[w.rng.IntN(4)]}
 		next++
 		if w.rng.IntN(2) == 0 {
-			a["loaners"] = ""
+			a["spot"] = ""
 		}
 		if w.rng.IntN(12) == 0 {
-			a["shards"], a["cores"], a["ram"] = "200", "0.02", "0.02"
+			a["tasks"], a["cpus"], a["memory"] = "200", "0.02", "0.02"
 		}
 		if len(awaits) > 0 && w.rng.IntN(8) == 0 {
 			awaits = append(awaits, "req-005000*400") // several values and transactions
--- a/internal/simtest/check.go
+++ b/internal/simtest/check.go
@@ -23,7 +23,7 @@
 	releasedAt     map[string]time.Duration // when all was done that a job needs
 	acknowledgedAt map[string]time.Duration // when the phase last told was first told
 	after          int                      // starts after a confirmed cancellation
-	beside         map[string]time.Duration // since when a job waits beside room for it
+	beside         map[string]time.Duration // since when a job waits beside capacity for it
 	wrote          []int                    // what was written in all, lately
 	free           map[*worker][]capacity   // what was free on machines lately
 }
--- a/internal/simtest/cloud.go
+++ b/internal/simtest/cloud.go
@@ -14,7 +14,7 @@
 	boot               time.Duration
 }
 
-// flavors are the machine types of the simulated deployments.
+// machine types are the machine types of the simulated deployments.
 var machineTypes = map[string]machineType{
 	"small": {4, 0, 16, 1, 3 * time.Second},
 	"big":   {16, 0, 64, 3, 4 * time.Second},
--- a/internal/simtest/hang.go
+++ b/internal/simtest/hang.go
@@ -16,7 +16,7 @@
 // answerTimeout is how long a worker waits for the answer to a report.
 const answerTimeout = 4 * time.Second
 
-// hang lets the machine stand still for that long.
+// hang lets the machine be paused for that long.
 func (k *worker) hang(d time.Duration) {
 	k.hungTo = max(k.hungTo, k.w.now+d)
 	if k.hung || !k.up {
@@ -94,7 +94,7 @@
 	return k.w.now-k.leaseFrom > seconds(k.w.cfg.Settings.Workers.LeaseS)
 }
 
-// doomed tells whether the tasks are certain not to go on: the machine hangs
+// upstream-cancelled tells whether the tasks are certain not to go on: the machine hangs
 // and has outlived its lease.
 func (k *worker) certainlyLost() bool { return k.hung && k.leaseOver() }
 
@@ -146,7 +146,7 @@
 	}
 }
 
-// wentOn looks at what goes on when a machine does: a task that should be gone
+// resumed looks at what goes on when a machine does: a task that should be gone
 // by then is on it, however soon it is stopped after that.
 func (c *Checker) resumed(k *worker) {
 	for _, t := range k.sorted() {
--- a/internal/simtest/scenario_test.go
+++ b/internal/simtest/scenario_test.go
@@ -120,16 +120,16 @@
 	var open []string
 	kinds := []string{"array", "array", "gang", "daemon"}
 	for i := range 8 {
-		a := Args{"id": fmt.Sprintf("req-%06d", i), "shape": kinds[w.rng.IntN(4)], "shards": fmt.Sprint(1 + w.rng.IntN(5)),
+		a := Args{"id": fmt.Sprintf("req-%06d", i), "shape": kinds[w.rng.IntN(4)], "tasks": fmt.Sprint(1 + w.rng.IntN(5)),
 			"run": fmt.Sprintf("%ds", 2+w.rng.IntN(15)), "team": []string{"red", "blue"}[w.rng.IntN(2)]}
 		if w.rng.IntN(2) == 0 {
-			a["snap"] = "3s"
+			a["checkpoint"] = "3s"
 		}
 		if w.rng.IntN(2) == 0 {
-			a["loaners"] = ""
+			a["spot"] = ""
 		}
 		if w.rng.IntN(3) == 0 {
-			a["same"] = ""
+			a["same_zone"] = ""
 		} else if w.rng.IntN(3) == 0 {
 			a["scatter"] = ""
 		}
--- a/internal/simtest/script.go
+++ b/internal/simtest/script.go
@@ -54,16 +54,16 @@
 		w.jobs[id] = j
 	}
 	j.team, j.shape, j.class = a.or("team", "red"), a.or("shape", "array"), a.or("class", "c")
-	j.taskCount = int(a.num("shards", "1"))
-	j.cpus, j.gpus, j.memory = a.num("cores", "1"), a.num("cards", "0"), a.num("ram", "1")
-	if f, ok := a["flavors"]; ok {
+	j.taskCount = int(a.num("tasks", "1"))
+	j.cpus, j.gpus, j.memory = a.num("cpus", "1"), a.num("gpus", "0"), a.num("memory", "1")
+	if f, ok := a["types"]; ok {
 		j.machineTypes = strings.Split(f, "+")
 	}
-	j.zone = a["yard"]
-	j.sameZone, j.scatter, j.allowSpot, j.broken = a.flag("same"), a.flag("scatter"), a.flag("loaners"), a.flag("broken")
+	j.zone = a["zone"]
+	j.sameZone, j.scatter, j.allowSpot, j.broken = a.flag("same_zone"), a.flag("scatter"), a.flag("spot"), a.flag("broken")
 	j.run, j.image = a.dur("run", "5s"), a.dur("image", "1s")
-	j.checkpointInterval, j.checkpointDuration = a.dur("snap", "0s"), a.dur("cost", "1s")
-	o := object{"name_id": id, "jobclass": j.class, "owner": j.team, "shape": j.shape, "rank": a.or("rank", "normal"), "shards": j.taskCount,
+	j.checkpointInterval, j.checkpointDuration = a.dur("checkpoint", "0s"), a.dur("checkpoint_cost", "1s")
+	o := object{"name_id": id, "jobclass": j.class, "owner": j.team, "shape": j.shape, "rank": a.or("priority", "normal"), "shards": j.taskCount,
 		"cores": j.cpus, "cards": j.gpus, "ram_gb": j.memory, "bundle": a.or("bundle", "img"), "image_gb": 1, "flavors": j.machineTypes, "yard": nil,
 		"same_place": j.sameZone, "scatter": j.scatter, "loaners": j.allowSpot, "expect_s": j.run.Seconds(),
 		"snapshot_every_s": j.checkpointInterval.Seconds(), "snapshot_s": j.checkpointDuration.Seconds(), "due_s": nil}
@@ -243,7 +243,7 @@
 	return []*node{w.nodes[i]}
 }
 
-// hostOf finds the machine that a task is on.
+// machineOf finds the machine that a task is on.
 func (w *World) machineOf(shard string) *worker {
 	for _, t := range w.check.onMachines() {
 		if t.name == shard {
@@ -255,7 +255,7 @@
 
 // workDone checks how much work the controllers did, all together: of the
 // bytes of reports they may decode so many hundredths, in a round count the
-// rooms of so many machines anew, and make so many writes in all.
+// machine capacities of so many machines anew, and make so many writes in all.
 func (w *World) workDone(a Args) string {
 	var sum core.Work
 	for _, n := range w.nodes {
@@ -278,12 +278,12 @@
 	switch cmd {
 	case "machine":
 		for range int(a.num("count", "1")) {
-			w.cloud.add(a.or("flavor", "small"), a.or("zone", "a"), a.flag("spot"), 0)
+			w.cloud.add(a.or("type", "small"), a.or("zone", "a"), a.flag("spot"), 0)
 		}
 	case "capacity":
 		for _, spot := range []bool{false, true} {
 			for _, z := range []string{"a", "b"} {
-				w.cloud.available[capacityKey(a["flavor"], z, spot)] = int(a.num("count", "0"))
+				w.cloud.available[capacityKey(a["type"], z, spot)] = int(a.num("count", "0"))
 			}
 		}
 	case "never":
@@ -367,12 +367,12 @@
 		for _, n := range w.pick(a["node"]) {
 			n.denied = cmd == "deny"
 		}
-	case "forgetlog":
+	case "truncate_log":
 		// As many changes come as the state service keeps.
 		w.state.oldest = w.state.revision
-	case "freeze":
+	case "pause":
 		for _, n := range w.pick(a["node"]) {
-			n.pause(a.dur("for", "2s"), a.flag("within"))
+			n.pause(a.dur("for", "2s"), a.flag("mid_step"))
 		}
 	case "cut", "heal":
 		on := cmd == "cut"
@@ -391,8 +391,8 @@
 		w.state.outage(!a.flag("over"))
 	case "cloud":
 		w.cloud.down = !a.flag("over")
-	case "deaf":
-		k := w.machineOf(a["shard"])
+	case "block_inbound_of":
+		k := w.machineOf(a["task"])
 		if k == nil {
 			return "not on a machine"
 		}
@@ -400,7 +400,7 @@
 		if a.flag("for") {
 			w.after(a.dur("for", "5s"), func() { w.BlockInbound(k, false) })
 		}
-	case "deafnext":
+	case "unreachable_next":
 		// The machine that comes up next never hears anybody.
 		w.unreachableNext += int(a.num("count", "1"))
 	case "copies":
@@ -432,7 +432,7 @@
 		w.loss, w.late = a.num("loss", "0"), a.num("late", "0")
 	case "pages":
 		w.pageLimit = int(a.num("limit", "1000"))
-	case "die", "hang", "recall", "taken", "slow":
+	case "die", "hang", "reclaim", "terminate", "slow":
 		if z, ok := a["zone"]; ok {
 			// All that the zone holds, as when a rack fails.
 			for _, k := range w.Workers() {
@@ -444,7 +444,7 @@
 			}
 			break
 		}
-		k := w.machineOf(a["shard"])
+		k := w.machineOf(a["task"])
 		if k == nil {
 			return "not on a machine"
 		}
@@ -453,11 +453,11 @@
 			k.die()
 		case "slow":
 			k.slow = a.num("times", "4")
-		case "taken":
+		case "terminate":
 			w.cloud.remove(k.name)
 		case "hang":
 			k.hang(a.dur("for", "5s"))
-		case "recall":
+		case "reclaim":
 			k.reclaimAt, k.changed = w.now+a.dur("in", "8s"), true
 			w.after(a.dur("in", "8s"), func() { w.cloud.remove(k.name) })
 		}
@@ -485,7 +485,7 @@
 		return strings.Join(names, " ")
 	case "keys":
 		return strings.Join(w.Keys(a["prefix"]), "\n")
-	case "hosts":
+	case "job_machines":
 		names := map[string]bool{}
 		for _, t := range w.check.onMachines() {
 			if t.job.id == a["id"] {
--- a/internal/simtest/troubles.go
+++ b/internal/simtest/troubles.go
@@ -267,13 +267,13 @@
 	a := Args{"id": w.invalidID()}
 	switch w.rng.IntN(4) {
 	case 0:
-		a["cores"] = "17"
+		a["cpus"] = "17"
 	case 1:
 		a["team"] = "green"
 	case 2:
-		a["shape"], a["shards"], a["cards"] = "gang", "3", "4"
+		a["shape"], a["tasks"], a["gpus"] = "gang", "3", "4"
 	case 3:
-		a["flavors"], a["cards"] = "small", "1"
+		a["types"], a["gpus"] = "small", "1"
 	}
 	w.refuse(a["id"], w.Body(a), 422)
 }
@@ -326,7 +326,7 @@
 			}
 			way := how
 			if way == "" {
-				way = []string{"kill", "kill", "deny", "isolate", "freeze"}[w.rng.IntN(5)]
+				way = []string{"kill", "kill", "deny", "isolate", "pause"}[w.rng.IntN(5)]
 			}
 			long := each * 3 / 4
 			switch way {
@@ -341,7 +341,7 @@
 				w.denyFor(l, long)
 			case "isolate":
 				w.isolateFor(l, long)
-			case "freeze":
+			case "pause":
 				if !l.paused {
 					l.pause(long, w.rng.IntN(2) == 0)
 				}
@@ -360,7 +360,7 @@
 	w.after(d, func() { w.isolate(n, false) })
 }
 
-// muteFor lets a machine reach no controller.
+// blockReportsFor lets a machine reach no controller.
 func (w *World) blockReportsFor(k *worker, d time.Duration) {
 	k.reportsBlocked = true
 	w.after(d, func() { k.reportsBlocked = false })
@@ -372,9 +372,9 @@
 	switch cmd {
 	case "late_writes":
 		w.lateWrites = a.num("share", "0")
-	case "held_reports":
+	case "delay_reports":
 		w.heldReports = a.num("share", "0")
-	case "held_commands":
+	case "delay_commands":
 		w.heldCommands = a.num("share", "0")
 	case "cancel_at_end":
 		w.cancelEnds = a.num("share", "0")
@@ -382,28 +382,28 @@
 		w.cancelSoon(a["id"])
 	case "cancel_now":
 		return strconv.Itoa(len(w.cancelNow(int(a.num("count", "1")), a.dur("hang", "0s"))))
-	case "odd":
+	case "invalid_requests":
 		w.invalidRequests = true
 		w.sendInvalidRequests()
 		w.after(a.dur("for", "10s"), func() { w.invalidRequests = false })
 	case "churn":
 		w.churn(int(a.num("times", "10")), a.dur("over", "120s"), a["how"])
-	case "mute":
+	case "block_reports":
 		for _, k := range w.Workers() {
 			if z, ok := a["zone"]; k.up && (!ok || z == k.zone) {
 				w.blockReportsFor(k, a.dur("for", "5s"))
 			}
 		}
-	case "deafen":
+	case "block_inbound":
 		for _, k := range w.Workers() {
 			if z, ok := a["zone"]; k.up && (!ok || z == k.zone) {
 				w.BlockInbound(k, true)
 				w.after(a.dur("for", "5s"), func() { w.BlockInbound(k, false) })
 			}
 		}
-	case "blind", "seeing":
+	case "block_watch", "unblock_watch":
 		for _, n := range w.pick(a["node"]) {
-			n.watchBlocked = cmd == "blind"
+			n.watchBlocked = cmd == "block_watch"
 		}
 	case "slow_state":
 		w.slowState = a.dur("within", "0s")
@@ -412,7 +412,7 @@
 	case "ask":
 		// From here on users ask that controller.
 		w.users = w.pick(a["node"])[0]
-	case "on":
+	case "running_tasks":
 		// How many tasks of a job are on machines.
 		n := 0
 		for _, t := range w.check.onMachines() {
@@ -421,7 +421,7 @@
 			}
 		}
 		return strconv.Itoa(n)
-	case "told":
+	case "acknowledged":
 		return w.check.acknowledged[a["id"]]
 	case "after":
 		// Starts after a confirmed cancellation.
--- a/internal/simtest/troubles_test.go
+++ b/internal/simtest/troubles_test.go
@@ -93,7 +93,7 @@
 func TestHangEndsGang(t *testing.T) {
 	w := New(1, 1, io.Discard)
 	w.nodes[0].kill()
-	w.Body(Args{"id": "req-000001", "shape": "gang", "shards": "2", "run": "60s", "image": "0s"})
+	w.Body(Args{"id": "req-000001", "shape": "gang", "tasks": "2", "run": "60s", "image": "0s"})
 	var list []*worker
 	for i, name := range []string{"i-a", "i-b"} {
 		k := newWorker(w, name, name, "small", "a", false)
@@ -112,7 +112,7 @@
 	}
 }
 
-// A mute machine's reports reach nobody; direct commands reach it.
+// A unable to report machine's reports reach nobody; direct commands reach it.
 func TestReportsBlocked(t *testing.T) {
 	w, k := machineWith(60 * time.Second)
 	n := w.nodes[0]
--- a/internal/simtest/upgrade.go
+++ b/internal/simtest/upgrade.go
@@ -116,7 +116,7 @@
 		w.state.keys[k.Key] = stateKey{data: k.Data, version: k.Version, leaseID: k.LeaseID}
 	}
 	for _, o := range r.Jobs {
-		w.Body(o.Args)
+		w.Body(currentArgs(o.Args))
 		j := w.jobs[o.Args["id"]]
 		j.submitted, j.asked, j.began = true, 1, 1
 		for _, i := range o.Complete {
@@ -216,3 +216,20 @@
 	}
 	w.after(d, end)
 }
+
+// recordedArgNames are the names of a submission's arguments in recordings,
+// where they differ from those of scenarios.
+var recordedArgNames = map[string]string{"shards": "tasks", "cores": "cpus", "cards": "gpus", "ram": "memory", "flavors": "types", "yard": "zone",
+	"same": "same_zone", "loaners": "spot", "snap": "checkpoint", "cost": "checkpoint_cost", "rank": "priority"}
+
+// currentArgs returns a recorded submission's arguments by their present names.
+func currentArgs(recorded Args) Args {
+	args := Args{}
+	for name, value := range recorded {
+		if current, ok := recordedArgNames[name]; ok {
+			name = current
+		}
+		args[name] = value
+	}
+	return args
+}
--- a/internal/simtest/upgrade_test.go
+++ b/internal/simtest/upgrade_test.go
@@ -33,16 +33,16 @@
 			t.Fatalf("%v: %d %s", a, status, phase)
 		}
 	}
-	submit("shards=2 run=2s")
-	submit("shards=300 cores=0.05 ram=0.1 run=90s loaners")
-	submit("shards=150 cores=0.05 ram=0.1 run=9s")
-	submit("shape=gang shards=3 run=60s snap=5s same")
-	submit("shape=daemon shards=2 team=blue")
-	submit("shards=8 cards=1 run=70s flavors=card")
-	submit("shards=2 cards=1 run=5s flavors=card") // beyond the team's limit
-	submit("shards=2 run=80s team=blue")
-	submit("shape=gang shards=2 run=1s scatter rank=high")
-	submit("shards=3 run=50s rank=idle snap=4s")
+	submit("tasks=2 run=2s")
+	submit("tasks=300 cpus=0.05 memory=0.1 run=90s spot")
+	submit("tasks=150 cpus=0.05 memory=0.1 run=9s")
+	submit("shape=gang tasks=3 run=60s checkpoint=5s same_zone")
+	submit("shape=daemon tasks=2 team=blue")
+	submit("tasks=8 gpus=1 run=70s types=card")
+	submit("tasks=2 gpus=1 run=5s types=card") // beyond the team's limit
+	submit("tasks=2 run=80s team=blue")
+	submit("shape=gang tasks=2 run=1s scatter priority=high")
+	submit("tasks=3 run=50s priority=idle checkpoint=4s")
 	w.Run(24 * time.Second)
 	w.Poll("req-000900")
 	w.Poll("req-000908")
--- a/internal/simtest/waiting.go
+++ b/internal/simtest/waiting.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// besideRoom is how long a job may be left waiting beside a machine that fits
-// and has room, with its team under its limit, once all troubles are over.
+// besideCapacityLimit is how long a job may be left waiting beside a machine that fits
+// and has capacity, with its team under its limit, once all troubles are over.
 const besideCapacityLimit = 90 * time.Second
 
-// waitsBesideRoom notes which jobs wait beside room for them, and since when.
+// checkWaitsBesideCapacity notes which jobs wait beside capacity for them, and since when.
 func (c *Checker) checkWaitsBesideCapacity() {
 	if c.calmAt == 0 {
 		return
@@ -54,17 +54,17 @@
 	return float64(c.wrote[moments]-c.wrote[0]) > most*c.w.cfg.Settings.State.WriteRPS*capacityWindow.Seconds()
 }
 
-// room is what is left of a machine.
+// capacity is what is left of a machine.
 type capacity struct {
 	k                  *worker
 	cpus, gpus, memory float64
 }
 
-// lastingRoom is for how long room must have been there to count: what comes
+// capacityWindow is for how long capacity must have been there to count: what comes
 // free and is taken again within that time is a queue that moves.
 const capacityWindow = 5 * time.Second
 
-// rooms lists what has been free for a while on each machine that everybody
+// machine capacities lists what has been free for a while on each machine that everybody
 // reaches.
 func (c *Checker) capacities() []capacity {
 	const moments = int(capacityWindow / watchEvery)
@@ -112,7 +112,7 @@
 }
 
 // fits tells whether a job waits though its next task, or all those of a gang,
-// could be started on these rooms.
+// could be started on these machine capacities.
 func (c *Checker) fits(j *job, capacities []capacity, used map[string][2]float64) bool {
 	held, inZone := map[int]bool{}, map[string]int{}
 	for _, k := range c.w.workers {
--- a/internal/simtest/world.go
+++ b/internal/simtest/world.go
@@ -47,10 +47,10 @@
 	lost            map[[2]string]bool // packets that way vanish
 	copies          float64            // share of reports of which a copy comes later, to any node
 	copyLate        time.Duration      // by at most this
-	unreachableNext int                // so many of the next machines are deaf
+	unreachableNext int                // so many of the next machines are unreachable
 	users           *node              // whom users ask, nil: any
 	held            []heldPacket
-	loss            float64 // share of packets between hosts that are lost
+	loss            float64 // share of packets between machines that are lost
 	late            float64 // share of calls to the state service and cloud executed late as well
 	pageLimit       int
 	announced       bool              // the settings tell of lower limits of the state service
@@ -176,7 +176,7 @@
 	}
 }
 
-// Cut stops packets between two hosts in both directions.
+// Cut stops packets between two machines in both directions.
 func (w *World) Cut(a, b string, on bool) {
 	for _, p := range [][2]string{{a, b}, {b, a}} {
 		w.cut[p] = on
@@ -208,7 +208,7 @@
 	denied       bool // the state service answers everybody but this one
 	paused       bool
 	pauseNext    time.Duration
-	stopped      []func() // inputs that wait while it stands still
+	stopped      []func() // inputs that wait while it is paused
 	decided      func()   // what its last step decided and did not carry out
 }
 
@@ -257,7 +257,7 @@
 	n.w.after(tickEvery, func() { n.tick(life) })
 }
 
-// freeze lets a controller stand still while its clock runs on, from now or,
+// freeze lets a controller be paused while its clock runs on, from now or,
 // within a step, from when its next decision is made but not carried out yet.
 // What arrives meanwhile waits, and comes in any order before anything that
 // time brings.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -36,7 +36,7 @@
 	LeaseID uint64
 }
 
-// Cond requires that a key has a stamp (0: does not exist).
+// Cond requires that a key has a version (0: does not exist).
 type Condition struct {
 	Key     string
 	Version uint64
@@ -53,7 +53,7 @@
 	// Refused: not executed.
 	Refused
 	// Unknown: no response; it may have been executed or may yet be. All our
-	// writes carry the stamps they build on, so a late one either fails or
+	// writes carry the versions they build on, so a late one either fails or
 	// arrives as an ordinary change.
 	Unknown
 )
@@ -78,7 +78,7 @@
 	Done       func(r Result)
 	// Build, if set, fills in Conds and Writes when the intent's turn comes, so
 	// that one write carries all that changed while it waited. It may be called
-	// again for another try. False: there is nothing to write any more; Done is
+	// again for another attempt. False: there is nothing to write any more; Done is
 	// told Refused. Key is the key that it is about: it is not built while a
 	// write of that key is under way.
 	Build func(in *Intent) bool
@@ -184,11 +184,11 @@
 // Outage tells whether the service failed to answer lately.
 func (c *Client) Outage() bool { return c.outage }
 
-// Stamp returns the stamp of a key in the replica, 0 if absent.
+// Stamp returns the version of a key in the replica, 0 if absent.
 func (c *Client) Version(key string) uint64 { return c.versions[key] }
 
 // SetShare changes this node's part of the rates. Watches and barriers are
-// paced so that they leave room for the rest.
+// paced so that they leave capacity for the rest.
 func (c *Client) SetShare(rps, writeRPS float64) {
 	c.requests.rate, c.writes.rate = rps, writeRPS
 	pause := max(leastPause, time.Duration(2/(followPart*rps)*float64(time.Second)))
@@ -312,7 +312,7 @@
 }
 
 // load reads every key, page by page. The pages are not one moment's, but
-// following from the first page's epoch replays whatever changed meanwhile.
+// following from the first page's revision replays whatever changed meanwhile.
 func (c *Client) load(now event.Time, out *event.Effects) {
 	c.loading, c.loadRevision, c.loadSeen = true, 0, map[string]bool{}
 	c.page("", now, out)
@@ -350,7 +350,7 @@
 			c.page(v.Items[len(v.Items)-1].Key, now, out)
 			return
 		}
-		// Keys that we still hold from before a 410 but that are gone now.
+		// Keys that we still hold from before a 410 but that have terminated now.
 		for key, version := range c.versions {
 			if !c.loadSeen[key] && version <= c.loadRevision {
 				c.apply(key, nil, c.loadRevision)
@@ -550,7 +550,7 @@
 	return batch, ops
 }
 
-// lend is the room for an intent that has more writes than our part of the rate
+// lend is the capacity for an intent that has more writes than our part of the rate
 // ever holds: once the part is full and nothing goes before it, it borrows.
 func (c *Client) lend(in *Intent, before int) int {
 	if n := in.ops(); before == 0 && n <= c.limits.TxnOps && n > int(c.writes.most()) && c.writes.level >= c.writes.most() {
--- a/internal/worker/report.go
+++ b/internal/worker/report.go
@@ -53,7 +53,7 @@
 	rest   []byte // the text behind the digits
 }
 
-// mostKept bounds what garbage can make a parser keep.
+// maxCachedReports bounds what garbage can make a parser keep.
 const maxCachedReports = 1 << 14
 
 // Parse reads and checks a report. What it returns shares its list of tasks
@@ -85,7 +85,7 @@
 
 var sequenceName = []byte(`"tick":`)
 
-// splitTick cuts a report's text around the digits of its tick. ok is false
+// splitSequence cuts a report's text around the digits of its tick. ok is false
 // where that can't be told without decoding it.
 func splitSequence(body []byte) (before []byte, sequence uint64, rest []byte, ok bool) {
 	i := bytes.Index(body, sequenceName)
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,5 +1,5 @@
 // Package worker knows the machines: what their workers report, which orders
-// they are to get, and when the tasks on a silent machine are surely gone.
+// they are to get, and when the tasks on a silent machine are surely terminated.
 package worker
 
 import (
@@ -16,7 +16,7 @@
 	"lugward/internal/pipeline"
 )
 
-// Term is what the fleet asks of the leadership.
+// Term is what the worker registry asks of the leadership.
 type Term interface {
 	FencingToken() uint64
 	MayStart(now event.Time) bool
@@ -34,13 +34,13 @@
 	Zone        int
 	Spot        bool
 
-	Known          bool // flavor and zone are known
-	TokenConfirmed bool // a report of it carried our fence: our answers reach it
+	Known          bool // machine type and zone are known
+	TokenConfirmed bool // a report of it carried our fencing token: our answers reach it
 	// Deaf is since when our answers seem not to reach it, 0: they do. Its
 	// reports may go on arriving all the while.
 	UnreachableSince   event.Time
 	unreachableSession uint64
-	unconfirmedReports int // reports without our fence since we first answered one
+	unconfirmedReports int // reports without our fencing token since we first answered one
 	Session            uint64
 	Sequence           uint64
 	LastReport         event.Time // of the last report, 0: none in this term
@@ -58,7 +58,7 @@
 	Draining          bool            // its tasks were told to move: to be returned when empty
 	firstReport       event.Time
 	IdleFrom          event.Time
-	ReservedAt        event.Time // when room on it was last kept for a job that waits
+	ReservedAt        event.Time // when capacity on it was last kept for a job that waits
 	lastDirectCommand event.Time
 	lastAnnouncement  event.Time
 }
@@ -78,7 +78,7 @@
 	SilentAfter event.Time
 }
 
-// New returns an empty fleet.
+// New returns an empty worker registry.
 func New(n *pipeline.Names, t *pipeline.Table, log *slog.Logger) *Registry {
 	return &Registry{Names: n, Jobs: t, log: log, calls: map[uint64]*Machine{}, toStop: map[int]bool{}, runtimeRatio: map[int]float64{}}
 }
@@ -115,7 +115,7 @@
 }
 
 const (
-	// A machine on which this many jobs in a row took slowTimes what their class
+	// A machine on which this many jobs in a row took slowFactor what their class
 	// takes, by their owners' estimates, gets nothing more. One job says little:
 	// estimates are often wrong by half.
 	maxSlowJobs   = 3
@@ -136,7 +136,7 @@
 	backoffMax        = 5 * time.Minute
 )
 
-// ParseShard splits a task's name into its job and number.
+// ParseTaskName splits a task's name into its job and number.
 func ParseTaskName(s string) (job string, task int, ok bool) {
 	i := strings.LastIndexByte(s, '/')
 	if i < 0 {
@@ -146,7 +146,7 @@
 	return s[:i], n, err == nil && n >= 0
 }
 
-// shardName is a task's name.
+// taskName is a task's name.
 func taskName(e *pipeline.Entry) string { return e.Job.ID + "/" + strconv.Itoa(e.Task) }
 
 var phases = map[string]pipeline.TaskPhase{"pulling": pipeline.Pulling, "waiting": pipeline.Waiting,
@@ -184,7 +184,7 @@
 }
 
 // hears finds out whether our answers reach a machine: being heard from is not
-// being reachable. A machine is used once a report carries our fence, which is
+// being reachable. A machine is used once a report carries our fencing token, which is
 // also what tells a report of this term from a copy of an older one; and no
 // more once it does not take up what it was told.
 func (f *Registry) checkReachable(h *Machine, r *Report, now event.Time, term Term) {
@@ -206,7 +206,7 @@
 	if h.UnreachableSince != 0 {
 		// A session that outlives the lease has heard us.
 		if h.Session == h.unreachableSession && now-h.UnreachableSince > term.WorkerLease()+unreachableMargin {
-			f.log.Info("machine hears us again", "host", h.Name)
+			f.log.Info("machine is reachable again", "machine", h.Name)
 			h.UnreachableSince = 0
 			f.Jobs.Changed = true
 		} else {
@@ -228,11 +228,11 @@
 	}
 }
 
-// deaf gives up on a machine that does not hear us: what it never took up is
+// unreachable gives up on a machine that does not hear us: what it never took up is
 // moved, once a report proves that it will not start. What runs goes on: it may
 // complete before its lease ends, and we may be wrong.
 func (f *Registry) markUnreachable(h *Machine, now event.Time) {
-	f.log.Info("machine does not hear us", "host", h.Name, "tasks", len(f.Jobs.OnMachine(h.Index)))
+	f.log.Info("machine is unreachable: it does not receive our answers", "machine", h.Name, "tasks", len(f.Jobs.OnMachine(h.Index)))
 	h.UnreachableSince, h.unreachableSession = now, h.Session
 	f.evictUnstarted(h)
 }
@@ -245,7 +245,7 @@
 	}
 }
 
-// LastingDeaf tells whether a machine has not heard us for so long that its
+// UnreachableBeyondLease tells whether a machine has not heard us for so long that its
 // tasks have ended with its lease.
 func (f *Registry) UnreachableBeyondLease(h *Machine, now event.Time, term Term) bool {
 	return h.UnreachableSince != 0 && now-h.UnreachableSince > term.WorkerLease()+2*unreachableMargin
@@ -359,7 +359,7 @@
 func (f *Registry) updateMachine(h *Machine, r *Report, now event.Time) {
 	if r.Session != h.Session && h.Session != 0 {
 		h.Images = map[int]bool{}
-		f.log.Info("worker lost its lease", "host", r.Machine, "tenure", r.Session)
+		f.log.Info("worker lost its lease", "machine", r.Machine, "session", r.Session)
 	}
 	if h.LastReport != 0 && now-h.LastReport > f.SilentAfter {
 		h.ReconnectedAt = now
@@ -385,7 +385,7 @@
 	ph := phases[s.Phase]
 	if ph >= pipeline.Waiting && ph < pipeline.Exited && e.StartedAt == 0 {
 		e.StartedAt = int64(now)
-		f.log.Debug("started", "job", j.ID, "class", f.Names.Classes.Name(j.Class), "task", e.Task, "try", e.Attempt, "host", h.Name, "since_placed", now-time.Duration(e.PlacedAt), "since_seen", now-time.Duration(j.ReadySince))
+		f.log.Debug("started", "job", j.ID, "class", f.Names.Classes.Name(j.Class), "task", e.Task, "attempt", e.Attempt, "machine", h.Name, "since_placed", now-time.Duration(e.PlacedAt), "since_ready", now-time.Duration(j.ReadySince))
 	}
 	e.Phase = ph
 	if ph >= pipeline.Waiting {
@@ -447,7 +447,7 @@
 			h.SlowJobs = map[string]bool{}
 		}
 		if h.SlowJobs[j.ID] = true; len(h.SlowJobs) == maxSlowJobs {
-			f.log.Info("machine is slow", "host", h.Name)
+			f.log.Info("machine is slow", "machine", h.Name)
 		}
 	} else {
 		clear(h.SlowJobs)
@@ -467,7 +467,7 @@
 
 // failed sorts out whether the machine or the job is at fault.
 func (f *Registry) failed(h *Machine, j *pipeline.Job, now event.Time) {
-	f.log.Info("task failed", "job", j.ID, "host", h.Name)
+	f.log.Info("task failed", "job", j.ID, "machine", h.Name)
 	if j.FailedMachines == nil {
 		j.FailedMachines = map[int]bool{}
 	}
@@ -590,7 +590,7 @@
 // Gone clears everything on a machine that is proven to run nothing.
 func (f *Registry) MarkTerminated(h *Machine, now event.Time) {
 	if h.LastReport != 0 {
-		f.log.Info("machine gone", "host", h.Name, "tasks", len(f.Jobs.OnMachine(h.Index)))
+		f.log.Info("machine terminated", "machine", h.Name, "tasks", len(f.Jobs.OnMachine(h.Index)))
 	}
 	for _, e := range f.sorted(h) {
 		if e.Job.Shape == pipeline.Gang && e.Job.TaskCount > 1 {
@@ -628,9 +628,9 @@
 	return more
 }
 
-// Show tells a machine our fence by a command without orders. A leader that
+// AnnounceToken tells a machine our fencing token by a command without orders. A leader that
 // lost the state service and the other controllers, but not its workers, may
-// answer them for its whole grace; shown a higher fence, they tell it at once,
+// answer them for its whole grace; told a higher fencing token, they tell it at once,
 // and report to us. The proof of silence does not rest on it.
 func (f *Registry) AnnounceToken(h *Machine, now event.Time, term Term, out *event.Effects) {
 	if h.Addr == "" || (h.lastAnnouncement != 0 && now-h.lastAnnouncement < announceInterval) {
