--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -494,7 +494,7 @@
 	j.Errors++
 	pause := min(backoffMax, backoffBase<<min(j.Errors-1, 8))
 	j.BackoffUntil = int64(now + pause)
-	f.log.Info("job parked", "job", j.ID, "for", pause)
+	f.log.Info("job backing off", "job", j.ID, "for", pause)
 }
 
 func (f *Registry) stopGang(j *pipeline.Job) {
