--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -792,7 +792,7 @@
 	r.refused[o] = refusal{now + pause, pause}
 }
 
-// hire asks for machines. The name holds the term, so that no other leader
+// provision asks for machines. The name holds the term, so that no other leader
 // ever uses it again.
 func (r *Autoscaler) provision(now event.Time, o offer, n int, term uint64, out *event.Effects) {
 	r.serial++
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -113,7 +113,7 @@
 // Holds tells whether this node holds a term at all, be it only in grace.
 func (l *Election) Holds() bool { return l.leaseID != 0 && l.termVersion != 0 }
 
-// Fence is the number of our term.
+// FencingToken is the number of our term.
 func (l *Election) FencingToken() uint64 { return l.token }
 
 // Cond is the condition that every write of a leader carries.
--- a/internal/pipeline/graph_test.go
+++ b/internal/pipeline/graph_test.go
@@ -123,19 +123,19 @@
 	r.job(5, nil)
 	r.job(6, nil, 5)
 	r.final(1, Cancelled)
-	expect(t, "doomed", r.upstreamCancelledIDs(), "2 3 4")
+	expect(t, "upstream cancelled", r.upstreamCancelledIDs(), "2 3 4")
 	if d.Phase() != Cancelled || r.Job(id(6)).Phase() != Queued {
 		t.Errorf("below: %v, beside: %v", d.Phase(), r.Job(id(6)).Phase())
 	}
 	// One that names a cancelled job, or one below it, comes later.
 	r.job(7, nil, 4, 5)
 	r.job(8, nil, 7)
-	expect(t, "doomed", r.upstreamCancelledIDs(), "2 3 4 7 8")
+	expect(t, "upstream cancelled", r.upstreamCancelledIDs(), "2 3 4 7 8")
 	// Its own mark settles it; what comes below it is judged by that.
 	r.final(7, Cancelled)
 	r.write(JobKey, id(7), nil)
 	r.job(9, nil, 7)
-	expect(t, "doomed", r.upstreamCancelledIDs(), "2 3 4 8 9")
+	expect(t, "upstream cancelled", r.upstreamCancelledIDs(), "2 3 4 8 9")
 	if r.Job(id(7)) != nil {
 		t.Error("a job without a key is kept")
 	}
@@ -149,7 +149,7 @@
 	r.job(1, nil)
 	r.job(2, nil, 1)
 	r.final(1, Done)
-	expect(t, "doomed", r.upstreamCancelledIDs(), "")
+	expect(t, "upstream cancelled", r.upstreamCancelledIDs(), "")
 	expect(t, "held", idsOf(r.Releasable()), "2")
 }
 
@@ -420,7 +420,7 @@
 	}
 	r.final(1, Cancelled)
 	if len(r.graph.upstreamCancelled) != n || len(r.graph.dependents) != 0 || r.Job(id(n+1)).Phase() != Cancelled {
-		t.Errorf("%d doomed, %d lists", len(r.graph.upstreamCancelled), len(r.graph.dependents))
+		t.Errorf("%d upstream cancelled, %d lists", len(r.graph.upstreamCancelled), len(r.graph.dependents))
 	}
 }
 
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -101,7 +101,7 @@
 	PlacedAt        int64   // steady time in ns of the decision
 }
 
-// Wish is the change the leader wants for an entry.
+// PendingWrite is the change the leader wants for an entry.
 type PendingWrite uint8
 
 // The pending writes.
@@ -266,7 +266,7 @@
 	return Queued
 }
 
-// Doomed tells whether a job that it needs is cancelled: it is cancelled with
+// UpstreamCancelled tells whether a job that it needs is cancelled: it is cancelled with
 // that, whether its own mark is stored yet or not.
 func (j *Job) UpstreamCancelled() bool { return j.upstreamCancelled }
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -15,7 +15,7 @@
 	"lugward/internal/worker"
 )
 
-// Flavor is a machine type as the cloud describes it.
+// MachineType is a machine type as the cloud describes it.
 type MachineType struct {
 	Index              int
 	CPUs, GPUs, Memory float64
@@ -25,7 +25,7 @@
 	Zones              []int
 }
 
-// Flavors holds the machine types by index, nil where unknown.
+// MachineTypes holds the machine types by index, nil where unknown.
 type MachineTypes []*MachineType
 
 // Get returns a type, or nil.
@@ -142,7 +142,7 @@
 	// Interrupted counts the rounds that ran out of their budget, Counted the
 	// machines whose capacity was counted anew.
 	Interrupted, Recounted int
-	// Elapsed tells how much of the budget is used; nil: no limit.
+	// OverBudget tells how much of the budget is used; nil: no limit.
 	OverBudget func() bool
 
 	cached         []Capacity        // by machine, as its entries left it
--- a/internal/simtest/check.go
+++ b/internal/simtest/check.go
@@ -93,7 +93,7 @@
 	}
 	if !allowed || (j.zone != "" && j.zone != k.zone) || (k.spot && !j.allowSpot) || (j.sameZone && len(inZone) > 1) ||
 		(j.scatter && inZone[k.zone] > (j.taskCount+1)/2) {
-		c.broken("wrong_place: %s try %d on %s (%s, %s, spot %v), zones %v, job same %v scatter %v loaners %v of %d", t.name, t.attempt, k.name, k.machineType,
+		c.broken("wrong_place: %s attempt %d on %s (%s, %s, spot %v), zones %v, job same zone %v scatter %v spot %v of %d", t.name, t.attempt, k.name, k.machineType,
 			k.zone, k.spot, inZone, j.sameZone, j.scatter, j.allowSpot, j.taskCount)
 	}
 	c.early(t)
--- a/internal/simtest/check_test.go
+++ b/internal/simtest/check_test.go
@@ -26,7 +26,7 @@
 			place(w, j, 0, "card", "a", false)
 			place(w, j, 1, "card", "a", false)
 		},
-		"wrong_place: req-000001/0 try 1 on i-a (small": func(w *World, j *job) {
+		"wrong_place: req-000001/0 attempt 1 on i-a (small": func(w *World, j *job) {
 			j.machineTypes = []string{"big"}
 			place(w, j, 0, "small", "a", false)
 		},
--- a/internal/simtest/script.go
+++ b/internal/simtest/script.go
@@ -244,9 +244,9 @@
 }
 
 // machineOf finds the machine that a task is on.
-func (w *World) machineOf(shard string) *worker {
+func (w *World) machineOf(task string) *worker {
 	for _, t := range w.check.onMachines() {
-		if t.name == shard {
+		if t.name == task {
 			return t.on
 		}
 	}
--- a/internal/simtest/troubles_test.go
+++ b/internal/simtest/troubles_test.go
@@ -33,7 +33,7 @@
 	}
 	w.Run(2 * time.Second)
 	if x := k.tasks["req-000001/0"]; x == nil || x.phase != "running" || k.session != 1 {
-		t.Fatalf("after it went on: %+v, tenure %d", x, k.session)
+		t.Fatalf("after it went on: %+v, session %d", x, k.session)
 	}
 	k.leaseFrom = w.now
 	w.Run(5 * time.Second)
@@ -52,11 +52,11 @@
 	k.serve("/do", []byte(`{"fence":7,"tenure":1,"orders":[{"verb":"start","shard":"req-000001/0","try":2}]}`), func(s int, _ any) { status = s })
 	w.Run(10500 * time.Millisecond)
 	if status != 0 || !k.certainlyLost() || len(w.check.onMachines()) != 0 {
-		t.Fatalf("while it hangs: %d, doomed %v", status, k.certainlyLost())
+		t.Fatalf("while it hangs: %d, certainly lost %v", status, k.certainlyLost())
 	}
 	w.Run(time.Second)
 	if status != 409 || len(k.tasks) != 0 || k.session != 2 {
-		t.Fatalf("after it went on: %d, %d tasks, tenure %d", status, len(k.tasks), k.session)
+		t.Fatalf("after it went on: %d, %d tasks, session %d", status, len(k.tasks), k.session)
 	}
 }
 
--- a/internal/simtest/world.go
+++ b/internal/simtest/world.go
@@ -257,7 +257,7 @@
 	n.w.after(tickEvery, func() { n.tick(life) })
 }
 
-// freeze lets a controller be paused while its clock runs on, from now or,
+// pause lets a controller be paused while its clock runs on, from now or,
 // within a step, from when its next decision is made but not carried out yet.
 // What arrives meanwhile waits, and comes in any order before anything that
 // time brings.
