--- a/internal/rental/rental_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -1,4 +1,4 @@
-package rental
+package autoscaler
 
 import (
 	"encoding/json"
@@ -8,14 +8,14 @@
 	"time"
 
 	"lugward/internal/config"
-	"lugward/internal/fleet"
+	"lugward/internal/event"
 	"lugward/internal/pipeline"
-	"lugward/internal/place"
-	"lugward/internal/step"
+	"lugward/internal/scheduler"
 	"lugward/internal/store"
+	"lugward/internal/worker"
 )
 
-// Machines are rented for what a team's limit lets all of its jobs together
+// Machines are provisioned for what a team's limit lets all of its jobs together
 // have, not for what it would let each of them have alone.
 func TestRentsWithinLimit(t *testing.T) {
 	for _, c := range []struct {
@@ -25,7 +25,7 @@
 		n := &pipeline.Names{}
 		jobs := pipeline.NewTable(n, 4096, 12)
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		f := fleet.New(n, jobs, log)
+		f := worker.New(n, jobs, log)
 		s := store.New("state", store.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60}, func(string, []byte, uint64) {})
 		r := New(Config{Addr: "cloud", RPS: 100, IdleKeep: time.Minute}, n, jobs, f, s, log)
 		r.mayPlan = true
@@ -33,15 +33,15 @@
 			t.Fatal("the types are not taken")
 		}
 		n.Classes.Index("c")
-		n.Bundles.Index("b")
-		p := &place.Placer{Jobs: jobs, Fleet: f, Flavors: &r.Flavors, Teams: map[int]config.Team{n.Teams.Index("t"): {CoresMax: c.limit}}, Silent: time.Minute}
+		n.Images.Index("b")
+		p := &scheduler.Scheduler{Jobs: jobs, Workers: f, MachineTypes: &r.MachineTypes, Teams: map[int]config.Team{n.Teams.Index("t"): {CPUsMax: c.limit}}, SilentAfter: time.Minute}
 		var blocked []*pipeline.Job
 		for i, id := range []string{"req-1", "req-2", "req-3"} {
-			j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{N: 4, Cores: 1, RAM: 1, Zone: -1}}
+			j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{TaskCount: 4, CPUs: 1, Memory: 1, Zone: -1}}
 			jobs.Listen(pipeline.JobKey, id, pipeline.Encode(n, j), uint64(i+1))
 			blocked = append(blocked, jobs.Job(id))
 		}
-		var out step.Out
+		var out event.Effects
 		r.Plan(time.Second, blocked, p, 1, &out)
 		got := 0
 		for _, call := range out.Calls {
--- a/internal/simtest/chains_test.go
+++ b/internal/simtest/chains_test.go
@@ -49,15 +49,15 @@
 	next := 0
 	// one adds a job that needs others, at once or without waiting for it.
 	one := func(awaits []string, apart bool) (id string, accepted bool) {
-		a := Args{"id": fmt.Sprintf("req-%06d", next), "shape": []string{"array", "array", "gang"}[w.rng.IntN(3)], "shards": fmt.Sprint(1 + w.rng.IntN(4)),
+		a := Args{"id": fmt.Sprintf("req-%06d", next), "shape": []string{"array", "array", "gang"}[w.rng.IntN(3)], "tasks": fmt.Sprint(1 + w.rng.IntN(4)),
 			"run": fmt.Sprintf("%ds", 1+w.rng.IntN(12)), "team": []string{"red", "blue"}[w.rng.IntN(2)],
-			"rank": []string{"idle", "normal", "high", "production"}[w.rng.IntN(4)]}
+			"priority": []string{"idle", "normal", "high", "production"}[w.rng.IntN(4)]}
 		next++
 		if w.rng.IntN(2) == 0 {
-			a["loaners"] = ""
+			a["spot"] = ""
 		}
 		if w.rng.IntN(12) == 0 {
-			a["shards"], a["cores"], a["ram"] = "200", "0.02", "0.02"
+			a["tasks"], a["cpus"], a["memory"] = "200", "0.02", "0.02"
 		}
 		if len(awaits) > 0 && w.rng.IntN(8) == 0 {
 			awaits = append(awaits, "req-005000*400") // several values and transactions
@@ -135,17 +135,17 @@
 		}
 	}
 	lower()
-	w.calm()
+	w.endFaults()
 	w.settled(2 * userRetry)
 	w.state.lagged = 0
 	for _, id := range all {
-		if w.check.told[id] == "" {
+		if w.check.acknowledged[id] == "" {
 			w.Poll(id) // its user gave up; it may be accepted all the same
 		}
 	}
 	left := func() (ids []string) {
 		for _, id := range all {
-			if told := w.check.told[id]; told != "" && told != "done" && told != "cancelled" {
+			if acknowledged := w.check.acknowledged[id]; acknowledged != "" && acknowledged != "done" && acknowledged != "cancelled" {
 				ids = append(ids, id)
 			}
 		}
@@ -162,13 +162,13 @@
 		w.Run(seconds(2))
 	}
 	for _, id := range left() {
-		t.Errorf("seed %d: %s is still %s, needs %v\n%s", seed, id, w.check.told[id], w.jobs[id].awaits,
+		t.Errorf("seed %d: %s is still %s, needs %v\n%s", seed, id, w.check.acknowledged[id], w.jobs[id].awaits,
 			strings.Join(append(w.Keys("j/"+id), w.Keys("r/"+id)...), "\n"))
 	}
 	for _, id := range all {
 		for _, up := range w.jobs[id].awaits {
-			if told, above := w.check.told[id], w.check.told[up]; told == "done" && above != "done" || above == "cancelled" && told != "" && told != "cancelled" {
-				t.Errorf("seed %d: %s is %s, needs %s, which is %s", seed, id, told, up, above)
+			if acknowledged, above := w.check.acknowledged[id], w.check.acknowledged[up]; acknowledged == "done" && above != "done" || above == "cancelled" && acknowledged != "" && acknowledged != "cancelled" {
+				t.Errorf("seed %d: %s is %s, needs %s, which is %s", seed, id, acknowledged, up, above)
 			}
 		}
 	}
--- a/internal/simtest/world.go
+++ b/internal/simtest/world.go
@@ -16,7 +16,7 @@
 
 	"lugward/internal/config"
 	"lugward/internal/core"
-	"lugward/internal/step"
+	"lugward/internal/event"
 )
 
 const (
@@ -30,11 +30,11 @@
 
 // World is one simulated deployment.
 type World struct {
-	now   time.Duration
-	queue events
-	seq   int
-	rng   *rand.Rand
-	cfg   *config.Platform
+	now      time.Duration
+	schedule schedule
+	seq      int
+	rng      *rand.Rand
+	cfg      *config.Platform
 
 	nodes   []*node
 	state   *state
@@ -43,20 +43,20 @@
 	jobs    map[string]*job
 	check   *Checker
 
-	cut       map[[2]string]bool
-	lost      map[[2]string]bool // packets that way vanish
-	copies    float64            // share of reports of which a copy comes later, to any node
-	copyLate  time.Duration      // by at most this
-	deafNext  int                // so many of the next machines are deaf
-	users     *node              // whom users ask, nil: any
-	held      []heldPacket
-	loss      float64 // share of packets between hosts that are lost
-	late      float64 // share of calls to the state service and cloud executed late as well
-	pageLimit int
-	announced bool              // the settings tell of lower limits of the state service
-	answers   map[string]string // to requests that nobody waits for, by what was asked
-	faults    []string          // errors of the service against its own limits
-	log       *slog.Logger
+	cut             map[[2]string]bool
+	lost            map[[2]string]bool // packets that way vanish
+	copies          float64            // share of reports of which a copy comes later, to any node
+	copyLate        time.Duration      // by at most this
+	unreachableNext int                // so many of the next machines are unreachable
+	users           *node              // whom users ask, nil: any
+	held            []heldPacket
+	loss            float64 // share of packets between machines that are lost
+	late            float64 // share of calls to the state service and cloud executed late as well
+	pageLimit       int
+	announced       bool              // the settings tell of lower limits of the state service
+	answers         map[string]string // to requests that nobody waits for, by what was asked
+	faults          []string          // errors of the service against its own limits
+	log             *slog.Logger
 	troubles
 }
 
@@ -65,21 +65,21 @@
 	do   func()
 }
 
-type event struct {
+type scheduled struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-type events []event
+type schedule []scheduled
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(a, b int) bool {
+func (e schedule) Len() int { return len(e) }
+func (e schedule) Less(a, b int) bool {
 	return e[a].at < e[b].at || (e[a].at == e[b].at && e[a].seq < e[b].seq)
 }
-func (e events) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e schedule) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
+func (e *schedule) Push(x any)   { *e = append(*e, x.(scheduled)) }
+func (e *schedule) Pop() any {
 	old := *e
 	last := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -125,14 +125,14 @@
 
 func (w *World) after(d time.Duration, f func()) {
 	w.seq++
-	heap.Push(&w.queue, event{w.now + d, w.seq, f})
+	heap.Push(&w.schedule, scheduled{w.now + d, w.seq, f})
 }
 
 // Run plays for d.
 func (w *World) Run(d time.Duration) {
 	end := w.now + d
-	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(event)
+	for len(w.schedule) > 0 && w.schedule[0].at <= end {
+		e := heap.Pop(&w.schedule).(scheduled)
 		w.now = e.at
 		e.do()
 	}
@@ -159,7 +159,7 @@
 }
 
 // Deafen lets a machine be heard while nothing reaches it, or ends that.
-func (w *World) Deafen(k *worker, on bool) {
+func (w *World) BlockInbound(k *worker, on bool) {
 	for _, n := range w.nodes {
 		w.lost[[2]string{n.name, k.name}] = on
 	}
@@ -176,7 +176,7 @@
 	}
 }
 
-// Cut stops packets between two hosts in both directions.
+// Cut stops packets between two machines in both directions.
 func (w *World) Cut(a, b string, on bool) {
 	for _, p := range [][2]string{{a, b}, {b, a}} {
 		w.cut[p] = on
@@ -197,19 +197,19 @@
 	index int
 	name  string
 	core  *core.Node
-	out   step.Out
+	out   event.Effects
 	life  int // incarnation
 	up    bool
 	start time.Duration
 	conns map[uint64]func(status int, body []byte)
 	next  uint64
 
-	blind      bool // its questions about changes get no answer, its other requests do
-	denied     bool // the state service answers everybody but this one
-	frozen     bool
-	freezeNext time.Duration
-	stopped    []func() // inputs that wait while it stands still
-	decided    func()   // what its last step decided and did not carry out
+	watchBlocked bool // its questions about changes get no answer, its other requests do
+	denied       bool // the state service answers everybody but this one
+	paused       bool
+	pauseNext    time.Duration
+	stopped      []func() // inputs that wait while it is paused
+	decided      func()   // what its last step decided and did not carry out
 }
 
 func (n *node) addr() string { return fmt.Sprintf("10.0.0.%d:8080", n.index+1) }
@@ -231,7 +231,7 @@
 }
 
 func (n *node) kill() {
-	n.up, n.frozen, n.stopped, n.decided, n.freezeNext = false, false, nil, nil, 0
+	n.up, n.paused, n.stopped, n.decided, n.pauseNext = false, false, nil, nil, 0
 	conns := n.conns
 	n.conns = nil
 	var ids []uint64
@@ -248,8 +248,8 @@
 	if !n.up || n.life != life {
 		return
 	}
-	if !n.frozen {
-		n.step(func(now step.Time) {
+	if !n.paused {
+		n.step(func(now event.Time) {
 			n.core.Clock(now, dayBegin.Add(n.w.now))
 			n.core.Tick(now, &n.out)
 		})
@@ -257,22 +257,22 @@
 	n.w.after(tickEvery, func() { n.tick(life) })
 }
 
-// freeze lets a controller stand still while its clock runs on, from now or,
+// pause lets a controller be paused while its clock runs on, from now or,
 // within a step, from when its next decision is made but not carried out yet.
 // What arrives meanwhile waits, and comes in any order before anything that
 // time brings.
-func (n *node) freeze(d time.Duration, within bool) {
+func (n *node) pause(d time.Duration, within bool) {
 	if within {
-		n.freezeNext = d
+		n.pauseNext = d
 		return
 	}
-	n.frozen = true
+	n.paused = true
 	life := n.life
 	n.w.after(d, func() {
-		if n.life != life || !n.frozen {
+		if n.life != life || !n.paused {
 			return
 		}
-		n.frozen = false
+		n.paused = false
 		list := n.stopped
 		n.stopped = nil
 		n.w.rng.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
@@ -287,25 +287,25 @@
 }
 
 // step gives one input to the core and carries out the effects.
-func (n *node) step(f func(now step.Time)) {
-	if n.frozen {
+func (n *node) step(f func(now event.Time)) {
+	if n.paused {
 		n.stopped = append(n.stopped, func() { n.step(f) })
 		return
 	}
 	f(n.w.now - n.start)
 	replies, calls, frames := n.out.Replies, n.out.Calls, n.out.Frames
 	n.out.Replies, n.out.Calls, n.out.Frames = nil, nil, nil
-	if d := n.freezeNext; d > 0 && len(replies)+len(calls) > 0 {
-		n.freezeNext = 0
+	if d := n.pauseNext; d > 0 && len(replies)+len(calls) > 0 {
+		n.pauseNext = 0
 		n.decided = func() { n.perform(replies, calls, frames) }
-		n.freeze(d, false)
+		n.pause(d, false)
 		return
 	}
 	n.perform(replies, calls, frames)
 }
 
 // perform carries out the effects of a step.
-func (n *node) perform(replies []step.Reply, calls []step.Call, frames []step.PeerFrame) {
+func (n *node) perform(replies []event.Reply, calls []event.Call, frames []event.PeerFrame) {
 	life := n.life
 	for _, r := range replies {
 		if answer := n.conns[r.Conn]; answer != nil {
@@ -330,21 +330,21 @@
 		data := fr.Data
 		n.w.send(n.name, to.name, func() {
 			if to.up {
-				to.step(func(now step.Time) { to.core.Frame(now, step.PeerFrame{Peer: -1, Data: data}, &to.out) })
+				to.step(func(now event.Time) { to.core.Frame(now, event.PeerFrame{Peer: -1, Data: data}, &to.out) })
 			}
 		})
 	}
 }
 
-func (n *node) call(c step.Call, life int) {
+func (n *node) call(c event.Call, life int) {
 	answered := false
 	finish := func(status int, body []byte) {
 		if answered || !n.up || n.life != life {
 			return
 		}
 		answered = true
-		n.step(func(now step.Time) {
-			n.core.CallDone(now, step.CallDone{ID: c.ID, Status: status, Body: body}, &n.out)
+		n.step(func(now event.Time) {
+			n.core.CallDone(now, event.CallDone{ID: c.ID, Status: status, Body: body}, &n.out)
 		})
 	}
 	n.w.after(c.Timeout, func() { finish(0, nil) })
@@ -375,7 +375,7 @@
 		to = wk.name
 		serve = func(a func(int, any)) { wk.serve(c.Path, c.Body, a) }
 	}
-	if to == "state" && (n.lateWrite(c) || n.blind && strings.HasPrefix(c.Path, "/follow")) {
+	if to == "state" && (n.lateWrite(c) || n.watchBlocked && strings.HasPrefix(c.Path, "/follow")) {
 		return
 	}
 	there, back := n.w.heldCommand(to)
@@ -410,8 +410,8 @@
 		n.next++
 		id := n.next
 		n.conns[id] = answer
-		n.step(func(now step.Time) {
-			n.core.Request(now, step.Request{Conn: id, Method: method, Path: path, Body: body}, &n.out)
+		n.step(func(now event.Time) {
+			n.core.Request(now, event.Request{Conn: id, Method: method, Path: path, Body: body}, &n.out)
 		})
 	}
 	to, there, back := w.heldReport(n, path)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"lugward/internal/step"
+	"lugward/internal/event"
 )
 
 // bench is a client whose calls the test answers, in any order.
 type bench struct {
 	*Client
-	out  step.Out
-	now  step.Time
+	out  event.Effects
+	now  event.Time
 	held map[string]string // what the listener was told last, by key
 }
 
@@ -26,7 +26,7 @@
 }
 
 // take returns the calls of a kind since the last time, and forgets all.
-func (b *bench) take(path string) (list []step.Call) {
+func (b *bench) take(path string) (list []event.Call) {
 	for _, c := range b.out.Calls {
 		if strings.HasPrefix(c.Path, path) {
 			list = append(list, c)
@@ -36,8 +36,8 @@
 	return list
 }
 
-func (b *bench) answer(c step.Call, status int, body string) {
-	b.CallDone(b.now, step.CallDone{ID: c.ID, Status: status, Body: []byte(body)}, &b.out)
+func (b *bench) answer(c event.Call, status int, body string) {
+	b.CallDone(b.now, event.CallDone{ID: c.ID, Status: status, Body: []byte(body)}, &b.out)
 }
 
 func (b *bench) wait(d time.Duration) {
@@ -125,7 +125,7 @@
 		k := string(rune('a' + i))
 		in, _ := write(k)
 		for _, c := range "12345" {
-			in.Conds = append(in.Conds, Cond{Key: k + string(c), Stamp: 1})
+			in.Conditions = append(in.Conditions, Condition{Key: k + string(c), Version: 1})
 		}
 		in.Done = func(Result) { done++ }
 		b.Submit(in, b.now+time.Minute)
@@ -153,16 +153,16 @@
 func TestOvertakenAnswer(t *testing.T) {
 	b := newBench(open, `{"key":"j/req-1","data":{"n":1},"stamp":3}`)
 	watch := b.take("/follow")[0]
-	b.Barrier(func(step.Time, bool, *step.Out) {})
+	b.Barrier(func(event.Time, bool, *event.Effects) {})
 	b.wait(time.Second)
 	barrier := b.take("/follow")[0]
 	b.answer(barrier, 200, `{"epoch":9,"log":[{"write":"j/req-1","data":{"n":2},"stamp":7},{"drop":"j/req-1","stamp":9}]}`)
 	b.answer(watch, 200, `{"epoch":7,"log":[{"write":"j/req-1","data":{"n":2},"stamp":7}]}`)
-	if got := b.held["j/req-1"]; got != "" || b.Stamp("j/req-1") != 0 {
-		t.Errorf("a dropped key is back: %s, stamp %d", got, b.Stamp("j/req-1"))
+	if got := b.held["j/req-1"]; got != "" || b.Version("j/req-1") != 0 {
+		t.Errorf("a dropped key is back: %s, stamp %d", got, b.Version("j/req-1"))
 	}
-	if b.Epoch() != 9 {
-		t.Errorf("the replica is at %d", b.Epoch())
+	if b.Revision() != 9 {
+		t.Errorf("the replica is at %d", b.Revision())
 	}
 }
 
@@ -171,13 +171,13 @@
 	b := newBench(open)
 	watch := b.take("/follow")[0]
 	outcome := Refused
-	b.Submit(&Intent{Priority: Accept, Conds: []Cond{{Key: "j/req-1"}}, Writes: []Write{{Key: "j/req-1", Data: []byte(`{"n":1}`)}},
+	b.Submit(&Intent{Priority: Accept, Conditions: []Condition{{Key: "j/req-1"}}, Writes: []Write{{Key: "j/req-1", Data: []byte(`{"n":1}`)}},
 		Done: func(r Result) { outcome = r.Outcome }}, time.Minute)
 	b.wait(time.Second)
 	commit := b.take("/commit")[0]
 	b.answer(watch, 200, `{"epoch":8,"log":[{"write":"j/req-1","data":{"n":1},"stamp":6},{"drop":"j/req-1","stamp":8}]}`)
 	b.answer(commit, 200, `{"epoch":6}`)
-	if outcome != OK || b.held["j/req-1"] != "" || b.Stamp("j/req-1") != 0 {
+	if outcome != OK || b.held["j/req-1"] != "" || b.Version("j/req-1") != 0 {
 		t.Errorf("outcome %v, the dropped key shows %q", outcome, b.held["j/req-1"])
 	}
 }
@@ -188,8 +188,8 @@
 	b.Submit(&Intent{Priority: Accept, Writes: []Write{{Key: "f/req-1", Data: []byte(`{}`)}}, Done: func(Result) {}}, time.Minute)
 	b.wait(time.Second)
 	b.answer(b.take("/commit")[0], 200, `{"epoch":6}`)
-	if b.Stamp("f/req-1") != 6 || b.Epoch() != 5 {
-		t.Errorf("stamp %d at %d", b.Stamp("f/req-1"), b.Epoch())
+	if b.Version("f/req-1") != 6 || b.Revision() != 5 {
+		t.Errorf("stamp %d at %d", b.Version("f/req-1"), b.Revision())
 	}
 }
 
