--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"lugward/internal/step"
+	"lugward/internal/event"
 )
 
 // Priority orders what waits for the request and write rates.
@@ -31,15 +31,15 @@
 
 // Write is one change of a transaction.
 type Write struct {
-	Key    string
-	Data   []byte // JSON; nil drops the key
-	Tether uint64
+	Key     string
+	Data    []byte // JSON; nil drops the key
+	LeaseID uint64
 }
 
-// Cond requires that a key has a stamp (0: does not exist).
-type Cond struct {
-	Key   string
-	Stamp uint64
+// Cond requires that a key has a version (0: does not exist).
+type Condition struct {
+	Key     string
+	Version uint64
 }
 
 // Outcome of an intent.
@@ -53,39 +53,39 @@
 	// Refused: not executed.
 	Refused
 	// Unknown: no response; it may have been executed or may yet be. All our
-	// writes carry the stamps they build on, so a late one either fails or
+	// writes carry the versions they build on, so a late one either fails or
 	// arrives as an ordinary change.
 	Unknown
 )
 
 // Result is how an intent ended.
 type Result struct {
-	Outcome Outcome
-	Epoch   uint64 // of the transaction when OK
+	Outcome  Outcome
+	Revision uint64 // of the transaction when OK
 	// Invalid: refused with 400. The same write will be refused again, be it
 	// for its size, so it is to be tried ever less often.
 	Invalid bool
-	Now     step.Time
-	Out     *step.Out
+	Now     event.Time
+	Out     *event.Effects
 }
 
 // Intent is a set of writes that happen together or not at all. Several
 // intents may share one transaction.
 type Intent struct {
-	Priority Priority
-	Conds    []Cond
-	Writes   []Write
-	Done     func(r Result)
+	Priority   Priority
+	Conditions []Condition
+	Writes     []Write
+	Done       func(r Result)
 	// Build, if set, fills in Conds and Writes when the intent's turn comes, so
 	// that one write carries all that changed while it waited. It may be called
-	// again for another try. False: there is nothing to write any more; Done is
+	// again for another attempt. False: there is nothing to write any more; Done is
 	// told Refused. Key is the key that it is about: it is not built while a
 	// write of that key is under way.
 	Build func(in *Intent) bool
 	Key   string
 
-	expires step.Time
-	tries   int
+	expires  event.Time
+	attempts int
 }
 
 func (in *Intent) ops() int { return max(1, len(in.Writes)) }
@@ -103,7 +103,7 @@
 }
 
 // ListenFunc hears every change of the replica. data is nil when the key is gone.
-type ListenFunc func(key string, data []byte, stamp uint64)
+type ListenFunc func(key string, data []byte, version uint64)
 
 const (
 	maxTxn       = 60 << 10
@@ -124,46 +124,46 @@
 	limits Limits
 	listen ListenFunc
 
-	stamps map[string]uint64
-	tombs  map[string]uint64 // dropped keys until the replica has passed the drop
-	epoch  uint64
-	synced bool
+	versions   map[string]uint64
+	tombstones map[string]uint64 // dropped keys until the replica has passed the drop
+	revision   uint64
+	synced     bool
 
-	loading   bool
-	loadEpoch uint64
-	loadSeen  map[string]bool
-	loadNext  step.Time
+	loading      bool
+	loadRevision uint64
+	loadSeen     map[string]bool
+	loadNext     event.Time
 
-	requests, writes bucket
-	asked, written   meter
+	requests, writes      bucket
+	requestMeter, written meter
 
 	queue    [priorities][]*Intent
 	inflight int
 	busyKeys map[string]bool
-	pauseTo  step.Time
+	pauseTo  event.Time
 
-	calls      map[uint64]func(now step.Time, status int, body []byte, out *step.Out)
+	calls      map[uint64]func(now event.Time, status int, body []byte, out *event.Effects)
 	watchOpen  bool
-	watchNext  step.Time
+	watchNext  event.Time
 	watchEvery time.Duration // least time between two watches
 
-	barriers     []func(now step.Time, ok bool, out *step.Out)
+	barriers     []func(now event.Time, ok bool, out *event.Effects)
 	barrierOpen  bool
-	barrierNext  step.Time
+	barrierNext  event.Time
 	barrierEvery time.Duration
 
-	fresh step.Time // the replica held all changes up to then
+	fresh event.Time // the replica held all changes up to then
 	// Log, if set, is told of writes that the service calls malformed.
 	Log *slog.Logger
 
-	contact step.Time // sending time of the last request that was executed
-	outage  bool      // the last answer was 503 or missing
+	contact event.Time // sending time of the last request that was executed
+	outage  bool       // the last answer was 503 or missing
 }
 
 // New returns a client for the service at addr.
 func New(addr string, limits Limits, listen ListenFunc) *Client {
-	return &Client{addr: addr, limits: limits, listen: listen, stamps: map[string]uint64{}, tombs: map[string]uint64{},
-		busyKeys: map[string]bool{}, calls: map[uint64]func(step.Time, int, []byte, *step.Out){},
+	return &Client{addr: addr, limits: limits, listen: listen, versions: map[string]uint64{}, tombstones: map[string]uint64{},
+		busyKeys: map[string]bool{}, calls: map[uint64]func(event.Time, int, []byte, *event.Effects){},
 		requests: newBucket(limits.RPS), writes: newBucket(limits.WriteRPS), contact: -time.Hour,
 		watchEvery: leastPause, barrierEvery: leastPause}
 }
@@ -172,23 +172,23 @@
 func (c *Client) Synced() bool { return c.synced }
 
 // Contact is when the last request that the service executed was sent.
-func (c *Client) Contact() step.Time { return c.contact }
+func (c *Client) Contact() event.Time { return c.contact }
 
 // Fresh is a time up to which the replica holds every change. A watch whose
 // answer got lost would else leave it stale for long with nobody noticing.
-func (c *Client) Fresh() step.Time { return c.fresh }
+func (c *Client) Fresh() event.Time { return c.fresh }
 
 // Epoch is the change up to which the replica is complete.
-func (c *Client) Epoch() uint64 { return c.epoch }
+func (c *Client) Revision() uint64 { return c.revision }
 
 // Outage tells whether the service failed to answer lately.
 func (c *Client) Outage() bool { return c.outage }
 
-// Stamp returns the stamp of a key in the replica, 0 if absent.
-func (c *Client) Stamp(key string) uint64 { return c.stamps[key] }
+// Stamp returns the version of a key in the replica, 0 if absent.
+func (c *Client) Version(key string) uint64 { return c.versions[key] }
 
 // SetShare changes this node's part of the rates. Watches and barriers are
-// paced so that they leave room for the rest.
+// paced so that they leave capacity for the rest.
 func (c *Client) SetShare(rps, writeRPS float64) {
 	c.requests.rate, c.writes.rate = rps, writeRPS
 	pause := max(leastPause, time.Duration(2/(followPart*rps)*float64(time.Second)))
@@ -210,48 +210,48 @@
 }
 
 // Submit queues an intent. It is given up as Refused at the time expires.
-func (c *Client) Submit(in *Intent, expires step.Time) {
+func (c *Client) Submit(in *Intent, expires event.Time) {
 	in.expires = expires
 	c.queue[in.Priority] = append(c.queue[in.Priority], in)
 }
 
 // Barrier calls f once the replica holds everything that was committed before
 // this call. ok is false when the service does not answer.
-func (c *Client) Barrier(f func(now step.Time, ok bool, out *step.Out)) {
+func (c *Client) Barrier(f func(now event.Time, ok bool, out *event.Effects)) {
 	c.barriers = append(c.barriers, f)
 }
 
 // Lease sends a request for a new lease, Extend and Drop work on one.
-func (c *Client) Lease(life time.Duration, now step.Time, out *step.Out, done func(now step.Time, tether uint64, out *step.Out)) {
+func (c *Client) Lease(life time.Duration, now event.Time, out *event.Effects, done func(now event.Time, leaseID uint64, out *event.Effects)) {
 	body := fmt.Appendf(nil, `{"life_ms":%d}`, life.Milliseconds())
-	c.call("POST", "/leases", body, callTimeout, now, out, func(now step.Time, status int, body []byte, out *step.Out) {
+	c.call("POST", "/leases", body, callTimeout, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		var v struct {
-			Tether uint64 `json:"tether"`
+			LeaseID uint64 `json:"tether"`
 		}
 		if status != 200 || json.Unmarshal(body, &v) != nil {
-			v.Tether = 0
+			v.LeaseID = 0
 		}
-		done(now, v.Tether, out)
+		done(now, v.LeaseID, out)
 	})
 }
 
 // Extend renews a lease; done gets the status.
-func (c *Client) Extend(tether uint64, timeout time.Duration, now step.Time, out *step.Out, done func(now step.Time, status int, out *step.Out)) {
-	c.call("POST", "/leases/"+strconv.FormatUint(tether, 10)+"/extend", nil, timeout, now, out,
-		func(now step.Time, status int, _ []byte, out *step.Out) { done(now, status, out) })
+func (c *Client) Extend(leaseID uint64, timeout time.Duration, now event.Time, out *event.Effects, done func(now event.Time, status int, out *event.Effects)) {
+	c.call("POST", "/leases/"+strconv.FormatUint(leaseID, 10)+"/extend", nil, timeout, now, out,
+		func(now event.Time, status int, _ []byte, out *event.Effects) { done(now, status, out) })
 }
 
 // Drop ends a lease at once.
-func (c *Client) Drop(tether uint64, now step.Time, out *step.Out) {
-	c.call("DELETE", "/leases/"+strconv.FormatUint(tether, 10), nil, callTimeout, now, out,
-		func(step.Time, int, []byte, *step.Out) {})
+func (c *Client) Drop(leaseID uint64, now event.Time, out *event.Effects) {
+	c.call("DELETE", "/leases/"+strconv.FormatUint(leaseID, 10), nil, callTimeout, now, out,
+		func(event.Time, int, []byte, *event.Effects) {})
 }
 
-func (c *Client) call(method, path string, body []byte, timeout time.Duration, now step.Time, out *step.Out, f func(step.Time, int, []byte, *step.Out)) {
+func (c *Client) call(method, path string, body []byte, timeout time.Duration, now event.Time, out *event.Effects, f func(event.Time, int, []byte, *event.Effects)) {
 	c.requests.take(now, 1)
-	c.asked.add(now, 1)
+	c.requestMeter.add(now, 1)
 	sent := now
-	c.calls[out.Call(c.addr, method, path, body, timeout)] = func(now step.Time, status int, body []byte, out *step.Out) {
+	c.calls[out.Call(c.addr, method, path, body, timeout)] = func(now event.Time, status int, body []byte, out *event.Effects) {
 		if status != 0 && status != 503 && status != 429 {
 			c.contact = max(c.contact, sent)
 			c.outage = false
@@ -265,7 +265,7 @@
 }
 
 // CallDone takes the outcome of a call; it tells whether it was ours.
-func (c *Client) CallDone(now step.Time, d step.CallDone, out *step.Out) bool {
+func (c *Client) CallDone(now event.Time, d event.CallDone, out *event.Effects) bool {
 	f, ok := c.calls[d.ID]
 	if !ok {
 		return false
@@ -276,7 +276,7 @@
 }
 
 // Tick sends what is due.
-func (c *Client) Tick(now step.Time, out *step.Out) {
+func (c *Client) Tick(now event.Time, out *event.Effects) {
 	c.expire(now, out)
 	if !c.synced {
 		c.failBarriers(now, out)
@@ -292,7 +292,7 @@
 	}
 }
 
-func (c *Client) expire(now step.Time, out *step.Out) {
+func (c *Client) expire(now event.Time, out *event.Effects) {
 	for p := range c.queue {
 		list := c.queue[p]
 		kept := list[:0]
@@ -312,52 +312,52 @@
 }
 
 // load reads every key, page by page. The pages are not one moment's, but
-// following from the first page's epoch replays whatever changed meanwhile.
-func (c *Client) load(now step.Time, out *step.Out) {
-	c.loading, c.loadEpoch, c.loadSeen = true, 0, map[string]bool{}
+// following from the first page's revision replays whatever changed meanwhile.
+func (c *Client) load(now event.Time, out *event.Effects) {
+	c.loading, c.loadRevision, c.loadSeen = true, 0, map[string]bool{}
 	c.page("", now, out)
 }
 
 type item struct {
-	Key   string          `json:"key"`
-	Data  json.RawMessage `json:"data"`
-	Stamp uint64          `json:"stamp"`
+	Key     string          `json:"key"`
+	Data    json.RawMessage `json:"data"`
+	Version uint64          `json:"stamp"`
 }
 
-func (c *Client) page(from string, now step.Time, out *step.Out) {
+func (c *Client) page(from string, now event.Time, out *event.Effects) {
 	path := "/keys?starts=&limit=" + strconv.Itoa(pageLimit)
 	if from != "" {
 		path += "&from=" + url.QueryEscape(from)
 	}
-	c.call("GET", path, nil, 4*time.Second, now, out, func(now step.Time, status int, body []byte, out *step.Out) {
+	c.call("GET", path, nil, 4*time.Second, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		var v struct {
-			Items   []item `json:"items"`
-			HasNext bool   `json:"has_next"`
-			Epoch   uint64 `json:"epoch"`
+			Items    []item `json:"items"`
+			HasNext  bool   `json:"has_next"`
+			Revision uint64 `json:"epoch"`
 		}
 		if status != 200 || json.Unmarshal(body, &v) != nil || (v.HasNext && len(v.Items) == 0) {
 			c.loading, c.loadNext = false, now+reloadPause
 			return
 		}
 		if from == "" {
-			c.loadEpoch = v.Epoch
+			c.loadRevision = v.Revision
 		}
 		for _, it := range v.Items {
 			c.loadSeen[it.Key] = true
-			c.apply(it.Key, it.Data, it.Stamp)
+			c.apply(it.Key, it.Data, it.Version)
 		}
 		if v.HasNext {
 			c.page(v.Items[len(v.Items)-1].Key, now, out)
 			return
 		}
-		// Keys that we still hold from before a 410 but that are gone now.
-		for key, stamp := range c.stamps {
-			if !c.loadSeen[key] && stamp <= c.loadEpoch {
-				c.apply(key, nil, c.loadEpoch)
+		// Keys that we still hold from before a 410 but that have terminated now.
+		for key, version := range c.versions {
+			if !c.loadSeen[key] && version <= c.loadRevision {
+				c.apply(key, nil, c.loadRevision)
 			}
 		}
 		c.loadSeen = nil
-		c.loading, c.synced, c.epoch = false, true, c.loadEpoch
+		c.loading, c.synced, c.revision = false, true, c.loadRevision
 		c.Tick(now, out)
 	})
 }
@@ -365,48 +365,48 @@
 // change takes one change of the log or of a write of ours. What the replica
 // has passed already is left out: an answer that was held up for longer than
 // those after it would else bring back keys that were dropped since.
-func (c *Client) change(key string, data []byte, stamp uint64) {
-	if stamp > c.epoch {
-		c.apply(key, data, stamp)
+func (c *Client) change(key string, data []byte, version uint64) {
+	if version > c.revision {
+		c.apply(key, data, version)
 	}
 }
 
 // apply takes one change unless the replica holds a newer one.
-func (c *Client) apply(key string, data []byte, stamp uint64) {
-	if stamp <= c.stamps[key] || stamp <= c.tombs[key] {
+func (c *Client) apply(key string, data []byte, version uint64) {
+	if version <= c.versions[key] || version <= c.tombstones[key] {
 		return
 	}
 	if data == nil {
-		c.tombs[key] = stamp
-		if _, ok := c.stamps[key]; !ok {
+		c.tombstones[key] = version
+		if _, ok := c.versions[key]; !ok {
 			return
 		}
-		delete(c.stamps, key)
+		delete(c.versions, key)
 	} else {
-		delete(c.tombs, key)
-		c.stamps[key] = stamp
+		delete(c.tombstones, key)
+		c.versions[key] = version
 	}
-	c.listen(key, data, stamp)
+	c.listen(key, data, version)
 }
 
 type change struct {
-	Write string          `json:"write"`
-	Drop  string          `json:"drop"`
-	Data  json.RawMessage `json:"data"`
-	Stamp uint64          `json:"stamp"`
+	Write   string          `json:"write"`
+	Drop    string          `json:"drop"`
+	Data    json.RawMessage `json:"data"`
+	Version uint64          `json:"stamp"`
 }
 
 // follow handles a /follow answer; it tells whether the replica is current as
 // of that answer.
-func (c *Client) follow(sent step.Time, now step.Time, status int, body []byte) bool {
+func (c *Client) follow(sent event.Time, now event.Time, status int, body []byte) bool {
 	if status == 410 {
 		// Too far behind: read everything again.
 		c.synced, c.loadNext = false, now
 		return false
 	}
 	var v struct {
-		Epoch uint64   `json:"epoch"`
-		Log   []change `json:"log"`
+		Revision uint64   `json:"epoch"`
+		Log      []change `json:"log"`
 	}
 	if status != 200 || json.Unmarshal(body, &v) != nil {
 		return false
@@ -414,28 +414,28 @@
 	c.fresh = max(c.fresh, sent)
 	for _, ch := range v.Log {
 		if ch.Drop != "" {
-			c.change(ch.Drop, nil, ch.Stamp)
+			c.change(ch.Drop, nil, ch.Version)
 		} else if ch.Write != "" {
-			c.change(ch.Write, ch.Data, ch.Stamp)
+			c.change(ch.Write, ch.Data, ch.Version)
 		}
 	}
-	if v.Epoch > c.epoch {
-		c.epoch = v.Epoch
-		for k, s := range c.tombs {
-			if s <= c.epoch {
-				delete(c.tombs, k)
+	if v.Revision > c.revision {
+		c.revision = v.Revision
+		for k, s := range c.tombstones {
+			if s <= c.revision {
+				delete(c.tombstones, k)
 			}
 		}
 	}
 	return true
 }
 
-func (c *Client) watch(now step.Time, out *step.Out) {
+func (c *Client) watch(now event.Time, out *event.Effects) {
 	c.watchOpen = true
 	sent := now
 	c.watchNext = now + c.watchEvery
-	path := fmt.Sprintf("/follow?starts=&from=%d&wait_ms=%d", c.epoch, watchWait.Milliseconds())
-	c.call("GET", path, nil, watchWait+watchSlack, now, out, func(now step.Time, status int, body []byte, out *step.Out) {
+	path := fmt.Sprintf("/follow?starts=&from=%d&wait_ms=%d", c.revision, watchWait.Milliseconds())
+	c.call("GET", path, nil, watchWait+watchSlack, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		c.watchOpen = false
 		if !c.follow(sent, now, status, body) {
 			c.watchNext = max(c.watchNext, now+refusedPause)
@@ -444,7 +444,7 @@
 	})
 }
 
-func (c *Client) failBarriers(now step.Time, out *step.Out) {
+func (c *Client) failBarriers(now event.Time, out *event.Effects) {
 	list := c.barriers
 	c.barriers = nil
 	for _, f := range list {
@@ -452,14 +452,14 @@
 	}
 }
 
-func (c *Client) sendBarrier(now step.Time, out *step.Out) {
+func (c *Client) sendBarrier(now event.Time, out *event.Effects) {
 	if c.barrierOpen || (len(c.barriers) == 0 && now-c.fresh < c.limits.StaleAfter) || now < c.barrierNext || !c.requests.has(now, 1) {
 		return
 	}
 	list, sent := c.barriers, now
 	c.barriers, c.barrierOpen, c.barrierNext = nil, true, now+c.barrierEvery
-	path := fmt.Sprintf("/follow?starts=&from=%d&wait_ms=0", c.epoch)
-	c.call("GET", path, nil, callTimeout, now, out, func(now step.Time, status int, body []byte, out *step.Out) {
+	path := fmt.Sprintf("/follow?starts=&from=%d&wait_ms=0", c.revision)
+	c.call("GET", path, nil, callTimeout, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		c.barrierOpen = false
 		ok := c.follow(sent, now, status, body)
 		if !ok {
@@ -473,7 +473,7 @@
 }
 
 // flush packs waiting intents into transactions, most urgent first.
-func (c *Client) flush(now step.Time, out *step.Out) {
+func (c *Client) flush(now event.Time, out *event.Effects) {
 	for c.inflight < maxInFlight && now >= c.pauseTo {
 		batch, ops := c.pick(now)
 		if len(batch) == 0 {
@@ -487,14 +487,14 @@
 // our part of the rates, which is owed afterwards: where many nodes share a
 // small rate, a part may be less than the two writes that a term takes, and
 // nobody would ever lead.
-func (c *Client) pick(now step.Time) (batch []*Intent, ops int) {
+func (c *Client) pick(now event.Time) (batch []*Intent, ops int) {
 	size, conds := 0, 0
 	taken := map[string]bool{}
 	requests, writes := c.requests.has(now, 1), c.writes.whole(now)
 	for p := range c.queue {
-		room := c.limits.TxnOps
+		capacity := c.limits.TxnOps
 		if Priority(p) > Cancel {
-			room = min(room, writes)
+			capacity = min(capacity, writes)
 			if !requests {
 				break
 			}
@@ -503,8 +503,8 @@
 		kept := list[:0]
 		full := false
 		for _, in := range list {
-			room := max(room, c.lend(in, ops))
-			if full || ops+in.ops() > room || (in.tries > 1 && len(batch) > 0) {
+			capacity := max(capacity, c.lend(in, ops))
+			if full || ops+in.ops() > capacity || (in.attempts > 1 && len(batch) > 0) {
 				full = true
 				kept = append(kept, in)
 				continue
@@ -517,16 +517,16 @@
 				in.Done(Result{Outcome: Refused, Now: now})
 				continue
 			}
-			room = max(room, c.lend(in, ops))
+			capacity = max(capacity, c.lend(in, ops))
 			bytes := 0
 			clash := false
 			for _, w := range in.Writes {
 				bytes += len(w.Key) + len(w.Data) + 60
 				clash = clash || c.busyKeys[w.Key] || taken[w.Key]
 			}
-			bytes += 120 * len(in.Conds)
+			bytes += 120 * len(in.Conditions)
 			// What failed in company goes alone the next time.
-			if clash || ops+len(in.Writes) > room || size+bytes > maxTxn || conds+len(in.Conds) > 4*c.limits.TxnOps {
+			if clash || ops+len(in.Writes) > capacity || size+bytes > maxTxn || conds+len(in.Conditions) > 4*c.limits.TxnOps {
 				// Order within a priority is kept: a large intent is not
 				// starved by small ones behind it.
 				full = full || !clash
@@ -537,10 +537,10 @@
 				taken[w.Key] = true
 			}
 			ops += len(in.Writes)
-			conds += len(in.Conds)
+			conds += len(in.Conditions)
 			size += bytes
 			batch = append(batch, in)
-			full = full || in.tries > 1
+			full = full || in.attempts > 1
 		}
 		c.queue[p] = kept
 		if full && len(batch) > 0 {
@@ -550,7 +550,7 @@
 	return batch, ops
 }
 
-// lend is the room for an intent that has more writes than our part of the rate
+// lend is the capacity for an intent that has more writes than our part of the rate
 // ever holds: once the part is full and nothing goes before it, it borrows.
 func (c *Client) lend(in *Intent, before int) int {
 	if n := in.ops(); before == 0 && n <= c.limits.TxnOps && n > int(c.writes.most()) && c.writes.level >= c.writes.most() {
@@ -559,30 +559,30 @@
 	return 0
 }
 
-type wireCond struct {
-	Key   string `json:"key"`
-	Stamp uint64 `json:"stamp"`
+type wireCondition struct {
+	Key     string `json:"key"`
+	Version uint64 `json:"stamp"`
 }
 
 type wireWrite struct {
-	Write  string          `json:"write,omitempty"`
-	Drop   string          `json:"drop,omitempty"`
-	Data   json.RawMessage `json:"data,omitempty"`
-	Tether uint64          `json:"tether,omitempty"`
+	Write   string          `json:"write,omitempty"`
+	Drop    string          `json:"drop,omitempty"`
+	Data    json.RawMessage `json:"data,omitempty"`
+	LeaseID uint64          `json:"tether,omitempty"`
 }
 
-func (c *Client) send(batch []*Intent, ops int, now step.Time, out *step.Out) {
+func (c *Client) send(batch []*Intent, ops int, now event.Time, out *event.Effects) {
 	var txn struct {
-		If   []wireCond  `json:"if"`
-		Then []wireWrite `json:"then"`
+		If   []wireCondition `json:"if"`
+		Then []wireWrite     `json:"then"`
 	}
-	seen := map[Cond]bool{}
+	seen := map[Condition]bool{}
 	for _, in := range batch {
-		in.tries++
-		for _, cond := range in.Conds {
+		in.attempts++
+		for _, cond := range in.Conditions {
 			if !seen[cond] {
 				seen[cond] = true
-				txn.If = append(txn.If, wireCond(cond))
+				txn.If = append(txn.If, wireCondition(cond))
 			}
 		}
 		for _, w := range in.Writes {
@@ -590,7 +590,7 @@
 			if w.Data == nil {
 				txn.Then = append(txn.Then, wireWrite{Drop: w.Key})
 			} else {
-				txn.Then = append(txn.Then, wireWrite{Write: w.Key, Data: w.Data, Tether: w.Tether})
+				txn.Then = append(txn.Then, wireWrite{Write: w.Key, Data: w.Data, LeaseID: w.LeaseID})
 			}
 		}
 	}
@@ -601,7 +601,7 @@
 	c.writes.take(now, float64(ops))
 	c.written.add(now, float64(ops))
 	c.inflight++
-	c.call("POST", "/commit", body, callTimeout, now, out, func(now step.Time, status int, body []byte, out *step.Out) {
+	c.call("POST", "/commit", body, callTimeout, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
 		c.inflight--
 		for _, in := range batch {
 			for _, w := range in.Writes {
@@ -613,10 +613,10 @@
 	})
 }
 
-func (c *Client) committed(batch []*Intent, now step.Time, status int, body []byte, out *step.Out) {
+func (c *Client) committed(batch []*Intent, now event.Time, status int, body []byte, out *event.Effects) {
 	var v struct {
-		Epoch  uint64   `json:"epoch"`
-		Failed []string `json:"failed"`
+		Revision uint64   `json:"epoch"`
+		Failed   []string `json:"failed"`
 	}
 	if status == 200 || status == 409 {
 		if json.Unmarshal(body, &v) != nil {
@@ -627,11 +627,11 @@
 	case 200:
 		for _, in := range batch {
 			for _, w := range in.Writes {
-				c.change(w.Key, w.Data, v.Epoch)
+				c.change(w.Key, w.Data, v.Revision)
 			}
 		}
 		for _, in := range batch {
-			in.Done(Result{Outcome: OK, Epoch: v.Epoch, Now: now, Out: out})
+			in.Done(Result{Outcome: OK, Revision: v.Revision, Now: now, Out: out})
 		}
 	case 409:
 		// One failing condition must not fail its neighbours for good.
@@ -642,7 +642,7 @@
 		var again []*Intent
 		for _, in := range batch {
 			bad := false
-			for _, cond := range in.Conds {
+			for _, cond := range in.Conditions {
 				bad = bad || failed[cond.Key]
 			}
 			if bad || len(batch) == 1 {
@@ -658,7 +658,7 @@
 	case 400:
 		if len(batch) > 1 {
 			for _, in := range batch {
-				in.tries = max(in.tries, 2)
+				in.attempts = max(in.attempts, 2)
 			}
 			c.requeue(batch)
 			return
@@ -695,24 +695,24 @@
 // bucket is a token bucket with one second's burst.
 type bucket struct {
 	rate, level float64
-	at          step.Time
+	at          event.Time
 }
 
 func newBucket(rate float64) bucket { return bucket{rate: rate, level: rate} }
 
-func (b *bucket) fill(now step.Time) {
+func (b *bucket) fill(now event.Time) {
 	if now > b.at {
 		b.level = math.Min(b.most(), b.level+b.rate*(now-b.at).Seconds())
 		b.at = now
 	}
 }
 
-func (b *bucket) has(now step.Time, n float64) bool {
+func (b *bucket) has(now event.Time, n float64) bool {
 	b.fill(now)
 	return b.level >= n
 }
 
-func (b *bucket) whole(now step.Time) int {
+func (b *bucket) whole(now event.Time) int {
 	b.fill(now)
 	return int(math.Max(b.level, 0))
 }
@@ -720,7 +720,7 @@
 // most is what the bucket holds when it is full.
 func (b *bucket) most() float64 { return math.Max(b.rate, 1) }
 
-func (b *bucket) take(now step.Time, n float64) {
+func (b *bucket) take(now event.Time, n float64) {
 	b.fill(now)
 	b.level -= n
 }
