--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -36,7 +36,7 @@
 	maxCancelRetries = 6
 )
 
-// Intake is the slice.
+// Server answers the requests of users.
 type Server struct {
 	cfg          Config
 	names        *pipeline.Names
@@ -275,7 +275,7 @@
 	return s, s.parseAwaits()
 }
 
-// awaits reads the list of upstream jobs, each once.
+// parseAwaits reads the list of upstream jobs, each once.
 func (s *submission) parseAwaits() error {
 	if len(s.Awaits) == 0 {
 		return nil
--- a/internal/api/attempt.go
+++ b/internal/api/attempt.go
@@ -14,7 +14,7 @@
 // is long told to come back, and what is there is left to be cleaned up.
 const submissionTimeout = 20 * time.Second
 
-// attempt is a submission whose list of upstream jobs takes several values.
+// pendingSubmission is a submission whose list of upstream jobs takes several values.
 // Part 0 stands for it: whatever follows, and last the job's record, requires
 // part 0 to have the attempt's version. So a late write or a rival's fails, and
 // only the last write makes the job accepted.
@@ -108,7 +108,7 @@
 	})
 }
 
-// give ends an attempt whose write was not executed.
+// abandon ends an attempt whose write was not executed.
 func (in *Server) abandon(a *pendingSubmission, r store.Result) {
 	delete(in.pending, a.id)
 	if !a.answered {
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -74,7 +74,7 @@
 	spot              bool
 }
 
-// booting is a provisioned machine that has not reported yet.
+// bootingMachine is a provisioned machine that has not reported yet.
 type bootingMachine struct {
 	offer
 	since event.Time
@@ -83,7 +83,7 @@
 	ours  bool       // provisioned in this term
 }
 
-// Rental is the slice.
+// Autoscaler provisions and releases the machines of the cloud.
 type Autoscaler struct {
 	cfg          Config
 	names        *pipeline.Names
@@ -153,7 +153,7 @@
 	}
 }
 
-// Unheard tells whether a machine is up by the list that does not report to us.
+// HasSilentMachines tells whether a machine is up by the list that does not report to us.
 func (r *Autoscaler) HasSilentMachines() bool {
 	for _, b := range r.booting {
 		if b.up {
@@ -163,7 +163,7 @@
 	return false
 }
 
-// Returned tells whether the cloud has taken a machine back from us: a report
+// Released tells whether the cloud has taken a machine back from us: a report
 // of it that comes now was written before.
 func (r *Autoscaler) Released(machine string) bool {
 	_, ok := r.released[machine]
@@ -752,7 +752,7 @@
 	return f.Price
 }
 
-// cheapest finds the offer at which the tasks cost least per hour.
+// cheapestOffer finds the offer at which the tasks cost least per hour.
 func (r *Autoscaler) cheapestOffer(j *pipeline.Job, left int, inZone map[int]int, only int, need map[offer]int, now event.Time) (best offer, per int, ok bool) {
 	least := math.Inf(1)
 	for _, f := range r.MachineTypes {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -71,7 +71,7 @@
 	heartbeat peer.Frame
 }
 
-// caller is where an answer to a report goes: to a connection of ours, or
+// replyTo is where an answer to a report goes: to a connection of ours, or
 // through the peer that passed the report on.
 type replyTo struct {
 	conn  uint64
@@ -79,7 +79,7 @@
 	relay uint64 // 0: it is a connection of ours
 }
 
-// passage is what a node that does not lead remembers of a worker.
+// workerRoute is what a node that does not lead remembers of a worker.
 type workerRoute struct {
 	token    uint64     // of the leader it was sent to
 	sent     event.Time // when
@@ -238,7 +238,7 @@
 	n.answer(now, out)
 }
 
-// settle notices the begin and the end of our term.
+// updateLeadership notices the begin and the end of our term.
 func (n *Node) updateLeadership(now event.Time, out *event.Effects) {
 	if n.election.Acquired() {
 		n.leading = true
@@ -265,7 +265,7 @@
 	}
 }
 
-// patience is until when a leader waits for a worker's report. If it gave a
+// reportDeadline is until when a leader waits for a worker's report. If it gave a
 // term up for that before and no worker has come to it since, none may be left,
 // and terms given up one after the other would keep the proof that the tasks of
 // silent machines have terminated from ever being reached: it stays until then.
@@ -288,7 +288,7 @@
 
 func (n *Node) alive(p *peerState) bool { return n.heartbeatAt-p.lastHeard < heartbeatTimeout }
 
-// act is the leader's work.
+// actAsLeader is the leader's work.
 func (n *Node) actAsLeader(now event.Time, out *event.Effects) {
 	if now-n.workersAt >= workersInterval {
 		n.workersAt = now
@@ -404,7 +404,7 @@
 	}
 }
 
-// mark writes the ready marks of held jobs and the cancelled marks of jobs
+// markJobs writes the ready marks of held jobs and the cancelled marks of jobs
 // below a cancelled one, of those that we own and as leader of those whose owner
 // can't. Each write requires the record as it was, so two owners do no harm.
 func (n *Node) markJobs(now event.Time) {
@@ -536,7 +536,7 @@
 	}
 }
 
-// health: a node that alone is refused by the state service, or that hears
+// handleHealth: a node that alone is refused by the state service, or that hears
 // nobody any more, sends users to the others; in an outage that all share,
 // staying healthy lets the service resume at once.
 func (n *Node) handleHealth(now event.Time, r event.Request, out *event.Effects) {
@@ -560,7 +560,7 @@
 	}
 }
 
-// hello takes a worker's report.
+// handleReport takes a worker's report.
 func (n *Node) handleReport(now event.Time, r event.Request, out *event.Effects) {
 	n.work.Reports++
 	rep, err := n.parser.Parse(r.Body)
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -53,7 +53,7 @@
 	proofMargin     = 2 * time.Second
 )
 
-// Lead is one controller's view of the term.
+// Election is one controller's view of the term.
 type Election struct {
 	cfg   Config
 	store *store.Client
@@ -116,12 +116,12 @@
 // FencingToken is the number of our term.
 func (l *Election) FencingToken() uint64 { return l.token }
 
-// Cond is the condition that every write of a leader carries.
+// Condition is the condition that every write of a leader carries.
 func (l *Election) Condition() store.Condition {
 	return store.Condition{Key: TermKey, Version: l.termVersion}
 }
 
-// Entitled tells whether the lease is surely alive: starts may be ordered.
+// MayStart tells whether the lease is surely alive: starts may be ordered.
 func (l *Election) MayStart(now event.Time) bool { return l.caughtUp() && now < l.validUntil }
 
 // caughtUp tells whether we hold a term and the replica shows everything up to
@@ -139,7 +139,7 @@
 	return l.caughtUp() && l.termLasts(now)
 }
 
-// lasts tells whether our term, or its grace, goes on.
+// termLasts tells whether our term, or its grace, goes on.
 func (l *Election) termLasts(now event.Time) bool {
 	if now >= l.store.Fresh()+l.cfg.Grace {
 		return false
@@ -155,13 +155,13 @@
 	return max(lastAnswer, before) + l.WorkerLease() + proofMargin
 }
 
-// Lease is a worker's lease, with the drift of its clock.
+// WorkerLease is a worker's lease, with the drift of its clock.
 func (l *Election) WorkerLease() time.Duration { return l.cfg.WorkerLease + l.cfg.WorkerLease/1000 }
 
 // ObserveToken notes a fencing token shown by a worker or another controller.
 func (l *Election) ObserveToken(f uint64) { l.highest = max(l.highest, f) }
 
-// Yield gives the term up for others to take.
+// Resign gives the term up for others to take.
 func (l *Election) Resign(now event.Time, out *event.Effects, why string) {
 	if !l.Holds() {
 		return
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -49,7 +49,7 @@
 	Data []byte
 }
 
-// Out collects the effects of one step.
+// Effects collects the effects of one step.
 type Effects struct {
 	Replies []Reply
 	Calls   []Call
--- a/internal/pipeline/graph.go
+++ b/internal/pipeline/graph.go
@@ -155,7 +155,7 @@
 	delete(t.graph.releasable, j)
 }
 
-// spare drops a job from those that still have to be marked: it has its mark,
+// unmarkUpstreamCancelled drops a job from those that still have to be marked: it has its mark,
 // or its record is gone.
 func (t *Table) unmarkUpstreamCancelled(j *Job) {
 	j.upstreamCancelled = false
@@ -177,7 +177,7 @@
 	}
 }
 
-// doom judges jobs, and once each all that need them, by a cancelled ancestor.
+// cancelDownstream judges jobs, and once each all that need them, by a cancelled ancestor.
 func (t *Table) cancelDownstream(stack ...*Job) {
 	begin := len(t.graph.queue)
 	for len(stack) > 0 {
@@ -198,7 +198,7 @@
 	slices.SortFunc(t.graph.queue[begin:], older)
 }
 
-// Held returns the held jobs that wait for nothing any more, the most important
+// Releasable returns the held jobs that wait for nothing any more, the most important
 // first, in the order of their records.
 func (t *Table) Releasable() []*Job {
 	t.inherit()
@@ -300,7 +300,7 @@
 	}
 }
 
-// heir raises a job's effective values by those of one that needs it.
+// inheritFrom raises a job's effective values by those of one that needs it.
 func (j *Job) inheritFrom(d *Job) bool {
 	priority, deadline := max(j.EffectivePriority, d.EffectivePriority), j.EffectiveDeadline
 	if d.EffectiveDeadline != NoDeadline {
@@ -478,7 +478,7 @@
 	}
 }
 
-// Attempt returns the version of the attempt to submit a job that part 0 of its
+// SubmissionAttempt returns the version of the attempt to submit a job that part 0 of its
 // list stands for, and for how long it has shown; 0: there is none.
 func (t *Table) SubmissionAttempt(id string, now time.Duration) (version uint64, shown time.Duration) {
 	p := t.graph.parts[id]
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -16,7 +16,7 @@
 	Daemon
 )
 
-// Rank orders jobs; a higher priority is more important.
+// Priority orders jobs; a higher priority is more important.
 type Priority uint8
 
 // The priorities.
@@ -71,7 +71,7 @@
 	return false
 }
 
-// Whole tells whether all tasks count together against the team's limit.
+// CountsAsWhole tells whether all tasks count together against the team's limit.
 func (s *Spec) CountsAsWhole() bool { return s.Shape != Array }
 
 // Names are the tables that map names to the indices used everywhere else.
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// Touch notes that something about the entries of a machine has changed.
+// MarkMachineChanged notes that something about the entries of a machine has changed.
 func (t *Table) MarkMachineChanged(machine int) {
 	for len(t.changes) <= machine {
 		t.changes = append(t.changes, 0)
@@ -441,7 +441,7 @@
 	}
 }
 
-// PendingDone records that a task has completed, whichever attempt it was.
+// MarkDone records that a task has completed, whichever attempt it was.
 func (t *Table) MarkDone(j *Job, task int) {
 	if task < 0 || task >= j.TaskCount || j.IsDone(task) || j.Final != Queued {
 		return
@@ -465,7 +465,7 @@
 	}
 }
 
-// Forget drops everything that only a leader knows.
+// Reset drops everything that only a leader knows.
 func (t *Table) Reset() {
 	for _, j := range t.Jobs {
 		if j == nil {
@@ -504,8 +504,10 @@
 	t.Changed = true
 }
 
-// JobKeyOf and FinalKeyOf name a job's keys.
-func JobKeyOf(id string) string   { return JobKey + "/" + id }
+// JobKeyOf is the key of a job's record.
+func JobKeyOf(id string) string { return JobKey + "/" + id }
+
+// FinalKeyOf is the key of a job's final mark.
 func FinalKeyOf(id string) string { return FinalKey + "/" + id }
 
 func runKey(id string, c int) string { return RunKey + "/" + id + "/" + strconv.Itoa(c) }
@@ -782,7 +784,7 @@
 	return n
 }
 
-// Unfold has compact records written plain that fit so again, as they do once
+// ExpandRecords has compact records written plain that fit so again, as they do once
 // the limit is the larger one: before the service can go back to a version that
 // does not read them. At most limit at a time.
 func (t *Table) ExpandRecords(limit int) {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -73,7 +73,7 @@
 	return left
 }
 
-// future is the capacity with what is leaving already gone.
+// afterPreemption is the capacity with what is leaving already gone.
 func (r *Capacity) afterPreemption() Capacity {
 	f := *r
 	for _, e := range r.Preempting {
@@ -82,14 +82,14 @@
 	return f
 }
 
-// leave notes that a team gives up what a task uses.
+// notePreempted notes that a team gives up what a task uses.
 func (p *Scheduler) notePreempted(e *pipeline.Entry) {
 	u := p.preempting[e.Job.Team]
 	u.Add(&e.Job.Spec, 1)
 	p.preempting[e.Job.Team] = u
 }
 
-// outranks tells whether a job may stop a running task.
+// mayPreempt tells whether a job may stop a running task.
 func (p *Scheduler) mayPreempt(j *pipeline.Job, e *pipeline.Entry) bool {
 	o := e.Job
 	if j.EffectivePriority > o.EffectivePriority {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -36,7 +36,7 @@
 	return f[i]
 }
 
-// Allowed tells whether a type can hold a task of the job at all.
+// Allows tells whether a type can hold a task of the job at all.
 func Allows(s *pipeline.Spec, f *MachineType) bool {
 	if f == nil || !s.Allows(f.Index) || s.CPUs > f.CPUs || s.GPUs > f.GPUs || s.Memory > f.Memory {
 		return false
@@ -83,13 +83,13 @@
 	return max(n, 0)
 }
 
-// holds tells whether a task would fit if nothing else were there.
+// fitsEmpty tells whether a task would fit if nothing else were there.
 func (r *Capacity) fitsEmpty(s *pipeline.Spec) bool {
 	f := r.MachineType
 	return s.CPUs <= f.CPUs+tolerance && s.GPUs <= f.GPUs+tolerance && s.Memory <= f.Memory+tolerance
 }
 
-// Take uses capacity for n tasks.
+// Allocate uses capacity for n tasks.
 func (r *Capacity) Allocate(s *pipeline.Spec, n int) {
 	k := float64(n)
 	r.CPUs -= k * s.CPUs
@@ -98,7 +98,7 @@
 	r.Busy = true
 }
 
-// Suits tells whether the machine is of a kind, type and zone that the job
+// Matches tells whether the machine is of a kind, type and zone that the job
 // allows.
 func (r *Capacity) Matches(s *pipeline.Spec) bool {
 	return r.MachineType != nil && s.Allows(r.MachineType.Index) && (s.Zone < 0 || s.Zone == r.Zone) && (s.AllowSpot || !r.Spot)
@@ -112,13 +112,13 @@
 	gpuReserveTime = time.Minute
 )
 
-// Suits tells whether the job is to use the machine: GPUs do not lie idle under
+// Matches tells whether the job is to use the machine: GPUs do not lie idle under
 // it while jobs that need them have waited for long.
 func (p *Scheduler) Matches(j *pipeline.Job, r *Capacity, now event.Time) bool {
 	return r.Matches(&j.Spec) && (!p.gpusWanted || j.GPUs > 0 || r.MachineType.GPUs == 0 || int64(now)-j.ReadySince > int64(gpuReserveTime) || !p.hasCPUOnlyType(j))
 }
 
-// plain tells whether there is a type without GPUs for the job.
+// hasCPUOnlyType tells whether there is a type without GPUs for the job.
 func (p *Scheduler) hasCPUOnlyType(j *pipeline.Job) bool {
 	return slices.ContainsFunc(*p.MachineTypes, func(f *MachineType) bool { return f != nil && f.GPUs == 0 && Allows(&j.Spec, f) })
 }
@@ -130,7 +130,7 @@
 	})
 }
 
-// Placer makes the rounds.
+// Scheduler makes the rounds.
 type Scheduler struct {
 	Jobs           *pipeline.Table
 	Workers        *worker.Registry
@@ -179,7 +179,7 @@
 	return r
 }
 
-// machine capacities lists what is left of the machines that are up.
+// Capacities capacities lists what is left of the machines that are up.
 func (p *Scheduler) Capacities(now event.Time) []*Capacity {
 	all := make([]Capacity, 0, len(p.Workers.Machines))
 	for _, h := range p.Workers.Machines {
@@ -236,7 +236,7 @@
 	})
 }
 
-// Advance frees capacity of what ends within so many seconds.
+// ReleaseEnding frees capacity of what ends within so many seconds.
 func (r *Capacity) ReleaseEnding(within float64) {
 	for len(r.endings) > 0 && r.endings[0].at <= within {
 		r.release(&r.endings[0].e.Job.Spec)
@@ -244,7 +244,7 @@
 	}
 }
 
-// give takes a task's use of the capacity back.
+// release takes a task's use of the capacity back.
 func (r *Capacity) release(s *pipeline.Spec) {
 	r.CPUs += s.CPUs
 	r.GPUs += s.GPUs
@@ -304,7 +304,7 @@
 // Reserved is how many tasks got a reservation in the last round.
 func (p *Scheduler) Reserved() int { return p.reserved }
 
-// hold gives capacity that is not free yet to a task that waits for it.
+// reserveTask gives capacity that is not free yet to a task that waits for it.
 func (p *Scheduler) reserveTask(j *pipeline.Job, r *Capacity, now event.Time) {
 	r.Allocate(&j.Spec, 1)
 	p.commitQuota(j)
@@ -312,7 +312,7 @@
 	p.reservations = append(p.reservations, reservation{j, r.Machine})
 }
 
-// promise notes that a team is to get what a task of the job takes.
+// commitQuota notes that a team is to get what a task of the job takes.
 func (p *Scheduler) commitQuota(j *pipeline.Job) {
 	u := p.committed[j.Team]
 	u.Add(&j.Spec, 1)
@@ -360,7 +360,7 @@
 	riskMargin = 20 * time.Second
 )
 
-// pressed tells whether a job of a chain has little more time left than it and
+// deadlineAtRisk tells whether a job of a chain has little more time left than it and
 // its longest path to the deadline are expected to take: it goes before others
 // of its standing.
 func deadlineAtRisk(j *pipeline.Job, now event.Time) bool {
@@ -370,7 +370,7 @@
 	return j.EffectiveDeadline-int64(now) < int64(riskMargin)+int64(riskFactor*j.EstimatedRuntime*1e9)
 }
 
-// standing finds the jobs that are within their team's guarantee: those that
+// updateGuarantees finds the jobs that are within their team's guarantee: those that
 // fit there together with the team's unfinished jobs from before. A job must
 // use something that is guaranteed; what is not guaranteed does not count.
 func (p *Scheduler) updateGuarantees(all []*pipeline.Job) {
@@ -485,7 +485,7 @@
 	}
 }
 
-// put places n open tasks of a job on a machine.
+// placeTasks places n open tasks of a job on a machine.
 func (p *Scheduler) placeTasks(j *pipeline.Job, r *Capacity, n int, attempt uint64, now event.Time) {
 	r.Allocate(&j.Spec, n)
 	for task := 0; n > 0; task++ {
--- a/internal/simtest/hang.go
+++ b/internal/simtest/hang.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// stillness is what a machine's hangs have done to it. While it hangs nothing
+// hangState is what a machine's hangs have done to it. While it hangs nothing
 // on it executes, but its lease runs on: if it goes on later than that, it kills
 // its tasks before anything else.
 type hangState struct {
@@ -94,7 +94,7 @@
 	return k.w.now-k.leaseFrom > seconds(k.w.cfg.Settings.Workers.LeaseS)
 }
 
-// upstream-cancelled tells whether the tasks are certain not to go on: the machine hangs
+// certainlyLost tells whether the tasks are certain not to go on: the machine hangs
 // and has outlived its lease.
 func (k *worker) certainlyLost() bool { return k.hung && k.leaseOver() }
 
--- a/internal/simtest/scenario_test.go
+++ b/internal/simtest/scenario_test.go
@@ -175,7 +175,7 @@
 	}
 }
 
-// calm ends all faults.
+// endFaults ends all faults.
 func (w *World) endFaults() {
 	w.Run(max(seconds(25), w.troubleTo-w.now))
 	w.loss, w.late, w.cloud.never, w.cloud.down, w.copies = 0, 0, 0, false, 0
--- a/internal/simtest/script.go
+++ b/internal/simtest/script.go
@@ -91,7 +91,7 @@
 	return status, answer
 }
 
-// door is the controller that the next request of a user goes to.
+// entryNode is the controller that the next request of a user goes to.
 func (w *World) entryNode() *node {
 	if w.users != nil {
 		return w.users
--- a/internal/simtest/troubles.go
+++ b/internal/simtest/troubles.go
@@ -210,7 +210,7 @@
 	})
 }
 
-// oddly lets users ask odd things until it is over.
+// sendInvalidRequests lets users ask odd things until it is over.
 func (w *World) sendInvalidRequests() {
 	if !w.invalidRequests {
 		return
@@ -250,7 +250,7 @@
 	return fmt.Sprintf("req-9%06d", w.invalidIDs)
 }
 
-// unknown asks about and cancels a job that nobody submitted.
+// askUnknown asks about and cancels a job that nobody submitted.
 func (w *World) askUnknown() {
 	id := w.invalidID()
 	for _, r := range [][2]string{{"GET", ""}, {"POST", "/cancel"}} {
@@ -262,7 +262,7 @@
 	}
 }
 
-// unfit submits a job that no machine or no limit fits.
+// submitImpossible submits a job that no machine or no limit fits.
 func (w *World) submitImpossible() {
 	a := Args{"id": w.invalidID()}
 	switch w.rng.IntN(4) {
@@ -278,7 +278,7 @@
 	w.refuse(a["id"], w.Body(a), 422)
 }
 
-// lacking submits a job without one of its fields.
+// submitIncomplete submits a job without one of its fields.
 func (w *World) submitIncomplete() {
 	a := Args{"id": w.invalidID()}
 	var o map[string]any
--- a/internal/simtest/waiting.go
+++ b/internal/simtest/waiting.go
@@ -64,7 +64,7 @@
 // free and is taken again within that time is a queue that moves.
 const capacityWindow = 5 * time.Second
 
-// machine capacities lists what has been free for a while on each machine that everybody
+// capacities lists what has been free for a while on each machine that everybody
 // reaches.
 func (c *Checker) capacities() []capacity {
 	const moments = int(capacityWindow / watchEvery)
--- a/internal/simtest/world.go
+++ b/internal/simtest/world.go
@@ -158,7 +158,7 @@
 	w.after(time.Millisecond+time.Duration(w.rng.Int64N(int64(4*time.Millisecond))), do)
 }
 
-// Deafen lets a machine be heard while nothing reaches it, or ends that.
+// BlockInbound lets a machine be heard while nothing reaches it, or ends that.
 func (w *World) BlockInbound(k *worker, on bool) {
 	for _, n := range w.nodes {
 		w.lost[[2]string{n.name, k.name}] = on
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -36,7 +36,7 @@
 	LeaseID uint64
 }
 
-// Cond requires that a key has a version (0: does not exist).
+// Condition requires that a key has a version (0: does not exist).
 type Condition struct {
 	Key     string
 	Version uint64
@@ -46,15 +46,15 @@
 type Outcome uint8
 
 const (
-	// OK: executed.
+	// OK means that the writes were executed.
 	OK Outcome = iota
-	// Conflict: a condition of this intent did not hold; not executed.
+	// Conflict means that a condition of this intent did not hold: nothing was executed.
 	Conflict
-	// Refused: not executed.
+	// Refused means that nothing was executed.
 	Refused
-	// Unknown: no response; it may have been executed or may yet be. All our
-	// writes carry the versions they build on, so a late one either fails or
-	// arrives as an ordinary change.
+	// Unknown means that no response came: the writes may have been executed or
+	// may yet be. All our writes carry the versions they build on, so a late one
+	// either fails or arrives as an ordinary change.
 	Unknown
 )
 
@@ -178,13 +178,13 @@
 // answer got lost would else leave it stale for long with nobody noticing.
 func (c *Client) Fresh() event.Time { return c.fresh }
 
-// Epoch is the change up to which the replica is complete.
+// Revision is the change up to which the replica is complete.
 func (c *Client) Revision() uint64 { return c.revision }
 
 // Outage tells whether the service failed to answer lately.
 func (c *Client) Outage() bool { return c.outage }
 
-// Stamp returns the version of a key in the replica, 0 if absent.
+// Version returns the version of a key in the replica, 0 if absent.
 func (c *Client) Version(key string) uint64 { return c.versions[key] }
 
 // SetShare changes this node's part of the rates. Watches and barriers are
--- a/internal/worker/report.go
+++ b/internal/worker/report.go
@@ -21,7 +21,7 @@
 	Tasks        []TaskReport `json:"shards"`
 }
 
-// Shard is one task in a report.
+// TaskReport is one task in a report.
 type TaskReport struct {
 	Task    string `json:"shard"`
 	Attempt uint64 `json:"try"`
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -25,7 +25,7 @@
 	WorkerLease() time.Duration
 }
 
-// Host is a machine.
+// Machine is a machine.
 type Machine struct {
 	Index       int
 	Name        string
@@ -63,7 +63,7 @@
 	lastAnnouncement  event.Time
 }
 
-// Fleet is the table of machines.
+// Registry is the table of machines.
 type Registry struct {
 	Names        *pipeline.Names
 	Jobs         *pipeline.Table
@@ -83,7 +83,7 @@
 	return &Registry{Names: n, Jobs: t, log: log, calls: map[uint64]*Machine{}, toStop: map[int]bool{}, runtimeRatio: map[int]float64{}}
 }
 
-// Host returns a machine by name, adding it when new.
+// Machine returns a machine by name, adding it when new.
 func (f *Registry) Machine(name string, now event.Time) *Machine {
 	i := f.Names.Machines.Index(name)
 	for len(f.Machines) <= i {
@@ -103,7 +103,7 @@
 	return f.Machines[i]
 }
 
-// Forget drops what only a leader knows.
+// Reset drops what only a leader knows.
 func (f *Registry) Reset() {
 	f.Machines = nil
 	clear(f.toStop)
@@ -152,7 +152,7 @@
 var phases = map[string]pipeline.TaskPhase{"pulling": pipeline.Pulling, "waiting": pipeline.Waiting,
 	"running": pipeline.RunningTask, "saving": pipeline.Saving, "exited": pipeline.Exited}
 
-// Take takes a report in. ok is false for a report that is older than one we
+// TakeReport takes a report in. ok is false for a report that is older than one we
 // have seen.
 func (f *Registry) TakeReport(r *Report, now event.Time, term Term) (ok bool) {
 	h := f.Machine(r.Machine, now)
@@ -183,7 +183,7 @@
 	return true
 }
 
-// hears finds out whether our answers reach a machine: being heard from is not
+// checkReachable finds out whether our answers reach a machine: being heard from is not
 // being reachable. A machine is used once a report carries our fencing token, which is
 // also what tells a report of this term from a copy of an older one; and no
 // more once it does not take up what it was told.
@@ -228,7 +228,7 @@
 	}
 }
 
-// unreachable gives up on a machine that does not hear us: what it never took up is
+// markUnreachable gives up on a machine that does not hear us: what it never took up is
 // moved, once a report proves that it will not start. What runs goes on: it may
 // complete before its lease ends, and we may be wrong.
 func (f *Registry) markUnreachable(h *Machine, now event.Time) {
@@ -430,7 +430,7 @@
 	f.Jobs.Clear(e)
 }
 
-// timed learns from a completion how long a class runs, measured in its
+// recordRuntime learns from a completion how long a class runs, measured in its
 // owners' estimates, and whether a machine is slow.
 func (f *Registry) recordRuntime(h *Machine, e *pipeline.Entry, now event.Time) {
 	j := e.Job
@@ -455,7 +455,7 @@
 	f.runtimeRatio[j.Class] = usual + ratioWeight*(took-usual)
 }
 
-// Usual is what a job's task usually takes, in seconds: its owner's estimate,
+// ExpectedRuntime is what a job's task usually takes, in seconds: its owner's estimate,
 // corrected by what its class took lately. On some days estimates are mostly
 // too high or mostly too low.
 func (f *Registry) ExpectedRuntime(j *pipeline.Job) float64 {
@@ -587,7 +587,7 @@
 	}
 }
 
-// Gone clears everything on a machine that is proven to run nothing.
+// MarkTerminated clears everything on a machine that is proven to run nothing.
 func (f *Registry) MarkTerminated(h *Machine, now event.Time) {
 	if h.LastReport != 0 {
 		f.log.Info("machine terminated", "machine", h.Name, "tasks", len(f.Jobs.OnMachine(h.Index)))
