--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -622,8 +622,8 @@
 	need := map[offer]int{}
 	promised := map[int]pipeline.Usage{} // by team
 	for _, j := range blocked {
-		left := min(j.OpenCount(), p.QuotaBeside(j, promised[j.Team]))
-		if j.Shape == pipeline.Gang && left < j.OpenCount() {
+		left := min(j.StartableCount(), p.QuotaBeside(j, promised[j.Team]))
+		if j.Shape == pipeline.Gang && left < j.StartableCount() {
 			continue
 		}
 		u := promised[j.Team]
@@ -645,7 +645,7 @@
 			if left == 0 {
 				break
 			}
-			if capacity == nil || !p.Matches(j, capacity, now) || (capacity.Machine != nil && j.FailedMachines[capacity.Machine.Index]) || (only >= 0 && capacity.Zone != only) {
+			if capacity == nil || !p.Matches(j, capacity, now) || (capacity.Machine != nil && j.Avoids(capacity.Machine.Index, int64(now))) || (only >= 0 && capacity.Zone != only) {
 				continue
 			}
 			if n := min(left, capacity.Fits(&j.Spec), scheduler.ZoneCapacity(j, inZone, capacity.Zone)); n > 0 {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -317,6 +317,7 @@
 	}
 	n.logLoad(now)
 	n.jobs.Flush(now, n.election.Condition(), n.store)
+	n.jobs.FlushRetries(now, n.election.Condition(), n.store)
 	if now-n.cleanAt >= cleanInterval {
 		n.cleanAt = now
 		n.jobs.Clean(now, n.election.Condition(), n.store, cleanJobs)
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -173,10 +173,8 @@
 
 	finishing bool
 	marking   bool
+	retry     retryState
 	// Leader's notes, lost with the term.
-	BackoffUntil    int64 // not to be placed before this steady time
-	Errors          int
-	FailedMachines  map[int]bool // machines on which a task of the job failed
 	Stopping        bool         // gang: the attempt is being ended
 	WithinGuarantee bool         // its team's guarantee
 	ReservedZone    int          // 1 + the zone where capacity is gathered for it, 0: none
@@ -250,7 +248,9 @@
 func (j *Job) OpenCount() int { return max(0, j.TaskCount-j.done-j.active-len(j.doneUnlogged)) }
 
 // Waits tells whether an unfinished ready job has tasks to place.
-func (j *Job) Waits(now int64) bool { return j.OpenCount() > 0 && !j.Stopping && j.BackoffUntil <= now }
+func (j *Job) Waits(now int64) bool {
+	return j.StartableCount() > 0 && !j.Stopping && !j.BackingOff(now)
+}
 
 // Phase is what users are told.
 func (j *Job) Phase() Phase {
--- /dev/null
+++ b/internal/pipeline/retry.go
@@ -0,0 +1,291 @@
+package pipeline
+
+import (
+	"encoding/json"
+	"hash/fnv"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"sort"
+	"time"
+
+	"lugward/internal/store"
+)
+
+// RetryKey is the kind of the keys e/<id> that hold how often a job has failed
+// in a row and when it may be tried again, so that a new leader does not begin
+// anew with a job that fails on every machine. Earlier versions ignore them.
+const RetryKey = "e"
+
+const (
+	retryBase = 5 * time.Second
+	// retryCap bounds the pause: with the time that a start takes, a job whose
+	// fault is mended waits for less than 90 s beside a free machine.
+	retryCap = 80 * time.Second
+	// retryJitter is the part of a pause that is drawn, so that jobs that failed
+	// together are not retried together.
+	retryJitter = 0.25
+	// avoidTime is how long a job stays away from a machine on which a task of it
+	// has failed. It is bounded, since that machine may be the only one that fits.
+	avoidTime = 30 * time.Second
+	// failuresToBackOff is the number of machines on which the tasks of a job have
+	// failed, without one that succeeded, from which on the job itself is at fault.
+	failuresToBackOff = 2
+)
+
+// retryRecord is the stored form of a job's retry state.
+type retryRecord struct {
+	Failures  int   `json:"n"`
+	NotBefore int64 `json:"u"` // unix ms
+}
+
+// storedRetry is a retry record as the replica shows it.
+type storedRetry struct {
+	retryRecord
+	version uint64
+}
+
+// retryState is what a job's failures so far mean for its next attempt. Failures
+// and notBefore are stored; the rest is the leader's and ends with its term.
+type retryState struct {
+	failures  int   // failed attempts in a row of a job that is at fault itself
+	notBefore int64 // steady time in ns
+
+	failedAttempts int           // machines on which it has failed since it last succeeded
+	avoid          map[int]int64 // machines where it failed: until when it stays away
+	probe          *Entry        // the one task that tries again
+	dirty          bool          // not stored as it is
+	queued         bool          // a write of it waits for its turn
+	retryWriteAt   int64         // no write before this steady time
+}
+
+// AtFault tells whether the job itself has failed, on several machines or again
+// and again, and not succeeded since. Its retries are probes: one task at a time,
+// a gang as a whole.
+func (j *Job) AtFault() bool { return j.retry.failures > 0 }
+
+// Failures counts the failed attempts in a row of a job that is at fault.
+func (j *Job) Failures() int { return j.retry.failures }
+
+// BackingOff tells whether the pause after a failed attempt goes on.
+func (j *Job) BackingOff(now int64) bool { return j.retry.notBefore > now }
+
+// Avoids tells whether the job stays away from a machine since a task of it has
+// failed there a moment ago.
+func (j *Job) Avoids(machine int, now int64) bool { return j.retry.avoid[machine] > now }
+
+// probing tells whether the task that tries again is on its way or running.
+func (j *Job) probing() bool {
+	probe := j.retry.probe
+	return probe != nil && j.Entry(probe.Task) == probe && probe.Pending == NoPendingWrite
+}
+
+// StartableCount counts the tasks that may be placed as far as the job's failures
+// go: all open ones, or a single one while the job is at fault. A gang has no
+// smaller unit than itself.
+func (j *Job) StartableCount() int {
+	open := j.OpenCount()
+	switch {
+	case !j.AtFault() || j.Shape == Gang:
+		return open
+	case j.probing():
+		return 0
+	default:
+		return min(open, 1)
+	}
+}
+
+// TaskFailed takes in that a task of the job ended with an error, on a machine
+// that is not known to be faulty. It tells whether the job is at fault itself.
+func (t *Table) TaskFailed(e *Entry, now time.Duration) (atFault bool) {
+	j := e.Job
+	known := j.Avoids(e.Machine, int64(now))
+	if j.retry.avoid == nil {
+		j.retry.avoid = map[int]int64{}
+	}
+	j.retry.avoid[e.Machine] = int64(now + avoidTime)
+	switch {
+	case j.AtFault():
+		// Tasks that ran beside the probe, and the rest of a gang, belong to an
+		// attempt that was counted already.
+		if j.retry.probe == e || (j.Shape == Gang && !j.Stopping) {
+			t.BackOff(j, now)
+		}
+	case !known:
+		// Tasks that fail together on one machine tell no more than one of them.
+		j.retry.failedAttempts++
+		if j.retry.failedAttempts >= failuresToBackOff {
+			t.BackOff(j, now)
+		}
+	}
+	if j.AtFault() {
+		// The machines are not to blame, and a probe that found all of them
+		// avoided would have another one provisioned: it only goes elsewhere
+		// than the last one did.
+		j.retry.avoid = map[int]int64{e.Machine: int64(now + avoidTime)}
+	}
+	return j.AtFault()
+}
+
+// BackOff counts a failed attempt of a job that is at fault and pauses it.
+func (t *Table) BackOff(j *Job, now time.Duration) {
+	j.retry.failures++
+	j.retry.probe = nil
+	j.retry.notBefore = int64(now + retryPause(j.ID, j.retry.failures))
+	t.markRetryDirty(j)
+}
+
+// retryPause is the pause after so many failed attempts in a row: it doubles up to
+// a cap, less a part that is drawn from the job's id and the count, so that every
+// controller draws the same.
+func retryPause(id string, failures int) time.Duration {
+	pause := retryCap
+	if doublings := failures - 1; doublings < 8 {
+		pause = min(retryCap, retryBase<<doublings)
+	}
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(id))
+	random := rand.New(rand.NewPCG(hash.Sum64(), uint64(failures)))
+	return pause - time.Duration(random.Float64()*retryJitter*float64(pause))
+}
+
+// TaskSucceeded takes in that a task of the job works: what failed before was not
+// the job's fault.
+func (t *Table) TaskSucceeded(j *Job) {
+	j.retry.failedAttempts = 0
+	if !j.AtFault() {
+		return
+	}
+	j.retry.failures, j.retry.notBefore, j.retry.probe = 0, 0, nil
+	t.Changed = true
+	t.markRetryDirty(j)
+}
+
+func (t *Table) markRetryDirty(j *Job) {
+	j.retry.dirty = true
+	t.dirtyRetries[j] = true
+}
+
+// onRetry takes a retry record of the replica.
+func (t *Table) onRetry(id string, data []byte, version uint64) {
+	if data == nil {
+		delete(t.storedRetries, id)
+	} else {
+		var r retryRecord
+		if json.Unmarshal(data, &r) != nil {
+			return
+		}
+		t.storedRetries[id] = storedRetry{r, version}
+	}
+	if j := t.byID[id]; j != nil {
+		t.loadRetry(j)
+	}
+}
+
+// loadRetry takes over the stored retry state of a job, unless this controller, as
+// the leader, knows a newer one. Times of a clock that is ahead are bounded by the
+// longest pause.
+func (t *Table) loadRetry(j *Job) {
+	if j.retry.dirty {
+		return
+	}
+	stored := t.storedRetries[j.ID]
+	j.retry.failures, j.retry.notBefore = stored.Failures, 0
+	if stored.NotBefore != 0 && t.wall != 0 {
+		j.retry.notBefore = min(stored.NotBefore*int64(time.Millisecond)-t.wall, t.Now+int64(retryCap))
+	}
+}
+
+// resetRetry drops what only a leader knows of a job's failures.
+func (t *Table) resetRetry(j *Job) {
+	j.retry = retryState{}
+	t.loadRetry(j)
+}
+
+// FlushRetries queues the writes of retry states that have changed. term is the
+// condition that our term holds.
+func (t *Table) FlushRetries(now time.Duration, term store.Condition, s Submitter) {
+	if len(t.dirtyRetries) == 0 {
+		return
+	}
+	list := slices.Collect(maps.Keys(t.dirtyRetries))
+	sort.Slice(list, func(a, b int) bool { return before(list[a], list[b]) })
+	for _, j := range list {
+		if !j.retry.dirty || j.Final != Queued {
+			delete(t.dirtyRetries, j)
+			continue
+		}
+		if !j.retry.queued && int64(now) >= j.retry.retryWriteAt {
+			t.writeRetry(j, now, term, s)
+		}
+	}
+}
+
+// writeRetry queues the write of a job's retry state. What it holds is decided
+// when its turn comes.
+func (t *Table) writeRetry(j *Job, now time.Duration, term store.Condition, s Submitter) {
+	j.retry.queued = true
+	written := 0
+	intent := &store.Intent{Priority: store.Progress, Key: RetryKeyOf(j.ID)}
+	intent.Build = func(intent *store.Intent) bool {
+		stored := t.storedRetries[j.ID]
+		if !j.retry.dirty || j.Final != Queued || (j.retry.failures == 0 && stored.version == 0) {
+			j.retry.dirty = false
+			return false
+		}
+		written = j.retry.failures
+		intent.Conditions = []store.Condition{term, {Key: JobKeyOf(j.ID), Version: j.Version}, {Key: FinalKeyOf(j.ID)},
+			{Key: RetryKeyOf(j.ID), Version: stored.version}}
+		intent.Writes = []store.Write{{Key: RetryKeyOf(j.ID), Data: t.encodeRetry(j)}}
+		return true
+	}
+	intent.Done = func(result store.Result) {
+		j.retry.queued = false
+		if result.Outcome == store.OK && j.retry.failures == written {
+			j.retry.dirty = false
+		}
+		j.retry.retryWriteAt = int64(result.Now) + retryWait
+	}
+	s.Submit(intent, now+writeTimeout)
+}
+
+// encodeRetry returns the stored form of a job's retry state, nil if there is
+// nothing to be kept.
+func (t *Table) encodeRetry(j *Job) []byte {
+	if j.retry.failures == 0 {
+		return nil
+	}
+	data, err := json.Marshal(retryRecord{Failures: j.retry.failures, NotBefore: t.UnixMS(time.Duration(j.retry.notBefore))})
+	if err != nil {
+		panic(err) // two integers
+	}
+	return data
+}
+
+// RetryKeyOf is the key of a job's retry state.
+func RetryKeyOf(id string) string { return RetryKey + "/" + id }
+
+// orphanedRetries lists retry records of jobs that are over and cleaned up, as a
+// leader of an earlier version leaves them behind; at most limit.
+func (t *Table) orphanedRetries(limit int) []string {
+	var list []string
+	for id := range t.storedRetries {
+		if _, over := t.Finals[id]; over && t.byID[id] == nil && !t.cleaningRetries[id] {
+			list = append(list, id)
+		}
+	}
+	slices.Sort(list)
+	return list[:min(limit, len(list))]
+}
+
+// cleanRetries drops the retry records of jobs that are over.
+func (t *Table) cleanRetries(now time.Duration, term store.Condition, s Submitter, limit int) {
+	for _, id := range t.orphanedRetries(limit) {
+		key := RetryKeyOf(id)
+		condition := store.Condition{Key: key, Version: t.storedRetries[id].version}
+		t.cleaningRetries[id] = true
+		s.Submit(&store.Intent{Priority: store.Cleanup, Conditions: []store.Condition{term, condition},
+			Writes: []store.Write{{Key: key}},
+			Done:   func(store.Result) { delete(t.cleaningRetries, id) }}, now+writeTimeout)
+	}
+}
--- /dev/null
+++ b/internal/pipeline/retry_test.go
@@ -0,0 +1,189 @@
+package pipeline
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"lugward/internal/store"
+)
+
+// A job whose tasks fail on one machine tries another at once; one that fails on
+// several backs off, once for all tasks that were running, and then tries again
+// with a single task.
+func TestJobBacksOffOnce(t *testing.T) {
+	tb, j := newJob(t, 8)
+	var entries []*Entry
+	for task := range 6 {
+		entries = append(entries, tb.Place(j, task, task/2, 0, 1))
+	}
+	for i, want := range []int{0, 0, 1, 1, 1, 1} {
+		if atFault := tb.TaskFailed(entries[i], time.Second); atFault != (want > 0) || j.Failures() != want {
+			t.Errorf("task %d: at fault %v, %d failures, not %d", i, atFault, j.Failures(), want)
+		}
+		tb.Clear(entries[i])
+	}
+	if !j.BackingOff(int64(time.Second)) || j.Waits(int64(time.Second)) {
+		t.Error("the job is tried again at once")
+	}
+	later := 10 * time.Second
+	if !j.Waits(int64(later)) || j.StartableCount() != 1 {
+		t.Errorf("after the pause %d tasks are to be tried", j.StartableCount())
+	}
+	probe := tb.Place(j, 6, 9, 0, int64(later))
+	if j.StartableCount() != 0 || j.Waits(int64(later)) {
+		t.Error("a second probe is sent")
+	}
+	tb.TaskFailed(probe, later)
+	tb.Clear(probe)
+	if j.Failures() != 2 || !j.Avoids(9, int64(later)) || j.Avoids(0, int64(later)) {
+		t.Errorf("%d failures; the next probe goes elsewhere than the last one", j.Failures())
+	}
+	tb.TaskSucceeded(j)
+	if j.AtFault() || j.StartableCount() < 2 {
+		t.Error("a job that works is still probed")
+	}
+}
+
+// Tasks that fail in turn on the only machine make the job back off as well, and
+// it is not kept away from that machine for ever.
+func TestOnlyMachine(t *testing.T) {
+	tb, j := newJob(t, 1)
+	first := tb.Place(j, 0, 3, 0, 1)
+	if tb.TaskFailed(first, time.Second) || !j.Avoids(3, int64(time.Second)) {
+		t.Error("one failure is no proof")
+	}
+	tb.Clear(first)
+	later := time.Second + avoidTime
+	if j.Avoids(3, int64(later)) {
+		t.Error("the only machine is avoided for ever")
+	}
+	if !tb.TaskFailed(tb.Place(j, 0, 3, 0, int64(later)), later) {
+		t.Error("the second failure does not count")
+	}
+}
+
+// The attempt of a gang counts once, whatever the number of its tasks that fail.
+func TestGangFailsOnce(t *testing.T) {
+	tb, j := newJob(t, 3)
+	j.Shape = Gang
+	fail := func(now time.Duration) {
+		attempt := j.MaxAttempt() + 1
+		var entries []*Entry
+		for task := range 3 {
+			entries = append(entries, tb.Place(j, task, task, attempt, int64(now)))
+		}
+		for _, entry := range entries {
+			tb.TaskFailed(entry, now)
+			j.Stopping = true // as the whole gang is stopped with its first task
+		}
+		for _, entry := range entries {
+			tb.Clear(entry)
+		}
+		j.Stopping = false
+	}
+	fail(time.Second)
+	if j.Failures() != 1 {
+		t.Errorf("%d failures after one attempt on three machines", j.Failures())
+	}
+	if j.StartableCount() != 3 {
+		t.Errorf("%d tasks are tried, a gang has no smaller unit", j.StartableCount())
+	}
+	fail(time.Minute)
+	if j.Failures() != 2 {
+		t.Errorf("%d failures after two attempts", j.Failures())
+	}
+}
+
+// Pauses double up to a cap, differ between jobs and are the same on every
+// controller; none makes a job wait for 90 s.
+func TestRetryPause(t *testing.T) {
+	drawn := map[time.Duration]bool{}
+	for failures := 1; failures < 100; failures++ {
+		full := min(retryCap, retryBase<<min(failures-1, 8))
+		for n := range 20 {
+			id := fmt.Sprint("req-", n)
+			pause := retryPause(id, failures)
+			if pause > full || pause < full-time.Duration(retryJitter*float64(full)) || pause != retryPause(id, failures) {
+				t.Fatalf("%s pauses for %s after %d failures", id, pause, failures)
+			}
+			drawn[pause] = true
+		}
+	}
+	if len(drawn) < 1000 {
+		t.Errorf("%d different pauses", len(drawn))
+	}
+}
+
+// A new leader goes on with the pause and the probes of the one before; once the
+// job works nothing of that is kept.
+func TestRetrySurvivesLeader(t *testing.T) {
+	tb, j := newJob(t, 4)
+	tb.SetClock(0, time.UnixMilli(1_000_000))
+	for machine := range 2 {
+		entry := tb.Place(j, machine, machine, 0, 1)
+		tb.TaskFailed(entry, time.Second)
+		tb.Clear(entry)
+	}
+	q := &queue{}
+	tb.FlushRetries(time.Second, term, q)
+	carryOut(tb, q.next(t), 7)
+	tb.Reset()
+	if j.Failures() != 1 || !j.BackingOff(int64(2*time.Second)) || j.StartableCount() != 1 {
+		t.Errorf("the new leader finds %d failures, %d tasks to try", j.Failures(), j.StartableCount())
+	}
+
+	// Another process has another steady clock.
+	other := NewTable(&Names{}, 4096, 12)
+	other.SetClock(time.Hour, time.UnixMilli(1_002_000))
+	other.Now = int64(time.Hour)
+	other.Listen(RetryKey, j.ID, []byte(`{"n":3,"u":1010000}`), 7)
+	other.Listen(JobKey, j.ID, Encode(tb.Names, j), 1)
+	o := other.Job(j.ID)
+	if o.Failures() != 3 || !o.BackingOff(int64(time.Hour+7*time.Second)) || o.BackingOff(int64(time.Hour+9*time.Second)) {
+		t.Errorf("another controller reads %d failures", o.Failures())
+	}
+	// A clock that is far ahead can't put the job off for long.
+	other.Listen(RetryKey, j.ID, []byte(`{"n":4,"u":9999999999}`), 8)
+	if o.BackingOff(int64(time.Hour + retryCap)) {
+		t.Error("a clock that is ahead holds the job up")
+	}
+
+	tb.TaskSucceeded(j)
+	tb.FlushRetries(time.Minute, term, q)
+	write := q.next(t)
+	if len(write.Writes) != 1 || write.Writes[0].Data != nil || write.Writes[0].Key != RetryKeyOf(j.ID) {
+		t.Errorf("%+v is written", write.Writes)
+	}
+	carryOut(tb, write, 9)
+	tb.Reset()
+	if j.AtFault() {
+		t.Error("the success is forgotten")
+	}
+}
+
+// The record of a job that is over goes, be it that a leader of the version before
+// ended the job: that one does not know such records.
+func TestRetryRecordGoes(t *testing.T) {
+	tb, j := newJob(t, 2)
+	tb.Listen(RetryKey, j.ID, []byte(`{"n":2,"u":1}`), 5)
+	tb.Listen(FinalKey, j.ID, EncodeFinal(Cancelled, j), 6)
+	q := &queue{}
+	tb.Clean(0, term, q, 10)
+	for len(q.list) > 0 {
+		carryOut(tb, q.next(t), 7)
+	}
+	tb.Clean(0, term, q, 10)
+	tb.Clean(0, term, q, 10) // the first is under way
+	if len(q.list) != 1 {
+		t.Fatalf("%d drops", len(q.list))
+	}
+	drop := q.next(t)
+	if drop.Priority != store.Cleanup || drop.Writes[0].Key != RetryKeyOf(j.ID) || drop.Conditions[1].Version != 5 {
+		t.Errorf("%+v", drop)
+	}
+	carryOut(tb, drop, 8)
+	if len(tb.storedRetries) != 0 {
+		t.Error("the record is still there")
+	}
+}
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -55,6 +55,10 @@
 	// Labels are those of all controllers.
 	Labels []string
 
+	dirtyRetries    map[*Job]bool          // whose retry state is not stored as it is
+	storedRetries   map[string]storedRetry // by job id
+	cleaningRetries map[string]bool        // whose drop is under way
+
 	upgraded map[string]bool // the controllers that have shown this version
 	wall     int64           // unix ns at steady time 0, 0: not told yet
 }
@@ -63,7 +67,8 @@
 // service's limits.
 func NewTable(n *Names, valueBytes, txnOps int) *Table {
 	return &Table{Names: n, chunkLen: max(16, min(1024, valueBytes/32)), txnOps: txnOps, byID: map[string]*Job{}, Finals: map[string]Final{},
-		team: map[int]Usage{}, graph: newGraph(), upgraded: map[string]bool{}, ValueLimit: valueBytes, dirty: map[*Job]bool{}, ended: map[*Job]bool{},
+		team: map[int]Usage{}, graph: newGraph(), upgraded: map[string]bool{}, dirtyRetries: map[*Job]bool{}, storedRetries: map[string]storedRetry{}, cleaningRetries: map[string]bool{},
+		ValueLimit: valueBytes, dirty: map[*Job]bool{}, ended: map[*Job]bool{},
 		isChanged: map[int]bool{}}
 }
 
@@ -135,6 +140,8 @@
 		}
 	case FinalKey:
 		t.onFinal(rest, data)
+	case RetryKey:
+		t.onRetry(rest, data, version)
 	case VersionKey:
 		t.upgraded[rest] = data != nil
 	case PartKey:
@@ -167,6 +174,7 @@
 		if f, ok := t.Finals[id]; ok {
 			j.Final = f.Phase
 		}
+		t.loadRetry(j)
 	}
 	return j
 }
@@ -183,6 +191,7 @@
 	}
 	delete(t.byID, j.ID)
 	delete(t.dirty, j)
+	delete(t.dirtyRetries, j)
 	delete(t.ended, j)
 	delete(t.graph.stale, j)
 	t.Jobs[j.Index] = nil
@@ -408,6 +417,9 @@
 	e := &Entry{Job: j, Task: task, Machine: machine, Attempt: attempt, PlacedAt: now}
 	ch.Entries[task] = e
 	t.add(e)
+	if j.AtFault() && j.Shape != Gang {
+		j.retry.probe = e
+	}
 	ch.placing = true
 	t.markDirty(j, ch)
 	return e
@@ -471,9 +483,9 @@
 		if j == nil {
 			continue
 		}
-		j.FailedMachines = nil
+		t.resetRetry(j)
 		j.WithinGuarantee, j.ReservedZone = false, 0
-		j.BackoffUntil, j.Errors, j.Stopping, j.doneUnlogged, j.cleaning, j.finishing = 0, 0, false, nil, false, false
+		j.Stopping, j.doneUnlogged, j.cleaning, j.finishing = false, nil, false, false
 		for i := range j.Chunk {
 			ch := &j.Chunk[i]
 			ch.dirty, ch.placing, ch.retryAt = false, false, 0
@@ -490,6 +502,8 @@
 		j.marked = 0
 	}
 	clear(t.dirty)
+	clear(t.dirtyRetries)
+	clear(t.cleaningRetries)
 	clear(t.ended)
 	for _, j := range t.Jobs {
 		// All tasks are logged as done and the leader that logged it is gone:
@@ -814,6 +828,7 @@
 // Clean drops the records that finished jobs leave behind, once nothing of
 // theirs can be on a machine; at most limit jobs at a time.
 func (t *Table) Clean(now time.Duration, term store.Condition, s Submitter, limit int) {
+	t.cleanRetries(now, term, s, limit)
 	for _, j := range t.Jobs {
 		if limit == 0 {
 			return
@@ -821,7 +836,7 @@
 		if j == nil || j.Final == Queued || j.cleaning || j.active > 0 || int64(now) < j.retryAt {
 			continue
 		}
-		in := &store.Intent{Priority: store.Progress, Conditions: []store.Condition{term}}
+		in := &store.Intent{Priority: store.Cleanup, Conditions: []store.Condition{term}}
 		for c := range j.Chunk {
 			if j.Chunk[c].Version != 0 && len(in.Writes) < t.txnOps-1 {
 				in.Conditions = append(in.Conditions, store.Condition{Key: runKey(j.ID, c), Version: j.Chunk[c].Version})
--- a/internal/scheduler/pack.go
+++ b/internal/scheduler/pack.go
@@ -116,7 +116,7 @@
 	for _, e := range entries {
 		j := e.Job
 		i := slices.IndexFunc(left, func(r *Capacity) bool {
-			return r.Machine != d.Machine && !r.Machine.Draining && r.Fits(&j.Spec) > 0 && r.Matches(&j.Spec) && !j.FailedMachines[r.Machine.Index] &&
+			return r.Machine != d.Machine && !r.Machine.Draining && r.Fits(&j.Spec) > 0 && r.Matches(&j.Spec) && !j.Avoids(r.Machine.Index, p.Jobs.Now) &&
 				!(j.SamePlace && j.TaskCount > 1 && r.Zone != d.Zone) && !(j.Scatter && r.Zone != d.Zone)
 		})
 		if i < 0 {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -22,11 +22,12 @@
 // emptied is counted first, so that a job does not stop more than it needs. It
 // returns how many tasks are left without a promise.
 func (p *Scheduler) preempt(j *pipeline.Job, capacities []*Capacity, now event.Time) (left int) {
-	left = min(j.OpenCount(), p.QuotaBeside(j, p.committed[j.Team]))
-	if j.Shape == pipeline.Gang && left < j.OpenCount() {
+	left = min(j.StartableCount(), p.QuotaBeside(j, p.committed[j.Team]))
+	if j.Shape == pipeline.Gang && left < j.StartableCount() {
 		return 0 // whole or not at all
 	}
-	if left == 0 || (j.EffectivePriority <= p.lowestPriority && !j.WithinGuarantee) {
+	// Nobody is stopped for a probe, which is likely to fail again.
+	if left == 0 || j.AtFault() || (j.EffectivePriority <= p.lowestPriority && !j.WithinGuarantee) {
 		return left
 	}
 	price := func(r *Capacity, taken map[*pipeline.Entry]bool) (float64, []*pipeline.Entry, bool) {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -273,7 +273,7 @@
 			at[r.Machine] = r
 		}
 		for _, h := range p.reservations {
-			if r := at[h.machine]; r != nil && h.job.OpenCount() > 0 && h.job.Final == pipeline.Queued {
+			if r := at[h.machine]; r != nil && h.job.StartableCount() > 0 && h.job.Final == pipeline.Queued {
 				r.Allocate(&h.job.Spec, 1)
 				p.commitQuota(h.job)
 			}
@@ -288,13 +288,13 @@
 			break
 		}
 		p.place(j, capacities, now)
-		if j.OpenCount() > 0 {
+		if j.StartableCount() > 0 {
 			left := p.preempt(j, capacities, now)
 			p.reserve(j, left, capacities, now)
 		}
 	}
 	for _, j := range jobs {
-		if j.OpenCount() > 0 {
+		if j.StartableCount() > 0 {
 			blocked = append(blocked, j)
 		}
 	}
@@ -411,9 +411,9 @@
 // place puts as many tasks of a job as it may on machines.
 func (p *Scheduler) place(j *pipeline.Job, capacities []*Capacity, now event.Time) {
 	quota := p.Quota(j)
-	want := min(j.OpenCount(), quota)
+	want := min(j.StartableCount(), quota)
 	if j.Shape == pipeline.Gang {
-		want = j.OpenCount()
+		want = j.StartableCount()
 		// A gang runs whole or not at all. Entries left of the current
 		// attempt keep their places; of an older one there are none, or it
 		// would be breaking.
@@ -430,7 +430,7 @@
 	}
 	var list []scored
 	for _, r := range capacities {
-		if r.Fits(&j.Spec) > 0 && p.Matches(j, r, now) && !j.FailedMachines[r.Machine.Index] {
+		if r.Fits(&j.Spec) > 0 && p.Matches(j, r, now) && !j.Avoids(r.Machine.Index, int64(now)) {
 			list = append(list, scored{r, p.score(j, r, now)})
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -26,6 +26,7 @@
 	Accept
 	Place
 	Progress
+	Cleanup
 	priorities
 )
 
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -52,10 +52,11 @@
 	Images       map[int]bool
 	RefusedUntil event.Time // full or in_use: not to be used before
 	// Jobs by name: an index serves another job once one is forgotten.
-	FailedJobs        map[string]bool
-	SlowJobs          map[string]bool // jobs in a row that ran far longer here than their class does
-	Retiring          bool            // logged as retired: no task may be placed
-	Draining          bool            // its tasks were told to move: to be returned when empty
+	failedJobs        map[string]event.Time // failed here since a task last completed: how long they had run
+	Faulty            bool                  // several jobs that work elsewhere fail here: no task may be placed
+	SlowJobs          map[string]bool       // jobs in a row that ran far longer here than their class does
+	Retiring          bool                  // logged as retired: no task may be placed
+	Draining          bool                  // its tasks were told to move: to be returned when empty
 	firstReport       event.Time
 	IdleFrom          event.Time
 	ReservedAt        event.Time // when capacity on it was last kept for a job that waits
@@ -73,6 +74,8 @@
 	toStop       map[int]bool        // machines on which a task is to be stopped
 	scanAt       event.Time
 	runtimeRatio map[int]float64 // run time against estimate, per class
+	suspects     map[int]bool    // machines with failed jobs
+	faultScanAt  event.Time
 
 	// Silent is how long a machine may be quiet before that tells something.
 	SilentAfter event.Time
@@ -80,7 +83,7 @@
 
 // New returns an empty worker registry.
 func New(n *pipeline.Names, t *pipeline.Table, log *slog.Logger) *Registry {
-	return &Registry{Names: n, Jobs: t, log: log, calls: map[uint64]*Machine{}, toStop: map[int]bool{}, runtimeRatio: map[int]float64{}}
+	return &Registry{Names: n, Jobs: t, log: log, calls: map[uint64]*Machine{}, toStop: map[int]bool{}, runtimeRatio: map[int]float64{}, suspects: map[int]bool{}}
 }
 
 // Machine returns a machine by name, adding it when new.
@@ -107,22 +110,22 @@
 func (f *Registry) Reset() {
 	f.Machines = nil
 	clear(f.toStop)
+	clear(f.suspects)
 }
 
 // Up tells whether a machine can take tasks now.
 func (h *Machine) Up(now event.Time, silent time.Duration) bool {
-	return h.Known && h.TokenConfirmed && h.UnreachableSince == 0 && h.LastReport > 0 && now-h.LastReport < silent && !h.Retiring && !h.Draining && h.ReclaimAt == 0 && h.UnknownTasks == 0 && now >= h.RefusedUntil && len(h.FailedJobs) < maxFailedJobs && len(h.SlowJobs) < maxSlowJobs
+	return h.Known && h.TokenConfirmed && h.UnreachableSince == 0 && h.LastReport > 0 && now-h.LastReport < silent && !h.Retiring && !h.Draining && h.ReclaimAt == 0 && h.UnknownTasks == 0 && now >= h.RefusedUntil && !h.Faulty && len(h.SlowJobs) < maxSlowJobs
 }
 
 const (
 	// A machine on which this many jobs in a row took slowFactor what their class
 	// takes, by their owners' estimates, gets nothing more. One job says little:
 	// estimates are often wrong by half.
-	maxSlowJobs   = 3
-	slowFactor    = 1.8
-	ratioWeight   = 0.1 // of a new completion in a class's ratio of run time to estimate
-	maxFailedJobs = 2   // so many different jobs failing on a machine make it faulty
-	refusedPause  = 4 * time.Second
+	maxSlowJobs  = 3
+	slowFactor   = 1.8
+	ratioWeight  = 0.1 // of a new completion in a class's ratio of run time to estimate
+	refusedPause = 4 * time.Second
 	// A start that so many reports in a row do not show did not arrive.
 	maxMissedStarts   = 3
 	unreachableMargin = 3 * time.Second
@@ -130,10 +133,6 @@
 	announceInterval  = 10 * time.Second
 	scanInterval      = 250 * time.Millisecond // between two looks at all machines in use
 	directTimeout     = 3 * time.Second
-	// A job that failed on this many machines is taken to be at fault itself.
-	maxFailedMachines = 3
-	backoffBase       = 10 * time.Second
-	backoffMax        = 5 * time.Minute
 )
 
 // ParseTaskName splits a task's name into its job and number.
@@ -401,8 +400,7 @@
 	}
 	switch s.Cause {
 	case "done":
-		clear(h.FailedJobs)
-		j.Errors = 0
+		f.taskSucceeded(h, j)
 		if e.Pending == pipeline.NoPendingWrite {
 			f.recordRuntime(h, e, now)
 		}
@@ -417,12 +415,15 @@
 		return
 	case "error":
 		if e.Pending == pipeline.NoPendingWrite {
-			f.failed(h, j, now)
+			f.taskFailed(h, e, now)
 		}
 	case "full", "in_use":
 		h.RefusedUntil = now + refusedPause
 	case "unknown":
-		f.backOff(j, now)
+		// Its user has not uploaded it: another attempt comes to the same so soon.
+		if !j.BackingOff(int64(now)) {
+			f.Jobs.BackOff(j, now)
+		}
 	}
 	if j.Shape == pipeline.Gang && j.TaskCount > 1 {
 		f.stopGang(j)
@@ -465,38 +466,6 @@
 	return j.EstimatedRuntime
 }
 
-// failed sorts out whether the machine or the job is at fault.
-func (f *Registry) failed(h *Machine, j *pipeline.Job, now event.Time) {
-	f.log.Info("task failed", "job", j.ID, "machine", h.Name)
-	if j.FailedMachines == nil {
-		j.FailedMachines = map[int]bool{}
-	}
-	j.FailedMachines[h.Index] = true
-	if h.FailedJobs == nil {
-		h.FailedJobs = map[string]bool{}
-	}
-	h.FailedJobs[j.ID] = true
-	if len(j.FailedMachines) >= maxFailedMachines {
-		// The job fails everywhere: its user may still cancel it, nobody
-		// else may end it, so it is tried again ever more rarely. The
-		// machines are not to blame.
-		for b := range j.FailedMachines {
-			if o := f.At(b); o != nil {
-				delete(o.FailedJobs, j.ID)
-			}
-		}
-		j.FailedMachines = nil
-		f.backOff(j, now)
-	}
-}
-
-func (f *Registry) backOff(j *pipeline.Job, now event.Time) {
-	j.Errors++
-	pause := min(backoffMax, backoffBase<<min(j.Errors-1, 8))
-	j.BackoffUntil = int64(now + pause)
-	f.log.Info("job backing off", "job", j.ID, "for", pause)
-}
-
 func (f *Registry) stopGang(j *pipeline.Job) {
 	j.Stopping = true
 	j.Entries(func(e *pipeline.Entry) {
@@ -568,6 +537,7 @@
 		return
 	}
 	f.scanAt = now
+	f.scanFaults(now)
 	f.Jobs.MachinesInUse(func(i int) {
 		h := f.At(i)
 		if h == nil {
@@ -580,7 +550,11 @@
 		}
 	})
 	for _, j := range f.Jobs.Jobs {
-		if j != nil && j.Stopping && j.Active() == 0 {
+		if j == nil {
+			continue
+		}
+		f.checkService(j, now)
+		if j.Stopping && j.Active() == 0 {
 			j.Stopping = false
 			f.Jobs.Changed = true
 		}
