--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -45,8 +45,12 @@
 	errorPause        = 2 * time.Second
 	maxProvisionBatch = 50
 	tieBreakWeight    = 1e-3 // weighs less than any real difference in price
-	maxReleaseBatch   = 100
-	listLimit         = 500
+	// So many retirements wait for their write at a time: hundreds after a burst
+	// would hold up the writes that free the machines of running jobs.
+	maxRetiring     = 10
+	cleanupTimeout  = 10 * time.Minute // of a write that nothing waits for
+	maxReleaseBatch = 100
+	listLimit       = 500
 	// A machine that is up and does not report for this long is lost; where
 	// most of its zone is silent, too, the network is the likelier cause, and
 	// whoever returns them all pays for as many boots when it is mended.
@@ -468,8 +472,8 @@
 // returned. A successor knows by the log not to use it.
 func (r *Autoscaler) Retire(h *worker.Machine, now event.Time, term store.Condition) {
 	h.Retiring = true
-	if r.logging[h.Name] || r.retired[h.Name] != 0 {
-		return
+	if r.logging[h.Name] || r.retired[h.Name] != 0 || len(r.logging) >= maxRetiring {
+		return // what is left is retired by a later look at the machines
 	}
 	r.logging[h.Name] = true
 	name := h.Name
@@ -517,9 +521,9 @@
 			r.workers.Machines[h.Index] = nil
 			r.released[n] = now
 			r.releasing[n] = true // not again, until the log entry is dropped
-			r.store.Submit(&store.Intent{Priority: store.Progress, Conditions: []store.Condition{term},
+			r.store.Submit(&store.Intent{Priority: store.Cleanup, Conditions: []store.Condition{term},
 				Writes: []store.Write{{Key: RetireKind + "/" + n}},
-				Done:   func(store.Result) { delete(r.releasing, n) }}, now+time.Minute)
+				Done:   func(store.Result) { delete(r.releasing, n) }}, now+cleanupTimeout)
 		}
 	})
 }
@@ -621,6 +625,7 @@
 	}
 	need := map[offer]int{}
 	promised := map[int]pipeline.Usage{} // by team
+	sequences := sequences{}
 	for _, j := range blocked {
 		left := min(j.StartableCount(), p.QuotaBeside(j, promised[j.Team]))
 		if j.Shape == pipeline.Gang && left < j.StartableCount() {
@@ -631,6 +636,7 @@
 		promised[j.Team] = u
 		left += retries[j]
 		boot := r.bootTime(j)
+		left = sequences.places(j, left, boot+r.cfg.IdleKeep.Seconds(), p.Workers.ExpectedRuntime(j))
 		for _, capacity := range capacities {
 			if capacity != nil {
 				capacity.ReleaseEnding(boot)
