--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -47,7 +47,7 @@
 	tieBreakWeight    = 1e-3 // weighs less than any real difference in price
 	// So many retirements wait for their write at a time: hundreds after a burst
 	// would hold up the writes that free the machines of running jobs.
-	maxRetiring     = 10
+	maxRetiring     = 20
 	cleanupTimeout  = 10 * time.Minute // of a write that nothing waits for
 	maxReleaseBatch = 100
 	listLimit       = 500
@@ -66,11 +66,6 @@
 	silentShare = 3
 	// A zone counts as cut for so long after a machine came back.
 	partitionMemory = 60 * time.Second
-	// Boots take several times the nominal time now and then; past this many
-	// times (and at least bootLeast) a machine is given up.
-	bootTimes  = 4.0
-	bootLeast  = 40 * time.Second
-	bootWeight = 0.1 // of a new machine in what is known of its type
 )
 
 type offer struct {
@@ -117,9 +112,10 @@
 	since        event.Time
 	scanAt       event.Time
 	releaseAt    event.Time
-	bootRatio    map[int]float64 // of the time a type takes to come up to what the cloud says
-	partitioned  map[int]bool    // zones most of whose machines are silent
-	retries      []pendingRetry  // provisioning requests to repeat
+	boots        map[int]*bootHistory // by machine type
+	overdueNow   map[offer]bool       // offers with overdue machines, as the plan began
+	partitioned  map[int]bool         // zones most of whose machines are silent
+	retries      []pendingRetry       // provisioning requests to repeat
 
 	planFrom event.Time // plans need a list that was asked for after this
 	mayPlan  bool
@@ -131,7 +127,7 @@
 // New returns the slice.
 func New(cfg Config, n *pipeline.Names, t *pipeline.Table, f *worker.Registry, s *store.Client, log *slog.Logger) *Autoscaler {
 	r := &Autoscaler{cfg: cfg, names: n, jobs: t, workers: f, store: s, log: log, calls: map[uint64]func(event.Time, int, []byte, *event.Effects){},
-		retired: map[string]uint64{}, bootRatio: map[int]float64{}}
+		retired: map[string]uint64{}, boots: map[int]*bootHistory{}}
 	r.Forget()
 	return r
 }
@@ -334,9 +330,9 @@
 			r.workers.AnnounceToken(h, now, t, out)
 		}
 		f := r.MachineTypes.Get(b.machineType)
-		wait := bootLeast
+		wait := bootMin
 		if f != nil && !b.up {
-			wait = max(bootLeast, time.Duration(bootTimes*r.ready(f)*float64(time.Second)))
+			wait = max(bootMin, r.bootTimeout(f, bootFactor))
 		} else if len(r.jobs.OnMachine(i)) > 0 {
 			// Perhaps it works behind a cut; its lease tells when not.
 			wait = silentTimeout
@@ -377,29 +373,6 @@
 	}
 }
 
-// recordBootTime notes how long a machine took to come up. Since a term may begin
-// while it boots, only those that we provisioned ourselves count.
-func (r *Autoscaler) recordBootTime(b *bootingMachine, now event.Time) {
-	f := r.MachineTypes.Get(b.machineType)
-	if !b.ours || f == nil || f.BootTime <= 0 {
-		return
-	}
-	usual, known := r.bootRatio[b.machineType]
-	if !known {
-		usual = 1
-	}
-	took := (now - b.since).Seconds() / f.BootTime
-	r.bootRatio[b.machineType] = usual + bootWeight*(min(took, bootTimes)-usual)
-}
-
-// ready is how long a machine of a type usually takes to come up, in seconds.
-func (r *Autoscaler) ready(f *scheduler.MachineType) float64 {
-	if ratio, ok := r.bootRatio[f.Index]; ok {
-		return f.BootTime * ratio
-	}
-	return f.BootTime
-}
-
 // zones lists the machines of each zone that are up, heard or not.
 func (r *Autoscaler) zones() map[int][]*worker.Machine {
 	zones := map[int][]*worker.Machine{}
@@ -603,6 +576,7 @@
 		}
 		return
 	}
+	r.overdueNow = r.overdueOffers(now)
 	capacities, leaving := p.FutureCapacities(now)
 	retries := map[*pipeline.Job]int{}
 	for _, e := range leaving {
@@ -612,7 +586,7 @@
 	}
 	coming := map[int]*scheduler.Capacity{}
 	for _, i := range slices.Sorted(maps.Keys(r.booting)) {
-		if h := r.workers.At(i); h != nil && !h.Retiring && h.LastReport == 0 && !(r.booting[i].up && r.partitioned[h.Zone]) {
+		if h := r.workers.At(i); h != nil && !h.Retiring && h.LastReport == 0 && !(r.booting[i].up && r.partitioned[h.Zone]) && !r.overdue(r.booting[i], now) {
 			if coming[i] = r.capacity(r.booting[i].offer); coming[i] != nil {
 				capacities = append(capacities, coming[i])
 			}
@@ -707,7 +681,7 @@
 	least := math.Inf(1)
 	for _, f := range r.MachineTypes {
 		if scheduler.Allows(&j.Spec, f) {
-			least = min(least, r.ready(f))
+			least = min(least, r.expectedBoot(f))
 		}
 	}
 	if math.IsInf(least, 1) {
@@ -778,7 +752,11 @@
 				}
 				// Equal offers share what is asked, so that one plan reaches the
 				// capacity of all zones.
-				if cost := r.price(o) / float64(min(n, left)) * (1 + tieBreakWeight*float64(need[o])); cost < least {
+				cost := r.price(o) / float64(min(n, left)) * (1 + tieBreakWeight*float64(need[o]))
+				if r.overdueNow[o] {
+					cost *= overdueCost
+				}
+				if cost < least {
 					least, best, per, ok = cost, o, n, true
 				}
 			}
