--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -625,7 +625,7 @@
 			if left == 0 {
 				break
 			}
-			if capacity == nil || !p.Matches(j, capacity, now) || (capacity.Machine != nil && j.Avoids(capacity.Machine.Index, int64(now))) || (only >= 0 && capacity.Zone != only) {
+			if capacity == nil || !capacity.Matches(&j.Spec) || (capacity.Machine != nil && j.Avoids(capacity.Machine.Index, int64(now))) || (only >= 0 && capacity.Zone != only) {
 				continue
 			}
 			if n := min(left, capacity.Fits(&j.Spec), scheduler.ZoneCapacity(j, inZone, capacity.Zone)); n > 0 {
--- a/internal/scheduler/choose.go
+++ b/internal/scheduler/choose.go
@@ -48,7 +48,7 @@
 	taken := map[*pipeline.Entry]bool{}
 	list := p.offers[:0]
 	for i, r := range capacities {
-		if (zone != anyZone && r.Zone != zone) || !p.Matches(j, r, now) || !r.fitsEmpty(&j.Spec) || j.Avoids(r.Machine.Index, int64(now)) || r.Machine.Draining {
+		if (zone != anyZone && r.Zone != zone) || !r.Matches(&j.Spec) || !r.fitsEmpty(&j.Spec) || j.Avoids(r.Machine.Index, int64(now)) || r.Machine.Draining {
 			continue
 		}
 		if cost, victims, ok := price(r, taken); ok {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -104,32 +104,6 @@
 	return r.MachineType != nil && s.Allows(r.MachineType.Index) && (s.Zone < 0 || s.Zone == r.Zone) && (s.AllowSpot || !r.Spot)
 }
 
-const (
-	// Where a job that needs GPUs has not begun for this long, jobs without GPUs
-	// leave the machines with GPUs alone, since the largest are to begin within
-	// four minutes: for so long, in which others can be provisioned.
-	gpuWaitLimit   = 150 * time.Second
-	gpuReserveTime = time.Minute
-)
-
-// Matches tells whether the job is to use the machine: GPUs do not lie idle under
-// it while jobs that need them have waited for long.
-func (p *Scheduler) Matches(j *pipeline.Job, r *Capacity, now event.Time) bool {
-	return r.Matches(&j.Spec) && (!p.gpusWanted || j.GPUs > 0 || r.MachineType.GPUs == 0 || int64(now)-j.ReadySince > int64(gpuReserveTime) || !p.hasCPUOnlyType(j))
-}
-
-// hasCPUOnlyType tells whether there is a type without GPUs for the job.
-func (p *Scheduler) hasCPUOnlyType(j *pipeline.Job) bool {
-	return slices.ContainsFunc(*p.MachineTypes, func(f *MachineType) bool { return f != nil && f.GPUs == 0 && Allows(&j.Spec, f) })
-}
-
-// updateGPUsWanted finds out whether a job that needs GPUs has not begun for long.
-func (p *Scheduler) updateGPUsWanted(jobs []*pipeline.Job, now event.Time) {
-	p.gpusWanted = slices.ContainsFunc(jobs, func(j *pipeline.Job) bool {
-		return j.GPUs > 0 && j.Active() == 0 && j.DoneCount() == 0 && int64(now)-j.ReadySince > int64(gpuWaitLimit) && p.Quota(j) > 0
-	})
-}
-
 // Scheduler makes the rounds.
 type Scheduler struct {
 	Jobs           *pipeline.Table
@@ -145,17 +119,15 @@
 	// OverBudget tells how much of the budget is used; nil: no limit.
 	OverBudget func() bool
 
-	cached         []Capacity        // by machine, as its entries left it
-	offers         offers            // capacity for choose, and
-	candidates     []candidate       // for victims, to work in
-	resume         *pipeline.Job     // where the last round ran out of time
-	reservations   []reservation     // by the jobs before that
-	reserved       int               // tasks with a reservation in this round
-	lowestPriority pipeline.Priority // of what runs
-	// gpusWanted: a job that needs GPUs has not begun for long.
-	gpusWanted bool
-	preempting map[int]pipeline.Usage // by team, of what this round stops
-	committed  map[int]pipeline.Usage // by team, of the capacity that this round keeps for it
+	cached         []Capacity             // by machine, as its entries left it
+	offers         offers                 // capacity for choose, and
+	candidates     []candidate            // for victims, to work in
+	resume         *pipeline.Job          // where the last round ran out of time
+	reservations   []reservation          // by the jobs before that
+	reserved       int                    // tasks with a reservation in this round
+	lowestPriority pipeline.Priority      // of what runs
+	preempting     map[int]pipeline.Usage // by team, of what this round stops
+	committed      map[int]pipeline.Usage // by team, of the capacity that this round keeps for it
 }
 
 // capacity counts what is left of a machine, unless nothing has changed there.
@@ -261,7 +233,6 @@
 	p.updateGuarantees(all)
 	jobs := slices.DeleteFunc(all, func(j *pipeline.Job) bool { return !j.Waits(int64(now)) })
 	order(jobs, now)
-	p.updateGPUsWanted(jobs, now)
 	p.preempting, p.committed = map[int]pipeline.Usage{}, map[int]pipeline.Usage{}
 	start := slices.IndexFunc(jobs, func(j *pipeline.Job) bool { return j == p.resume })
 	if start < 0 {
@@ -324,31 +295,48 @@
 	machine *worker.Machine
 }
 
-// gangWaitLimit is how long a gang waits in the order of readiness. The largest
-// are to begin within four minutes; in a full site the tasks in their places
-// need most of that to end, and small work that was ready before keeps coming
-// into the places that end first.
-const gangWaitLimit = time.Minute
+// maxStartDelay is how long a job waits to begin in the order of readiness. The
+// largest are to begin within four minutes; in a full site the tasks in their
+// places need most of that to end, and work that was ready before keeps coming
+// into the places that end first: small jobs, and tasks that were stopped.
+const maxStartDelay = time.Minute
 
-// order puts jobs within their team's guarantee before others of the same
-// priority, and gangs that have waited for long before what is left; within equal
-// standing the order of readiness stays.
-func order(jobs []*pipeline.Job, now event.Time) {
-	standing := func(j *pipeline.Job) int {
-		switch {
-		case j.WithinGuarantee:
-			return 2
-		case j.Shape == pipeline.Gang && j.TaskCount > 1 && int64(now)-j.ReadySince > int64(gangWaitLimit):
-			return 1
-		default:
-			return 0
-		}
+// precedence orders jobs of the same priority, the greatest first.
+type precedence int
+
+const (
+	byReadiness precedence = iota
+	startOverdue
+	gangOverdue
+	withinGuarantee
+)
+
+// precedenceOf returns the precedence of a job. A gang is overdue as long as any
+// of its tasks waits, any other job until its first task is placed; a job that is
+// at fault is not, as it never begins.
+func precedenceOf(j *pipeline.Job, now event.Time) precedence {
+	overdue := int64(now)-j.ReadySince > int64(maxStartDelay) && !j.AtFault()
+	switch {
+	case j.WithinGuarantee:
+		return withinGuarantee
+	case overdue && j.Shape == pipeline.Gang && j.TaskCount > 1:
+		return gangOverdue
+	case overdue && j.Active() == 0 && j.DoneCount() == 0:
+		return startOverdue
+	default:
+		return byReadiness
 	}
+}
+
+// order puts jobs within their team's guarantee before others of the same priority,
+// then gangs and then other jobs that have waited to begin for long; within equal
+// precedence the order of readiness stays.
+func order(jobs []*pipeline.Job, now event.Time) {
 	sort.SliceStable(jobs, func(a, b int) bool {
 		if jobs[a].EffectivePriority != jobs[b].EffectivePriority {
 			return jobs[a].EffectivePriority > jobs[b].EffectivePriority
 		}
-		if x, y := standing(jobs[a]), standing(jobs[b]); x != y {
+		if x, y := precedenceOf(jobs[a], now), precedenceOf(jobs[b], now); x != y {
 			return x > y
 		}
 		return deadlineAtRisk(jobs[a], now) && !deadlineAtRisk(jobs[b], now)
@@ -430,7 +418,7 @@
 	}
 	var list []scored
 	for _, r := range capacities {
-		if r.Fits(&j.Spec) > 0 && p.Matches(j, r, now) && !j.Avoids(r.Machine.Index, int64(now)) {
+		if r.Fits(&j.Spec) > 0 && r.Matches(&j.Spec) && !j.Avoids(r.Machine.Index, int64(now)) {
 			list = append(list, scored{r, p.score(j, r, now)})
 		}
 	}
