--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -65,6 +65,9 @@
 	if !r.sorted {
 		r.sorted = true
 		for _, e := range p.Jobs.OnMachine(r.Machine.Index) {
+			if e.Phase == pipeline.Exited {
+				continue
+			}
 			at := p.Remaining(e, now)
 			if e.Evict {
 				at = e.Job.CheckpointDuration
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -142,6 +142,9 @@
 	p.Recounted++
 	*r = Capacity{Machine: h, MachineType: f, changes: changes, CPUs: f.CPUs, GPUs: f.GPUs, Memory: f.Memory}
 	for _, e := range p.Jobs.OnMachine(h.Index) {
+		if e.Phase == pipeline.Exited {
+			continue // its machine has said so; only the record of it is to follow
+		}
 		r.Allocate(&e.Job.Spec, 1)
 		if e.Evict {
 			r.Preempting = append(r.Preempting, e)
@@ -178,9 +181,13 @@
 	capacities = p.Capacities(now)
 	for _, r := range capacities {
 		for _, e := range p.Jobs.OnMachine(r.Machine.Index) {
+			exited := e.Phase == pipeline.Exited // it takes nothing any more
+			if e.Evict && e.Job.Final == pipeline.Queued {
+				preempting = append(preempting, e)
+			}
 			switch {
+			case exited:
 			case e.Evict && e.Job.Final == pipeline.Queued:
-				preempting = append(preempting, e)
 				r.release(&e.Job.Spec)
 			case e.Job.Final != pipeline.Queued || e.Pending != pipeline.NoPendingWrite:
 				r.release(&e.Job.Spec)
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -394,6 +394,7 @@
 		return
 	}
 	f.Jobs.Changed = true
+	f.Jobs.MarkMachineChanged(h.Index) // what the task took is free again
 	if j.Final == pipeline.Cancelled {
 		f.Jobs.Clear(e)
 		return
