--- /dev/null
+++ b/internal/engine/peers_test.go
@@ -0,0 +1,34 @@
+package engine
+
+import (
+	"encoding/binary"
+	"net"
+	"testing"
+	"time"
+)
+
+func TestPeerPort(t *testing.T) {
+	e, cfg := start(t, 100)
+	if got := say(t, cfg.PeerBind, "\xff\xff\xff\xffgarbage"); got != "" {
+		t.Errorf("garbage was answered with %q", got)
+	}
+	c, err := net.Dial("tcp", cfg.PeerBind)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	frame := append(binary.BigEndian.AppendUint32(nil, 3), "abc"...)
+	_, _ = c.Write(frame[:5])
+	time.Sleep(5 * time.Millisecond)
+	_, _ = c.Write(append(frame[5:], frame...))
+	for range 500 {
+		e.mu.Lock()
+		n := len(e.frames)
+		e.mu.Unlock()
+		if n == 2 {
+			return
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+	t.Error("two frames did not arrive")
+}
