--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -6,32 +6,42 @@
 	"lugward/internal/event"
 )
 
-const (
-	// A controller that has neither the state service nor a peer for this long
-	// is the one that is cut off.
-	isolatedAfter = 5 * time.Second
-)
+// isolatedAfter: a controller that has reached neither the state service nor a
+// peer for this long takes itself to be cut off from the network.
+const isolatedAfter = 5 * time.Second
 
-// handleHealth: a node that alone is refused by the state service, or that hears
-// nobody any more, sends users to the others; in an outage that all share,
-// staying healthy lets the service resume at once.
+// handleHealth answers a health probe.
 func (n *Node) handleHealth(now event.Time, r event.Request, out *event.Effects) {
-	ok := n.store.Synced()
-	if without := now - n.store.Contact(); ok && n.store.Outage() && without > heartbeatTimeout {
-		// Users' connections stay where they are while the node is healthy: for
-		// as long as it is cut off nobody would tell them about their jobs.
-		isolated := len(n.peers) > 0 && without > isolatedAfter
-		for _, p := range n.peers {
-			if n.alive(p) {
-				isolated = false
-				ok = ok && !p.heartbeat.StateOK
-			}
-		}
-		ok = ok && !isolated
-	}
-	if ok {
-		out.Reply(r.Conn, 200, nil)
+	if n.healthy(now) {
+		out.Reply(r.Conn, event.StatusOK, nil)
 	} else {
-		out.Busy(r.Conn, 1)
+		out.Busy(r.Conn, retryAfterSeconds)
+	}
+}
+
+// healthy tells whether users should be sent to this controller. One that is
+// refused by the state service while a peer is served is not healthy, nor is
+// one that is cut off: users' connections stay where they are while a node is
+// healthy, so they would learn nothing about their jobs. In an outage that all
+// controllers share they stay healthy, and service resumes at once after it.
+func (n *Node) healthy(now event.Time) bool {
+	if !n.store.Synced() {
+		return false
+	}
+	withoutState := now - n.store.Contact()
+	if !n.store.Outage() || withoutState <= heartbeatTimeout {
+		return true
+	}
+	anyAlive := false
+	for _, p := range n.peers {
+		if !n.alive(p) {
+			continue
+		}
+		anyAlive = true
+		if p.heartbeat.StateOK {
+			return false
+		}
 	}
+	isolated := len(n.peers) > 0 && !anyAlive && withoutState > isolatedAfter
+	return !isolated
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -5,122 +5,218 @@
 
 	"lugward/internal/config"
 	"lugward/internal/event"
+	"lugward/internal/pipeline"
+	"lugward/internal/scheduler"
 )
 
+// Intervals of the leader's periodic work.
 const (
-	planInterval    = time.Second
-	roundIdle       = 2 * time.Second // a round without a change, for what time brings
 	workersInterval = 50 * time.Millisecond
+	planInterval    = time.Second
 	packInterval    = 2 * time.Second
 	cleanInterval   = time.Second
-	cleanJobs       = 2
-	// A leader that hears no worker for this long gives the term up.
+	// idleRoundInterval is the time between two rounds while nothing changes:
+	// waiting times grow, and so do the rights that depend on them.
+	idleRoundInterval = 2 * time.Second
+)
+
+const (
+	// cleanedJobs bounds the jobs whose records one cleaning pass touches, so
+	// that cleaning leaves the write rate to users and placements.
+	cleanedJobs = 2
+	// noReportsTimeout: a leader that gets no worker's report for this long
+	// resigns, as another controller may be able to reach the workers.
 	noReportsTimeout = 12 * time.Second
+	// evictionMargin is the time for an order to stop to reach its worker and
+	// for the answer to come back.
+	evictionMargin = 4 * time.Second
+	// saveMarginSeconds is added to the time that a task needs to save, when it
+	// is stopped before its machine is reclaimed.
+	saveMarginSeconds = 1
 )
 
-// updateLeadership notices the begin and the end of our term.
+// leadership is what a controller keeps as leader. It is active from the
+// moment that our term is taken up here until its end is noticed here.
+type leadership struct {
+	active     bool
+	lastReport event.Time // when a worker's report last came
+	// resignedUnheard: we resigned our last term because no report came, and
+	// no worker has reported to us since.
+	resignedUnheard bool
+	schedule        leaderSchedule
+	placement       placement
+}
+
+// leaderSchedule holds when each part of the leader's periodic work was last
+// done. It lasts from one term to the next.
+type leaderSchedule struct {
+	workersAt event.Time
+	roundAt   event.Time
+	planAt    event.Time
+	packAt    event.Time
+	cleanAt   event.Time
+	loadAt    event.Time
+}
+
+// placement is the result of the last scheduling round of this term.
+type placement struct {
+	blocked    []*pipeline.Job       // jobs that did not fit
+	capacities []*scheduler.Capacity // of the machines; nil before the first round
+}
+
+// updateLeadership takes up a term that has begun and lays down one that has
+// ended. A leader that gets no reports resigns.
 func (n *Node) updateLeadership(now event.Time, out *event.Effects) {
 	if n.election.Acquired() {
-		n.leading = true
-		n.jobs.Reset()
-		n.workers.Reset()
-		n.autoscaler.Begin(now, n.election.FencingToken())
-		n.blocked, n.capacities = nil, nil
-		n.lastReportAt = now
-		n.share(now)
+		n.beginTerm(now)
 	}
-	if n.leading && !n.election.Holds() {
-		n.leading = false
-		n.jobs.Reset()
-		n.workers.Reset()
-		n.autoscaler.Forget()
-		n.blocked, n.capacities = nil, nil
-		n.share(now)
+	if n.leadership.active && !n.election.Holds() {
+		n.endTerm(now)
 	}
-	if n.leading && now >= n.reportDeadline() && n.expectsReports() {
-		// Whoever can reach the workers shall have the term.
-		n.yielded = true
-		n.election.Resign(now, out, "no worker is heard")
+	if n.leadership.active && now >= n.reportDeadline() && n.expectsReports() {
+		n.leadership.resignedUnheard = true
+		n.election.Resign(now, out, "no worker reports")
 		n.updateLeadership(now, out)
 	}
 }
 
-// reportDeadline is until when a leader waits for a worker's report. If it gave a
-// term up for that before and no worker has come to it since, none may be left,
-// and terms given up one after the other would keep the proof that the tasks of
-// silent machines have terminated from ever being reached: it stays until then.
+func (n *Node) beginTerm(now event.Time) {
+	n.leadership.active = true
+	n.resetTermState()
+	n.autoscaler.Begin(now, n.election.FencingToken())
+	n.leadership.lastReport = now
+	n.share(now)
+}
+
+func (n *Node) endTerm(now event.Time) {
+	n.leadership.active = false
+	n.resetTermState()
+	n.autoscaler.Forget()
+	n.share(now)
+}
+
+// resetTermState drops what is known or planned in one term only.
+func (n *Node) resetTermState() {
+	n.jobs.Reset()
+	n.workers.Reset()
+	n.leadership.placement = placement{}
+}
+
+// reportDeadline is until when a leader waits for a worker's report. A leader
+// that resigned for want of reports and has had none since keeps its next term
+// until the leases of silent workers have expired: the workers may all be gone,
+// and further resignations would put off the proof that their tasks have
+// terminated for ever.
 func (n *Node) reportDeadline() event.Time {
-	if n.yielded {
-		return n.election.TasksExpireAt(n.lastReportAt) + noReportsTimeout
+	if n.leadership.resignedUnheard {
+		return n.election.TasksExpireAt(n.leadership.lastReport) + noReportsTimeout
 	}
-	return n.lastReportAt + noReportsTimeout
+	return n.leadership.lastReport + noReportsTimeout
 }
 
-// expectsReports tells whether there are workers that ought to report.
+// expectsReports tells whether there are workers that should report.
 func (n *Node) expectsReports() bool {
-	used := n.autoscaler.HasSilentMachines()
-	n.jobs.MachinesInUse(func(int) { used = true })
-	for _, h := range n.workers.Machines {
-		used = used || (h != nil && h.LastReport > 0)
+	expected := n.autoscaler.HasSilentMachines()
+	n.jobs.MachinesInUse(func(int) { expected = true })
+	for _, machine := range n.workers.Machines {
+		expected = expected || (machine != nil && machine.LastReport > 0)
 	}
-	return used
+	return expected
 }
 
-// actAsLeader is the leader's work.
+// actAsLeader does what is due of the leader's work. The caller checks that
+// the election allows tasks to be started.
 func (n *Node) actAsLeader(now event.Time, out *event.Effects) {
-	if now-n.workersAt >= workersInterval {
-		n.workersAt = now
+	schedule := &n.leadership.schedule
+	if now-schedule.workersAt >= workersInterval {
+		schedule.workersAt = now
 		n.workers.Tick(now, n.election, out)
-		n.drain(now)
+		n.evictBeforeReclaim(now)
 	}
-	n.autoscaler.Tick(now, n.election, n.election.Condition(), n.silent(), out)
-	since := now - n.roundAt
+	n.autoscaler.Tick(now, n.election, n.election.Condition(), n.silentAfter(), out)
 	n.jobs.Changed = n.jobs.Changed || n.autoscaler.Replan
-	if (n.jobs.Changed && since >= time.Duration(n.cfg.Operator.Scheduler.Round)) || since >= roundIdle {
-		n.roundAt, n.jobs.Changed = now, false
-		n.startBudget()
-		n.work.Rounds++
-		n.blocked, n.capacities = n.scheduler.Round(now)
-		if now-n.planAt >= planInterval || n.autoscaler.Replan {
-			n.planAt, n.autoscaler.Replan = now, false
-			n.autoscaler.Plan(now, n.blocked, n.scheduler, n.election.FencingToken(), out)
-		}
+	if n.roundDue(now) {
+		n.runRound(now, out)
 	}
-	if now-n.packAt >= packInterval && n.capacities != nil {
-		n.packAt = now
-		n.startBudget()
-		for _, h := range n.scheduler.Pack(now, n.capacities, n.blocked) {
-			n.log.Info("draining machine", "machine", h.Name)
-		}
+	if now-schedule.packAt >= packInterval && n.leadership.placement.capacities != nil {
+		schedule.packAt = now
+		n.pack(now)
 	}
 	n.logLoad(now)
 	n.jobs.Flush(now, n.election.Condition(), n.store)
-	if now-n.cleanAt >= cleanInterval {
-		n.cleanAt = now
-		n.jobs.Clean(now, n.election.Condition(), n.store, cleanJobs)
-		n.jobs.ExpandRecords(cleanJobs)
-		n.jobs.DeleteStaleParts(now, n.election.Condition(), n.store)
+	if now-schedule.cleanAt >= cleanInterval {
+		schedule.cleanAt = now
+		n.cleanRecords(now)
 	}
 }
 
-// startBudget gives the scheduler the time of one round.
+// roundDue tells whether it is time for a scheduling round: soon after a
+// change, rarely without one.
+func (n *Node) roundDue(now event.Time) bool {
+	elapsed := now - n.leadership.schedule.roundAt
+	if n.jobs.Changed && elapsed >= time.Duration(n.cfg.Operator.Scheduler.Round) {
+		return true
+	}
+	return elapsed >= idleRoundInterval
+}
+
+// runRound decides what runs where and, when that is due, what to provision
+// for the jobs that did not fit.
+func (n *Node) runRound(now event.Time, out *event.Effects) {
+	schedule := &n.leadership.schedule
+	schedule.roundAt = now
+	n.jobs.Changed = false
+	n.startBudget()
+	n.work.Rounds++
+	blocked, capacities := n.scheduler.Round(now)
+	n.leadership.placement = placement{blocked: blocked, capacities: capacities}
+	if now-schedule.planAt >= planInterval || n.autoscaler.Replan {
+		schedule.planAt = now
+		n.autoscaler.Replan = false
+		n.autoscaler.Plan(now, blocked, n.scheduler, n.election.FencingToken(), out)
+	}
+}
+
+// pack moves tasks off machines that can be released then.
+func (n *Node) pack(now event.Time) {
+	n.startBudget()
+	last := &n.leadership.placement
+	for _, machine := range n.scheduler.Pack(now, last.capacities, last.blocked) {
+		n.log.Info("draining machine", "machine", machine.Name)
+	}
+}
+
+// cleanRecords deletes or rewrites a few records that are no longer needed as
+// they are.
+func (n *Node) cleanRecords(now event.Time) {
+	term := n.election.Condition()
+	n.jobs.Clean(now, term, n.store, cleanedJobs)
+	n.jobs.ExpandRecords(cleanedJobs)
+	n.jobs.DeleteStaleParts(now, term, n.store)
+}
+
+// startBudget starts the time that the scheduler has for one round.
 func (n *Node) startBudget() {
-	if n.clock != nil {
-		begin, budget := n.clock(), time.Duration(n.cfg.Operator.Scheduler.Budget)
-		n.scheduler.OverBudget = func() bool { return n.clock()-begin > budget }
+	if n.clock == nil {
+		return
 	}
+	begin := n.clock()
+	budget := time.Duration(n.cfg.Operator.Scheduler.Budget)
+	n.scheduler.OverBudget = func() bool { return n.clock()-begin > budget }
 }
 
-// drain moves work off machines that the cloud is about to take.
-func (n *Node) drain(now event.Time) {
-	const margin = 4 * time.Second // for the stop to arrive and be answered
-	for _, h := range n.workers.Machines {
-		if h == nil || h.ReclaimAt == 0 {
+// evictBeforeReclaim stops tasks that save checkpoints on machines that the
+// cloud is about to reclaim, while there is still time for the last save.
+func (n *Node) evictBeforeReclaim(now event.Time) {
+	for _, machine := range n.workers.Machines {
+		if machine == nil || machine.ReclaimAt == 0 {
 			continue
 		}
-		for _, e := range n.jobs.OnMachine(h.Index) {
-			if e.Job.CheckpointInterval > 0 && h.ReclaimAt-now < config.Seconds(e.Job.CheckpointDuration)+margin {
-				n.workers.Evict(e, e.Job.CheckpointDuration+1)
+		for _, entry := range n.jobs.OnMachine(machine.Index) {
+			job := entry.Job
+			needed := config.Seconds(job.CheckpointDuration) + evictionMargin
+			if job.CheckpointInterval > 0 && machine.ReclaimAt-now < needed {
+				n.workers.Evict(entry, job.CheckpointDuration+saveMarginSeconds)
 			}
 		}
 	}
--- a/internal/core/load.go
+++ b/internal/core/load.go
@@ -7,62 +7,104 @@
 	"lugward/internal/pipeline"
 )
 
-const (
-	loadLogInterval = 10 * time.Second // between two lines of the log about the load
-)
+// loadLogInterval is the time between two lines of the log about the load.
+const loadLogInterval = 10 * time.Second
 
-// logLoad tells how much work there is and what is being done about it.
-func (n *Node) logLoad(now event.Time) {
-	if now-n.loadAt < loadLogInterval {
-		return
-	}
-	n.loadAt = now
-	var seen [pipeline.Exited + 1]int
-	var jobs, open, stopping, unstored int
-	for _, j := range n.jobs.Jobs {
-		if j == nil || j.Final != pipeline.Queued {
+// Work counts what was done for the inputs since the process began. It is to
+// grow with what changes, not with the number of machines and tasks.
+type Work struct {
+	Reports             int // that were read
+	Decoded, Unchanged  int // bytes of reports that were decoded, and that were only compared
+	Rounds              int // of the scheduler
+	CapacitiesRecounted int // machines whose capacity was counted anew
+}
+
+// Work returns the counts since the process began.
+func (n *Node) Work() Work {
+	work := n.work
+	work.Decoded = n.parser.Decoded
+	work.Unchanged = n.parser.Unchanged
+	work.CapacitiesRecounted = n.scheduler.Recounted
+	return work
+}
+
+// taskLoad counts the work of the unfinished jobs.
+type taskLoad struct {
+	jobsWaiting  int // with tasks that are not placed
+	tasksWaiting int // that are not placed
+	unstored     int // placed, but not stored yet
+	stopping     int
+	byPhase      [pipeline.Exited + 1]int // placed, by their phase
+}
+
+// machineLoad counts the machines that the last round could use.
+type machineLoad struct {
+	up       int
+	idle     int
+	freeGPUs float64
+}
+
+func (n *Node) taskLoad() taskLoad {
+	var load taskLoad
+	for _, job := range n.jobs.Jobs {
+		if job == nil || job.Final != pipeline.Queued {
 			continue
 		}
-		if j.OpenCount() > 0 {
-			jobs, open = jobs+1, open+j.OpenCount()
+		if open := job.OpenCount(); open > 0 {
+			load.jobsWaiting++
+			load.tasksWaiting += open
 		}
-		j.Entries(func(e *pipeline.Entry) {
-			seen[e.Phase]++
-			if e.Evict {
-				stopping++
-			}
-			if !e.Durable {
-				unstored++
-			}
-		})
+		job.Entries(load.count)
 	}
-	up, idle, free := 0, 0, 0.0
-	for _, r := range n.capacities {
-		up++
-		if !r.Busy {
-			idle++
-		}
-		free += r.GPUs
+	return load
+}
+
+func (l *taskLoad) count(entry *pipeline.Entry) {
+	l.byPhase[entry.Phase]++
+	if entry.Evict {
+		l.stopping++
+	}
+	if !entry.Durable {
+		l.unstored++
 	}
-	_, writes := n.store.Demand(now)
-	n.log.Info("load", "jobs_waiting", jobs, "tasks_waiting", open, "unstored", unstored, "ordered", seen[pipeline.Unseen], "fetching", seen[pipeline.Pulling],
-		"waiting_for_gang", seen[pipeline.Waiting], "running", seen[pipeline.RunningTask], "stopping", stopping, "machines", up, "idle", idle, "gpus_free", free,
-		"reserved", n.scheduler.Reserved(), "cut_short", n.scheduler.Interrupted, "compact", n.jobs.Compact(), "writes", int(writes))
-	n.scheduler.Interrupted = 0
 }
 
-// Work counts what was done on behalf of the inputs: at any size it is to
-// follow what has changed.
-type Work struct {
-	Reports             int // that were read
-	Decoded, Unchanged  int // bytes of reports that were decoded, and compared only
-	Rounds              int
-	CapacitiesRecounted int // machine capacities that were counted anew
+func (n *Node) machineLoad() machineLoad {
+	var load machineLoad
+	for _, capacity := range n.leadership.placement.capacities {
+		load.up++
+		if !capacity.Busy {
+			load.idle++
+		}
+		load.freeGPUs += capacity.GPUs
+	}
+	return load
 }
 
-// Work returns the counts since the process began.
-func (n *Node) Work() Work {
-	w := n.work
-	w.Decoded, w.Unchanged, w.CapacitiesRecounted = n.parser.Decoded, n.parser.Unchanged, n.scheduler.Recounted
-	return w
+// logLoad logs now and then how much work there is and what is done about it.
+func (n *Node) logLoad(now event.Time) {
+	if now-n.leadership.schedule.loadAt < loadLogInterval {
+		return
+	}
+	n.leadership.schedule.loadAt = now
+	tasks := n.taskLoad()
+	machines := n.machineLoad()
+	_, writes := n.store.Demand(now)
+	n.log.Info("load",
+		"jobs_waiting", tasks.jobsWaiting,
+		"tasks_waiting", tasks.tasksWaiting,
+		"unstored", tasks.unstored,
+		"ordered", tasks.byPhase[pipeline.Unseen],
+		"fetching", tasks.byPhase[pipeline.Pulling],
+		"waiting_for_gang", tasks.byPhase[pipeline.Waiting],
+		"running", tasks.byPhase[pipeline.RunningTask],
+		"stopping", tasks.stopping,
+		"machines", machines.up,
+		"idle", machines.idle,
+		"gpus_free", machines.freeGPUs,
+		"reserved", n.scheduler.Reserved(),
+		"cut_short", n.scheduler.Interrupted,
+		"compact", n.jobs.Compact(),
+		"writes", int(writes))
+	n.scheduler.Interrupted = 0
 }
--- a/internal/core/marks.go
+++ b/internal/core/marks.go
@@ -10,27 +10,43 @@
 )
 
 const (
+	// versionStagger is the time between the versions of two controllers, so
+	// that a common start of all does not write them at once.
 	versionStagger = time.Second
-	versionRetry   = 5 * time.Second // between two attempts to store the version
+	// versionRetryInterval is the time between two attempts to store the version.
+	versionRetryInterval = 5 * time.Second
+	// versionWriteTimeout is how long a write of the version may wait for its turn.
+	versionWriteTimeout = time.Minute
 )
 
+// versionPublication is the state of the write that tells the other
+// controllers which version of the program we run.
+type versionPublication struct {
+	inFlight bool
+	nextAt   event.Time // of the next attempt; 0: none is planned yet
+}
+
 // markJobs writes the ready marks of held jobs and the cancelled marks of jobs
-// below a cancelled one, of those that we own and as leader of those whose owner
-// can't. Each write requires the record as it was, so two owners do no harm.
+// below a cancelled one: of jobs that we own and, as leader, of those whose
+// owner cannot. Each write requires the record as it was, so two controllers
+// that mark the same job do no harm.
 func (n *Node) markJobs(now event.Time) {
 	if !n.store.Synced() {
 		return
 	}
-	ours := func(j *pipeline.Job) bool {
-		return j.Owner == n.cfg.Label || (n.leading && !n.ownerWrites(j.Owner))
+	responsible := func(job *pipeline.Job) bool {
+		if job.Owner == n.cfg.Label {
+			return true
+		}
+		return n.leadership.active && !n.ownerCanWrite(job.Owner)
 	}
-	n.jobs.MarkReady(now, n.store, ours)
-	n.jobs.MarkUpstreamCancelled(now, n.store, ours)
+	n.jobs.MarkReady(now, n.store, responsible)
+	n.jobs.MarkUpstreamCancelled(now, n.store, responsible)
 }
 
-// ownerWrites tells whether an owner can be left to mark its jobs: one that the
-// state service alone refuses is heard all the same.
-func (n *Node) ownerWrites(label string) bool {
+// ownerCanWrite tells whether a peer can mark the jobs that it owns: its
+// heartbeats arrive and say that it reaches the state service.
+func (n *Node) ownerCanWrite(label string) bool {
 	for _, p := range n.peers {
 		if p.label == label {
 			return n.alive(p) && p.heartbeat.StateOK
@@ -39,24 +55,29 @@
 	return false
 }
 
-// publishVersion stores, once, that this controller runs this version. It is in no
-// hurry: after a start of all, terms and users go first and the controllers
-// follow one another.
+// publishVersion stores, once, that this controller runs this version. It is
+// not urgent: after a start of all controllers, terms and users go first.
 func (n *Node) publishVersion(now event.Time) {
 	key := pipeline.VersionKey + "/" + n.cfg.Label
-	if n.publishing || !n.store.Synced() || n.store.Version(key) != 0 || n.election.Holder() == "" {
+	stored := n.store.Version(key) != 0
+	if n.version.inFlight || stored || !n.store.Synced() || n.election.Holder() == "" {
 		return
 	}
-	if n.publishAt == 0 {
-		n.publishAt = now + versionRetry + versionStagger*event.Time(slices.Index(n.jobs.Labels, n.cfg.Label))
+	if n.version.nextAt == 0 {
+		position := slices.Index(n.jobs.Labels, n.cfg.Label)
+		n.version.nextAt = now + versionRetryInterval + versionStagger*event.Time(position)
 	}
-	if now < n.publishAt {
+	if now < n.version.nextAt {
 		return
 	}
-	n.publishing = true
-	n.store.Submit(&store.Intent{Priority: store.Progress, Conditions: []store.Condition{{Key: key}},
-		Writes: []store.Write{{Key: key, Data: pipeline.Version}},
-		Done: func(r store.Result) {
-			n.publishing, n.publishAt = false, r.Now+versionRetry
-		}}, now+time.Minute)
+	n.version.inFlight = true
+	n.store.Submit(&store.Intent{
+		Priority:   store.Progress,
+		Conditions: []store.Condition{{Key: key}},
+		Writes:     []store.Write{{Key: key, Data: pipeline.Version}},
+		Done: func(result store.Result) {
+			n.version.inFlight = false
+			n.version.nextAt = result.Now + versionRetryInterval
+		},
+	}, now+versionWriteTimeout)
 }
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -1,5 +1,6 @@
-// Package core routes inputs to the slices. It is a state machine: inputs and
-// the time come in, effects go out.
+// Package core connects the parts of a controller: it routes each input to the
+// part that handles it. It is a state machine without clock, goroutine or
+// socket: inputs and the time come in, effects go out.
 package core
 
 import (
@@ -19,14 +20,26 @@
 )
 
 const (
+	// staleAfter is how old the replica may become before it is read again.
 	staleAfter = 3 * time.Second
+	// stalePartOfGrace: a leader answers reports only while its replica is
+	// fresher than the grace, so the replica is read again after a quarter of it.
+	stalePartOfGrace = 4
+	// A machine is silent after this many report intervals and this margin.
+	silentReportIntervals = 2.5
+	silentMargin          = time.Second
+
+	bytesPerKB = 1024
 )
 
-// Node is one controller.
+// Node is one controller. It is not safe for concurrent use: the caller hands
+// it one input at a time, with times that never decrease.
 type Node struct {
-	cfg        *config.Platform
-	log        *slog.Logger
-	names      *pipeline.Names
+	cfg   *config.Platform
+	log   *slog.Logger
+	names *pipeline.Names
+	clock func() time.Duration // bounds decision rounds; nil: they are not bounded
+
 	store      *store.Client
 	election   *election.Election
 	jobs       *pipeline.Table
@@ -34,77 +47,114 @@
 	scheduler  *scheduler.Scheduler
 	autoscaler *autoscaler.Autoscaler
 	api        *api.Server
-	peers      []*peerState
 
-	clock        func() time.Duration
-	leading      bool
-	heartbeatAt  event.Time
-	roundAt      event.Time
-	planAt       event.Time
-	packAt       event.Time
-	workersAt    event.Time
-	cleanAt      event.Time
-	loadAt       event.Time
-	publishing   bool       // the version's key is being written
-	publishAt    event.Time // when it may be tried again
-	lastReportAt event.Time // a worker's report, as leader
-	yielded      bool       // our last term was given up for want of reports, and no worker has come since
-	blocked      []*pipeline.Job
-	capacities   []*scheduler.Capacity
-	parser       worker.Parser
-	work         Work
-	waiting      reports
-	routes       map[string]*workerRoute
-	relayed      map[uint64]pendingRelay
-	lastRelay    uint64
+	peers       []*peerState
+	heartbeatAt event.Time // of our last heartbeat
+
+	leadership leadership
+	version    versionPublication
+	waiting    reports
+	relays     relays
+	parser     worker.Parser
+	work       Work
 }
 
 // New builds a controller. clock bounds decision rounds and may be nil.
 func New(cfg *config.Platform, log *slog.Logger, clock func() time.Duration) *Node {
-	s := &cfg.Settings
-	n := &Node{cfg: cfg, log: log, names: &pipeline.Names{}, clock: clock, routes: map[string]*workerRoute{}, relayed: map[uint64]pendingRelay{}}
-	teams := map[int]config.Team{}
-	for _, t := range s.Teams {
-		teams[n.names.Teams.Index(t.Name)] = t
+	n := &Node{
+		cfg:    cfg,
+		log:    log,
+		names:  &pipeline.Names{},
+		clock:  clock,
+		relays: newRelays(),
 	}
+	teams := n.indexTeams()
 	// The layout of run records follows from the present limit, which is all
-	// that the version in production knows.
-	limits := s.State.Lasting()
-	n.jobs = pipeline.NewTable(n.names, int(s.State.ValueKB*1024), limits.TxnOps)
-	n.jobs.ValueLimit = int(limits.ValueKB * 1024)
-	lease := config.Seconds(s.Workers.LeaseS)
-	grace := election.GraceFor(config.Seconds(s.Workers.CancelS), lease)
-	// A leader answers reports only while its replica is fresher than the
-	// grace: where cancellations have little time, an idle one must not age.
-	n.store = store.New(cfg.Services.State, store.Limits{TxnOps: limits.TxnOps, RPS: s.State.RPS, WriteRPS: s.State.WriteRPS,
-		NextRPS: limits.RPS, NextWriteRPS: limits.WriteRPS, StaleAfter: min(staleAfter, grace/4)}, n.listen)
-	n.store.Log = log
-	labels := []string{cfg.Label}
-	for _, p := range cfg.Seeds {
-		labels = append(labels, p.Label)
-		n.peers = append(n.peers, &peerState{label: p.Label, lastHeard: -time.Hour})
-	}
-	sort.Strings(labels)
-	n.jobs.Labels = labels
-	n.election = election.New(election.Config{Label: cfg.Label, Position: sort.SearchStrings(labels, cfg.Label), TermLease: time.Duration(cfg.Operator.Term.Life),
-		WorkerLease: lease, Grace: grace}, n.store, log)
-	n.workers = worker.New(n.names, n.jobs, log)
-	n.workers.SilentAfter = n.silent()
-	n.autoscaler = autoscaler.New(autoscaler.Config{ValueBytes: n.jobs.ValueLimit, Addr: cfg.Services.Cloud, RPS: s.Cloud.RPS, ListLag: config.Seconds(s.Cloud.ListLagS),
-		IdleKeep: time.Duration(cfg.Operator.Autoscaler.IdleKeep), Settle: time.Duration(cfg.Operator.Autoscaler.Settle)}, n.names, n.jobs, n.workers, n.store, log)
-	n.scheduler = &scheduler.Scheduler{Jobs: n.jobs, Workers: n.workers, MachineTypes: &n.autoscaler.MachineTypes, Teams: teams, ReportInterval: config.Seconds(s.Workers.ReportS), SilentAfter: n.silent()}
-	n.api = api.New(api.Config{Label: cfg.Label, Teams: s.Teams, Answer: time.Duration(cfg.Operator.API.Answer),
-		ValueBytes: n.jobs.ValueLimit, TxnOps: limits.TxnOps}, n.names, n.jobs, n.store, &n.autoscaler.MachineTypes)
+	// that the version in production knows; sizes and rates keep within the
+	// limits to come as well.
+	limits := cfg.Settings.State.Lasting()
+	n.jobs = pipeline.NewTable(n.names, int(cfg.Settings.State.ValueKB*bytesPerKB), limits.TxnOps)
+	n.jobs.ValueLimit = int(limits.ValueKB * bytesPerKB)
+	n.peers = newPeers(cfg)
+	n.jobs.Labels = sortedLabels(cfg)
+	n.connectState(limits)
+	n.connectSite(teams)
+	n.api = api.New(api.Config{
+		Label:      cfg.Label,
+		Teams:      cfg.Settings.Teams,
+		Answer:     time.Duration(cfg.Operator.API.Answer),
+		ValueBytes: n.jobs.ValueLimit,
+		TxnOps:     limits.TxnOps,
+	}, n.names, n.jobs, n.store, &n.autoscaler.MachineTypes)
 	n.share(0)
 	return n
 }
 
-// silent is how long a worker may be quiet before nothing more is given to it.
-func (n *Node) silent() time.Duration {
-	return config.Seconds(2.5*n.cfg.Settings.Workers.ReportS) + time.Second
+// indexTeams returns the settings of the teams by their index.
+func (n *Node) indexTeams() map[int]config.Team {
+	teams := map[int]config.Team{}
+	for _, team := range n.cfg.Settings.Teams {
+		teams[n.names.Teams.Index(team.Name)] = team
+	}
+	return teams
+}
+
+// connectState builds the client of the state service and, on it, the election.
+func (n *Node) connectState(limits config.StateLimits) {
+	state := &n.cfg.Settings.State
+	workers := &n.cfg.Settings.Workers
+	workerLease := config.Seconds(workers.LeaseS)
+	grace := election.GraceFor(config.Seconds(workers.CancelS), workerLease)
+	n.store = store.New(n.cfg.Services.State, store.Limits{
+		TxnOps:       limits.TxnOps,
+		RPS:          state.RPS,
+		WriteRPS:     state.WriteRPS,
+		NextRPS:      limits.RPS,
+		NextWriteRPS: limits.WriteRPS,
+		StaleAfter:   min(staleAfter, grace/stalePartOfGrace),
+	}, n.onChange)
+	n.store.Log = n.log
+	n.election = election.New(election.Config{
+		Label:       n.cfg.Label,
+		Position:    sort.SearchStrings(n.jobs.Labels, n.cfg.Label),
+		TermLease:   time.Duration(n.cfg.Operator.Term.Life),
+		WorkerLease: workerLease,
+		Grace:       grace,
+	}, n.store, n.log)
+}
+
+// connectSite builds the parts that deal with machines: the registry of
+// workers, the autoscaler and the scheduler.
+func (n *Node) connectSite(teams map[int]config.Team) {
+	settings := &n.cfg.Settings
+	n.workers = worker.New(n.names, n.jobs, n.log)
+	n.workers.SilentAfter = n.silentAfter()
+	n.autoscaler = autoscaler.New(autoscaler.Config{
+		ValueBytes: n.jobs.ValueLimit,
+		Addr:       n.cfg.Services.Cloud,
+		RPS:        settings.Cloud.RPS,
+		ListLag:    config.Seconds(settings.Cloud.ListLagS),
+		IdleKeep:   time.Duration(n.cfg.Operator.Autoscaler.IdleKeep),
+		Settle:     time.Duration(n.cfg.Operator.Autoscaler.Settle),
+	}, n.names, n.jobs, n.workers, n.store, n.log)
+	n.scheduler = &scheduler.Scheduler{
+		Jobs:           n.jobs,
+		Workers:        n.workers,
+		MachineTypes:   &n.autoscaler.MachineTypes,
+		Teams:          teams,
+		ReportInterval: config.Seconds(settings.Workers.ReportS),
+		SilentAfter:    n.silentAfter(),
+	}
+}
+
+// silentAfter is how long a worker may send no report before nothing more is
+// placed on its machine.
+func (n *Node) silentAfter() time.Duration {
+	return config.Seconds(silentReportIntervals*n.cfg.Settings.Workers.ReportS) + silentMargin
 }
 
-func (n *Node) listen(key string, data []byte, version uint64) {
+// onChange routes a change of the replica to the part that owns the key.
+func (n *Node) onChange(key string, data []byte, version uint64) {
 	kind, rest := store.SplitKey(key)
 	switch kind {
 	case election.Kind:
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -2,71 +2,106 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 
+	"lugward/internal/config"
 	"lugward/internal/event"
 	"lugward/internal/peer"
 )
 
 const (
 	heartbeatInterval = 500 * time.Millisecond
-	heartbeatTimeout  = 2 * time.Second // a peer not heard for this long is taken to be away
+	// heartbeatTimeout: a peer without a heartbeat for this long is not alive.
+	heartbeatTimeout = 2 * time.Second
+	// neverHeard is the time of the last heartbeat of a peer that has sent none.
+	neverHeard = -time.Hour
 )
 
+// peerState is what we know of another controller. Its place in Node.peers is
+// its index in the engine's list of peers.
 type peerState struct {
-	label     string
-	lastHeard event.Time
-	heartbeat peer.Frame
+	label       string
+	heartbeatAt event.Time // when its last heartbeat came
+	heartbeat   peer.Frame // the last one; meaningful while the peer is alive
 }
 
-func (n *Node) alive(p *peerState) bool { return n.heartbeatAt-p.lastHeard < heartbeatTimeout }
+func newPeers(cfg *config.Platform) []*peerState {
+	var peers []*peerState
+	for _, seed := range cfg.Seeds {
+		peers = append(peers, &peerState{label: seed.Label, heartbeatAt: neverHeard})
+	}
+	return peers
+}
+
+// sortedLabels returns the labels of all controllers, ours included.
+func sortedLabels(cfg *config.Platform) []string {
+	labels := []string{cfg.Label}
+	for _, seed := range cfg.Seeds {
+		labels = append(labels, seed.Label)
+	}
+	slices.Sort(labels)
+	return labels
+}
+
+// alive tells whether a peer's heartbeats arrive. Judged as of our last own
+// heartbeat, it does not change because we stood still.
+func (n *Node) alive(p *peerState) bool { return n.heartbeatAt-p.heartbeatAt < heartbeatTimeout }
 
+// sendHeartbeat sends, when it is due, our view of the cluster to all peers.
 func (n *Node) sendHeartbeat(now event.Time, out *event.Effects) {
 	if now-n.heartbeatAt < heartbeatInterval {
 		return
 	}
 	n.heartbeatAt = now
-	f := peer.Frame{Kind: peer.Heartbeat, Label: n.cfg.Label, StateOK: n.store.Synced() && !n.store.Outage(), IsLeader: n.leading}
-	if n.leading {
-		f.FencingToken = n.election.FencingToken()
+	own := n.share(now)
+	heartbeat := peer.Frame{
+		Kind:     peer.Heartbeat,
+		Label:    n.cfg.Label,
+		StateOK:  n.store.Synced() && !n.store.Outage(),
+		IsLeader: n.leadership.active,
+		Requests: saturate(own.requests),
+		Writes:   saturate(own.writes),
 	}
-	requests, writes := n.share(now)
-	f.Requests, f.Writes = uint16(min(requests, math.MaxUint16)), uint16(min(writes, math.MaxUint16))
-	data := peer.Append(nil, &f)
+	if n.leadership.active {
+		heartbeat.FencingToken = n.election.FencingToken()
+	}
+	data := peer.Append(nil, &heartbeat)
 	for i := range n.peers {
 		out.Send(i, data)
 	}
 }
 
-// Frame takes a frame from another controller.
-func (n *Node) Frame(now event.Time, f event.PeerFrame, out *event.Effects) {
-	fr, err := peer.Decode(f.Data)
+// saturate converts a rate for the frame, which has 16 bits for it.
+func saturate(rate float64) uint16 { return uint16(min(rate, math.MaxUint16)) }
+
+// Frame takes a frame from another controller. Frames of unknown controllers
+// are ignored.
+func (n *Node) Frame(now event.Time, in event.PeerFrame, out *event.Effects) {
+	frame, err := peer.Decode(in.Data)
 	if err != nil {
 		n.log.Debug("bad frame", "err", err)
 		return
 	}
 	for i, p := range n.peers {
-		if p.label != fr.Label {
-			continue
+		if p.label == frame.Label {
+			n.handleFrame(now, i, &frame, out)
 		}
-		switch fr.Kind {
-		case peer.Heartbeat:
-			p.lastHeard, p.heartbeat = now, fr
-			if fr.IsLeader {
-				n.election.ObserveToken(fr.FencingToken)
-			}
-		case peer.Relay:
-			rep, err := n.parser.Parse(fr.Body)
-			if err == nil && n.leading && n.election.MayAnswer(now) {
-				n.report(now, replyTo{peer: i, relay: fr.ID}, rep, out)
-			} else {
-				n.respond(replyTo{peer: i, relay: fr.ID}, 503, nil, out)
-			}
-		case peer.RelayAck:
-			if w, ok := n.relayed[fr.ID]; ok {
-				delete(n.relayed, fr.ID)
-				n.respond(replyTo{conn: w.conn}, int(fr.Status), fr.Body, out)
-			}
+	}
+}
+
+func (n *Node) handleFrame(now event.Time, from int, frame *peer.Frame, out *event.Effects) {
+	switch frame.Kind {
+	case peer.Heartbeat:
+		p := n.peers[from]
+		p.heartbeatAt = now
+		p.heartbeat = *frame
+		if frame.IsLeader {
+			n.election.ObserveToken(frame.FencingToken)
 		}
+	case peer.Relay:
+		n.handleRelayedReport(now, from, frame, out)
+	case peer.RelayAck:
+		n.handleRelayAnswer(frame, out)
 	}
 }
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -11,77 +11,155 @@
 )
 
 const (
-	// A worker that is back within this time after it was sent to the leader
-	// did not reach it; its reports are passed on for a while.
+	// redirectWindow: a worker that is back within this time after it was
+	// redirected to the leader could not reach it.
 	redirectWindow = 20 * time.Second
-	relayDuration  = 45 * time.Second
-	relayTimeout   = 3 * time.Second
+	// relayDuration is how long a worker's reports are relayed before it is
+	// redirected again, to find out whether it reaches the leader by then.
+	relayDuration = 45 * time.Second
+	// relayTimeout is how long the leader may take to answer a relayed report.
+	relayTimeout = 3 * time.Second
 )
 
-// workerRoute is what a node that does not lead remembers of a worker.
+// relays is what a follower keeps to bring workers, or their reports, to the
+// leader.
+type relays struct {
+	routes  map[string]*workerRoute // by machine
+	pending map[uint64]pendingRelay // by the number of the relay
+	lastID  uint64                  // numbers start at 1
+}
+
+// workerRoute is how a follower has served a worker during one term.
 type workerRoute struct {
-	token    uint64     // of the leader it was sent to
-	sent     event.Time // when
-	relaying event.Time // since when its reports are passed on, 0: they are not
+	token         uint64     // fencing token of that term
+	servedAt      event.Time // when it was last redirected or relayed
+	relayingSince event.Time // 0: its reports are not relayed
 }
 
+// pendingRelay is a relayed report that the leader has not answered yet.
 type pendingRelay struct {
-	conn  uint64
+	conn  uint64 // of the worker
 	since event.Time
 }
 
-// relayOrRedirect sends a worker to the leader. One that comes back soon cannot reach
-// it: its reports are passed on over the peer link, so that a cut between two
-// zones costs no lease as long as some node reaches both sides. The leader
-// treats them like any other; a late one is merely old.
-func (n *Node) relayOrRedirect(now event.Time, r event.Request, machine string, out *event.Effects) {
-	holder := n.election.Holder()
-	link := -1
-	for i, p := range n.peers {
-		if p.label == holder && n.alive(p) {
-			link = i
-		}
-	}
-	p := n.routes[machine]
-	if token := n.election.HolderToken(); p == nil || p.token != token {
-		p = &workerRoute{token: token, sent: -redirectWindow}
-		n.routes[machine] = p
+// redirectAnswer tells a worker which controller leads.
+type redirectAnswer struct {
+	Leader string `json:"steward"`
+}
+
+func newRelays() relays {
+	return relays{routes: map[string]*workerRoute{}, pending: map[uint64]pendingRelay{}}
+}
+
+// route returns the route of a worker in the term with the given token.
+func (r *relays) route(machine string, token uint64) *workerRoute {
+	route := r.routes[machine]
+	if route == nil || route.token != token {
+		route = &workerRoute{token: token, servedAt: -redirectWindow}
+		r.routes[machine] = route
 	}
+	return route
+}
+
+// add notes a report that is being relayed and returns its number.
+func (r *relays) add(conn uint64, now event.Time) uint64 {
+	r.lastID++
+	r.pending[r.lastID] = pendingRelay{conn: conn, since: now}
+	return r.lastID
+}
+
+// relayOrRedirect brings a worker's report to the leader. The worker is
+// redirected first; if it comes back soon it could not reach the leader, and
+// its reports are relayed over the peer link. So a partition between two zones
+// costs no worker its lease as long as one controller reaches both sides. The
+// leader treats relayed reports like any other; a late one is merely old.
+func (n *Node) relayOrRedirect(now event.Time, r event.Request, machine string, out *event.Effects) {
+	leader := n.liveLeader()
+	reachable := leader >= 0
+	route := n.relays.route(machine, n.election.HolderToken())
+	cameBack := now-route.servedAt < redirectWindow
+	relayedLongEnough := route.relayingSince != 0 && now-route.relayingSince > relayDuration
 	switch {
-	case link < 0 && now-p.sent < redirectWindow:
-		// It came back, and we do not reach the leader either.
-		out.Reply(r.Conn, 421, nil)
-	case link < 0 || now-p.sent >= redirectWindow || (p.relaying != 0 && now-p.relaying > relayDuration):
-		p.sent, p.relaying = now, 0
+	case cameBack && !reachable:
+		// Neither the worker nor we reach the leader: name none, so that the
+		// worker tries another controller.
+		out.Reply(r.Conn, event.StatusMisdirected, nil)
+	case !cameBack || relayedLongEnough:
+		route.servedAt = now
+		route.relayingSince = 0
 		n.redirect(r.Conn, out)
 	default:
-		if p.relaying == 0 {
-			p.relaying = now
-			n.log.Info("relaying reports", "machine", machine, "to", holder)
+		n.relay(now, r, machine, route, leader, out)
+	}
+}
+
+// liveLeader returns the index of the peer that leads, -1 if none that is
+// alive does.
+func (n *Node) liveLeader() int {
+	leader := -1
+	for i, p := range n.peers {
+		if p.label == n.election.Holder() && n.alive(p) {
+			leader = i
 		}
-		p.sent = now
-		n.lastRelay++
-		n.relayed[n.lastRelay] = pendingRelay{r.Conn, now}
-		out.Send(link, peer.Append(nil, &peer.Frame{Kind: peer.Relay, Label: n.cfg.Label, ID: n.lastRelay, Body: r.Body}))
 	}
+	return leader
+}
+
+// relay sends a report to the leader over the peer link.
+func (n *Node) relay(now event.Time, r event.Request, machine string, route *workerRoute, leader int, out *event.Effects) {
+	if route.relayingSince == 0 {
+		route.relayingSince = now
+		n.log.Info("relaying reports", "machine", machine, "to", n.peers[leader].label)
+	}
+	route.servedAt = now
+	out.Send(leader, peer.Append(nil, &peer.Frame{
+		Kind:  peer.Relay,
+		Label: n.cfg.Label,
+		ID:    n.relays.add(r.Conn, now),
+		Body:  r.Body,
+	}))
+}
+
+// handleRelayedReport takes, as leader, a report that a peer has relayed.
+func (n *Node) handleRelayedReport(now event.Time, from int, frame *peer.Frame, out *event.Effects) {
+	to := replyTo{peer: from, relayID: frame.ID}
+	report, err := n.parser.Parse(frame.Body)
+	if err != nil || !n.leadsReports(now) {
+		n.respond(to, event.StatusServiceUnavailable, nil, out)
+		return
+	}
+	n.takeReport(now, to, report, out)
+}
+
+// handleRelayAnswer passes the leader's answer to a relayed report on to its
+// worker. An answer that comes after the relay has expired is ignored.
+func (n *Node) handleRelayAnswer(frame *peer.Frame, out *event.Effects) {
+	relay, ok := n.relays.pending[frame.ID]
+	if !ok {
+		return
+	}
+	delete(n.relays.pending, frame.ID)
+	n.respond(replyTo{conn: relay.conn}, int(frame.Status), frame.Body, out)
 }
 
-// expireRelays answers workers whose passed-on report nobody answered.
+// expireRelays answers the workers whose relayed report got no answer in time.
 func (n *Node) expireRelays(now event.Time, out *event.Effects) {
-	for _, id := range slices.Sorted(maps.Keys(n.relayed)) {
-		if p := n.relayed[id]; now-p.since > relayTimeout {
-			delete(n.relayed, id)
-			out.Busy(p.conn, 1)
+	for _, id := range slices.Sorted(maps.Keys(n.relays.pending)) {
+		relay := n.relays.pending[id]
+		if now-relay.since > relayTimeout {
+			delete(n.relays.pending, id)
+			out.Busy(relay.conn, retryAfterSeconds)
 		}
 	}
 }
 
+// redirect tells a worker which controller leads, if that is known.
 func (n *Node) redirect(conn uint64, out *event.Effects) {
-	holder := n.election.Holder()
-	if holder == "" || holder == n.cfg.Label {
-		out.Reply(conn, 421, nil)
+	leader := n.election.Holder()
+	if leader == "" || leader == n.cfg.Label {
+		out.Reply(conn, event.StatusMisdirected, nil)
 		return
 	}
-	body, _ := json.Marshal(map[string]string{"steward": holder})
-	out.Reply(conn, 421, body)
+	body, _ := json.Marshal(redirectAnswer{Leader: leader})
+	out.Reply(conn, event.StatusMisdirected, body)
 }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -1,94 +1,108 @@
 package core
 
 import (
-	"time"
-
 	"lugward/internal/event"
 	"lugward/internal/peer"
 	"lugward/internal/worker"
 )
 
 const (
-	// A report is answered when its consequences are stored, or after this.
-	answerTimeout = 400 * time.Millisecond
-	// The report of a machine without tasks is held for longer: nothing on it
-	// can change meanwhile, and a start that is decided then need not wait for
-	// the next report. The worker waits for 4 s.
-	idleAnswerTimeout = 2500 * time.Millisecond
-	// Reports held so take one in so many sockets at most: where machines are
-	// more than sockets, the others need them.
-	idleSocketDivisor = 4
+	pathHealth = "/healthz"
+	pathReport = "/hello"
+	methodPost = "POST"
+
+	// retryAfterSeconds is when a client that we cannot serve should come back.
+	retryAfterSeconds = 1
 )
 
-// replyTo is where an answer to a report goes: to a connection of ours, or
-// through the peer that passed the report on.
+// replyTo is where the answer to a report goes: to a connection of ours or,
+// for a report that a peer has relayed, back through that peer.
 type replyTo struct {
-	conn  uint64
-	peer  int
-	relay uint64 // 0: it is a connection of ours
+	conn    uint64 // of ours, if relayID is 0
+	peer    int    // the relaying one, if relayID is not 0
+	relayID uint64 // the peer's number of the relayed report
 }
 
-// Request takes an HTTP request.
+// Request takes an HTTP request. It is answered once, at once or later.
 func (n *Node) Request(now event.Time, r event.Request, out *event.Effects) {
 	switch {
-	case r.Path == "/healthz":
+	case r.Path == pathHealth:
 		n.handleHealth(now, r, out)
-	case r.Path == "/hello":
-		if r.Method != "POST" {
-			out.Reply(r.Conn, 405, nil)
+	case r.Path == pathReport:
+		if r.Method != methodPost {
+			out.Reply(r.Conn, event.StatusMethodNotAllowed, nil)
 			return
 		}
 		n.handleReport(now, r, out)
 	case n.api.Handle(now, r, out):
 		n.store.Tick(now, out)
 	default:
-		out.Reply(r.Conn, 404, nil)
+		out.Reply(r.Conn, event.StatusNotFound, nil)
 	}
 }
 
-// handleReport takes a worker's report.
+// handleReport takes a report that a worker has sent to us.
 func (n *Node) handleReport(now event.Time, r event.Request, out *event.Effects) {
 	n.work.Reports++
-	rep, err := n.parser.Parse(r.Body)
+	report, err := n.parser.Parse(r.Body)
 	if err != nil {
-		out.Reply(r.Conn, 400, nil)
+		out.Reply(r.Conn, event.StatusBadRequest, nil)
 		return
 	}
-	n.yielded = false
-	if !n.leading || !n.election.MayAnswer(now) {
-		n.election.ObserveToken(rep.FencingToken)
-		n.relayOrRedirect(now, r, rep.Machine, out)
+	n.leadership.resignedUnheard = false
+	if !n.leadsReports(now) {
+		n.election.ObserveToken(report.FencingToken)
+		n.relayOrRedirect(now, r, report.Machine, out)
 		return
 	}
-	n.report(now, replyTo{conn: r.Conn}, rep, out)
+	n.takeReport(now, replyTo{conn: r.Conn}, report, out)
 }
 
-// report takes a report as leader.
-func (n *Node) report(now event.Time, from replyTo, rep *worker.Report, out *event.Effects) {
-	if n.autoscaler.Released(rep.Machine) || !n.workers.TakeReport(rep, now, n.election) {
-		n.respond(from, 503, nil, out)
+// leadsReports tells whether we may take and answer reports as leader.
+func (n *Node) leadsReports(now event.Time) bool {
+	return n.leadership.active && n.election.MayAnswer(now)
+}
+
+// takeReport takes a report as leader, from a worker or through a peer. Its
+// answer follows when its consequences are stored.
+func (n *Node) takeReport(now event.Time, from replyTo, report *worker.Report, out *event.Effects) {
+	if n.autoscaler.Released(report.Machine) || !n.workers.TakeReport(report, now, n.election) {
+		n.respond(from, event.StatusServiceUnavailable, nil, out)
 		return
 	}
-	n.lastReportAt, n.yielded = now, false
-	// An older report that still waits has lost its worker, and its list
-	// proves nothing any more.
-	w := &waitingReport{from: from, report: rep, machine: n.names.Machines.Index(rep.Machine), since: now}
-	if old := n.waiting.add(w); old != nil {
-		n.respond(old.from, 503, nil, out)
+	n.leadership.lastReport = now
+	n.leadership.resignedUnheard = false
+	waiting := &waitingReport{
+		from:    from,
+		report:  report,
+		machine: n.names.Machines.Index(report.Machine),
+		since:   now,
+	}
+	// The worker has sent a newer report, so it no longer waits for the answer
+	// to the older one, whose list of tasks proves nothing any more.
+	if replaced := n.waiting.add(waiting); replaced != nil {
+		n.respond(replaced.from, event.StatusServiceUnavailable, nil, out)
 	}
 	if n.election.MayStart(now) {
 		n.actAsLeader(now, out)
 	}
 	n.store.Tick(now, out)
-	n.answer(now, out)
+	n.answerReports(now, out)
 }
 
+// respond sends an answer to wherever its report came from.
 func (n *Node) respond(to replyTo, status int, body []byte, out *event.Effects) {
 	switch {
-	case to.relay != 0:
-		out.Send(to.peer, peer.Append(nil, &peer.Frame{Kind: peer.RelayAck, Label: n.cfg.Label, ID: to.relay, Status: uint16(status), Body: body}))
-	case status == 503:
-		out.Busy(to.conn, 1)
+	case to.relayID != 0:
+		out.Send(to.peer, peer.Append(nil, &peer.Frame{
+			Kind:   peer.RelayAck,
+			Label:  n.cfg.Label,
+			ID:     to.relayID,
+			Status: uint16(status),
+			Body:   body,
+		}))
+	case status == event.StatusServiceUnavailable:
+		out.Busy(to.conn, retryAfterSeconds)
 	default:
 		out.Reply(to.conn, status, body)
 	}
--- a/internal/core/share.go
+++ b/internal/core/share.go
@@ -6,44 +6,64 @@
 	"lugward/internal/store"
 )
 
+// How the controllers share the request rates of the state service: each is
+// sure of a part, the rest goes where it is asked for, to the leader first.
 const (
-	// The state service's rates: everyone is sure of a part, the rest goes
-	// where it is asked for, to the leader before the others.
-	// Of the requests a part is left for what others still have in flight. Of
-	// the writes none is: one that is refused is sent again at once.
-	requestsShare   = 0.9
-	guaranteedShare = 0.25 // dealt evenly whatever is asked for
-	demandMargin    = 1.3
-	leaderWeight    = 3
+	// requestsShare is the part of the request rate that is shared out: the
+	// rest is left for what other controllers still have in flight. Writes are
+	// shared out whole, as one that is refused is sent again at once.
+	requestsShare = 0.9
+	// guaranteedShare is the part of a rate that is dealt evenly, whatever the
+	// controllers ask for.
+	guaranteedShare = 0.25
+	// demandMargin: a controller may use this many times what it used lately,
+	// so that its use can grow.
+	demandMargin = 1.3
+	// leaderWeight is the weight of the leader's claim; a follower's is 1.
+	leaderWeight   = 3
+	followerWeight = 1
 )
 
+// demand is what a controller could use of the state service's rates, per second.
+type demand struct {
+	requests float64
+	writes   float64
+}
+
 // share sets our part of the state service's rates by what each controller
-// says it could use; one that we do not hear counts with its sure part.
-// It returns what we could use ourselves.
-func (n *Node) share(now event.Time) (requests, writes float64) {
-	rps, writeRPS := n.store.Rates()
-	requests, writes = n.store.Demand(now)
-	n.store.SetShare(n.split(requestsShare*rps, requests, func(f *peer.Frame) uint16 { return f.Requests }),
-		n.split(writeRPS, writes, func(f *peer.Frame) uint16 { return f.Writes }))
-	return requests, writes
+// could use. It returns what we could use ourselves.
+func (n *Node) share(now event.Time) demand {
+	var own demand
+	own.requests, own.writes = n.store.Demand(now)
+	requestRate, writeRate := n.store.Rates()
+	requests := n.split(requestsShare*requestRate, own.requests, func(f *peer.Frame) uint16 { return f.Requests })
+	writes := n.split(writeRate, own.writes, func(f *peer.Frame) uint16 { return f.Writes })
+	n.store.SetShare(requests, writes)
+	return own
 }
 
-func (n *Node) split(rate, own float64, want func(f *peer.Frame) uint16) float64 {
+// split returns our part of a rate. A peer that is not alive counts with its
+// guaranteed part, as it may use that without our knowing.
+func (n *Node) split(rate, own float64, demandOf func(*peer.Frame) uint16) float64 {
 	guaranteed := guaranteedShare * rate / float64(len(n.peers)+1)
-	claim := func(want float64, leads bool) store.Claim {
-		c := store.Claim{Want: max(guaranteed, demandMargin*want), Weight: 1}
-		if leads {
-			c.Weight = leaderWeight
-		}
-		return c
-	}
-	claims := []store.Claim{claim(own, n.leading)}
+	claims := []store.Claim{{
+		Want:   max(guaranteed, demandMargin*own),
+		Weight: claimWeight(n.leadership.active),
+	}}
 	for _, p := range n.peers {
+		claim := store.Claim{Want: guaranteed, Weight: followerWeight}
 		if n.alive(p) {
-			claims = append(claims, claim(float64(want(&p.heartbeat)), p.heartbeat.IsLeader))
-		} else {
-			claims = append(claims, claim(0, false))
+			claim.Want = max(guaranteed, demandMargin*float64(demandOf(&p.heartbeat)))
+			claim.Weight = claimWeight(p.heartbeat.IsLeader)
 		}
+		claims = append(claims, claim)
 	}
 	return store.Split(rate, claims)[0]
 }
+
+func claimWeight(leads bool) float64 {
+	if leads {
+		return leaderWeight
+	}
+	return followerWeight
+}
