--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -1,6 +1,7 @@
 package engine
 
 import (
+	"container/list"
 	"context"
 	"errors"
 	"net"
@@ -14,108 +15,156 @@
 )
 
 const (
-	// A cut-off address answers nothing; the dial must not outlive the call.
+	// dialTimeout: an address beyond a partition answers nothing, and the dial
+	// should end before its call does.
 	dialTimeout = 1500 * time.Millisecond
-	maxResponse = 8 << 20 // follow responses have no size limit of their own
+	// maxResponseBytes bounds the body of a response. Those of the state
+	// service to a watch have no limit of their own.
+	maxResponseBytes = 8 << 20
 )
 
+// outgoing are the calls that have not ended and the connections for calls.
+type outgoing struct {
+	calls map[uint64]*pendingCall // by call ID
+	// Spare connections have no call. They stand here by address, last used
+	// last, and in a list, least recently used first.
+	spareByAddr map[string][]*connection
+	spare       list.List
+}
+
+// pendingCall is a call that has not ended.
+type pendingCall struct {
+	deadline event.Time
+	c        *connection // nil while it is dialled
+}
+
+// startCall sends a call on a spare connection, or dials one.
 func (e *engine) startCall(call event.Call) {
-	e.expiry[call.ID] = e.now() + call.Timeout
-	if list := e.idle[call.Addr]; len(list) > 0 {
-		c := list[len(list)-1]
-		e.idle[call.Addr] = list[:len(list)-1]
-		e.unrest(c)
-		e.issue(c, call)
+	e.outgoing.calls[call.ID] = &pendingCall{deadline: e.now() + call.Timeout}
+	spare := e.outgoing.spareByAddr[call.Addr]
+	if len(spare) == 0 {
+		e.dial(&connection{kind: outgoingCall, addr: call.Addr, call: call})
 		return
 	}
-	e.calls[call.ID] = nil
-	e.dial(&conn{kind: kindCall, addr: call.Addr, call: call})
+	last := len(spare) - 1
+	c := spare[last]
+	e.outgoing.spareByAddr[call.Addr] = spare[:last]
+	e.leaveIdleList(c)
+	e.issue(c, call)
 }
 
-func (e *engine) issue(c *conn, call event.Call) {
-	c.call, c.busy, c.since = call, true, e.now()
-	e.calls[call.ID] = c
-	_, _ = c.g.Write(httpwire.AppendRequest(nil, call.Method, call.Path, call.Addr, call.Body))
+// issue sends a pending call on an open connection.
+func (e *engine) issue(c *connection, call event.Call) {
+	c.call = call
+	c.busy = true
+	c.lastActive = e.now()
+	e.outgoing.calls[call.ID].c = c
+	_, _ = c.socket.Write(httpwire.AppendRequest(nil, call.Method, call.Path, call.Addr, call.Body))
 }
 
+// finishCall ends a call and gives its outcome to the core. A call that has
+// ended before is left alone, so each has exactly one outcome.
 func (e *engine) finishCall(id uint64, status int, body []byte) {
-	if _, ok := e.expiry[id]; !ok {
+	call := e.outgoing.calls[id]
+	if call == nil {
 		return
 	}
-	delete(e.expiry, id)
-	c := e.calls[id]
-	delete(e.calls, id)
-	if c != nil {
+	delete(e.outgoing.calls, id)
+	if c := call.c; c != nil {
 		c.busy = false
-		if status == 0 || c.close {
-			e.drop(c) // a late response must not meet the next request
+		if status == event.NoResponse || c.closeAfter {
+			e.drop(c) // a late response must not be taken for that of the next call
 		} else {
-			c.since = e.now()
-			e.keep(c)
+			c.lastActive = e.now()
+			e.keepSpare(c)
 		}
 	}
-	done := event.CallDone{ID: id, Status: status, Body: body}
-	e.step(func() { e.core.CallDone(e.now(), done, &e.out) })
+	e.step(callDoneInput{event.CallDone{ID: id, Status: status, Body: body}})
 }
 
-// dial connects outside the loop and hands the connection to it.
-func (e *engine) dial(c *conn) {
-	go func() {
-		d := net.Dialer{Timeout: dialTimeout}
-		nc, err := d.Dial("tcp", c.addr)
-		if err == nil {
-			var res <-chan gnet.RegisteredResult
-			if res, err = e.eventLoop().Enroll(gnet.NewContext(context.Background(), c), nc); err == nil {
-				err = (<-res).Err
-			}
+// abortCall ends a call whose connection has ended.
+func (e *engine) abortCall(id uint64) {
+	if call := e.outgoing.calls[id]; call != nil {
+		call.c = nil
+	}
+	e.finishCall(id, event.NoResponse, nil)
+}
+
+// expireCalls ends the calls that have got no response in time.
+func (e *engine) expireCalls(now event.Time) {
+	for id, call := range e.outgoing.calls {
+		if now >= call.deadline {
+			e.finishCall(id, event.NoResponse, nil)
 		}
-		if err != nil {
-			_ = e.eventLoop().Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-				e.dialFailed(c)
-				return nil
-			}))
+	}
+}
+
+// dial connects outside the loop and hands the connection to it, by OnOpen or
+// dialFailed.
+func (e *engine) dial(c *connection) {
+	go func() {
+		if err := e.dialAndEnroll(c); err != nil {
+			e.onLoop(func() { e.dialFailed(c) })
 		}
 	}()
 }
 
-func (e *engine) dialFailed(c *conn) {
-	if c.kind == kindPeerOut {
-		e.peers[c.peer].busy = false
-		return
+// dialAndEnroll runs outside the loop. It returns once gnet has taken the
+// connection.
+func (e *engine) dialAndEnroll(c *connection) error {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	socket, err := dialer.Dial("tcp", c.addr)
+	if err != nil {
+		return err
+	}
+	registered, err := e.eventLoop().Enroll(gnet.NewContext(context.Background(), c), socket)
+	if err != nil {
+		return err
 	}
-	e.finishCall(c.call.ID, 0, nil)
+	return (<-registered).Err
 }
 
-// unkeep takes a connection that ends off those that calls may use.
-func (e *engine) unkeep(c *conn) {
-	if list := slices.DeleteFunc(e.idle[c.addr], func(o *conn) bool { return o == c }); len(list) > 0 {
-		e.idle[c.addr] = list
-	} else {
-		delete(e.idle, c.addr)
+// dialFailed takes notice of a connection that could not be made.
+func (e *engine) dialFailed(c *connection) {
+	if c.kind == outgoingPeer {
+		e.peers[c.peer].dialing = false
+		return
 	}
+	e.finishCall(c.call.ID, event.NoResponse, nil)
+}
+
+// keepSpare keeps a connection for the next call to its address.
+func (e *engine) keepSpare(c *connection) {
+	e.outgoing.spareByAddr[c.addr] = append(e.outgoing.spareByAddr[c.addr], c)
+	c.idleEntry = e.outgoing.spare.PushBack(c)
 }
 
-// keep puts an outgoing connection by for the next call to its address.
-func (e *engine) keep(c *conn) {
-	e.idle[c.addr] = append(e.idle[c.addr], c)
-	c.rest = e.spare.PushBack(c)
+// removeSpare takes a connection that ends off those for the next calls.
+func (e *engine) removeSpare(c *connection) {
+	left := slices.DeleteFunc(e.outgoing.spareByAddr[c.addr], func(other *connection) bool { return other == c })
+	if len(left) == 0 {
+		delete(e.outgoing.spareByAddr, c.addr)
+		return
+	}
+	e.outgoing.spareByAddr[c.addr] = left
 }
 
-func (e *engine) readResponse(c *conn) gnet.Action {
-	in, _ := c.g.Peek(-1)
+// readResponse takes the response to a call.
+func (e *engine) readResponse(c *connection) gnet.Action {
 	if !c.busy {
-		return gnet.Close // nobody asked
+		return gnet.Close // no call awaits it
 	}
-	m, n, err := httpwire.ParseResponse(in, maxResponse)
+	in, _ := c.socket.Peek(-1)
+	message, size, err := httpwire.ParseResponse(in, maxResponseBytes)
 	if errors.Is(err, httpwire.ErrIncomplete) {
 		return gnet.None
 	}
 	if err != nil {
 		return gnet.Close
 	}
-	body := append([]byte(nil), m.Body...)
-	_, _ = c.g.Discard(n)
-	c.close = m.Close
-	e.finishCall(c.call.ID, m.Status, body)
+	body := append([]byte(nil), message.Body...)
+	_, _ = c.socket.Discard(size)
+	c.closeAfter = message.Close
+	e.finishCall(c.call.ID, message.Status, body)
 	return gnet.None
 }
--- a/internal/engine/connections.go
+++ b/internal/engine/connections.go
@@ -11,134 +11,171 @@
 )
 
 const (
-	idleOut     = 20 * time.Second  // an unused outgoing connection is closed
-	idleIn      = 150 * time.Second // an unused incoming connection is closed
-	halfRequest = 10 * time.Second  // a request must arrive whole within this
-	maxUnsent   = 512 << 10         // a reader this far behind is dropped
+	outgoingIdleTimeout = 20 * time.Second  // an unused outgoing connection is closed
+	incomingIdleTimeout = 150 * time.Second // an unused incoming connection is closed
+	partialReadTimeout  = 10 * time.Second  // a request or frame must arrive whole within this
+	maxUnsentBytes      = 512 << 10         // a reader that is this far behind is dropped
+	// maxPipelinedBytes is how much a client may send while it awaits a reply.
+	maxPipelinedBytes = httpwire.MaxHead + httpwire.MaxBody
 )
 
-type connKind uint8
+// connectionKind is what a connection is for.
+type connectionKind uint8
 
 const (
-	kindHTTP connKind = iota // incoming user, worker or probe
-	kindPeerIn
-	kindCall    // outgoing HTTP
-	kindPeerOut // outgoing frames
+	incomingHTTP connectionKind = iota // of a user, worker or probe
+	incomingPeer                       // another controller's frames
+	outgoingCall                       // calls of ours over HTTP
+	outgoingPeer                       // our frames to another controller
 )
 
-type conn struct {
-	id    uint64
-	kind  connKind
-	g     gnet.Conn
-	addr  string
-	peer  int
-	busy  bool // an incoming request awaits its reply, or an outgoing call its response
-	close bool
-	call  event.Call
-	since event.Time // of the last activity
-	half  bool       // part of a request is buffered
-	from  party
-	gone  bool          // being closed
-	rest  *list.Element // in the list of its party's idle connections, or of spare ones
+// connection is a socket with what the engine knows of it. It belongs to the
+// event loop from OnOpen on.
+type connection struct {
+	id         uint64
+	kind       connectionKind
+	socket     gnet.Conn  // nil until the connection is open
+	lastActive event.Time // when something was last received or sent
+	busy       bool       // an incoming request awaits its reply, or a call its response
+	closeAfter bool       // the connection ends with the present request
+	dropped    bool       // it is being closed
+	// idleEntry is its place in the list of idle connections of its party, or
+	// of spare outgoing ones; nil while it is in neither.
+	idleEntry *list.Element
+
+	// Incoming connections.
+	party   party
+	partial bool // the beginning of a request or frame is buffered
+
+	// Outgoing connections.
+	addr string
+	peer int        // of outgoingPeer: peer index
+	call event.Call // of outgoingCall: the last one
 }
 
-func (e *engine) OnOpen(g gnet.Conn) ([]byte, gnet.Action) {
+// timedOut tells whether a connection has had nothing to do for too long.
+func (c *connection) timedOut(now event.Time) bool {
+	inactive := now - c.lastActive
+	switch c.kind {
+	case incomingHTTP, incomingPeer:
+		stalled := c.partial && inactive > partialReadTimeout
+		idle := !c.busy && inactive > incomingIdleTimeout
+		return stalled || idle
+	case outgoingCall:
+		return !c.busy && inactive > outgoingIdleTimeout
+	}
+	return false
+}
+
+// OnOpen takes an accepted connection, or one of ours that has been dialled.
+func (e *engine) OnOpen(socket gnet.Conn) ([]byte, gnet.Action) {
 	if e.loop.Load() == nil {
-		e.loop.Store(loopBox{g.EventLoop()})
+		e.loop.Store(loopRef{socket.EventLoop()})
 	}
-	if out, ok := g.Context().(*conn); ok {
-		out.g = g
-		e.add(out)
-		if out.kind == kindPeerOut {
-			p := e.peers[out.peer]
-			p.busy, p.conn = false, out
-		} else if _, ok := e.expiry[out.call.ID]; ok {
-			e.issue(out, out.call)
-		} else {
-			e.keep(out) // the call gave up meanwhile
-		}
+	if c, ok := socket.Context().(*connection); ok {
+		c.socket = socket
+		e.opened(c)
 		return nil, gnet.None
 	}
-	c := &conn{kind: kindHTTP, g: g}
-	if g.LocalAddr().String() == e.cfg.PeerBind {
-		c.kind = kindPeerIn
-	} else if !e.makeRoom() {
-		return nil, gnet.Close
+	return nil, e.accept(socket)
+}
+
+// opened puts a connection that was dialled to its use.
+func (e *engine) opened(c *connection) {
+	e.register(c)
+	if c.kind == outgoingPeer {
+		link := e.peers[c.peer]
+		link.dialing = false
+		link.c = c
+		return
 	}
-	e.incoming++
-	g.SetContext(c)
-	e.add(c)
-	if c.kind == kindHTTP {
-		c.rest = e.resting[user].PushBack(c)
+	if _, ok := e.outgoing.calls[c.call.ID]; ok {
+		e.issue(c, c.call)
+	} else {
+		e.keepSpare(c) // the call has timed out meanwhile
 	}
-	return nil, gnet.None
 }
 
-func (e *engine) OnClose(g gnet.Conn, _ error) gnet.Action {
-	c, ok := g.Context().(*conn)
-	if !ok || e.conns[c.id] == nil {
+// accept takes an incoming connection, if there is a socket for it.
+func (e *engine) accept(socket gnet.Conn) gnet.Action {
+	c := &connection{kind: incomingHTTP, socket: socket}
+	if socket.LocalAddr().String() == e.cfg.PeerBind {
+		c.kind = incomingPeer
+	} else if !e.freeSocket() {
+		return gnet.Close
+	}
+	e.sockets.incoming++
+	socket.SetContext(c)
+	e.register(c)
+	if c.kind == incomingHTTP {
+		c.idleEntry = e.sockets.idle[userParty].PushBack(c)
+	}
+	return gnet.None
+}
+
+// register gives a connection its number.
+func (e *engine) register(c *connection) {
+	e.sockets.lastID++
+	c.id = e.sockets.lastID
+	c.lastActive = e.now()
+	e.sockets.connections[c.id] = c
+}
+
+// drop closes a connection. OnClose follows.
+func (e *engine) drop(c *connection) {
+	c.dropped = true
+	e.leaveIdleList(c)
+	e.removeSpare(c)
+	if c.socket != nil {
+		_ = c.socket.Close()
+	}
+}
+
+// OnClose takes notice of a connection that has ended, from whichever side.
+func (e *engine) OnClose(socket gnet.Conn, _ error) gnet.Action {
+	c, ok := socket.Context().(*connection)
+	if !ok || e.sockets.connections[c.id] == nil {
 		return gnet.None
 	}
-	delete(e.conns, c.id)
-	e.unrest(c)
-	e.setParty(c, user)
+	delete(e.sockets.connections, c.id)
+	e.leaveIdleList(c)
+	e.setParty(c, userParty)
 	switch c.kind {
-	case kindHTTP, kindPeerIn:
-		e.incoming--
-	case kindPeerOut:
-		if e.peers[c.peer].conn == c {
-			e.peers[c.peer].conn = nil
+	case incomingHTTP, incomingPeer:
+		e.sockets.incoming--
+	case outgoingPeer:
+		if link := e.peers[c.peer]; link.c == c {
+			link.c = nil
 		}
-	case kindCall:
-		e.unkeep(c)
+	case outgoingCall:
+		e.removeSpare(c)
 		if c.busy {
-			e.calls[c.call.ID] = nil
-			e.finishCall(c.call.ID, 0, nil)
+			e.abortCall(c.call.ID)
 		}
 	}
 	return gnet.None
 }
 
-func (e *engine) OnTraffic(g gnet.Conn) gnet.Action {
-	c, ok := g.Context().(*conn)
+// OnTraffic reads what has arrived on a connection.
+func (e *engine) OnTraffic(socket gnet.Conn) gnet.Action {
+	c, ok := socket.Context().(*connection)
 	if !ok {
 		return gnet.Close
 	}
-	e.tick(tickEvery)
-	if c.gone {
+	e.tick(tickInterval)
+	if c.dropped {
 		return gnet.None
 	}
-	c.since = e.now()
+	c.lastActive = e.now()
 	switch c.kind {
-	case kindHTTP:
-		if c.busy {
-			if g.InboundBuffered() > httpwire.MaxHead+httpwire.MaxBody {
-				return gnet.Close
-			}
-			return gnet.None
-		}
-		e.step(func() { e.readHTTP(c) })
-	case kindPeerIn:
+	case incomingHTTP:
+		return e.readRequests(c)
+	case incomingPeer:
 		return e.readFrames(c)
-	case kindCall:
+	case outgoingCall:
 		return e.readResponse(c)
-	case kindPeerOut:
-		return gnet.Close // nothing is ever answered on it
+	case outgoingPeer:
+		return gnet.Close // the protocol has no answers on it
 	}
 	return gnet.None
 }
-
-func (e *engine) add(c *conn) {
-	e.lastConn++
-	c.id, c.since = e.lastConn, e.now()
-	e.conns[c.id] = c
-}
-
-func (e *engine) drop(c *conn) {
-	c.gone = true
-	e.unrest(c)
-	e.unkeep(c)
-	if c.g != nil {
-		_ = c.g.Close()
-	}
-}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,11 +1,9 @@
 // Package engine is the only place with sockets, clocks and timers. It runs
-// the core on one gnet event loop: every input becomes a Step, every effect
-// becomes output.
+// the core on one gnet event loop: every input becomes a step of the core,
+// every effect of the step becomes output.
 package engine
 
 import (
-	"container/list"
-	"errors"
 	"log/slog"
 	"sync/atomic"
 	"time"
@@ -16,96 +14,74 @@
 	"lugward/internal/event"
 )
 
-// Core is the state machine that the engine drives.
+// readBufferBytes is how much gnet reads from a socket at once.
+const readBufferBytes = 64 << 10
+
+// Core is the state machine that the engine drives, one input at a time.
 type Core interface {
-	// Clock tells the time of day before each Tick.
+	// Clock gives the time of day before each Tick.
 	Clock(now event.Time, wall time.Time)
+	// Tick does what is due.
 	Tick(now event.Time, out *event.Effects)
+	// Request takes an HTTP request, which needs exactly one reply.
 	Request(now event.Time, r event.Request, out *event.Effects)
+	// CallDone takes the outcome of a call.
 	CallDone(now event.Time, d event.CallDone, out *event.Effects)
+	// Frame takes a frame of another controller.
 	Frame(now event.Time, f event.PeerFrame, out *event.Effects)
 }
 
-// Config says where to listen and what to bound.
+// Config says where to listen and how many connections to have.
 type Config struct {
-	Bind, PeerBind string
+	Bind, PeerBind string   // addresses to listen on, for HTTP and for peers
 	Peers          []string // endpoints, in the order of the core's peer indices
-	MaxConnections int
+	MaxConnections int      // open sockets, incoming and outgoing
 }
 
+// engine owns the sockets. Only the event loop uses it; other goroutines read
+// cfg, log and loop alone, and hand their results to the loop (onLoop).
 type engine struct {
 	gnet.BuiltinEventEngine
 	cfg   Config
 	core  Core
 	log   *slog.Logger
-	start time.Time
-	loop  atomic.Value // gnet.EventLoop, set once by the loop itself
+	start time.Time    // of the steady clock
+	loop  atomic.Value // loopRef
 
-	out      event.Effects
-	lastConn uint64
-	conns    map[uint64]*conn
-	incoming int
-	workers  int // connections of workers
-	// Incoming connections between two requests, least recently used first.
-	resting [parties]list.List
-	spare   list.List // outgoing connections without a call, least recently used first
-	idle    map[string][]*conn
-	peers   []*peerLink
-	pending []pendingInput // raised while a step is being carried out
-	inStep  bool
-	expiry  map[uint64]event.Time // call ID -> deadline
-	calls   map[uint64]*conn
-	swept   event.Time
-	ticked  event.Time
-	failed  error
+	steps    stepQueue
+	timers   timers
+	sockets  sockets
+	outgoing outgoing
+	peers    []*peerLink // by peer index
 }
 
-type pendingInput func()
+// timers holds when periodic work was last done.
+type timers struct {
+	tickedAt event.Time
+	sweptAt  event.Time
+}
 
 // Run serves until the process is killed or listening fails.
 func Run(cfg Config, core Core, log *slog.Logger) error {
-	e := &engine{cfg: cfg, core: core, log: log, start: time.Now(), conns: map[uint64]*conn{}, idle: map[string][]*conn{},
-		expiry: map[uint64]event.Time{}, calls: map[uint64]*conn{}}
+	e := &engine{
+		cfg:      cfg,
+		core:     core,
+		log:      log,
+		start:    time.Now(),
+		sockets:  sockets{connections: map[uint64]*connection{}},
+		outgoing: outgoing{calls: map[uint64]*pendingCall{}, spareByAddr: map[string][]*connection{}},
+	}
 	for range cfg.Peers {
-		e.peers = append(e.peers, &peerLink{dialed: -redialEvery})
+		e.peers = append(e.peers, &peerLink{dialedAt: -redialInterval})
 	}
-	err := gnet.Rotate(e, []string{"tcp://" + cfg.Bind, "tcp://" + cfg.PeerBind},
-		gnet.WithNumEventLoop(1), gnet.WithTicker(true), gnet.WithReuseAddr(true),
-		gnet.WithReadBufferCap(64<<10), gnet.WithLogLevel(logging.ErrorLevel), gnet.WithLogger(quiet{}))
-	return errors.Join(err, e.failed)
+	return gnet.Rotate(e, []string{"tcp://" + cfg.Bind, "tcp://" + cfg.PeerBind},
+		gnet.WithNumEventLoop(1),
+		gnet.WithTicker(true),
+		gnet.WithReuseAddr(true),
+		gnet.WithReadBufferCap(readBufferBytes),
+		gnet.WithLogLevel(logging.ErrorLevel),
+		gnet.WithLogger(gnetLog{}))
 }
 
+// now returns the time of the steady clock.
 func (e *engine) now() event.Time { return time.Since(e.start) }
-
-// step runs one input through the core, then carries out the effects; inputs
-// raised meanwhile follow in order.
-func (e *engine) step(f func()) {
-	if e.inStep {
-		e.pending = append(e.pending, f)
-		return
-	}
-	e.inStep = true
-	f()
-	e.perform()
-	for len(e.pending) > 0 {
-		next := e.pending[0]
-		e.pending = e.pending[1:]
-		next()
-		e.perform()
-	}
-	e.inStep = false
-}
-
-func (e *engine) perform() {
-	replies, calls, frames := e.out.Replies, e.out.Calls, e.out.Frames
-	for _, r := range replies {
-		e.reply(r)
-	}
-	for _, c := range calls {
-		e.startCall(c)
-	}
-	for _, f := range frames {
-		e.sendFrame(f)
-	}
-	e.out.Reset()
-}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -60,7 +60,7 @@
 }
 
 func (s *slow) Request(now event.Time, r event.Request, out *event.Effects) {
-	time.Sleep(tickEvery + 10*time.Millisecond)
+	time.Sleep(tickInterval + 10*time.Millisecond)
 	s.order <- "request"
 	s.echo.Request(now, r, out)
 }
@@ -169,7 +169,7 @@
 
 // TestLimits keeps the limits of the parser and the engine in line.
 func TestLimits(t *testing.T) {
-	if maxUnsent <= httpwire.MaxBody || maxFrame <= httpwire.MaxBody {
+	if maxUnsentBytes <= httpwire.MaxBody || maxFrameBytes <= httpwire.MaxBody {
 		t.Error("a whole report must fit a frame and the unsent bound")
 	}
 }
--- a/internal/engine/gnetlog.go
+++ b/internal/engine/gnetlog.go
@@ -5,19 +5,25 @@
 	"log/slog"
 )
 
-// quiet keeps gnet's own messages out of our log, errors excepted.
-type quiet struct{}
+// gnetLog takes gnet's own messages: errors become debug messages, as broken
+// connections are ordinary; what is less is dropped.
+type gnetLog struct{}
 
-func (quiet) Debugf(string, ...any) {}
+// Debugf drops a message.
+func (gnetLog) Debugf(string, ...any) {}
 
-func (quiet) Infof(string, ...any) {}
+// Infof drops a message.
+func (gnetLog) Infof(string, ...any) {}
 
-func (quiet) Warnf(string, ...any) {}
+// Warnf drops a message.
+func (gnetLog) Warnf(string, ...any) {}
 
-func (quiet) Errorf(f string, a ...any) {
-	slog.Debug("gnet", "msg", fmt.Sprintf(f, a...))
+// Errorf logs an error of gnet.
+func (gnetLog) Errorf(format string, args ...any) {
+	slog.Debug("gnet", "msg", fmt.Sprintf(format, args...))
 }
 
-func (quiet) Fatalf(f string, a ...any) {
-	slog.Error("gnet", "msg", fmt.Sprintf(f, a...))
+// Fatalf logs an error that ends gnet.
+func (gnetLog) Fatalf(format string, args ...any) {
+	slog.Error("gnet", "msg", fmt.Sprintf(format, args...))
 }
--- a/internal/engine/http.go
+++ b/internal/engine/http.go
@@ -3,54 +3,85 @@
 import (
 	"errors"
 
+	"github.com/panjf2000/gnet/v2"
+
 	"lugward/internal/event"
 	"lugward/internal/httpwire"
 )
 
-func (e *engine) reply(r event.Reply) {
-	c := e.conns[r.Conn]
-	if c == nil {
-		return
-	}
-	c.busy = false
-	c.since = e.now()
-	c.close = c.close || (c.from == worker && e.workers > e.workerRoom())
-	_, _ = c.g.Write(httpwire.AppendResponse(nil, r.Status, r.Body, r.RetryAfter, c.close))
-	if c.close {
-		e.drop(c)
-		return
+// Arguments of httpwire.AppendResponse.
+const (
+	noRetryAfter    = 0
+	closeConnection = true
+)
+
+// readRequests reads from a client. A request that arrives before the last one
+// is answered stays buffered until then.
+func (e *engine) readRequests(c *connection) gnet.Action {
+	if !c.busy {
+		e.step(requestInput{c})
+		return gnet.None
 	}
-	c.rest = e.resting[c.from].PushBack(c)
-	if c.g.InboundBuffered() > 0 {
-		e.pending = append(e.pending, func() { e.readHTTP(c) })
+	if c.socket.InboundBuffered() > maxPipelinedBytes {
+		return gnet.Close
 	}
+	return gnet.None
 }
 
-// readHTTP takes one request; it runs inside a step.
-func (e *engine) readHTTP(c *conn) {
-	if e.conns[c.id] != c || c.busy {
+// readRequest takes one request, if a whole one has arrived. It runs within a
+// step.
+func (e *engine) readRequest(c *connection) {
+	if e.sockets.connections[c.id] != c || c.busy {
 		return
 	}
-	in, _ := c.g.Peek(-1)
+	in, _ := c.socket.Peek(-1)
 	if len(in) == 0 {
 		return
 	}
-	e.unrest(c)
-	m, n, err := httpwire.ParseRequest(in)
-	if errors.Is(err, httpwire.ErrIncomplete) {
-		c.half = true
+	e.leaveIdleList(c)
+	message, size, err := httpwire.ParseRequest(in)
+	c.partial = errors.Is(err, httpwire.ErrIncomplete)
+	if c.partial {
 		return
 	}
-	c.half = false
 	if err != nil {
-		// A body over the limit is a malformed submission to its user, too.
-		_, _ = c.g.Write(httpwire.AppendResponse(nil, 400, nil, 0, true))
+		// To a user, a body over the limit is a malformed submission as well.
+		_, _ = c.socket.Write(httpwire.AppendResponse(nil, event.StatusBadRequest, nil, noRetryAfter, closeConnection))
 		e.drop(c)
 		return
 	}
-	c.busy, c.close = true, m.Close
-	e.setParty(c, partyOf(m.Target))
-	r := event.Request{Conn: c.id, Method: m.Method, Path: m.Target, Body: append([]byte(nil), m.Body...)}
-	_, _ = c.g.Discard(n)
-	e.core.Request(e.now(), r, &e.out)
+	c.busy = true
+	c.closeAfter = message.Close
+	e.setParty(c, partyOf(message.Target))
+	// The buffers of the parser are reused once the input is discarded.
+	request := event.Request{
+		Conn:   c.id,
+		Method: message.Method,
+		Path:   message.Target,
+		Body:   append([]byte(nil), message.Body...),
+	}
+	_, _ = c.socket.Discard(size)
+	e.core.Request(e.now(), request, &e.steps.effects)
+}
+
+// reply answers a request and lets the next one on its connection be read.
+func (e *engine) reply(r event.Reply) {
+	c := e.sockets.connections[r.Conn]
+	if c == nil {
+		return
+	}
+	c.busy = false
+	c.lastActive = e.now()
+	if c.party == workerParty && e.sockets.workers > e.workerLimit() {
+		c.closeAfter = true
+	}
+	_, _ = c.socket.Write(httpwire.AppendResponse(nil, r.Status, r.Body, r.RetryAfter, c.closeAfter))
+	if c.closeAfter {
+		e.drop(c)
+		return
+	}
+	c.idleEntry = e.sockets.idle[c.party].PushBack(c)
+	if c.socket.InboundBuffered() > 0 {
+		e.step(requestInput{c})
+	}
 }
--- a/internal/engine/peers.go
+++ b/internal/engine/peers.go
@@ -10,41 +10,66 @@
 )
 
 const (
-	redialEvery = time.Second
-	maxFrame    = 128 << 10
+	// redialInterval is the time between two attempts to connect to a peer.
+	redialInterval = time.Second
+	// Frames follow each other, each behind its length as a 32-bit number.
+	frameHeaderBytes = 4
+	maxFrameBytes    = 128 << 10
+	// unknownPeer: the sender of an incoming frame is known by its content only.
+	unknownPeer = -1
 )
 
+// peerLink is our connection for frames to another controller. Frames of that
+// controller come on a connection that it makes.
 type peerLink struct {
-	conn   *conn
-	dialed event.Time
-	busy   bool
+	c        *connection // nil while there is none
+	dialing  bool
+	dialedAt event.Time // when the last attempt began
 }
 
-func (e *engine) readFrames(c *conn) gnet.Action {
+// dialPeers connects to the peers that we have no connection to.
+func (e *engine) dialPeers(now event.Time) {
+	for i, link := range e.peers {
+		if link.c != nil || link.dialing || now-link.dialedAt < redialInterval {
+			continue
+		}
+		link.dialing = true
+		link.dialedAt = now
+		e.dial(&connection{kind: outgoingPeer, addr: e.cfg.Peers[i], peer: i})
+	}
+}
+
+// readFrames takes the whole frames that have arrived.
+func (e *engine) readFrames(c *connection) gnet.Action {
 	for {
-		in, _ := c.g.Peek(-1)
-		c.half = len(in) > 0
-		if len(in) < 4 {
+		in, _ := c.socket.Peek(-1)
+		c.partial = len(in) > 0
+		if len(in) < frameHeaderBytes {
 			return gnet.None
 		}
 		size := int(binary.BigEndian.Uint32(in))
-		if size > maxFrame {
+		if size > maxFrameBytes {
 			return gnet.Close
 		}
-		if len(in) < 4+size {
+		end := frameHeaderBytes + size
+		if len(in) < end {
 			return gnet.None
 		}
-		f := event.PeerFrame{Peer: -1, Data: append([]byte(nil), in[4:4+size]...)}
-		_, _ = c.g.Discard(4 + size)
-		e.step(func() { e.core.Frame(e.now(), f, &e.out) })
+		data := append([]byte(nil), in[frameHeaderBytes:end]...)
+		_, _ = c.socket.Discard(end)
+		e.step(frameInput{event.PeerFrame{Peer: unknownPeer, Data: data}})
 	}
 }
 
-func (e *engine) sendFrame(f event.PeerFrame) {
-	c := e.peers[f.Peer].conn
+// sendFrame sends a frame, or drops it while there is no connection: frames
+// are hints, and the next one follows soon.
+func (e *engine) sendFrame(frame event.PeerFrame) {
+	c := e.peers[frame.Peer].c
 	if c == nil {
-		return // frames are hints; the next one follows soon
+		return
 	}
-	b := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(f.Data)), uint32(len(f.Data)))
-	_, _ = c.g.Write(append(b, f.Data...))
+	out := make([]byte, 0, frameHeaderBytes+len(frame.Data))
+	out = binary.BigEndian.AppendUint32(out, uint32(len(frame.Data)))
+	out = append(out, frame.Data...)
+	_, _ = c.socket.Write(out)
 }
--- a/internal/engine/sockets.go
+++ b/internal/engine/sockets.go
@@ -1,91 +1,113 @@
 package engine
 
-import (
-	"container/list"
-)
+import "container/list"
 
 const (
-	// For outgoing connections there is always capacity for some more than are in
-	// use, and for 1/outgoingRoom of all sockets at least.
-	outgoingMore = 8
-	outgoingRoom = 16
-	// Workers keep their connections while these leave 1/userRoom of all
-	// sockets, beyond the outgoing ones' capacity, to users and probes.
-	userRoom = 8
+	// Sockets are kept for spareOutgoing more outgoing connections than are in
+	// use, and for one in outgoingDivisor of all sockets at least.
+	spareOutgoing   = 8
+	outgoingDivisor = 16
+	// userDivisor: workers keep their connections while these leave one in
+	// userDivisor of all sockets to users and probes.
+	userDivisor = 8
 )
 
-// party is who is at the other end of an incoming connection, by what it asked
-// last.
+// party is who is at the other end of an incoming connection, judged by the
+// last request.
 type party uint8
 
 const (
-	user party = iota
-	worker
-	probe
-	parties
+	userParty party = iota // also those that have not sent a request yet
+	workerParty
+	probeParty
+	partyCount
 )
 
+// partyOf tells who sends requests to a path.
 func partyOf(path string) party {
 	switch path {
 	case "/hello":
-		return worker
+		return workerParty
 	case "/healthz":
-		return probe
+		return probeParty
 	}
-	return user
+	return userParty
+}
+
+// sockets are all open connections. Config.MaxConnections bounds them, frames
+// to other controllers included.
+type sockets struct {
+	connections map[uint64]*connection
+	lastID      uint64
+	incoming    int
+	workers     int // incoming ones of workers
+	// idle holds the incoming HTTP connections between two requests, by party,
+	// least recently used first.
+	idle [partyCount]list.List
 }
 
-// outgoingKept is how many sockets are kept for outgoing connections. Those
-// without a call give way before any other.
-func (e *engine) outgoingKept() int {
-	return max(len(e.conns)-e.incoming-e.spare.Len()+outgoingMore, e.cfg.MaxConnections/outgoingRoom)
+// outgoingReserve is how many sockets are kept for outgoing connections. Spare
+// ones do not count: they are closed before any other.
+func (e *engine) outgoingReserve() int {
+	inUse := len(e.sockets.connections) - e.sockets.incoming - e.outgoing.spare.Len()
+	return max(inUse+spareOutgoing, e.cfg.MaxConnections/outgoingDivisor)
 }
 
-// workerRoom is how many workers may stay connected between two reports.
-// Machines may be more than sockets: beyond that a worker is told with its
-// answer that the connection ends, and dials again for its next report. Closed
-// with the answer, it never meets a report that is on its way; and of workers
-// that report in turn, closing the one that was answered longest ago would end
-// each connection just before it is needed.
-func (e *engine) workerRoom() int {
-	return e.cfg.MaxConnections - e.outgoingKept() - e.cfg.MaxConnections/userRoom
+// workerLimit is how many workers may stay connected between two reports.
+// Machines may outnumber the sockets: beyond the limit a worker's connection
+// ends with its answer, and it dials again for its next report. Closed then, it
+// never meets a report that is on its way. Closing the least recently used one
+// instead would, with workers that report in turn, end each connection just
+// before it is needed.
+func (e *engine) workerLimit() int {
+	return e.cfg.MaxConnections - e.outgoingReserve() - e.cfg.MaxConnections/userDivisor
 }
 
-// makeRoom tells whether one more incoming connection may stay. A spare
-// outgoing one gives way (direct commands leave one for each machine), then the
-// user connection that has been idle for longest, with none left a probe's, then
-// a worker's; none with an answer due.
-func (e *engine) makeRoom() bool {
-	if e.incoming+e.outgoingKept()+e.spare.Len() < e.cfg.MaxConnections {
+// freeSocket makes a socket available for one more incoming connection and
+// tells whether it could. With all sockets taken, the least recently used
+// connection is closed among the spare outgoing ones (direct commands leave one
+// for each machine) or else the idle ones of users, of probes, of workers. None
+// with an answer due is closed.
+func (e *engine) freeSocket() bool {
+	if e.sockets.incoming+e.outgoingReserve()+e.outgoing.spare.Len() < e.cfg.MaxConnections {
 		return true
 	}
-	for _, idle := range []*list.List{&e.spare, &e.resting[user], &e.resting[probe], &e.resting[worker]} {
-		if first := idle.Front(); first != nil {
-			e.drop(first.Value.(*conn))
+	closable := []*list.List{
+		&e.outgoing.spare,
+		&e.sockets.idle[userParty],
+		&e.sockets.idle[probeParty],
+		&e.sockets.idle[workerParty],
+	}
+	for _, connections := range closable {
+		if first := connections.Front(); first != nil {
+			e.drop(first.Value.(*connection))
 			return true
 		}
 	}
 	return false
 }
 
-// unrest takes a connection off the list of those between two requests.
-func (e *engine) unrest(c *conn) {
-	if c.rest == nil {
+// leaveIdleList takes a connection off the list of idle or spare ones.
+func (e *engine) leaveIdleList(c *connection) {
+	if c.idleEntry == nil {
 		return
 	}
-	idle := &e.resting[c.from]
-	if c.kind == kindCall {
-		idle = &e.spare
+	if c.kind == outgoingCall {
+		e.outgoing.spare.Remove(c.idleEntry)
+	} else {
+		e.sockets.idle[c.party].Remove(c.idleEntry)
 	}
-	idle.Remove(c.rest)
-	c.rest = nil
+	c.idleEntry = nil
 }
 
-func (e *engine) setParty(c *conn, p party) {
-	if c.from == worker {
-		e.workers--
+// setParty notes who uses a connection. The caller has taken the connection
+// off its idle list, which depends on the party.
+func (e *engine) setParty(c *connection, p party) {
+	if c.party == workerParty {
+		e.sockets.workers--
 	}
-	if c.from = p; p == worker {
-		e.workers++
+	c.party = p
+	if p == workerParty {
+		e.sockets.workers++
 	}
 }
--- a/internal/engine/sockets_test.go
+++ b/internal/engine/sockets_test.go
@@ -80,7 +80,7 @@
 			}
 		}
 	}
-	if most := sockets - sockets/userRoom - outgoingMore; kept > most || kept < most/2 {
+	if most := sockets - sockets/userDivisor - spareOutgoing; kept > most || kept < most/2 {
 		t.Errorf("%d workers stay connected, not about %d", kept, most)
 	}
 }
@@ -124,7 +124,7 @@
 			kept++
 		}
 	}
-	if least := (sockets - sockets/userRoom - outgoingMore) / 2; kept < least {
+	if least := (sockets - sockets/userDivisor - spareOutgoing) / 2; kept < least {
 		t.Errorf("%d workers stay connected, not %d", kept, least)
 	}
 }
--- /dev/null
+++ b/internal/engine/steps.go
@@ -0,0 +1,71 @@
+package engine
+
+import "lugward/internal/event"
+
+// input is one thing that the core has to be told.
+type input interface {
+	// deliver hands the input to the core, which puts its effects into e.steps.effects.
+	deliver(e *engine)
+}
+
+// stepQueue runs inputs through the core one after the other. Carrying out the
+// effects of one input may raise others, which wait until that is finished.
+type stepQueue struct {
+	effects event.Effects
+	running bool
+	waiting []input // raised during the present step
+}
+
+// tickInput lets time pass.
+type tickInput struct{ now event.Time }
+
+func (in tickInput) deliver(e *engine) { e.core.Tick(in.now, &e.steps.effects) }
+
+// callDoneInput is the outcome of a call.
+type callDoneInput struct{ done event.CallDone }
+
+func (in callDoneInput) deliver(e *engine) { e.core.CallDone(e.now(), in.done, &e.steps.effects) }
+
+// frameInput is a frame of another controller.
+type frameInput struct{ frame event.PeerFrame }
+
+func (in frameInput) deliver(e *engine) { e.core.Frame(e.now(), in.frame, &e.steps.effects) }
+
+// requestInput is a connection on which a request may have arrived.
+type requestInput struct{ c *connection }
+
+func (in requestInput) deliver(e *engine) { e.readRequest(in.c) }
+
+// step runs one input through the core and carries out the effects; inputs
+// raised meanwhile follow in order. Within a step the input waits for its turn.
+func (e *engine) step(in input) {
+	if e.steps.running {
+		e.steps.waiting = append(e.steps.waiting, in)
+		return
+	}
+	e.steps.running = true
+	in.deliver(e)
+	e.perform()
+	for len(e.steps.waiting) > 0 {
+		next := e.steps.waiting[0]
+		e.steps.waiting = e.steps.waiting[1:]
+		next.deliver(e)
+		e.perform()
+	}
+	e.steps.running = false
+}
+
+// perform carries out the effects of a step.
+func (e *engine) perform() {
+	effects := &e.steps.effects
+	for _, r := range effects.Replies {
+		e.reply(r)
+	}
+	for _, c := range effects.Calls {
+		e.startCall(c)
+	}
+	for _, f := range effects.Frames {
+		e.sendFrame(f)
+	}
+	effects.Reset()
+}
--- a/internal/engine/ticker.go
+++ b/internal/engine/ticker.go
@@ -12,82 +12,75 @@
 )
 
 const (
-	tickEvery = 50 * time.Millisecond
+	tickInterval  = 50 * time.Millisecond
+	sweepInterval = time.Second
+	// firstTickRetry is the time between two attempts to reach gnet's loop.
+	firstTickRetry = 4 * tickInterval
 )
 
-// loopBox gives the stored loop one concrete type.
-type loopBox struct{ gnet.EventLoop }
+// loopRef wraps the event loop, since atomic.Value needs one concrete type.
+// The loop stores it once, with the first connection; any goroutine may read it.
+type loopRef struct{ gnet.EventLoop }
 
-func (e *engine) eventLoop() gnet.EventLoop { return e.loop.Load().(loopBox) }
+func (e *engine) eventLoop() gnet.EventLoop { return e.loop.Load().(loopRef) }
+
+// onLoop runs a function on the event loop.
+func (e *engine) onLoop(f func()) {
+	_ = e.eventLoop().Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
+		f()
+		return nil
+	}))
+}
 
 // OnTick runs on gnet's ticker goroutine: it only hands the work to the loop.
 func (e *engine) OnTick() (time.Duration, gnet.Action) {
 	if e.loop.Load() == nil {
-		// gnet tells its loop only through a connection, so the first tick
-		// opens one to ourselves.
-		if c, err := net.DialTimeout("tcp", e.cfg.Bind, dialTimeout); err != nil {
-			e.log.Error("no event loop", "err", err)
-		} else {
-			_ = c.Close()
-		}
-		return 4 * tickEvery, gnet.None
+		e.openFirstConnection()
+		return firstTickRetry, gnet.None
 	}
-	_ = e.eventLoop().Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		e.tick(tickEvery / 2)
-		return nil
-	}))
-	return tickEvery, gnet.None
+	e.onLoop(func() { e.tick(tickInterval / 2) })
+	return tickInterval, gnet.None
 }
 
-// tick lets time pass, unless it did so within the given time. It is called by
-// the ticker, and between two inputs: while inputs keep the loop busy, neither
-// the ticker's goroutine nor a dial's comes to run, and a leader that answers
-// reports all the time would lose its term, as its renewals are due by time.
-func (e *engine) tick(least time.Duration) {
-	now := e.now()
-	if now-e.ticked < least {
+// openFirstConnection connects to ourselves: gnet makes its loop known only
+// through a connection.
+func (e *engine) openFirstConnection() {
+	c, err := net.DialTimeout("tcp", e.cfg.Bind, dialTimeout)
+	if err != nil {
+		e.log.Error("no event loop", "err", err)
 		return
 	}
-	if e.ticked > 0 && now-e.ticked > tickEvery {
-		runtime.Gosched()
-	}
-	e.ticked = now
-	for id, at := range e.expiry {
-		if now >= at {
-			e.finishCall(id, 0, nil)
-		}
+	_ = c.Close()
+}
+
+// tick lets time pass, unless the last tick is less than minInterval ago. It
+// is called by the ticker and between inputs: while inputs keep the loop busy
+// the ticker's goroutine does not run, and a leader that answers reports all
+// the time would lose its term, as its renewals are due by time.
+func (e *engine) tick(minInterval time.Duration) {
+	now := e.now()
+	if now-e.timers.tickedAt < minInterval {
+		return
 	}
-	for i, p := range e.peers {
-		if p.conn == nil && !p.busy && now-p.dialed >= redialEvery {
-			p.busy, p.dialed = true, now
-			e.dial(&conn{kind: kindPeerOut, addr: e.cfg.Peers[i], peer: i})
-		}
+	if e.timers.tickedAt > 0 && now-e.timers.tickedAt > tickInterval {
+		runtime.Gosched() // lets goroutines that dial run as well
 	}
-	if now-e.swept >= time.Second {
-		e.swept = now
+	e.timers.tickedAt = now
+	e.expireCalls(now)
+	e.dialPeers(now)
+	if now-e.timers.sweptAt >= sweepInterval {
+		e.timers.sweptAt = now
 		e.sweep(now)
 	}
 	e.core.Clock(now, time.Now())
-	e.step(func() { e.core.Tick(now, &e.out) })
+	e.step(tickInput{now})
 }
 
-// sweep closes connections that idle, stall or read too slowly.
+// sweep closes connections that are idle, stalled within a request, or read
+// our output too slowly.
 func (e *engine) sweep(now event.Time) {
-	for _, c := range e.conns {
-		quiet := now - c.since
-		switch c.kind {
-		case kindHTTP, kindPeerIn:
-			if (c.half && quiet > halfRequest) || (!c.busy && quiet > idleIn) {
-				e.drop(c)
-				continue
-			}
-		case kindCall:
-			if !c.busy && quiet > idleOut {
-				e.drop(c)
-				continue
-			}
-		}
-		if c.g.OutboundBuffered() > maxUnsent {
+	for _, c := range e.sockets.connections {
+		if c.timedOut(now) || c.socket.OutboundBuffered() > maxUnsentBytes {
 			e.drop(c)
 		}
 	}
