--- /dev/null
+++ b/internal/election/term.go
@@ -0,0 +1,158 @@
+package election
+
+import (
+	"time"
+
+	"lugward/internal/event"
+	"lugward/internal/store"
+)
+
+// term is the term that this controller holds or has held last. It is held
+// while both leaseID and version are set. The other fields outlast it: a write
+// or an answer of it may still be under way.
+type term struct {
+	leaseID    uint64     // lease of the term key
+	version    uint64     // of the term key, as we have written it
+	token      uint64     // fencing token
+	leasedAt   event.Time // when its lease was granted; the term before had ended by then
+	validUntil event.Time // until then the lease is alive for certain
+	renewAt    event.Time
+	renewing   bool // a renewal is under way
+	unnoticed  bool // Acquired has not reported it yet
+}
+
+// Holds tells whether this node holds a term at all, be it only in grace.
+func (l *Election) Holds() bool { return l.term.leaseID != 0 && l.term.version != 0 }
+
+// FencingToken is the number of our term.
+func (l *Election) FencingToken() uint64 { return l.term.token }
+
+// Condition is the condition that every write of a leader carries.
+func (l *Election) Condition() store.Condition {
+	return store.Condition{Key: TermKey, Version: l.term.version}
+}
+
+// MayStart tells whether tasks may be started: the lease is alive for certain.
+func (l *Election) MayStart(now event.Time) bool {
+	return l.caughtUp() && now < l.term.validUntil
+}
+
+// MayAnswer tells whether reports may be answered with 200: within the lease
+// and, with nothing started, for the grace after it.
+func (l *Election) MayAnswer(now event.Time) bool { return l.caughtUp() && l.termLasts(now) }
+
+// caughtUp tells whether we hold a term and the replica shows everything up to
+// its beginning. A node that replaces its own term from before a restart, or has
+// just read all keys page by page, would otherwise miss what the term before
+// wrote last, and give the same capacity and quota away once more.
+func (l *Election) caughtUp() bool { return l.Holds() && l.store.Revision() >= l.term.version }
+
+// termLasts tells whether our term, or its grace, goes on.
+func (l *Election) termLasts(now event.Time) bool {
+	// Each 200 keeps the tasks of that worker alive. A cancellation that
+	// another node has confirmed may be missing from our replica for no longer
+	// than the grace, whatever the lease says.
+	if now >= l.store.Fresh()+l.cfg.Grace {
+		return false
+	}
+	if now < l.term.validUntil {
+		return true
+	}
+	graceEnd := l.term.validUntil - l.cfg.TermLease + l.cfg.Grace
+	return now < graceEnd && l.observed.highestToken <= l.term.token
+}
+
+// TasksExpireAt is when the tasks of a machine that nobody has answered since
+// the given time have terminated for certain: its lease has expired, counted
+// from our last answer or from the end of the grace of any leader before us.
+func (l *Election) TasksExpireAt(lastAnswer event.Time) event.Time {
+	earlierGraceEnd := l.term.leasedAt + max(0, l.cfg.Grace-l.cfg.TermLease)
+	return max(lastAnswer, earlierGraceEnd) + l.WorkerLease() + expiryMargin
+}
+
+// WorkerLease is how long a worker's lease can last by our clock.
+func (l *Election) WorkerLease() time.Duration {
+	return l.cfg.WorkerLease + l.cfg.WorkerLease/clockDriftDivisor
+}
+
+// Acquired tells, once for each term, that a term has begun and the replica
+// has caught up with it.
+func (l *Election) Acquired() bool {
+	if !l.term.unnoticed || (l.Holds() && !l.caughtUp()) {
+		return false
+	}
+	l.term.unnoticed = false
+	if l.Holds() {
+		l.log.Info("term begun", "token", l.term.token)
+	}
+	return l.Holds()
+}
+
+// Resign ends our term early, for another controller to take: this one does
+// not stand for a while. The reason goes to the log.
+func (l *Election) Resign(now event.Time, out *event.Effects, why string) {
+	if !l.Holds() {
+		return
+	}
+	l.store.Drop(l.term.leaseID, now, out)
+	l.candidacy.notBefore = now + abstainDuration
+	l.stepDown(why)
+}
+
+// stepDown notes that we do not hold a term any more.
+func (l *Election) stepDown(why string) {
+	l.log.Info("term lost", "token", l.term.token, "why", why)
+	l.term.leaseID = 0
+	l.term.version = 0
+}
+
+// maintain steps down when the term has run out and renews its lease when that
+// is due.
+func (l *Election) maintain(now event.Time, out *event.Effects) {
+	if !l.termLasts(now) {
+		l.stepDown("grace is over")
+		return
+	}
+	if !l.term.renewing && now >= l.term.renewAt {
+		l.renew(now, out)
+	}
+}
+
+func (l *Election) renew(now event.Time, out *event.Effects) {
+	l.term.renewing = true
+	r := renewal{sentAt: now, token: l.term.token}
+	timeout := l.cfg.TermLease / renewalsPerLease
+	l.store.Extend(l.term.leaseID, timeout, now, out, func(now event.Time, status int, _ *event.Effects) {
+		l.renewed(now, r, status)
+	})
+}
+
+// renewal is a request to renew the lease of a term.
+type renewal struct {
+	sentAt event.Time
+	token  uint64 // of the term
+}
+
+// renewed takes the answer to a renewal. The lease counts from when the
+// request was sent, as the answer may have been late.
+func (l *Election) renewed(now event.Time, r renewal, status int) {
+	l.term.renewing = false
+	l.log.Debug("term renewal answered", "status", status, "after", now-r.sentAt, "token", r.token)
+	if r.token != l.term.token || !l.Holds() {
+		return
+	}
+	switch status {
+	case event.StatusOK:
+		l.term.validUntil = max(l.term.validUntil, r.sentAt+l.reliableLease())
+		l.term.renewAt = r.sentAt + l.cfg.TermLease/renewalsPerLease
+	case event.StatusNotFound:
+		l.stepDown("the lease ended")
+	default:
+		l.term.renewAt = max(now, r.sentAt+l.cfg.TermLease/renewalRetriesPerLease)
+	}
+}
+
+// reliableLease is how long a lease of the term lasts for certain.
+func (l *Election) reliableLease() time.Duration {
+	return l.cfg.TermLease - l.cfg.TermLease*leaseMarginPercent/100
+}
