--- a/internal/engine/calls_test.go
+++ b/internal/engine/calls_test.go
@@ -8,53 +8,62 @@
 	"strings"
 	"testing"
 	"time"
+
+	"lugward/internal/event"
 )
 
-// TestCalls: whatever the other side does, a call ends exactly once.
-func TestCalls(t *testing.T) {
-	e, _ := start(t, 100)
-	answers := func(answer string) string {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { l.Close() })
-		go func() {
-			for {
-				c, err := l.Accept()
-				if err != nil {
-					return
-				}
-				go func() {
-					r, err := http.ReadRequest(bufio.NewReader(c))
-					if err == nil {
-						_ = r.Body.Close()
-						_, _ = io.WriteString(c, answer)
-					}
-					if !strings.HasPrefix(answer, "HTTP/1.1 200") {
-						_ = c.Close()
-					}
-				}()
+// serveRaw runs a server that answers every request with the given text, and
+// returns its address. It closes the connection then or, if the text is a
+// response with status 200, when the other side has closed it.
+func serveRaw(t *testing.T, answer string) string {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
 			}
-		}()
-		return l.Addr().String()
+			go answerRaw(c, answer)
+		}
+	}()
+	return l.Addr().String()
+}
+
+// answerRaw answers one request of a connection.
+func answerRaw(c net.Conn, answer string) {
+	r, err := http.ReadRequest(bufio.NewReader(c))
+	if err == nil {
+		_ = r.Body.Close()
+		_, _ = io.WriteString(c, answer)
+	}
+	if strings.HasPrefix(answer, "HTTP/1.1 200") {
+		_, _ = c.Read(make([]byte, 1)) // returns when the other side closes
 	}
+	_ = c.Close()
+}
+
+// TestCalls checks that a call ends exactly once, whatever the other side does.
+func TestCalls(t *testing.T) {
+	core, _ := start(t, 100)
+	refusing := freeAddr(t)
 	for _, c := range []struct {
 		addr   string
 		status int
 		body   string
 	}{
-		{answers("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"), 200, "{}"},
-		{answers("not http at all\r\n\r\n"), 0, ""},
-		{answers("HTTP/1.1 2"), 0, ""},
-		{answers(""), 0, ""},
-		{freeAddr(t), 0, ""}, // refused
+		{serveRaw(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"), event.StatusOK, "{}"},
+		{serveRaw(t, "not http at all\r\n\r\n"), event.NoResponse, ""},
+		{serveRaw(t, "HTTP/1.1 2"), event.NoResponse, ""},
+		{serveRaw(t, ""), event.NoResponse, ""},
+		{refusing, event.NoResponse, ""},
 	} {
-		e.mu.Lock()
-		e.calls = []string{c.addr}
-		e.mu.Unlock()
+		core.call(c.addr)
 		select {
-		case d := <-e.done:
+		case d := <-core.done:
 			if d.Status != c.status || string(d.Body) != c.body {
 				t.Errorf("%d %q, not %d %q", d.Status, d.Body, c.status, c.body)
 			}
@@ -62,7 +71,7 @@
 			t.Error("a call never ended")
 		}
 	}
-	if len(e.done) != 0 {
+	if len(core.done) != 0 {
 		t.Error("a call ended twice")
 	}
 }
--- a/internal/engine/peers_test.go
+++ b/internal/engine/peers_test.go
@@ -7,9 +7,11 @@
 	"time"
 )
 
+// TestPeerPort checks frames that arrive in parts, and that garbage ends the
+// connection.
 func TestPeerPort(t *testing.T) {
-	e, cfg := start(t, 100)
-	if got := say(t, cfg.PeerBind, "\xff\xff\xff\xffgarbage"); got != "" {
+	core, cfg := start(t, 100)
+	if got := exchange(t, cfg.PeerBind, "\xff\xff\xff\xffgarbage"); got != "" {
 		t.Errorf("garbage was answered with %q", got)
 	}
 	c, err := net.Dial("tcp", cfg.PeerBind)
@@ -22,10 +24,7 @@
 	time.Sleep(5 * time.Millisecond)
 	_, _ = c.Write(append(frame[5:], frame...))
 	for range 500 {
-		e.mu.Lock()
-		n := len(e.frames)
-		e.mu.Unlock()
-		if n == 2 {
+		if core.frameCount() == 2 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
