--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -12,54 +12,87 @@
 	"lugward/internal/store"
 )
 
-// A node that replaces its own term of before a restart reads all keys page by
-// page and may be behind what that term wrote last. It acts on nothing, and
-// answers nobody, until its replica shows all that came before the new term.
-func TestActsOnceCaughtUp(t *testing.T) {
-	var out event.Effects
-	var l *Election
-	s := store.New("state", store.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60, StaleAfter: time.Hour},
-		func(key string, data []byte, version uint64) { l.Listen(key, data, version) })
-	l = New(Config{Label: "n0", TermLease: 4 * time.Second, WorkerLease: 10 * time.Second, Grace: 10 * time.Second}, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	answer := func(now event.Time, path, body string) {
-		t.Helper()
-		for i, c := range out.Calls {
-			if strings.HasPrefix(c.Path, path) {
-				out.Calls = append(out.Calls[:i:i], out.Calls[i+1:]...)
-				s.CallDone(now, event.CallDone{ID: c.ID, Status: 200, Body: []byte(body)}, &out)
-				return
-			}
+// fixture is an election on a client of the state service, whose calls the
+// test answers.
+type fixture struct {
+	t        *testing.T
+	store    *store.Client
+	election *Election
+	out      event.Effects
+}
+
+func newFixture(t *testing.T) *fixture {
+	f := &fixture{t: t}
+	limits := store.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60, StaleAfter: time.Hour}
+	f.store = store.New("state", limits, func(key string, data []byte, version uint64) {
+		f.election.Listen(key, data, version)
+	})
+	f.election = New(Config{
+		Label:       "n0",
+		TermLease:   4 * time.Second,
+		WorkerLease: 10 * time.Second,
+		Grace:       10 * time.Second,
+	}, f.store, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	return f
+}
+
+// answer answers the oldest call whose path begins with the given text.
+func (f *fixture) answer(now event.Time, path, body string) {
+	f.t.Helper()
+	for i, call := range f.out.Calls {
+		if strings.HasPrefix(call.Path, path) {
+			f.out.Calls = append(f.out.Calls[:i:i], f.out.Calls[i+1:]...)
+			done := event.CallDone{ID: call.ID, Status: event.StatusOK, Body: []byte(body)}
+			f.store.CallDone(now, done, &f.out)
+			return
 		}
-		t.Fatalf("no call of %s", path)
-	}
-	tick := func(now event.Time) {
-		s.Tick(now, &out)
-		l.Tick(now, &out)
-		s.Tick(now, &out)
 	}
-	tick(0)
-	term := `{"key":"t/lead","data":{"l":"n0","f":1},"stamp":4}`
-	answer(10*time.Millisecond, "/keys", fmt.Sprintf(`{"items":[%s,{"key":"t/count","data":{"l":"n0","f":1},"stamp":4}],"epoch":5}`, term))
+	f.t.Fatalf("no call of %s", path)
+}
+
+func (f *fixture) tick(now event.Time) {
+	f.store.Tick(now, &f.out)
+	f.election.Tick(now, &f.out)
+	f.store.Tick(now, &f.out)
+}
+
+// TestActsOnceCaughtUp: a node that replaces its own term from before a restart
+// reads all keys page by page and may lack what that term wrote last. It starts
+// nothing, and answers nobody, until its replica shows all that came before the
+// new term.
+func TestActsOnceCaughtUp(t *testing.T) {
+	f := newFixture(t)
+	f.tick(0)
+	f.answer(10*time.Millisecond, "/keys", fmt.Sprintf(`{"items":[%s,%s],"epoch":5}`,
+		`{"key":"t/lead","data":{"l":"n0","f":1},"stamp":4}`,
+		`{"key":"t/count","data":{"l":"n0","f":1},"stamp":4}`))
 	now := event.Time(time.Second)
-	tick(now)
-	answer(now, "/leases", `{"tether":7}`)
-	tick(now)
-	// A placement of the process before was carried out late, at 6.
-	answer(now, "/commit", `{"epoch":7}`)
+	f.tick(now)
+	f.answer(now, "/leases", `{"tether":7}`)
+	f.tick(now)
+	// A placement of the process before was carried out late, at revision 6.
+	f.answer(now, "/commit", `{"epoch":7}`)
+	l := f.election
 	if !l.Holds() {
 		t.Fatal("the term was not taken")
 	}
 	if l.MayStart(now) || l.MayAnswer(now) || l.Acquired() {
 		t.Error("acts on a replica that lacks what was written before its term")
 	}
-	tick(now)
+	f.tick(now)
 	if !l.Holds() {
-		t.Error("the term is given up while the replica catches up")
+		t.Error("stepped down while the replica catches up")
 	}
-	answer(now+time.Millisecond, "/follow", `{"epoch":7,"log":[{"write":"r/req-1/0","data":{},"stamp":6},`+
-		`{"write":"t/lead","data":{"l":"n0","f":2},"stamp":7},{"write":"t/count","data":{"l":"n0","f":2},"stamp":7}]}`)
 	now += time.Millisecond
-	if !l.MayStart(now) || !l.MayAnswer(now) || !l.Acquired() || l.Acquired() {
-		t.Error("does not act, or begins other than once, though the replica is complete")
+	f.answer(now, "/follow", `{"epoch":7,"log":[{"write":"r/req-1/0","data":{},"stamp":6},`+
+		`{"write":"t/lead","data":{"l":"n0","f":2},"stamp":7},{"write":"t/count","data":{"l":"n0","f":2},"stamp":7}]}`)
+	if !l.MayStart(now) || !l.MayAnswer(now) {
+		t.Error("does not act, though the replica is complete")
+	}
+	if !l.Acquired() {
+		t.Error("the term does not begin, though the replica is complete")
+	}
+	if l.Acquired() {
+		t.Error("the term begins twice")
 	}
 }
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,6 +1,6 @@
-// Package event holds the inputs the core takes and the effects it returns.
-// The engine (or a test) turns effects into input and output; the core itself
-// has no clock, goroutine, socket or global randomness.
+// Package event holds the inputs that the core takes and the effects that it
+// returns. The engine (or a test) turns effects into input and output; the core
+// itself has no clock, goroutine, socket or global randomness.
 package event
 
 import "time"
@@ -8,15 +8,15 @@
 // Time is a point on the process's steady clock, counted from its start.
 type Time = time.Duration
 
-// Request is a parsed HTTP request that reached the service.
+// Request is an HTTP request that has reached this controller.
 type Request struct {
-	Conn   uint64 // the connection to answer on
+	Conn   uint64 // number of the connection to answer on
 	Method string
 	Path   string
 	Body   []byte
 }
 
-// Reply answers a Request.
+// Reply answers the Request of a connection.
 type Reply struct {
 	Conn       uint64
 	Status     int
@@ -35,8 +35,8 @@
 	Timeout time.Duration
 }
 
-// CallDone is the outcome of a Call. Status 0 means that no response came:
-// the request may or may not have been executed, or may still be.
+// CallDone is the outcome of a Call. With the status NoResponse the request may
+// have been carried out or not, or may still be.
 type CallDone struct {
 	ID     uint64
 	Status int
@@ -45,33 +45,42 @@
 
 // PeerFrame is one frame to or from another controller.
 type PeerFrame struct {
-	Peer int // index into the configured seeds; -1 while unknown (inbound)
+	Peer int // index in the list of seeds; -1 for an incoming frame, whose sender its content names
 	Data []byte
 }
 
-// Effects collects the effects of one step.
+// Effects collects what a step of the core wants done. The engine carries it
+// out in the order replies, calls, frames and then calls Reset.
 type Effects struct {
 	Replies []Reply
 	Calls   []Call
 	Frames  []PeerFrame
 
-	lastCall uint64
+	lastCall uint64 // ID of the last call, never reset
 }
 
-// Reply adds an answer.
+// Reply adds an answer to a request.
 func (o *Effects) Reply(conn uint64, status int, body []byte) {
 	o.Replies = append(o.Replies, Reply{Conn: conn, Status: status, Body: body})
 }
 
-// Busy answers 503 and tells the client when to come back.
+// Busy refuses a request for now with 503; the client may come back after the
+// given number of seconds.
 func (o *Effects) Busy(conn uint64, retryAfter int) {
-	o.Replies = append(o.Replies, Reply{Conn: conn, Status: 503, RetryAfter: retryAfter})
+	o.Replies = append(o.Replies, Reply{Conn: conn, Status: StatusServiceUnavailable, RetryAfter: retryAfter})
 }
 
 // Call adds an outgoing request and returns its ID.
 func (o *Effects) Call(addr, method, path string, body []byte, timeout time.Duration) uint64 {
 	o.lastCall++
-	o.Calls = append(o.Calls, Call{ID: o.lastCall, Addr: addr, Method: method, Path: path, Body: body, Timeout: timeout})
+	o.Calls = append(o.Calls, Call{
+		ID:      o.lastCall,
+		Addr:    addr,
+		Method:  method,
+		Path:    path,
+		Body:    body,
+		Timeout: timeout,
+	})
 	return o.lastCall
 }
 
@@ -80,7 +89,9 @@
 	o.Frames = append(o.Frames, PeerFrame{Peer: peer, Data: data})
 }
 
-// Reset drops collected effects; call IDs go on counting.
+// Reset drops the collected effects. Call IDs go on counting.
 func (o *Effects) Reset() {
-	o.Replies, o.Calls, o.Frames = o.Replies[:0], o.Calls[:0], o.Frames[:0]
+	o.Replies = o.Replies[:0]
+	o.Calls = o.Calls[:0]
+	o.Frames = o.Frames[:0]
 }
