--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -89,7 +89,12 @@
 		route.relayingSince = 0
 		n.redirect(r.Conn, out)
 	default:
-		n.relay(now, r, machine, route, leader, out)
+		if route.relayingSince == 0 {
+			route.relayingSince = now
+			n.log.Info("relaying reports", "machine", machine, "to", n.peers[leader].label)
+		}
+		route.servedAt = now
+		n.relay(now, r, leader, out)
 	}
 }
 
@@ -106,12 +111,7 @@
 }
 
 // relay sends a report to the leader over the peer link.
-func (n *Node) relay(now event.Time, r event.Request, machine string, route *workerRoute, leader int, out *event.Effects) {
-	if route.relayingSince == 0 {
-		route.relayingSince = now
-		n.log.Info("relaying reports", "machine", machine, "to", n.peers[leader].label)
-	}
-	route.servedAt = now
+func (n *Node) relay(now event.Time, r event.Request, leader int, out *event.Effects) {
 	out.Send(leader, peer.Append(nil, &peer.Frame{
 		Kind:  peer.Relay,
 		Label: n.cfg.Label,
--- a/internal/core/tick.go
+++ b/internal/core/tick.go
@@ -6,7 +6,7 @@
 	"lugward/internal/event"
 )
 
-// Clock gives the time of day that belongs to a time of the steady clock.
+// Clock sets the time of day that belongs to a time of the steady clock.
 // Stored times are times of day, since steady clocks of other processes have
 // other starts.
 func (n *Node) Clock(now event.Time, wall time.Time) { n.jobs.SetClock(now, wall) }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -86,7 +86,7 @@
 	term      term
 }
 
-// observed is what others have shown us of the term.
+// observed is what the replica and the messages of others say about the term.
 type observed struct {
 	holder       string // label in the replica's term key, "" if there is none
 	holderToken  uint64
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -44,7 +44,7 @@
 // caughtUp tells whether we hold a term and the replica shows everything up to
 // its beginning. A node that replaces its own term from before a restart, or has
 // just read all keys page by page, would otherwise miss what the term before
-// wrote last, and give the same capacity and quota away once more.
+// wrote last, and place other tasks on the same capacity and quota.
 func (l *Election) caughtUp() bool { return l.Holds() && l.store.Revision() >= l.term.version }
 
 // termLasts tells whether our term, or its grace, goes on.
--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -62,8 +62,8 @@
 	_, _ = c.socket.Write(httpwire.AppendRequest(nil, call.Method, call.Path, call.Addr, call.Body))
 }
 
-// finishCall ends a call and gives its outcome to the core. A call that has
-// ended before is left alone, so each has exactly one outcome.
+// finishCall ends a call and passes its outcome to the core. It does nothing for
+// a call that has ended before, so each has exactly one outcome.
 func (e *engine) finishCall(id uint64, status int, body []byte) {
 	call := e.outgoing.calls[id]
 	if call == nil {
--- a/internal/engine/connections.go
+++ b/internal/engine/connections.go
@@ -113,7 +113,7 @@
 	return gnet.None
 }
 
-// register gives a connection its number.
+// register numbers an open connection and adds it to the open ones.
 func (e *engine) register(c *connection) {
 	e.sockets.lastID++
 	c.id = e.sockets.lastID
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -19,7 +19,7 @@
 
 // Core is the state machine that the engine drives, one input at a time.
 type Core interface {
-	// Clock gives the time of day before each Tick.
+	// Clock sets the time of day before each Tick.
 	Clock(now event.Time, wall time.Time)
 	// Tick does what is due.
 	Tick(now event.Time, out *event.Effects)
--- a/internal/engine/steps.go
+++ b/internal/engine/steps.go
@@ -2,7 +2,7 @@
 
 import "lugward/internal/event"
 
-// input is one thing that the core has to be told.
+// input is one input of the core, with what is needed to deliver it.
 type input interface {
 	// deliver hands the input to the core, which puts its effects into e.steps.effects.
 	deliver(e *engine)
