--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -48,6 +48,7 @@
 	// So many retirements wait for their write at a time: hundreds after a burst
 	// would hold up the writes that free the machines of running jobs.
 	maxRetiring     = 20
+	retireRank      = 100              // before the progress of any job: an idle machine costs money
 	cleanupTimeout  = 10 * time.Minute // of a write that nothing waits for
 	maxReleaseBatch = 100
 	listLimit       = 500
@@ -450,7 +451,7 @@
 	}
 	r.logging[h.Name] = true
 	name := h.Name
-	r.store.Submit(&store.Intent{Priority: store.Progress, Conditions: []store.Condition{term},
+	r.store.Submit(&store.Intent{Priority: store.Progress, Rank: retireRank, Conditions: []store.Condition{term},
 		Writes: []store.Write{{Key: RetireKind + "/" + name, Data: []byte("1")}},
 		Done:   func(store.Result) { delete(r.logging, name) }}, now+time.Minute)
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -23,7 +23,7 @@
 const (
 	// cleanedJobs bounds the jobs whose records one cleaning pass touches, so
 	// that cleaning leaves the write rate to users and placements.
-	cleanedJobs = 2
+	cleanedJobs = 8
 	// noReportsTimeout: a leader that gets no worker's report for this long
 	// resigns, as another controller may be able to reach the workers.
 	noReportsTimeout = 12 * time.Second
--- /dev/null
+++ b/internal/pipeline/finish_test.go
@@ -0,0 +1,66 @@
+package pipeline
+
+import (
+	"testing"
+
+	"lugward/internal/store"
+)
+
+// A job is done with a single write, whatever its records; what its tasks took is
+// free at once, and the records go behind everything else.
+func TestMarkAloneEndsJob(t *testing.T) {
+	tb, j := newJob(t, 2)
+	tb.Listen(RunKey, "req-1/0", []byte(`{"t":2,"a":[[0,1,"i-1"],[1,2,"i-2"]]}`), 2)
+	for task := range 2 {
+		j.Entry(task).Phase = Exited
+		tb.MarkDone(j, task)
+	}
+	q := &queue{}
+	tb.Flush(0, term, q)
+	mark := q.next(t)
+	if len(mark.Writes) != 1 || mark.Writes[0].Key != FinalKeyOf(j.ID) || mark.Priority != store.Progress {
+		t.Fatalf("%+v is written", mark.Writes)
+	}
+	carryOut(tb, mark, 3)
+	if used := tb.Team(j.Team); j.Phase() != Done || j.Active() != 0 || used.CPUs != 0 {
+		t.Errorf("%v with %d entries, the team uses %v", j.Phase(), j.Active(), used)
+	}
+	tb.Flush(1, term, q)
+	if len(q.list) != 0 {
+		t.Error("the record is written once more")
+	}
+	tb.Clean(1, term, q, 10)
+	drop := q.next(t)
+	if drop.Priority != store.Cleanup || len(drop.Writes) != 2 {
+		t.Errorf("%+v", drop)
+	}
+	carryOut(tb, drop, 4)
+	if tb.Job(j.ID) != nil {
+		t.Error("the job is still held")
+	}
+}
+
+// A task that completed in another attempt than the one that is logged may still
+// run: what it takes stays counted until its end is proven.
+func TestOtherAttemptStaysCounted(t *testing.T) {
+	tb, j := newJob(t, 1)
+	tb.Listen(RunKey, "req-1/0", []byte(`{"t":2,"a":[[0,2,"i-2"]]}`), 2)
+	j.Entry(0).Phase = RunningTask
+	tb.MarkDone(j, 0)
+	q := &queue{}
+	tb.Flush(0, term, q)
+	carryOut(tb, q.next(t), 3)
+	if j.Phase() != Done || j.Active() != 1 || len(tb.TakeEnded()) != 1 {
+		t.Errorf("%v with %d entries", j.Phase(), j.Active())
+	}
+}
+
+// The writes of jobs of the lowest priority go behind those of others.
+func TestWriteRank(t *testing.T) {
+	for priority, want := range map[Priority]bool{Idle: false, Normal: true, High: true, Production: true} {
+		j := &Job{EffectivePriority: priority}
+		if got := j.writeRank() > (&Job{EffectivePriority: Idle}).writeRank(); got != want {
+			t.Errorf("priority %d before the lowest: %v", priority, got)
+		}
+	}
+}
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -27,7 +27,7 @@
 	retryJitter = 0.25
 	// avoidTime is how long a job stays away from a machine on which a task of it
 	// has failed. It is bounded, since that machine may be the only one that fits.
-	avoidTime = 30 * time.Second
+	avoidTime = 10 * time.Second
 	// failuresToBackOff is the number of machines on which the tasks of a job have
 	// failed, without one that succeeded, from which on the job itself is at fault.
 	failuresToBackOff = 2
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -374,6 +374,9 @@
 				}
 			}
 		}
+		if f.Phase == Done {
+			t.dropCompleted(j)
+		}
 		t.forget(j)
 	}
 }
@@ -576,7 +579,8 @@
 	return j.done+len(j.doneUnlogged)+j.marked >= j.TaskCount
 }
 
-// finish marks a job done and drops its records in one transaction.
+// finish marks a job done. The mark is all that users and the jobs that need it
+// wait for: the job's records are dropped by Clean, behind everything else.
 func (t *Table) finish(j *Job, now time.Duration, term store.Condition, s Submitter) bool {
 	if j.finishing {
 		return true
@@ -589,27 +593,14 @@
 			return true // the replica does not show what was written last
 		}
 	}
-	if j.done < j.TaskCount && !t.fitsOneTransaction(j) {
-		// Too many records for one transaction: the done bits are stored
-		// first, the mark follows, and Clean drops the records.
-		return false
-	}
 	j.finishing = true
-	in := &store.Intent{Priority: store.Progress, Key: FinalKeyOf(j.ID)}
+	in := &store.Intent{Priority: store.Progress, Rank: j.writeRank(), Key: FinalKeyOf(j.ID)}
 	in.Build = func(in *store.Intent) bool {
 		if !j.complete() {
 			return false
 		}
 		in.Conditions = []store.Condition{term, {Key: JobKeyOf(j.ID), Version: j.Version}, {Key: FinalKeyOf(j.ID)}}
-		in.Writes = []store.Write{{Key: FinalKeyOf(j.ID), Data: EncodeFinal(Done, j)}, {Key: JobKeyOf(j.ID)}}
-		if t.fitsOneTransaction(j) {
-			for c := range j.Chunk {
-				in.Conditions = append(in.Conditions, store.Condition{Key: runKey(j.ID, c), Version: j.Chunk[c].Version})
-				if j.Chunk[c].Version != 0 {
-					in.Writes = append(in.Writes, store.Write{Key: runKey(j.ID, c)})
-				}
-			}
-		}
+		in.Writes = []store.Write{{Key: FinalKeyOf(j.ID), Data: EncodeFinal(Done, j)}}
 		return true
 	}
 	in.Done = func(r store.Result) {
@@ -625,8 +616,34 @@
 	return true
 }
 
-// fitsOneTransaction tells whether a job's records can be dropped together with its mark.
-func (t *Table) fitsOneTransaction(j *Job) bool { return len(j.Chunk)+2 <= t.txnOps }
+// writeRank orders the writes of jobs among those of one priority: those of the
+// lowest priority go last, since a swarm of them may take all of the write rate.
+func (j *Job) writeRank() int {
+	return int(min(j.EffectivePriority, Normal))
+}
+
+// dropCompleted frees what the completed tasks of a job took once its mark is
+// stored: their machines have reported their end (of a gang one does, as all of it
+// ends together), and the mark keeps them from being started again. What is left may still be on a machine and waits for its proof.
+func (t *Table) dropCompleted(j *Job) {
+	for c := range j.Chunk {
+		chunk := &j.Chunk[c]
+		for task, e := range chunk.Entries {
+			if e.Pending == PendingDone && (e.Phase == Exited || j.Shape == Gang) {
+				delete(chunk.Entries, task)
+				t.remove(e)
+			}
+		}
+	}
+	if j.active > 0 {
+		return
+	}
+	for c := range j.Chunk {
+		j.Chunk[c].dirty = false // Clean drops the record
+	}
+	delete(t.dirty, j)
+	delete(t.ended, j)
+}
 
 // write queues the write of a chunk. What it holds is decided when its turn
 // comes: a busy job's tasks share one write however many change meanwhile.
@@ -643,7 +660,7 @@
 	}
 	j.Chunk[c].queued[kind] = true
 	built := 0
-	in := &store.Intent{Priority: priority, Key: runKey(j.ID, c)}
+	in := &store.Intent{Priority: priority, Rank: j.writeRank(), Key: runKey(j.ID, c)}
 	in.Build = func(in *store.Intent) bool {
 		ch := &j.Chunk[c]
 		if !ch.dirty || j.finishing {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -9,6 +9,7 @@
 	"log/slog"
 	"math"
 	"net/url"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -74,6 +75,7 @@
 // intents may share one transaction.
 type Intent struct {
 	Priority   Priority
+	Rank       int // among intents of one priority: the greater goes first
 	Conditions []Condition
 	Writes     []Write
 	Done       func(r Result)
@@ -213,7 +215,12 @@
 // Submit queues an intent. It is given up as Refused at the time expires.
 func (c *Client) Submit(in *Intent, expires event.Time) {
 	in.expires = expires
-	c.queue[in.Priority] = append(c.queue[in.Priority], in)
+	queue := c.queue[in.Priority]
+	at := len(queue)
+	for at > 0 && queue[at-1].Rank < in.Rank {
+		at--
+	}
+	c.queue[in.Priority] = slices.Insert(queue, at, in)
 }
 
 // Barrier calls f once the replica holds everything that was committed before
