--- /dev/null
+++ b/internal/api/node_test.go
@@ -0,0 +1,128 @@
+package api
+
+import (
+	"encoding/json"
+	"fmt"
+	"testing"
+	"time"
+
+	"lugward/internal/config"
+	"lugward/internal/event"
+	"lugward/internal/pipeline"
+	"lugward/internal/scheduler"
+	"lugward/internal/store"
+)
+
+// node is the API of one controller. It hears of what others have stored
+// only through a read barrier.
+type node struct {
+	t       *testing.T
+	svc     *service
+	in      *Server
+	jobs    *pipeline.Table
+	store   *store.Client
+	out     event.Effects
+	now     event.Time
+	conn    uint64
+	replies map[uint64]event.Reply
+}
+
+func newNode(t *testing.T, s *service, label string) *node {
+	n := &node{t: t, svc: s, replies: map[uint64]event.Reply{}, now: time.Second}
+	names := &pipeline.Names{}
+	names.Zones.Index("a")
+	n.jobs = pipeline.NewTable(names, valueBytes, txnOps)
+	n.store = store.New("s", store.Limits{TxnOps: txnOps, RPS: 1000, WriteRPS: 1000, StaleAfter: time.Hour}, func(key string, data []byte, version uint64) {
+		kind, rest := store.SplitKey(key)
+		n.jobs.Listen(kind, rest, data, version)
+	})
+	machineTypes := &scheduler.MachineTypes{{Index: names.MachineTypes.Index("m"), CPUs: 8, Memory: 32, Zones: []int{0}}}
+	n.in = New(Config{Label: label, Teams: []config.Team{{Name: "red"}}, Answer: 1500 * time.Millisecond, ValueBytes: valueBytes, TxnOps: txnOps}, names, n.jobs, n.store, machineTypes)
+	n.run(time.Second)
+	n.in.store.Barrier(func(event.Time, bool, *event.Effects) {})
+	n.run(time.Second)
+	return n
+}
+
+// run lets time pass.
+func (n *node) run(d time.Duration) {
+	for end := n.now + d; n.now < end; n.now += 10 * time.Millisecond {
+		n.jobs.Now = int64(n.now)
+		n.jobs.SetClock(n.now, time.Unix(1_700_000_000, 0).Add(n.now))
+		n.store.Tick(n.now, &n.out)
+		n.in.Tick(n.now, &n.out)
+		n.perform()
+	}
+}
+
+func (n *node) perform() {
+	for len(n.out.Calls)+len(n.out.Replies) > 0 {
+		calls, replies := n.out.Calls, n.out.Replies
+		n.out.Calls, n.out.Replies = nil, nil
+		for _, r := range replies {
+			if _, ok := n.replies[r.Conn]; ok {
+				n.t.Errorf("request %d is answered twice", r.Conn)
+			}
+			n.replies[r.Conn] = r
+		}
+		for _, c := range calls {
+			if status, body, ok := n.svc.serve(c); ok {
+				n.store.CallDone(n.now, event.CallDone{ID: c.ID, Status: status, Body: []byte(body)}, &n.out)
+			}
+		}
+	}
+}
+
+// ask sends a request, send with its answer after so long.
+func (n *node) ask(method, path, body string) uint64 {
+	n.conn++
+	n.in.Handle(n.now, event.Request{Conn: n.conn, Method: method, Path: path, Body: []byte(body)}, &n.out)
+	n.store.Tick(n.now, &n.out)
+	n.perform()
+	return n.conn
+}
+
+func (n *node) send(method, path, body string) event.Reply {
+	conn := n.ask(method, path, body)
+	n.run(2 * time.Second)
+	return n.replies[conn]
+}
+
+func body(id int, more string) string {
+	return fmt.Sprintf(`{"name_id":"req-%d","jobclass":"c","owner":"red","shape":"array","rank":"normal","shards":1,"cores":1,"cards":0,"ram_gb":1,
+"bundle":"b","image_gb":1,"same_place":false,"scatter":false,"loaners":false,"expect_s":10,"snapshot_every_s":0,"snapshot_s":0,"due_s":100%s}`, id, more)
+}
+
+func (n *node) submit(id int, more string) event.Reply {
+	return n.send("POST", "/submissions", body(id, more))
+}
+
+func (n *node) expect(what string, r event.Reply, status int, phase string) {
+	n.t.Helper()
+	var a answer
+	_ = json.Unmarshal(r.Body, &a)
+	if r.Status != status || (phase != "" && a.Phase != phase) || (status == 503) != (r.RetryAfter > 0) {
+		n.t.Errorf("%s: %d %s (%d), want %d %s", what, r.Status, r.Body, r.RetryAfter, status, phase)
+	}
+}
+
+func final(p pipeline.Phase, shape pipeline.Shape) []byte {
+	return pipeline.EncodeFinal(p, &pipeline.Job{Spec: pipeline.Spec{TaskCount: 1, Shape: shape}})
+}
+
+// long is a list of so many jobs above, which are in the replica.
+func (n *node) long(first, count int) string {
+	var list []string
+	job := &pipeline.Job{ID: "", Ready: true, Spec: pipeline.Spec{TaskCount: 1, CPUs: 1, Zone: -1}}
+	names := &pipeline.Names{}
+	job.Class, job.Team, job.Image = names.Classes.Index("c"), names.Teams.Index("red"), names.Images.Index("b")
+	data := pipeline.Encode(names, job)
+	for i := range count {
+		id := fmt.Sprintf("req-%d", first+i)
+		n.svc.put("j/"+id, data)
+		list = append(list, id)
+	}
+	b, _ := json.Marshal(list)
+	n.send("GET", "/submissions/"+list[0], "")
+	return `,"awaits":` + string(b)
+}
--- /dev/null
+++ b/internal/api/upstream_test.go
@@ -0,0 +1,126 @@
+package api
+
+import (
+	"strings"
+	"testing"
+
+	"lugward/internal/pipeline"
+)
+
+func TestAwaits(t *testing.T) {
+	s := newService(t)
+	n := newNode(t, s, "n0")
+	n.expect("plain", n.submit(1, ``), 201, "queued")
+	n.expect("null", n.submit(2, `,"awaits":null`), 201, "queued")
+	n.expect("empty", n.submit(3, `,"awaits":[]`), 201, "queued")
+	for _, id := range []string{"req-1", "req-2", "req-3"} {
+		if !n.jobs.Job(id).Ready {
+			t.Errorf("%s is not ready", id)
+		}
+	}
+	for _, bad := range []string{`"req-1"`, `5`, `{}`, `[1]`, `[null]`, `["x"]`, `["req-"]`, `["req-1 "]`, `true`} {
+		n.expect(bad, n.submit(4, `,"awaits":`+bad), 400, "")
+	}
+	n.expect("itself", n.submit(4, `,"awaits":["req-4"]`), 422, "")
+	n.expect("unknown", n.submit(4, `,"awaits":["req-1","req-99"]`), 422, "")
+	n.expect("held", n.submit(4, `,"awaits":["req-1","req-2","req-1"]`), 201, "queued")
+	if j := n.jobs.Job("req-4"); j.Ready || strings.Join(j.Upstream, " ") != "req-1 req-2" || j.Submitted == 0 {
+		t.Errorf("ready %v, above %v, at %d", j.Ready, j.Upstream, j.Submitted)
+	}
+	// A retry is found before it is judged.
+	for _, list := range []string{`["req-99"]`, `["req-4"]`, `[]`, `7`} {
+		n.expect("retry "+list, n.submit(4, `,"awaits":`+list), 200, "queued")
+	}
+	// So it is on another node, and when the job is over.
+	m := newNode(t, s, "n1")
+	n.expect("retry elsewhere", m.submit(4, `,"awaits":["req-99"]`), 200, "queued")
+	s.put("f/req-4", final(pipeline.Cancelled, pipeline.Array))
+	n.expect("retry when over", newNode(t, s, "n2").submit(4, `,"awaits":7`), 200, "cancelled")
+}
+
+func TestAwaitsService(t *testing.T) {
+	s := newService(t)
+	n := newNode(t, s, "n0")
+	daemon := strings.Replace(body(1, ""), "array", "daemon", 1)
+	n.expect("service", n.send("POST", "/submissions", daemon), 201, "queued")
+	n.expect("below it", n.submit(2, `,"awaits":["req-1"]`), 422, "")
+	n.expect("cancel", n.send("POST", "/submissions/req-1/cancel", ""), 200, "cancelled")
+	s.put("j/req-1", nil)
+	n.expect("below one that is over", n.submit(2, `,"awaits":["req-1"]`), 422, "")
+}
+
+// What the replica does not show may have been accepted elsewhere a moment
+// ago: only a barrier tells, and without one nothing is refused for good.
+func TestAwaitsBehind(t *testing.T) {
+	s := newService(t)
+	n, m := newNode(t, s, "n0"), newNode(t, s, "n1")
+	n.expect("above", n.submit(1, ""), 201, "queued")
+	s.down = true
+	n.expect("in an outage", m.submit(2, `,"awaits":["req-1"]`), 503, "")
+	n.expect("in an outage", m.submit(2, `,"awaits":["req-9"]`), 503, "")
+	n.expect("in an outage", m.submit(2, `,"awaits":["x"]`), 503, "")
+	s.down = false
+	o := newNode(t, s, "n2")
+	n.submit(3, "") // o has not heard of it
+	if o.jobs.Job("req-3") != nil {
+		t.Fatal("the replica is not behind")
+	}
+	n.expect("behind", o.submit(2, `,"awaits":["req-1","req-3"]`), 201, "queued")
+	n.expect("not there", o.submit(4, `,"awaits":["req-5"]`), 422, "")
+}
+
+func TestAwaitsOver(t *testing.T) {
+	s := newService(t)
+	n := newNode(t, s, "n0")
+	for id := range 3 {
+		n.expect("above", n.submit(1+id, ""), 201, "queued")
+	}
+	s.put("f/req-1", final(pipeline.Done, pipeline.Array))
+	s.put("j/req-1", nil)
+	n.expect("poll", n.send("GET", "/submissions/req-1", ""), 200, "done")
+	n.expect("all done", n.submit(4, `,"awaits":["req-1"]`), 201, "queued")
+	if j := n.jobs.Job("req-4"); !j.Ready || j.ReadyAt != j.Submitted {
+		t.Errorf("ready %v", j.Ready)
+	}
+	n.expect("held", n.submit(5, `,"awaits":["req-2"]`), 201, "queued")
+	n.expect("below", n.submit(6, `,"awaits":["req-5"]`), 201, "queued")
+	n.expect("beside", n.submit(7, `,"awaits":["req-3"]`), 201, "queued")
+	n.expect("cancel", n.send("POST", "/submissions/req-2/cancel", ""), 200, "cancelled")
+	// Judged by its ancestors on every node, before any mark of its own.
+	for _, m := range []*node{n, newNode(t, s, "n1")} {
+		n.expect("below a cancelled one", m.send("GET", "/submissions/req-6", ""), 200, "cancelled")
+		n.expect("cancelled by its user, too", m.send("POST", "/submissions/req-6/cancel", ""), 200, "cancelled")
+		n.expect("beside it", m.send("GET", "/submissions/req-7", ""), 200, "queued")
+	}
+	n.expect("names a cancelled one", n.submit(8, `,"awaits":["req-1","req-6"]`), 201, "cancelled")
+	n.expect("poll", n.send("GET", "/submissions/req-8", ""), 200, "cancelled")
+}
+
+// A cancellation that loses to done leaves the jobs below alone.
+func TestCancelLosesToDone(t *testing.T) {
+	s := newService(t)
+	n := newNode(t, s, "n0")
+	n.submit(1, "")
+	n.submit(2, `,"awaits":["req-1"]`)
+	s.put("f/req-1", final(pipeline.Done, pipeline.Array))
+	n.expect("cancel", n.send("POST", "/submissions/req-1/cancel", ""), 200, "done")
+	n.expect("below", n.send("GET", "/submissions/req-2", ""), 200, "queued")
+	if held := n.jobs.Releasable(); len(held) != 1 || held[0].ID != "req-2" {
+		t.Errorf("%d to be marked ready", len(held))
+	}
+}
+
+// A submission and the cancellation of what it names, in either order and
+// through two nodes that know nothing of each other.
+func TestSubmissionMeetsCancellation(t *testing.T) {
+	s := newService(t)
+	n, m := newNode(t, s, "n0"), newNode(t, s, "n1")
+	n.submit(1, "")
+	m.send("GET", "/submissions/req-1", "")
+	n.expect("cancel", n.send("POST", "/submissions/req-1/cancel", ""), 200, "cancelled")
+	if r := m.submit(2, `,"awaits":["req-1"]`); r.Status != 201 {
+		t.Fatalf("%d", r.Status)
+	}
+	n.expect("after", m.send("GET", "/submissions/req-2", ""), 200, "cancelled")
+	n.expect("after", n.send("GET", "/submissions/req-2", ""), 200, "cancelled")
+}
