--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -182,10 +182,6 @@
 	}
 }
 
-var reasons = map[int]string{200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found",
-	405: "Method Not Allowed", 413: "Content Too Large", 421: "Misdirected Request", 422: "Unprocessable Content",
-	429: "Too Many Requests", 503: "Service Unavailable"}
-
 // AppendResponse writes a response to dst.
 func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closing bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
--- /dev/null
+++ b/internal/httpwire/status.go
@@ -0,0 +1,31 @@
+package httpwire
+
+// The status codes that lugward sends or acts on.
+const (
+	StatusOK                   = 200
+	StatusCreated              = 201
+	StatusBadRequest           = 400
+	StatusNotFound             = 404
+	StatusMethodNotAllowed     = 405
+	StatusConflict             = 409
+	StatusGone                 = 410
+	StatusContentTooLarge      = 413
+	StatusMisdirectedRequest   = 421
+	StatusUnprocessableContent = 422
+	StatusTooManyRequests      = 429
+	StatusServiceUnavailable   = 503
+)
+
+// reasons are the reason phrases of the status codes that lugward sends.
+var reasons = map[int]string{
+	StatusOK:                   "OK",
+	StatusCreated:              "Created",
+	StatusBadRequest:           "Bad Request",
+	StatusNotFound:             "Not Found",
+	StatusMethodNotAllowed:     "Method Not Allowed",
+	StatusContentTooLarge:      "Content Too Large",
+	StatusMisdirectedRequest:   "Misdirected Request",
+	StatusUnprocessableContent: "Unprocessable Content",
+	StatusTooManyRequests:      "Too Many Requests",
+	StatusServiceUnavailable:   "Service Unavailable",
+}
--- a/internal/store/barrier.go
+++ b/internal/store/barrier.go
@@ -1,41 +1,53 @@
 package store
 
-import (
-	"fmt"
+import "lugward/internal/event"
 
-	"lugward/internal/event"
-)
+// BarrierFunc is called when a read barrier ends. ok means that the replica
+// holds everything that was committed before the barrier was asked for; else
+// the service did not answer.
+type BarrierFunc func(now event.Time, ok bool, out *event.Effects)
 
-// Barrier calls f once the replica holds everything that was committed before
-// this call. ok is false when the service does not answer.
-func (c *Client) Barrier(f func(now event.Time, ok bool, out *event.Effects)) {
-	c.barriers = append(c.barriers, f)
+// Barrier queues a read barrier. All that wait when a barrier is sent share it;
+// a request sent earlier does not count, as it may have been answered before
+// this call.
+func (c *Client) Barrier(done BarrierFunc) {
+	c.barrierQueue = append(c.barrierQueue, done)
 }
 
+// failBarriers ends all waiting barriers while there is no replica to answer from.
 func (c *Client) failBarriers(now event.Time, out *event.Effects) {
-	list := c.barriers
-	c.barriers = nil
-	for _, f := range list {
-		f(now, false, out)
+	waiting := c.barrierQueue
+	c.barrierQueue = nil
+	for _, done := range waiting {
+		done(now, false, out)
 	}
 }
 
+// sendBarrier asks for all changes up to now, for those that wait or because
+// the replica has not been refreshed for long.
 func (c *Client) sendBarrier(now event.Time, out *event.Effects) {
-	if c.barrierOpen || (len(c.barriers) == 0 && now-c.fresh < c.limits.StaleAfter) || now < c.barrierNext || !c.requests.has(now, 1) {
+	stale := now-c.replica.fresh >= c.limits.StaleAfter
+	if !c.barrier.due(now) || (len(c.barrierQueue) == 0 && !stale) || !c.rates.requests.has(now, 1) {
 		return
 	}
-	list, sent := c.barriers, now
-	c.barriers, c.barrierOpen, c.barrierNext = nil, true, now+c.barrierEvery
-	path := fmt.Sprintf("/follow?starts=&from=%d&wait_ms=0", c.revision)
-	c.call("GET", path, nil, callTimeout, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
-		c.barrierOpen = false
-		ok := c.follow(sent, now, status, body)
-		if !ok {
-			c.barrierNext = now + refusedPause
-		}
-		for _, f := range list {
-			f(now, ok, out)
-		}
-		c.Tick(now, out)
-	})
+	c.barrier.begin(now)
+	waiting := c.barrierQueue
+	c.barrierQueue = nil
+	path := c.followPath(0)
+	c.send(call{method: "GET", path: path, timeout: callTimeout}, barrierRequest{waiting}, now, out)
+}
+
+// barrierRequest is the pending barrier and those that wait for it.
+type barrierRequest struct{ waiting []BarrierFunc }
+
+func (b barrierRequest) answered(c *Client, now event.Time, r response, out *event.Effects) {
+	c.barrier.open = false
+	ok := c.takeChanges(now, r)
+	if !ok {
+		c.barrier.notBefore = now + refusedPause
+	}
+	for _, done := range b.waiting {
+		done(now, ok, out)
+	}
+	c.Tick(now, out)
 }
--- a/internal/store/bucket.go
+++ b/internal/store/bucket.go
@@ -6,35 +6,65 @@
 	"lugward/internal/event"
 )
 
-// bucket is a token bucket with one second's burst.
+// bucket is a token bucket that holds the tokens of one second. Its level may
+// be negative: what was taken beyond it is owed.
 type bucket struct {
-	rate, level float64
-	at          event.Time
+	rate    float64 // tokens per second
+	level   float64
+	updated event.Time
 }
 
 func newBucket(rate float64) bucket { return bucket{rate: rate, level: rate} }
 
+// fill adds the tokens of the time since the last call.
 func (b *bucket) fill(now event.Time) {
-	if now > b.at {
-		b.level = math.Min(b.most(), b.level+b.rate*(now-b.at).Seconds())
-		b.at = now
+	if now > b.updated {
+		b.level = math.Min(b.capacity(), b.level+b.rate*(now-b.updated).Seconds())
+		b.updated = now
 	}
 }
 
+// has reports whether n tokens can be taken without owing any.
 func (b *bucket) has(now event.Time, n float64) bool {
 	b.fill(now)
 	return b.level >= n
 }
 
+// whole is the number of whole tokens that can be taken without owing any.
 func (b *bucket) whole(now event.Time) int {
 	b.fill(now)
 	return int(math.Max(b.level, 0))
 }
 
-// most is what the bucket holds when it is full.
-func (b *bucket) most() float64 { return math.Max(b.rate, 1) }
+// capacity is the level of a full bucket: one token at least, else a rate
+// below one a second would never allow anything.
+func (b *bucket) capacity() float64 { return math.Max(b.rate, 1) }
 
+// full reports whether the bucket was full when it was last filled.
+func (b *bucket) full() bool { return b.level >= b.capacity() }
+
+// take takes n tokens, owing those that are not there.
 func (b *bucket) take(now event.Time, n float64) {
 	b.fill(now)
 	b.level -= n
 }
+
+// rates is this node's part of the service's rates, and what it used of them.
+type rates struct {
+	requests, writes         bucket
+	requestMeter, writeMeter meter
+}
+
+func newRates(limits Limits) rates {
+	return rates{requests: newBucket(limits.RPS), writes: newBucket(limits.WriteRPS)}
+}
+
+func (r *rates) takeRequest(now event.Time) {
+	r.requests.take(now, 1)
+	r.requestMeter.add(now, 1)
+}
+
+func (r *rates) takeWrites(now event.Time, n int) {
+	r.writes.take(now, float64(n))
+	r.writeMeter.add(now, float64(n))
+}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -1,6 +1,11 @@
-// Package store is the client of the state service: a replica of all keys
-// kept up by following changes, transactions batched under the shared rate,
-// leases, and the read barrier that answers to users rest on.
+// Package store is the client of the state service. It keeps a replica of all
+// keys by following the service's changes, batches writes into transactions
+// under the rates that the controllers share, manages leases, and offers the
+// read barrier that every answer to a user rests on.
+//
+// Nothing here blocks or reads a clock: requests leave as effects, their
+// answers and the passing of time come in through Client.CallDone and
+// Client.Tick.
 package store
 
 import (
@@ -10,117 +15,117 @@
 	"lugward/internal/event"
 )
 
-// Limits are the service's published limits and our part of the rates.
+// Limits are the service's published limits and this node's settings for it.
 type Limits struct {
-	TxnOps   int
+	// TxnOps is the largest number of writes in one transaction.
+	TxnOps int
+	// RPS and WriteRPS are the requests and writes per second that the service
+	// takes of all controllers together.
 	RPS      float64
 	WriteRPS float64
-	// Those that count from the first 429 on, 0: the same. The service may
-	// lower its rates without notice.
+	// NextRPS and NextWriteRPS are the rates in force from the first 429 on;
+	// 0 means unchanged. The service may lower its rates without notice.
 	NextRPS, NextWriteRPS float64
-	// A replica this old is refreshed without being asked.
+	// StaleAfter is the age at which the replica is refreshed although nobody
+	// waits for a read barrier.
 	StaleAfter time.Duration
 }
 
-// ListenFunc hears every change of the replica. data is nil when the key is gone.
+// ListenFunc receives every change of the replica. data is nil when the key
+// has been dropped.
 type ListenFunc func(key string, data []byte, version uint64)
 
 const (
-	maxTxn       = 60 << 10
-	watchWait    = 10 * time.Second
-	callTimeout  = 1500 * time.Millisecond
-	watchSlack   = 4 * time.Second // beyond watchWait before a watch counts as lost
-	pageLimit    = 500
-	maxInFlight  = 2
-	refusedPause = 100 * time.Millisecond // after 429 or 503
-	reloadPause  = 300 * time.Millisecond
-	leastPause   = 150 * time.Millisecond // between two watches, and two barriers
-	followPart   = 0.6                    // of the requests, for watches and barriers
+	// callTimeout bounds every request that is answered without waiting.
+	callTimeout = 1500 * time.Millisecond
+	// refusedPause is the pause before a retry after 429, 503 or no answer.
+	refusedPause = 100 * time.Millisecond
+	// minPollInterval is the least time between two watches, and between two
+	// barriers: answers come one round trip after each, so more would not make
+	// the replica any fresher.
+	minPollInterval = 150 * time.Millisecond
+	// pollShare is the part of the request rate that watches and barriers use
+	// together; the rest is for transactions and leases.
+	pollShare = 0.6
+	// pollKinds is the number of kinds of polls that divide pollShare.
+	pollKinds = 2
 )
 
-// Client is the state service as one controller sees it.
+// Client is the state service as one controller sees it. It is not safe for
+// concurrent use.
 type Client struct {
-	addr   string
-	limits Limits
-	listen ListenFunc
-
-	versions   map[string]uint64
-	tombstones map[string]uint64 // dropped keys until the replica has passed the drop
-	revision   uint64
-	synced     bool
-
-	loading      bool
-	loadRevision uint64
-	loadSeen     map[string]bool
-	loadNext     event.Time
-
-	requests, writes      bucket
-	requestMeter, written meter
-
-	queue    [priorities][]*Intent
-	inflight int
-	busyKeys map[string]bool
-	pauseTo  event.Time
-
-	calls      map[uint64]func(now event.Time, status int, body []byte, out *event.Effects)
-	watchOpen  bool
-	watchNext  event.Time
-	watchEvery time.Duration // least time between two watches
-
-	barriers     []func(now event.Time, ok bool, out *event.Effects)
-	barrierOpen  bool
-	barrierNext  event.Time
-	barrierEvery time.Duration
-
-	fresh event.Time // the replica held all changes up to then
-	// Log, if set, is told of writes that the service calls malformed.
+	// Log, if set, receives the writes that the service calls malformed.
 	Log *slog.Logger
 
-	contact event.Time // sending time of the last request that was executed
-	outage  bool       // the last answer was 503 or missing
+	addr    string
+	limits  Limits
+	rates   rates
+	pending map[uint64]pendingCall // by the ID of the event.Call
+	health  health
+
+	replica replica
+	scan    scan
+	watch   poll
+	barrier poll
+	// barrierQueue are the callers that wait for the next barrier to be sent.
+	barrierQueue []BarrierFunc
+
+	transactions transactions
 }
 
-// New returns a client for the service at addr.
+// New returns a client for the service at addr. listen is called for every
+// change of the replica, from within Tick and CallDone.
 func New(addr string, limits Limits, listen ListenFunc) *Client {
-	return &Client{addr: addr, limits: limits, listen: listen, versions: map[string]uint64{}, tombstones: map[string]uint64{},
-		busyKeys: map[string]bool{}, calls: map[uint64]func(event.Time, int, []byte, *event.Effects){},
-		requests: newBucket(limits.RPS), writes: newBucket(limits.WriteRPS), contact: -time.Hour,
-		watchEvery: leastPause, barrierEvery: leastPause}
+	return &Client{
+		addr:         addr,
+		limits:       limits,
+		rates:        newRates(limits),
+		pending:      map[uint64]pendingCall{},
+		health:       newHealth(),
+		replica:      newReplica(listen),
+		watch:        poll{interval: minPollInterval},
+		barrier:      poll{interval: minPollInterval},
+		transactions: newTransactions(),
+	}
 }
 
-// Synced tells whether the replica was complete at some time.
-func (c *Client) Synced() bool { return c.synced }
+// Synced reports whether the replica is complete: every key has been read, and
+// the changes since then can be followed.
+func (c *Client) Synced() bool { return c.replica.synced }
 
 // Contact is when the last request that the service executed was sent.
-func (c *Client) Contact() event.Time { return c.contact }
+func (c *Client) Contact() event.Time { return c.health.contact }
 
-// Fresh is a time up to which the replica holds every change. A watch whose
-// answer got lost would else leave it stale for long with nobody noticing.
-func (c *Client) Fresh() event.Time { return c.fresh }
+// Fresh is a time up to which the replica holds every change. It shows a
+// replica that has become stale because the answer to a watch was lost.
+func (c *Client) Fresh() event.Time { return c.replica.fresh }
 
-// Revision is the change up to which the replica is complete.
-func (c *Client) Revision() uint64 { return c.revision }
+// Revision is the revision of the service up to which the replica is complete.
+func (c *Client) Revision() uint64 { return c.replica.revision }
 
-// Outage tells whether the service failed to answer lately.
-func (c *Client) Outage() bool { return c.outage }
+// Outage reports whether the last request found the service unavailable.
+func (c *Client) Outage() bool { return c.health.outage }
 
 // Version returns the version of a key in the replica, 0 if absent.
-func (c *Client) Version(key string) uint64 { return c.versions[key] }
+func (c *Client) Version(key string) uint64 { return c.replica.versions[key] }
 
 // SetShare changes this node's part of the rates. Watches and barriers are
-// paced so that they leave capacity for the rest.
+// paced so that they leave requests for transactions and leases.
 func (c *Client) SetShare(rps, writeRPS float64) {
-	c.requests.rate, c.writes.rate = rps, writeRPS
-	pause := max(leastPause, time.Duration(2/(followPart*rps)*float64(time.Second)))
-	c.watchEvery, c.barrierEvery = pause, pause
+	c.rates.requests.rate = rps
+	c.rates.writes.rate = writeRPS
+	interval := time.Duration(pollKinds / (pollShare * rps) * float64(time.Second))
+	c.watch.interval = max(minPollInterval, interval)
+	c.barrier.interval = c.watch.interval
 }
 
-// Rates are what the service takes of all nodes together, as far as we know.
+// Rates returns the requests and writes per second that the service is known
+// to take of all controllers together.
 func (c *Client) Rates() (rps, writeRPS float64) { return c.limits.RPS, c.limits.WriteRPS }
 
-// lower goes over to the rates that were announced: a 429 is the first sign of
-// them. One that came of a burst costs little.
-func (c *Client) lower() {
+// lowerRates puts the announced rates into force. A 429 is the first sign of
+// them; if it came of a burst instead, the lower rates cost little.
+func (c *Client) lowerRates() {
 	if next := c.limits.NextRPS; next > 0 {
 		c.limits.RPS = min(c.limits.RPS, next)
 	}
@@ -129,19 +134,18 @@
 	}
 }
 
-// Tick sends what is due.
+// Tick ends what has expired and sends what is due. It is called at least as
+// often as the shortest interval above.
 func (c *Client) Tick(now event.Time, out *event.Effects) {
-	c.expire(now, out)
-	if !c.synced {
+	c.expireIntents(now, out)
+	if !c.replica.synced {
 		c.failBarriers(now, out)
-		if !c.loading && now >= c.loadNext {
-			c.load(now, out)
+		if !c.scan.running && now >= c.scan.notBefore {
+			c.startScan(now, out)
 		}
 		return
 	}
-	c.flush(now, out)
+	c.sendTransactions(now, out)
 	c.sendBarrier(now, out)
-	if !c.watchOpen && now >= c.watchNext && c.requests.has(now, 1) {
-		c.watch(now, out)
-	}
+	c.sendWatch(now, out)
 }
--- a/internal/store/intent.go
+++ b/internal/store/intent.go
@@ -1,8 +1,6 @@
 package store
 
-import (
-	"lugward/internal/event"
-)
+import "lugward/internal/event"
 
 // Priority orders what waits for the request and write rates.
 type Priority uint8
@@ -17,11 +15,17 @@
 	priorities
 )
 
+// exceedsShare reports whether intents of this priority are sent beyond this
+// node's part of the rates, which is then owed. Terms and cancellations are:
+// where many nodes share a small rate, a part may be less than the two writes
+// that a term takes, and no node would ever lead.
+func (p Priority) exceedsShare() bool { return p <= Cancel }
+
 // Write is one change of a transaction.
 type Write struct {
 	Key     string
 	Data    []byte // JSON; nil drops the key
-	LeaseID uint64
+	LeaseID uint64 // if not 0, the key is dropped when this lease ends
 }
 
 // Condition requires that a key has a version (0: does not exist).
@@ -30,7 +34,7 @@
 	Version uint64
 }
 
-// Outcome of an intent.
+// Outcome is how an intent ended.
 type Outcome uint8
 
 const (
@@ -46,15 +50,17 @@
 	Unknown
 )
 
-// Result is how an intent ended.
+// Result is how an intent ended, and when.
 type Result struct {
 	Outcome  Outcome
 	Revision uint64 // of the transaction when OK
-	// Invalid: refused with 400. The same write will be refused again, be it
-	// for its size, so it is to be tried ever less often.
+	// Invalid means refused with 400. The same write would be refused again
+	// (its size is the likely reason), so the caller retries it ever less often.
 	Invalid bool
 	Now     event.Time
-	Out     *event.Effects
+	// Out takes the effects of handling the result. It is nil when Build has
+	// just said that there is nothing to write.
+	Out *event.Effects
 }
 
 // Intent is a set of writes that happen together or not at all. Several
@@ -63,17 +69,42 @@
 	Priority   Priority
 	Conditions []Condition
 	Writes     []Write
-	Done       func(r Result)
-	// Build, if set, fills in Conds and Writes when the intent's turn comes, so
-	// that one write carries all that changed while it waited. It may be called
-	// again for another attempt. False: there is nothing to write any more; Done is
-	// told Refused. Key is the key that it is about: it is not built while a
-	// write of that key is under way.
+	// Done is called once, when the intent has ended.
+	Done func(r Result)
+	// Build, if set, fills in Conditions and Writes when the intent's turn comes,
+	// so that one write carries all that changed while it waited. It may be
+	// called again for another attempt. It returns false if there is nothing to
+	// write any more; Done is then called with Refused at once, and must not
+	// submit another intent from within that call.
 	Build func(in *Intent) bool
-	Key   string
+	// Key is the key that Build writes: the intent is not built while another
+	// write of that key is under way.
+	Key string
 
 	expires  event.Time
 	attempts int
 }
 
+// ops is the number of writes that the intent takes, at least one: before Build
+// the number is not known.
 func (in *Intent) ops() int { return max(1, len(in.Writes)) }
+
+// attemptsBeforeAlone is the number of attempts without a result after which an
+// intent gets a transaction of its own: what others in a shared one cause then
+// no longer delays it, and a result is certain to be about it.
+const attemptsBeforeAlone = 2
+
+func (in *Intent) mustGoAlone() bool { return in.attempts >= attemptsBeforeAlone }
+
+// sendAlone gives the next attempt a transaction of its own.
+func (in *Intent) sendAlone() { in.attempts = max(in.attempts, attemptsBeforeAlone) }
+
+// requires reports whether one of the intent's conditions is on a key of the set.
+func (in *Intent) requires(keys map[string]bool) bool {
+	for _, condition := range in.Conditions {
+		if keys[condition.Key] {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -7,30 +7,59 @@
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/httpwire"
 )
 
-// Lease sends a request for a new lease, Extend and Drop work on one.
-func (c *Client) Lease(life time.Duration, now event.Time, out *event.Effects, done func(now event.Time, leaseID uint64, out *event.Effects)) {
-	body := fmt.Appendf(nil, `{"life_ms":%d}`, life.Milliseconds())
-	c.call("POST", "/leases", body, callTimeout, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
-		var v struct {
-			LeaseID uint64 `json:"tether"`
-		}
-		if status != 200 || json.Unmarshal(body, &v) != nil {
-			v.LeaseID = 0
-		}
-		done(now, v.LeaseID, out)
-	})
+const leasesPath = "/leases"
+
+// GrantFunc receives the ID of a granted lease, or 0 if none was granted.
+type GrantFunc func(now event.Time, leaseID uint64, out *event.Effects)
+
+// ExtendFunc receives the HTTP status of a lease's renewal; 0 means no answer.
+type ExtendFunc func(now event.Time, status int, out *event.Effects)
+
+// Lease asks for a new lease of the given duration.
+func (c *Client) Lease(duration time.Duration, now event.Time, out *event.Effects, done GrantFunc) {
+	body := fmt.Appendf(nil, `{"life_ms":%d}`, duration.Milliseconds())
+	c.send(call{method: "POST", path: leasesPath, body: body, timeout: callTimeout}, leaseGrant{done}, now, out)
 }
 
-// Extend renews a lease; done gets the status.
-func (c *Client) Extend(leaseID uint64, timeout time.Duration, now event.Time, out *event.Effects, done func(now event.Time, status int, out *event.Effects)) {
-	c.call("POST", "/leases/"+strconv.FormatUint(leaseID, 10)+"/extend", nil, timeout, now, out,
-		func(now event.Time, status int, _ []byte, out *event.Effects) { done(now, status, out) })
+// Extend renews a lease.
+func (c *Client) Extend(leaseID uint64, timeout time.Duration, now event.Time, out *event.Effects, done ExtendFunc) {
+	path := leasePath(leaseID) + "/extend"
+	c.send(call{method: "POST", path: path, timeout: timeout}, leaseExtension{done}, now, out)
 }
 
-// Drop ends a lease at once.
+// Drop ends a lease at once. A lease whose Drop gets lost ends by itself.
 func (c *Client) Drop(leaseID uint64, now event.Time, out *event.Effects) {
-	c.call("DELETE", "/leases/"+strconv.FormatUint(leaseID, 10), nil, callTimeout, now, out,
-		func(event.Time, int, []byte, *event.Effects) {})
+	c.send(call{method: "DELETE", path: leasePath(leaseID), timeout: callTimeout}, leaseDrop{}, now, out)
 }
+
+func leasePath(leaseID uint64) string {
+	return leasesPath + "/" + strconv.FormatUint(leaseID, 10)
+}
+
+// leaseGrant is a pending request for a new lease.
+type leaseGrant struct{ done GrantFunc }
+
+func (g leaseGrant) answered(_ *Client, now event.Time, r response, out *event.Effects) {
+	var granted struct {
+		LeaseID uint64 `json:"tether"`
+	}
+	if r.status != httpwire.StatusOK || json.Unmarshal(r.body, &granted) != nil {
+		granted.LeaseID = 0
+	}
+	g.done(now, granted.LeaseID, out)
+}
+
+// leaseExtension is a pending renewal of a lease.
+type leaseExtension struct{ done ExtendFunc }
+
+func (e leaseExtension) answered(_ *Client, now event.Time, r response, out *event.Effects) {
+	e.done(now, r.status, out)
+}
+
+// leaseDrop is a pending end of a lease. Its answer changes nothing.
+type leaseDrop struct{}
+
+func (leaseDrop) answered(*Client, event.Time, response, *event.Effects) {}
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -1,151 +1,85 @@
 package store
 
 import (
-	"encoding/json"
-	"fmt"
-	"net/url"
-	"strconv"
 	"strings"
-	"time"
 
 	"lugward/internal/event"
 )
 
-// load reads every key, page by page. The pages are not one moment's, but
-// following from the first page's revision replays whatever changed meanwhile.
-func (c *Client) load(now event.Time, out *event.Effects) {
-	c.loading, c.loadRevision, c.loadSeen = true, 0, map[string]bool{}
-	c.page("", now, out)
+// replica is this node's copy of the service's keys. It holds their versions;
+// their values go to the listener, in the order of their versions for each key.
+type replica struct {
+	listen ListenFunc
+	// synced means that every key has been read and revision can be followed.
+	synced bool
+	// revision is that of the service up to which the replica is complete. Our
+	// own writes may show in it before revision reaches them.
+	revision uint64
+	// fresh is a time up to which the replica holds every change.
+	fresh    event.Time
+	versions map[string]uint64
+	// tombstones are the versions at which keys were dropped, each kept until
+	// revision has reached it: an older value that arrives late must not bring
+	// the key back.
+	tombstones map[string]uint64
 }
 
-type item struct {
-	Key     string          `json:"key"`
-	Data    json.RawMessage `json:"data"`
-	Version uint64          `json:"stamp"`
+func newReplica(listen ListenFunc) replica {
+	return replica{listen: listen, versions: map[string]uint64{}, tombstones: map[string]uint64{}}
 }
 
-func (c *Client) page(from string, now event.Time, out *event.Effects) {
-	path := "/keys?starts=&limit=" + strconv.Itoa(pageLimit)
-	if from != "" {
-		path += "&from=" + url.QueryEscape(from)
+// change takes one change from the service's log or of a write of ours. It
+// ignores what is not newer than the replica's revision: a delayed answer that
+// later ones have overtaken would else bring back keys that were dropped since.
+func (r *replica) change(key string, data []byte, version uint64) {
+	if version > r.revision {
+		r.apply(key, data, version)
 	}
-	c.call("GET", path, nil, 4*time.Second, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
-		var v struct {
-			Items    []item `json:"items"`
-			HasNext  bool   `json:"has_next"`
-			Revision uint64 `json:"epoch"`
-		}
-		if status != 200 || json.Unmarshal(body, &v) != nil || (v.HasNext && len(v.Items) == 0) {
-			c.loading, c.loadNext = false, now+reloadPause
-			return
-		}
-		if from == "" {
-			c.loadRevision = v.Revision
-		}
-		for _, it := range v.Items {
-			c.loadSeen[it.Key] = true
-			c.apply(it.Key, it.Data, it.Version)
-		}
-		if v.HasNext {
-			c.page(v.Items[len(v.Items)-1].Key, now, out)
-			return
-		}
-		// Keys that we still hold from before a 410 but that have terminated now.
-		for key, version := range c.versions {
-			if !c.loadSeen[key] && version <= c.loadRevision {
-				c.apply(key, nil, c.loadRevision)
-			}
-		}
-		c.loadSeen = nil
-		c.loading, c.synced, c.revision = false, true, c.loadRevision
-		c.Tick(now, out)
-	})
 }
 
-// change takes one change of the log or of a write of ours. What the replica
-// has passed already is left out: an answer that was held up for longer than
-// those after it would else bring back keys that were dropped since.
-func (c *Client) change(key string, data []byte, version uint64) {
-	if version > c.revision {
-		c.apply(key, data, version)
-	}
-}
-
-// apply takes one change unless the replica holds a newer one.
-func (c *Client) apply(key string, data []byte, version uint64) {
-	if version <= c.versions[key] || version <= c.tombstones[key] {
+// apply takes one change unless the replica holds a newer one of that key.
+func (r *replica) apply(key string, data []byte, version uint64) {
+	if version <= r.versions[key] || version <= r.tombstones[key] {
 		return
 	}
 	if data == nil {
-		c.tombstones[key] = version
-		if _, ok := c.versions[key]; !ok {
+		r.tombstones[key] = version
+		if _, ok := r.versions[key]; !ok {
 			return
 		}
-		delete(c.versions, key)
+		delete(r.versions, key)
 	} else {
-		delete(c.tombstones, key)
-		c.versions[key] = version
+		delete(r.tombstones, key)
+		r.versions[key] = version
 	}
-	c.listen(key, data, version)
-}
-
-type change struct {
-	Write   string          `json:"write"`
-	Drop    string          `json:"drop"`
-	Data    json.RawMessage `json:"data"`
-	Version uint64          `json:"stamp"`
+	r.listen(key, data, version)
 }
 
-// follow handles a /follow answer; it tells whether the replica is current as
-// of that answer.
-func (c *Client) follow(sent event.Time, now event.Time, status int, body []byte) bool {
-	if status == 410 {
-		// Too far behind: read everything again.
-		c.synced, c.loadNext = false, now
-		return false
-	}
-	var v struct {
-		Revision uint64   `json:"epoch"`
-		Log      []change `json:"log"`
-	}
-	if status != 200 || json.Unmarshal(body, &v) != nil {
-		return false
-	}
-	c.fresh = max(c.fresh, sent)
-	for _, ch := range v.Log {
-		if ch.Drop != "" {
-			c.change(ch.Drop, nil, ch.Version)
-		} else if ch.Write != "" {
-			c.change(ch.Write, ch.Data, ch.Version)
-		}
+// advance records that the replica is complete up to a revision.
+func (r *replica) advance(revision uint64) {
+	if revision <= r.revision {
+		return
 	}
-	if v.Revision > c.revision {
-		c.revision = v.Revision
-		for k, s := range c.tombstones {
-			if s <= c.revision {
-				delete(c.tombstones, k)
-			}
+	r.revision = revision
+	for key, version := range r.tombstones {
+		if version <= revision {
+			delete(r.tombstones, key)
 		}
 	}
-	return true
 }
 
-func (c *Client) watch(now event.Time, out *event.Effects) {
-	c.watchOpen = true
-	sent := now
-	c.watchNext = now + c.watchEvery
-	path := fmt.Sprintf("/follow?starts=&from=%d&wait_ms=%d", c.revision, watchWait.Milliseconds())
-	c.call("GET", path, nil, watchWait+watchSlack, now, out, func(now event.Time, status int, body []byte, out *event.Effects) {
-		c.watchOpen = false
-		if !c.follow(sent, now, status, body) {
-			c.watchNext = max(c.watchNext, now+refusedPause)
+// dropUnseen drops the keys that a complete scan, begun at the given revision,
+// did not find. The replica may hold such keys from before it lost the log.
+func (r *replica) dropUnseen(seen map[string]bool, revision uint64) {
+	for key, version := range r.versions {
+		if !seen[key] && version <= revision {
+			r.apply(key, nil, revision)
 		}
-		c.Tick(now, out)
-	})
+	}
 }
 
-// SplitKey cuts the first segment off a key; it names the slice that the key
-// belongs to.
+// SplitKey cuts the first segment off a key: it names the kind of record that
+// the key holds.
 func SplitKey(key string) (kind, rest string) {
 	kind, rest, _ = strings.Cut(key, "/")
 	return kind, rest
--- a/internal/store/share.go
+++ b/internal/store/share.go
@@ -1,103 +1,53 @@
 package store
 
-import "lugward/internal/event"
-
-// Claim is one node's part in a rate that several share.
+// Claim is one node's claim on a rate that several nodes share.
 type Claim struct{ Want, Weight float64 }
 
-// Split deals a rate among the claims: nobody is given more than it wants as
-// long as others want more, and among those the weights decide. What nobody
-// wants is dealt by weight, so that a sudden need is met.
+// Split divides a rate among the claims by weighted max-min fairness: no node
+// gets more than it wants while another wants more, and among those that want
+// more the weights decide. What nobody wants is divided by weight as well, so
+// that a sudden need is met. It returns the parts in the order of the claims.
 func Split(rate float64, claims []Claim) []float64 {
-	got := make([]float64, len(claims))
-	open := make([]int, len(claims))
+	parts := make([]float64, len(claims))
+	unmet := make([]int, len(claims)) // indices of claims that are not met yet
 	for i := range claims {
-		open[i] = i
+		unmet[i] = i
 	}
 	left := rate
-	weigh := func(list []int) (sum float64) {
-		for _, i := range list {
-			sum += claims[i].Weight
-		}
-		return sum
-	}
-	for len(open) > 0 {
-		unit := left / weigh(open)
+	for len(unmet) > 0 {
+		unit := left / weightOf(claims, unmet)
 		var still []int
-		for _, i := range open {
+		for _, i := range unmet {
 			if claims[i].Want <= unit*claims[i].Weight {
-				got[i] = claims[i].Want
+				parts[i] = claims[i].Want
 				left -= claims[i].Want
 			} else {
 				still = append(still, i)
 			}
 		}
-		if len(still) == len(open) {
+		if len(still) == len(unmet) {
 			for _, i := range still {
-				got[i] = unit * claims[i].Weight
+				parts[i] = unit * claims[i].Weight
 			}
-			return got
+			return parts
 		}
-		open = still
+		unmet = still
 	}
-	all := 0.0
-	for _, c := range claims {
-		all += c.Weight
+	total := 0.0
+	for _, claim := range claims {
+		total += claim.Weight
 	}
-	for i, c := range claims {
-		got[i] += left * c.Weight / all
-	}
-	return got
-}
-
-// demandOver is the time over which the demand is counted.
-const demandOver = event.Time(2e9)
-
-// meter counts what was asked for lately.
-type meter struct {
-	last, now float64
-	since     event.Time
-}
-
-func (m *meter) add(now event.Time, n float64) {
-	m.roll(now)
-	m.now += n
-}
-
-func (m *meter) roll(now event.Time) {
-	switch gone := now - m.since; {
-	case gone >= 2*demandOver:
-		m.last, m.now, m.since = 0, 0, now
-	case gone >= demandOver:
-		m.last, m.now, m.since = m.now, 0, m.since+demandOver
-	}
-}
-
-func (m *meter) rate(now event.Time) float64 {
-	m.roll(now)
-	part := float64(now-m.since) / float64(demandOver)
-	return (m.now + m.last*(1-part)) / demandOver.Seconds()
-}
-
-// Demand is how many requests and writes per second this node could use:
-// those of the last seconds and those that wait.
-func (c *Client) Demand(now event.Time) (requests, writes float64) {
-	waiting := 0.0
-	for _, list := range c.queue {
-		for _, in := range list {
-			waiting += float64(in.ops())
-		}
+	for i, claim := range claims {
+		parts[i] += left * claim.Weight / total
 	}
-	return c.requestMeter.rate(now), c.written.rate(now) + waiting
+	return parts
 }
 
-// Backlog tells how long a new intent of a priority waits for its turn, by the
-// writes before it: at best, if all of the service's rate were ours, and at
-// our part of it as it is.
-func (c *Client) Backlog(p Priority) (best, now float64) {
-	before := 0
-	for _, list := range c.queue[:p+1] {
-		before += len(list)
+// weightOf sums the weights of the claims with the given indices.
+func weightOf(claims []Claim, indices []int) float64 {
+	sum := 0.0
+	for _, i := range indices {
+		sum += claims[i].Weight
 	}
-	return float64(before) / c.limits.WriteRPS, float64(before) / c.writes.rate
+	return sum
 }
