--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -2,52 +2,82 @@
 
 import (
 	"lugward/internal/event"
+	"lugward/internal/httpwire"
 	"lugward/internal/pipeline"
 	"lugward/internal/store"
 )
 
-func (in *Server) cancel(now event.Time, conn uint64, id string, attempts int, out *event.Effects) {
-	if b := in.over(id); b != nil {
-		out.Reply(conn, 200, b)
+// maxCancelRetries bounds the attempts at one cancellation. Each conflict means
+// that the job's record has changed meanwhile, which does not go on for long.
+const maxCancelRetries = 6
+
+// cancellation is a user's request to cancel a job.
+type cancellation struct {
+	conn    uint64
+	id      string
+	retries int
+}
+
+// cancel answers once the job has ended, by this cancellation or otherwise. The
+// write requires that there is no final mark, so a job ends exactly once.
+func (s *Server) cancel(now event.Time, c cancellation, out *event.Effects) {
+	if b := s.finalState(c.id); b != nil {
+		out.Reply(c.conn, httpwire.StatusOK, b)
 		return
 	}
-	if in.unavailable(now) || attempts >= maxCancelRetries {
-		out.Busy(conn, retryAfter)
+	if s.unavailable(now) || c.retries >= maxCancelRetries {
+		out.Busy(c.conn, retryAfter)
 		return
 	}
-	j := in.jobs.Job(id)
-	if j == nil || j.Version == 0 {
-		in.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
-			switch {
-			case !ok:
-				out.Busy(conn, retryAfter)
-			case in.state(id) == nil:
-				out.Reply(conn, 404, nil)
-			default:
-				in.cancel(now, conn, id, attempts+1, out)
-			}
-		})
+	j := s.accepted(c.id)
+	if j == nil {
+		s.cancelUnseen(c)
 		return
 	}
-	in.store.Submit(&store.Intent{Priority: store.Cancel,
-		Conditions: []store.Condition{{Key: pipeline.JobKeyOf(id), Version: j.Version}, {Key: pipeline.FinalKeyOf(id)}},
-		Writes:     []store.Write{{Key: pipeline.FinalKeyOf(id), Data: pipeline.EncodeFinal(pipeline.Cancelled, j)}},
-		Done: func(r store.Result) {
-			switch r.Outcome {
-			case store.OK:
-				in.cancel(r.Now, conn, id, attempts, r.Out) // answers from the mark
-			case store.Refused:
-				r.Out.Busy(conn, retryAfter)
-			default:
-				// Done meanwhile, or carried out unseen: what the store says
-				// now decides.
-				in.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
-					if !ok {
-						out.Busy(conn, retryAfter)
-						return
-					}
-					in.cancel(now, conn, id, attempts+1, out)
-				})
+	jobKey, finalKey := pipeline.JobKeyOf(c.id), pipeline.FinalKeyOf(c.id)
+	s.store.Submit(&store.Intent{
+		Priority:   store.Cancel,
+		Conditions: []store.Condition{{Key: jobKey, Version: j.Version}, {Key: finalKey}},
+		Writes:     []store.Write{{Key: finalKey, Data: pipeline.EncodeFinal(pipeline.Cancelled, j)}},
+		Done:       func(r store.Result) { s.cancelWritten(c, r) },
+	}, now+s.cfg.Answer)
+}
+
+// cancelWritten handles the result of the write. After a conflict or without an
+// answer the mark may be there, ours or another's: what is stored decides.
+func (s *Server) cancelWritten(c cancellation, r store.Result) {
+	switch r.Outcome {
+	case store.OK:
+		s.cancel(r.Now, c, r.Out) // answers from the mark
+	case store.Refused:
+		r.Out.Busy(c.conn, retryAfter)
+	default:
+		s.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
+			if !ok {
+				out.Busy(c.conn, retryAfter)
+				return
 			}
-		}}, now+in.cfg.Answer)
+			s.retryCancel(now, c, out)
+		})
+	}
+}
+
+// cancelUnseen cancels a job that the replica does not show: another controller
+// may have accepted it a moment ago, which only a barrier tells.
+func (s *Server) cancelUnseen(c cancellation) {
+	s.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
+		switch {
+		case !ok:
+			out.Busy(c.conn, retryAfter)
+		case s.state(c.id) == nil:
+			out.Reply(c.conn, httpwire.StatusNotFound, nil)
+		default:
+			s.retryCancel(now, c, out)
+		}
+	})
+}
+
+func (s *Server) retryCancel(now event.Time, c cancellation, out *event.Effects) {
+	c.retries++
+	s.cancel(now, c, out)
 }
--- a/internal/api/node_test.go
+++ b/internal/api/node_test.go
@@ -13,12 +13,12 @@
 	"lugward/internal/store"
 )
 
-// node is the API of one controller. It hears of what others have stored
-// only through a read barrier.
+// node is the API of one controller. Its watch is never answered, so it sees
+// what others have stored only after a read barrier.
 type node struct {
 	t       *testing.T
-	svc     *service
-	in      *Server
+	service *service
+	server  *Server
 	jobs    *pipeline.Table
 	store   *store.Client
 	out     event.Effects
@@ -28,7 +28,7 @@
 }
 
 func newNode(t *testing.T, s *service, label string) *node {
-	n := &node{t: t, svc: s, replies: map[uint64]event.Reply{}, now: time.Second}
+	n := &node{t: t, service: s, replies: map[uint64]event.Reply{}, now: time.Second}
 	names := &pipeline.Names{}
 	names.Zones.Index("a")
 	n.jobs = pipeline.NewTable(names, valueBytes, txnOps)
@@ -37,9 +37,9 @@
 		n.jobs.Listen(kind, rest, data, version)
 	})
 	machineTypes := &scheduler.MachineTypes{{Index: names.MachineTypes.Index("m"), CPUs: 8, Memory: 32, Zones: []int{0}}}
-	n.in = New(Config{Label: label, Teams: []config.Team{{Name: "red"}}, Answer: 1500 * time.Millisecond, ValueBytes: valueBytes, TxnOps: txnOps}, names, n.jobs, n.store, machineTypes)
+	n.server = New(Config{Label: label, Teams: []config.Team{{Name: "red"}}, Answer: 1500 * time.Millisecond, ValueBytes: valueBytes, TxnOps: txnOps}, names, n.jobs, n.store, machineTypes)
 	n.run(time.Second)
-	n.in.store.Barrier(func(event.Time, bool, *event.Effects) {})
+	n.server.store.Barrier(func(event.Time, bool, *event.Effects) {})
 	n.run(time.Second)
 	return n
 }
@@ -50,11 +50,12 @@
 		n.jobs.Now = int64(n.now)
 		n.jobs.SetClock(n.now, time.Unix(1_700_000_000, 0).Add(n.now))
 		n.store.Tick(n.now, &n.out)
-		n.in.Tick(n.now, &n.out)
+		n.server.Tick(n.now, &n.out)
 		n.perform()
 	}
 }
 
+// perform carries out the effects until there are none.
 func (n *node) perform() {
 	for len(n.out.Calls)+len(n.out.Replies) > 0 {
 		calls, replies := n.out.Calls, n.out.Replies
@@ -66,28 +67,30 @@
 			n.replies[r.Conn] = r
 		}
 		for _, c := range calls {
-			if status, body, ok := n.svc.serve(c); ok {
+			if status, body, ok := n.service.serve(c); ok {
 				n.store.CallDone(n.now, event.CallDone{ID: c.ID, Status: status, Body: []byte(body)}, &n.out)
 			}
 		}
 	}
 }
 
-// ask sends a request, send with its answer after so long.
+// ask sends a request and returns the connection that its answer will come on.
 func (n *node) ask(method, path, body string) uint64 {
 	n.conn++
-	n.in.Handle(n.now, event.Request{Conn: n.conn, Method: method, Path: path, Body: []byte(body)}, &n.out)
+	n.server.Handle(n.now, event.Request{Conn: n.conn, Method: method, Path: path, Body: []byte(body)}, &n.out)
 	n.store.Tick(n.now, &n.out)
 	n.perform()
 	return n.conn
 }
 
+// send sends a request and returns its answer, or none if none came in time.
 func (n *node) send(method, path, body string) event.Reply {
 	conn := n.ask(method, path, body)
 	n.run(2 * time.Second)
 	return n.replies[conn]
 }
 
+// body is a valid submission with more fields at its end.
 func body(id int, more string) string {
 	return fmt.Sprintf(`{"name_id":"req-%d","jobclass":"c","owner":"red","shape":"array","rank":"normal","shards":1,"cores":1,"cards":0,"ram_gb":1,
 "bundle":"b","image_gb":1,"same_place":false,"scatter":false,"loaners":false,"expect_s":10,"snapshot_every_s":0,"snapshot_s":0,"due_s":100%s}`, id, more)
@@ -97,6 +100,7 @@
 	return n.send("POST", "/submissions", body(id, more))
 }
 
+// expect checks a reply; phase may be empty.
 func (n *node) expect(what string, r event.Reply, status int, phase string) {
 	n.t.Helper()
 	var a answer
@@ -110,8 +114,9 @@
 	return pipeline.EncodeFinal(p, &pipeline.Job{Spec: pipeline.Spec{TaskCount: 1, Shape: shape}})
 }
 
-// long is a list of so many jobs above, which are in the replica.
-func (n *node) long(first, count int) string {
+// upstreamList stores so many jobs, shows them to the node and returns the field
+// of a submission that names them all as upstream jobs.
+func (n *node) upstreamList(first, count int) string {
 	var list []string
 	job := &pipeline.Job{ID: "", Ready: true, Spec: pipeline.Spec{TaskCount: 1, CPUs: 1, Zone: -1}}
 	names := &pipeline.Names{}
@@ -119,7 +124,7 @@
 	data := pipeline.Encode(names, job)
 	for i := range count {
 		id := fmt.Sprintf("req-%d", first+i)
-		n.svc.put("j/"+id, data)
+		n.service.put("j/"+id, data)
 		list = append(list, id)
 	}
 	b, _ := json.Marshal(list)
--- a/internal/api/interrupted_test.go
+++ b/internal/api/parts_test.go
@@ -11,10 +11,12 @@
 	"lugward/internal/pipeline"
 )
 
+// TestLongList: a list too long for the job's record is stored in parts, and the
+// record last, on condition of part 0.
 func TestLongList(t *testing.T) {
 	s := newService(t)
 	n := newNode(t, s, "n0")
-	list := n.long(1_000_000, 5000)
+	list := n.upstreamList(1_000_000, 5000)
 	r := n.submit(1, list)
 	n.expect("long list", r, 201, "queued")
 	parts := s.parts(1)
@@ -44,14 +46,14 @@
 	n.expect("below a cancelled one", m.send("GET", "/submissions/req-1", ""), 200, "cancelled")
 }
 
-// Any write of an attempt may be lost, refused to be told of, or carried out
-// late: the job is accepted whole or not at all.
+// TestInterruptedSubmissions: the answer to any write of an attempt may get lost,
+// or the write may be executed late. The job is accepted whole or not at all.
 func TestInterruptedSubmissions(t *testing.T) {
 	for _, key := range []string{"u/req-1/0", "u/req-1/1", "u/req-1/3", "j/req-1"} {
 		for _, late := range []bool{false, true} {
 			s := newService(t)
 			n := newNode(t, s, "n0")
-			list := n.long(1_000_000, 1500)
+			list := n.upstreamList(1_000_000, 1500)
 			once := true
 			hit := func(body string) bool {
 				if once && strings.Contains(body, `"write":"`+key+`"`) {
@@ -61,9 +63,9 @@
 				return false
 			}
 			if late {
-				s.late = hit
+				s.delay = hit
 			} else {
-				s.lose = hit
+				s.loseAnswer = hit
 			}
 			status := n.submit(1, list).Status
 			// Carried out twice a part changes nothing: it is written again at once.
@@ -81,7 +83,7 @@
 				status = n.submit(1, list).Status
 			}
 			before := strings.Join(s.parts(1), "")
-			s.carryOut()
+			s.executeDelayed()
 			n.expect(key, n.send("GET", "/submissions/req-1", ""), 200, "queued")
 			if once || strings.Join(s.parts(1), "") != before {
 				t.Errorf("%s, late %v: a late write has changed the list", key, late)
@@ -94,42 +96,43 @@
 	}
 }
 
-// A repeat that comes before anything is stored waits for the first.
+// TestRepeatAtOnce: a repeat that comes before anything is stored gets 503.
 func TestRepeatAtOnce(t *testing.T) {
 	s := newService(t)
 	n := newNode(t, s, "n0")
-	list := n.long(1_000_000, 1500)
+	list := n.upstreamList(1_000_000, 1500)
 	r := event.Request{Method: "POST", Path: "/submissions", Body: []byte(body(1, list))}
 	for r.Conn = 1001; r.Conn <= 1002; r.Conn++ {
-		n.in.Handle(n.now, r, &n.out)
+		n.server.Handle(n.now, r, &n.out)
 	}
 	n.run(2 * time.Second)
 	n.expect("first", n.replies[1001], 201, "queued")
 	n.expect("repeat", n.replies[1002], 503, "")
 }
 
-// Two nodes are given the same long submission: one attempt at a time, and one
-// that was left behind is taken over with another list.
+// TestRivalSubmissions: two nodes get the same long submission. There is one
+// attempt at a time, and one that was left unfinished is replaced, even by one
+// with another list.
 func TestRivalSubmissions(t *testing.T) {
 	s := newService(t)
 	n, m := newNode(t, s, "n0"), newNode(t, s, "n1")
-	list := n.long(1_000_000, 1500)
+	list := n.upstreamList(1_000_000, 1500)
 	m.send("GET", "/submissions/req-1000000", "")
-	s.late = func(body string) bool { return strings.Contains(body, `"write":"u/req-1/1"`) }
+	s.delay = func(body string) bool { return strings.Contains(body, `"write":"u/req-1/1"`) }
 	first := n.ask("POST", "/submissions", body(1, list))
 	n.run(100 * time.Millisecond)
 	n.expect("same node", n.send("POST", "/submissions", body(1, list)), 503, "")
 	m.send("GET", "/submissions/req-1", "") // it sees part 0
 	n.expect("other node", m.submit(1, list), 503, "")
 	if r := n.replies[first]; r.Status != 503 {
-		t.Errorf("the first is told %d", r.Status)
+		t.Errorf("the first gets %d", r.Status)
 	}
-	s.late = nil
+	s.delay = nil
 	m.run(10 * time.Second)
-	other := m.long(2_000_000, 1400)
+	other := m.upstreamList(2_000_000, 1400)
 	n.expect("when it is old", m.submit(1, other), 201, "queued")
 	want := strings.Join(s.parts(1), "")
-	s.carryOut() // what the first had under way
+	s.executeDelayed() // the writes of the first attempt
 	n.run(15 * time.Second)
 	if got := strings.Join(s.parts(1), ""); got != want || !bytes.Contains([]byte(got), []byte("2000000")) {
 		t.Error("two attempts are mixed")
--- a/internal/api/pending.go
+++ b/internal/api/pending.go
@@ -6,136 +6,161 @@
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/httpwire"
 	"lugward/internal/pipeline"
 	"lugward/internal/store"
 )
 
-// submissionTimeout bounds how long a list of upstream jobs is being stored: the user
-// is long told to come back, and what is there is left to be cleaned up.
-const submissionTimeout = 20 * time.Second
+const (
+	// submissionTimeout bounds how long a list of upstream jobs is being stored.
+	// The user has long been answered 503 by then; what an attempt leaves behind
+	// is dropped by the leader.
+	submissionTimeout = 20 * time.Second
+	// maxWriteRetries bounds the repeats of writes without an answer, for all
+	// writes of one attempt together.
+	maxWriteRetries = 5
+)
 
-// pendingSubmission is a submission whose list of upstream jobs takes several values.
-// Part 0 stands for it: whatever follows, and last the job's record, requires
-// part 0 to have the attempt's version. So a late write or a rival's fails, and
-// only the last write makes the job accepted.
+// pendingSubmission is a submission whose list of upstream jobs is stored in
+// parts. Part 0 stands for the attempt: every other part and, at the end, the
+// job's record are written on condition that part 0 has this attempt's version.
+// So a late write, or a rival attempt's, fails, and only the last write makes
+// the job accepted.
 type pendingSubmission struct {
-	id       string
-	job      *pipeline.Job
-	conn     uint64 // who waits for the answer
-	answered bool   // to come back: nobody waits any more
-	since    event.Time
-	version  uint64
-	lists    [][]byte
-	next     int // the part to be written next
-	inflight int
-	attempts int // at a write without an answer
-}
+	id    string
+	job   *pipeline.Job
+	conn  uint64 // whom to answer
+	began event.Time
+	// answered means that the user has got 503 already.
+	answered bool
 
-const maxWriteRetries = 5
+	parts   [][]byte
+	version uint64 // of part 0
+	next    int    // the part to be written next
+	// inFlight is the number of writes under way behind part 0.
+	inFlight int
+	retries  int
+}
 
-func (in *Server) beginUpstreamWrite(now event.Time, conn uint64, j *pipeline.Job, lists [][]byte, out *event.Effects) {
-	id := j.ID
-	version, shown := in.jobs.SubmissionAttempt(id, now)
-	if in.pending[id] != nil || (version != 0 && shown < pipeline.RivalTimeout) {
-		out.Busy(conn, retryAfter) // it is being stored; a retry finds it
+// beginPartsWrite begins an attempt by writing part 0, unless another attempt
+// for the same job is under way, here or, as part 0 shows, elsewhere.
+func (s *Server) beginPartsWrite(now event.Time, conn uint64, j *pipeline.Job, parts [][]byte, out *event.Effects) {
+	version, seenFor := s.jobs.SubmissionAttempt(j.ID, now)
+	if s.pending[j.ID] != nil || (version != 0 && seenFor < pipeline.RivalTimeout) {
+		out.Busy(conn, retryAfter)
 		return
 	}
-	a := &pendingSubmission{id: id, job: j, conn: conn, since: now, lists: lists, next: 1}
-	in.pending[id] = a
-	in.write(now, a, store.Write{Key: pipeline.PartKeyOf(id, 0), Data: lists[0]}, store.Condition{Key: pipeline.PartKeyOf(id, 0), Version: version},
-		func(r store.Result) {
-			switch r.Outcome {
-			case store.OK:
-				a.version, j.SubmissionVersion = r.Revision, r.Revision
-				in.advance(r.Now, a)
-			case store.Refused:
-				in.abandon(a, r)
-			default:
-				// Ours or a rival's, the stored part 0 does not tell.
-				in.settle(a)
-			}
-		})
+	p := &pendingSubmission{id: j.ID, job: j, conn: conn, began: now, parts: parts, next: 1}
+	s.pending[j.ID] = p
+	part0 := pipeline.PartKeyOf(j.ID, 0)
+	s.submitPart(now, store.Write{Key: part0, Data: parts[0]}, store.Condition{Key: part0, Version: version}, p,
+		func(r store.Result) { s.partZeroWritten(p, r) })
 }
 
-// write submits one write of an attempt. Each requires that the job is not
-// accepted yet, so that nothing is added once it is.
-func (in *Server) write(now event.Time, a *pendingSubmission, w store.Write, pendingSubmission store.Condition, done func(store.Result)) {
-	in.store.Submit(&store.Intent{Priority: store.Accept, Writes: []store.Write{w}, Done: done,
-		Conditions: []store.Condition{pendingSubmission, {Key: pipeline.JobKeyOf(a.id)}, {Key: pipeline.FinalKeyOf(a.id)}}}, now+submissionTimeout)
+func (s *Server) partZeroWritten(p *pendingSubmission, r store.Result) {
+	switch r.Outcome {
+	case store.OK:
+		p.version = r.Revision
+		p.job.SubmissionVersion = r.Revision
+		s.writeNextParts(r.Now, p)
+	case store.Refused:
+		s.abandon(p, r)
+	default:
+		// The part 0 that is stored may be ours or a rival's: its value does not
+		// tell them apart.
+		s.concede(p)
+	}
+}
+
+// submitPart submits one write of an attempt. Besides its own condition it
+// requires that the job has not been accepted.
+func (s *Server) submitPart(now event.Time, write store.Write, condition store.Condition, p *pendingSubmission, done func(store.Result)) {
+	s.store.Submit(&store.Intent{
+		Priority:   store.Accept,
+		Conditions: []store.Condition{condition, {Key: pipeline.JobKeyOf(p.id)}, {Key: pipeline.FinalKeyOf(p.id)}},
+		Writes:     []store.Write{write},
+		Done:       done,
+	}, now+submissionTimeout)
 }
 
-// advance sends as many parts as one transaction holds, so that other
-// submissions have their turn between them, and the job's record at the end.
-func (in *Server) advance(now event.Time, a *pendingSubmission) {
-	for a.next < len(a.lists) && a.inflight < in.cfg.TxnOps {
-		a.next++
-		a.inflight++
-		in.put(now, a, store.Write{Key: pipeline.PartKeyOf(a.id, a.next-1), Data: a.lists[a.next-1]}, func(r store.Result) {
-			a.inflight--
-			in.advance(r.Now, a)
+// writeNextParts sends as many parts as one transaction takes, so that other
+// submissions have their turn in between, and the job's record after the last.
+func (s *Server) writeNextParts(now event.Time, p *pendingSubmission) {
+	for p.next < len(p.parts) && p.inFlight < s.cfg.TxnOps {
+		part := p.next
+		p.next++
+		p.inFlight++
+		s.writePart(now, p, store.Write{Key: pipeline.PartKeyOf(p.id, part), Data: p.parts[part]}, func(r store.Result) {
+			p.inFlight--
+			s.writeNextParts(r.Now, p)
 		})
 	}
-	if a.next == len(a.lists) && a.inflight == 0 {
-		a.inflight++
-		in.put(now, a, store.Write{Key: pipeline.JobKeyOf(a.id), Data: pipeline.Encode(in.names, a.job)}, func(r store.Result) {
-			delete(in.pending, a.id)
-			if !a.answered {
-				r.Out.Reply(a.conn, 201, in.accepted(a.id))
+	if p.next == len(p.parts) && p.inFlight == 0 {
+		p.inFlight++
+		s.writePart(now, p, store.Write{Key: pipeline.JobKeyOf(p.id), Data: pipeline.Encode(s.names, p.job)}, func(r store.Result) {
+			delete(s.pending, p.id)
+			if !p.answered {
+				r.Out.Reply(p.conn, httpwire.StatusCreated, s.stateOfNew(p.id))
 			}
 		})
 	}
 }
 
-// put writes a value of an attempt that has its part 0, again if no answer comes:
-// carried out twice it changes nothing.
-func (in *Server) put(now event.Time, a *pendingSubmission, w store.Write, then func(store.Result)) {
-	if in.pending[a.id] != a {
+// writePart writes a value on condition of part 0, and again if no answer comes:
+// carried out twice, the write changes nothing. written is called on success.
+func (s *Server) writePart(now event.Time, p *pendingSubmission, write store.Write, written func(store.Result)) {
+	if !s.current(p) {
 		return
 	}
-	in.write(now, a, w, store.Condition{Key: pipeline.PartKeyOf(a.id, 0), Version: a.version}, func(r store.Result) {
+	condition := store.Condition{Key: pipeline.PartKeyOf(p.id, 0), Version: p.version}
+	s.submitPart(now, write, condition, p, func(r store.Result) {
 		switch {
-		case in.pending[a.id] != a:
+		case !s.current(p):
 		case r.Outcome == store.OK:
-			then(r)
-		case r.Outcome == store.Unknown && a.attempts < maxWriteRetries:
-			a.attempts++
-			in.put(r.Now, a, w, then)
+			written(r)
+		case r.Outcome == store.Unknown && p.retries < maxWriteRetries:
+			p.retries++
+			s.writePart(r.Now, p, write, written)
 		case r.Outcome == store.Refused:
-			in.abandon(a, r)
+			s.abandon(p, r)
 		default:
-			in.settle(a)
+			s.concede(p)
 		}
 	})
 }
 
+// current reports whether the attempt has not ended.
+func (s *Server) current(p *pendingSubmission) bool { return s.pending[p.id] == p }
+
 // abandon ends an attempt whose write was not executed.
-func (in *Server) abandon(a *pendingSubmission, r store.Result) {
-	delete(in.pending, a.id)
-	if !a.answered {
-		in.later(a.conn, r.Out)
+func (s *Server) abandon(p *pendingSubmission, r store.Result) {
+	delete(s.pending, p.id)
+	if !p.answered {
+		s.refuseForBacklog(p.conn, r.Out)
 	}
 }
 
-// settle ends an attempt that lost to another one, or does not know whether it
-// is through: what is stored decides.
-func (in *Server) settle(a *pendingSubmission) {
-	delete(in.pending, a.id)
-	if !a.answered {
-		in.afterUnknown(a.conn, a.id)
+// concede ends an attempt that lost to another, or whose outcome is unknown:
+// what is stored decides the answer.
+func (s *Server) concede(p *pendingSubmission) {
+	delete(s.pending, p.id)
+	if !p.answered {
+		s.answerFromStore(p.conn, p.id)
 	}
 }
 
-// Tick tells users whose list takes long to come back for the answer, and ends
-// attempts that go on for too long.
-func (in *Server) Tick(now event.Time, out *event.Effects) {
-	for _, id := range slices.Sorted(maps.Keys(in.pending)) {
-		a := in.pending[id]
-		if !a.answered && now-a.since > in.cfg.Answer {
-			out.Busy(a.conn, retryAfter)
-			a.answered = true
+// Tick answers 503 to users whose lists take long to store (their retry finds
+// the job) and ends attempts that have lasted too long.
+func (s *Server) Tick(now event.Time, out *event.Effects) {
+	for _, id := range slices.Sorted(maps.Keys(s.pending)) {
+		p := s.pending[id]
+		age := now - p.began
+		if !p.answered && age > s.cfg.Answer {
+			out.Busy(p.conn, retryAfter)
+			p.answered = true
 		}
-		if now-a.since > submissionTimeout {
-			delete(in.pending, id)
+		if age > submissionTimeout {
+			delete(s.pending, id)
 		}
 	}
 }
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -4,76 +4,99 @@
 	"encoding/json"
 
 	"lugward/internal/event"
+	"lugward/internal/httpwire"
 	"lugward/internal/pipeline"
 )
 
-var phaseNames = [...]string{pipeline.Queued: "queued", pipeline.Running: "running", pipeline.Done: "done", pipeline.Cancelled: "cancelled"}
+// phaseNames are the phases as the protocol spells them.
+var phaseNames = [...]string{
+	pipeline.Queued:    "queued",
+	pipeline.Running:   "running",
+	pipeline.Done:      "done",
+	pipeline.Cancelled: "cancelled",
+}
 
+// answer is the state of a job as users read it.
 type answer struct {
 	ID      string `json:"name_id"`
 	Phase   string `json:"phase"`
-	Done    int    `json:"done"`
-	Running int    `json:"running"`
+	Done    int    `json:"done"`    // tasks
+	Running int    `json:"running"` // tasks
 }
 
-func (in *Server) final(id string, f pipeline.Final) []byte {
-	a := answer{ID: id, Phase: phaseNames[f.Phase]}
-	if f.Phase == pipeline.Done {
-		a.Done = f.N
+func (a answer) encode() []byte {
+	b, err := json.Marshal(a)
+	if err != nil {
+		panic(err) // strings and integers always encode
 	}
-	b, _ := json.Marshal(a)
 	return b
 }
 
-// over answers from memory if the job is over, since that never changes: its
-// own mark is there, or that of a cancelled job which it needs. Else nil.
-func (in *Server) over(id string) []byte {
-	if f, ok := in.jobs.Finals[id]; ok {
-		return in.final(id, f)
+// poll answers with a job's state. A final state is answered from memory, as it
+// never changes; any other waits for a read barrier.
+func (s *Server) poll(now event.Time, conn uint64, id string, out *event.Effects) {
+	if b := s.finalState(id); b != nil {
+		out.Reply(conn, httpwire.StatusOK, b)
+		return
 	}
-	if j := in.jobs.Job(id); j != nil && j.Version != 0 && j.UpstreamCancelled() {
-		return in.final(id, pipeline.Final{Phase: pipeline.Cancelled})
+	if s.unavailable(now) {
+		out.Busy(conn, retryAfter)
+		return
 	}
-	return nil
+	s.answerAfterBarrier(conn, id, func(_ event.Time, out *event.Effects) {
+		out.Reply(conn, httpwire.StatusNotFound, nil)
+	})
 }
 
-// state answers from the replica; nil if the job is not known.
-func (in *Server) state(id string) []byte {
-	if b := in.over(id); b != nil {
-		return b
-	}
-	j := in.jobs.Job(id)
-	if j == nil || j.Version == 0 {
-		return nil
+// answerAfterBarrier answers with a job's state as of now or later, and with 503
+// if the state service does not answer. If no such job has been accepted it
+// calls unknown, which has to answer.
+func (s *Server) answerAfterBarrier(conn uint64, id string, unknown func(now event.Time, out *event.Effects)) {
+	s.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
+		if !ok {
+			out.Busy(conn, retryAfter)
+		} else if b := s.state(id); b != nil {
+			out.Reply(conn, httpwire.StatusOK, b)
+		} else {
+			unknown(now, out)
+		}
+	})
+}
+
+// accepted returns a job that has been stored, or nil. A record that the
+// replica does not show yet does not count.
+func (s *Server) accepted(id string) *pipeline.Job {
+	if j := s.jobs.Job(id); j != nil && j.Version != 0 {
+		return j
 	}
-	a := answer{ID: id, Phase: phaseNames[j.Phase()], Done: j.DoneCount(), Running: j.Active()}
-	b, _ := json.Marshal(a)
-	return b
+	return nil
 }
 
-func (in *Server) unavailable(now event.Time) bool {
-	return !in.store.Synced() || (in.store.Outage() && now-in.store.Contact() > outageAfter)
+// finalState returns the encoded state of a job that has ended, nil for any
+// other: the job has a final mark, or needs a cancelled job.
+func (s *Server) finalState(id string) []byte {
+	if final, ok := s.jobs.Finals[id]; ok {
+		a := answer{ID: id, Phase: phaseNames[final.Phase]}
+		if final.Phase == pipeline.Done {
+			a.Done = final.N
+		}
+		return a.encode()
+	}
+	if j := s.accepted(id); j != nil && j.UpstreamCancelled() {
+		return answer{ID: id, Phase: phaseNames[pipeline.Cancelled]}.encode()
+	}
+	return nil
 }
 
-// poll answers a final state from memory, since it never changes. Anything
-// else waits for a read barrier: no answer may be older than one that any
-// node has given.
-func (in *Server) poll(now event.Time, conn uint64, id string, out *event.Effects) {
-	if b := in.over(id); b != nil {
-		out.Reply(conn, 200, b)
-		return
+// state returns the encoded state of a job as the replica has it, nil if it
+// shows no such job.
+func (s *Server) state(id string) []byte {
+	if b := s.finalState(id); b != nil {
+		return b
 	}
-	if in.unavailable(now) {
-		out.Busy(conn, retryAfter)
-		return
+	j := s.accepted(id)
+	if j == nil {
+		return nil
 	}
-	in.store.Barrier(func(_ event.Time, ok bool, out *event.Effects) {
-		if !ok {
-			out.Busy(conn, retryAfter)
-		} else if s := in.state(id); s != nil {
-			out.Reply(conn, 200, s)
-		} else {
-			out.Reply(conn, 404, nil)
-		}
-	})
+	return answer{ID: id, Phase: phaseNames[j.Phase()], Done: j.DoneCount(), Running: j.Active()}.encode()
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,4 +1,8 @@
-// Package api serves the users: submissions, polls, cancellations.
+// Package api serves the users: submissions, polls and cancellations of jobs.
+//
+// Two rules hold for every answer. A job is reported as accepted or cancelled
+// only once that is stored; and no answer is older than one that any controller
+// has given before, so all but final answers follow a read barrier.
 package api
 
 import (
@@ -7,31 +11,32 @@
 
 	"lugward/internal/config"
 	"lugward/internal/event"
+	"lugward/internal/httpwire"
 	"lugward/internal/pipeline"
 	"lugward/internal/scheduler"
 	"lugward/internal/store"
 )
 
-// Config are the settings of this slice.
+// Config holds the settings of the API.
 type Config struct {
-	Label      string
+	Label      string // of this controller, the owner of the jobs it accepts
 	Teams      []config.Team
 	Answer     time.Duration // a request that is not decided by then gets 503
-	ValueBytes int
-	TxnOps     int
+	ValueBytes int           // largest value that the state service takes
+	TxnOps     int           // most writes in one transaction
 }
 
 const (
-	maxTasks      = 100_000
-	retryAfter    = 1  // seconds, told with 503
-	maxRetryAfter = 30 // users do not wait for longer, whatever they are told
-	// The state service counts as out when nothing of ours got through for
-	// this long; requests that need it are then refused at once.
-	outageAfter      = time.Second
-	maxCancelRetries = 6
+	// retryAfter is the least Retry-After of a 503, in seconds.
+	retryAfter = 1
+	// maxRetryAfter is the greatest, in seconds: clients give up on a longer one.
+	maxRetryAfter = 30
+	// outageAfter is the time without an executed request after which the state
+	// service counts as unavailable: requests that need it then get 503 at once.
+	outageAfter = time.Second
 )
 
-// Server answers the requests of users.
+// Server answers the requests of users. It is not safe for concurrent use.
 type Server struct {
 	cfg          Config
 	names        *pipeline.Names
@@ -39,38 +44,60 @@
 	store        *store.Client
 	machineTypes *scheduler.MachineTypes
 	teams        map[string]config.Team
-	// attempts are the submissions whose list of upstream jobs is being stored.
+	// pending holds, by job ID, the submissions whose lists of upstream jobs are
+	// being stored in parts: one at a time for each job.
 	pending map[string]*pendingSubmission
 }
 
-// New returns the slice.
-func New(cfg Config, n *pipeline.Names, t *pipeline.Table, s *store.Client, f *scheduler.MachineTypes) *Server {
-	in := &Server{cfg: cfg, names: n, jobs: t, store: s, machineTypes: f, teams: map[string]config.Team{}, pending: map[string]*pendingSubmission{}}
-	for _, t := range cfg.Teams {
-		in.teams[t.Name] = t
+// New returns a server. It reads the table and the machine types as others
+// update them; it changes neither.
+func New(cfg Config, names *pipeline.Names, jobs *pipeline.Table, client *store.Client, machineTypes *scheduler.MachineTypes) *Server {
+	s := &Server{
+		cfg:          cfg,
+		names:        names,
+		jobs:         jobs,
+		store:        client,
+		machineTypes: machineTypes,
+		teams:        map[string]config.Team{},
+		pending:      map[string]*pendingSubmission{},
 	}
-	return in
+	for _, team := range cfg.Teams {
+		s.teams[team.Name] = team
+	}
+	return s
 }
 
-// Handle serves a request below /submissions; it tells whether it was one.
-func (in *Server) Handle(now event.Time, r event.Request, out *event.Effects) bool {
+const (
+	submissionsPath = "/submissions"
+	cancelAction    = "cancel"
+)
+
+// Handle serves a request below /submissions. It reports whether it was one.
+func (s *Server) Handle(now event.Time, r event.Request, out *event.Effects) bool {
 	path, _, _ := strings.Cut(r.Path, "?")
-	rest, ok := strings.CutPrefix(path, "/submissions")
+	rest, ok := strings.CutPrefix(path, submissionsPath)
 	if !ok {
 		return false
 	}
-	id, tail, _ := strings.Cut(strings.TrimPrefix(rest, "/"), "/")
+	id, action, _ := strings.Cut(strings.TrimPrefix(rest, "/"), "/")
+	ofJob := strings.HasPrefix(rest, "/") && id != ""
 	switch {
 	case rest == "" && r.Method == "POST":
-		in.submit(now, r, out)
-	case strings.HasPrefix(rest, "/") && id != "" && tail == "" && !strings.HasSuffix(rest, "/") && r.Method == "GET":
-		in.poll(now, r.Conn, id, out)
-	case strings.HasPrefix(rest, "/") && id != "" && tail == "cancel" && r.Method == "POST":
-		in.cancel(now, r.Conn, id, 0, out)
-	case rest == "" || (id != "" && (tail == "" || tail == "cancel")):
-		out.Reply(r.Conn, 405, nil)
+		s.submit(now, r, out)
+	case ofJob && action == "" && !strings.HasSuffix(rest, "/") && r.Method == "GET":
+		s.poll(now, r.Conn, id, out)
+	case ofJob && action == cancelAction && r.Method == "POST":
+		s.cancel(now, cancellation{conn: r.Conn, id: id}, out)
+	case rest == "" || (id != "" && (action == "" || action == cancelAction)):
+		out.Reply(r.Conn, httpwire.StatusMethodNotAllowed, nil)
 	default:
-		out.Reply(r.Conn, 404, nil)
+		out.Reply(r.Conn, httpwire.StatusNotFound, nil)
 	}
 	return true
 }
+
+// unavailable reports whether requests that need the state service are to be
+// refused at once instead of being left to time out.
+func (s *Server) unavailable(now event.Time) bool {
+	return !s.store.Synced() || (s.store.Outage() && now-s.store.Contact() > outageAfter)
+}
--- a/internal/api/service_test.go
+++ b/internal/api/service_test.go
@@ -14,32 +14,35 @@
 	txnOps     = 4
 )
 
-// service is a state service that keeps to its limits.
+// service is a stand-in for the state service that enforces its limits.
 type service struct {
 	t        *testing.T
 	keys     map[string]stored
 	log      []logged
 	revision uint64
 	down     bool
-	// lose tells whether the answer to a transaction is lost, late whether it
-	// is carried out only when carryOut is called.
-	lose, late func(body string) bool
-	held       []string
-	commits    []string
+	// loseAnswer reports whether the answer to a transaction gets lost, delay
+	// whether the transaction is executed only when executeDelayed is called.
+	loseAnswer, delay func(body string) bool
+	delayed           []string
+	commits           []string
 }
 
+// stored is the present value of a key.
 type stored struct {
 	data    json.RawMessage
 	version uint64
 }
 
+// logged is one change of a key; data is nil when the key was dropped.
 type logged struct {
-	key  string
-	data json.RawMessage
-	at   uint64
+	key     string
+	data    json.RawMessage
+	version uint64
 }
 
-type txn struct {
+// transaction is the body of a commit.
+type transaction struct {
 	If []struct {
 		Key     string `json:"key"`
 		Version uint64 `json:"stamp"`
@@ -70,15 +73,15 @@
 }
 
 func (s *service) commit(body string) (int, string) {
-	var x txn
+	var x transaction
 	if err := json.Unmarshal([]byte(body), &x); err != nil {
 		s.t.Fatal(err)
 	}
-	bad := len(x.Then) > txnOps || len(x.If) > 4*txnOps || len(body) > 64<<10
+	excessive := len(x.Then) > txnOps || len(x.If) > 4*txnOps || len(body) > 64<<10
 	for _, w := range x.Then {
-		bad = bad || len(w.Data) > valueBytes
+		excessive = excessive || len(w.Data) > valueBytes
 	}
-	if bad {
+	if excessive {
 		s.t.Errorf("a transaction beyond the limits: %d changes, %d conditions, %d bytes", len(x.Then), len(x.If), len(body))
 		return 400, "{}"
 	}
@@ -103,12 +106,12 @@
 	return 200, fmt.Sprintf(`{"epoch":%d}`, s.revision)
 }
 
-// carryOut applies the transactions that were late.
-func (s *service) carryOut() {
-	for _, body := range s.held {
+// executeDelayed executes the delayed transactions.
+func (s *service) executeDelayed() {
+	for _, body := range s.delayed {
 		s.commit(body)
 	}
-	s.held = nil
+	s.delayed = nil
 }
 
 // serve answers a call; ok is false for a watch, which stays open.
@@ -130,28 +133,29 @@
 		list := []map[string]any{}
 		for _, l := range s.log {
 			switch {
-			case l.at <= from:
+			case l.version <= from:
 			case l.data == nil:
-				list = append(list, map[string]any{"drop": l.key, "stamp": l.at})
+				list = append(list, map[string]any{"drop": l.key, "stamp": l.version})
 			default:
-				list = append(list, map[string]any{"write": l.key, "data": l.data, "stamp": l.at})
+				list = append(list, map[string]any{"write": l.key, "data": l.data, "stamp": l.version})
 			}
 		}
 		b, _ := json.Marshal(map[string]any{"epoch": s.revision, "log": list})
 		return 200, string(b), true
 	}
 	s.commits = append(s.commits, string(c.Body))
-	if s.late != nil && s.late(string(c.Body)) {
-		s.held = append(s.held, string(c.Body))
+	if s.delay != nil && s.delay(string(c.Body)) {
+		s.delayed = append(s.delayed, string(c.Body))
 		return 0, "", true
 	}
 	status, body = s.commit(string(c.Body))
-	if s.lose != nil && s.lose(string(c.Body)) {
+	if s.loseAnswer != nil && s.loseAnswer(string(c.Body)) {
 		return 0, "", true
 	}
 	return status, body, true
 }
 
+// parts returns the stored parts of a job's list of upstream jobs.
 func (s *service) parts(id int) (list []string) {
 	for n := 0; ; n++ {
 		k, ok := s.keys[fmt.Sprintf("u/req-%d/%d", id, n)]
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -1,161 +1,165 @@
 package api
 
 import (
-	"encoding/json"
 	"errors"
 	"math"
 
 	"lugward/internal/event"
+	"lugward/internal/httpwire"
 	"lugward/internal/pipeline"
 	"lugward/internal/store"
 )
 
-// submit accepts a job once its vertex is stored.
-func (in *Server) submit(now event.Time, r event.Request, out *event.Effects) {
-	s, malformed := parse(r.Body)
-	if malformed != nil && s == nil {
-		out.Reply(r.Conn, 400, nil)
+// submit accepts a job once its record is stored. A repeat of an accepted
+// submission is answered with the job's state before anything else of it is
+// judged, so it never gets 400 or 422.
+func (s *Server) submit(now event.Time, r event.Request, out *event.Effects) {
+	sub, err := parseSubmission(r.Body)
+	if err != nil {
+		out.Reply(r.Conn, httpwire.StatusBadRequest, nil)
 		return
 	}
-	id := *s.ID
-	if b := in.over(id); b != nil {
-		out.Reply(r.Conn, 200, b)
+	id := *sub.ID
+	if b := s.finalState(id); b != nil {
+		out.Reply(r.Conn, httpwire.StatusOK, b)
 		return
 	}
-	if in.unavailable(now) {
+	if s.unavailable(now) {
 		out.Busy(r.Conn, retryAfter)
 		return
 	}
-	if j := in.jobs.Job(id); j != nil && j.Version != 0 {
-		in.poll(now, r.Conn, id, out) // known: never 400 or 422 from here on
+	if s.accepted(id) != nil {
+		s.poll(now, r.Conn, id, out)
 		return
 	}
-	if malformed != nil {
-		in.refuse(r.Conn, id, 400, nil)
+	upstream, err := sub.upstreamJobs()
+	if err != nil {
+		s.reject(r.Conn, id, httpwire.StatusBadRequest)
 		return
 	}
-	j, err := in.job(s)
+	j, err := s.newJob(sub)
 	switch {
-	case errors.Is(err, errUndecided):
+	case errors.Is(err, errMachineTypesUnknown):
 		out.Busy(r.Conn, retryAfter)
 	case err != nil:
-		in.refuse(r.Conn, id, 422, nil)
-	case !in.known(s.upstream):
-		// The replica may be behind the node that accepted what it names.
-		in.refuse(r.Conn, id, 422, func(now event.Time, out *event.Effects) bool {
-			if !in.known(s.upstream) {
-				return false
-			}
-			in.accept(now, r.Conn, j, s.upstream, out)
-			return true
-		})
+		s.reject(r.Conn, id, httpwire.StatusUnprocessableContent)
+	case !s.validUpstream(upstream):
+		s.acceptAfterBarrier(r.Conn, j, upstream)
 	default:
-		in.accept(now, r.Conn, j, s.upstream, out)
+		s.accept(now, r.Conn, j, upstream, out)
 	}
 }
 
-// refuse answers a submission with a status for good, behind a barrier: the job
-// may have been accepted a moment ago by a node that knew more. rescue, if set,
-// may take the submission after all.
-func (in *Server) refuse(conn uint64, id string, status int, rescue func(now event.Time, out *event.Effects) bool) {
-	in.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
-		if !ok {
-			out.Busy(conn, retryAfter)
-		} else if st := in.state(id); st != nil {
-			out.Reply(conn, 200, st)
-		} else if rescue == nil || !rescue(now, out) {
-			out.Reply(conn, status, nil)
+// reject answers a submission with a final refusal, after a read barrier:
+// another controller that knew more may have accepted the job a moment ago.
+func (s *Server) reject(conn uint64, id string, status int) {
+	s.answerAfterBarrier(conn, id, func(_ event.Time, out *event.Effects) {
+		out.Reply(conn, status, nil)
+	})
+}
+
+// acceptAfterBarrier accepts a job if a read barrier shows all of its upstream
+// jobs: the replica may lag behind the controllers that accepted them.
+func (s *Server) acceptAfterBarrier(conn uint64, j *pipeline.Job, upstream []string) {
+	s.answerAfterBarrier(conn, j.ID, func(now event.Time, out *event.Effects) {
+		if !s.validUpstream(upstream) {
+			out.Reply(conn, httpwire.StatusUnprocessableContent, nil)
+			return
 		}
+		s.accept(now, conn, j, upstream, out)
 	})
 }
 
-// known tells whether the replica shows that a new job may await all of a list:
-// accepted jobs, so not itself, that are no services.
-func (in *Server) known(up []string) bool {
-	for _, u := range up {
-		if f, ok := in.jobs.Finals[u]; ok {
-			if f.Daemon {
+// validUpstream reports whether the replica shows that a new job may depend on
+// all of a list: jobs that have been accepted, and that end (not daemons). The
+// new job itself is not accepted, so it cannot be among them.
+func (s *Server) validUpstream(upstream []string) bool {
+	for _, id := range upstream {
+		if final, ok := s.jobs.Finals[id]; ok {
+			if final.Daemon {
 				return false
 			}
 			continue
 		}
-		if j := in.jobs.Job(u); j == nil || j.Version == 0 || j.Shape == pipeline.Daemon {
+		if j := s.accepted(id); j == nil || j.Shape == pipeline.Daemon {
 			return false
 		}
 	}
 	return true
 }
 
-// accept stores the vertex of a job that can run.
-func (in *Server) accept(now event.Time, conn uint64, j *pipeline.Job, up []string, out *event.Effects) {
-	j.Submitted = in.jobs.UnixMS(now)
-	for _, u := range up {
-		j.Ready = j.Ready && in.jobs.Finals[u].Phase == pipeline.Done
+// accept stores the record of a job that can run.
+func (s *Server) accept(now event.Time, conn uint64, j *pipeline.Job, upstream []string, out *event.Effects) {
+	j.Submitted = s.jobs.UnixMS(now)
+	for _, id := range upstream {
+		j.Ready = j.Ready && s.jobs.Finals[id].Phase == pipeline.Done
 	}
 	if j.Ready {
 		j.ReadyAt = j.Submitted
 	}
-	lists := in.layOutUpstream(j, up)
-	data := pipeline.Encode(in.names, j)
-	capacity := in.cfg.ValueBytes
-	if lists != nil {
-		capacity -= versionSize
+	parts := s.layOutUpstream(j, upstream)
+	data := pipeline.Encode(s.names, j)
+	capacity := s.cfg.ValueBytes
+	if parts != nil {
+		capacity -= partsVersionBytes
 	}
 	if len(data) > capacity {
-		out.Reply(conn, 400, nil)
+		out.Reply(conn, httpwire.StatusBadRequest, nil)
 		return
 	}
-	if best, _ := in.store.Backlog(store.Accept); best > in.cfg.Answer.Seconds() {
-		// It would wait for longer than its user does: told so at once, the
-		// user is not kept, and what waits already keeps its turn.
-		in.later(conn, out)
+	if best, _ := s.store.Backlog(store.Accept); best > s.cfg.Answer.Seconds() {
+		// The write would wait for longer than the user does. Refusing it now
+		// leaves the rate to those that wait already.
+		s.refuseForBacklog(conn, out)
 		return
 	}
-	id := j.ID
-	if lists != nil {
-		in.beginUpstreamWrite(now, conn, j, lists, out)
+	if parts != nil {
+		s.beginPartsWrite(now, conn, j, parts, out)
 		return
 	}
-	in.store.Submit(&store.Intent{Priority: store.Accept,
-		Conditions: []store.Condition{{Key: pipeline.JobKeyOf(id)}, {Key: pipeline.FinalKeyOf(id)}},
-		Writes:     []store.Write{{Key: pipeline.JobKeyOf(id), Data: data}},
-		Done: func(res store.Result) {
-			switch res.Outcome {
+	s.storeRecord(now, conn, j.ID, data)
+}
+
+func (s *Server) storeRecord(now event.Time, conn uint64, id string, record []byte) {
+	jobKey, finalKey := pipeline.JobKeyOf(id), pipeline.FinalKeyOf(id)
+	s.store.Submit(&store.Intent{
+		Priority:   store.Accept,
+		Conditions: []store.Condition{{Key: jobKey}, {Key: finalKey}},
+		Writes:     []store.Write{{Key: jobKey, Data: record}},
+		Done: func(r store.Result) {
+			switch r.Outcome {
 			case store.OK:
-				res.Out.Reply(conn, 201, in.accepted(id))
+				r.Out.Reply(conn, httpwire.StatusCreated, s.stateOfNew(id))
 			case store.Refused:
-				in.later(conn, res.Out)
+				s.refuseForBacklog(conn, r.Out)
 			default:
-				in.afterUnknown(conn, id)
+				s.answerFromStore(conn, id)
 			}
-		}}, now+in.cfg.Answer)
+		},
+	}, now+s.cfg.Answer)
 }
 
-// accepted is what the user of a new job is told: if it needs a cancelled one
-// it is cancelled at once.
-func (in *Server) accepted(id string) []byte {
-	if b := in.over(id); b != nil {
+// stateOfNew returns the encoded state of a job that has just been accepted: it
+// is cancelled at once if it needs a cancelled job.
+func (s *Server) stateOfNew(id string) []byte {
+	if b := s.finalState(id); b != nil {
 		return b
 	}
-	b, _ := json.Marshal(answer{ID: id, Phase: phaseNames[pipeline.Queued]})
-	return b
+	return answer{ID: id, Phase: phaseNames[pipeline.Queued]}.encode()
 }
 
-// later refuses a submission for as long as what waits before it takes.
-func (in *Server) later(conn uint64, out *event.Effects) {
-	_, wait := in.store.Backlog(store.Accept)
-	out.Busy(conn, int(math.Ceil(min(max(wait, retryAfter), maxRetryAfter))))
+// refuseForBacklog answers 503 with the time that the writes before this one take.
+func (s *Server) refuseForBacklog(conn uint64, out *event.Effects) {
+	_, wait := s.store.Backlog(store.Accept)
+	seconds := min(max(wait, retryAfter), maxRetryAfter)
+	out.Busy(conn, int(math.Ceil(seconds)))
 }
 
-// afterUnknown answers a submission whose write conflicted or whose outcome
-// did not come: the store is read, nothing is guessed. A write that lands
-// after that leaves an accepted job, which a retry then finds.
-func (in *Server) afterUnknown(conn uint64, id string) {
-	in.store.Barrier(func(_ event.Time, ok bool, out *event.Effects) {
-		if st := in.state(id); ok && st != nil {
-			out.Reply(conn, 200, st)
-		} else {
-			out.Busy(conn, retryAfter)
-		}
+// answerFromStore answers a submission whose write conflicted or whose outcome
+// is unknown. A write that is carried out after the barrier leaves an accepted
+// job, which the user's retry finds.
+func (s *Server) answerFromStore(conn uint64, id string) {
+	s.answerAfterBarrier(conn, id, func(_ event.Time, out *event.Effects) {
+		out.Busy(conn, retryAfter)
 	})
 }
--- a/internal/api/upstream.go
+++ b/internal/api/upstream.go
@@ -1,29 +1,31 @@
 package api
 
-import (
-	"lugward/internal/pipeline"
-)
+import "lugward/internal/pipeline"
 
-// layOutUpstream puts a list of upstream jobs into the record if it still fits there
-// once the record tells when the job became ready; else it returns the values
-// of the keys that hold it. A job that is ready needs no list.
-func (in *Server) layOutUpstream(j *pipeline.Job, up []string) [][]byte {
-	if len(up) == 0 {
+// partsVersionBytes is the most that the version of a list's part 0 takes in
+// the job's record. It is added after the record's size has been checked.
+const partsVersionBytes = 32
+
+// layOutUpstream puts the list of upstream jobs into the job's record if it
+// fits there even when the record gets the time at which the job became ready.
+// Otherwise it returns the list cut into parts, each the value of a key of its
+// own. A job that is ready needs no list.
+func (s *Server) layOutUpstream(j *pipeline.Job, upstream []string) [][]byte {
+	if len(upstream) == 0 {
 		return nil
 	}
-	j.Upstream = up
-	full := *j
-	full.Ready, full.ReadyAt = true, j.Submitted+1 // as long as any later time
-	if len(pipeline.Encode(in.names, &full)) <= in.cfg.ValueBytes {
+	j.Upstream = upstream
+	largest := *j
+	largest.Ready = true
+	largest.ReadyAt = j.Submitted + 1 // has as many digits as any later time
+	if len(pipeline.Encode(s.names, &largest)) <= s.cfg.ValueBytes {
 		return nil
 	}
-	if j.Upstream = nil; j.Ready {
+	j.Upstream = nil
+	if j.Ready {
 		return nil
 	}
-	lists := pipeline.EncodeParts(up, in.cfg.ValueBytes)
-	j.UpstreamParts = len(lists)
-	return lists
+	parts := pipeline.EncodeParts(upstream, s.cfg.ValueBytes)
+	j.UpstreamParts = len(parts)
+	return parts
 }
-
-// versionSize is what the version of a list takes in a record at most.
-const versionSize = 32
--- a/internal/api/upstream_test.go
+++ b/internal/api/upstream_test.go
@@ -7,6 +7,7 @@
 	"lugward/internal/pipeline"
 )
 
+// TestAwaits: lists of upstream jobs, well-formed and not, and repeats.
 func TestAwaits(t *testing.T) {
 	s := newService(t)
 	n := newNode(t, s, "n0")
@@ -38,6 +39,7 @@
 	n.expect("retry when over", newNode(t, s, "n2").submit(4, `,"awaits":7`), 200, "cancelled")
 }
 
+// TestAwaitsService: a daemon never ends, so no job may depend on it.
 func TestAwaitsService(t *testing.T) {
 	s := newService(t)
 	n := newNode(t, s, "n0")
@@ -49,8 +51,8 @@
 	n.expect("below one that is over", n.submit(2, `,"awaits":["req-1"]`), 422, "")
 }
 
-// What the replica does not show may have been accepted elsewhere a moment
-// ago: only a barrier tells, and without one nothing is refused for good.
+// TestAwaitsBehind: what the replica does not show may have been accepted
+// elsewhere a moment ago. Only a barrier tells; without one there is no 400 or 422.
 func TestAwaitsBehind(t *testing.T) {
 	s := newService(t)
 	n, m := newNode(t, s, "n0"), newNode(t, s, "n1")
@@ -61,7 +63,7 @@
 	n.expect("in an outage", m.submit(2, `,"awaits":["x"]`), 503, "")
 	s.down = false
 	o := newNode(t, s, "n2")
-	n.submit(3, "") // o has not heard of it
+	n.submit(3, "") // o has not seen its record
 	if o.jobs.Job("req-3") != nil {
 		t.Fatal("the replica is not behind")
 	}
@@ -69,6 +71,7 @@
 	n.expect("not there", o.submit(4, `,"awaits":["req-5"]`), 422, "")
 }
 
+// TestAwaitsOver: upstream jobs that have ended, done or cancelled.
 func TestAwaitsOver(t *testing.T) {
 	s := newService(t)
 	n := newNode(t, s, "n0")
@@ -96,7 +99,8 @@
 	n.expect("poll", n.send("GET", "/submissions/req-8", ""), 200, "cancelled")
 }
 
-// A cancellation that loses to done leaves the jobs below alone.
+// TestCancelLosesToDone: a cancellation that comes after done does not cancel the
+// downstream jobs.
 func TestCancelLosesToDone(t *testing.T) {
 	s := newService(t)
 	n := newNode(t, s, "n0")
@@ -110,8 +114,8 @@
 	}
 }
 
-// A submission and the cancellation of what it names, in either order and
-// through two nodes that know nothing of each other.
+// TestSubmissionMeetsCancellation: a submission and the cancellation of its
+// upstream job go through two nodes that do not see each other's writes yet.
 func TestSubmissionMeetsCancellation(t *testing.T) {
 	s := newService(t)
 	n, m := newNode(t, s, "n0"), newNode(t, s, "n1")
