--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,6 @@
-// Package peer is the binary link between controllers. It carries hints only:
-// no rule rests on a frame arriving, arriving once or arriving in time.
+// Package peer is the codec of the binary link between controllers. Frames carry
+// hints only: nothing may depend on a frame arriving, arriving once or arriving
+// in time.
 package peer
 
 import (
@@ -7,73 +8,98 @@
 	"errors"
 )
 
-// Kind of a frame.
+// Kind is the kind of a frame.
 type Kind uint8
 
 // The kinds.
 const (
-	Heartbeat Kind = 1 // I am alive, and this is what I see
-	Relay     Kind = 2 // a worker's report that reached me instead of the leader
-	RelayAck  Kind = 3 // the leader's answer to it
+	// Heartbeat says that its sender is alive, and what it sees.
+	Heartbeat Kind = 1
+	// Relay carries a worker's report that reached the sender instead of the leader.
+	Relay Kind = 2
+	// RelayAck carries the leader's answer to a Relay.
+	RelayAck Kind = 3
 )
 
+// version is the first byte of each frame. A controller refuses frames of any
+// other version.
 const version = 2
 
-// Frame is a decoded frame.
+// The flags of a heartbeat.
+const (
+	flagStateOK  byte = 1 << 0
+	flagIsLeader byte = 1 << 1
+	knownFlags        = flagStateOK | flagIsLeader
+)
+
+// Frame is a decoded frame. Which fields count depends on its kind.
 type Frame struct {
 	Kind  Kind
-	Label string // sender
+	Label string // of the sender, at most 255 bytes
 
-	// Heartbeat
-	StateOK      bool
+	// Of a Heartbeat:
+
+	StateOK      bool // the sender reaches the state service
 	IsLeader     bool
 	FencingToken uint64
-	// What it could use of the state service's rates, per second.
+	// Requests and Writes are what the sender could use of the state service's
+	// rates, per second.
 	Requests, Writes uint16
 
-	// Relay, RelayAck
-	ID     uint64
-	Status uint16
-	Body   []byte
+	// Of a Relay and its RelayAck:
+
+	ID     uint64 // chosen by the sender of the Relay
+	Status uint16 // HTTP status, of a RelayAck alone
+	Body   []byte // of the HTTP request or answer
 }
 
-// ErrBad is returned for anything that is not a frame of ours.
+// ErrBad is returned for anything that is not a frame of this version.
 var ErrBad = errors.New("bad frame")
 
-// Append writes the frame to dst.
+// Append appends the encoded frame to dst. All integers are big-endian.
 //
-//	version u8 | kind u8 | label: len u8, bytes | body
+//	version u8 | kind u8 | label: length u8, bytes | body
 //	Heartbeat: flags u8 | token u64 | requests u16 | writes u16
-//	Relay:    id u64 | bytes: len u32, bytes
-//	RelayAck: id u64 | status u16 | bytes: len u32, bytes
+//	Relay:    id u64 | bytes: length u32, bytes
+//	RelayAck: id u64 | status u16 | bytes: length u32, bytes
 func Append(dst []byte, f *Frame) []byte {
-	dst = append(dst, version, byte(f.Kind), byte(len(f.Label)))
-	dst = append(dst, f.Label[:byte(len(f.Label))]...)
+	labelLength := byte(len(f.Label))
+	dst = append(dst, version, byte(f.Kind), labelLength)
+	dst = append(dst, f.Label[:labelLength]...)
 	switch f.Kind {
 	case Heartbeat:
-		var flags byte
-		if f.StateOK {
-			flags |= 1
-		}
-		if f.IsLeader {
-			flags |= 2
-		}
-		dst = append(dst, flags)
-		dst = binary.BigEndian.AppendUint64(dst, f.FencingToken)
-		dst = binary.BigEndian.AppendUint16(dst, f.Requests)
-		dst = binary.BigEndian.AppendUint16(dst, f.Writes)
-	case Relay, RelayAck:
+		dst = appendHeartbeat(dst, f)
+	case Relay:
 		dst = binary.BigEndian.AppendUint64(dst, f.ID)
-		if f.Kind == RelayAck {
-			dst = binary.BigEndian.AppendUint16(dst, f.Status)
-		}
-		dst = binary.BigEndian.AppendUint32(dst, uint32(len(f.Body)))
-		dst = append(dst, f.Body...)
+		dst = appendBytes(dst, f.Body)
+	case RelayAck:
+		dst = binary.BigEndian.AppendUint64(dst, f.ID)
+		dst = binary.BigEndian.AppendUint16(dst, f.Status)
+		dst = appendBytes(dst, f.Body)
 	}
 	return dst
 }
 
-// Decode reads one frame; the whole input must be used.
+func appendHeartbeat(dst []byte, f *Frame) []byte {
+	var flags byte
+	if f.StateOK {
+		flags |= flagStateOK
+	}
+	if f.IsLeader {
+		flags |= flagIsLeader
+	}
+	dst = append(dst, flags)
+	dst = binary.BigEndian.AppendUint64(dst, f.FencingToken)
+	dst = binary.BigEndian.AppendUint16(dst, f.Requests)
+	return binary.BigEndian.AppendUint16(dst, f.Writes)
+}
+
+func appendBytes(dst, data []byte) []byte {
+	dst = binary.BigEndian.AppendUint32(dst, uint32(len(data)))
+	return append(dst, data...)
+}
+
+// Decode decodes the one frame that in consists of. Its Body points into in.
 func Decode(in []byte) (Frame, error) {
 	var f Frame
 	r := reader{in: in}
@@ -85,35 +111,41 @@
 	switch f.Kind {
 	case Heartbeat:
 		flags := r.u8()
-		f.StateOK, f.IsLeader = flags&1 != 0, flags&2 != 0
-		if flags > 3 {
+		if flags&^knownFlags != 0 {
 			return f, ErrBad
 		}
+		f.StateOK = flags&flagStateOK != 0
+		f.IsLeader = flags&flagIsLeader != 0
 		f.FencingToken = r.u64()
-		f.Requests, f.Writes = r.u16(), r.u16()
-	case Relay, RelayAck:
+		f.Requests = r.u16()
+		f.Writes = r.u16()
+	case Relay:
 		f.ID = r.u64()
-		if f.Kind == RelayAck {
-			f.Status = r.u16()
-		}
+		f.Body = r.take(int(r.u32()))
+	case RelayAck:
+		f.ID = r.u64()
+		f.Status = r.u16()
 		f.Body = r.take(int(r.u32()))
 	default:
 		return f, ErrBad
 	}
-	if r.bad || len(r.in) != 0 {
+	if r.short || len(r.in) != 0 {
 		return f, ErrBad
 	}
 	return f, nil
 }
 
+// reader takes integers and bytes off the front of its input. Once something
+// does not fit it is short for good, and yields zeros.
 type reader struct {
-	in  []byte
-	bad bool
+	in    []byte
+	short bool
 }
 
 func (r *reader) take(n int) []byte {
 	if n < 0 || n > len(r.in) {
-		r.bad, r.in = true, nil
+		r.short = true
+		r.in = nil
 		return nil
 	}
 	b := r.in[:n]
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -7,7 +7,7 @@
 )
 
 var samples = []Frame{
-	{Kind: Heartbeat, Label: "hearth-0", StateOK: true, IsLeader: true, FencingToken: 1 << 40, Requests: 7, Writes: 65535},
+	{Kind: Heartbeat, Label: "node-0", StateOK: true, IsLeader: true, FencingToken: 1 << 40, Requests: 7, Writes: 65535},
 	{Kind: Relay, Label: "n", ID: 9, Body: []byte(`{"host":"i-1"}`)},
 	{Kind: RelayAck, Label: "", ID: 9, Status: 200, Body: []byte("{}")},
 }
--- a/internal/peer/production_test.go
+++ b/internal/peer/production_test.go
@@ -8,9 +8,8 @@
 	"testing"
 )
 
-// The frames that the version in production sends, taken down from a run of
-// it, are read, and what we would send in their place is the same to the byte:
-// that version refuses anything else.
+// TestProductionFrames: frames recorded from the version in production decode,
+// and encode to the same bytes, since that version refuses anything else.
 func TestProductionFrames(t *testing.T) {
 	raw, err := os.ReadFile("testdata/production_frames.txt")
 	if err != nil {
@@ -28,7 +27,7 @@
 			continue
 		}
 		if !bytes.Equal(Append(nil, &f), data) {
-			t.Errorf("%s is sent otherwise", line)
+			t.Errorf("%s encodes to other bytes", line)
 		}
 		kinds[f.Kind]++
 	}
