--- a/cmd/lugward/main.go
+++ b/cmd/lugward/main.go
@@ -2,6 +2,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"log/slog"
 	"os"
@@ -46,32 +47,46 @@
 	}
 	root.PersistentFlags().StringVar(&settings, "config", "", "settings file of the platform (JSON)")
 	root.PersistentFlags().StringVar(&operator, "operator", "", "operators' own settings (TOML)")
-	root.AddCommand(&cobra.Command{
-		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
+	root.AddCommand(versionCommand(), checkCommand(&settings, &operator))
+	return root
+}
+
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "version",
+		Short: "Print the version",
+		Args:  cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
 			fmt.Fprintln(cmd.OutOrStdout(), "lugward", version, runtime.Version())
 		},
-	}, &cobra.Command{
-		Use: "check", Short: "Check the settings and exit", Args: cobra.NoArgs,
+	}
+}
+
+// checkCommand reads the paths when it runs, after the flags have been parsed.
+func checkCommand(settings, operator *string) *cobra.Command {
+	return &cobra.Command{
+		Use:   "check",
+		Short: "Check the settings and exit",
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg, err := load(settings, operator)
+			cfg, err := load(*settings, *operator)
 			if err == nil {
 				fmt.Fprintln(cmd.OutOrStdout(), "settings of", cfg.Label, "are good")
 			}
 			return err
 		},
-	})
-	return root
+	}
 }
 
 func load(settings, operator string) (*config.Platform, error) {
 	if settings == "" {
-		return nil, fmt.Errorf("--config is required")
+		return nil, errors.New("--config FILE is required")
 	}
 	return config.Load(settings, operator)
 }
 
-func level() (slog.Level, error) {
+// logLevel reads LOG_LEVEL; without it only errors are logged.
+func logLevel() (slog.Level, error) {
 	switch v := os.Getenv("LOG_LEVEL"); v {
 	case "", "error":
 		return slog.LevelError, nil
@@ -84,28 +99,46 @@
 	}
 }
 
+// heapShare is the part of the controller's memory that Go's heap may fill. The
+// rest is for stacks, the network buffers and the C library.
+const heapShare = 0.6
+
+// limitRuntime keeps Go's runtime within the controller's resources: a share of
+// one core, so more threads of Go code would only switch more often.
+func limitRuntime(memoryMB float64) {
+	runtime.GOMAXPROCS(1)
+	const bytesPerMB = 1 << 20
+	debug.SetMemoryLimit(int64(memoryMB * heapShare * bytesPerMB))
+}
+
+// serve runs the controller until it is killed.
 func serve(cfg *config.Platform) error {
-	lvl, err := level()
+	level, err := logLevel()
 	if err != nil {
 		return err
 	}
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: lvl}))
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	slog.SetDefault(log)
-	// One thread of Go code: the machine gives one share of one core.
-	runtime.GOMAXPROCS(1)
-	const heapShare = 0.6 // the rest is for the runtime, stacks and buffers
-	debug.SetMemoryLimit(int64(cfg.Settings.Resources.MemoryMB * heapShare * (1 << 20)))
+	limitRuntime(cfg.Settings.Resources.MemoryMB)
+	for _, objective := range cfg.Settings.Objectives {
+		if !objective.Known() {
+			log.Info("objective of an unknown kind is ignored", "kind", objective.Kind, "class", objective.Class)
+		}
+	}
 	start := time.Now()
 	node := core.New(cfg, log, func() time.Duration { return time.Since(start) })
-	ec := engine.Config{Bind: cfg.Bind, PeerBind: cfg.PeerBind, MaxConnections: cfg.Settings.Resources.MaxConnections}
-	for _, s := range cfg.Seeds {
-		ec.Peers = append(ec.Peers, s.Endpoint)
+	log.Info("starting", "label", cfg.Label, "bind", cfg.Bind)
+	return engine.Run(engineConfig(cfg), node, log)
+}
+
+func engineConfig(cfg *config.Platform) engine.Config {
+	ec := engine.Config{
+		Bind:           cfg.Bind,
+		PeerBind:       cfg.PeerBind,
+		MaxConnections: cfg.Settings.Resources.MaxConnections,
 	}
-	for _, o := range cfg.Settings.Objectives {
-		if !o.Known() {
-			log.Info("objective of an unknown kind is ignored", "kind", o.Kind, "class", o.Class)
-		}
+	for _, seed := range cfg.Seeds {
+		ec.Peers = append(ec.Peers, seed.Endpoint)
 	}
-	log.Info("starting", "label", cfg.Label, "bind", cfg.Bind)
-	return engine.Run(ec, node, log)
+	return ec
 }
--- /dev/null
+++ b/cmd/lugward/main_test.go
@@ -0,0 +1,90 @@
+package main
+
+import (
+	"bytes"
+	"errors"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// runMain makes the test binary behave as the command.
+const runMain = "LUGWARD_TEST_RUN_MAIN"
+
+func TestMain(m *testing.M) {
+	if os.Getenv(runMain) != "" {
+		main()
+		return
+	}
+	os.Exit(m.Run())
+}
+
+const settings = `{"label":"a","bind":"127.0.0.1:1","peer_bind":"127.0.0.1:2","services":{"cloud":"127.0.0.1:3","state":"127.0.0.1:4"},
+"settings":{"workers":{"report_s":1,"lease_s":30,"gang_wait_s":1,"gang_peer_s":1,"cancel_s":60},
+"state":{"rps":1,"write_rps":1,"value_kb":1,"txn_ops":1},"cloud":{"rps":1},"resources":{"core_share":0.1,"ram_mb":50,"max_connections":10}}}`
+
+func writeFile(t *testing.T, name, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), name)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// lugward runs the command and returns its exit code and output.
+func lugward(t *testing.T, environment string, args ...string) (code int, stdout, stderr string) {
+	t.Helper()
+	var out, errOut bytes.Buffer
+	cmd := exec.Command(os.Args[0], args...)
+	cmd.Env = append(os.Environ(), runMain+"=1", environment)
+	cmd.Stdout = &out
+	cmd.Stderr = &errOut
+	err := cmd.Run()
+	var exit *exec.ExitError
+	if err != nil && !errors.As(err, &exit) {
+		t.Fatal(err)
+	}
+	return cmd.ProcessState.ExitCode(), out.String(), errOut.String()
+}
+
+// TestGoodSettings: the check command accepts good settings.
+func TestGoodSettings(t *testing.T) {
+	path := writeFile(t, "settings.json", settings)
+	operator := writeFile(t, "operator.toml", "[term]\nlife = \"5s\"\n")
+	code, out, errOut := lugward(t, "LOG_LEVEL=", "check", "--config", path, "--operator", operator)
+	if code != 0 || out != "settings of a are good\n" || errOut != "" {
+		t.Errorf("exit code %d, output %q, errors %q", code, out, errOut)
+	}
+}
+
+// TestBadInput: any bad input ends the command with a non-zero exit code and
+// one line that says what is wrong where.
+func TestBadInput(t *testing.T) {
+	good := writeFile(t, "settings.json", settings)
+	bad := writeFile(t, "bad.json", strings.Replace(settings, `"rps":1`, `"rps":"x"`, 1))
+	operator := writeFile(t, "bad.toml", "[term]\nlife = 5\n")
+	for _, c := range []struct {
+		environment string
+		args        []string
+		want        string
+	}{
+		{"LOG_LEVEL=", nil, "--config FILE is required"},
+		{"LOG_LEVEL=", []string{"--confg", good}, "unknown flag: --confg"},
+		{"LOG_LEVEL=", []string{"chek"}, `unknown command "chek"`},
+		{"LOG_LEVEL=", []string{"check", "more"}, `"more"`},
+		{"LOG_LEVEL=", []string{"--config"}, "--config"},
+		{"LOG_LEVEL=", []string{"--config", "none.json"}, "none.json"},
+		{"LOG_LEVEL=", []string{"--config", bad}, "bad.json: settings.state.rps: expected a number"},
+		{"LOG_LEVEL=", []string{"check", "--config", bad}, "bad.json: settings.state.rps: expected a number"},
+		{"LOG_LEVEL=", []string{"--config", good, "--operator", operator}, "bad.toml: toml: line 2 (last key \"term.life\"): expected a duration"},
+		{"LOG_LEVEL=loud", []string{"--config", good}, `LOG_LEVEL "loud"`},
+	} {
+		code, out, errOut := lugward(t, c.environment, c.args...)
+		if code == 0 || out != "" || strings.Count(errOut, "\n") != 1 || !strings.Contains(errOut, c.want) {
+			t.Errorf("%v: exit code %d, output %q, errors %q", c.args, code, out, errOut)
+		}
+	}
+}
--- /dev/null
+++ b/internal/config/check.go
@@ -0,0 +1,164 @@
+package config
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/netip"
+	"reflect"
+)
+
+// check returns an error that names the first key with a bad value.
+func (p *Platform) check() error {
+	for _, check := range []func() error{
+		p.checkIdentity,
+		p.checkAddresses,
+		p.checkAmounts,
+		p.Settings.State.checkNext,
+		p.checkTimes,
+		p.checkObjectives,
+		p.checkTeams,
+	} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (p *Platform) checkIdentity() error {
+	if p.Label == "" {
+		return errors.New("label is missing")
+	}
+	for _, seed := range p.Seeds {
+		if seed.Label == "" || seed.Label == p.Label {
+			return fmt.Errorf("seeds: label %q is empty or our own", seed.Label)
+		}
+	}
+	return nil
+}
+
+func (p *Platform) checkAddresses() error {
+	type address struct{ key, value string }
+	addresses := []address{
+		{"bind", p.Bind},
+		{"peer_bind", p.PeerBind},
+		{"services.cloud", p.Services.Cloud},
+		{"services.state", p.Services.State},
+	}
+	for _, seed := range p.Seeds {
+		addresses = append(addresses, address{"seeds." + seed.Label + ".endpoint", seed.Endpoint})
+	}
+	for _, a := range addresses {
+		if _, err := netip.ParseAddrPort(a.value); err != nil {
+			return fmt.Errorf("%s: %q is not an address and port", a.key, a.value)
+		}
+	}
+	return nil
+}
+
+// amount is a setting that must be positive.
+type amount struct {
+	key   string
+	value float64
+}
+
+func checkPositive(amounts []amount) error {
+	for _, a := range amounts {
+		if !(a.value > 0) {
+			return fmt.Errorf("%s must be positive", a.key)
+		}
+	}
+	return nil
+}
+
+func (p *Platform) checkAmounts() error {
+	s := &p.Settings
+	return checkPositive([]amount{
+		{"settings.workers.report_s", s.Workers.ReportS},
+		{"settings.workers.lease_s", s.Workers.LeaseS},
+		{"settings.workers.gang_wait_s", s.Workers.GangWaitS},
+		{"settings.workers.gang_peer_s", s.Workers.GangPeerS},
+		{"settings.workers.cancel_s", s.Workers.CancelS},
+		{"settings.state.rps", s.State.RPS},
+		{"settings.state.write_rps", s.State.WriteRPS},
+		{"settings.state.value_kb", s.State.ValueKB},
+		{"settings.state.txn_ops", float64(s.State.TxnOps)},
+		{"settings.cloud.rps", s.Cloud.RPS},
+		{"settings.resources.core_share", s.Resources.CPUShare},
+		{"settings.resources.ram_mb", s.Resources.MemoryMB},
+		{"settings.resources.max_connections", float64(s.Resources.MaxConnections)},
+	})
+}
+
+func (s *StateLimits) checkNext() error {
+	if s.Next == nil {
+		return nil
+	}
+	var given []amount
+	for _, optional := range []struct {
+		key   string
+		value *float64
+	}{
+		{"settings.state.next.rps", s.Next.RPS},
+		{"settings.state.next.write_rps", s.Next.WriteRPS},
+		{"settings.state.next.value_kb", s.Next.ValueKB},
+	} {
+		if optional.value != nil {
+			given = append(given, amount{optional.key, *optional.value})
+		}
+	}
+	if s.Next.TxnOps != nil {
+		given = append(given, amount{"settings.state.next.txn_ops", float64(*s.Next.TxnOps)})
+	}
+	return checkPositive(given)
+}
+
+func (p *Platform) checkTimes() error {
+	if p.Settings.Cloud.ListLagS < 0 {
+		return errors.New("settings.cloud.list_lag_s must not be negative")
+	}
+	// A cancelled job's tasks must have ended within cancel_s even if the leader
+	// has lost the state service. It may keep its workers for what cancel_s
+	// leaves beside lease_s: there must be something left.
+	if p.Settings.Workers.CancelS <= p.Settings.Workers.LeaseS {
+		return errors.New("settings.workers.cancel_s must exceed settings.workers.lease_s")
+	}
+	return nil
+}
+
+func (p *Platform) checkObjectives() error {
+	for _, o := range p.Settings.Objectives {
+		if !o.Known() {
+			continue
+		}
+		if o.WithinS < 0 || o.Share < 0 || o.Share > 1 || o.Times < 0 {
+			return fmt.Errorf("settings.objectives: %s of class %q has a negative amount or a share beyond 1", o.Kind, o.Class)
+		}
+	}
+	return nil
+}
+
+func (p *Platform) checkTeams() error {
+	for _, t := range p.Settings.Teams {
+		if t.Name == "" || t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
+			return fmt.Errorf("settings.teams: team %q has no name or a negative amount", t.Name)
+		}
+	}
+	return nil
+}
+
+// jsonKind names what a field of the settings expects, in terms of JSON.
+func jsonKind(wrong *json.UnmarshalTypeError) string {
+	switch wrong.Type.Kind() {
+	case reflect.String:
+		return "a string"
+	case reflect.Int:
+		return "an integer"
+	case reflect.Float64:
+		return "a number"
+	case reflect.Slice:
+		return "a list"
+	}
+	return "an object"
+}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 )
@@ -11,6 +12,7 @@
 "workers":{"report_s":1,"lease_s":30,"gang_wait_s":1,"gang_peer_s":1,"cancel_s":60},"state":{"rps":1,"write_rps":1,"value_kb":1,"txn_ops":1},
 "cloud":{"rps":1,"list_lag_s":0},"resources":{"core_share":0.1,"ram_mb":50,"max_connections":10}}}`
 
+// TestPlatform: a bad value is refused by its key and what is expected there.
 func TestPlatform(t *testing.T) {
 	if _, err := Parse([]byte(good)); err != nil {
 		t.Fatal(err)
@@ -22,7 +24,13 @@
 		{`"txn_ops":1`, `"txn_ops":0`, "state.txn_ops"},
 		{`"cancel_s":60`, `"cancel_s":20`, "cancel_s"},
 		{`{"name":"t"}`, `{"name":"t","gpus":-1}`, "team"},
-		{`"rps":1`, `"rps":"x"`, "rps"},
+		{`"rps":1`, `"rps":"x"`, "settings.state.rps: expected a number, found string"},
+		{`"label":"a"`, `"label":5`, "label: expected a string"},
+		{`"txn_ops":1`, `"txn_ops":1.5`, "txn_ops: expected an integer"},
+		{`"seeds":[`, `"seeds":5,"x":[`, "seeds: expected a list"},
+		{`"services":{`, `"services":5,"x":{`, "services: expected an object"},
+		{good, `[]`, "the file: expected an object, found array"},
+		{good, `{"label";`, "not JSON, at byte 9"},
 	} {
 		_, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
@@ -62,18 +70,50 @@
 	}
 }
 
+// TestOperator: the same for the operators' TOML.
 func TestOperator(t *testing.T) {
 	o, err := ParseOperator("[term]\nlife = \"5s\"\n")
 	if err != nil || o.Term.Life != 5e9 || o.Scheduler.Round != DefaultOperator().Scheduler.Round {
 		t.Errorf("%+v, %v", o, err)
 	}
-	for _, c := range [][2]string{{"[term]\nlives = \"5s\"", "term.lives"}, {"[term]\nlife = \"-5s\"", "positive"}, {"[term]\nlife = \"10ms\"", "at least"}, {"x", "line 1"}} {
+	for _, c := range [][2]string{
+		{"[term]\nlives = \"5s\"", "term.lives"}, {"[term]\nlife = \"-5s\"", "positive"}, {"[term]\nlife = \"10ms\"", "at least"}, {"x", "line 1"},
+		{"[term]\nlife = 5", `"term.life"): expected a duration in quotes such as "1.5s", found 5`}, {"[term]\nlife = \"5\"", `"term.life"): expected a duration`}, {"term = 3", `"term"): expected a table`},
+		{"[term]\nlife = [\"4s\"]", `"term.life"): expected a duration`}, {"life = \"4s\"", "unknown key life"},
+	} {
 		if _, err := ParseOperator(c[0]); err == nil || !strings.Contains(err.Error(), c[1]) {
 			t.Errorf("%q: %v", c[0], err)
 		}
 	}
 }
 
+// TestLoad: errors name the file that is at fault.
+func TestLoad(t *testing.T) {
+	dir := t.TempDir()
+	write := func(name, text string) string {
+		path := filepath.Join(dir, name)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return path
+	}
+	settings := write("settings.json", good)
+	if _, err := Load(settings, write("good.toml", "")); err != nil {
+		t.Error(err)
+	}
+	for _, c := range []struct{ platform, operator, want string }{
+		{filepath.Join(dir, "none.json"), "", "none.json"},
+		{write("bad.json", "{}"), "", "bad.json: label is missing"},
+		{settings, filepath.Join(dir, "none.toml"), "none.toml"},
+		{settings, write("bad.toml", "[place]\nlap = 1"), "bad.toml: unknown key place.lap"},
+	} {
+		_, err := Load(c.platform, c.operator)
+		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s, %s: %v", c.platform, c.operator, err)
+		}
+	}
+}
+
 // TestSample: the documented sample is what the program does without one.
 func TestSample(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/lugward.sample.toml")
