--- a/cmd/limits/main_test.go
+++ b/cmd/limits/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A site small enough to work out by hand: two machines hold one task each,
+// small is a site small enough to work out by hand: two machines hold one task each,
 // one at 1 an hour (up), one at 3; two jobs at the start, none later, each
 // running for half of the day: one task on average.
 const small = `
@@ -36,18 +36,86 @@
 share = 0.9
 `
 
-func TestBounds(t *testing.T) {
+// output runs the command on a site file with the given text.
+func output(t *testing.T, text string) (string, error) {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "site.toml")
-	if err := os.WriteFile(path, []byte(small), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	if err := run([]string{path}, &out); err != nil {
+	err := run([]string{path}, &out)
+	return out.String(), err
+}
+
+// expectOutput checks that the output for a site has all of the given parts.
+func expectOutput(t *testing.T, text string, parts ...string) {
+	t.Helper()
+	out, err := output(t, text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range parts {
+		if !strings.Contains(out, want) {
+			t.Errorf("no %q in:\n%s", want, out)
+		}
+	}
+}
+
+// expectRefused checks that a site is refused by one line that names the file
+// and has the given part.
+func expectRefused(t *testing.T, text, want string) {
+	t.Helper()
+	out, err := output(t, text)
+	if err == nil || !strings.Contains(err.Error(), "site.toml") || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		t.Errorf("error %v, want %q; output:\n%s", err, want, out)
+	}
+}
+
+// TestBounds: the bounds of the small site, worked out by hand.
+func TestBounds(t *testing.T) {
+	expectOutput(t, small,
+		"c: 1.0 tasks run on average, 1.00 an hour at least (1.00",
+		"wait 5 s: at most 0.500 of 2 jobs (quickest machine after 8 s, 1 tasks",
+		"makespan: at least 90 s (50 s of every core",
+		"price: at least 1.00",
+		"useful: at most 1.00",
+	)
+}
+
+// TestSiteRefused: a site file that bounds can't be computed from is refused by
+// the key that is at fault.
+func TestSiteRefused(t *testing.T) {
+	for _, c := range []struct{ from, to, want string }{
+		{"duration_s = 80.0", `duration_s = "x"`, "duration_s"},
+		{"duration_s = 80.0", "duration_s = -20.0", "duration_s and warmup_s"},
+		{"weights = [2.0]", "weights = []", `jobs "c": tasks: as many weights as sizes`},
+		{"weights = [2.0]", "weights = [0.0]", `jobs "c": tasks: weights`},
+		{"median = 50.0", "median = 0.0", `jobs "c": run_s: `},
+		{"[[jobs]]", "[[others]]", "jobs: at least one class"},
+		{"cpus = 1.0\nmemory_gb = 1.0\ntasks", "cpus = 9.0\nmemory_gb = 1.0\ntasks", `jobs "c": a task fits no machine type`},
+	} {
+		expectRefused(t, strings.Replace(small, c.from, c.to, 1), c.want)
+	}
+}
+
+// TestFileErrors: the file that can't be read is named.
+func TestFileErrors(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "site.toml")
+	if err := os.WriteFile(path, []byte(small), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"c: 1.0 tasks run on average, 1.00 an hour at least (1.00", "wait 5 s: at most 0.500 of 2 jobs (quickest machine after 8 s, 1 tasks", "makespan: at least 90 s (50 s of every core", "price: at least 1.00", "useful: at most 1.00"} {
-		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %q in:\n%s", want, out.String())
+	var out strings.Builder
+	for _, c := range []struct {
+		args []string
+		want string
+	}{
+		{[]string{"none.toml"}, "site file none.toml: "},
+		{[]string{path, "none.json"}, "report none.json: "},
+		{[]string{path, path}, "report " + path + ": "},
+	} {
+		if err := run(c.args, &out); err == nil || !strings.HasPrefix(err.Error(), c.want) {
+			t.Errorf("%v: %v", c.args, err)
 		}
 	}
 }
--- a/cmd/limits/pipeline_test.go
+++ b/cmd/limits/pipeline_test.go
@@ -2,15 +2,13 @@
 
 import (
 	"math"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 )
 
-// chains is small with a diamond: 50 s, then 20 and 30 beside each other, then
-// 10; and a tail that is shorter. 90 s is the longest path. Two a hundred
-// seconds come for half of the day.
+// chains is the small site with a pipeline: a diamond of 50 s, then 20 s and 30 s
+// in parallel, then 10 s; and a shorter branch. The longest path takes 90 s. Two
+// pipelines come in a hundred seconds, for half of the day.
 const chains = small + `
 [[jobs]]
 name = "quick"
@@ -50,47 +48,29 @@
 deadline = { factor = 1.5, plus_s = 60.0 }
 `
 
-func output(t *testing.T, text string) (string, error) {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), "site.toml")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	var out strings.Builder
-	err := run([]string{path}, &out)
-	return out.String(), err
-}
-
+// TestChain: the longest path of the diamond, and the jobs that it adds to each class.
 func TestChain(t *testing.T) {
-	out, err := output(t, chains)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, want := range []string{
+	expectOutput(t, chains,
 		"pipeline p: done after 90.0 s at least, on average (c 50.0 + slow 30.0 + last 10.0); its deadline is 1.50 times what its owner expects plus 60 s\n",
-		"slow: 0.8 tasks run on average",                     // 2.5 jobs of 30 s in 100 s
-		"wait 9 s: at most 1.000 of 2 jobs (quickest",        // none are there at the start
-		"c: 1.5 tasks run on average", "last: 0.2 tasks run", // two at the start and one chained; twice one
-	} {
-		if !strings.Contains(out, want) {
-			t.Errorf("no %q in:\n%s", want, out)
-		}
-	}
+		"slow: 0.8 tasks run on average",              // 2.5 jobs of 30 s in 100 s
+		"wait 9 s: at most 1.000 of 2 jobs (quickest", // none are there at the start
+		"c: 1.5 tasks run on average",                 // two at the start and one chained
+		"last: 0.2 tasks run",                         // twice one
+	)
 }
 
+// TestChainRefused: a pipeline that can't be followed is refused by its stage.
 func TestChainRefused(t *testing.T) {
-	for from, to := range map[string]string{
-		"needs = [2, 1]":  "needs = [2, 3]",
-		`{ class = "c" }`: `{ class = "none" }`,
-		"jobs = [2, 3]":   "jobs = [2]",
+	for _, c := range []struct{ from, to, want string }{
+		{"needs = [2, 1]", "needs = [2, 3]", `pipelines "p": stage 3: needs`},
+		{`{ class = "c" }`, `{ class = "none" }`, `pipelines "p": stage 0: no jobs of class "none"`},
+		{"jobs = [2, 3]", "jobs = [2]", `pipelines "p": stage 1: jobs`},
 	} {
-		if out, err := output(t, strings.Replace(chains, from, to, 1)); err == nil {
-			t.Errorf("%s taken:\n%s", to, out)
-		}
+		expectRefused(t, strings.Replace(chains, c.from, c.to, 1), c.want)
 	}
 }
 
-// A class without jobs has no share that is late.
+// TestNoJobs: a class without jobs has no share that is late.
 func TestNoJobs(t *testing.T) {
 	out, err := output(t, strings.Replace(small, "initial = 2", "initial = 0", 1))
 	if err != nil || strings.Contains(out, "wait 5 s: at most NaN") {
@@ -98,17 +78,18 @@
 	}
 }
 
-func TestLeast(t *testing.T) {
+// TestLeastMean: the closed form agrees with an integral by steps.
+func TestLeastMean(t *testing.T) {
 	s := spread{Median: 15, P95: 35, Max: 50}
 	// The mean of the log-normal below 50, integrated by steps.
-	sigma := math.Log(s.P95/s.Median) / 1.6449
+	sigma := math.Log(s.P95/s.Median) / z95
 	sum, weight := 0.0, 0.0
 	for x := 0.005; x < s.Max; x += 0.01 {
 		z := math.Log(x/s.Median) / sigma
 		d := math.Exp(-z*z/2) / x
 		sum, weight = sum+x*d, weight+d
 	}
-	if got := s.least(); math.Abs(got-sum/weight) > 0.01 || got >= s.mean() {
+	if got := s.leastMean(); math.Abs(got-sum/weight) > 0.01 || got >= s.mean() {
 		t.Errorf("got %.3f, integrated %.3f, mean %.3f", got, sum/weight, s.mean())
 	}
 }
