--- a/cmd/limits/pipeline_test.go
+++ b/cmd/limits/pipeline_test.go
@@ -1,36 +1,30 @@
 package main
 
 import (
+	"fmt"
 	"math"
 	"strings"
 	"testing"
 )
 
-// chains is the small site with a pipeline: a diamond of 50 s, then 20 s and 30 s
-// in parallel, then 10 s; and a shorter branch. The longest path takes 90 s. Two
-// pipelines come in a hundred seconds, for half of the day.
-const chains = small + `
-[[jobs]]
-name = "quick"
-cpus = 1.0
-memory_gb = 1.0
-tasks = { sizes = [1], weights = [1.0] }
-run_s = { median = 20.0, p95 = 20.0 }
-images = { gb = { median = 2.0, p95 = 2.0 } }
-[[jobs]]
-name = "slow"
-cpus = 1.0
-memory_gb = 1.0
-tasks = { sizes = [1], weights = [1.0] }
-run_s = { median = 30.0, p95 = 30.0 }
-images = { gb = { median = 2.0, p95 = 2.0 } }
+// classText is the text of a class whose jobs are one task each that runs for so
+// many seconds.
+func classText(name string, seconds int) string {
+	return fmt.Sprintf(`
 [[jobs]]
-name = "last"
+name = %q
 cpus = 1.0
 memory_gb = 1.0
 tasks = { sizes = [1], weights = [1.0] }
-run_s = { median = 10.0, p95 = 10.0 }
+run_s = { median = %d.0, p95 = %d.0 }
 images = { gb = { median = 2.0, p95 = 2.0 } }
+`, name, seconds, seconds)
+}
+
+// chains is the small site with a pipeline: a diamond of 50 s, then 20 s and 30 s
+// in parallel, then 10 s; and a shorter branch. The longest path takes 90 s. Two
+// pipelines come in a hundred seconds, for half of the day.
+var chains = small + classText("quick", 20) + classText("slow", 30) + classText("last", 10) + `
 [[targets]]
 kind = "wait"
 class = "slow"
