--- a/internal/api/node_test.go
+++ b/internal/api/node_test.go
@@ -32,12 +32,20 @@
 	names := &pipeline.Names{}
 	names.Zones.Index("a")
 	n.jobs = pipeline.NewTable(names, valueBytes, txnOps)
-	n.store = store.New("s", store.Limits{TxnOps: txnOps, RPS: 1000, WriteRPS: 1000, StaleAfter: time.Hour}, func(key string, data []byte, version uint64) {
+	limits := store.Limits{TxnOps: txnOps, RPS: 1000, WriteRPS: 1000, StaleAfter: time.Hour}
+	n.store = store.New("s", limits, func(key string, data []byte, version uint64) {
 		kind, rest := store.SplitKey(key)
 		n.jobs.Listen(kind, rest, data, version)
 	})
 	machineTypes := &scheduler.MachineTypes{{Index: names.MachineTypes.Index("m"), CPUs: 8, Memory: 32, Zones: []int{0}}}
-	n.server = New(Config{Label: label, Teams: []config.Team{{Name: "red"}}, Answer: 1500 * time.Millisecond, ValueBytes: valueBytes, TxnOps: txnOps}, names, n.jobs, n.store, machineTypes)
+	cfg := Config{
+		Label:      label,
+		Teams:      []config.Team{{Name: "red"}},
+		Answer:     1500 * time.Millisecond,
+		ValueBytes: valueBytes,
+		TxnOps:     txnOps,
+	}
+	n.server = New(cfg, names, n.jobs, n.store, machineTypes)
 	n.run(time.Second)
 	n.server.store.Barrier(func(event.Time, bool, *event.Effects) {})
 	n.run(time.Second)
--- a/internal/api/parts_test.go
+++ b/internal/api/parts_test.go
@@ -46,56 +46,81 @@
 	n.expect("below a cancelled one", m.send("GET", "/submissions/req-1", ""), 200, "cancelled")
 }
 
+// interrupt makes the service lose the answer to the first write of a key, or
+// delay that write. It returns whether that has happened.
+func (s *service) interrupt(key string, delay bool) *bool {
+	interrupted := new(bool)
+	first := func(body string) bool {
+		if *interrupted || !strings.Contains(body, `"write":"`+key+`"`) {
+			return false
+		}
+		*interrupted = true
+		return true
+	}
+	if delay {
+		s.delay = first
+	} else {
+		s.loseAnswer = first
+	}
+	return interrupted
+}
+
 // TestInterruptedSubmissions: the answer to any write of an attempt may get lost,
 // or the write may be executed late. The job is accepted whole or not at all.
 func TestInterruptedSubmissions(t *testing.T) {
-	for _, key := range []string{"u/req-1/0", "u/req-1/1", "u/req-1/3", "j/req-1"} {
-		for _, late := range []bool{false, true} {
+	for _, c := range []struct {
+		key         string
+		delay       bool
+		firstAnswer int
+	}{
+		// The stored part 0 does not tell whose it is: the user has to come back.
+		{"u/req-1/0", false, 503},
+		{"u/req-1/0", true, 503},
+		// Executed twice, another part changes nothing: it is written again at once.
+		{"u/req-1/1", false, 201},
+		{"u/req-1/1", true, 201},
+		{"u/req-1/3", false, 201},
+		{"u/req-1/3", true, 201},
+		{"j/req-1", false, 200},
+		{"j/req-1", true, 201},
+	} {
+		t.Run(fmt.Sprintf("%s delay %v", c.key, c.delay), func(t *testing.T) {
 			s := newService(t)
 			n := newNode(t, s, "n0")
 			list := n.upstreamList(1_000_000, 1500)
-			once := true
-			hit := func(body string) bool {
-				if once && strings.Contains(body, `"write":"`+key+`"`) {
-					once = false
-					return true
-				}
-				return false
-			}
-			if late {
-				s.delay = hit
-			} else {
-				s.loseAnswer = hit
-			}
+			interrupted := s.interrupt(c.key, c.delay)
 			status := n.submit(1, list).Status
-			// Carried out twice a part changes nothing: it is written again at once.
-			if want := map[string]int{"u/req-1/0": 503, "j/req-1": map[bool]int{true: 201, false: 200}[late]}[key]; want != status && (want != 0 || status != 201) {
-				t.Errorf("%s, late %v: the first answer is %d", key, late, status)
+			if status != c.firstAnswer {
+				t.Errorf("the first answer is %d", status)
 			}
-			for range 8 {
-				if status == 201 || status == 200 {
-					break
-				}
-				if status != 503 {
-					t.Fatalf("%s: %d", key, status)
-				}
+			for retries := 0; status == 503 && retries < 8; retries++ {
 				n.run(2 * time.Second)
 				status = n.submit(1, list).Status
 			}
+			if status != 200 && status != 201 {
+				t.Fatalf("the last answer is %d", status)
+			}
 			before := strings.Join(s.parts(1), "")
 			s.executeDelayed()
-			n.expect(key, n.send("GET", "/submissions/req-1", ""), 200, "queued")
-			if once || strings.Join(s.parts(1), "") != before {
-				t.Errorf("%s, late %v: a late write has changed the list", key, late)
+			n.expect("poll", n.send("GET", "/submissions/req-1", ""), 200, "queued")
+			if !*interrupted || strings.Join(s.parts(1), "") != before {
+				t.Error("no write was interrupted, or a late one has changed the list")
 			}
-			m := newNode(t, s, "n1")
-			m.send("GET", "/submissions/req-1", "")
-			s.put("f/req-1001499", final(pipeline.Cancelled, pipeline.Array))
-			n.expect(key+" elsewhere", m.send("GET", "/submissions/req-1", ""), 200, "cancelled")
-		}
+			expectWholeList(t, s, "req-1001499")
+		})
 	}
 }
 
+// expectWholeList checks that another node knows the last job of req-1's list:
+// when that one is cancelled, req-1 is.
+func expectWholeList(t *testing.T, s *service, last string) {
+	t.Helper()
+	m := newNode(t, s, "n1")
+	m.send("GET", "/submissions/req-1", "")
+	s.put("f/"+last, final(pipeline.Cancelled, pipeline.Array))
+	m.expect("elsewhere", m.send("GET", "/submissions/req-1", ""), 200, "cancelled")
+}
+
 // TestRepeatAtOnce: a repeat that comes before anything is stored gets 503.
 func TestRepeatAtOnce(t *testing.T) {
 	s := newService(t)
--- a/internal/api/upstream_test.go
+++ b/internal/api/upstream_test.go
@@ -24,9 +24,9 @@
 	}
 	n.expect("itself", n.submit(4, `,"awaits":["req-4"]`), 422, "")
 	n.expect("unknown", n.submit(4, `,"awaits":["req-1","req-99"]`), 422, "")
-	n.expect("held", n.submit(4, `,"awaits":["req-1","req-2","req-1"]`), 201, "queued")
+	n.expect("waiting for others", n.submit(4, `,"awaits":["req-1","req-2","req-1"]`), 201, "queued")
 	if j := n.jobs.Job("req-4"); j.Ready || strings.Join(j.Upstream, " ") != "req-1 req-2" || j.Submitted == 0 {
-		t.Errorf("ready %v, above %v, at %d", j.Ready, j.Upstream, j.Submitted)
+		t.Errorf("ready %v, upstream %v, at %d", j.Ready, j.Upstream, j.Submitted)
 	}
 	// A retry is found before it is judged.
 	for _, list := range []string{`["req-99"]`, `["req-4"]`, `[]`, `7`} {
@@ -45,10 +45,10 @@
 	n := newNode(t, s, "n0")
 	daemon := strings.Replace(body(1, ""), "array", "daemon", 1)
 	n.expect("service", n.send("POST", "/submissions", daemon), 201, "queued")
-	n.expect("below it", n.submit(2, `,"awaits":["req-1"]`), 422, "")
+	n.expect("downstream of it", n.submit(2, `,"awaits":["req-1"]`), 422, "")
 	n.expect("cancel", n.send("POST", "/submissions/req-1/cancel", ""), 200, "cancelled")
 	s.put("j/req-1", nil)
-	n.expect("below one that is over", n.submit(2, `,"awaits":["req-1"]`), 422, "")
+	n.expect("downstream of one that has ended", n.submit(2, `,"awaits":["req-1"]`), 422, "")
 }
 
 // TestAwaitsBehind: what the replica does not show may have been accepted
@@ -56,7 +56,7 @@
 func TestAwaitsBehind(t *testing.T) {
 	s := newService(t)
 	n, m := newNode(t, s, "n0"), newNode(t, s, "n1")
-	n.expect("above", n.submit(1, ""), 201, "queued")
+	n.expect("upstream", n.submit(1, ""), 201, "queued")
 	s.down = true
 	n.expect("in an outage", m.submit(2, `,"awaits":["req-1"]`), 503, "")
 	n.expect("in an outage", m.submit(2, `,"awaits":["req-9"]`), 503, "")
@@ -76,7 +76,7 @@
 	s := newService(t)
 	n := newNode(t, s, "n0")
 	for id := range 3 {
-		n.expect("above", n.submit(1+id, ""), 201, "queued")
+		n.expect("upstream", n.submit(1+id, ""), 201, "queued")
 	}
 	s.put("f/req-1", final(pipeline.Done, pipeline.Array))
 	s.put("j/req-1", nil)
@@ -85,13 +85,13 @@
 	if j := n.jobs.Job("req-4"); !j.Ready || j.ReadyAt != j.Submitted {
 		t.Errorf("ready %v", j.Ready)
 	}
-	n.expect("held", n.submit(5, `,"awaits":["req-2"]`), 201, "queued")
-	n.expect("below", n.submit(6, `,"awaits":["req-5"]`), 201, "queued")
+	n.expect("waiting for others", n.submit(5, `,"awaits":["req-2"]`), 201, "queued")
+	n.expect("downstream", n.submit(6, `,"awaits":["req-5"]`), 201, "queued")
 	n.expect("beside", n.submit(7, `,"awaits":["req-3"]`), 201, "queued")
 	n.expect("cancel", n.send("POST", "/submissions/req-2/cancel", ""), 200, "cancelled")
 	// Judged by its ancestors on every node, before any mark of its own.
 	for _, m := range []*node{n, newNode(t, s, "n1")} {
-		n.expect("below a cancelled one", m.send("GET", "/submissions/req-6", ""), 200, "cancelled")
+		n.expect("downstream of a cancelled one", m.send("GET", "/submissions/req-6", ""), 200, "cancelled")
 		n.expect("cancelled by its user, too", m.send("POST", "/submissions/req-6/cancel", ""), 200, "cancelled")
 		n.expect("beside it", m.send("GET", "/submissions/req-7", ""), 200, "queued")
 	}
@@ -108,9 +108,9 @@
 	n.submit(2, `,"awaits":["req-1"]`)
 	s.put("f/req-1", final(pipeline.Done, pipeline.Array))
 	n.expect("cancel", n.send("POST", "/submissions/req-1/cancel", ""), 200, "done")
-	n.expect("below", n.send("GET", "/submissions/req-2", ""), 200, "queued")
-	if held := n.jobs.Releasable(); len(held) != 1 || held[0].ID != "req-2" {
-		t.Errorf("%d to be marked ready", len(held))
+	n.expect("downstream", n.send("GET", "/submissions/req-2", ""), 200, "queued")
+	if waiting := n.jobs.Releasable(); len(waiting) != 1 || waiting[0].ID != "req-2" {
+		t.Errorf("%d to be marked ready", len(waiting))
 	}
 }
 
--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -55,7 +55,7 @@
 	added    verdict = iota // it goes with this batch
 	finished                // it has nothing to write and has ended
 	skipped                 // it waits for its key; intents behind it may go first
-	blocked                 // it waits for room; nothing of its priority goes first
+	blocked                 // it does not fit; nothing of its priority goes first
 )
 
 // pickBatch takes what fits into one transaction off the queue, most urgent first.
@@ -79,8 +79,8 @@
 	return b
 }
 
-// pickPriority adds what fits of one priority. It reports whether the batch has
-// no room for the rest. Within a priority the order is kept, lest small intents
+// pickPriority adds what fits of one priority. It reports whether the batch
+// takes no more. Within a priority the order is kept, lest small intents
 // starve a large one.
 func (c *Client) pickPriority(now event.Time, priority Priority, capacity int, b *batch) (full bool) {
 	waiting := c.transactions.queue[priority]
--- a/internal/store/demand.go
+++ b/internal/store/demand.go
@@ -23,12 +23,18 @@
 
 // advance goes on to the window that holds now.
 func (m *meter) advance(now event.Time) {
-	switch elapsed := now - m.began; {
-	case elapsed >= 2*meterWindow:
-		m.last, m.current, m.began = 0, 0, now
-	case elapsed >= meterWindow:
-		m.last, m.current, m.began = m.current, 0, m.began+meterWindow
+	elapsed := now - m.began
+	if elapsed < meterWindow {
+		return
 	}
+	if elapsed < 2*meterWindow {
+		m.last = m.current
+		m.began += meterWindow
+	} else {
+		m.last = 0
+		m.began = now
+	}
+	m.current = 0
 }
 
 // rate returns the average per second.
