--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -61,8 +61,16 @@
 		}
 	}
 	for next, name := range map[string]string{
-		`5`: "next", `[]`: "next", `"x"`: "next", `{"rps":"x"}`: "next.rps", `{"rps":0}`: "state.next.rps", `{"write_rps":-1}`: "state.next.write_rps",
-		`{"value_kb":0}`: "state.next.value_kb", `{"value_kb":[2]}`: "next.value_kb", `{"txn_ops":0}`: "state.next.txn_ops", `{"txn_ops":2.5}`: "next.txn_ops",
+		`5`:                "next",
+		`[]`:               "next",
+		`"x"`:              "next",
+		`{"rps":"x"}`:      "next.rps",
+		`{"rps":0}`:        "state.next.rps",
+		`{"write_rps":-1}`: "state.next.write_rps",
+		`{"value_kb":0}`:   "state.next.value_kb",
+		`{"value_kb":[2]}`: "next.value_kb",
+		`{"txn_ops":0}`:    "state.next.txn_ops",
+		`{"txn_ops":2.5}`:  "next.txn_ops",
 	} {
 		if _, err := with(`,"next":` + next); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", next, err)
@@ -77,9 +85,15 @@
 		t.Errorf("%+v, %v", o, err)
 	}
 	for _, c := range [][2]string{
-		{"[term]\nlives = \"5s\"", "term.lives"}, {"[term]\nlife = \"-5s\"", "positive"}, {"[term]\nlife = \"10ms\"", "at least"}, {"x", "line 1"},
-		{"[term]\nlife = 5", `"term.life"): expected a duration in quotes such as "1.5s", found 5`}, {"[term]\nlife = \"5\"", `"term.life"): expected a duration`}, {"term = 3", `"term"): expected a table`},
-		{"[term]\nlife = [\"4s\"]", `"term.life"): expected a duration`}, {"life = \"4s\"", "unknown key life"},
+		{"[term]\nlives = \"5s\"", "term.lives"},
+		{"[term]\nlife = \"-5s\"", "positive"},
+		{"[term]\nlife = \"10ms\"", "at least"},
+		{"x", "line 1"},
+		{"[term]\nlife = 5", `"term.life"): expected a duration in quotes such as "1.5s", found 5`},
+		{"[term]\nlife = \"5\"", `"term.life"): expected a duration`},
+		{"term = 3", `"term"): expected a table`},
+		{"[term]\nlife = [\"4s\"]", `"term.life"): expected a duration`},
+		{"life = \"4s\"", "unknown key life"},
 	} {
 		if _, err := ParseOperator(c[0]); err == nil || !strings.Contains(err.Error(), c[1]) {
 			t.Errorf("%q: %v", c[0], err)
