--- /dev/null
+++ b/internal/store/client.go
@@ -0,0 +1,151 @@
+// Package store is the client of the state service. It keeps a replica of all
+// keys by following the service's changes, batches writes into transactions
+// under the rates that the controllers share, manages leases, and offers the
+// read barrier that every answer to a user rests on.
+//
+// Nothing here blocks or reads a clock: requests leave as effects, their
+// answers and the passing of time come in through Client.CallDone and
+// Client.Tick.
+package store
+
+import (
+	"log/slog"
+	"time"
+
+	"lugward/internal/event"
+)
+
+// Limits are the service's published limits and this node's settings for it.
+type Limits struct {
+	// TxnOps is the largest number of writes in one transaction.
+	TxnOps int
+	// RPS and WriteRPS are the requests and writes per second that the service
+	// takes of all controllers together.
+	RPS      float64
+	WriteRPS float64
+	// NextRPS and NextWriteRPS are the rates in force from the first 429 on;
+	// 0 means unchanged. The service may lower its rates without notice.
+	NextRPS, NextWriteRPS float64
+	// StaleAfter is the age at which the replica is refreshed although nobody
+	// waits for a read barrier.
+	StaleAfter time.Duration
+}
+
+// ListenFunc receives every change of the replica. data is nil when the key
+// has been dropped.
+type ListenFunc func(key string, data []byte, version uint64)
+
+const (
+	// callTimeout bounds every request that is answered without waiting.
+	callTimeout = 1500 * time.Millisecond
+	// refusedPause is the pause before a retry after 429, 503 or no answer.
+	refusedPause = 100 * time.Millisecond
+	// minPollInterval is the least time between two watches, and between two
+	// barriers: answers come one round trip after each, so more would not make
+	// the replica any fresher.
+	minPollInterval = 150 * time.Millisecond
+	// pollShare is the part of the request rate that watches and barriers use
+	// together; the rest is for transactions and leases.
+	pollShare = 0.6
+	// pollKinds is the number of kinds of polls that divide pollShare.
+	pollKinds = 2
+)
+
+// Client is the state service as one controller sees it. It is not safe for
+// concurrent use.
+type Client struct {
+	// Log, if set, receives the writes that the service calls malformed.
+	Log *slog.Logger
+
+	addr    string
+	limits  Limits
+	rates   rates
+	pending map[uint64]pendingCall // by the ID of the event.Call
+	health  health
+
+	replica replica
+	scan    scan
+	watch   poll
+	barrier poll
+	// barrierQueue are the callers that wait for the next barrier to be sent.
+	barrierQueue []BarrierFunc
+
+	transactions transactions
+}
+
+// New returns a client for the service at addr. listen is called for every
+// change of the replica, from within Tick and CallDone.
+func New(addr string, limits Limits, listen ListenFunc) *Client {
+	return &Client{
+		addr:         addr,
+		limits:       limits,
+		rates:        newRates(limits),
+		pending:      map[uint64]pendingCall{},
+		health:       newHealth(),
+		replica:      newReplica(listen),
+		watch:        poll{interval: minPollInterval},
+		barrier:      poll{interval: minPollInterval},
+		transactions: newTransactions(),
+	}
+}
+
+// Synced reports whether the replica is complete: every key has been read, and
+// the changes since then can be followed.
+func (c *Client) Synced() bool { return c.replica.synced }
+
+// Contact is when the last request that the service executed was sent.
+func (c *Client) Contact() event.Time { return c.health.contact }
+
+// Fresh is a time up to which the replica holds every change. It shows a
+// replica that has become stale because the answer to a watch was lost.
+func (c *Client) Fresh() event.Time { return c.replica.fresh }
+
+// Revision is the revision of the service up to which the replica is complete.
+func (c *Client) Revision() uint64 { return c.replica.revision }
+
+// Outage reports whether the last request found the service unavailable.
+func (c *Client) Outage() bool { return c.health.outage }
+
+// Version returns the version of a key in the replica, 0 if absent.
+func (c *Client) Version(key string) uint64 { return c.replica.versions[key] }
+
+// SetShare changes this node's part of the rates. Watches and barriers are
+// paced so that they leave requests for transactions and leases.
+func (c *Client) SetShare(rps, writeRPS float64) {
+	c.rates.requests.rate = rps
+	c.rates.writes.rate = writeRPS
+	interval := time.Duration(pollKinds / (pollShare * rps) * float64(time.Second))
+	c.watch.interval = max(minPollInterval, interval)
+	c.barrier.interval = c.watch.interval
+}
+
+// Rates returns the requests and writes per second that the service is known
+// to take of all controllers together.
+func (c *Client) Rates() (rps, writeRPS float64) { return c.limits.RPS, c.limits.WriteRPS }
+
+// lowerRates puts the announced rates into force. A 429 is the first sign of
+// them; if it came of a burst instead, the lower rates cost little.
+func (c *Client) lowerRates() {
+	if next := c.limits.NextRPS; next > 0 {
+		c.limits.RPS = min(c.limits.RPS, next)
+	}
+	if next := c.limits.NextWriteRPS; next > 0 {
+		c.limits.WriteRPS = min(c.limits.WriteRPS, next)
+	}
+}
+
+// Tick ends what has expired and sends what is due. It is called at least as
+// often as the shortest interval above.
+func (c *Client) Tick(now event.Time, out *event.Effects) {
+	c.expireIntents(now, out)
+	if !c.replica.synced {
+		c.failBarriers(now, out)
+		if !c.scan.running && now >= c.scan.notBefore {
+			c.startScan(now, out)
+		}
+		return
+	}
+	c.sendTransactions(now, out)
+	c.sendBarrier(now, out)
+	c.sendWatch(now, out)
+}
