--- a/internal/simtest/chains.go
+++ b/internal/simtest/chains.go
@@ -451,7 +451,7 @@
 			return err.Error()
 		}
 	default:
-		return w.trouble(cmd, a)
+		return w.doFailures(cmd, a)
 	}
 	return "ok"
 }
--- a/internal/simtest/check.go
+++ b/internal/simtest/check.go
@@ -61,6 +61,7 @@
 // started is called when a task has its image and starts.
 func (c *Checker) started(t *task) {
 	c.starts++
+	t.job.attempts++
 	j, k := t.job, t.on
 	inZone := map[string]int{k.zone: 1}
 	use := map[string][2]float64{}
@@ -105,6 +106,14 @@
 	}
 }
 
+// stopped is called when a worker executes a stop: it counts for a task that was
+// not being stopped yet and whose job is neither finished nor cancelled.
+func (c *Checker) stopped(t *task) {
+	if t.job != nil && t.phase != "saving" && len(t.job.complete) < t.job.taskCount && !c.cancelRequested(t.job.id) {
+		t.job.stopped++
+	}
+}
+
 // moment checks what must hold at any time.
 func (c *Checker) moment() {
 	c.noteReleased()
--- a/internal/simtest/waiting.go
+++ b/internal/simtest/waiting.go
@@ -70,7 +70,7 @@
 	const moments = int(capacityWindow / watchEvery)
 	var list []capacity
 	for _, k := range c.w.Workers() {
-		if !k.up || k.hung || k.reportsBlocked || k.reclaimAt != 0 || k.slow > 0 || c.w.unreachable(k) {
+		if !k.up || k.hung || k.reportsBlocked || k.reclaimAt != 0 || k.slow > 0 || k.faulty || c.w.unreachable(k) {
 			delete(c.free, k)
 			continue
 		}
--- a/internal/simtest/worker.go
+++ b/internal/simtest/worker.go
@@ -28,6 +28,7 @@
 	leaseFrom          time.Duration
 	tokenSeen          time.Duration
 	reportsBlocked     bool // it reaches no controller, direct commands reach it
+	faulty             bool // every task that starts on it fails
 	hangState
 }
 
@@ -67,6 +68,8 @@
 	run                time.Duration
 	image              time.Duration
 	broken             bool // fails on every machine
+	attempts           int  // starts that workers executed
+	stopped            int  // tasks stopped by a command while the job was neither finished nor cancelled
 	progress           map[int]time.Duration
 	complete           map[int]bool
 	gangs              map[uint64]*gang
@@ -269,6 +272,7 @@
 			k.start(o)
 		case "stop":
 			if t != nil && t.attempt == o.Attempt && t.phase != "exited" {
+				k.w.check.stopped(t)
 				k.stop(t, seconds(o.Wind))
 			}
 		case "reap":
@@ -324,12 +328,12 @@
 		switch {
 		case j.complete[index]:
 			k.exit(t, "done", false)
-		case j.broken:
-			t.phase = "running"
-			k.w.later(t, 300*time.Millisecond, func() { k.exit(t, "error", false) })
 		case j.shape == "gang":
 			t.phase = "waiting"
 			k.joinGang(t)
+		case t.fails():
+			t.phase = "running"
+			k.failSoon(t)
 		default:
 			t.phase, t.begun = "running", k.executed()
 			j.begin(k.w.now)
@@ -348,6 +352,17 @@
 	})
 }
 
+// failureDelay is how long a task that fails runs before it exits.
+const failureDelay = 300 * time.Millisecond
+
+// fails tells whether a task can only fail: because of its job or its machine.
+func (t *task) fails() bool { return t.job.broken || t.on.faulty }
+
+// failSoon lets a running task exit with an error.
+func (k *worker) failSoon(t *task) {
+	k.w.later(t, failureDelay, func() { k.exit(t, "error", false) })
+}
+
 // later runs f unless the task has changed state by then.
 func (w *World) later(t *task, d time.Duration, f func()) {
 	t.gen++
@@ -389,14 +404,21 @@
 	g.tasks[t.index] = t
 	if !g.started && len(g.tasks) == j.taskCount {
 		g.started = true
-		j.begin(k.w.now)
+		failing := false
 		for i := range j.taskCount {
 			m := g.tasks[i]
 			m.phase, m.begun = "running", m.on.executed()
 			m.on.changed = true
 			m.gen++
+			if m.fails() {
+				failing = true
+				m.on.failSoon(m)
+			}
+		}
+		if !failing {
+			j.begin(k.w.now)
+			k.w.endsAfter(j, g, j.run-j.progress[0])
 		}
-		k.w.endsAfter(j, g, j.run-j.progress[0])
 		return
 	}
 	k.w.later(t, seconds(k.w.cfg.Settings.Workers.GangWaitS), func() { k.exit(t, "incomplete", false) })
