--- a/internal/simtest/hang.go
+++ b/internal/simtest/hang.go
@@ -41,22 +41,6 @@
 	}
 }
 
-func (j *job) gangOf(t *task) *gang {
-	if j == nil {
-		return nil
-	}
-	return j.gangs[t.attempt]
-}
-
-func (g *gang) anyAwake() bool {
-	for _, m := range g.tasks {
-		if !m.on.hung {
-			return true
-		}
-	}
-	return false
-}
-
 func (k *worker) wake() {
 	if !k.up || !k.hung {
 		return
@@ -132,20 +116,6 @@
 	k.w.after(d, check)
 }
 
-// endGang lets the tasks of a gang that lost one exit, on a machine that hangs
-// once it goes on.
-func (w *World) endGang(j *job, g *gang) {
-	for i := range j.taskCount {
-		if m := g.tasks[i]; m != nil && m.onMachine() {
-			m.on.whenAwake(func() {
-				if m.onMachine() && m.on.tasks[m.name] == m {
-					m.on.exit(m, "peers", false)
-				}
-			})
-		}
-	}
-}
-
 // resumed looks at what goes on when a machine does: a task that should be gone
 // by then is on it, however soon it is stopped after that.
 func (c *Checker) resumed(k *worker) {
@@ -155,10 +125,3 @@
 		}
 	}
 }
-
-func (j *job) idOf() string {
-	if j == nil {
-		return ""
-	}
-	return j.id
-}
--- a/internal/simtest/upgrade.go
+++ b/internal/simtest/upgrade.go
@@ -190,33 +190,6 @@
 	}
 }
 
-// endsAfter ends a gang that runs to its end, once all its machines go on.
-func (w *World) endsAfter(j *job, g *gang, d time.Duration) {
-	var end func()
-	end = func() {
-		if g.over || g.stopAt != 0 {
-			return
-		}
-		for i := range j.taskCount {
-			if m := g.tasks[i]; m != nil && m.on.hung {
-				m.on.whenAwake(end)
-				return
-			}
-		}
-		g.over = true
-		for i := range j.taskCount {
-			j.complete[i] = true
-		}
-		for i := range j.taskCount {
-			if m := g.tasks[i]; m != nil && m.phase == "running" {
-				m.on.exit(m, "done", false)
-			}
-		}
-		w.ended(j)
-	}
-	w.after(d, end)
-}
-
 // recordedArgNames are the names of a submission's arguments in recordings,
 // where they differ from those of scenarios.
 var recordedArgNames = map[string]string{"shards": "tasks", "cores": "cpus", "cards": "gpus", "ram": "memory", "flavors": "types", "yard": "zone",
--- /dev/null
+++ b/internal/simtest/users.go
@@ -0,0 +1,265 @@
+package simtest
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"math"
+	"strings"
+	"time"
+)
+
+// userRetry is how long users go on asking.
+const userRetry = 60 * time.Second
+
+// Body registers a job with the workers, as its user does, and returns the
+// submission.
+func (w *World) Body(a Args) []byte {
+	id := a["id"]
+	j := w.jobs[id]
+	if j == nil {
+		j = &job{id: id, progress: map[int]time.Duration{}, complete: map[int]bool{}, gangs: map[uint64]*gang{}}
+		w.jobs[id] = j
+	}
+	j.team, j.shape, j.class = a.or("team", "red"), a.or("shape", "array"), a.or("class", "c")
+	j.taskCount = int(a.num("tasks", "1"))
+	j.cpus, j.gpus, j.memory = a.num("cpus", "1"), a.num("gpus", "0"), a.num("memory", "1")
+	if f, ok := a["types"]; ok {
+		j.machineTypes = strings.Split(f, "+")
+	}
+	j.zone = a["zone"]
+	j.sameZone, j.scatter, j.allowSpot, j.broken = a.flag("same_zone"), a.flag("scatter"), a.flag("spot"), a.flag("broken")
+	j.run, j.image = a.dur("run", "5s"), a.dur("image", "1s")
+	j.checkpointInterval, j.checkpointDuration = a.dur("checkpoint", "0s"), a.dur("checkpoint_cost", "1s")
+	o := object{"name_id": id, "jobclass": j.class, "owner": j.team, "shape": j.shape, "rank": a.or("priority", "normal"), "shards": j.taskCount,
+		"cores": j.cpus, "cards": j.gpus, "ram_gb": j.memory, "bundle": a.or("bundle", "img"), "image_gb": 1, "flavors": j.machineTypes, "yard": nil,
+		"same_place": j.sameZone, "scatter": j.scatter, "loaners": j.allowSpot, "expect_s": j.run.Seconds(),
+		"snapshot_every_s": j.checkpointInterval.Seconds(), "snapshot_s": j.checkpointDuration.Seconds(), "due_s": nil}
+	if j.zone != "" {
+		o["yard"] = j.zone
+	}
+	if ids := w.await(j, a); ids != nil {
+		o["awaits"] = ids
+	}
+	j.body, _ = json.Marshal(o)
+	return j.body
+}
+
+// ask sends one user request to a node and plays until the answer is there.
+func (w *World) ask(n *node, method, path string, body []byte) (int, map[string]any) {
+	status, done := 0, false
+	var answer map[string]any
+	w.request("user", n, method, path, body, 5*time.Second, func(s int, b []byte) {
+		status, done = s, true
+		_ = json.Unmarshal(b, &answer)
+	})
+	for end := w.now + 6*time.Second; !done && w.now < end; {
+		w.Run(20 * time.Millisecond)
+	}
+	return status, answer
+}
+
+// entryNode is the controller that the next request of a user goes to.
+func (w *World) entryNode() *node {
+	if w.users != nil {
+		return w.users
+	}
+	return w.nodes[w.rng.IntN(len(w.nodes))]
+}
+
+// user repeats a request as users do until an answer counts.
+func (w *World) user(id, method, path string, body []byte) (int, string) {
+	for end := w.now + userRetry; ; w.Run(time.Second) {
+		asked := w.now
+		status, v := w.ask(w.entryNode(), method, path, body)
+		phase, _ := v["phase"].(string)
+		w.check.answered(asked, id, status, phase)
+		if j := w.jobs[id]; j != nil && j.asked == 0 {
+			j.asked = max(w.now, 1)
+		}
+		switch status {
+		case 200, 201, 400, 404, 422:
+			return status, phase
+		}
+		if w.now >= end {
+			return status, "gave up"
+		}
+	}
+}
+
+// Submit submits a job.
+func (w *World) Submit(a Args) (int, string) {
+	body := w.Body(a)
+	w.jobs[a["id"]].submitted = true
+	return w.user(a["id"], "POST", "/submissions", body)
+}
+
+// crowd submits many jobs at the same moment, each user repeating as users do,
+// and tells how many were accepted, within how many seconds the slowest request
+// was answered at all, and whether refusals come at once on average.
+func (w *World) crowd(a Args) string {
+	accepted, open := 0, int(a.num("count", "1"))
+	var slowest, t503 time.Duration
+	n503 := 0
+	end := w.now + userRetry
+	for i := range open {
+		one := maps.Clone(a)
+		one["id"] = fmt.Sprintf("req-%06d", int(a.num("from", "1"))+i)
+		body := w.Body(one)
+		j := w.jobs[one["id"]]
+		j.submitted = true
+		var attempt func()
+		attempt = func() {
+			asked := w.now
+			w.request("user", w.entryNode(), "POST", "/submissions", body, 5*time.Second, func(status int, b []byte) {
+				var v struct {
+					Phase string `json:"phase"`
+				}
+				_ = json.Unmarshal(b, &v)
+				w.check.answered(asked, j.id, status, v.Phase)
+				slowest = max(slowest, w.now-asked)
+				if status == 503 {
+					n503++
+					t503 += w.now - asked
+				}
+				switch {
+				case status == 200 || status == 201:
+					j.asked = asked
+					accepted, open = accepted+1, open-1
+				case w.now >= end:
+					open--
+				default:
+					w.after(time.Second, attempt)
+				}
+			})
+		}
+		attempt()
+	}
+	for open > 0 {
+		w.Run(100 * time.Millisecond)
+	}
+	if most := a.dur("within", "0s"); most > 0 && slowest <= most {
+		// Where links lose packets, a call of ours may take its time.
+		return fmt.Sprintf("%d accepted, answered in time", accepted)
+	}
+	when := "at once"
+	if mean := t503 / time.Duration(max(1, n503)); mean > 500*time.Millisecond {
+		when = "after " + mean.String()
+	}
+	return fmt.Sprintf("%d accepted, answered within %.0fs, refused %s", accepted, math.Ceil(slowest.Seconds()), when)
+}
+
+// Poll asks for a job's state once, without insisting.
+func (w *World) Poll(id string) (int, string) {
+	asked := w.now
+	status, v := w.ask(w.entryNode(), "GET", "/submissions/"+id, nil)
+	phase, _ := v["phase"].(string)
+	w.check.answered(asked, id, status, phase)
+	w.check.polled(id, status)
+	return status, phase
+}
+
+// Cancel cancels a job.
+func (w *World) Cancel(id string) (int, string) {
+	w.check.asked[id] = true
+	return w.user(id, "POST", "/submissions/"+id+"/cancel", nil)
+}
+
+// insist sends a user's request again until its answer counts, while the world
+// goes on.
+func (w *World) insist(method, path string, body []byte, take func(asked time.Duration, status int, phase string) bool) {
+	end := w.now + userRetry
+	var attempt func()
+	attempt = func() {
+		asked := w.now
+		w.request("user", w.entryNode(), method, path, body, 5*time.Second, func(status int, b []byte) {
+			var v struct {
+				Phase string `json:"phase"`
+			}
+			_ = json.Unmarshal(b, &v)
+			if !take(asked, status, v.Phase) && w.now < end {
+				w.after(time.Second, attempt)
+			}
+		})
+	}
+	attempt()
+}
+
+// cancelSoon cancels a job while the world goes on.
+func (w *World) cancelSoon(id string) {
+	w.check.asked[id] = true
+	w.insist("POST", "/submissions/"+id+"/cancel", nil, func(asked time.Duration, status int, phase string) bool {
+		w.check.answered(asked, id, status, phase)
+		return status == 200 || status == 404
+	})
+}
+
+func (w *World) askOnce(id string) {
+	w.insist("GET", "/submissions/"+id, nil, func(asked time.Duration, status int, phase string) bool {
+		w.check.answered(asked, id, status, phase)
+		return true
+	})
+}
+
+// repeat submits a known job again: it is never accepted anew.
+func (w *World) repeat(id string) {
+	j := w.jobs[id]
+	if j.body == nil || w.check.acknowledged[id] == "" {
+		return
+	}
+	w.insist("POST", "/submissions", j.body, func(asked time.Duration, status int, phase string) bool {
+		if status == 201 {
+			w.check.broken("accepted: %s once more, it was %s", id, w.check.acknowledged[id])
+		}
+		w.check.answered(asked, id, status, phase)
+		return status == 200
+	})
+}
+
+// askOn repeats a request as users do, without anybody waiting for it; the last
+// answer goes to w.answers.
+func (w *World) askOn(id, key, method, path string, body []byte) {
+	w.answers[key] = "none yet"
+	end := w.now + userRetry
+	w.insist(method, path, body, func(asked time.Duration, status int, phase string) bool {
+		w.check.answered(asked, id, status, phase)
+		if j := w.jobs[id]; j != nil && j.asked == 0 {
+			j.asked = max(w.now, 1)
+		}
+		switch status {
+		case 200, 201, 400, 404, 422:
+			w.answers[key] = fmt.Sprintf("%d %s", status, phase)
+			return true
+		}
+		if w.now >= end {
+			w.answers[key] = fmt.Sprintf("%d gave up", status)
+		}
+		return false
+	})
+}
+
+// submitOn and cancelOn ask without waiting for the answer.
+func (w *World) submitOn(a Args) {
+	body := w.Body(a)
+	w.jobs[a["id"]].submitted = true
+	w.askOn(a["id"], "submit "+a["id"], "POST", "/submissions", body)
+}
+
+func (w *World) cancelOn(id string) {
+	w.check.asked[id] = true
+	w.askOn(id, "cancel "+id, "POST", "/submissions/"+id+"/cancel", nil)
+}
+
+// settled waits until every request that was not waited for is answered.
+func (w *World) settled(within time.Duration) bool {
+	for end := w.now + within; w.now < end; w.Run(100 * time.Millisecond) {
+		open := false
+		for _, v := range w.answers {
+			open = open || v == "none yet"
+		}
+		if !open {
+			return true
+		}
+	}
+	return false
+}
