--- a/internal/simtest/chains.go
+++ b/internal/simtest/chains.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// awaited reads the jobs that a submission names: ids joined by "+", where
-// req-000100*3000 stands for that many, counted up.
-func awaited(text string) []string {
+// parseJobIDs reads job IDs joined by "+", where req-000100*3000 stands for that
+// many, counted up.
+func parseJobIDs(text string) ([]string, error) {
 	var ids []string
 	for _, part := range strings.Split(text, "+") {
 		id, count, many := strings.Cut(part, "*")
@@ -19,26 +19,33 @@
 			ids = append(ids, id)
 			continue
 		}
-		first, err1 := strconv.Atoi(strings.TrimPrefix(id, "req-"))
-		n, err2 := strconv.Atoi(count)
-		if err1 != nil || err2 != nil {
-			panic("no row of ids: " + part)
+		first, err := strconv.Atoi(strings.TrimPrefix(id, "req-"))
+		if err != nil {
+			return nil, fmt.Errorf("%s is not req- and a number", id)
+		}
+		n, err := strconv.Atoi(count)
+		if err != nil {
+			return nil, fmt.Errorf("%s is not a number of jobs", count)
 		}
 		for i := range n {
-			ids = append(ids, fmt.Sprintf("req-%06d", first+i))
+			ids = append(ids, jobID(first+i))
 		}
 	}
-	return ids
+	return ids, nil
 }
 
-// await notes what a submission names. Once the job is accepted its list is
-// what it was, whatever a retry says.
+// await notes the upstream jobs that a submission names. Once the job is
+// accepted its list is what it was, whatever a retry says.
 func (w *World) await(j *job, a Args) []string {
 	text, ok := a["awaits"]
 	if !ok {
 		return nil
 	}
-	ids := awaited(text)
+	ids, err := parseJobIDs(text)
+	if err != nil {
+		w.fault("%s: %v", j.id, err)
+		return nil
+	}
 	if w.check.acknowledged[j.id] == "" {
 		j.awaits = ids
 	}
--- a/internal/simtest/chains_check_test.go
+++ b/internal/simtest/chains_check_test.go
@@ -178,7 +178,7 @@
 		if got := commit(w, large, "1", "2", "3", "4"); got != 200 {
 			t.Fatalf("before: %d", got)
 		}
-		w.Do("limits", Args{"value": "2", "ops": "4", "writes": "15"}, "")
+		do(t, w, "limits", Args{"value": "2", "ops": "4", "writes": "15"})
 		w.Run(10 * time.Second)
 		if got := string(w.state.keys["k/a"].data); got != large {
 			t.Errorf("what was stored is %d bytes", len(got))
--- a/internal/simtest/chains_test.go
+++ b/internal/simtest/chains_test.go
@@ -32,7 +32,7 @@
 	for range 3 {
 		w.cloud.add("small", []string{"a", "b"}[w.rng.IntN(2)], false, 0)
 	}
-	w.old(Args{"from": "5000", "count": "400"})
+	w.addFinishedJobs(Args{"from": "5000", "count": "400"})
 	pipelines(t, w, seed, len(next) > 0, nil)
 }
 
--- a/internal/simtest/failures_test.go
+++ b/internal/simtest/failures_test.go
@@ -20,7 +20,7 @@
 	w.nodes[0].kill()
 	w.Body(Args{"id": "req-000001", "shape": shape, "tasks": "2", "run": "3s", "image": "0s"})
 	machines := []*worker{newWorker(w, "i-a", "i-a", "small", "a", false), newWorker(w, "i-b", "i-b", "small", "b", false)}
-	if got := w.Do("faulty", Args{"machine": "i-a"}, ""); got != "ok" || !machines[0].faulty || machines[1].faulty {
+	if got := do(t, w, "faulty", Args{"machine": "i-a"}); got != "ok" || !machines[0].faulty || machines[1].faulty {
 		t.Fatalf("faulty: %s", got)
 	}
 	return w, machines
@@ -49,13 +49,13 @@
 		if got := causes(machines); got != want {
 			t.Errorf("%s: tasks ended with %v, want %v", shape, got, want)
 		}
-		if got := w.Do("attempts", Args{"id": "req-000001"}, ""); got != "2" {
+		if got := do(t, w, "attempts", Args{"id": "req-000001"}); got != "2" {
 			t.Errorf("%s: %s attempts, want 2", shape, got)
 		}
 		if shape != "gang" {
 			continue
 		}
-		w.Do("repair", Args{"machine": "i-a"}, "")
+		do(t, w, "repair", Args{"machine": "i-a"})
 		for _, k := range machines {
 			clear(k.tasks)
 		}
@@ -70,7 +70,7 @@
 // TestStoppedCounts shows that a stop counts once, and not after a cancellation.
 func TestStoppedCounts(t *testing.T) {
 	w, machines := twoMachines(t, "daemon")
-	w.Do("repair", Args{"machine": "i-a"}, "")
+	do(t, w, "repair", Args{"machine": "i-a"})
 	startOn(machines, 1)
 	w.Run(time.Second)
 	stop := func(i int) {
@@ -80,7 +80,7 @@
 	stop(0)
 	w.check.asked["req-000001"] = true
 	stop(1)
-	if got := w.Do("stopped", Args{"id": "req-000001"}, ""); got != "1" {
+	if got := do(t, w, "stopped", Args{"id": "req-000001"}); got != "1" {
 		t.Errorf("%s tasks were stopped, want 1", got)
 	}
 }
@@ -90,12 +90,12 @@
 	w := New(1, 1, io.Discard)
 	w.nodes[0].kill()
 	w.cloud.serve("POST", "/rentals", []byte(`{"hire":"h","flavor":"small","yard":"a","number":2}`), func(int, any) {})
-	if got := w.Do("provisioned", Args{}, ""); got != "2" {
+	if got := do(t, w, "provisioned", Args{}); got != "2" {
 		t.Errorf("%s machines provisioned, want 2", got)
 	}
 	state := func(want string) {
 		t.Helper()
-		if got := w.Do("machine_state", Args{"machine": "i-000001"}, ""); got != want {
+		if got := do(t, w, "machine_state", Args{"machine": "i-000001"}); got != want {
 			t.Errorf("the machine is %s, want %s", got, want)
 		}
 	}
--- a/internal/simtest/misfortunes_test.go
+++ b/internal/simtest/misfortunes_test.go
@@ -148,7 +148,7 @@
 }
 
 // lasting notes that a fault lasts for so long from now.
-func (w *World) lasting(d time.Duration) { w.troubleTo = max(w.troubleTo, w.now+d) }
+func (w *World) lasting(d time.Duration) { w.faultsEnd = max(w.faultsEnd, w.now+d) }
 
 func (w *World) forWhile(share *float64, value float64, d time.Duration) {
 	*share = value
--- a/internal/simtest/scenario_test.go
+++ b/internal/simtest/scenario_test.go
@@ -1,6 +1,7 @@
 package simtest
 
 import (
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -24,15 +25,72 @@
 	return io.Discard
 }
 
-func args(d *datadriven.TestData) Args {
+// args reads the arguments of a command, each with one value at most.
+func args(d *datadriven.TestData) (Args, error) {
 	a := Args{}
 	for _, c := range d.CmdArgs {
+		if _, twice := a[c.Key]; twice || len(c.Vals) > 1 {
+			return nil, fmt.Errorf("argument %s has more than one value", c.Key)
+		}
 		a[c.Key] = ""
 		if len(c.Vals) > 0 {
 			a[c.Key] = c.Vals[0]
 		}
 	}
-	return a
+	return a, nil
+}
+
+// scenario is a world that commands of a file begin and change.
+type scenario struct{ world *World }
+
+// play carries out one command of a file; an error tells its file and line.
+func (s *scenario) play(d *datadriven.TestData) (string, error) {
+	output, err := s.do(d)
+	if err != nil {
+		return "", fmt.Errorf("%s: %s: %w", d.Pos, d.Cmd, err)
+	}
+	return output, nil
+}
+
+func (s *scenario) do(d *datadriven.TestData) (string, error) {
+	a, err := args(d)
+	if err != nil {
+		return "", err
+	}
+	if d.Cmd == "world" {
+		if err := a.check(nil, worldArguments); err != nil {
+			return "", err
+		}
+		s.world = newScenarioWorld(a)
+		return "ok", nil
+	}
+	if s.world == nil {
+		return "", errors.New("a scenario begins with world")
+	}
+	return s.world.Do(d.Cmd, a, d.Input)
+}
+
+func newScenarioWorld(a Args) *World {
+	w := NewWith(Announce(Settings, a), int(a.num("nodes", "3")), uint64(a.num("seed", "1")), logOut(), func(p *config.Platform) {
+		p.Settings.Workers.ReportS = a.num("report", "1")
+		p.Settings.Workers.CancelS = a.num("cancel", "25")
+		if most := a.num("maxgpus", "0"); most > 0 {
+			p.Settings.Teams[0].GPUsMax = most
+		}
+		p.Settings.State.RPS, p.Settings.State.WriteRPS = a.num("rps", "100"), a.num("writes", "60")
+	})
+	w.watchRules()
+	return w
+}
+
+// do carries out a command that cannot fail.
+func do(t *testing.T, w *World, name string, a Args) string {
+	t.Helper()
+	output, err := w.Do(name, a, "")
+	if err != nil {
+		t.Fatalf("%s %v: %v", name, a, err)
+	}
+	return output
 }
 
 // TestScenarios plays every text file below testdata. A file starts with
@@ -44,30 +102,57 @@
 	}
 	for _, f := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".txt"), func(t *testing.T) {
-			var w *World
+			s := &scenario{}
 			datadriven.RunTest(t, f, func(t *testing.T, d *datadriven.TestData) string {
-				a := args(d)
-				if d.Cmd == "world" {
-					w = NewWith(Announce(Settings, a), int(a.num("nodes", "3")), uint64(a.num("seed", "1")), logOut(), func(p *config.Platform) {
-						p.Settings.Workers.ReportS = a.num("report", "1")
-						p.Settings.Workers.CancelS = a.num("cancel", "25")
-						if most := a.num("maxgpus", "0"); most > 0 {
-							p.Settings.Teams[0].GPUsMax = most
-						}
-						p.Settings.State.RPS, p.Settings.State.WriteRPS = a.num("rps", "100"), a.num("writes", "60")
-					})
-					w.watchRules()
-					return "ok"
+				output, err := s.play(d)
+				if err != nil {
+					t.Fatal(err)
 				}
-				return w.Do(d.Cmd, a, d.Input)
+				return output
 			})
-			if v := w.Verdict(); v != "kept" {
+			if v := s.world.Verdict(); v != "kept" {
 				t.Errorf("rules broken:\n%s", v)
 			}
 		})
 	}
 }
 
+// TestScenarioErrors shows that a mistake in a scenario is named with its file
+// and line.
+func TestScenarioErrors(t *testing.T) {
+	for _, c := range []struct{ line, want string }{
+		{"explode node=n0", "explode: unknown command explode"},
+		{"poll", "poll: argument id is missing"},
+		{"poll id=req-000001 loudly", "poll: unknown argument loudly"},
+		{"poll id=(req-000001,req-000002)", "poll: argument id has more than one value"},
+		{"run for=soon", "run: for=soon: not a duration"},
+		{"machine count=many", "machine: count=many: not a number"},
+		{"machine type=huge", "machine: type=huge: no such machine type"},
+		{"machine spot=yes", "machine: spot=yes: a flag has no value"},
+		{"kill node=n7", "kill: node=n7: no such controller"},
+		{"via node=all", "via: node: one controller is needed, there is none or more"},
+		{"race with=luck", "race: with=luck: not one of submit, done"},
+		{"submit id=req-000001 awaits=req-000002*many", "submit: awaits=req-000002*many: many is not a number of jobs"},
+		{"submit id=req-000001 awaits=first*2", "submit: awaits=first*2: first is not req- and a number"},
+		{"order id=req-000001 before=req-000002", "order: a job was not submitted"},
+		{"load file=testdata/none.json", "load: open testdata/none.json: no such file or directory"},
+		{"faulty machine=i-000009", "faulty: machine i-000009 is not up"},
+		{"world seed=one", "world: seed=one: not a number"},
+		{"world sead=1", "world: unknown argument sead"},
+	} {
+		s := &scenario{world: New(3, 1, io.Discard)}
+		var err error
+		datadriven.RunTestFromString(t, c.line+"\n----\n", func(_ *testing.T, d *datadriven.TestData) string {
+			d.Pos = "scenario.txt:7"
+			_, err = s.play(d)
+			return ""
+		})
+		if want := "scenario.txt:7: " + c.want; err == nil || err.Error() != want {
+			t.Errorf("%s: %v, want %s", c.line, err, want)
+		}
+	}
+}
+
 // TestRandomFaults plays random jobs under random faults; the rules must hold
 // and, once the faults are over, every job must end.
 func TestRandomFaults(t *testing.T) {
@@ -177,7 +262,7 @@
 
 // endFaults ends all faults.
 func (w *World) endFaults() {
-	w.Run(max(seconds(25), w.troubleTo-w.now))
+	w.Run(max(seconds(25), w.faultsEnd-w.now))
 	w.loss, w.late, w.cloud.never, w.cloud.down, w.copies = 0, 0, 0, false, 0
 	w.lateWrites, w.heldReports, w.heldCommands, w.cancelEnds, w.invalidRequests = 0, 0, 0, 0, false
 	w.Run(maxDelay) // what was held up arrives
--- a/internal/simtest/upgrade_test.go
+++ b/internal/simtest/upgrade_test.go
@@ -85,7 +85,7 @@
 	}
 	w.state.lower(Args{"value": "2", "ops": "4", "writes": "40"})
 	w.Cancel("req-000904") // a service
-	if got := w.Do("all", Args{"within": "240s"}, ""); got != fmt.Sprintf("%d done", len(w.accepted())) {
+	if got := do(t, w, "all", Args{"within": "240s"}); got != fmt.Sprintf("%d done", len(w.accepted())) {
 		t.Errorf("%s of %d", got, len(w.accepted()))
 		for _, id := range w.accepted() {
 			if w.check.acknowledged[id] != "done" {
--- a/internal/simtest/users.go
+++ b/internal/simtest/users.go
@@ -12,6 +12,9 @@
 // userRetry is how long users go on asking.
 const userRetry = 60 * time.Second
 
+// userCallTimeout is how long users wait for an answer.
+const userCallTimeout = 5 * time.Second
+
 // Body registers a job with the workers, as its user does, and returns the
 // submission.
 func (w *World) Body(a Args) []byte {
@@ -46,17 +49,24 @@
 }
 
 // ask sends one user request to a node and plays until the answer is there.
-func (w *World) ask(n *node, method, path string, body []byte) (int, map[string]any) {
-	status, done := 0, false
-	var answer map[string]any
-	w.request("user", n, method, path, body, 5*time.Second, func(s int, b []byte) {
-		status, done = s, true
-		_ = json.Unmarshal(b, &answer)
+func (w *World) ask(n *node, method, path string, body []byte) (status int, phase string) {
+	done := false
+	w.request("user", n, method, path, body, userCallTimeout, func(s int, b []byte) {
+		status, phase, done = s, phaseIn(b), true
 	})
 	for end := w.now + 6*time.Second; !done && w.now < end; {
 		w.Run(20 * time.Millisecond)
 	}
-	return status, answer
+	return status, phase
+}
+
+// phaseIn is the phase that an answer to a user shows.
+func phaseIn(answer []byte) string {
+	var v struct {
+		Phase string `json:"phase"`
+	}
+	_ = json.Unmarshal(answer, &v)
+	return v.Phase
 }
 
 // entryNode is the controller that the next request of a user goes to.
@@ -71,8 +81,7 @@
 func (w *World) user(id, method, path string, body []byte) (int, string) {
 	for end := w.now + userRetry; ; w.Run(time.Second) {
 		asked := w.now
-		status, v := w.ask(w.entryNode(), method, path, body)
-		phase, _ := v["phase"].(string)
+		status, phase := w.ask(w.entryNode(), method, path, body)
 		w.check.answered(asked, id, status, phase)
 		if j := w.jobs[id]; j != nil && j.asked == 0 {
 			j.asked = max(w.now, 1)
@@ -94,66 +103,78 @@
 	return w.user(a["id"], "POST", "/submissions", body)
 }
 
+// crowd is what came of jobs that were submitted at the same moment.
+type crowd struct {
+	accepted, open int
+	slowest        time.Duration // time to the slowest answer
+	refused        int           // answers 503
+	refusedTime    time.Duration // until these answers came, all together
+}
+
 // crowd submits many jobs at the same moment, each user repeating as users do,
 // and tells how many were accepted, within how many seconds the slowest request
 // was answered at all, and whether refusals come at once on average.
 func (w *World) crowd(a Args) string {
-	accepted, open := 0, int(a.num("count", "1"))
-	var slowest, t503 time.Duration
-	n503 := 0
+	c := &crowd{open: int(a.num("count", "1"))}
 	end := w.now + userRetry
-	for i := range open {
+	for i := range c.open {
 		one := maps.Clone(a)
-		one["id"] = fmt.Sprintf("req-%06d", int(a.num("from", "1"))+i)
+		one["id"] = jobID(int(a.num("from", "1")) + i)
 		body := w.Body(one)
 		j := w.jobs[one["id"]]
 		j.submitted = true
-		var attempt func()
-		attempt = func() {
-			asked := w.now
-			w.request("user", w.entryNode(), "POST", "/submissions", body, 5*time.Second, func(status int, b []byte) {
-				var v struct {
-					Phase string `json:"phase"`
-				}
-				_ = json.Unmarshal(b, &v)
-				w.check.answered(asked, j.id, status, v.Phase)
-				slowest = max(slowest, w.now-asked)
-				if status == 503 {
-					n503++
-					t503 += w.now - asked
-				}
-				switch {
-				case status == 200 || status == 201:
-					j.asked = asked
-					accepted, open = accepted+1, open-1
-				case w.now >= end:
-					open--
-				default:
-					w.after(time.Second, attempt)
-				}
-			})
-		}
-		attempt()
+		w.submitInCrowd(c, j, body, end)
 	}
-	for open > 0 {
+	for c.open > 0 {
 		w.Run(100 * time.Millisecond)
 	}
-	if most := a.dur("within", "0s"); most > 0 && slowest <= most {
+	return c.outcome(a.dur("within", "0s"))
+}
+
+// submitInCrowd submits one job of a crowd until it is accepted or the end has
+// come.
+func (w *World) submitInCrowd(c *crowd, j *job, body []byte, end time.Duration) {
+	asked := w.now
+	w.request("user", w.entryNode(), "POST", "/submissions", body, userCallTimeout, func(status int, b []byte) {
+		w.check.answered(asked, j.id, status, phaseIn(b))
+		c.slowest = max(c.slowest, w.now-asked)
+		if status == 503 {
+			c.refused++
+			c.refusedTime += w.now - asked
+		}
+		switch {
+		case accepted(status):
+			j.asked = asked
+			c.accepted, c.open = c.accepted+1, c.open-1
+		case w.now >= end:
+			c.open--
+		default:
+			w.after(time.Second, func() { w.submitInCrowd(c, j, body, end) })
+		}
+	})
+}
+
+// promptRefusal is how soon refusals come on average where they come at once.
+const promptRefusal = 500 * time.Millisecond
+
+// outcome tells what came of a crowd; most is the longest that an answer may
+// take, 0 where it is not to be judged.
+func (c *crowd) outcome(most time.Duration) string {
+	if most > 0 && c.slowest <= most {
 		// Where links lose packets, a call of ours may take its time.
-		return fmt.Sprintf("%d accepted, answered in time", accepted)
+		return fmt.Sprintf("%d accepted, answered in time", c.accepted)
 	}
 	when := "at once"
-	if mean := t503 / time.Duration(max(1, n503)); mean > 500*time.Millisecond {
+	if mean := c.refusedTime / time.Duration(max(1, c.refused)); mean > promptRefusal {
 		when = "after " + mean.String()
 	}
-	return fmt.Sprintf("%d accepted, answered within %.0fs, refused %s", accepted, math.Ceil(slowest.Seconds()), when)
+	return fmt.Sprintf("%d accepted, answered within %.0fs, refused %s", c.accepted, math.Ceil(c.slowest.Seconds()), when)
 }
 
 // Poll asks for a job's state once, without insisting.
 func (w *World) Poll(id string) (int, string) {
 	asked := w.now
-	status, v := w.ask(w.entryNode(), "GET", "/submissions/"+id, nil)
-	phase, _ := v["phase"].(string)
+	status, phase := w.ask(w.entryNode(), "GET", "/submissions/"+id, nil)
 	w.check.answered(asked, id, status, phase)
 	w.check.polled(id, status)
 	return status, phase
@@ -172,12 +193,8 @@
 	var attempt func()
 	attempt = func() {
 		asked := w.now
-		w.request("user", w.entryNode(), method, path, body, 5*time.Second, func(status int, b []byte) {
-			var v struct {
-				Phase string `json:"phase"`
-			}
-			_ = json.Unmarshal(b, &v)
-			if !take(asked, status, v.Phase) && w.now < end {
+		w.request("user", w.entryNode(), method, path, body, userCallTimeout, func(status int, b []byte) {
+			if !take(asked, status, phaseIn(b)) && w.now < end {
 				w.after(time.Second, attempt)
 			}
 		})
--- a/internal/simtest/world.go
+++ b/internal/simtest/world.go
@@ -54,7 +54,7 @@
 	answers         map[string]string // to requests that nobody waits for, by what was asked
 	faults          []string          // errors of the service against its own limits
 	log             *slog.Logger
-	troubles
+	activeFaults
 }
 
 // Settings are the JSON settings that every simulated controller gets.
@@ -106,18 +106,6 @@
 	return list
 }
 
-// Keys lists what the state service holds, for scenarios to show.
-func (w *World) Keys(prefix string) []string {
-	var keys []string
-	for k, v := range w.state.keys {
-		if strings.HasPrefix(k, prefix) {
-			keys = append(keys, fmt.Sprintf("%s %s", k, v.data))
-		}
-	}
-	sort.Strings(keys)
-	return keys
-}
-
 // Leader is the name of the controller that the state service shows as leader.
 func (w *World) Leader() *node {
 	var r struct {
