--- a/internal/simtest/cloud.go
+++ b/internal/simtest/cloud.go
@@ -3,8 +3,9 @@
 import (
 	"encoding/json"
 	"fmt"
+	"maps"
 	"net/url"
-	"sort"
+	"slices"
 	"time"
 )
 
@@ -76,94 +77,106 @@
 	}
 }
 
+// serve answers a request.
 func (c *cloud) serve(method, target string, body []byte, answer func(int, any)) {
 	if c.down {
-		answer(503, object{"error": "trouble"})
+		answer(503, unavailable)
 		return
 	}
-	u, _ := url.Parse(target)
+	u, err := url.Parse(target)
 	switch {
+	case err != nil:
+		answer(400, nil)
 	case u.Path == "/machine_types":
-		var list []object
-		for _, name := range []string{"small", "big", "card"} {
-			f := machineTypes[name]
-			list = append(list, object{"name": name, "cores": f.cpus, "cards": f.gpus, "ram_gb": f.memory, "local_gb": 50,
-				"fetch_gb_per_s": 1, "price": f.price, "low_price": f.price / 2, "ready_s": f.boot.Seconds(), "yards": []string{"a", "b"}})
-		}
-		answer(200, object{"flavors": list})
+		answer(200, c.offered())
 	case u.Path == "/rentals" && method == "GET":
-		list := []object{}
-		var names []string
-		for n := range c.machines {
-			names = append(names, n)
-		}
-		sort.Strings(names)
-		for _, n := range names {
-			h := c.machines[n]
-			if n <= u.Query().Get("from") || c.w.now-h.since < seconds(c.w.cfg.Settings.Cloud.ListLagS) {
-				continue
-			}
-			phase := "booting"
-			if h.worker != nil {
-				phase = "running"
-				if !h.worker.up {
-					phase = "failed"
-				}
-			}
-			list = append(list, object{"name_id": n, "addr": h.addr, "flavor": h.machineType, "yard": h.zone, "loaners": h.spot,
-				"phase": phase, "held_s": (c.w.now - h.since).Seconds()})
-		}
-		answer(200, object{"hosts": list, "has_next": false})
+		answer(200, c.list(u.Query().Get("from")))
 	case u.Path == "/rentals":
-		var v struct {
-			Hire        string `json:"hire"`
-			MachineType string `json:"flavor"`
-			Zone        string `json:"yard"`
-			Spot        bool   `json:"loaners"`
-			Number      int    `json:"number"`
-		}
-		if json.Unmarshal(body, &v) != nil || machineTypes[v.MachineType].cpus == 0 || v.Number < 1 || v.Number > 50 || v.Hire == "" {
-			c.w.fault("bad rental %s", body)
-			answer(400, nil)
-			return
-		}
-		if got, ok := c.provisioned[v.Hire]; ok {
-			answer(200, object{"hosts": got})
-			return
-		}
-		n := v.Number
-		key := capacityKey(v.MachineType, v.Zone, v.Spot)
-		if most, ok := c.available[key]; ok {
-			n = min(n, most)
-			c.available[key] -= n
-		}
-		if n == 0 {
-			answer(503, object{"error": "no capacity"})
-			return
-		}
-		var got []string
-		for range n {
-			got = append(got, c.add(v.MachineType, v.Zone, v.Spot, machineTypes[v.MachineType].boot))
-		}
-		c.provisioned[v.Hire] = got
-		answer(200, object{"hosts": got})
+		answer(c.provision(body))
 	case u.Path == "/rentals/return":
-		var v struct {
-			Machines []string `json:"hosts"`
-		}
-		if json.Unmarshal(body, &v) != nil || len(v.Machines) > 100 {
-			c.w.fault("bad return %s", body)
-			answer(400, nil)
-			return
-		}
-		for _, h := range v.Machines {
-			if c.machines[h] != nil {
-				c.returned++
-			}
-			c.remove(h)
-		}
-		answer(200, nil)
+		answer(c.release(body))
 	default:
 		answer(404, nil)
 	}
 }
+
+func (c *cloud) offered() offeredTypes {
+	var list []offeredType
+	for _, name := range []string{"small", "big", "card"} {
+		f := machineTypes[name]
+		list = append(list, offeredType{Name: name, CPUs: f.cpus, GPUs: f.gpus, Memory: f.memory, LocalGB: 50, FetchRate: 1,
+			Price: f.price, SpotPrice: f.price / 2, BootTime: f.boot.Seconds(), Zones: []string{"a", "b"}})
+	}
+	return offeredTypes{list}
+}
+
+// list shows the machines after a name, the youngest not yet.
+func (c *cloud) list(after string) machineList {
+	list := []listedMachine{}
+	for _, name := range slices.Sorted(maps.Keys(c.machines)) {
+		m := c.machines[name]
+		if name <= after || c.w.now-m.since < seconds(c.w.cfg.Settings.Cloud.ListLagS) {
+			continue
+		}
+		list = append(list, listedMachine{Name: name, Addr: m.addr, MachineType: m.machineType, Zone: m.zone, Spot: m.spot,
+			Phase: m.phase(), Age: (c.w.now - m.since).Seconds()})
+	}
+	return machineList{Machines: list}
+}
+
+func (m *rented) phase() string {
+	switch {
+	case m.worker == nil:
+		return "booting"
+	case !m.worker.up:
+		return "failed"
+	}
+	return "running"
+}
+
+// Limits of one request to the cloud.
+const (
+	maxProvisioned = 50
+	maxReleased    = 100
+)
+
+func (c *cloud) provision(body []byte) (int, any) {
+	var v provisionRequest
+	if json.Unmarshal(body, &v) != nil || machineTypes[v.MachineType].cpus == 0 || v.Number < 1 || v.Number > maxProvisioned || v.ID == "" {
+		c.w.fault("bad rental %s", body)
+		return 400, nil
+	}
+	if got, ok := c.provisioned[v.ID]; ok {
+		return 200, machineNames{got}
+	}
+	n := v.Number
+	key := capacityKey(v.MachineType, v.Zone, v.Spot)
+	if most, ok := c.available[key]; ok {
+		n = min(n, most)
+		c.available[key] -= n
+	}
+	if n == 0 {
+		return 503, failure{"no capacity"}
+	}
+	var got []string
+	for range n {
+		got = append(got, c.add(v.MachineType, v.Zone, v.Spot, machineTypes[v.MachineType].boot))
+	}
+	c.provisioned[v.ID] = got
+	return 200, machineNames{got}
+}
+
+func (c *cloud) release(body []byte) (int, any) {
+	var v machineNames
+	if json.Unmarshal(body, &v) != nil || len(v.Machines) > maxReleased {
+		c.w.fault("bad return %s", body)
+		return 400, nil
+	}
+	for _, name := range v.Machines {
+		if c.machines[name] != nil {
+			c.returned++
+		}
+		c.remove(name)
+	}
+	return 200, nil
+}
--- a/internal/simtest/commands_jobs.go
+++ b/internal/simtest/commands_jobs.go
@@ -103,12 +103,12 @@
 }
 
 func sendSubmission(w *World, a Args, input string) (string, error) {
-	var submission object
-	if err := json.Unmarshal(w.Body(a), &submission); err != nil {
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal(w.Body(a), &fields); err != nil {
 		return "", err
 	}
-	submission["awaits"] = json.RawMessage(strings.TrimSpace(input))
-	body, err := json.Marshal(submission)
+	fields["awaits"] = json.RawMessage(strings.TrimSpace(input))
+	body, err := json.Marshal(fields)
 	if err != nil {
 		return "", err
 	}
--- a/internal/simtest/invalid.go
+++ b/internal/simtest/invalid.go
@@ -78,17 +78,17 @@
 // submitIncomplete submits a job without one of its fields.
 func (w *World) submitIncomplete() {
 	a := Args{"id": w.invalidID()}
-	var o map[string]any
-	_ = json.Unmarshal(w.Body(a), &o)
+	var submitted map[string]json.RawMessage
+	_ = json.Unmarshal(w.Body(a), &submitted)
 	var fields []string
-	for f := range o {
+	for f := range submitted {
 		if f != "flavors" && f != "yard" && f != "due_s" {
 			fields = append(fields, f)
 		}
 	}
 	sort.Strings(fields)
-	delete(o, fields[w.rng.IntN(len(fields))])
-	body, _ := json.Marshal(o)
+	delete(submitted, fields[w.rng.IntN(len(fields))])
+	body, _ := json.Marshal(submitted)
 	w.refuse(a["id"], body, 400)
 }
 
--- a/internal/simtest/limits.go
+++ b/internal/simtest/limits.go
@@ -99,7 +99,7 @@
 
 // Announce adds to the settings the limits that the state service will have.
 func Announce(settings string, a Args) string {
-	next := object{}
+	next := map[string]float64{}
 	for arg, name := range map[string]string{"nextrps": "rps", "nextwrites": "write_rps", "nextvalue": "value_kb", "nextops": "txn_ops"} {
 		if _, ok := a[arg]; ok {
 			next[name] = a.num(arg, "0")
--- a/internal/simtest/node.go
+++ b/internal/simtest/node.go
@@ -176,7 +176,7 @@
 		to = "state"
 		serve = func(a func(int, any)) {
 			if n.denied {
-				a(503, object{"error": "trouble"})
+				a(503, unavailable)
 				return
 			}
 			n.w.state.serve(c.Method, c.Path, c.Body, func(status int, v any) {
--- a/internal/simtest/state.go
+++ b/internal/simtest/state.go
@@ -74,12 +74,10 @@
 	return &state{w: w, keys: map[string]stateKey{}, leases: map[uint64]*stateLease{}}
 }
 
-type object map[string]any
-
 // serve answers a request, at once or (for a watch) later.
 func (s *state) serve(method, target string, body []byte, answer func(status int, v any)) {
 	if s.down {
-		answer(503, object{"error": "trouble"})
+		answer(503, unavailable)
 		return
 	}
 	s.expire()
@@ -93,69 +91,89 @@
 		answer(400, nil)
 		return
 	}
-	q := u.Query()
 	switch {
 	case u.Path == "/keys" && method == "GET":
-		answer(200, s.list(q))
+		answer(200, s.list(u.Query()))
 	case u.Path == "/commit" && method == "POST":
-		if s.lag(body) {
-			return
+		if !s.lag(body) {
+			answer(s.commit(body))
 		}
-		answer(s.commit(body))
 	case u.Path == "/leases" && method == "POST":
-		var v struct {
-			Life int `json:"life_ms"`
-		}
-		if json.Unmarshal(body, &v) != nil || v.Life < 100 || v.Life > 600_000 {
-			answer(400, nil)
-			return
-		}
-		s.last++
-		life := time.Duration(v.Life) * time.Millisecond
-		s.leases[s.last] = &stateLease{life, s.w.now + life}
-		answer(200, object{"tether": s.last})
+		answer(s.grantLease(body))
 	case strings.HasPrefix(u.Path, "/leases/"):
-		id, tail, _ := strings.Cut(strings.TrimPrefix(u.Path, "/leases/"), "/")
-		n, _ := strconv.ParseUint(id, 10, 64)
-		l := s.leases[n]
-		switch {
-		case l == nil:
-			answer(404, nil)
-		case method == "DELETE":
-			l.ends = s.w.now
-			s.expire()
-			answer(200, nil)
-		case tail == "extend":
-			l.ends = s.w.now + l.life
-			answer(200, nil)
-		default:
-			answer(400, nil)
-		}
+		answer(s.changeLease(method, strings.TrimPrefix(u.Path, "/leases/")))
 	case u.Path == "/follow":
-		from, _ := strconv.ParseUint(q.Get("from"), 10, 64)
-		wait, _ := strconv.Atoi(q.Get("wait_ms"))
-		if from+logKept < s.revision || from < s.oldest {
-			answer(410, nil)
-			return
-		}
-		if from < s.revision || wait == 0 {
-			answer(200, s.changes(from))
-			return
-		}
-		wt := &stateWait{from: from, answer: answer}
-		s.waits = append(s.waits, wt)
-		s.w.after(time.Duration(wait)*time.Millisecond, func() {
-			if !wt.expired {
-				wt.expired = true
-				answer(200, s.changes(wt.from))
-			}
-		})
+		s.follow(u.Query(), answer)
 	default:
 		answer(404, nil)
 	}
 }
 
-func (s *state) list(q url.Values) object {
+// Limits of a lease's duration in milliseconds.
+const (
+	minLeaseMS = 100
+	maxLeaseMS = 600_000
+)
+
+func (s *state) grantLease(body []byte) (int, any) {
+	var v struct {
+		Life int `json:"life_ms"`
+	}
+	if json.Unmarshal(body, &v) != nil || v.Life < minLeaseMS || v.Life > maxLeaseMS {
+		return 400, nil
+	}
+	s.last++
+	life := time.Duration(v.Life) * time.Millisecond
+	s.leases[s.last] = &stateLease{life, s.w.now + life}
+	return 200, leaseGranted{s.last}
+}
+
+// changeLease extends or ends the lease that a path names.
+func (s *state) changeLease(method, path string) (int, any) {
+	name, action, _ := strings.Cut(path, "/")
+	id, _ := strconv.ParseUint(name, 10, 64)
+	l := s.leases[id]
+	switch {
+	case l == nil:
+		return 404, nil
+	case method == "DELETE":
+		l.ends = s.w.now
+		s.expire()
+		return 200, nil
+	case action == "extend":
+		l.ends = s.w.now + l.life
+		return 200, nil
+	}
+	return 400, nil
+}
+
+// follow answers with the changes after a revision, once there are any or the
+// time to wait is over.
+func (s *state) follow(q url.Values, answer func(status int, v any)) {
+	from, _ := strconv.ParseUint(q.Get("from"), 10, 64)
+	wait, _ := strconv.Atoi(q.Get("wait_ms"))
+	if from+logKept < s.revision || from < s.oldest {
+		answer(410, nil)
+		return
+	}
+	if from < s.revision || wait == 0 {
+		answer(200, s.changes(from))
+		return
+	}
+	watch := &stateWait{from: from, answer: answer}
+	s.waits = append(s.waits, watch)
+	s.w.after(time.Duration(wait)*time.Millisecond, func() {
+		if !watch.expired {
+			watch.expired = true
+			answer(200, s.changes(watch.from))
+		}
+	})
+}
+
+// maxPage is the largest number of keys in a page.
+const maxPage = 1000
+
+func (s *state) list(q url.Values) storedItems {
 	var keys []string
 	for k := range s.keys {
 		if strings.HasPrefix(k, q.Get("starts")) && k > q.Get("from") {
@@ -164,37 +182,30 @@
 	}
 	sort.Strings(keys)
 	limit, _ := strconv.Atoi(q.Get("limit"))
-	if limit <= 0 || limit > 1000 {
-		limit = 1000
+	if limit <= 0 || limit > maxPage {
+		limit = maxPage
 	}
 	limit = min(limit, s.w.pageLimit)
-	items := []object{}
+	items := []storedItem{}
 	for _, k := range keys[:min(limit, len(keys))] {
-		items = append(items, object{"key": k, "data": s.keys[k].data, "stamp": s.keys[k].version})
+		items = append(items, storedItem{s.keys[k].data, k, s.keys[k].version})
 	}
-	return object{"items": items, "has_next": len(keys) > limit, "epoch": s.revision}
+	return storedItems{s.revision, len(keys) > limit, items}
 }
 
-func (s *state) changes(from uint64) object {
+func (s *state) changes(from uint64) storedChanges {
 	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].Version > from })
-	return object{"epoch": s.revision, "log": append([]stateChange{}, s.log[i:]...)}
+	return storedChanges{s.revision, append([]stateChange{}, s.log[i:]...)}
 }
 
+// maxTransaction is the largest size of a transaction in bytes.
+const maxTransaction = 64 << 10
+
+// commit carries out a transaction if all its conditions hold.
 func (s *state) commit(body []byte) (int, any) {
-	var t struct {
-		If []struct {
-			Key     string `json:"key"`
-			Version uint64 `json:"stamp"`
-		} `json:"if"`
-		Then []struct {
-			Write   string          `json:"write"`
-			Drop    string          `json:"drop"`
-			Data    json.RawMessage `json:"data"`
-			LeaseID uint64          `json:"tether"`
-		} `json:"then"`
-	}
+	var t transaction
 	set := s.limits()
-	if len(body) > 64<<10 || json.Unmarshal(body, &t) != nil || len(t.Then) > set.txnOps || len(t.If) > 4*set.txnOps {
+	if len(body) > maxTransaction || json.Unmarshal(body, &t) != nil || len(t.Then) > set.txnOps || len(t.If) > 4*set.txnOps {
 		return s.refuseSize("a transaction", "a transaction over its limits: %d ops, %d conditions, %d bytes", len(t.Then), len(t.If), len(body))
 	}
 	if !s.writes.take(s.w.now, set.writeRPS, float64(len(t.Then))) {
@@ -203,7 +214,7 @@
 	}
 	for _, op := range t.Then {
 		if op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
-			return 400, object{"error": "no such lease"}
+			return 400, failure{"no such lease"}
 		}
 		if float64(len(op.Data)) > set.valueKB*1024 {
 			return s.refuseSize(op.Write, "a value of %s of %d bytes", op.Write, len(op.Data))
@@ -216,7 +227,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		return 409, object{"failed": failed, "epoch": s.revision}
+		return 409, conflict{s.revision, failed}
 	}
 	if len(t.Then) > 0 {
 		s.revision++
@@ -232,7 +243,7 @@
 		s.log = append(s.log, stateChange{Write: op.Write, Data: op.Data, Version: s.revision})
 	}
 	s.wake()
-	return 200, object{"epoch": s.revision}
+	return 200, committed{s.revision}
 }
 
 func (s *state) wake() {
--- a/internal/simtest/task.go
+++ b/internal/simtest/task.go
@@ -23,6 +23,7 @@
 	return t.phase == "waiting" || t.phase == "running" || t.phase == "saving"
 }
 
+// start executes an order to start a task: it fetches the image, then runs it.
 func (k *worker) start(o order) {
 	k.changed = true
 	i := strings.LastIndexByte(o.Task, '/')
@@ -39,6 +40,21 @@
 		t.cause = "unknown"
 		return
 	}
+	if !k.hasCapacity(j) {
+		t.cause = "full"
+		k.w.check.refused("full", o.Task)
+		return
+	}
+	t.phase = "pulling"
+	wait := j.image
+	if k.images[j.id] {
+		wait = 0
+	}
+	k.w.later(t, wait, func() { k.runTask(t) })
+}
+
+// hasCapacity tells whether another task of a job fits on the machine.
+func (k *worker) hasCapacity(j *job) bool {
 	f := machineTypes[k.machineType]
 	cpus, gpus, memory := f.cpus, f.gpus, f.memory
 	for _, x := range k.tasks {
@@ -48,44 +64,46 @@
 			memory -= x.job.memory
 		}
 	}
-	if j.cpus > cpus+1e-9 || j.gpus > gpus+1e-9 || j.memory > memory+1e-9 {
-		t.cause = "full"
-		k.w.check.refused("full", o.Task)
-		return
+	return j.cpus <= cpus+rounding && j.gpus <= gpus+rounding && j.memory <= memory+rounding
+}
+
+// rounding is what sums of resources may be off by.
+const rounding = 1e-9
+
+// runTask starts a task whose image is there.
+func (k *worker) runTask(t *task) {
+	j := t.job
+	k.images[j.id] = true
+	k.changed = true
+	k.w.check.started(t)
+	switch {
+	case j.complete[t.index]:
+		k.exit(t, "done", false)
+	case j.shape == "gang":
+		t.phase = "waiting"
+		k.joinGang(t)
+	case t.fails():
+		t.phase = "running"
+		k.failSoon(t)
+	default:
+		t.phase, t.begun = "running", k.executed()
+		j.begin(k.w.now)
+		if j.shape == "array" {
+			k.completeLater(t)
+		}
 	}
-	t.phase = "pulling"
-	wait := j.image
-	if k.images[j.id] {
-		wait = 0
+}
+
+// completeLater lets a task of an array run for the rest of its time.
+func (k *worker) completeLater(t *task) {
+	left := t.job.run - t.job.progress[t.index]
+	if k.slow > 0 {
+		left = time.Duration(float64(left) * k.slow)
 	}
-	k.w.later(t, wait, func() {
-		k.images[j.id] = true
-		k.changed = true
-		k.w.check.started(t)
-		switch {
-		case j.complete[index]:
-			k.exit(t, "done", false)
-		case j.shape == "gang":
-			t.phase = "waiting"
-			k.joinGang(t)
-		case t.fails():
-			t.phase = "running"
-			k.failSoon(t)
-		default:
-			t.phase, t.begun = "running", k.executed()
-			j.begin(k.w.now)
-			if j.shape == "array" {
-				left := j.run - j.progress[index]
-				if k.slow > 0 {
-					left = time.Duration(float64(left) * k.slow)
-				}
-				k.w.later(t, left, func() {
-					j.complete[index] = true
-					k.exit(t, "done", false)
-					k.w.ended(j)
-				})
-			}
-		}
+	k.w.later(t, left, func() {
+		t.job.complete[t.index] = true
+		k.exit(t, "done", false)
+		k.w.ended(t.job)
 	})
 }
 
--- a/internal/simtest/troubles_test.go
+++ b/internal/simtest/troubles_test.go
@@ -77,7 +77,7 @@
 		sent := k.lastSent
 		w.Run(10 * time.Millisecond)
 		k.hang(c.hang)
-		body, _ := json.Marshal(object{"fence": 7, "orders": []order{}})
+		body, _ := json.Marshal(reportAnswer{FencingToken: 7})
 		for _, answer := range n.conns {
 			answer(200, body)
 		}
@@ -112,7 +112,7 @@
 	}
 }
 
-// A unable to report machine's reports reach nobody; direct commands reach it.
+// The reports of a machine that reaches no controller reach nobody; direct commands reach it.
 func TestReportsBlocked(t *testing.T) {
 	w, k := machineWith(60 * time.Second)
 	n := w.nodes[0]
@@ -128,7 +128,7 @@
 	k.reportsBlocked = false
 	w.Run(2 * time.Second)
 	if n.next == 0 {
-		t.Error("no report once it is mute no more")
+		t.Error("no report once it reaches controllers again")
 	}
 }
 
@@ -140,7 +140,7 @@
 	n.kill()
 	w.lateWrites = 1
 	write := func(key string, version uint64) {
-		body, _ := json.Marshal(object{"if": []object{{"key": key, "stamp": version}}, "then": []object{{"write": key, "data": 1}}})
+		body, _ := json.Marshal(transaction{If: []condition{{key, version}}, Then: []operation{{Write: key, Data: json.RawMessage("1")}}})
 		if !n.lateWrite(event.Call{Method: "POST", Path: "/commit", Body: body}) {
 			t.Fatal("not late")
 		}
--- a/internal/simtest/users.go
+++ b/internal/simtest/users.go
@@ -34,17 +34,14 @@
 	j.sameZone, j.scatter, j.allowSpot, j.broken = a.flag("same_zone"), a.flag("scatter"), a.flag("spot"), a.flag("broken")
 	j.run, j.image = a.dur("run", "5s"), a.dur("image", "1s")
 	j.checkpointInterval, j.checkpointDuration = a.dur("checkpoint", "0s"), a.dur("checkpoint_cost", "1s")
-	o := object{"name_id": id, "jobclass": j.class, "owner": j.team, "shape": j.shape, "rank": a.or("priority", "normal"), "shards": j.taskCount,
-		"cores": j.cpus, "cards": j.gpus, "ram_gb": j.memory, "bundle": a.or("bundle", "img"), "image_gb": 1, "flavors": j.machineTypes, "yard": nil,
-		"same_place": j.sameZone, "scatter": j.scatter, "loaners": j.allowSpot, "expect_s": j.run.Seconds(),
-		"snapshot_every_s": j.checkpointInterval.Seconds(), "snapshot_s": j.checkpointDuration.Seconds(), "due_s": nil}
+	request := submission{ID: id, Class: j.class, Team: j.team, Shape: j.shape, Priority: a.or("priority", "normal"), TaskCount: j.taskCount,
+		CPUs: j.cpus, GPUs: j.gpus, Memory: j.memory, Image: a.or("bundle", "img"), ImageGB: 1, MachineTypes: j.machineTypes,
+		SameZone: j.sameZone, Scatter: j.scatter, AllowSpot: j.allowSpot, EstimatedRuntime: j.run.Seconds(),
+		CheckpointInterval: j.checkpointInterval.Seconds(), CheckpointDuration: j.checkpointDuration.Seconds(), Upstream: w.await(j, a)}
 	if j.zone != "" {
-		o["yard"] = j.zone
+		request.Zone = &j.zone
 	}
-	if ids := w.await(j, a); ids != nil {
-		o["awaits"] = ids
-	}
-	j.body, _ = json.Marshal(o)
+	j.body, _ = json.Marshal(request)
 	return j.body
 }
 
--- a/internal/simtest/worker.go
+++ b/internal/simtest/worker.go
@@ -75,70 +75,36 @@
 	return list
 }
 
-func (k *worker) body() map[string]any {
+// nextReport is the report that the worker sends next.
+func (k *worker) nextReport() report {
 	k.sequence++
-	var reclaimIn any
+	r := report{Machine: k.name, Addr: k.addr, MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Session: k.session,
+		Sequence: k.sequence, Token: k.token, Tasks: []taskReport{}}
 	if k.reclaimAt != 0 {
-		reclaimIn = (k.reclaimAt - k.w.now).Seconds()
+		left := (k.reclaimAt - k.w.now).Seconds()
+		r.ReclaimIn = &left
 	}
-	shards := []object{}
 	for _, t := range k.sorted() {
-		o := object{"shard": t.name, "try": t.attempt, "phase": t.phase}
+		line := taskReport{Task: t.name, Attempt: t.attempt, Phase: t.phase}
 		if t.phase == "exited" {
-			o["cause"] = t.cause
-			if t.stored {
-				o["stored"] = true
-			}
+			line.Cause, line.Stored = t.cause, t.stored
 		}
-		shards = append(shards, o)
+		r.Tasks = append(r.Tasks, line)
 	}
-	return object{"host": k.name, "addr": k.addr, "flavor": k.machineType, "yard": k.zone, "loaners": k.spot, "tenure": k.session,
-		"tick": k.sequence, "fence": k.token, "recall_s": reclaimIn, "shards": shards}
+	return r
 }
 
+// report sends a report and takes its answer.
 func (k *worker) report() {
 	k.inflight, k.changed = true, false
 	k.lastSent = k.w.now
 	every := seconds(k.w.cfg.Settings.Workers.ReportS)
 	k.nextTime = k.w.now + every*3/4 + time.Duration(k.w.rng.Int64N(int64(every/2)))
-	body, _ := json.Marshal(k.body())
+	body, _ := json.Marshal(k.nextReport())
 	sent, session := k.w.now, k.session
-	take := func(status int, body []byte) {
-		k.inflight = false
-		if !k.up {
-			return
-		}
-		var v struct {
-			FencingToken uint64  `json:"fence"`
-			Steward      string  `json:"steward"`
-			Orders       []order `json:"orders"`
-		}
-		_ = json.Unmarshal(body, &v)
-		if status == 421 && v.Steward != "" {
-			for i, n := range k.w.nodes {
-				if n.name == v.Steward && i != k.target {
-					k.target = i
-					k.changed = true
-					k.lastSent = k.w.now - 400*time.Millisecond
-					return
-				}
-			}
-		}
-		if status != 200 {
-			k.target = (k.target + 1) % len(k.w.nodes)
-			k.nextTime = k.w.now + time.Second
-			return
-		}
-		if v.FencingToken < k.token || v.FencingToken == 0 || session != k.session {
-			return
-		}
-		k.see(v.FencingToken)
-		k.leaseFrom = max(k.leaseFrom, sent)
-		k.execute(v.Orders)
-	}
 	if k.reportsBlocked {
 		// No connection comes about, at once or after a while.
-		k.w.after(time.Duration(k.w.rng.Int64N(int64(answerTimeout))), func() { k.whenAwake(func() { take(0, nil) }) })
+		k.w.after(time.Duration(k.w.rng.Int64N(int64(answerTimeout))), func() { k.whenAwake(func() { k.reported(sent, session, 0, nil) }) })
 		return
 	}
 	k.w.request(k.name, k.w.nodes[k.target], "POST", "/hello", body, answerTimeout, func(status int, body []byte) {
@@ -146,11 +112,50 @@
 			if k.w.now-sent >= answerTimeout {
 				status, body = 0, nil // it came while the machine hung
 			}
-			take(status, body)
+			k.reported(sent, session, status, body)
 		})
 	})
 }
 
+// reported takes the answer to a report that was sent then in that session,
+// status 0 for none.
+func (k *worker) reported(sent time.Duration, session uint64, status int, body []byte) {
+	k.inflight = false
+	if !k.up {
+		return
+	}
+	var answer reportAnswer
+	_ = json.Unmarshal(body, &answer)
+	if status == 421 && k.redirect(answer.Leader) {
+		return
+	}
+	if status != 200 {
+		k.target = (k.target + 1) % len(k.w.nodes)
+		k.nextTime = k.w.now + time.Second
+		return
+	}
+	if answer.FencingToken < k.token || answer.FencingToken == 0 || session != k.session {
+		return
+	}
+	k.see(answer.FencingToken)
+	k.leaseFrom = max(k.leaseFrom, sent)
+	k.execute(answer.Orders)
+}
+
+// redirect lets the next report go to the leader, soon. It tells whether that is
+// another controller.
+func (k *worker) redirect(leader string) bool {
+	for i, n := range k.w.nodes {
+		if leader != "" && n.name == leader && i != k.target {
+			k.target = i
+			k.changed = true
+			k.lastSent = k.w.now - 400*time.Millisecond
+			return true
+		}
+	}
+	return false
+}
+
 func (k *worker) see(token uint64) {
 	if token > k.token {
 		k.token = token
@@ -160,13 +165,6 @@
 	}
 }
 
-type order struct {
-	Verb    string  `json:"verb"`
-	Task    string  `json:"shard"`
-	Attempt uint64  `json:"try"`
-	Wind    float64 `json:"wind_down_s"`
-}
-
 // serve answers a direct command.
 func (k *worker) serve(path string, body []byte, answer func(int, any)) {
 	if !k.up {
@@ -178,24 +176,20 @@
 		return
 	}
 	if path == "/do" {
-		var v struct {
-			FencingToken *uint64 `json:"fence"`
-			Session      *uint64 `json:"tenure"`
-			Orders       []order `json:"orders"`
-		}
+		var v directCommand
 		if json.Unmarshal(body, &v) != nil || v.FencingToken == nil || v.Session == nil {
 			k.w.fault("bad direct command %s", body)
 			answer(400, nil)
 			return
 		}
 		if *v.FencingToken < k.token || *v.Session != k.session {
-			answer(409, k.body())
+			answer(409, k.nextReport())
 			return
 		}
 		k.see(*v.FencingToken)
 		k.execute(v.Orders)
 	}
-	answer(200, k.body())
+	answer(200, k.nextReport())
 }
 
 func (k *worker) execute(orders []order) {
