--- a/internal/simtest/args.go
+++ b/internal/simtest/args.go
@@ -135,7 +135,7 @@
 
 func machineTypeName(usage string) argument {
 	return argument{name: "type", usage: usage, check: func(_ *World, value string) error {
-		if _, ok := machineTypes[value]; !ok {
+		if !slices.Contains(offeredNames, value) {
 			return errors.New("no such machine type")
 		}
 		return nil
--- a/internal/simtest/check_test.go
+++ b/internal/simtest/check_test.go
@@ -23,8 +23,8 @@
 		"ran_twice": func(w *World, j *job) { place(w, j, 0, "small", "a", false); place(w, j, 0, "small", "b", false) },
 		"quota": func(w *World, j *job) {
 			j.gpus = 5
-			place(w, j, 0, "card", "a", false)
-			place(w, j, 1, "card", "a", false)
+			place(w, j, 0, "gpu", "a", false)
+			place(w, j, 1, "gpu", "a", false)
 		},
 		"wrong_place: req-000001/0 attempt 1 on i-a (small": func(w *World, j *job) {
 			j.machineTypes = []string{"big"}
--- a/internal/simtest/cloud.go
+++ b/internal/simtest/cloud.go
@@ -15,26 +15,38 @@
 	boot               time.Duration
 }
 
-// machine types are the machine types of the simulated deployments.
+// recordedGPUType is the name of the machine type "gpu" in recordings of versions
+// that called it so.
+const recordedGPUType = "card"
+
+// offeredNames are the machine types that the cloud offers.
+var offeredNames = []string{"small", "big", "gpu"}
+
+// machineTypes are the machine types of the simulated deployments, also those of
+// recordings.
 var machineTypes = map[string]machineType{
 	"small": {4, 0, 16, 1, 3 * time.Second},
 	"big":   {16, 0, 64, 3, 4 * time.Second},
-	"card":  {8, 4, 64, 10, 5 * time.Second},
+	"gpu":   {8, 4, 64, 10, 5 * time.Second},
+
+	recordedGPUType: {8, 4, 64, 10, 5 * time.Second},
 }
 
 // cloud is a stand-in of the cloud.
 type cloud struct {
-	w           *World
-	machines    map[string]*rented
-	provisioned map[string][]string
-	last        int
-	down        bool
-	available   map[string]int // per type, zone and kind; absent: plenty
-	never       int            // so many of the next machines never boot
-	returned    int
+	w            *World
+	offeredNames []string
+	machines     map[string]*cloudMachine
+	provisioned  map[string][]string
+	last         int
+	down         bool
+	available    map[string]int // per type, zone and kind; absent: plenty
+	never        int            // so many of the next machines never boot
+	returned     int
 }
 
-type rented struct {
+// cloudMachine is a machine that the cloud has provisioned.
+type cloudMachine struct {
 	name, addr, machineType, zone string
 	spot                          bool
 	since                         time.Duration
@@ -43,7 +55,7 @@
 }
 
 func newCloud(w *World) *cloud {
-	return &cloud{w: w, machines: map[string]*rented{}, provisioned: map[string][]string{}, available: map[string]int{}}
+	return &cloud{w: w, offeredNames: slices.Clone(offeredNames), machines: map[string]*cloudMachine{}, provisioned: map[string][]string{}, available: map[string]int{}}
 }
 
 func capacityKey(machineType, zone string, spot bool) string {
@@ -52,7 +64,7 @@
 
 func (c *cloud) add(machineType, zone string, spot bool, boot time.Duration) string {
 	c.last++
-	h := &rented{name: fmt.Sprintf("i-%06d", c.last), addr: fmt.Sprintf("10.1.%d.%d:9000", c.last/250, c.last%250+1), machineType: machineType,
+	h := &cloudMachine{name: fmt.Sprintf("i-%06d", c.last), addr: fmt.Sprintf("10.1.%d.%d:9000", c.last/250, c.last%250+1), machineType: machineType,
 		zone: zone, spot: spot, since: c.w.now}
 	c.machines[h.name] = h
 	if c.never > 0 {
@@ -102,7 +114,7 @@
 
 func (c *cloud) offered() offeredTypes {
 	var list []offeredType
-	for _, name := range []string{"small", "big", "card"} {
+	for _, name := range c.offeredNames {
 		f := machineTypes[name]
 		list = append(list, offeredType{Name: name, CPUs: f.cpus, GPUs: f.gpus, Memory: f.memory, LocalGB: 50, FetchRate: 1,
 			Price: f.price, SpotPrice: f.price / 2, BootTime: f.boot.Seconds(), Zones: []string{"a", "b"}})
@@ -124,7 +136,7 @@
 	return machineList{Machines: list}
 }
 
-func (m *rented) phase() string {
+func (m *cloudMachine) phase() string {
 	switch {
 	case m.worker == nil:
 		return "booting"
@@ -143,7 +155,7 @@
 func (c *cloud) provision(body []byte) (int, any) {
 	var v provisionRequest
 	if json.Unmarshal(body, &v) != nil || machineTypes[v.MachineType].cpus == 0 || v.Number < 1 || v.Number > maxProvisioned || v.ID == "" {
-		c.w.fault("bad rental %s", body)
+		c.w.fault("bad request for machines %s", body)
 		return 400, nil
 	}
 	if got, ok := c.provisioned[v.ID]; ok {
--- a/internal/simtest/commands_jobs.go
+++ b/internal/simtest/commands_jobs.go
@@ -26,7 +26,7 @@
 	boolean("spot", "may run on spot machines"),
 	boolean("broken", "every task fails on every machine; any shape may be broken"),
 	duration("run", "what each task takes, 5s if absent"),
-	text("bundle", "name of the image"),
+	text("image_name", "name of the image"),
 	duration("image", "time to fetch the image, 1s if absent"),
 	duration("checkpoint", "interval of checkpoints, none if absent"),
 	duration("checkpoint_cost", "duration of a checkpoint, 1s if absent"),
@@ -59,9 +59,8 @@
 		act(func(w *World, a Args) { w.cancelSoon(a["id"]) })},
 	"until": {"polls a job until it has a phase", withArguments(onlyID, need(text("phase", "phase")), duration("within", "60s if absent")), show(untilPhase)},
 	"all":   {"polls all accepted jobs until they are done", []argument{duration("within", "60s if absent")}, show(untilAllDone)},
-	"users": {"sends users from here on to a controller that does not lead, or to any", []argument{boolean("any", "to any controller")}, act(chooseEntry)},
-	"ask":   {"sends users from here on to one controller", []argument{need(controllers("the controller"))}, sendUsersTo},
-	"via":   {"is the same as ask", []argument{need(controllers("the controller"))}, sendUsersTo},
+	"users": {"sends users from here on to one controller: the named one, or without arguments one that does not lead",
+		[]argument{controllers("the controller"), boolean("any", "to any controller again")}, chooseEntry},
 }
 
 func show2(print func(w *World, a Args, input string) string) runner {
@@ -184,23 +183,24 @@
 	return fmt.Sprintf("%d done", done)
 }
 
-func chooseEntry(w *World, a Args) {
+// chooseEntry chooses the controller that users ask.
+func chooseEntry(w *World, a Args, _ string) (string, error) {
 	if a.flag("any") {
 		w.users = nil
-		return
+		return "ok", nil
+	}
+	if a.flag("node") {
+		n, err := w.one(a)
+		if err != nil {
+			return "", err
+		}
+		w.users = n
+		return "ok", nil
 	}
 	for _, n := range w.nodes {
 		if n != w.Leader() {
 			w.users = n
 		}
 	}
-}
-
-func sendUsersTo(w *World, a Args, _ string) (string, error) {
-	n, err := w.one(a)
-	if err != nil {
-		return "", err
-	}
-	w.users = n
 	return "ok", nil
 }
--- a/internal/simtest/upgrade.go
+++ b/internal/simtest/upgrade.go
@@ -104,53 +104,69 @@
 	for _, n := range w.nodes {
 		n.kill()
 	}
-	w.state.revision, w.state.oldest, w.state.log = r.Revision, r.Revision, nil
-	w.state.leases = map[uint64]*stateLease{}
+	w.state.load(r)
+	for _, o := range r.Jobs {
+		w.loadJob(o)
+	}
+	w.cloud.load(r)
+	for _, n := range w.nodes {
+		n.boot()
+	}
+	return nil
+}
+
+// load replaces what the state service holds.
+func (s *state) load(r recording) {
+	s.revision, s.oldest, s.log = r.Revision, r.Revision, nil
+	s.leases = map[uint64]*stateLease{}
 	for id, ms := range r.Leases {
 		life := time.Duration(ms) * time.Millisecond
-		w.state.leases[id] = &stateLease{life, w.now + life}
-		w.state.last = max(w.state.last, id)
+		s.leases[id] = &stateLease{life, s.w.now + life}
+		s.last = max(s.last, id)
 	}
-	w.state.keys = map[string]stateKey{}
+	s.keys = map[string]stateKey{}
 	for _, k := range r.Keys {
-		w.state.keys[k.Key] = stateKey{data: k.Data, version: k.Version, leaseID: k.LeaseID}
+		s.keys[k.Key] = stateKey{data: k.Data, version: k.Version, leaseID: k.LeaseID}
 	}
-	for _, o := range r.Jobs {
-		w.Body(currentArgs(o.Args))
-		j := w.jobs[o.Args["id"]]
-		j.submitted, j.asked, j.began = true, 1, 1
-		for _, i := range o.Complete {
-			j.complete[i] = true
-		}
-		for i, p := range o.Progress {
-			j.progress[i] = p
-		}
-		w.check.acknowledged[j.id] = o.Acknowledged
-		if o.Cancelled {
-			w.check.asked[j.id], w.check.cancelAt[j.id] = true, w.now
-		}
+}
+
+func (w *World) loadJob(o recordedJob) {
+	w.Body(currentArgs(o.Args))
+	j := w.jobs[o.Args["id"]]
+	j.submitted, j.asked, j.began = true, 1, 1
+	for _, i := range o.Complete {
+		j.complete[i] = true
+	}
+	for i, p := range o.Progress {
+		j.progress[i] = p
+	}
+	w.check.acknowledged[j.id] = o.Acknowledged
+	if o.Cancelled {
+		w.check.asked[j.id], w.check.cancelAt[j.id] = true, w.now
+	}
+}
+
+// load replaces the cloud's machines and what runs on them.
+func (c *cloud) load(r recording) {
+	c.provisioned = r.Hires
+	c.machines = map[string]*cloudMachine{}
+	if slices.ContainsFunc(r.Machines, func(m recordedMachine) bool { return m.Flavor == recordedGPUType }) {
+		c.offeredNames = []string{"small", "big", recordedGPUType}
 	}
-	w.cloud.provisioned = r.Hires
-	w.cloud.machines = map[string]*rented{}
 	for i, m := range r.Machines {
-		h := &rented{name: m.Name, addr: m.Addr, machineType: m.Flavor, zone: m.Zone, spot: m.Spot, since: w.now - time.Minute}
-		w.cloud.last = max(w.cloud.last, i+1)
-		k := newWorker(w, m.Name, m.Addr, m.Flavor, m.Zone, m.Spot)
-		h.worker = k
+		c.last = max(c.last, i+1)
+		k := newWorker(c.w, m.Name, m.Addr, m.Flavor, m.Zone, m.Spot)
 		if !m.Up {
 			k.die()
 			continue
 		}
-		w.cloud.machines[m.Name] = h
-		k.session, k.sequence, k.token, k.leaseFrom = m.Tenure, m.Tick, m.Fence, w.now-m.Answered
+		c.machines[m.Name] = &cloudMachine{name: m.Name, addr: m.Addr, machineType: m.Flavor, zone: m.Zone, spot: m.Spot,
+			since: c.w.now - time.Minute, worker: k}
+		k.session, k.sequence, k.token, k.leaseFrom = m.Tenure, m.Tick, m.Fence, c.w.now-m.Answered
 		for _, o := range m.Tasks {
 			k.resume(o)
 		}
 	}
-	for _, n := range w.nodes {
-		n.boot()
-	}
-	return nil
 }
 
 // resume puts a task where it was recorded.
--- a/internal/simtest/upgrade_test.go
+++ b/internal/simtest/upgrade_test.go
@@ -38,8 +38,8 @@
 	submit("tasks=150 cpus=0.05 memory=0.1 run=9s")
 	submit("shape=gang tasks=3 run=60s checkpoint=5s same_zone")
 	submit("shape=daemon tasks=2 team=blue")
-	submit("tasks=8 gpus=1 run=70s types=card")
-	submit("tasks=2 gpus=1 run=5s types=card") // beyond the team's limit
+	submit("tasks=8 gpus=1 run=70s types=gpu")
+	submit("tasks=2 gpus=1 run=5s types=gpu") // beyond the team's limit
 	submit("tasks=2 run=80s team=blue")
 	submit("shape=gang tasks=2 run=1s scatter priority=high")
 	submit("tasks=3 run=50s priority=idle checkpoint=4s")
--- a/internal/simtest/users.go
+++ b/internal/simtest/users.go
@@ -35,7 +35,7 @@
 	j.run, j.image = a.dur("run", "5s"), a.dur("image", "1s")
 	j.checkpointInterval, j.checkpointDuration = a.dur("checkpoint", "0s"), a.dur("checkpoint_cost", "1s")
 	request := submission{ID: id, Class: j.class, Team: j.team, Shape: j.shape, Priority: a.or("priority", "normal"), TaskCount: j.taskCount,
-		CPUs: j.cpus, GPUs: j.gpus, Memory: j.memory, Image: a.or("bundle", "img"), ImageGB: 1, MachineTypes: j.machineTypes,
+		CPUs: j.cpus, GPUs: j.gpus, Memory: j.memory, Image: a.or("image_name", "img"), ImageGB: 1, MachineTypes: j.machineTypes,
 		SameZone: j.sameZone, Scatter: j.scatter, AllowSpot: j.allowSpot, EstimatedRuntime: j.run.Seconds(),
 		CheckpointInterval: j.checkpointInterval.Seconds(), CheckpointDuration: j.checkpointDuration.Seconds(), Upstream: w.await(j, a)}
 	if j.zone != "" {
