--- a/internal/simtest/chains.go
+++ b/internal/simtest/chains.go
@@ -124,7 +124,7 @@
 }
 
 // cancelRequested tells whether the user of a job, or of one that it needs, asked to
-// cancel it and was not told that it is done.
+// cancel it and was not answered that it is done.
 func (c *Checker) cancelRequested(id string) bool {
 	if c.asked[id] {
 		return true
@@ -137,8 +137,8 @@
 	return false
 }
 
-// cancelledSince is when a user was first told that a job, or one that it needs, is
-// cancelled.
+// cancelledSince is when the cancellation of a job, or of one that it needs, was
+// first acknowledged.
 func (c *Checker) cancelledSince(id string) (time.Duration, bool) {
 	at, ok := c.cancelAt[id]
 	for _, up := range c.w.needed(id) {
@@ -149,7 +149,7 @@
 	return at, ok
 }
 
-// overdue tells whether a cancellation told then must be carried out by now.
+// overdue tells whether a cancellation acknowledged then must be complete by now.
 func (c *Checker) overdue(at time.Duration) bool {
 	return c.w.now-at > seconds(c.w.cfg.Settings.Workers.CancelS)
 }
--- a/internal/simtest/chains_test.go
+++ b/internal/simtest/chains_test.go
@@ -102,7 +102,7 @@
 			}
 		}
 		if w.rng.IntN(3) != 0 {
-			w.meeting()
+			w.twoFaults()
 		}
 		if w.rng.IntN(6) == 0 {
 			// The limits fall in an outage.
--- a/internal/simtest/check.go
+++ b/internal/simtest/check.go
@@ -8,28 +8,28 @@
 )
 
 // Checker watches the rules of the protocol. It knows nothing of the service's
-// own records: only what workers do and what users are told. The one
+// own records: only what workers do and what is answered to users. The one
 // exception are done marks, without which no job that needs another may start.
 type Checker struct {
 	w              *World
 	Broken         []string
-	acknowledged   map[string]string        // last phase told, per job
-	cancelAt       map[string]time.Duration // when the cancellation was told
+	acknowledged   map[string]string        // last phase answered, per job
+	cancelAt       map[string]time.Duration // when the cancellation was acknowledged
 	asked          map[string]bool          // cancellations asked for
 	starts         int
 	refusals       map[string]int
-	calmAt         time.Duration            // when the last trouble ended, 0: not yet
-	heardOf        map[string]time.Duration // when a question about a job was last answered
+	faultsOverAt   time.Duration            // when the last fault ended, 0: not yet
+	answeredAt     map[string]time.Duration // when a request about a job was last answered
 	releasedAt     map[string]time.Duration // when all was done that a job needs
-	acknowledgedAt map[string]time.Duration // when the phase last told was first told
+	acknowledgedAt map[string]time.Duration // when the last phase was first answered
 	after          int                      // starts after a confirmed cancellation
 	beside         map[string]time.Duration // since when a job waits beside capacity for it
-	wrote          []int                    // what was written in all, lately
+	wrote          []int                    // number of writes at the last moments
 	free           map[*worker][]capacity   // what was free on machines lately
 }
 
 func newChecker(w *World) *Checker {
-	return &Checker{w: w, acknowledged: map[string]string{}, cancelAt: map[string]time.Duration{}, asked: map[string]bool{}, refusals: map[string]int{}, heardOf: map[string]time.Duration{},
+	return &Checker{w: w, acknowledged: map[string]string{}, cancelAt: map[string]time.Duration{}, asked: map[string]bool{}, refusals: map[string]int{}, answeredAt: map[string]time.Duration{},
 		releasedAt: map[string]time.Duration{}, acknowledgedAt: map[string]time.Duration{}, beside: map[string]time.Duration{}, free: map[*worker][]capacity{}}
 }
 
@@ -125,8 +125,8 @@
 	c.checkWaitsBesideCapacity()
 }
 
-// answered checks what a user was told in answer to a question asked at that
-// time: one that was under way when another was answered may be older.
+// answered checks the answer to a user's request that was sent at that time: a
+// request that was in flight when another was answered may show an older state.
 func (c *Checker) answered(asked time.Duration, id string, status int, phase string) {
 	j := c.w.jobs[id]
 	older := c.acknowledged[id] != "" && asked < c.acknowledgedAt[id]
@@ -137,8 +137,8 @@
 			c.broken("invented: %s answered %q", id, phase)
 			return
 		}
-		if j.never != 0 {
-			c.broken("accepted: %s answered %d, to be refused with %d", id, status, j.never)
+		if j.mustRefuse != 0 {
+			c.broken("accepted: %s answered %d, to be refused with %d", id, status, j.mustRefuse)
 		}
 		last := c.acknowledged[id]
 		if older && (last == "done" || last == "cancelled") && phase != "done" && phase != "cancelled" {
@@ -166,19 +166,19 @@
 	}
 }
 
-// forgottenAfter is how long a job may go without an answer once all troubles
+// forgottenAfter is how long a job may go without an answer once all faults
 // are over, however others fare.
 const forgottenAfter = 75 * time.Second
 
-// polled notes whether a question about an accepted job was answered.
+// polled notes whether a request about an accepted job was answered.
 func (c *Checker) polled(id string, status int) {
-	if _, ok := c.heardOf[id]; status == 200 || !ok {
-		c.heardOf[id] = c.w.now
+	if _, ok := c.answeredAt[id]; status == 200 || !ok {
+		c.answeredAt[id] = c.w.now
 	}
-	if c.acknowledged[id] == "" || c.cancelRequested(id) || c.calmAt == 0 {
+	if c.acknowledged[id] == "" || c.cancelRequested(id) || c.faultsOverAt == 0 {
 		return
 	}
-	if since := max(c.heardOf[id], c.calmAt); c.w.now-since > forgottenAfter {
+	if since := max(c.answeredAt[id], c.faultsOverAt); c.w.now-since > forgottenAfter {
 		c.broken("forgotten: %s without an answer for %s", id, c.w.now-since)
 	}
 }
--- a/internal/simtest/check_test.go
+++ b/internal/simtest/check_test.go
@@ -66,14 +66,14 @@
 		"left waiting: req-000001 beside room for it for 1m30.5s": func(w *World, j *job) {
 			w.check.answered(w.now, j.id, 201, "queued")
 			place(w, j, 0, "small", "a", false)
-			w.check.calmAt = 1
+			w.check.faultsOverAt = 1
 			for range 2 * 96 {
 				w.now += watchEvery
 				w.check.moment()
 			}
 		},
 		"accepted: req-000001 answered 201, to be refused with 422": func(w *World, j *job) {
-			j.never = 422
+			j.mustRefuse = 422
 			w.check.answered(w.now, j.id, 201, "queued")
 		},
 		"refused wrongly: req-000001 answered 400 for 422": func(w *World, j *job) { w.check.refusedWith(j.id, 422, 400) },
@@ -87,7 +87,7 @@
 		"went_back": func(w *World, j *job) { w.check.answered(w.now, j.id, 200, "cancelled") },
 		"without an answer for 1m16s": func(w *World, j *job) {
 			w.check.answered(w.now, j.id, 201, "queued")
-			w.check.calmAt = w.now + 1
+			w.check.faultsOverAt = w.now + 1
 			w.check.polled(j.id, 200)
 			w.now += 76*time.Second + 1
 			w.check.polled(j.id, 503)
@@ -142,13 +142,13 @@
 		"a job that waits where its team is at its limit": func(w *World, j *job) {
 			j.team, j.cpus = "blue", 17
 			w.check.answered(w.now, j.id, 201, "queued")
-			w.check.calmAt = 1
+			w.check.faultsOverAt = 1
 			for range 2 * 100 {
 				w.now += watchEvery
 				w.check.moment()
 			}
 		},
-		"an odd request that cannot be decided": func(w *World, j *job) { w.check.refusedWith(j.id, 422, 503) },
+		"an invalid request that cannot be decided": func(w *World, j *job) { w.check.refusedWith(j.id, 422, 503) },
 	}
 	for name, do := range cases {
 		w := New(1, 1, io.Discard)
--- a/internal/simtest/commands_faults.go
+++ b/internal/simtest/commands_faults.go
@@ -55,8 +55,8 @@
 	"cut_zone":       {"cuts a zone's workers and a controller off from everything else", withArguments(onlyNode, need(text("zone", "zone")), duration("for", "20s if absent")), cutOffZone},
 	"network":        {"lets links lose packets and repeat requests late", []argument{number("loss", "share of packets that are lost"), number("late", "share of requests that are carried out once more, late")}, act(func(w *World, a Args) { w.loss, w.late = a.num("loss", "0"), a.num("late", "0") })},
 	"copies":         {"lets copies of reports arrive late, at any controller", withArguments(onlyShare, duration("within", "30s if absent")), act(func(w *World, a Args) { w.copies, w.copyLate = a.num("share", "0"), a.dur("within", "30s") })},
-	"delay_reports":  {"lets reports arrive seconds late, maybe elsewhere", onlyShare, act(func(w *World, a Args) { w.heldReports = a.num("share", "0") })},
-	"delay_commands": {"lets direct commands or their answers arrive seconds late", onlyShare, act(func(w *World, a Args) { w.heldCommands = a.num("share", "0") })},
+	"delay_reports":  {"lets reports arrive seconds late, maybe elsewhere", onlyShare, act(func(w *World, a Args) { w.delayedReports = a.num("share", "0") })},
+	"delay_commands": {"lets direct commands or their answers arrive seconds late", onlyShare, act(func(w *World, a Args) { w.delayedCommands = a.num("share", "0") })},
 }
 
 // raceCommands let requests of users meet other events.
--- a/internal/simtest/commands_pipelines.go
+++ b/internal/simtest/commands_pipelines.go
@@ -77,7 +77,7 @@
 	w.state.wake()
 }
 
-// isOver tells whether a user was told that a job is over.
+// isOver tells whether the last answer showed a job as done or cancelled.
 func (c *Checker) isOver(id string) bool {
 	phase := c.acknowledged[id]
 	return phase == "done" || phase == "cancelled"
--- a/internal/simtest/commands_site.go
+++ b/internal/simtest/commands_site.go
@@ -36,7 +36,7 @@
 	}},
 	"run": {"plays on", []argument{duration("for", "1s if absent")}, act(func(w *World, a Args) { w.Run(a.dur("for", "1s")) })},
 	"settle": {"notes that all faults are over: from now on jobs may not be left waiting", nil,
-		act(func(w *World, _ Args) { w.check.calmAt = w.now })},
+		act(func(w *World, _ Args) { w.check.faultsOverAt = w.now })},
 }
 
 func addMachines(w *World, a Args) {
--- a/internal/simtest/faults.go
+++ b/internal/simtest/faults.go
@@ -6,8 +6,8 @@
 // most as the share of requests that they concern.
 type activeFaults struct {
 	lateWrites      float64       // transactions that get no answer and are carried out late
-	heldReports     float64       // reports that arrive seconds late, maybe elsewhere
-	heldCommands    float64       // direct commands that arrive, or whose answers arrive, seconds late
+	delayedReports  float64       // reports that arrive seconds late, maybe elsewhere
+	delayedCommands float64       // direct commands that arrive, or whose answers arrive, seconds late
 	slowState       time.Duration // within which the state service answers
 	cancelEnds      float64       // jobs that end that are cancelled at that moment
 	invalidRequests bool          // users send invalid requests
@@ -24,4 +24,4 @@
 	return least + time.Duration(w.rng.Int64N(int64(most-least)))
 }
 
-func (w *World) befalls(share float64) bool { return share > 0 && w.rng.Float64() < share }
+func (w *World) strikes(share float64) bool { return share > 0 && w.rng.Float64() < share }
--- a/internal/simtest/troubles_test.go
+++ b/internal/simtest/faults_test.go
@@ -43,7 +43,7 @@
 }
 
 // A machine that goes on later than its lease kills its tasks before it does
-// anything else: what was held for it finds the next session.
+// anything else: what waited for it finds the next session.
 func TestHangBeyondLease(t *testing.T) {
 	w, k := machineWith(60 * time.Second)
 	k.leaseFrom = w.now
--- a/internal/simtest/hang.go
+++ b/internal/simtest/hang.go
@@ -116,8 +116,8 @@
 	k.w.after(d, check)
 }
 
-// resumed looks at what goes on when a machine does: a task that should be gone
-// by then is on it, however soon it is stopped after that.
+// resumed checks the tasks of a machine that resumes: one whose cancellation is
+// overdue breaks the rules, however soon it is stopped after that.
 func (c *Checker) resumed(k *worker) {
 	for _, t := range k.sorted() {
 		if at, ok := c.cancelledSince(t.job.idOf()); ok && t.onMachine() && c.overdue(at) {
--- a/internal/simtest/invalid.go
+++ b/internal/simtest/invalid.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// sendInvalidRequests lets users ask odd things until it is over.
+// sendInvalidRequests lets users send invalid requests until that is over.
 func (w *World) sendInvalidRequests() {
 	if !w.invalidRequests {
 		return
@@ -94,7 +94,7 @@
 
 func (w *World) refuse(id string, body []byte, want int) {
 	j := w.jobs[id]
-	j.submitted, j.never = true, want
+	j.submitted, j.mustRefuse = true, want
 	w.insist("POST", "/submissions", body, func(asked time.Duration, status int, phase string) bool {
 		w.check.answered(asked, id, status, phase)
 		w.check.refusedWith(id, want, status)
@@ -102,8 +102,8 @@
 	})
 }
 
-// refusedWith checks how an odd request was refused: rightly, or, where the
-// node cannot decide it yet, not yet.
+// refusedWith checks the status of an invalid request: the expected one, or an
+// undecided one where the controller cannot decide yet.
 func (c *Checker) refusedWith(id string, want, status int) {
 	undecided := status == 0 || status == 503 || status == 429 || status == 504
 	if status != want && !(undecided && !(want == 400 && status == 503)) {
--- a/internal/simtest/job.go
+++ b/internal/simtest/job.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// job is what users upload.
+// job is a submitted job and what has become of it.
 type job struct {
 	id                 string
 	team, class        string
@@ -29,7 +29,7 @@
 	submitted          bool
 	awaits             []string // jobs that must be done before any task of it starts
 	body               []byte   // the submission
-	never              int      // the status with which it is to be refused, 0: it can run
+	mustRefuse         int      // the status with which it must be refused, 0: it can run
 }
 
 func (j *job) begin(now time.Duration) {
@@ -48,7 +48,7 @@
 // ended is called when a task completes: the last one's job may be cancelled,
 // asked about and submitted again at that very moment.
 func (w *World) ended(j *job) {
-	if len(j.complete) < j.taskCount || w.check.asked[j.id] || !w.befalls(w.cancelEnds) {
+	if len(j.complete) < j.taskCount || w.check.asked[j.id] || !w.strikes(w.cancelEnds) {
 		return
 	}
 	w.check.asked[j.id] = true
--- a/internal/simtest/limits.go
+++ b/internal/simtest/limits.go
@@ -52,7 +52,7 @@
 )
 
 // refuseSize answers what is over the limits. It is the service's own fault
-// where it was told the limits; where it was not it may try, but not for ever.
+// where the limits were announced; where they were not it may try, but not for ever.
 func (s *state) refuseSize(what, f string, a ...any) (int, any) {
 	s.tooLarge++
 	if (s.now == nil || s.w.announced) && s.tooLarge <= maxNamed {
--- a/internal/simtest/network.go
+++ b/internal/simtest/network.go
@@ -6,6 +6,7 @@
 	"lugward/internal/event"
 )
 
+// heldPacket is a packet that a cut link holds back.
 type heldPacket struct {
 	path [2]string
 	do   func()
@@ -28,8 +29,8 @@
 	w.after(time.Millisecond+time.Duration(w.rng.Int64N(int64(4*time.Millisecond))), do)
 }
 
-// heldUp sends a packet after it was held up for that long.
-func (w *World) heldUp(d time.Duration, from, to string, do func()) {
+// sendDelayed sends a packet after a delay.
+func (w *World) sendDelayed(d time.Duration, from, to string, do func()) {
 	if d == 0 {
 		w.send(from, to, do)
 		return
@@ -37,12 +38,12 @@
 	w.after(d, func() { w.send(from, to, do) })
 }
 
-// heldCommand draws for how long a call and its answer are held up.
-func (w *World) heldCommand(to string) (there, back time.Duration) {
+// commandDelays draws the delays of a call and of its answer.
+func (w *World) commandDelays(to string) (there, back time.Duration) {
 	if to == "state" && w.slowState > 0 {
 		return 0, w.between(0, w.slowState)
 	}
-	if to == "state" || to == "cloud" || !w.befalls(w.heldCommands) {
+	if to == "state" || to == "cloud" || !w.strikes(w.delayedCommands) {
 		return 0, 0
 	}
 	if w.rng.IntN(2) == 0 {
@@ -51,10 +52,10 @@
 	return 0, w.between(time.Second, maxDelay)
 }
 
-// heldReport draws where a report arrives, and for how long it and its answer
-// are held up: the worker may have given it up by then.
-func (w *World) heldReport(n *node, path string) (to *node, there, back time.Duration) {
-	if path != "/hello" || !w.befalls(w.heldReports) {
+// reportDelays draws where a report arrives, and the delays of the report and of
+// its answer: the worker may have given it up by then.
+func (w *World) reportDelays(n *node, path string) (to *node, there, back time.Duration) {
+	if path != "/hello" || !w.strikes(w.delayedReports) {
 		return n, 0, 0
 	}
 	switch w.rng.IntN(4) {
@@ -137,15 +138,15 @@
 			n.core.Request(now, event.Request{Conn: id, Method: method, Path: path, Body: body}, &n.out)
 		})
 	}
-	to, there, back := w.heldReport(n, path)
-	w.heldUp(there, from, to.name, func() {
+	to, there, back := w.reportDelays(n, path)
+	w.sendDelayed(there, from, to.name, func() {
 		deliver(to, func(status int, body []byte) {
 			if status == 0 {
 				once(0, nil)
 				return
 			}
 			if to == n {
-				w.heldUp(back, n.name, from, func() { once(status, body) })
+				w.sendDelayed(back, n.name, from, func() { once(status, body) })
 			}
 		})
 	})
--- a/internal/simtest/node.go
+++ b/internal/simtest/node.go
@@ -199,11 +199,11 @@
 	if to == "state" && (n.lateWrite(c) || n.watchBlocked && strings.HasPrefix(c.Path, "/follow")) {
 		return
 	}
-	there, back := n.w.heldCommand(to)
-	n.w.heldUp(there, n.name, to, func() {
+	there, back := n.w.commandDelays(to)
+	n.w.sendDelayed(there, n.name, to, func() {
 		serve(func(status int, v any) {
 			body, _ := json.Marshal(v)
-			n.w.heldUp(back, to, n.name, func() { finish(status, body) })
+			n.w.sendDelayed(back, to, n.name, func() { finish(status, body) })
 		})
 		// A repeat of what was carried out, as the network may make it.
 		if c.Method == "POST" && n.w.rng.Float64() < n.w.late {
@@ -212,11 +212,11 @@
 	})
 }
 
-// lateWrite lets a transaction go unanswered and be carried out late, judged by
-// its conditions then. In an outage it waits in the service for its end.
+// lateWrite lets a transaction go unanswered and be executed late, judged by its
+// conditions then. In an outage it waits in the service for its end.
 func (n *node) lateWrite(c event.Call) bool {
 	w := n.w
-	if c.Path != "/commit" || n.denied || w.state.down || w.cut[[2]string{n.name, "state"}] || !w.befalls(w.lateWrites) {
+	if c.Path != "/commit" || n.denied || w.state.down || w.cut[[2]string{n.name, "state"}] || !w.strikes(w.lateWrites) {
 		return false
 	}
 	var do func()
--- a/internal/simtest/scenario_test.go
+++ b/internal/simtest/scenario_test.go
@@ -223,7 +223,7 @@
 		if status == 200 || status == 201 {
 			open = append(open, a["id"])
 		}
-		w.meeting()
+		w.twoFaults()
 		w.Run(seconds(w.rng.Float64() * 6))
 		if w.rng.IntN(3) == 0 && len(open) > 0 {
 			w.Poll(open[w.rng.IntN(len(open))])
@@ -265,9 +265,9 @@
 func (w *World) endFaults() {
 	w.Run(max(seconds(25), w.faultsEnd-w.now))
 	w.loss, w.late, w.cloud.never, w.cloud.down, w.copies = 0, 0, 0, false, 0
-	w.lateWrites, w.heldReports, w.heldCommands, w.cancelEnds, w.invalidRequests = 0, 0, 0, 0, false
-	w.Run(maxDelay) // what was held up arrives
-	w.check.calmAt = w.now
+	w.lateWrites, w.delayedReports, w.delayedCommands, w.cancelEnds, w.invalidRequests = 0, 0, 0, 0, false
+	w.Run(maxDelay) // what was delayed arrives
+	w.check.faultsOverAt = w.now
 	for _, n := range w.nodes {
 		if !n.up {
 			n.boot()
--- a/internal/simtest/upgrade_test.go
+++ b/internal/simtest/upgrade_test.go
@@ -15,7 +15,7 @@
 // midway is a deployment with a bit of everything, stopped in the middle: jobs
 // done and cancelled, arrays of several records partly done, gangs, services, a
 // job that waits for its team's limit, a cancelled one whose tasks still run, a
-// machine that is gone. It ends with all controllers ended.
+// crashed machine. At its end all controllers are down.
 func midway(t *testing.T, seed uint64) (*World, []Args) {
 	w := New(3, seed, logOut())
 	w.watchRules()
--- a/internal/simtest/waiting.go
+++ b/internal/simtest/waiting.go
@@ -11,17 +11,17 @@
 
 // checkWaitsBesideCapacity notes which jobs wait beside capacity for them, and since when.
 func (c *Checker) checkWaitsBesideCapacity() {
-	if c.calmAt == 0 {
+	if c.faultsOverAt == 0 {
 		return
 	}
 	if c.writesExhausted() {
-		// The state service's rate is what they wait for: a trouble that lasts.
+		// They wait for the state service's write rate: a fault that lasts.
 		clear(c.beside)
 	}
 	capacities, used := c.capacities(), c.used()
 	for id, phase := range c.acknowledged {
 		j := c.w.jobs[id]
-		if phase == "done" || j == nil || c.cancelRequested(id) || c.held(id) || j.broken || j.never != 0 || !c.fits(j, capacities, used) {
+		if phase == "done" || j == nil || c.cancelRequested(id) || c.held(id) || j.broken || j.mustRefuse != 0 || !c.fits(j, capacities, used) {
 			delete(c.beside, id)
 			continue
 		}
--- a/internal/simtest/worker.go
+++ b/internal/simtest/worker.go
@@ -171,7 +171,7 @@
 		return
 	}
 	if k.hung {
-		// Held until the machine goes on, then executed like any other.
+		// It waits until the machine resumes, then is executed like any other.
 		k.whenAwake(func() { k.serve(path, body, answer) })
 		return
 	}
--- a/internal/simtest/world.go
+++ b/internal/simtest/world.go
@@ -1,4 +1,4 @@
-// Package simtest plays whole scenarios in virtual time: several cores against
+// Package simtest plays whole scenarios in virtual time: several controllers against
 // stand-ins of the state service, the cloud and the workers, written from
 // their published protocols, with a checker that watches the rules.
 package simtest
