--- a/internal/simtest/scenario_test.go
+++ b/internal/simtest/scenario_test.go
@@ -238,10 +238,23 @@
 			w.Cancel(id)
 		}
 	}
+	w.pollUntilOver(open)
+	for _, id := range open {
+		if !w.check.isOver(id) {
+			t.Errorf("seed %d: %s is still %s: %+v\n%s", seed, id, w.check.acknowledged[id], *w.jobs[id], strings.Join(append(w.Keys("j/"+id), w.Keys("r/"+id)...), "\n"))
+		}
+	}
+	if v := w.Verdict(); v != "kept" {
+		t.Errorf("seed %d: %s", seed, v)
+	}
+}
+
+// pollUntilOver polls jobs until they are over, for four minutes at most.
+func (w *World) pollUntilOver(open []string) {
 	for range 120 {
 		left := 0
 		for _, id := range open {
-			if acknowledged := w.check.acknowledged[id]; acknowledged != "done" && acknowledged != "cancelled" {
+			if !w.check.isOver(id) {
 				left++
 				w.Poll(id)
 			}
@@ -251,14 +264,6 @@
 		}
 		w.Run(seconds(2))
 	}
-	for _, id := range open {
-		if acknowledged := w.check.acknowledged[id]; acknowledged != "done" && acknowledged != "cancelled" {
-			t.Errorf("seed %d: %s is still %s: %+v\n%s", seed, id, acknowledged, *w.jobs[id], strings.Join(append(w.Keys("j/"+id), w.Keys("r/"+id)...), "\n"))
-		}
-	}
-	if v := w.Verdict(); v != "kept" {
-		t.Errorf("seed %d: %s", seed, v)
-	}
 }
 
 // endFaults ends all faults.
