--- a/internal/simtest/limits.go
+++ b/internal/simtest/limits.go
@@ -52,7 +52,7 @@
 )
 
 // refuseSize answers what is over the limits. It is the service's own fault
-// where it was told the limits; where it was not it may try, but not for ever.
+// where the limits were announced; where they were not it may try, but not for ever.
 func (s *state) refuseSize(what, f string, a ...any) (int, any) {
 	s.tooLarge++
 	if (s.now == nil || s.w.announced) && s.tooLarge <= maxNamed {
@@ -99,7 +99,7 @@
 
 // Announce adds to the settings the limits that the state service will have.
 func Announce(settings string, a Args) string {
-	next := object{}
+	next := map[string]float64{}
 	for arg, name := range map[string]string{"nextrps": "rps", "nextwrites": "write_rps", "nextvalue": "value_kb", "nextops": "txn_ops"} {
 		if _, ok := a[arg]; ok {
 			next[name] = a.num(arg, "0")
--- a/internal/simtest/upgrade_test.go
+++ b/internal/simtest/upgrade_test.go
@@ -15,7 +15,7 @@
 // midway is a deployment with a bit of everything, stopped in the middle: jobs
 // done and cancelled, arrays of several records partly done, gangs, services, a
 // job that waits for its team's limit, a cancelled one whose tasks still run, a
-// machine that is gone. It ends with all controllers ended.
+// crashed machine. At its end all controllers are down.
 func midway(t *testing.T, seed uint64) (*World, []Args) {
 	w := New(3, seed, logOut())
 	w.watchRules()
@@ -38,8 +38,8 @@
 	submit("tasks=150 cpus=0.05 memory=0.1 run=9s")
 	submit("shape=gang tasks=3 run=60s checkpoint=5s same_zone")
 	submit("shape=daemon tasks=2 team=blue")
-	submit("tasks=8 gpus=1 run=70s types=card")
-	submit("tasks=2 gpus=1 run=5s types=card") // beyond the team's limit
+	submit("tasks=8 gpus=1 run=70s types=gpu")
+	submit("tasks=2 gpus=1 run=5s types=gpu") // beyond the team's limit
 	submit("tasks=2 run=80s team=blue")
 	submit("shape=gang tasks=2 run=1s scatter priority=high")
 	submit("tasks=3 run=50s priority=idle checkpoint=4s")
@@ -85,7 +85,7 @@
 	}
 	w.state.lower(Args{"value": "2", "ops": "4", "writes": "40"})
 	w.Cancel("req-000904") // a service
-	if got := w.Do("all", Args{"within": "240s"}, ""); got != fmt.Sprintf("%d done", len(w.accepted())) {
+	if got := do(t, w, "all", Args{"within": "240s"}); got != fmt.Sprintf("%d done", len(w.accepted())) {
 		t.Errorf("%s of %d", got, len(w.accepted()))
 		for _, id := range w.accepted() {
 			if w.check.acknowledged[id] != "done" {
