--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -606,6 +606,9 @@
 		if j.Shape == pipeline.Gang && left < j.StartableCount() {
 			continue
 		}
+		if j.AtFault() && hasMachineFor(j, capacities) {
+			continue // its probe waits for a machine that is there
+		}
 		u := promised[j.Team]
 		u.Add(&j.Spec, float64(left))
 		promised[j.Team] = u
@@ -676,6 +679,14 @@
 	return &scheduler.Capacity{MachineType: f, Zone: o.zone, Spot: o.spot, CPUs: f.CPUs, GPUs: f.GPUs, Memory: f.Memory}
 }
 
+// hasMachineFor tells whether a task of a job fits on one of the machines once it is
+// empty.
+func hasMachineFor(j *pipeline.Job, capacities []*scheduler.Capacity) bool {
+	return slices.ContainsFunc(capacities, func(c *scheduler.Capacity) bool {
+		return c != nil && c.Matches(&j.Spec) && scheduler.Allows(&j.Spec, c.MachineType)
+	})
+}
+
 // bootTime is how soon a machine asked for now can be up for a job: by the
 // cloud's word, the quickest type, in seconds.
 func (r *Autoscaler) bootTime(j *pipeline.Job) float64 {
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -51,12 +51,12 @@
 	failures  int   // failed attempts in a row of a job that is at fault itself
 	notBefore int64 // steady time in ns
 
-	failedAttempts int           // machines on which it has failed since it last succeeded
-	avoid          map[int]int64 // machines where it failed: until when it stays away
-	probe          *Entry        // the one task that tries again
-	dirty          bool          // not stored as it is
-	queued         bool          // a write of it waits for its turn
-	retryWriteAt   int64         // no write before this steady time
+	failedOn     map[int]bool  // machines on which it has failed since it last succeeded
+	avoid        map[int]int64 // machines where it failed: until when it stays away
+	probe        *Entry        // the one task that tries again
+	dirty        bool          // not stored as it is
+	queued       bool          // a write of it waits for its turn
+	retryWriteAt int64         // no write before this steady time
 }
 
 // AtFault tells whether the job itself has failed, on several machines or again
@@ -111,12 +111,8 @@
 		if j.retry.probe == e || (j.Shape == Gang && !j.Stopping) {
 			t.BackOff(j, now)
 		}
-	case !known:
-		// Tasks that fail together on one machine tell no more than one of them.
-		j.retry.failedAttempts++
-		if j.retry.failedAttempts >= failuresToBackOff {
-			t.BackOff(j, now)
-		}
+	case j.failsEverywhere(e.Machine, known):
+		t.BackOff(j, now)
 	}
 	if j.AtFault() {
 		// The machines are not to blame, and a probe that found all of them
@@ -127,6 +123,33 @@
 	return j.AtFault()
 }
 
+// failsEverywhere takes in that a task failed on a machine, again if avoided tells
+// that one failed there a moment ago. It tells whether that makes the job itself
+// suspect: tasks have failed on several machines, or in turn on the only one.
+func (j *Job) failsEverywhere(machine int, avoided bool) bool {
+	if j.retry.failedOn == nil {
+		j.retry.failedOn = map[int]bool{}
+	}
+	// Tasks that fail together tell no more than one of them; where others of the
+	// job run elsewhere, the machine is as likely to be at fault.
+	again := j.retry.failedOn[machine] && !avoided && !j.activeElsewhere(machine)
+	j.retry.failedOn[machine] = true
+	return again || len(j.retry.failedOn) >= failuresToBackOff
+}
+
+// activeElsewhere tells whether tasks of the job may be on other machines.
+func (j *Job) activeElsewhere(machine int) bool {
+	elsewhere := false
+	j.Entries(func(e *Entry) { elsewhere = elsewhere || e.Machine != machine })
+	return elsewhere
+}
+
+// FailedOnlyOn tells whether a machine is the only one on which tasks of the job
+// have failed since one succeeded.
+func (j *Job) FailedOnlyOn(machine int) bool {
+	return len(j.retry.failedOn) == 1 && j.retry.failedOn[machine]
+}
+
 // BackOff counts a failed attempt of a job that is at fault and pauses it.
 func (t *Table) BackOff(j *Job, now time.Duration) {
 	j.retry.failures++
@@ -149,10 +172,10 @@
 	return pause - time.Duration(random.Float64()*retryJitter*float64(pause))
 }
 
-// TaskSucceeded takes in that a task of the job works: what failed before was not
-// the job's fault.
-func (t *Table) TaskSucceeded(j *Job) {
-	j.retry.failedAttempts = 0
+// ClearFailures takes in that what failed before was not the job's fault: a task of
+// it works, or the machine was faulty.
+func (t *Table) ClearFailures(j *Job) {
+	clear(j.retry.failedOn)
 	if !j.AtFault() {
 		return
 	}
--- a/internal/worker/failures.go
+++ b/internal/worker/failures.go
@@ -13,6 +13,12 @@
 	// So many different jobs that fail on a machine and work elsewhere make the
 	// machine faulty: with one, chance or the job's own fault is as likely.
 	minFailedJobs = 2
+	// Where nothing else is free the jobs that failed there can't show that they
+	// work elsewhere, and a faulty machine, always empty, draws all of them. So many
+	// that failed nowhere else, for so long without a task that completed, make the
+	// machine faulty as well.
+	minUnprovenJobs = 3
+	unprovenTime    = 15 * time.Second
 	// A task that runs on another machine for this long, and for so many times as
 	// long as it ran on the one where it failed, works there.
 	minWorkingTime    = 15 * time.Second
@@ -33,6 +39,9 @@
 	if h.failedJobs == nil {
 		h.failedJobs = map[string]event.Time{}
 	}
+	if len(h.failedJobs) == 0 {
+		h.failingSince = now
+	}
 	h.failedJobs[j.ID] = runTime(e, now)
 	f.suspects[h.Index] = true
 	failures := j.Failures()
@@ -46,7 +55,7 @@
 func (f *Registry) taskSucceeded(h *Machine, j *pipeline.Job) {
 	clear(h.failedJobs)
 	delete(f.suspects, h.Index)
-	f.Jobs.TaskSucceeded(j)
+	f.Jobs.ClearFailures(j)
 }
 
 // runTime is for how long a task has been seen running.
@@ -70,7 +79,7 @@
 			delete(f.suspects, i)
 			continue
 		}
-		if f.provenFailures(h, now) >= minFailedJobs {
+		if f.provenFailures(h, now) >= minFailedJobs || f.unprovenFailures(h, now) >= minUnprovenJobs {
 			f.quarantine(h)
 		}
 	}
@@ -88,6 +97,20 @@
 	return count
 }
 
+// unprovenFailures counts the jobs that failed on a machine and nowhere else, once
+// the first failure is long enough ago.
+func (f *Registry) unprovenFailures(h *Machine, now event.Time) (count int) {
+	if now-h.failingSince < unprovenTime {
+		return 0
+	}
+	for id := range h.failedJobs {
+		if j := f.Jobs.Job(id); j != nil && j.FailedOnlyOn(h.Index) {
+			count++
+		}
+	}
+	return count
+}
+
 // worksElsewhere tells whether tasks of a job have completed, or have been running
 // on other machines for longer than one ran on this machine before it failed.
 func (f *Registry) worksElsewhere(j *pipeline.Job, h *Machine, ran, now event.Time) bool {
@@ -108,6 +131,11 @@
 	f.log.Info("machine is faulty", "machine", h.Name, "failed_jobs", len(h.failedJobs))
 	h.Faulty = true
 	h.Draining = true
+	for _, id := range slices.Sorted(maps.Keys(h.failedJobs)) {
+		if j := f.Jobs.Job(id); j != nil && j.FailedOnlyOn(h.Index) {
+			f.Jobs.ClearFailures(j)
+		}
+	}
 	for _, e := range f.sorted(h) {
 		f.Evict(e, e.Job.CheckpointDuration+1)
 	}
@@ -123,6 +151,6 @@
 		works = works || (e.Phase == pipeline.RunningTask && runTime(e, now) >= serviceWorkingTime)
 	})
 	if works {
-		f.Jobs.TaskSucceeded(j)
+		f.Jobs.ClearFailures(j)
 	}
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -53,6 +53,7 @@
 	RefusedUntil event.Time // full or in_use: not to be used before
 	// Jobs by name: an index serves another job once one is forgotten.
 	failedJobs        map[string]event.Time // failed here since a task last completed: how long they had run
+	failingSince      event.Time            // the first of these failures
 	Faulty            bool                  // several jobs that work elsewhere fail here: no task may be placed
 	SlowJobs          map[string]bool       // jobs in a row that ran far longer here than their class does
 	Retiring          bool                  // logged as retired: no task may be placed
