--- /dev/null
+++ b/internal/pipeline/parts_test.go
@@ -0,0 +1,101 @@
+package pipeline
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"lugward/internal/store"
+)
+
+func TestEncodeParts(t *testing.T) {
+	var list []string
+	for i := range 900 {
+		list = append(list, fmt.Sprintf("req-%d", i*i*i*i))
+	}
+	var back []string
+	for _, p := range EncodeParts(list, 2048) {
+		if len(p) > 2048 {
+			t.Errorf("a part of %d bytes", len(p))
+		}
+		got, ok := decodePart(p)
+		if !ok {
+			t.Fatalf("%s", p)
+		}
+		back = append(back, got...)
+	}
+	if !slices.Equal(list, back) {
+		t.Error("not the same list")
+	}
+}
+
+// A job whose list is not whole, or is still that of an older attempt, is
+// neither ready nor judged.
+func TestPartsOfAttempts(t *testing.T) {
+	r := newRig()
+	r.job(1, nil)
+	r.job(2, nil)
+	r.final(1, Cancelled)
+	r.final(2, Done)
+	p := func(n int) []byte { return EncodeParts([]string{id(n)}, 4096)[0] }
+	r.write(PartKey, id(5)+"/0", p(1)) // abandoned
+	r.write(PartKey, id(5)+"/1", p(1))
+	old := r.revision
+	r.revision += 10
+	j := r.job(5, func(j *Job) { j.Upstream, j.UpstreamParts, j.SubmissionVersion = nil, 2, old+3 }, 9)
+	if j.linked || j.upstreamCancelled || len(r.Releasable()) != 0 {
+		t.Fatal("judged by an abandoned list")
+	}
+	r.Listen(PartKey, id(5)+"/0", p(2), old+3)
+	if j.linked {
+		t.Fatal("judged by half a list")
+	}
+	r.Listen(PartKey, id(5)+"/1", p(2), old+4)
+	expect(t, "held", idsOf(r.Releasable()), "5")
+	// The list may go once it is ready; what was linked stays linked till then.
+	r.Listen(PartKey, id(5)+"/0", nil, r.revision+1)
+	expect(t, "held", idsOf(r.Releasable()), "5")
+}
+
+func TestDeleteStaleParts(t *testing.T) {
+	r := newRig()
+	part := EncodeParts([]string{id(1)}, 4096)[0]
+	r.job(1, nil)
+	for _, k := range []string{"/0", "/1", "/2"} {
+		r.write(PartKey, id(2)+k, part) // left behind
+	}
+	first := r.graph.parts[id(2)].held[0].version
+	r.write(PartKey, id(3)+"/0", part)
+	held := r.job(3, func(j *Job) { j.Upstream, j.UpstreamParts, j.SubmissionVersion = nil, 1, r.revision }, 1)
+	q := &queue{}
+	r.DeleteStaleParts(time.Minute, term, q)
+	if len(q.list) != 0 {
+		t.Fatalf("%d drops of what is young or needed", len(q.list))
+	}
+	r.DeleteStaleParts(2*time.Minute, term, q)
+	r.DeleteStaleParts(2*time.Minute, term, q)
+	if len(q.list) != 1 || q.list[0].Writes[0].Key != PartKeyOf(id(2), 0) ||
+		!slices.Contains(q.list[0].Conditions, store.Condition{Key: PartKeyOf(id(2), 0), Version: first}) || !slices.Contains(q.list[0].Conditions, store.Condition{Key: JobKeyOf(id(2))}) {
+		t.Fatalf("%d drops", len(q.list))
+	}
+	carryOut(r.Table, q.next(t), r.revision+1)
+	r.DeleteStaleParts(2*time.Minute, term, q)
+	if len(q.list) != 2 || !slices.Contains(q.list[0].Conditions, store.Condition{Key: PartKeyOf(id(2), 0)}) {
+		t.Fatalf("%d drops", len(q.list))
+	}
+	carryOut(r.Table, q.next(t), r.revision+2)
+	carryOut(r.Table, q.next(t), r.revision+3)
+	if r.graph.parts[id(2)] != nil || !held.linked {
+		t.Error("not all dropped, or too much")
+	}
+	ready := *held
+	ready.Ready, ready.UpstreamParts, ready.SubmissionVersion = true, 0, 0
+	r.revision += 5
+	r.write(JobKey, held.ID, Encode(r.Names, &ready))
+	r.DeleteStaleParts(2*time.Minute, term, q)
+	carryOut(r.Table, q.next(t), r.revision+1)
+	if len(r.graph.parts) != 0 {
+		t.Error("the list of a ready job is kept")
+	}
+}
