--- a/internal/pipeline/entries.go
+++ b/internal/pipeline/entries.go
@@ -89,7 +89,7 @@
 func (t *Table) remove(e *Entry) {
 	e.Job.active--
 	if e.Pending == PendingDone {
-		e.Job.marked--
+		e.Job.pendingDone--
 	}
 	t.count(e, -1)
 	t.MarkMachineChanged(e.Machine)
--- a/internal/pipeline/finish.go
+++ b/internal/pipeline/finish.go
@@ -9,14 +9,15 @@
 
 // Final is a job's final mark.
 type Final struct {
-	Phase  Phase
-	N      int
-	Daemon bool // as far as the mark tells
+	Phase  Phase // Done or Cancelled
+	N      int   // number of tasks
+	Daemon bool  // false also if an earlier version wrote the mark
 }
 
+// onFinal takes a final mark of the replica.
 func (t *Table) onFinal(id string, data []byte) {
 	if data == nil {
-		return // never dropped
+		return // a final mark is never deleted
 	}
 	var r finalRecord
 	if json.Unmarshal(data, &r) != nil {
@@ -29,27 +30,36 @@
 	t.Finals[id] = f
 	t.propagateFinal(id, f.Phase)
 	if j := t.byID[id]; j != nil {
-		j.Final = f.Phase
-		t.unlink(j)
-		t.unmarkUpstreamCancelled(j)
-		if j.active > 0 {
-			t.ended[j] = true
-			j.Entries(func(e *Entry) { t.MarkMachineChanged(e.Machine) })
-		}
-		// A placement that is not stored by now never will be: its write
-		// requires that there is no final mark.
-		for i := range j.Chunk {
-			for task, e := range j.Chunk[i].Entries {
-				if !e.Durable {
-					delete(j.Chunk[i].Entries, task)
-					t.remove(e)
-				}
+		t.finalize(j, f.Phase)
+	}
+}
+
+// finalize takes over a final mark in the job's own state.
+func (t *Table) finalize(j *Job, phase Phase) {
+	j.Final = phase
+	t.unlink(j)
+	t.unmarkUpstreamCancelled(j)
+	if j.active > 0 {
+		t.ended[j] = true
+		j.Entries(func(e *Entry) { t.MarkMachineChanged(e.Machine) })
+	}
+	t.removePlacements(j)
+	if phase == Done {
+		t.dropCompleted(j)
+	}
+	t.forget(j)
+}
+
+// removePlacements removes the placements of a job with a final mark that are not
+// stored: they never will be, as their write requires that there is no such mark.
+func (t *Table) removePlacements(j *Job) {
+	for index := range j.Chunk {
+		for task, e := range j.Chunk[index].Entries {
+			if !e.Durable {
+				delete(j.Chunk[index].Entries, task)
+				t.remove(e)
 			}
 		}
-		if f.Phase == Done {
-			t.dropCompleted(j)
-		}
-		t.forget(j)
 	}
 }
 
@@ -69,11 +79,12 @@
 	if j.Shape == Daemon || j.Final != Queued || j.Version == 0 {
 		return false
 	}
-	return j.done+len(j.doneUnlogged)+j.marked >= j.TaskCount
+	return j.done+len(j.doneUnlogged)+j.pendingDone >= j.TaskCount
 }
 
-// finish marks a job done. The mark is all that users and the jobs that need it
-// wait for: the job's records are dropped by Clean, behind everything else.
+// finish queues the done mark of a complete job. The mark is all that users and
+// the jobs that need it wait for: the job's records are dropped by Clean, after
+// everything else. It tells whether the mark is due or under way.
 func (t *Table) finish(j *Job, now time.Duration, term store.Condition, s Submitter) bool {
 	if j.finishing {
 		return true
@@ -81,40 +92,52 @@
 	if !j.complete() {
 		return false
 	}
-	for c := range j.Chunk {
-		if int64(now) < j.Chunk[c].retryAt {
+	for index := range j.Chunk {
+		if int64(now) < j.Chunk[index].retryAt {
 			return true // the replica does not show what was written last
 		}
 	}
 	j.finishing = true
-	in := &store.Intent{Priority: store.Progress, Rank: j.writeRank(), Key: FinalKeyOf(j.ID)}
-	in.Build = func(in *store.Intent) bool {
-		if !j.complete() {
-			return false
-		}
-		in.Conditions = []store.Condition{term, {Key: JobKeyOf(j.ID), Version: j.Version}, {Key: FinalKeyOf(j.ID)}}
-		in.Writes = []store.Write{{Key: FinalKeyOf(j.ID), Data: EncodeFinal(Done, j)}}
-		return true
-	}
-	in.Done = func(r store.Result) {
-		j.finishing = false
-		if r.Outcome != store.OK {
-			j.backOff(r)
-			for c := range j.Chunk {
-				j.Chunk[c].retryAt = j.retryAt
-			}
-		}
+	s.Submit(&store.Intent{
+		Priority: store.Progress,
+		Rank:     j.writeRank(),
+		Key:      FinalKeyOf(j.ID),
+		Build:    func(in *store.Intent) bool { return j.buildDoneMark(in, term) },
+		Done:     j.doneMarkWritten,
+	}, now+writeTimeout)
+	return true
+}
+
+// buildDoneMark fills in the done mark. It requires the job's record as the replica
+// shows it and no final mark, so it loses against a cancellation that came first.
+func (j *Job) buildDoneMark(in *store.Intent, term store.Condition) bool {
+	if !j.complete() {
+		return false
 	}
-	s.Submit(in, now+writeTimeout)
+	in.Conditions = []store.Condition{term, {Key: JobKeyOf(j.ID), Version: j.Version}, {Key: FinalKeyOf(j.ID)}}
+	in.Writes = []store.Write{{Key: FinalKeyOf(j.ID), Data: EncodeFinal(Done, j)}}
 	return true
 }
 
+// doneMarkWritten takes the outcome of writing the done mark.
+func (j *Job) doneMarkWritten(r store.Result) {
+	j.finishing = false
+	if r.Outcome == store.OK {
+		return
+	}
+	j.backOff(r)
+	for index := range j.Chunk {
+		j.Chunk[index].retryAt = j.retryAt
+	}
+}
+
 // dropCompleted frees what the completed tasks of a job took once its mark is
 // stored: their machines have reported their end (of a gang one does, as all of it
-// ends together), and the mark keeps them from being started again. What is left may still be on a machine and waits for its proof.
+// ends together), and the mark keeps them from being started again. What is left
+// may still be on a machine and stays until it is proven to have terminated.
 func (t *Table) dropCompleted(j *Job) {
-	for c := range j.Chunk {
-		chunk := &j.Chunk[c]
+	for index := range j.Chunk {
+		chunk := &j.Chunk[index]
 		for task, e := range chunk.Entries {
 			if e.Pending == PendingDone && (e.Phase == Exited || j.Shape == Gang) {
 				delete(chunk.Entries, task)
@@ -125,8 +148,8 @@
 	if j.active > 0 {
 		return
 	}
-	for c := range j.Chunk {
-		j.Chunk[c].dirty = false // Clean drops the record
+	for index := range j.Chunk {
+		j.Chunk[index].dirty = false // Clean drops the record
 	}
 	delete(t.dirty, j)
 	delete(t.ended, j)
--- a/internal/pipeline/flush.go
+++ b/internal/pipeline/flush.go
@@ -1,16 +1,23 @@
 package pipeline
 
 import (
-	"sort"
+	"maps"
+	"slices"
 	"time"
 
 	"lugward/internal/store"
 )
 
 const (
-	writeTimeout = 20 * time.Second // a pending write waits this long for the write rate
-	retryWait    = int64(200 * time.Millisecond)
-	deferredWait = int64(time.Second) // until placements that had no capacity are tried again
+	// writeTimeout is how long a queued write waits for the write rate before it
+	// is given up and queued anew.
+	writeTimeout = 20 * time.Second
+	// retryWait, in ns, is the pause after a write that failed: the replica needs
+	// about that long to show what the state service holds.
+	retryWait = int64(200 * time.Millisecond)
+	// deferredWait, in ns, is the pause until placements that did not fit in a
+	// record are tried again.
+	deferredWait = int64(time.Second)
 )
 
 // Submitter queues intents; *store.Client is one.
@@ -18,153 +25,224 @@
 	Submit(in *store.Intent, expires time.Duration)
 }
 
-// Flush turns pending writes into intents. term is the condition that our term holds.
+// Flush queues a write of every run record that differs from what is stored, and
+// the done mark of every job that is complete. term is the condition that our
+// term holds.
 func (t *Table) Flush(now time.Duration, term store.Condition, s Submitter) {
 	if len(t.dirty) == 0 {
 		return
 	}
-	list := make([]*Job, 0, len(t.dirty))
-	for j := range t.dirty {
-		list = append(list, j)
-	}
-	sort.Slice(list, func(a, b int) bool { return before(list[a], list[b]) })
-	for _, j := range list {
+	for _, j := range slices.SortedFunc(maps.Keys(t.dirty), byReadiness) {
 		if t.finish(j, now, term, s) {
-			continue
+			continue // the done mark makes further writes of its records needless
 		}
-		left := false
-		for c := range j.Chunk {
-			ch := &j.Chunk[c]
-			if !ch.dirty {
-				continue
-			}
-			left = true
-			if int64(now) >= ch.retryAt {
-				t.write(j, c, now, term, s)
-			}
-		}
-		if !left {
+		if !t.flushChunks(j, now, term, s) {
 			delete(t.dirty, j)
 		}
 	}
 }
 
+// flushChunks queues the writes of a job's chunks that are due. It tells whether
+// any chunk still differs from what is stored.
+func (t *Table) flushChunks(j *Job, now time.Duration, term store.Condition, s Submitter) (dirty bool) {
+	for index := range j.Chunk {
+		ch := &j.Chunk[index]
+		if !ch.dirty {
+			continue
+		}
+		dirty = true
+		if int64(now) >= ch.retryAt {
+			t.queueChunkWrite(j, index, now, term, s)
+		}
+	}
+	return dirty
+}
+
 // writeRank orders the writes of jobs among those of one priority: those of the
 // lowest priority go last, since a swarm of them may take all of the write rate.
 func (j *Job) writeRank() int {
 	return int(min(j.EffectivePriority, Normal))
 }
 
-// write queues the write of a chunk. What it holds is decided when its turn
-// comes: a busy job's tasks share one write however many change meanwhile.
-func (t *Table) write(j *Job, c int, now time.Duration, term store.Condition, s Submitter) {
-	if j.Chunk[c].queued[1] {
-		return // it will carry whatever has changed by then
+// chunkWrite is a write of a chunk that waits for its turn or is under way. It
+// names the chunk by its index, as the list of chunks may grow meanwhile.
+type chunkWrite struct {
+	table      *Table
+	job        *Job
+	index      int
+	term       store.Condition
+	placements bool // queued with the priority of placements
+	carried    int  // the chunk's changeCount when the write was built
+}
+
+// queueChunkWrite queues the write of a chunk. What it holds is decided when its
+// turn comes, so a job's tasks share one write however many of them change
+// meanwhile. A write with the priority of placements may overtake one without.
+func (t *Table) queueChunkWrite(j *Job, index int, now time.Duration, term store.Condition, s Submitter) {
+	ch := &j.Chunk[index]
+	if ch.placementQueued || (ch.progressQueued && !ch.placing) {
+		return // the queued write will carry whatever has changed by then
 	}
-	kind, priority := 0, store.Progress
-	if j.Chunk[c].placing {
-		kind, priority = 1, store.Place
+	w := &chunkWrite{table: t, job: j, index: index, term: term, placements: ch.placing}
+	w.setQueued(true)
+	priority := store.Progress
+	if w.placements {
+		priority = store.Place
 	}
-	if j.Chunk[c].queued[kind] {
-		return
+	s.Submit(&store.Intent{
+		Priority: priority,
+		Rank:     j.writeRank(),
+		Key:      runKey(j.ID, index),
+		Build:    w.build,
+		Done:     w.done,
+	}, now+writeTimeout)
+}
+
+func (w *chunkWrite) chunk() *Chunk { return &w.job.Chunk[w.index] }
+
+func (w *chunkWrite) setQueued(queued bool) {
+	if w.placements {
+		w.chunk().placementQueued = queued
+	} else {
+		w.chunk().progressQueued = queued
 	}
-	j.Chunk[c].queued[kind] = true
-	built := 0
-	in := &store.Intent{Priority: priority, Rank: j.writeRank(), Key: runKey(j.ID, c)}
-	in.Build = func(in *store.Intent) bool {
-		ch := &j.Chunk[c]
-		if !ch.dirty || j.finishing {
-			return false
-		}
-		built = ch.changeCount
-		return t.build(in, j, c, term)
-	}
-	in.Done = func(r store.Result) {
-		ch := &j.Chunk[c]
-		ch.queued[kind] = false
-		switch {
-		case r.Outcome == store.OK:
-			// An entry that may have been in a write whose outcome never came
-			// is gone now: that write built on an older version.
-			for task, e := range ch.Entries {
-				if e.dropped && !e.Durable {
-					delete(ch.Entries, task)
-					t.remove(e)
-					t.Changed = true
-				}
-			}
-			ch.rejectedWrites = 0
-			switch {
-			case ch.changeCount != built:
-			case ch.deferredPlacements > 0:
-				ch.placing, ch.retryAt = true, int64(r.Now)+deferredWait
-			default:
-				ch.dirty = false
-			}
-		case ch.dirty:
-			// The pending write stands. If the write was carried out unseen, its
-			// retry conflicts until the replica shows it, then builds on it.
-			ch.retryAt = int64(r.Now) + retryAfter(r, &ch.rejectedWrites)
-			if ch.deferredPlacements > 0 {
-				ch.retryAt = max(ch.retryAt, int64(r.Now)+deferredWait)
-			}
-			t.dirty[j] = true
-			for _, e := range ch.Entries {
-				ch.placing = ch.placing || (e.Pending == NoPendingWrite && !e.Durable)
-			}
+}
+
+// build fills in the write as things stand; false: there is nothing to write.
+func (w *chunkWrite) build(in *store.Intent) bool {
+	ch := w.chunk()
+	if !ch.dirty || w.job.finishing {
+		return false
+	}
+	w.carried = ch.changeCount
+	return w.table.buildChunkWrite(in, w.job, w.index, w.term)
+}
+
+// done takes the outcome of the write.
+func (w *chunkWrite) done(r store.Result) {
+	w.setQueued(false)
+	switch {
+	case r.Outcome == store.OK:
+		w.succeeded(r)
+	case w.chunk().dirty:
+		w.failed(r)
+	}
+}
+
+func (w *chunkWrite) succeeded(r store.Result) {
+	ch := w.chunk()
+	w.table.removeDropped(ch)
+	ch.rejectedWrites = 0
+	switch {
+	case ch.changeCount != w.carried:
+		// What has changed since the write was built is still to be written.
+	case ch.deferredPlacements > 0:
+		ch.placing = true
+		ch.retryAt = int64(r.Now) + deferredWait
+	default:
+		ch.dirty = false
+	}
+}
+
+// removeDropped removes entries that were part of a write without an answer and
+// have been cleared since: the write that just succeeded builds on a version
+// without them, so that earlier write can no longer be carried out.
+func (t *Table) removeDropped(ch *Chunk) {
+	for task, e := range ch.Entries {
+		if e.dropped && !e.Durable {
+			delete(ch.Entries, task)
+			t.remove(e)
+			t.Changed = true
 		}
 	}
-	s.Submit(in, now+writeTimeout)
 }
 
-// build fills in a write of a chunk as things stand.
-func (t *Table) build(in *store.Intent, j *Job, c int, term store.Condition) bool {
-	ch := &j.Chunk[c]
-	done := append([]uint64(nil), ch.Done...)
-	var active, fresh []*Entry
-	ch.placing = false
-	changed := false
+// failed keeps the pending write. If the failed one was carried out unseen, its
+// retry conflicts until the replica shows it, then builds on it.
+func (w *chunkWrite) failed(r store.Result) {
+	ch := w.chunk()
+	ch.retryAt = int64(r.Now) + retryAfter(r, &ch.rejectedWrites)
+	if ch.deferredPlacements > 0 {
+		ch.retryAt = max(ch.retryAt, int64(r.Now)+deferredWait)
+	}
+	w.table.dirty[w.job] = true
+	for _, e := range ch.Entries {
+		ch.placing = ch.placing || (e.Pending == NoPendingWrite && !e.Durable)
+	}
+}
+
+// chunkContent is what a chunk's record is to say with all pending writes in it.
+type chunkContent struct {
+	done       []uint64 // bitmap of the chunk's completed tasks
+	active     []*Entry // stored entries that remain
+	placements []*Entry // entries that are not stored yet
+	changed    bool     // an entry goes or a task is done: more than placements
+}
+
+// content gathers what a chunk's record is to say, and marks the entries that it
+// leaves out.
+func (t *Table) content(j *Job, index int) chunkContent {
+	ch := &j.Chunk[index]
+	c := chunkContent{done: slices.Clone(ch.Done)}
 	for _, e := range ch.Entries {
-		changed = changed || e.Pending != NoPendingWrite
 		switch e.Pending {
 		case NoPendingWrite:
 			if e.Durable {
-				active = append(active, e)
+				c.active = append(c.active, e)
 			} else {
-				fresh = append(fresh, e)
+				c.placements = append(c.placements, e)
 			}
 		case PendingDone:
-			done[e.Task%t.chunkLen/64] |= 1 << (e.Task % t.chunkLen % 64)
+			c.changed = true
+			setDone(c.done, e.Task%t.chunkLen)
 		case PendingClear:
+			c.changed = true
 			e.dropped = true
 		}
 	}
 	for task := range j.doneUnlogged {
-		if task/t.chunkLen == c {
-			changed = true
-			done[task%t.chunkLen/64] |= 1 << (task % t.chunkLen % 64)
+		if task/t.chunkLen == index {
+			c.changed = true
+			setDone(c.done, task%t.chunkLen)
 		}
 	}
-	in.Conditions = []store.Condition{term, {Key: runKey(j.ID, c), Version: ch.Version}}
+	return c
+}
+
+// buildChunkWrite fills in the write of a chunk as things stand. It requires the
+// stored version to be the one that the replica shows, and no placement is written
+// once the job has its final mark.
+func (t *Table) buildChunkWrite(in *store.Intent, j *Job, index int, term store.Condition) bool {
+	ch := &j.Chunk[index]
+	key := runKey(j.ID, index)
+	ch.placing = false
+	c := t.content(j, index)
+	in.Conditions = []store.Condition{term, {Key: key, Version: ch.Version}}
 	if j.Final == Queued {
 		in.Conditions = append(in.Conditions, store.Condition{Key: FinalKeyOf(j.ID)})
+	} else if len(c.active)+len(c.placements) == 0 {
+		return ch.buildDrop(in, key)
 	}
-	if j.Final != Queued && len(active)+len(fresh) == 0 {
-		ch.deferredPlacements = 0
-		if ch.Version == 0 {
-			ch.dirty = false
-			return false
-		}
-		in.Writes = []store.Write{{Key: runKey(j.ID, c)}}
-	} else {
-		data, taken := t.fit(j, ch, done, active, fresh)
-		if ch.deferredPlacements = len(fresh) - len(taken); ch.deferredPlacements > 0 && len(taken) == 0 && !changed {
-			return false // what is stored says it all
-		}
-		for _, e := range taken {
-			e.sent = true
-		}
-		in.Writes = []store.Write{{Key: runKey(j.ID, c), Data: data}}
+	data, taken := t.fit(j, ch, c)
+	ch.deferredPlacements = len(c.placements) - len(taken)
+	if ch.deferredPlacements > 0 && len(taken) == 0 && !c.changed {
+		return false // what is stored says it all
+	}
+	for _, e := range taken {
+		e.sent = true
+	}
+	in.Writes = []store.Write{{Key: key, Data: data}}
+	return true
+}
+
+// buildDrop fills in the deletion of a chunk's record, of which nothing is needed
+// any more; false: none is stored.
+func (ch *Chunk) buildDrop(in *store.Intent, key string) bool {
+	ch.deferredPlacements = 0
+	if ch.Version == 0 {
+		ch.dirty = false
+		return false
 	}
+	in.Writes = []store.Write{{Key: key}}
 	return true
 }
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -166,10 +166,11 @@
 	Final              Phase  // Done or Cancelled once marked, else Queued
 	Chunk              []Chunk
 
-	done     int // tasks marked done in run records
-	active   int // entries
-	marked   int // entries of which the leader wishes that they be marked done
-	chunkLen int
+	done   int // tasks marked done in run records
+	active int // entries
+	// pendingDone counts the entries with a pending write that marks them done.
+	pendingDone int
+	chunkLen    int
 
 	finishing bool
 	marking   bool
@@ -184,18 +185,25 @@
 
 // Chunk is the part of a job's run record that one key holds.
 type Chunk struct {
-	Version            uint64
-	Attempt            uint64 // highest attempt used
-	Done               []uint64
-	Entries            map[int]*Entry
-	queued             [2]bool // a write waits for its turn: of progress, of placements
+	Version   uint64         // of the stored record, 0: none is stored
+	Attempt   uint64         // highest attempt used
+	Done      []uint64       // bitmap of the tasks that are stored as done
+	Entries   map[int]*Entry // by task: stored ones, and placements not stored yet
+	compacted bool           // stored in the compact format
+	chunkWrites
+}
+
+// chunkWrites is what the leader knows of the writes of a chunk. A chunk that
+// differs from what is stored is dirty until a write has carried all changes.
+type chunkWrites struct {
 	dirty              bool
-	placing            bool // a placement is not part of any write yet, or its write failed
-	changeCount        int  // counts the pending writes, to tell what a write has carried
-	compacted          bool // stored in the compact form
-	deferredPlacements int  // placements that the last write had no capacity for
-	rejectedWrites     int  // writes in a row that the state service called malformed
-	retryAt            int64
+	placing            bool  // a placement is not part of any write yet, or its write failed
+	progressQueued     bool  // a write with the priority of progress waits for its turn
+	placementQueued    bool  // a write with the priority of placements waits for its turn
+	changeCount        int   // counts the changes, to tell which of them a write has carried
+	deferredPlacements int   // placements that did not fit in the last write
+	rejectedWrites     int   // writes in a row that the state service called malformed
+	retryAt            int64 // no write before this steady time, in ns
 }
 
 // DoneCount counts tasks that are marked done.
--- a/internal/pipeline/pending.go
+++ b/internal/pipeline/pending.go
@@ -1,7 +1,7 @@
 package pipeline
 
 // Place records the pending write to start a task on a machine. The start may be sent
-// once the entry is durable.
+// once the entry is durable. Attempt 0 stands for the next one of the chunk.
 func (t *Table) Place(j *Job, task, machine int, attempt uint64, now int64) *Entry {
 	ch := t.chunk(j, task/t.chunkLen)
 	if attempt == 0 {
@@ -19,6 +19,7 @@
 	return e
 }
 
+// markDirty notes that a chunk differs from what is stored.
 func (t *Table) markDirty(j *Job, ch *Chunk) {
 	ch.dirty = true
 	ch.changeCount++
@@ -56,7 +57,7 @@
 	if e := ch.Entries[task]; e != nil {
 		if e.Pending != PendingDone {
 			e.Pending = PendingDone
-			j.marked++
+			j.pendingDone++
 			t.MarkMachineChanged(e.Machine)
 			t.markDirty(j, ch)
 		}
@@ -74,40 +75,64 @@
 // Reset drops everything that only a leader knows.
 func (t *Table) Reset() {
 	for _, j := range t.Jobs {
-		if j == nil {
-			continue
-		}
-		t.resetRetry(j)
-		j.WithinGuarantee, j.ReservedZone = false, 0
-		j.Stopping, j.doneUnlogged, j.cleaning, j.finishing = false, nil, false, false
-		for i := range j.Chunk {
-			ch := &j.Chunk[i]
-			ch.dirty, ch.placing, ch.retryAt = false, false, 0
-			for task, e := range ch.Entries {
-				if !e.Durable {
-					delete(ch.Entries, task)
-					t.remove(e)
-					continue
-				}
-				t.MarkMachineChanged(e.Machine)
-				e.Pending, e.Phase, e.Evict, e.StartedAt, e.PlacedAt, e.OrderedSequence, e.MissedReports = NoPendingWrite, Unseen, false, 0, 0, 0, 0
-			}
+		if j != nil {
+			t.resetJob(j)
 		}
-		j.marked = 0
 	}
 	clear(t.dirty)
 	clear(t.dirtyRetries)
 	clear(t.cleaningRetries)
 	clear(t.ended)
 	for _, j := range t.Jobs {
-		// All tasks are logged as done and the leader that logged it is gone:
-		// nothing else would ever mark the job.
-		if j != nil && j.complete() {
+		if j == nil {
+			continue
+		}
+		// All tasks are logged as done and the leader that logged it has lost its
+		// term: nothing else would ever write the done mark.
+		if j.complete() {
 			t.dirty[j] = true
 		}
-		if j != nil && j.Final != Queued && j.active > 0 {
+		if j.Final != Queued && j.active > 0 {
 			t.ended[j] = true
 		}
 	}
 	t.Changed = true
 }
+
+// resetJob drops what only a leader knows of a job.
+func (t *Table) resetJob(j *Job) {
+	t.resetRetry(j)
+	j.WithinGuarantee = false
+	j.ReservedZone = 0
+	j.Stopping = false
+	j.doneUnlogged = nil
+	j.cleaning = false
+	j.finishing = false
+	for index := range j.Chunk {
+		ch := &j.Chunk[index]
+		ch.dirty = false
+		ch.placing = false
+		ch.retryAt = 0
+		for task, e := range ch.Entries {
+			if !e.Durable {
+				delete(ch.Entries, task)
+				t.remove(e)
+				continue
+			}
+			t.MarkMachineChanged(e.Machine)
+			e.reset()
+		}
+	}
+	j.pendingDone = 0
+}
+
+// reset drops what only a leader knows of an entry.
+func (e *Entry) reset() {
+	e.Pending = NoPendingWrite
+	e.Phase = Unseen
+	e.Evict = false
+	e.StartedAt = 0
+	e.PlacedAt = 0
+	e.OrderedSequence = 0
+	e.MissedReports = 0
+}
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -6,7 +6,6 @@
 	"maps"
 	"math/rand/v2"
 	"slices"
-	"sort"
 	"time"
 
 	"lugward/internal/store"
@@ -231,9 +230,7 @@
 	if len(t.dirtyRetries) == 0 {
 		return
 	}
-	list := slices.Collect(maps.Keys(t.dirtyRetries))
-	sort.Slice(list, func(a, b int) bool { return before(list[a], list[b]) })
-	for _, j := range list {
+	for _, j := range slices.SortedFunc(maps.Keys(t.dirtyRetries), byReadiness) {
 		if !j.retry.dirty || j.Final != Queued {
 			delete(t.dirtyRetries, j)
 			continue
--- a/internal/pipeline/run.go
+++ b/internal/pipeline/run.go
@@ -1,41 +1,73 @@
 package pipeline
 
-// chunk returns the job's chunk c, growing the list.
-func (t *Table) chunk(j *Job, c int) *Chunk {
-	for len(j.Chunk) <= c {
-		j.Chunk = append(j.Chunk, Chunk{Done: make([]uint64, (t.chunkLen+63)/64), Entries: map[int]*Entry{}})
+import "math/bits"
+
+// maxTasks bounds the tasks of a job as its run records number them, so that a
+// damaged key cannot make the table grow without end.
+const maxTasks = 1 << 20
+
+// bitsPerWord is the number of tasks that one word of a bitmap holds.
+const bitsPerWord = 64
+
+// setDone sets the bit of a task, counted from the start of its chunk.
+func setDone(done []uint64, task int) {
+	done[task/bitsPerWord] |= 1 << (task % bitsPerWord)
+}
+
+// chunk returns a job's chunk by its index, growing the list.
+func (t *Table) chunk(j *Job, index int) *Chunk {
+	for len(j.Chunk) <= index {
+		j.Chunk = append(j.Chunk, Chunk{
+			Done:    make([]uint64, (t.chunkLen+bitsPerWord-1)/bitsPerWord),
+			Entries: map[int]*Entry{},
+		})
 	}
-	return &j.Chunk[c]
+	return &j.Chunk[index]
 }
 
 // onRun replaces what the table knows of a chunk by what is stored: this is
 // the only place where an entry becomes durable or goes away for good.
-func (t *Table) onRun(id string, c int, data []byte, version uint64) {
+func (t *Table) onRun(id string, index int, data []byte, version uint64) {
 	if data == nil && t.byID[id] == nil {
 		return
 	}
-	if c > 1<<20/t.chunkLen {
+	if index > maxTasks/t.chunkLen {
 		return
 	}
 	j := t.get(id)
-	ch := t.chunk(j, c)
-	var attempt uint64
-	var done []uint64
+	ch := t.chunk(j, index)
 	var active []runEntry
 	if data != nil {
+		var attempt uint64
+		var done []uint64
 		var ok bool
-		if attempt, done, active, ch.compacted, ok = decodeRun(data, len(ch.Done)); !ok {
+		attempt, done, active, ch.compacted, ok = decodeRun(data, len(ch.Done))
+		if !ok {
 			return
 		}
 		ch.Attempt = max(ch.Attempt, attempt)
-		for i := range done {
-			ch.Done[i] |= done[i] // a done task stays done
+		for word := range done {
+			ch.Done[word] |= done[word] // a done task stays done
 		}
 	}
 	ch.Version = version
 	if data == nil {
 		ch.Version = 0
 	}
+	stored := t.storeEntries(j, ch, active)
+	t.removeOutdated(j, ch, stored)
+	j.countDone()
+	if j.complete() {
+		t.dirty[j] = true // a write without an answer was carried out
+	}
+	if data == nil {
+		t.forget(j)
+	}
+}
+
+// storeEntries marks the entries that a chunk's record lists as durable, adding
+// those that are not known. It returns them by task.
+func (t *Table) storeEntries(j *Job, ch *Chunk, active []runEntry) map[int]*Entry {
 	stored := map[int]*Entry{}
 	for _, a := range active {
 		machine := t.Names.Machines.Index(a.machine)
@@ -51,33 +83,36 @@
 		if !e.Durable {
 			t.MarkMachineChanged(machine)
 		}
-		e.Durable, e.sent = true, true
+		e.Durable = true
+		e.sent = true
 		stored[a.task] = e
 	}
+	return stored
+}
+
+// removeOutdated removes the entries that a chunk's record does not list, except
+// placements that may still be written.
+func (t *Table) removeOutdated(j *Job, ch *Chunk, stored map[int]*Entry) {
 	for task, e := range ch.Entries {
 		if stored[task] == nil && (e.Durable || j.Final != Queued || j.IsDone(task)) {
 			delete(ch.Entries, task)
 			t.remove(e)
 		}
 	}
-	n := 0
-	for i := range j.Chunk {
-		for _, w := range j.Chunk[i].Done {
-			for ; w != 0; w &= w - 1 {
-				n++
-			}
+}
+
+// countDone counts the tasks that run records show as done, and forgets those
+// that waited to be shown so.
+func (j *Job) countDone() {
+	j.done = 0
+	for index := range j.Chunk {
+		for _, word := range j.Chunk[index].Done {
+			j.done += bits.OnesCount64(word)
 		}
 	}
-	j.done = n
 	for task := range j.doneUnlogged {
 		if j.IsDone(task) {
 			delete(j.doneUnlogged, task)
 		}
 	}
-	if j.complete() {
-		t.dirty[j] = true // an unknown write turned out well
-	}
-	if data == nil {
-		t.forget(j)
-	}
 }
--- a/internal/pipeline/run_record.go
+++ b/internal/pipeline/run_record.go
@@ -15,7 +15,16 @@
 	Active  any    `json:"a,omitempty"`
 }
 
-func encodeRun(n *Names, attempt uint64, done []uint64, active []*Entry, small bool) []byte {
+// runFormat is how a run record lists the active tasks.
+type runFormat bool
+
+const (
+	plainFormat   runFormat = false // a list, which every version reads
+	compactFormat runFormat = true  // a text, which takes less space
+)
+
+// encodeRun returns the stored form of a chunk.
+func encodeRun(n *Names, attempt uint64, done []uint64, active []*Entry, format runFormat) []byte {
 	r := runRecord{Attempt: attempt}
 	last := len(done)
 	for last > 0 && done[last-1] == 0 {
@@ -34,7 +43,7 @@
 	sort.Slice(active, func(a, b int) bool { return active[a].Task < active[b].Task })
 	switch {
 	case len(active) == 0:
-	case small:
+	case format == compactFormat:
 		r.Active = compact(n, active)
 	default:
 		list := make([][3]any, len(active))
--- a/internal/pipeline/size.go
+++ b/internal/pipeline/size.go
@@ -1,32 +1,38 @@
 package pipeline
 
 import (
+	"maps"
 	"slices"
 	"sort"
 )
 
-// fit encodes a chunk within the limit on values: as every version reads it
-// while that fits, else compact once every controller is known to read that.
-// Placements that are not stored yet are left out until there is capacity for them,
-// those of a gang all together; taken are the others.
-func (t *Table) fit(j *Job, ch *Chunk, done []uint64, active, fresh []*Entry) (data []byte, taken []*Entry) {
-	encode := func(n int) []byte {
-		list := slices.Concat(active, fresh[:n])
-		data := encodeRun(t.Names, ch.Attempt, done, list, false)
-		if len(data) > t.ValueLimit && t.AllUpgraded() {
-			data = encodeRun(t.Names, ch.Attempt, done, list, true)
-		}
-		return data
+// fit encodes a chunk within the limit on values: in the plain format, which every
+// version reads, while that fits, else in the compact one once every controller is
+// known to read it. Placements that are not stored yet are left out until they fit,
+// those of a gang all together; taken are those that are not left out.
+func (t *Table) fit(j *Job, ch *Chunk, c chunkContent) (data []byte, taken []*Entry) {
+	encode := func(count int) []byte {
+		return t.encodeChunk(ch, c.done, slices.Concat(c.active, c.placements[:count]))
 	}
-	if data = encode(len(fresh)); len(data) <= t.ValueLimit || len(fresh) == 0 {
-		return data, fresh
+	data = encode(len(c.placements))
+	if len(data) <= t.ValueLimit || len(c.placements) == 0 {
+		return data, c.placements
 	}
-	sort.Slice(fresh, func(a, b int) bool { return fresh[a].Task < fresh[b].Task })
-	n := 0
+	sort.Slice(c.placements, func(a, b int) bool { return c.placements[a].Task < c.placements[b].Task })
+	count := 0
 	if j.Shape != Gang {
-		n = sort.Search(len(fresh), func(n int) bool { return len(encode(n+1)) > t.ValueLimit })
+		count = sort.Search(len(c.placements), func(count int) bool { return len(encode(count+1)) > t.ValueLimit })
+	}
+	return encode(count), c.placements[:count]
+}
+
+// encodeChunk encodes a chunk's record, plain if it fits or must be plain.
+func (t *Table) encodeChunk(ch *Chunk, done []uint64, active []*Entry) []byte {
+	data := encodeRun(t.Names, ch.Attempt, done, active, plainFormat)
+	if len(data) > t.ValueLimit && t.AllUpgraded() {
+		data = encodeRun(t.Names, ch.Attempt, done, active, compactFormat)
 	}
-	return encode(n), fresh[:n]
+	return data
 }
 
 // VersionKey is the kind of the keys v/<label> by which each controller shows,
@@ -38,52 +44,55 @@
 
 // AllUpgraded tells whether every controller has shown that it runs this version.
 func (t *Table) AllUpgraded() bool {
-	for _, l := range t.Labels {
-		if !t.upgraded[l] {
+	for _, label := range t.Labels {
+		if !t.upgraded[label] {
 			return false
 		}
 	}
 	return len(t.Labels) > 0
 }
 
-// Compact counts the run records that are stored in the compact form.
-func (t *Table) Compact() (n int) {
+// Compact counts the run records that are stored in the compact format.
+func (t *Table) Compact() (count int) {
 	for _, j := range t.Jobs {
 		if j == nil {
 			continue
 		}
-		for c := range j.Chunk {
-			if j.Chunk[c].compacted && j.Chunk[c].Version != 0 {
-				n++
+		for index := range j.Chunk {
+			if j.Chunk[index].compacted && j.Chunk[index].Version != 0 {
+				count++
 			}
 		}
 	}
-	return n
+	return count
 }
 
-// ExpandRecords has compact records written plain that fit so again, as they do once
-// the limit is the larger one: before the service can go back to a version that
-// does not read them. At most limit at a time.
+// ExpandRecords has compact records written in the plain format where that fits
+// again, as it does once the larger limit counts: needed before the service can go
+// back to a version that does not read the compact one. At most limit at a time.
 func (t *Table) ExpandRecords(limit int) {
 	for _, j := range t.Jobs {
 		if j == nil || j.Final != Queued {
 			continue
 		}
-		for c := range j.Chunk {
-			ch := &j.Chunk[c]
+		for index := range j.Chunk {
+			ch := &j.Chunk[index]
 			if !ch.compacted || ch.dirty || ch.Version == 0 {
 				continue
 			}
-			if limit--; limit < 0 {
+			if limit == 0 {
 				return
 			}
-			list := make([]*Entry, 0, len(ch.Entries))
-			for _, e := range ch.Entries {
-				list = append(list, e)
-			}
-			if len(encodeRun(t.Names, ch.Attempt, ch.Done, list, false)) <= t.ValueLimit {
+			limit--
+			if t.fitsPlain(ch) {
 				t.markDirty(j, ch)
 			}
 		}
 	}
 }
+
+// fitsPlain tells whether a chunk as it is fits in the plain format.
+func (t *Table) fitsPlain(ch *Chunk) bool {
+	active := slices.Collect(maps.Values(ch.Entries))
+	return len(encodeRun(t.Names, ch.Attempt, ch.Done, active, plainFormat)) <= t.ValueLimit
+}
--- a/internal/pipeline/size_test.go
+++ b/internal/pipeline/size_test.go
@@ -15,8 +15,8 @@
 // roundTrip checks that a compact record says the same as a plain one.
 func roundTrip(t *testing.T, n *Names, active []*Entry) (size int) {
 	t.Helper()
-	plain := encodeRun(n, 7, nil, active, false)
-	small := encodeRun(n, 7, nil, active, true)
+	plain := encodeRun(n, 7, nil, active, plainFormat)
+	small := encodeRun(n, 7, nil, active, compactFormat)
 	_, _, want, isSmall, ok1 := decodeRun(plain, 16)
 	_, _, got, small2, ok2 := decodeRun(small, 16)
 	byTask := func(a, b runEntry) int { return a.task - b.task }
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -1,7 +1,8 @@
 package pipeline
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"strconv"
 	"strings"
 )
@@ -156,8 +157,11 @@
 	t.onGraph(j)
 }
 
-// before is the order of readiness. Jobs of one transaction have the same.
-func before(a, b *Job) bool { return a.Order < b.Order || (a.Order == b.Order && a.ID < b.ID) }
+// byReadiness compares jobs by the order in which they became ready. Jobs of one
+// transaction share their place and follow their IDs.
+func byReadiness(a, b *Job) int {
+	return cmp.Or(cmp.Compare(a.Order, b.Order), cmp.Compare(a.ID, b.ID))
+}
 
 // Unfinished returns the ready jobs that are not over, in the order in which
 // they became ready.
@@ -169,7 +173,7 @@
 			list = append(list, j)
 		}
 	}
-	sort.Slice(list, func(a, b int) bool { return before(list[a], list[b]) })
+	slices.SortFunc(list, byReadiness)
 	return list
 }
 
