--- a/internal/pipeline/clock.go
+++ b/internal/pipeline/clock.go
@@ -1,23 +1,26 @@
 package pipeline
 
-import (
-	"time"
-)
+import "time"
 
-// SetClock tells the time of day at a steady time, so that what was stored by
-// another process can be counted from.
+// SetClock sets the time of day at a steady time, so that times stored by another
+// process can be compared with the steady one.
 func (t *Table) SetClock(now time.Duration, wall time.Time) {
-	t.wall = wall.UnixNano() - int64(now)
+	t.clockOffset = wall.UnixNano() - int64(now)
 }
 
 // UnixMS is the time of day at a steady time, 0 while it is not known.
 func (t *Table) UnixMS(now time.Duration) int64 {
-	if t.wall == 0 {
+	if t.clockOffset == 0 {
 		return 0
 	}
-	return (t.wall + int64(now)) / 1e6
+	return (t.clockOffset + int64(now)) / int64(time.Millisecond)
 }
 
-// steady turns a stored time into the steady one; clocks that disagree put
-// nothing into the future.
-func (t *Table) steady(ms int64) int64 { return min(ms*1e6-t.wall, max(t.Now, 1)) }
+// steadyTime converts a stored time, in Unix ms, to the steady one in ns. It is
+// never in the future, also if the clock of the process that stored it is ahead.
+func (t *Table) steadyTime(unixMS int64) int64 {
+	return min(unixMS*int64(time.Millisecond)-t.clockOffset, max(t.Now, 1))
+}
+
+// nanoseconds converts a duration in seconds, as jobs give it.
+func nanoseconds(seconds float64) int64 { return int64(seconds * float64(time.Second)) }
--- a/internal/pipeline/graph.go
+++ b/internal/pipeline/graph.go
@@ -8,90 +8,103 @@
 // graph is what follows from the edges between jobs. Only held jobs have
 // edges here: once a job is ready all that it needs is over.
 type graph struct {
-	dependents map[string]map[*Job]bool // by upstream id: the held jobs that wait for it
+	dependents map[string]map[*Job]bool // by upstream ID: the held jobs that wait for it
 	releasable map[*Job]bool            // held jobs that wait for nothing any more
-	// upstream-cancelled are the jobs below a cancelled one whose own mark is not stored.
+	stale      map[*Job]bool            // effective values are to be derived or passed on
+	parts      map[string]*parts        // stored lists of upstream jobs, by job ID
+
+	// upstreamCancelled are the jobs below a cancelled one whose own mark is not
+	// stored; cancelQueue has them in the order in which they get it.
 	upstreamCancelled map[*Job]bool
-	readying          int               // ready marks under way
-	queue             []*Job            // of these, in the order in which they get it
-	marking           int               // marks of jobs with a cancelled upstream job under way
-	stale             map[*Job]bool     // effective values are to be derived or handed on
-	parts             map[string]*parts // by job
-	deleting          int               // drops of parts under way
+	cancelQueue       []*Job
+
+	readyMarksInFlight    int
+	cancelMarksInFlight   int
+	partDeletionsInFlight int
 }
 
 func newGraph() graph {
-	return graph{dependents: map[string]map[*Job]bool{}, releasable: map[*Job]bool{}, upstreamCancelled: map[*Job]bool{}, stale: map[*Job]bool{}, parts: map[string]*parts{}}
-}
-
-// onGraph takes a job's record, as it is now, into the graph.
-func (t *Table) onGraph(j *Job) {
-	if j.deadlineAt = NoDeadline; j.Deadline > 0 {
-		from := j.ReadySince
-		switch {
-		case j.Submitted != 0 && t.wall != 0:
-			from = t.steady(j.Submitted)
-		case from == 0:
-			from = max(t.Now, 1)
-		}
-		j.deadlineAt = from + int64(j.Deadline*1e9)
+	return graph{
+		dependents:        map[string]map[*Job]bool{},
+		releasable:        map[*Job]bool{},
+		stale:             map[*Job]bool{},
+		parts:             map[string]*parts{},
+		upstreamCancelled: map[*Job]bool{},
 	}
+}
+
+// updateGraph takes a job's record, as it is now, into the graph.
+func (t *Table) updateGraph(j *Job) {
+	j.deadlineAt = t.ownDeadline(j)
 	j.Chained = j.Chained || len(j.Upstream) > 0 || j.UpstreamParts > 0
 	if j.linked || len(t.graph.dependents[j.ID]) > 0 {
-		j.inheritStale = true
-		t.graph.stale[j] = true
+		t.markStale(j)
 	} else {
-		j.EffectivePriority, j.EffectiveDeadline = j.Priority, j.deadlineAt
+		j.EffectivePriority = j.Priority
+		j.EffectiveDeadline = j.deadlineAt
 	}
 	if j.Ready || j.Final != Queued {
 		t.unlink(j)
 		return
 	}
-	t.assemble(j)
+	t.linkIfComplete(j)
 }
 
-// assemble links a held job once its whole list of upstream jobs is there:
-// until then it is neither ready nor judged.
-func (t *Table) assemble(j *Job) {
+// ownDeadline is the deadline that a job's user gave, as a steady time in ns. It
+// counts from the submission, or where that is not known from when the job became
+// ready or is first seen.
+func (t *Table) ownDeadline(j *Job) int64 {
+	if j.Deadline <= 0 {
+		return NoDeadline
+	}
+	from := j.ReadySince
+	switch {
+	case j.Submitted != 0 && t.clockOffset != 0:
+		from = t.steadyTime(j.Submitted)
+	case from == 0:
+		from = max(t.Now, 1)
+	}
+	return from + nanoseconds(j.Deadline)
+}
+
+// markStale has a job's effective values derived anew.
+func (t *Table) markStale(j *Job) {
+	j.inheritStale = true
+	t.graph.stale[j] = true
+}
+
+// linkIfComplete links a held job once its whole list of upstream jobs is there:
+// until then it is neither releasable nor cancelled by an upstream job.
+func (t *Table) linkIfComplete(j *Job) {
 	if j.linked || j.upstreamCancelled || j.Ready || j.Version == 0 || j.Final != Queued {
 		return
 	}
-	list := j.Upstream
-	if j.UpstreamParts > 0 {
-		p := t.graph.parts[j.ID]
-		if p == nil {
-			return
-		}
-		list = nil
-		for n := range j.UpstreamParts {
-			part, ok := p.held[n]
-			if !ok || (n == 0 && part.version != j.SubmissionVersion) || part.version < j.SubmissionVersion {
-				return // not there, or of an older attempt
-			}
-			list = append(list, part.ids...)
-		}
+	list, complete := t.upstreamList(j)
+	if !complete {
+		return
 	}
-	list = slices.Clone(list)
 	slices.Sort(list)
 	t.link(j, slices.Compact(list))
 }
 
+// link adds a held job to the dependents of the unfinished jobs that it needs.
 func (t *Table) link(j *Job, list []string) {
-	j.linked, j.linkedUpstream, j.unfinishedUpstream = true, list, 0
-	j.propagatedPriority, j.propagatedDeadline = Idle, NoDeadline // whatever it was before, nobody has inherited it
+	j.linked = true
+	j.linkedUpstream = list
+	j.unfinishedUpstream = 0
+	// Whatever it had before, no upstream job has inherited from it yet.
+	j.propagatedPriority = Idle
+	j.propagatedDeadline = NoDeadline
 	upstreamCancelled := false
-	for _, up := range list {
-		u := t.byID[up]
-		switch phase := t.Finals[up].Phase; {
+	for _, id := range list {
+		upstream := t.byID[id]
+		switch phase := t.Finals[id].Phase; {
 		case phase == Done:
-		case phase == Cancelled || (u != nil && u.upstreamCancelled):
+		case phase == Cancelled || (upstream != nil && upstream.upstreamCancelled):
 			upstreamCancelled = true
 		default:
 			j.unfinishedUpstream++
-			if t.graph.dependents[up] == nil {
-				t.graph.dependents[up] = map[*Job]bool{}
-			}
-			t.graph.dependents[up][j] = true
+			t.addDependent(id, j)
 		}
 	}
 	if upstreamCancelled {
@@ -101,76 +114,91 @@
 	if j.unfinishedUpstream == 0 {
 		t.graph.releasable[j] = true
 	}
-	j.inheritStale = true
-	t.graph.stale[j] = true
+	t.markStale(j)
+}
+
+func (t *Table) addDependent(id string, j *Job) {
+	if t.graph.dependents[id] == nil {
+		t.graph.dependents[id] = map[*Job]bool{}
+	}
+	t.graph.dependents[id][j] = true
 }
 
-// unlink takes a job that is ready or over out of the lists of what it needed.
+// unlink removes a job that is ready or over from the dependents of what it needed.
 func (t *Table) unlink(j *Job) {
 	if !j.linked {
 		return
 	}
-	for _, up := range j.linkedUpstream {
-		if list := t.graph.dependents[up]; list[j] {
-			delete(list, j)
-			if len(list) == 0 {
-				delete(t.graph.dependents, up)
-			}
-			if u := t.byID[up]; u != nil {
-				u.inheritStale = true
-				t.graph.stale[u] = true
-			}
-		}
+	for _, id := range j.linkedUpstream {
+		t.removeDependent(id, j)
 	}
-	j.linked, j.linkedUpstream, j.unfinishedUpstream = false, nil, 0
+	j.linked = false
+	j.linkedUpstream = nil
+	j.unfinishedUpstream = 0
 	delete(t.graph.releasable, j)
 }
 
-// unmarkUpstreamCancelled drops a job from those that still have to be marked: it has its mark,
-// or its record is gone.
+func (t *Table) removeDependent(id string, j *Job) {
+	dependents := t.graph.dependents[id]
+	if !dependents[j] {
+		return
+	}
+	delete(dependents, j)
+	if len(dependents) == 0 {
+		delete(t.graph.dependents, id)
+	}
+	if upstream := t.byID[id]; upstream != nil {
+		t.markStale(upstream)
+	}
+}
+
+// unmarkUpstreamCancelled removes a job from those that still have to be marked:
+// it has its mark, or its record is deleted.
 func (t *Table) unmarkUpstreamCancelled(j *Job) {
 	j.upstreamCancelled = false
 	delete(t.graph.upstreamCancelled, j)
 }
 
-// propagateFinal hands a final mark on to the jobs that wait for its job.
+// propagateFinal applies a final mark to the jobs that wait for its job.
 func (t *Table) propagateFinal(id string, phase Phase) {
-	list := t.graph.dependents[id]
+	dependents := t.graph.dependents[id]
 	delete(t.graph.dependents, id)
 	if phase == Cancelled {
-		t.cancelDownstream(inOrder(list)...)
+		t.cancelDownstream(inOrder(dependents)...)
 		return
 	}
-	for j := range list {
-		if j.unfinishedUpstream--; j.unfinishedUpstream == 0 {
+	for j := range dependents {
+		j.unfinishedUpstream--
+		if j.unfinishedUpstream == 0 {
 			t.graph.releasable[j] = true
 		}
 	}
 }
 
-// cancelDownstream judges jobs, and once each all that need them, by a cancelled ancestor.
+// cancelDownstream notes that jobs, and all that need them, are below a cancelled
+// one. Each is visited once, however many paths lead to it.
 func (t *Table) cancelDownstream(stack ...*Job) {
-	begin := len(t.graph.queue)
+	begin := len(t.graph.cancelQueue)
 	for len(stack) > 0 {
-		x := stack[len(stack)-1]
+		j := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		if x.upstreamCancelled || x.Ready || x.Final != Queued {
+		if j.upstreamCancelled || j.Ready || j.Final != Queued {
 			continue
 		}
-		x.upstreamCancelled = true
-		t.graph.upstreamCancelled[x] = true
-		t.graph.queue = append(t.graph.queue, x)
-		t.unlink(x)
-		for d := range t.graph.dependents[x.ID] {
-			stack = append(stack, d)
+		j.upstreamCancelled = true
+		t.graph.upstreamCancelled[j] = true
+		t.graph.cancelQueue = append(t.graph.cancelQueue, j)
+		t.unlink(j)
+		for dependent := range t.graph.dependents[j.ID] {
+			stack = append(stack, dependent)
 		}
-		delete(t.graph.dependents, x.ID)
+		delete(t.graph.dependents, j.ID)
 	}
-	slices.SortFunc(t.graph.queue[begin:], older)
+	slices.SortFunc(t.graph.cancelQueue[begin:], byAcceptance)
 }
 
-// Releasable returns the held jobs that wait for nothing any more, the most important
-// first, in the order of their records.
+// Releasable returns the held jobs that wait for nothing any more, the highest
+// effective priority first, within one in the order of their records.
 func (t *Table) Releasable() []*Job {
 	t.inherit()
 	list := inOrder(t.graph.releasable)
@@ -178,6 +206,7 @@
 	return list
 }
 
+// inOrder returns a set of jobs in the order of their records.
 func inOrder(set map[*Job]bool) []*Job {
 	if len(set) == 0 {
 		return nil
@@ -186,8 +215,11 @@
 	for j := range set {
 		list = append(list, j)
 	}
-	slices.SortFunc(list, older)
+	slices.SortFunc(list, byAcceptance)
 	return list
 }
 
-func older(a, b *Job) int { return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.ID, b.ID)) }
+// byAcceptance compares held jobs by the order in which they were accepted.
+func byAcceptance(a, b *Job) int {
+	return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.ID, b.ID))
+}
--- a/internal/pipeline/inherit.go
+++ b/internal/pipeline/inherit.go
@@ -8,32 +8,35 @@
 // NoDeadline is the deadline of a job that has none.
 const NoDeadline = math.MaxInt64
 
-// byAge pops the youngest held job first, jobs that are ready last. A job names
-// only jobs that were accepted before it and a held job's record is rewritten
-// by its ready mark alone, so whatever a job inherits is settled before it.
-type byAge []*Job
+// youngestFirst is a heap of jobs whose effective values are stale: the youngest
+// held job first, jobs that are ready last. A job names only jobs that were
+// accepted before it, and a held job's record is rewritten by its ready mark alone,
+// so whatever a job inherits is settled before it.
+type youngestFirst []*Job
 
-func (h byAge) Len() int { return len(h) }
+func (h youngestFirst) Len() int { return len(h) }
 
-func (h byAge) Less(a, b int) bool {
-	if x, y := h[a].age(), h[b].age(); x != y {
+func (h youngestFirst) Less(a, b int) bool {
+	if x, y := h[a].acceptedAt(), h[b].acceptedAt(); x != y {
 		return x > y
 	}
 	return h[a].ID > h[b].ID
 }
 
-func (h byAge) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
+func (h youngestFirst) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
-func (h *byAge) Push(x any) { *h = append(*h, x.(*Job)) }
+func (h *youngestFirst) Push(x any) { *h = append(*h, x.(*Job)) }
 
-func (h *byAge) Pop() any {
+func (h *youngestFirst) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return last
 }
 
-func (j *Job) age() uint64 {
+// acceptedAt is the version at which a held job was accepted, 0 for one that is
+// ready: its record has been rewritten since.
+func (j *Job) acceptedAt() uint64 {
 	if j.Ready {
 		return 0
 	}
@@ -47,7 +50,7 @@
 	if len(stale) == 0 {
 		return
 	}
-	h := make(byAge, 0, len(stale))
+	h := make(youngestFirst, 0, len(stale))
 	for j := range stale {
 		h = append(h, j)
 	}
@@ -62,42 +65,60 @@
 		j := heap.Pop(&h).(*Job)
 		delete(stale, j)
 		if t.byID[j.ID] != j {
-			continue
+			continue // its records are deleted
 		}
 		if j.inheritStale {
-			j.inheritStale = false
-			j.EffectivePriority, j.EffectiveDeadline = j.Priority, j.deadlineAt
-			for d := range t.graph.dependents[j.ID] {
-				j.inheritFrom(d)
-			}
+			t.rederive(j)
 		}
-		if j.EffectivePriority == j.propagatedPriority && j.EffectiveDeadline == j.propagatedDeadline {
+		t.propagate(j, push)
+	}
+}
+
+// rederive computes a job's effective values from those of the jobs that need it.
+func (t *Table) rederive(j *Job) {
+	j.inheritStale = false
+	j.EffectivePriority = j.Priority
+	j.EffectiveDeadline = j.deadlineAt
+	for dependent := range t.graph.dependents[j.ID] {
+		j.inheritFrom(dependent)
+	}
+}
+
+// propagate passes a job's effective values, if they have changed, on to its
+// upstream jobs. Values that ask for less make them be derived anew, since another
+// dependent job may still ask for more.
+func (t *Table) propagate(j *Job, push func(*Job)) {
+	if j.EffectivePriority == j.propagatedPriority && j.EffectiveDeadline == j.propagatedDeadline {
+		return
+	}
+	asksLess := j.EffectivePriority < j.propagatedPriority || j.EffectiveDeadline > j.propagatedDeadline
+	j.propagatedPriority = j.EffectivePriority
+	j.propagatedDeadline = j.EffectiveDeadline
+	for _, id := range j.linkedUpstream {
+		upstream := t.byID[id]
+		if upstream == nil || upstream.Final != Queued {
 			continue
 		}
-		lower := j.EffectivePriority < j.propagatedPriority || j.EffectiveDeadline > j.propagatedDeadline
-		j.propagatedPriority, j.propagatedDeadline = j.EffectivePriority, j.EffectiveDeadline
-		for _, up := range j.linkedUpstream {
-			u := t.byID[up]
-			if u == nil || u.Final != Queued {
-				continue
-			}
-			if lower {
-				u.inheritStale = true
-				push(u)
-			} else if u.inheritFrom(j) {
-				push(u)
-			}
+		if asksLess {
+			upstream.inheritStale = true
+			push(upstream)
+		} else if upstream.inheritFrom(j) {
+			push(upstream)
 		}
 	}
 }
 
-// inheritFrom raises a job's effective values by those of one that needs it.
-func (j *Job) inheritFrom(d *Job) bool {
-	priority, deadline := max(j.EffectivePriority, d.EffectivePriority), j.EffectiveDeadline
-	if d.EffectiveDeadline != NoDeadline {
-		deadline = min(deadline, d.EffectiveDeadline-int64(d.EstimatedRuntime*1e9))
+// inheritFrom raises a job's effective values to what one that needs it asks for.
+// It tells whether they have changed.
+func (j *Job) inheritFrom(dependent *Job) bool {
+	priority := max(j.EffectivePriority, dependent.EffectivePriority)
+	deadline := j.EffectiveDeadline
+	if dependent.EffectiveDeadline != NoDeadline {
+		deadline = min(deadline, dependent.EffectiveDeadline-nanoseconds(dependent.EstimatedRuntime))
 	}
 	changed := priority != j.EffectivePriority || deadline != j.EffectiveDeadline
-	j.EffectivePriority, j.EffectiveDeadline, j.Chained = priority, deadline, true
+	j.EffectivePriority = priority
+	j.EffectiveDeadline = deadline
+	j.Chained = true
 	return changed
 }
--- a/internal/pipeline/marks.go
+++ b/internal/pipeline/marks.go
@@ -8,43 +8,51 @@
 )
 
 const (
-	maxRetryWait     = int64(30 * time.Second)
-	maxReadyMarks    = 32 // ready marks at a time: placements wait behind them
-	maxCancelMarks   = 8  // marks of jobs with a cancelled upstream job at a time: what users ask for goes first
-	maxDeletingParts = 4
-	orphanTimeout    = int64(time.Minute) // a list without its job is given up after this
-	// RivalTimeout is how long a list that another attempt began keeps others from
-	// beginning anew.
-	RivalTimeout = 6 * time.Second
+	// maxRetryWait, in ns, bounds the pause after writes that the state service
+	// calls malformed.
+	maxRetryWait = int64(30 * time.Second)
+	// maxRejectedWrites is the count of such writes in a row from which on the
+	// pause grows no further: its doublings exceed maxRetryWait by then.
+	maxRejectedWrites = 10
+	// maxReadyMarks bounds the ready marks in flight, as placements wait behind them.
+	maxReadyMarks = 32
+	// maxCancelMarks bounds the marks in flight of jobs with a cancelled upstream
+	// job, so that the requests of users go first.
+	maxCancelMarks = 8
 )
 
-// backOff puts off the next write about a job. One that the state service calls
-// malformed stays so: it is tried ever less often.
+// backOff delays the next mark of a job after a write about it. A write that the
+// state service calls malformed will be so again: it is retried ever less often.
 func (j *Job) backOff(r store.Result) {
 	j.retryAt = int64(r.Now) + retryAfter(r, &j.rejectedWrites)
 }
 
-// retryAfter is how long to wait after a write; refused counts those in a row
-// that were called malformed.
-func retryAfter(r store.Result, refused *int) int64 {
+// retryAfter is how long to wait after a write, in ns; rejected counts those in a
+// row that were called malformed.
+func retryAfter(r store.Result, rejected *int) int64 {
 	if !r.Invalid {
-		*refused = 0
+		*rejected = 0
 		return retryWait
 	}
-	*refused = min(*refused+1, 10)
-	return min(maxRetryWait, int64(time.Second)<<*refused)
+	*rejected = min(*rejected+1, maxRejectedWrites)
+	return min(maxRetryWait, int64(time.Second)<<*rejected)
 }
 
-// MarkReady logs that held jobs of ours may start: all that they need is done.
+// markable tells whether a mark of the job may be written now.
+func (j *Job) markable(now time.Duration) bool {
+	return !j.marking && int64(now) >= j.retryAt
+}
+
+// MarkReady queues the ready marks of held jobs of ours: all that they need is done.
 func (t *Table) MarkReady(now time.Duration, s Submitter, ours func(*Job) bool) {
-	if len(t.graph.releasable) == 0 || t.graph.readying >= maxReadyMarks {
+	if len(t.graph.releasable) == 0 || t.graph.readyMarksInFlight >= maxReadyMarks {
 		return
 	}
 	for _, j := range t.Releasable() {
-		if t.graph.readying >= maxReadyMarks {
+		if t.graph.readyMarksInFlight >= maxReadyMarks {
 			return
 		}
-		if !j.marking && int64(now) >= j.retryAt && ours(j) {
+		if j.markable(now) && ours(j) {
 			t.markReady(j, now, s)
 		}
 	}
@@ -52,38 +60,44 @@
 
 func (t *Table) markReady(j *Job, now time.Duration, s Submitter) {
 	ready := *j
-	ready.Ready, ready.UpstreamParts, ready.SubmissionVersion, ready.ReadyAt = true, 0, 0, t.UnixMS(now)
-	j.mark(&t.graph.readying, now, s, &store.Intent{Priority: store.Place,
-		Writes: []store.Write{{Key: JobKeyOf(j.ID), Data: Encode(t.Names, &ready)}}})
+	ready.Ready = true
+	ready.ReadyAt = t.UnixMS(now)
+	ready.UpstreamParts = 0
+	ready.SubmissionVersion = 0
+	j.submitMark(&t.graph.readyMarksInFlight, now, s, &store.Intent{
+		Priority: store.Place,
+		Writes:   []store.Write{{Key: JobKeyOf(j.ID), Data: Encode(t.Names, &ready)}},
+	})
 }
 
-// mark submits the writes of a mark on condition of the job's record and of no
-// final mark; count is of such marks under way.
-func (j *Job) mark(count *int, now time.Duration, s Submitter, in *store.Intent) {
+// submitMark queues the writes of a mark on condition of the job's record as the
+// replica shows it and of no final mark, so that of several controllers that mark
+// the job only one succeeds; inFlight counts such marks.
+func (j *Job) submitMark(inFlight *int, now time.Duration, s Submitter, in *store.Intent) {
 	j.marking = true
-	*count++
+	*inFlight++
 	in.Conditions = []store.Condition{{Key: JobKeyOf(j.ID), Version: j.Version}, {Key: FinalKeyOf(j.ID)}}
 	in.Done = func(r store.Result) {
 		j.marking = false
-		*count--
+		*inFlight--
 		j.backOff(r)
 	}
 	s.Submit(in, now+writeTimeout)
 }
 
-// MarkUpstreamCancelled logs, a few at a time, that jobs of ours are cancelled with one
-// that they need. What users are told does not wait for it.
+// MarkUpstreamCancelled queues, a few at a time, the final marks of jobs of ours
+// below a cancelled one. The answers to users do not wait for them.
 func (t *Table) MarkUpstreamCancelled(now time.Duration, s Submitter, ours func(*Job) bool) {
 	g := &t.graph
-	if len(g.queue) == 0 || g.marking >= maxCancelMarks {
+	if len(g.cancelQueue) == 0 || g.cancelMarksInFlight >= maxCancelMarks {
 		return
 	}
-	g.queue = slices.DeleteFunc(g.queue, func(j *Job) bool { return !g.upstreamCancelled[j] })
-	for _, j := range g.queue {
-		if g.marking >= maxCancelMarks {
+	g.cancelQueue = slices.DeleteFunc(g.cancelQueue, func(j *Job) bool { return !g.upstreamCancelled[j] })
+	for _, j := range g.cancelQueue {
+		if g.cancelMarksInFlight >= maxCancelMarks {
 			return
 		}
-		if !j.marking && int64(now) >= j.retryAt && ours(j) {
+		if j.markable(now) && ours(j) {
 			t.markUpstreamCancelled(j, now, s)
 		}
 	}
@@ -91,6 +105,8 @@
 
 // markUpstreamCancelled writes the mark and drops the record.
 func (t *Table) markUpstreamCancelled(j *Job, now time.Duration, s Submitter) {
-	j.mark(&t.graph.marking, now, s, &store.Intent{Priority: store.Progress,
-		Writes: []store.Write{{Key: FinalKeyOf(j.ID), Data: EncodeFinal(Cancelled, j)}, {Key: JobKeyOf(j.ID)}}})
+	j.submitMark(&t.graph.cancelMarksInFlight, now, s, &store.Intent{
+		Priority: store.Progress,
+		Writes:   []store.Write{{Key: FinalKeyOf(j.ID), Data: EncodeFinal(Cancelled, j)}, {Key: JobKeyOf(j.ID)}},
+	})
 }
--- a/internal/pipeline/marks_test.go
+++ b/internal/pipeline/marks_test.go
@@ -99,8 +99,8 @@
 			t.Fatalf("job %d is left", i)
 		}
 	}
-	if marked != n || len(after.graph.queue) > maxCancelMarks {
-		t.Errorf("%d marks for %d jobs, %d queued", marked, n, len(after.graph.queue))
+	if marked != n || len(after.graph.cancelQueue) > maxCancelMarks {
+		t.Errorf("%d marks for %d jobs, %d queued", marked, n, len(after.graph.cancelQueue))
 	}
 }
 
--- a/internal/pipeline/parts_test.go
+++ b/internal/pipeline/parts_test.go
@@ -65,7 +65,7 @@
 	for _, k := range []string{"/0", "/1", "/2"} {
 		r.write(PartKey, id(2)+k, part) // left behind
 	}
-	first := r.graph.parts[id(2)].held[0].version
+	first := r.graph.parts[id(2)].byNumber[0].version
 	r.write(PartKey, id(3)+"/0", part)
 	held := r.job(3, func(j *Job) { j.Upstream, j.UpstreamParts, j.SubmissionVersion = nil, 1, r.revision }, 1)
 	q := &queue{}
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -213,8 +213,8 @@
 	}
 	stored := t.storedRetries[j.ID]
 	j.retry.failures, j.retry.notBefore = stored.Failures, 0
-	if stored.NotBefore != 0 && t.wall != 0 {
-		j.retry.notBefore = min(stored.NotBefore*int64(time.Millisecond)-t.wall, t.Now+int64(retryCap))
+	if stored.NotBefore != 0 && t.clockOffset != 0 {
+		j.retry.notBefore = min(stored.NotBefore*int64(time.Millisecond)-t.clockOffset, t.Now+int64(retryCap))
 	}
 }
 
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -39,8 +39,8 @@
 	storedRetries   map[string]storedRetry // by job id
 	cleaningRetries map[string]bool        // whose drop is under way
 
-	upgraded map[string]bool // the controllers that have shown this version
-	wall     int64           // unix ns at steady time 0, 0: not told yet
+	upgraded    map[string]bool // the controllers that have shown this version
+	clockOffset int64           // Unix time in ns at steady time 0; 0: not known yet
 }
 
 // NewTable returns an empty table. valueBytes and txnOps are the state
@@ -150,11 +150,11 @@
 	j.Version = version
 	if j.Ready && !was {
 		j.Order, j.ReadySince = version, max(t.Now, 1)
-		if j.ReadyAt != 0 && t.wall != 0 {
-			j.ReadySince = t.steady(j.ReadyAt)
+		if j.ReadyAt != 0 && t.clockOffset != 0 {
+			j.ReadySince = t.steadyTime(j.ReadyAt)
 		}
 	}
-	t.onGraph(j)
+	t.updateGraph(j)
 }
 
 // byReadiness compares jobs by the order in which they became ready. Jobs of one
