--- a/internal/pipeline/compact.go
+++ b/internal/pipeline/compact.go
@@ -6,11 +6,50 @@
 	"unicode/utf8"
 )
 
+// compactBase is the base of the numbers in the compact format: the largest one
+// that strconv has, so that numbers are short.
 const compactBase = 36
 
-// compact writes entries as one text: how the attempts of most follow, what all
-// their machines' names begin with, and for each machine the spans of tasks on it
-// and the rest of its name:
+// maxSpan bounds the tasks of a span, so that a damaged record cannot ask for more
+// memory than a chunk of the largest size.
+const maxSpan = 1 << 10
+
+// attemptRule says which attempts the tasks of a record or a span are in.
+type attemptRule struct {
+	kind ruleKind
+	base int64
+}
+
+// ruleKind is how the attempts of tasks follow from a rule's base.
+type ruleKind byte
+
+const (
+	// sameAttempt: all tasks are in the attempt that the base names, as those of a
+	// gang are.
+	sameAttempt ruleKind = '@'
+	// countingUp: the attempts grow with the tasks' numbers, as those of an array
+	// that was placed in order do; the base is their difference.
+	countingUp ruleKind = '+'
+	// commonRule, for a span: the rule of the whole record holds.
+	commonRule ruleKind = 0
+)
+
+const ruleKinds = string(sameAttempt) + string(countingUp)
+
+func (r attemptRule) attempt(task int64) int64 {
+	if r.kind == countingUp {
+		return r.base + task
+	}
+	return r.base
+}
+
+func (r attemptRule) holdsFor(e *Entry) bool {
+	return r.attempt(int64(e.Task)) == int64(e.Attempt)
+}
+
+// compact writes entries, which are in the order of tasks, as one text: the rule
+// that the attempts of most follow, what the names of all their machines begin
+// with, and for each machine the spans of tasks on it and the rest of its name:
 //
 //	text  = rule " " prefix { " " span { "," span } ":" rest }
 //	rule  = "@" attempt             the same for all tasks
@@ -18,140 +57,219 @@
 //	span  = task [ "-" task ] [ "@" attempt | "+" attempt ]
 //
 // A span's own attempt is that of all its tasks (@) or of its first, counting up
-// (+). Numbers have base 36. A version that does not know this takes no text for
-// a list, so it refuses the record instead of reading it as empty.
+// (+). Numbers have base 36. A version that does not know this format takes no text
+// for a list, so it refuses the record instead of reading it as empty.
 func compact(n *Names, active []*Entry) string {
-	same, counted := map[int64]int{}, map[int64]int{}
+	common := mostCommonRule(active)
+	prefix := commonPrefix(n, active)
+	text := []byte{byte(common.kind)}
+	text = strconv.AppendInt(text, common.base, compactBase)
+	text = append(text, ' ')
+	text = append(text, prefix...)
+	machines, byMachine := groupByMachine(active)
+	for _, machine := range machines {
+		separator := byte(' ')
+		for list := byMachine[machine]; len(list) > 0; separator = ',' {
+			length, kind := common.span(list)
+			text = append(text, separator)
+			text = appendSpan(text, list[:length], kind)
+			list = list[length:]
+		}
+		text = append(text, ':')
+		text = append(text, n.Machines.Name(machine)[len(prefix):]...)
+	}
+	return string(text)
+}
+
+// mostCommonRule is the rule that holds for most entries.
+func mostCommonRule(active []*Entry) attemptRule {
+	attempts := map[int64]int{}
+	differences := map[int64]int{}
+	for _, e := range active {
+		attempts[int64(e.Attempt)]++
+		differences[int64(e.Attempt)-int64(e.Task)]++
+	}
+	attempt := mostCommon(attempts)
+	difference := mostCommon(differences)
+	if differences[difference] > attempts[attempt] {
+		return attemptRule{countingUp, difference}
+	}
+	return attemptRule{sameAttempt, attempt}
+}
+
+// mostCommon returns the value with the greatest count, of equals the least.
+func mostCommon(counts map[int64]int) (best int64) {
+	most := 0
+	for value, count := range counts {
+		if count > most || (count == most && value < best) {
+			best = value
+			most = count
+		}
+	}
+	return best
+}
+
+// commonPrefix is what the names of all machines begin with. It ends between two
+// characters, as JSON would replace half of one.
+func commonPrefix(n *Names, active []*Entry) string {
 	prefix := n.Machines.Name(active[0].Machine)
-	var order []int
-	byMachine := map[int][]*Entry{}
-	for _, e := range active { // in order of tasks
-		for name := n.Machines.Name(e.Machine); !strings.HasPrefix(name, prefix) || !utf8.ValidString(prefix); {
+	for _, e := range active {
+		name := n.Machines.Name(e.Machine)
+		for !strings.HasPrefix(name, prefix) || !utf8.ValidString(prefix) {
 			prefix = prefix[:len(prefix)-1]
 		}
+	}
+	return prefix
+}
+
+// groupByMachine returns the machines in the order of their first tasks, and the
+// entries of each.
+func groupByMachine(active []*Entry) (machines []int, byMachine map[int][]*Entry) {
+	byMachine = map[int][]*Entry{}
+	for _, e := range active {
 		if byMachine[e.Machine] == nil {
-			order = append(order, e.Machine)
+			machines = append(machines, e.Machine)
 		}
 		byMachine[e.Machine] = append(byMachine[e.Machine], e)
-		same[int64(e.Attempt)]++
-		counted[int64(e.Attempt)-int64(e.Task)]++
 	}
-	rule, base := byte('@'), most(same)
-	if c := most(counted); counted[c] > same[base] {
-		rule, base = '+', c
+	return machines, byMachine
+}
+
+// span returns how many entries at the start of a list make a span, and which rule
+// holds for it, where r is the one of the whole record.
+func (r attemptRule) span(list []*Entry) (length int, kind ruleKind) {
+	kind = sameAttempt // of a single task
+	if r.holdsFor(list[0]) {
+		kind = commonRule
 	}
-	follows := func(e *Entry) bool {
-		if rule == '@' {
-			return int64(e.Attempt) == base
-		}
-		return int64(e.Attempt)-int64(e.Task) == base
-	}
-	text := strconv.AppendInt([]byte{rule}, base, compactBase)
-	text = append(append(text, ' '), prefix...)
-	for _, machine := range order {
-		sep := byte(' ')
-		for list := byMachine[machine]; len(list) > 0; sep = ',' {
-			first, to, kind := list[0], 1, byte(0)
-			for ; to < len(list) && list[to].Task == list[to-1].Task+1; to++ {
-				k := byte(0)
-				switch {
-				case follows(first) && follows(list[to]):
-				case follows(first) || follows(list[to]):
-					k = 'x'
-				case list[to].Attempt == list[to-1].Attempt:
-					k = '@'
-				case list[to].Attempt == list[to-1].Attempt+1:
-					k = '+'
-				default:
-					k = 'x'
-				}
-				if k == 'x' || (to > 1 && k != kind) {
-					break
-				}
-				kind = k
-			}
-			text = strconv.AppendInt(append(text, sep), int64(first.Task), compactBase)
-			if to > 1 {
-				text = strconv.AppendInt(append(text, '-'), int64(list[to-1].Task), compactBase)
-			}
-			if !follows(first) {
-				if kind == 0 {
-					kind = '@'
-				}
-				text = strconv.AppendUint(append(text, kind), first.Attempt, compactBase)
-			}
-			list = list[to:]
+	for length = 1; length < len(list); length++ {
+		next, ok := r.continues(list[length-1], list[length])
+		if !ok || (length > 1 && next != kind) {
+			break
 		}
-		text = append(append(text, ':'), n.Machines.Name(machine)[len(prefix):]...)
+		kind = next
 	}
-	return string(text)
+	return length, kind
 }
 
-// most returns what counts most, of equals the least.
-func most(count map[int64]int) (best int64) {
-	n := 0
-	for v, c := range count {
-		if c > n || (c == n && v < best) {
-			best, n = v, c
-		}
+// continues tells by which rule a span that ends with one entry goes on with the
+// next; not ok: it ends there.
+func (r attemptRule) continues(last, next *Entry) (kind ruleKind, ok bool) {
+	if next.Task != last.Task+1 || r.holdsFor(last) != r.holdsFor(next) {
+		return 0, false
 	}
-	return best
+	switch {
+	case r.holdsFor(next):
+		return commonRule, true
+	case next.Attempt == last.Attempt:
+		return sameAttempt, true
+	case next.Attempt == last.Attempt+1:
+		return countingUp, true
+	}
+	return 0, false
 }
 
-// maxSpan bounds what a damaged record can make of a span of tasks.
-const maxSpan = 1 << 10
+func appendSpan(text []byte, span []*Entry, kind ruleKind) []byte {
+	first := span[0]
+	text = strconv.AppendInt(text, int64(first.Task), compactBase)
+	if len(span) > 1 {
+		text = append(text, '-')
+		text = strconv.AppendInt(text, int64(span[len(span)-1].Task), compactBase)
+	}
+	if kind != commonRule {
+		text = append(text, byte(kind))
+		text = strconv.AppendUint(text, first.Attempt, compactBase)
+	}
+	return text
+}
 
+// expand reads what compact writes; not ok: the text is damaged.
 func expand(text string) (active []runEntry, ok bool) {
 	groups := strings.Split(text, " ")
-	if len(groups) < 2 || groups[0] == "" || strings.IndexByte("@+", groups[0][0]) < 0 {
+	if len(groups) < 2 {
 		return nil, false
 	}
-	base, err := strconv.ParseInt(groups[0][1:], compactBase, 64)
-	if err != nil {
+	common, ok := parseRule(groups[0])
+	if !ok {
 		return nil, false
 	}
-	for _, g := range groups[2:] {
-		spans, machine, found := strings.Cut(g, ":")
-		if !found || groups[1]+machine == "" {
+	prefix := groups[1]
+	for _, group := range groups[2:] {
+		spans, rest, found := strings.Cut(group, ":")
+		machine := prefix + rest
+		if !found || machine == "" {
 			return nil, false
 		}
 		for _, span := range strings.Split(spans, ",") {
-			rule, from := groups[0][0], base
-			if i := strings.IndexAny(span, "@+"); i >= 0 {
-				own, err := strconv.ParseUint(span[i+1:], compactBase, 63)
-				if err != nil {
-					return nil, false
-				}
-				rule, from = span[i], int64(own)
-				span = span[:i]
-				if a, _, _ := strings.Cut(span, "-"); rule == '+' {
-					first, err := strconv.ParseUint(a, compactBase, 32)
-					if err != nil {
-						return nil, false
-					}
-					from -= int64(first)
-				}
-			}
-			a, b, isSpan := strings.Cut(span, "-")
-			if !isSpan {
-				b = a
-			}
-			first, err1 := strconv.ParseUint(a, compactBase, 32)
-			last, err2 := strconv.ParseUint(b, compactBase, 32)
-			if err1 != nil || err2 != nil || last < first || last-first >= maxSpan {
+			entries, ok := expandSpan(span, common, machine)
+			if !ok {
 				return nil, false
 			}
-			for task := int64(first); task <= int64(last); task++ {
-				attempt := from
-				if rule == '+' {
-					attempt += task
-				}
-				if attempt < 0 {
-					return nil, false
-				}
-				active = append(active, runEntry{int(task), uint64(attempt), groups[1] + machine})
-			}
+			active = append(active, entries...)
 		}
 	}
 	return active, true
 }
+
+// parseRule reads the rule of a whole record.
+func parseRule(text string) (rule attemptRule, ok bool) {
+	if text == "" || strings.IndexByte(ruleKinds, text[0]) < 0 {
+		return attemptRule{}, false
+	}
+	base, err := strconv.ParseInt(text[1:], compactBase, 64)
+	return attemptRule{ruleKind(text[0]), base}, err == nil
+}
+
+// expandSpan reads a span of tasks on a machine.
+func expandSpan(text string, common attemptRule, machine string) (entries []runEntry, ok bool) {
+	tasks, own := text, ""
+	if i := strings.IndexAny(text, ruleKinds); i >= 0 {
+		tasks, own = text[:i], text[i:]
+	}
+	first, last, ok := parseTasks(tasks)
+	if !ok {
+		return nil, false
+	}
+	rule := common
+	if own != "" {
+		rule, ok = parseSpanRule(own, first)
+		if !ok {
+			return nil, false
+		}
+	}
+	for task := first; task <= last; task++ {
+		attempt := rule.attempt(task)
+		if attempt < 0 {
+			return nil, false
+		}
+		entries = append(entries, runEntry{int(task), uint64(attempt), machine})
+	}
+	return entries, true
+}
+
+// parseTasks reads the first and the last task of a span.
+func parseTasks(text string) (first, last int64, ok bool) {
+	from, to, isSpan := strings.Cut(text, "-")
+	if !isSpan {
+		to = from
+	}
+	low, errLow := strconv.ParseUint(from, compactBase, 32)
+	high, errHigh := strconv.ParseUint(to, compactBase, 32)
+	if errLow != nil || errHigh != nil || high < low || high-low >= maxSpan {
+		return 0, 0, false
+	}
+	return int64(low), int64(high), true
+}
+
+// parseSpanRule reads a span's own rule, which names the attempt of its first task.
+func parseSpanRule(text string, first int64) (rule attemptRule, ok bool) {
+	attempt, err := strconv.ParseUint(text[1:], compactBase, 63)
+	if err != nil {
+		return attemptRule{}, false
+	}
+	rule = attemptRule{ruleKind(text[0]), int64(attempt)}
+	if rule.kind == countingUp {
+		rule.base -= first
+	}
+	return rule, true
+}
--- a/internal/pipeline/finish.go
+++ b/internal/pipeline/finish.go
@@ -23,7 +23,7 @@
 	if json.Unmarshal(data, &r) != nil {
 		return
 	}
-	f := Final{Phase: Done, N: r.N, Daemon: r.Daemon}
+	f := Final{Phase: Done, N: r.TaskCount, Daemon: r.Daemon}
 	if r.Phase == markCancelled {
 		f.Phase = Cancelled
 	}
--- a/internal/pipeline/run_record.go
+++ b/internal/pipeline/run_record.go
@@ -1,17 +1,18 @@
 package pipeline
 
 import (
+	"cmp"
 	"encoding/base64"
 	"encoding/binary"
 	"encoding/json"
-	"sort"
+	"slices"
 )
 
-// runRecord is a chunk's stored form. An active task is [task, try, machine] in a
-// list, or part of a text (compact) that holds many in less capacity.
+// runRecord is a chunk's stored form. Active lists the tasks that may be on a
+// machine: as [task, attempt, machine] each, or as one text (see compact).
 type runRecord struct {
 	Attempt uint64 `json:"t"`
-	Done    string `json:"d,omitempty"` // little-endian bitmap, base64, zero tail cut
+	Done    string `json:"d,omitempty"` // little-endian bitmap in base64, without zeros at its end
 	Active  any    `json:"a,omitempty"`
 }
 
@@ -23,24 +24,13 @@
 	compactFormat runFormat = true  // a text, which takes less space
 )
 
-// encodeRun returns the stored form of a chunk.
+// bytesPerWord is the number of bytes in one word of a bitmap.
+const bytesPerWord = 8
+
+// encodeRun returns the stored form of a chunk. It sorts active by task.
 func encodeRun(n *Names, attempt uint64, done []uint64, active []*Entry, format runFormat) []byte {
-	r := runRecord{Attempt: attempt}
-	last := len(done)
-	for last > 0 && done[last-1] == 0 {
-		last--
-	}
-	if last > 0 {
-		var raw []byte
-		for _, w := range done[:last] {
-			raw = binary.LittleEndian.AppendUint64(raw, w)
-		}
-		for len(raw) > 0 && raw[len(raw)-1] == 0 {
-			raw = raw[:len(raw)-1]
-		}
-		r.Done = base64.RawStdEncoding.EncodeToString(raw)
-	}
-	sort.Slice(active, func(a, b int) bool { return active[a].Task < active[b].Task })
+	r := runRecord{Attempt: attempt, Done: encodeBitmap(done)}
+	slices.SortFunc(active, func(a, b *Entry) int { return cmp.Compare(a.Task, b.Task) })
 	switch {
 	case len(active) == 0:
 	case format == compactFormat:
@@ -52,19 +42,46 @@
 		}
 		r.Active = list
 	}
-	b, err := json.Marshal(r)
+	data, err := json.Marshal(r)
 	if err != nil {
-		panic(err)
+		panic(err) // numbers and texts
 	}
-	return b
+	return data
 }
 
+func encodeBitmap(words []uint64) string {
+	raw := make([]byte, 0, len(words)*bytesPerWord)
+	for _, word := range words {
+		raw = binary.LittleEndian.AppendUint64(raw, word)
+	}
+	for len(raw) > 0 && raw[len(raw)-1] == 0 {
+		raw = raw[:len(raw)-1]
+	}
+	return base64.RawStdEncoding.EncodeToString(raw)
+}
+
+func decodeBitmap(text string, words int) (done []uint64, ok bool) {
+	raw, err := base64.RawStdEncoding.DecodeString(text)
+	if err != nil || len(raw) > words*bytesPerWord {
+		return nil, false
+	}
+	done = make([]uint64, words)
+	for i, b := range raw {
+		done[i/bytesPerWord] |= uint64(b) << (i % bytesPerWord * 8)
+	}
+	return done, true
+}
+
+// runEntry is an active task as a run record lists it.
 type runEntry struct {
 	task    int
 	attempt uint64
 	machine string
 }
 
+// decodeRun reads a chunk's stored form, whose bitmap has so many words; small
+// tells that it is in the compact format. A record that is not ok is damaged, or of
+// a later version, and tells nothing.
 func decodeRun(data []byte, words int) (attempt uint64, done []uint64, active []runEntry, small, ok bool) {
 	var r struct {
 		Attempt uint64          `json:"t"`
@@ -72,34 +89,45 @@
 		Active  json.RawMessage `json:"a"`
 	}
 	if json.Unmarshal(data, &r) != nil {
-		return
+		return 0, nil, nil, false, false
 	}
-	raw, err := base64.RawStdEncoding.DecodeString(r.Done)
-	if err != nil || len(raw) > words*8 {
-		return
+	done, ok = decodeBitmap(r.Done, words)
+	if !ok {
+		return 0, nil, nil, false, false
 	}
-	done = make([]uint64, words)
-	for i, b := range raw {
-		done[i/8] |= uint64(b) << (i % 8 * 8)
+	active, small, ok = decodeActive(r.Active)
+	return r.Attempt, done, active, small, ok
+}
+
+func decodeActive(data json.RawMessage) (active []runEntry, small, ok bool) {
+	if len(data) == 0 {
+		return nil, false, true
 	}
-	if len(r.Active) > 0 && r.Active[0] == '"' {
+	if data[0] == '"' {
 		var text string
-		if json.Unmarshal(r.Active, &text) != nil {
-			return
+		if json.Unmarshal(data, &text) != nil {
+			return nil, false, false
 		}
 		active, ok = expand(text)
-		return r.Attempt, done, active, true, ok
+		return active, true, ok
 	}
 	var list [][3]json.RawMessage
-	if len(r.Active) > 0 && json.Unmarshal(r.Active, &list) != nil {
-		return
+	if json.Unmarshal(data, &list) != nil {
+		return nil, false, false
 	}
-	for _, a := range list {
-		var e runEntry
-		if json.Unmarshal(a[0], &e.task) != nil || json.Unmarshal(a[1], &e.attempt) != nil || json.Unmarshal(a[2], &e.machine) != nil {
-			return
+	for _, fields := range list {
+		e, ok := decodeRunEntry(fields)
+		if !ok {
+			return nil, false, false
 		}
 		active = append(active, e)
 	}
-	return r.Attempt, done, active, false, true
+	return active, false, true
+}
+
+func decodeRunEntry(fields [3]json.RawMessage) (e runEntry, ok bool) {
+	ok = json.Unmarshal(fields[0], &e.task) == nil &&
+		json.Unmarshal(fields[1], &e.attempt) == nil &&
+		json.Unmarshal(fields[2], &e.machine) == nil
+	return e, ok
 }
--- a/internal/pipeline/size_test.go
+++ b/internal/pipeline/size_test.go
@@ -79,6 +79,28 @@
 	}
 }
 
+// Every rule of the compact format is the answer to some chunk.
+func TestCompactRules(t *testing.T) {
+	for want, attempts := range map[string][]uint64{
+		"@4 i-1 0-3:":       {4, 4, 4, 4},
+		"+1 i-1 0-3:":       {1, 2, 3, 4},
+		"@4 i-1 0-2,3@9:":   {4, 4, 4, 9},
+		"@4 i-1 0-2,3-4@9:": {4, 4, 4, 9, 9},
+		"@4 i-1 0-2,3-4+9:": {4, 4, 4, 9, 10},
+		"+1 i-1 0-2,3-4@9:": {1, 2, 3, 9, 9},
+		"+1 i-1 0-2,3-4+9:": {1, 2, 3, 9, 10},
+	} {
+		n := &Names{}
+		machine := n.Machines.Index("i-1")
+		var active []*Entry
+		for task, attempt := range attempts {
+			active = append(active, &Entry{Task: task, Machine: machine, Attempt: attempt})
+		}
+		expect(t, "compact", compact(n, active), want)
+		roundTrip(t, n, active)
+	}
+}
+
 func TestExpandDamaged(t *testing.T) {
 	good := "@1 i- 0-3,5@2:7 6+9:8"
 	if list, ok := expand(good); !ok || len(list) != 6 {
