--- a/internal/pipeline/entries.go
+++ b/internal/pipeline/entries.go
@@ -1,8 +1,6 @@
 package pipeline
 
-import (
-	"slices"
-)
+import "slices"
 
 // Usage is what tasks take of machines or of a team's limit.
 type Usage struct{ CPUs, GPUs, Memory float64 }
@@ -13,85 +11,107 @@
 	u.GPUs += n * s.GPUs
 }
 
+// machineIndex lists the entries of each machine, and the machines whose entries
+// have changed. A list is replaced, never changed in place.
+type machineIndex struct {
+	byMachine       [][]*Entry
+	changes         []uint32     // by machine, how often its entries have changed
+	changedMachines []int        // since they were last taken, in the order of the first change
+	isChanged       map[int]bool // the machines in changedMachines
+}
+
 // OnMachine returns the entries of a machine, as they are now: what is removed
 // meanwhile stays in the list that was returned.
-func (t *Table) OnMachine(machine int) []*Entry {
-	if machine < 0 || machine >= len(t.byMachine) {
+func (x *machineIndex) OnMachine(machine int) []*Entry {
+	if machine < 0 || machine >= len(x.byMachine) {
 		return nil
 	}
-	return t.byMachine[machine]
+	return x.byMachine[machine]
 }
 
 // MachinesInUse calls f for every machine with entries.
-func (t *Table) MachinesInUse(f func(machine int)) {
-	for h, list := range t.byMachine {
+func (x *machineIndex) MachinesInUse(f func(machine int)) {
+	for machine, list := range x.byMachine {
 		if len(list) > 0 {
-			f(h)
+			f(machine)
 		}
 	}
 }
 
 // MarkMachineChanged notes that something about the entries of a machine has changed.
-func (t *Table) MarkMachineChanged(machine int) {
-	for len(t.changes) <= machine {
-		t.changes = append(t.changes, 0)
+func (x *machineIndex) MarkMachineChanged(machine int) {
+	for len(x.changes) <= machine {
+		x.changes = append(x.changes, 0)
 	}
-	t.changes[machine]++
-	if !t.isChanged[machine] {
-		t.isChanged[machine] = true
-		t.changedMachines = append(t.changedMachines, machine)
+	x.changes[machine]++
+	if !x.isChanged[machine] {
+		x.isChanged[machine] = true
+		x.changedMachines = append(x.changedMachines, machine)
 	}
 }
 
-// Changes counts the changes of a machine's entries: whoever keeps something
+// Changes counts the changes of a machine's entries: whoever caches something
 // that follows from them compares it.
-func (t *Table) Changes(machine int) uint32 {
-	if machine >= len(t.changes) {
+func (x *machineIndex) Changes(machine int) uint32 {
+	if machine >= len(x.changes) {
 		return 0
 	}
-	return t.changes[machine]
+	return x.changes[machine]
 }
 
 // TakeChangedMachines returns, once each, the machines whose entries have changed.
-func (t *Table) TakeChangedMachines() []int {
-	list := t.changedMachines
-	t.changedMachines = nil
-	clear(t.isChanged)
+func (x *machineIndex) TakeChangedMachines() []int {
+	list := x.changedMachines
+	x.changedMachines = nil
+	clear(x.isChanged)
 	return list
 }
 
-// Team returns what a team's tasks may be using.
-func (t *Table) Team(team int) Usage { return t.team[team] }
-
-func (t *Table) recount(j *Job, sign float64) {
-	j.Entries(func(e *Entry) {
-		t.count(e, sign)
-		t.MarkMachineChanged(e.Machine)
-	})
+func (x *machineIndex) addEntry(e *Entry) {
+	for len(x.byMachine) <= e.Machine {
+		x.byMachine = append(x.byMachine, nil)
+	}
+	x.byMachine[e.Machine] = append(slices.Clip(x.byMachine[e.Machine]), e)
+	x.MarkMachineChanged(e.Machine)
 }
 
-func (t *Table) count(e *Entry, sign float64) {
-	u := t.team[e.Job.Team]
-	u.Add(&e.Job.Spec, sign)
-	t.team[e.Job.Team] = u
+func (x *machineIndex) removeEntry(e *Entry) {
+	x.MarkMachineChanged(e.Machine)
+	list := slices.Clone(x.byMachine[e.Machine])
+	x.byMachine[e.Machine] = slices.DeleteFunc(list, func(other *Entry) bool { return other == e })
 }
 
+// Team returns what a team's tasks may be using.
+func (t *Table) Team(team int) Usage { return t.team[team] }
+
+// add counts an entry that is new.
 func (t *Table) add(e *Entry) {
 	e.Job.active++
-	t.count(e, 1)
-	for len(t.byMachine) <= e.Machine {
-		t.byMachine = append(t.byMachine, nil)
-	}
-	t.byMachine[e.Machine] = append(slices.Clip(t.byMachine[e.Machine]), e)
-	t.MarkMachineChanged(e.Machine)
+	t.countUsage(e, 1)
+	t.addEntry(e)
 }
 
+// remove counts an entry no more; its chunk no longer lists it.
 func (t *Table) remove(e *Entry) {
 	e.Job.active--
 	if e.Pending == PendingDone {
 		e.Job.pendingDone--
 	}
-	t.count(e, -1)
-	t.MarkMachineChanged(e.Machine)
-	t.byMachine[e.Machine] = slices.DeleteFunc(slices.Clone(t.byMachine[e.Machine]), func(o *Entry) bool { return o == e })
+	t.countUsage(e, -1)
+	t.removeEntry(e)
+}
+
+// recountUsage counts all entries of a job by its spec as it is now, so many times:
+// -1 before the spec changes, 1 after.
+func (t *Table) recountUsage(j *Job, times float64) {
+	j.Entries(func(e *Entry) {
+		t.countUsage(e, times)
+		t.MarkMachineChanged(e.Machine)
+	})
+}
+
+func (t *Table) countUsage(e *Entry, times float64) {
+	u := t.team[e.Job.Team]
+	u.Add(&e.Job.Spec, times)
+	t.team[e.Job.Team] = u
 }
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -1,10 +1,15 @@
 // Package pipeline holds the graph of jobs as it is logged in the state
 // service: job records, run records (what may be on which machine, what is
-// done) and final marks. Every controller keeps the same table by listening
-// to the store; only the leader adds pending writes, which become writes.
+// done) and final marks. Every controller keeps the same table by following
+// the store's replica; only the leader adds pending writes, which Flush queues
+// as transactions.
 package pipeline
 
-import "lugward/internal/intern"
+import (
+	"slices"
+
+	"lugward/internal/intern"
+)
 
 // Shape of a job.
 type Shape uint8
@@ -43,8 +48,8 @@
 	Class, Team        int
 	Shape              Shape
 	Priority           Priority
-	TaskCount          int // tasks
-	CPUs, GPUs, Memory float64
+	TaskCount          int
+	CPUs, GPUs, Memory float64 // of each task
 	Image              int
 	ImageGB            float64
 	MachineTypes       []int // nil: any
@@ -52,10 +57,10 @@
 	SamePlace          bool
 	Scatter            bool
 	AllowSpot          bool
-	EstimatedRuntime   float64
-	CheckpointInterval float64
-	CheckpointDuration float64
-	Deadline           float64 // 0: none
+	EstimatedRuntime   float64 // seconds
+	CheckpointInterval float64 // seconds
+	CheckpointDuration float64 // seconds
+	Deadline           float64 // seconds after submission, 0: none
 }
 
 // Allows tells whether the job may use a machine type.
@@ -63,12 +68,7 @@
 	if s.MachineTypes == nil {
 		return true
 	}
-	for _, f := range s.MachineTypes {
-		if f == machineType {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(s.MachineTypes, machineType)
 }
 
 // CountsAsWhole tells whether all tasks count together against the team's limit.
@@ -86,17 +86,17 @@
 	Task    int
 	Machine int
 	Attempt uint64
-	Durable bool // as read back from the state service
-	sent    bool // part of some write whose outcome may still turn out well
-	dropped bool // a write without it is under way
+	Durable bool // the replica shows it
+	sent    bool // part of a write that was or may still be carried out
+	dropped bool // left out of a write that is under way
 
-	// What the leader has learnt; lost with the term.
+	// What only the leader knows; lost with the term.
 	Pending         PendingWrite
 	Phase           TaskPhase
 	Evict           bool    // to be stopped, to run elsewhere
-	GracePeriod     float64 // grace of that stop
-	OrderedSequence uint64  // tick of the report whose answer last carried the start
-	MissedReports   int     // reports in a row that do not show it
+	GracePeriod     float64 // of that stop, in seconds
+	OrderedSequence uint64  // sequence of the report whose answer last carried the start
+	MissedReports   int     // reports in a row that do not show the task
 	StartedAt       int64   // steady time in ns when first seen on its machine, 0 before
 	PlacedAt        int64   // steady time in ns of the decision
 }
@@ -124,63 +124,90 @@
 	Exited
 )
 
-// Job is a vertex of a pipeline.
+// Job is a vertex of a pipeline: what its record says, and what the table derives.
 type Job struct {
 	ID    string
-	Index int
+	Index int // in the table's list of jobs
 	Spec
-	Owner         string
-	Upstream      []string // upstream jobs that the record lists itself
-	UpstreamParts int      // so many keys hold the list instead, 0: none
-	// Attempt is the version of the list's part 0: what another attempt to submit
-	// the job has left behind is no part of it.
+	Owner string // the controller that writes its ready mark
+
+	// Upstream are the upstream jobs that the record itself lists. If UpstreamParts
+	// is not 0, so many keys hold the list instead. SubmissionVersion is then the
+	// version of part 0: what another attempt to submit the job has left behind
+	// does not belong to the list.
+	Upstream          []string
+	UpstreamParts     int
 	SubmissionVersion uint64
-	Ready             bool
-	// Submitted and ReadyAt are when it was submitted and when the last job
-	// that it needs was done, in unix ms; 0: not known.
+
+	// Submitted and ReadyAt are when the job was submitted and when the last job
+	// that it needs was done, in Unix ms; 0: not known.
 	Submitted, ReadyAt int64
+	// Ready tells that all upstream jobs are done and the ready mark is stored.
+	Ready bool
 	// Order is the revision at which the job became ready: ready jobs start in
 	// that order.
 	Order uint64
-	// ReadySince is the steady time at which it became ready, or at which this
-	// node saw it ready if its record does not tell.
+	// ReadySince is the steady time in ns at which the job became ready, or at which
+	// this controller saw it ready if its record does not tell.
 	ReadySince int64
-	// EffectivePriority and EffectiveDeadline are its effective priority and deadline (steady time in
-	// ns): its own, or those of the unfinished jobs that need it if they ask for
-	// more. They are derived as the graph changes and never stored.
+
+	// EffectivePriority and EffectiveDeadline (steady time in ns) are the job's own,
+	// or those of the unfinished jobs that need it if they ask for more. They are
+	// derived as the graph changes and never stored.
 	EffectivePriority Priority
 	EffectiveDeadline int64
 	Chained           bool // it has upstream jobs, or had one that needs it
 
-	deadlineAt         int64    // its own deadline, steady time in ns
-	linkedUpstream     []string // the upstream ids under which it is listed, while linked
+	Version uint64  // of the job record, 0: none is stored
+	Final   Phase   // Done or Cancelled once marked, else Queued
+	Chunk   []Chunk // its run records, by index
+
+	taskCounts
+	graphLinks
+	markWrites
+	retry retryState
+	leaderState
+}
+
+// taskCounts sums up the chunks of a job, so that no question about them walks
+// over its tasks.
+type taskCounts struct {
+	chunkLen    int // tasks per chunk
+	done        int // tasks that run records show as done
+	active      int // entries
+	pendingDone int // entries with a pending write that marks them done
+}
+
+// graphLinks is a job's place in the graph. A job is linked while it is held and
+// its whole list of upstream jobs is known.
+type graphLinks struct {
 	linked             bool
+	linkedUpstream     []string // the upstream IDs under which it is listed, while linked
 	unfinishedUpstream int      // of these, those without a done mark
 	upstreamCancelled  bool     // a job that it needs is cancelled
+
+	deadlineAt         int64    // its own deadline, steady time in ns
 	inheritStale       bool     // its effective values are to be derived anew
-	propagatedPriority Priority // what its upstream jobs inherited of it
+	propagatedPriority Priority // what its upstream jobs have inherited from it
 	propagatedDeadline int64
-	retryAt            int64  // no mark is written before this steady time
-	rejectedWrites     int    // writes in a row that the state service called malformed
-	Version            uint64 // of the job record, 0: none held
-	Final              Phase  // Done or Cancelled once marked, else Queued
-	Chunk              []Chunk
-
-	done   int // tasks marked done in run records
-	active int // entries
-	// pendingDone counts the entries with a pending write that marks them done.
-	pendingDone int
-	chunkLen    int
-
-	finishing bool
-	marking   bool
-	retry     retryState
-	// Leader's notes, lost with the term.
-	Stopping        bool         // gang: the attempt is being ended
-	WithinGuarantee bool         // its team's guarantee
+}
+
+// markWrites is what a controller knows of the writes of a job's marks and of the
+// deletion of its records.
+type markWrites struct {
+	marking        bool  // a ready mark or a cancelled one is under way
+	finishing      bool  // a done mark is under way
+	cleaning       bool  // the deletion of its records is under way
+	retryAt        int64 // no such write before this steady time, in ns
+	rejectedWrites int   // writes in a row that the state service called malformed
+}
+
+// leaderState is what the leader decides about a job; it is lost with the term.
+type leaderState struct {
+	Stopping        bool         // gang: its attempt is being ended
+	WithinGuarantee bool         // it fits in its team's guarantee
 	ReservedZone    int          // 1 + the zone where capacity is gathered for it, 0: none
-	doneUnlogged    map[int]bool // done tasks whose entry is not ours to mark
-	cleaning        bool
+	doneUnlogged    map[int]bool // completed tasks that have no entry to mark as done
 }
 
 // Chunk is the part of a job's run record that one key holds.
@@ -217,22 +244,22 @@
 // Active counts tasks that may be on a machine.
 func (j *Job) Active() int { return j.active }
 
-// IsDone tells whether a task is marked done.
+// IsDone tells whether a task is stored as done.
 func (j *Job) IsDone(task int) bool {
-	c, bit := task/j.chunkLen, task%j.chunkLen
-	if c >= len(j.Chunk) || j.Chunk[c].Done == nil {
+	index, bit := task/j.chunkLen, task%j.chunkLen
+	if index >= len(j.Chunk) || j.Chunk[index].Done == nil {
 		return false
 	}
-	return j.Chunk[c].Done[bit/64]>>(bit%64)&1 == 1
+	return j.Chunk[index].Done[bit/bitsPerWord]>>(bit%bitsPerWord)&1 == 1
 }
 
 // Entry returns the entry of a task, or nil.
 func (j *Job) Entry(task int) *Entry {
-	c := task / j.chunkLen
-	if c >= len(j.Chunk) {
+	index := task / j.chunkLen
+	if index >= len(j.Chunk) {
 		return nil
 	}
-	return j.Chunk[c].Entries[task]
+	return j.Chunk[index].Entries[task]
 }
 
 // Entries calls f for every entry of the job.
@@ -240,8 +267,8 @@
 	if j.active == 0 {
 		return
 	}
-	for i := range j.Chunk {
-		for _, e := range j.Chunk[i].Entries {
+	for index := range j.Chunk {
+		for _, e := range j.Chunk[index].Entries {
 			f(e)
 		}
 	}
@@ -253,14 +280,16 @@
 }
 
 // OpenCount counts the tasks that wait to be placed.
-func (j *Job) OpenCount() int { return max(0, j.TaskCount-j.done-j.active-len(j.doneUnlogged)) }
+func (j *Job) OpenCount() int {
+	return max(0, j.TaskCount-j.done-j.active-len(j.doneUnlogged))
+}
 
 // Waits tells whether an unfinished ready job has tasks to place.
 func (j *Job) Waits(now int64) bool {
 	return j.StartableCount() > 0 && !j.Stopping && !j.BackingOff(now)
 }
 
-// Phase is what users are told.
+// Phase is the phase that users are shown.
 func (j *Job) Phase() Phase {
 	if j.Final != Queued {
 		return j.Final
@@ -274,15 +303,15 @@
 	return Queued
 }
 
-// UpstreamCancelled tells whether a job that it needs is cancelled: it is cancelled with
-// that, whether its own mark is stored yet or not.
+// UpstreamCancelled tells whether a job that it needs is cancelled: it is cancelled
+// with that one, whether its own mark is stored yet or not.
 func (j *Job) UpstreamCancelled() bool { return j.upstreamCancelled }
 
 // MaxAttempt is the highest attempt used by any task of the job.
 func (j *Job) MaxAttempt() uint64 {
-	var t uint64
-	for i := range j.Chunk {
-		t = max(t, j.Chunk[i].Attempt)
+	var highest uint64
+	for index := range j.Chunk {
+		highest = max(highest, j.Chunk[index].Attempt)
 	}
-	return t
+	return highest
 }
--- a/internal/pipeline/pending.go
+++ b/internal/pipeline/pending.go
@@ -63,13 +63,14 @@
 		}
 		return
 	}
-	if !j.doneUnlogged[task] {
-		if j.doneUnlogged == nil {
-			j.doneUnlogged = map[int]bool{}
-		}
-		j.doneUnlogged[task] = true
-		t.markDirty(j, ch)
+	if j.doneUnlogged[task] {
+		return
 	}
+	if j.doneUnlogged == nil {
+		j.doneUnlogged = map[int]bool{}
+	}
+	j.doneUnlogged[task] = true
+	t.markDirty(j, ch)
 }
 
 // Reset drops everything that only a leader knows.
@@ -102,10 +103,7 @@
 // resetJob drops what only a leader knows of a job.
 func (t *Table) resetJob(j *Job) {
 	t.resetRetry(j)
-	j.WithinGuarantee = false
-	j.ReservedZone = 0
-	j.Stopping = false
-	j.doneUnlogged = nil
+	j.leaderState = leaderState{}
 	j.cleaning = false
 	j.finishing = false
 	for index := range j.Chunk {
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -17,6 +17,7 @@
 const RetryKey = "e"
 
 const (
+	// retryBase is the pause after the first failed attempt.
 	retryBase = 5 * time.Second
 	// retryCap bounds the pause: with the time that a start takes, a job whose
 	// fault is mended waits for less than 90 s beside a free machine.
@@ -30,6 +31,9 @@
 	// failuresToBackOff is the number of machines on which the tasks of a job have
 	// failed, without one that succeeded, from which on the job itself is at fault.
 	failuresToBackOff = 2
+	// maxDoublings is the number of doublings from which on the pause has reached
+	// retryCap, whatever the count of failures.
+	maxDoublings = 8
 )
 
 // retryRecord is the stored form of a job's retry state.
@@ -51,16 +55,31 @@
 	notBefore int64 // steady time in ns
 
 	failedOn     map[int]bool  // machines on which it has failed since it last succeeded
-	avoid        map[int]int64 // machines where it failed: until when it stays away
+	avoid        map[int]int64 // by machine where it failed: steady time until which it stays away
 	probe        *Entry        // the one task that tries again
-	dirty        bool          // not stored as it is
-	queued       bool          // a write of it waits for its turn
-	retryWriteAt int64         // no write before this steady time
+	dirty        bool          // differs from what is stored
+	queued       bool          // a write of it waits for its turn or is under way
+	retryWriteAt int64         // no write before this steady time, in ns
 }
 
-// AtFault tells whether the job itself has failed, on several machines or again
-// and again, and not succeeded since. Its retries are probes: one task at a time,
-// a gang as a whole.
+// retryRecords is what is stored of all jobs' retry states, and their writes.
+type retryRecords struct {
+	storedRetries   map[string]storedRetry // by job ID
+	dirtyRetries    map[*Job]bool          // whose retry state differs from what is stored
+	cleaningRetries map[string]bool        // by job ID, whose record's deletion is under way
+}
+
+func newRetryRecords() retryRecords {
+	return retryRecords{
+		storedRetries:   map[string]storedRetry{},
+		dirtyRetries:    map[*Job]bool{},
+		cleaningRetries: map[string]bool{},
+	}
+}
+
+// AtFault tells whether the job itself has failed, on several machines or
+// repeatedly on its only one, and not succeeded since. Its retries are probes: one
+// task at a time, a gang as a whole.
 func (j *Job) AtFault() bool { return j.retry.failures > 0 }
 
 // Failures counts the failed attempts in a row of a job that is at fault.
@@ -94,7 +113,7 @@
 	}
 }
 
-// TaskFailed takes in that a task of the job ended with an error, on a machine
+// TaskFailed records that a task of the job ended with an error, on a machine
 // that is not known to be faulty. It tells whether the job is at fault itself.
 func (t *Table) TaskFailed(e *Entry, now time.Duration) (atFault bool) {
 	j := e.Job
@@ -122,7 +141,7 @@
 	return j.AtFault()
 }
 
-// failsEverywhere takes in that a task failed on a machine, again if avoided tells
+// failsEverywhere records that a task failed on a machine, again if avoided tells
 // that one failed there a moment ago. It tells whether that makes the job itself
 // suspect: tasks have failed on several machines, or in turn on the only one.
 func (j *Job) failsEverywhere(machine int, avoided bool) bool {
@@ -162,7 +181,7 @@
 // controller draws the same.
 func retryPause(id string, failures int) time.Duration {
 	pause := retryCap
-	if doublings := failures - 1; doublings < 8 {
+	if doublings := failures - 1; doublings < maxDoublings {
 		pause = min(retryCap, retryBase<<doublings)
 	}
 	hash := fnv.New64a()
@@ -171,14 +190,16 @@
 	return pause - time.Duration(random.Float64()*retryJitter*float64(pause))
 }
 
-// ClearFailures takes in that what failed before was not the job's fault: a task of
+// ClearFailures records that what failed before was not the job's fault: a task of
 // it works, or the machine was faulty.
 func (t *Table) ClearFailures(j *Job) {
 	clear(j.retry.failedOn)
 	if !j.AtFault() {
 		return
 	}
-	j.retry.failures, j.retry.notBefore, j.retry.probe = 0, 0, nil
+	j.retry.failures = 0
+	j.retry.notBefore = 0
+	j.retry.probe = nil
 	t.Changed = true
 	t.markRetryDirty(j)
 }
@@ -212,7 +233,8 @@
 		return
 	}
 	stored := t.storedRetries[j.ID]
-	j.retry.failures, j.retry.notBefore = stored.Failures, 0
+	j.retry.failures = stored.Failures
+	j.retry.notBefore = 0
 	if stored.NotBefore != 0 && t.clockOffset != 0 {
 		j.retry.notBefore = min(stored.NotBefore*int64(time.Millisecond)-t.clockOffset, t.Now+int64(retryCap))
 	}
@@ -254,8 +276,12 @@
 			return false
 		}
 		written = j.retry.failures
-		intent.Conditions = []store.Condition{term, {Key: JobKeyOf(j.ID), Version: j.Version}, {Key: FinalKeyOf(j.ID)},
-			{Key: RetryKeyOf(j.ID), Version: stored.version}}
+		intent.Conditions = []store.Condition{
+			term,
+			{Key: JobKeyOf(j.ID), Version: j.Version},
+			{Key: FinalKeyOf(j.ID)},
+			{Key: RetryKeyOf(j.ID), Version: stored.version},
+		}
 		intent.Writes = []store.Write{{Key: RetryKeyOf(j.ID), Data: t.encodeRetry(j)}}
 		return true
 	}
@@ -275,7 +301,10 @@
 	if j.retry.failures == 0 {
 		return nil
 	}
-	data, err := json.Marshal(retryRecord{Failures: j.retry.failures, NotBefore: t.UnixMS(time.Duration(j.retry.notBefore))})
+	data, err := json.Marshal(retryRecord{
+		Failures:  j.retry.failures,
+		NotBefore: t.UnixMS(time.Duration(j.retry.notBefore)),
+	})
 	if err != nil {
 		panic(err) // two integers
 	}
@@ -304,8 +333,11 @@
 		key := RetryKeyOf(id)
 		condition := store.Condition{Key: key, Version: t.storedRetries[id].version}
 		t.cleaningRetries[id] = true
-		s.Submit(&store.Intent{Priority: store.Cleanup, Conditions: []store.Condition{term, condition},
-			Writes: []store.Write{{Key: key}},
-			Done:   func(store.Result) { delete(t.cleaningRetries, id) }}, now+writeTimeout)
+		s.Submit(&store.Intent{
+			Priority:   store.Cleanup,
+			Conditions: []store.Condition{term, condition},
+			Writes:     []store.Write{{Key: key}},
+			Done:       func(store.Result) { delete(t.cleaningRetries, id) },
+		}, now+writeTimeout)
 	}
 }
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -9,64 +9,73 @@
 
 // Table is the replica of the graph with the leader's pending writes.
 type Table struct {
-	Names           *Names
-	chunkLen        int
-	txnOps          int
-	Jobs            []*Job // by index; nil once gone
-	byID            map[string]*Job
-	Finals          map[string]Final
-	byMachine       [][]*Entry // by machine
-	team            map[int]Usage
-	graph           graph
-	dirty           map[*Job]bool
-	freeIndexes     []int
-	ended           map[*Job]bool // marked while tasks of theirs may be on machines
-	changedMachines []int         // machines whose entries have changed, in that order
-	isChanged       map[int]bool  // those in touched
-	changes         []uint32      // by machine, how often its entries have changed
-
-	// Now is the steady time of the input that is being handled.
+	Names  *Names
+	Jobs   []*Job // by index; nil: the index is free
+	Finals map[string]Final
+	// Now is the steady time of the input that is being handled, in ns.
 	Now int64
-	// Changed is set whenever something that placement looks at has changed.
+	// Changed is set whenever something that placement depends on has changed.
 	Changed bool
-	// ValueLimit bounds the values that are written. It may be smaller than
-	// what the chunks were laid out for, which all versions must agree on.
+	// ValueLimit bounds the values that are written, in bytes. It may be smaller
+	// than what the chunks were laid out for, which all versions must agree on.
 	ValueLimit int
 	// Labels are those of all controllers.
 	Labels []string
 
-	dirtyRetries    map[*Job]bool          // whose retry state is not stored as it is
-	storedRetries   map[string]storedRetry // by job id
-	cleaningRetries map[string]bool        // whose drop is under way
-
-	upgraded    map[string]bool // the controllers that have shown this version
+	byID        map[string]*Job
+	freeIndexes []int // of Jobs
+	graph       graph
+	machineIndex
+	team  map[int]Usage // by team, what its entries take
+	ended map[*Job]bool // marked while tasks of theirs may be on machines
+	retryRecords
+
+	dirty       map[*Job]bool   // some chunk differs from what is stored, or the done mark is due
+	chunkLen    int             // tasks per run record
+	txnOps      int             // the state service's limit on writes in a transaction
+	upgraded    map[string]bool // by label, the controllers that have shown this version
 	clockOffset int64           // Unix time in ns at steady time 0; 0: not known yet
 }
 
+// The number of tasks per run record follows from the state service's limit on
+// values. All versions must agree on it, as it decides which key holds a task.
+const (
+	bytesPerTask = 32 // what a task takes in the plain format, with a reserve
+	minChunkLen  = 16
+	maxChunkLen  = 1024
+)
+
 // NewTable returns an empty table. valueBytes and txnOps are the state
 // service's limits.
 func NewTable(n *Names, valueBytes, txnOps int) *Table {
-	return &Table{Names: n, chunkLen: max(16, min(1024, valueBytes/32)), txnOps: txnOps, byID: map[string]*Job{}, Finals: map[string]Final{},
-		team: map[int]Usage{}, graph: newGraph(), upgraded: map[string]bool{}, dirtyRetries: map[*Job]bool{}, storedRetries: map[string]storedRetry{}, cleaningRetries: map[string]bool{},
-		ValueLimit: valueBytes, dirty: map[*Job]bool{}, ended: map[*Job]bool{},
-		isChanged: map[int]bool{}}
+	return &Table{
+		Names:        n,
+		Finals:       map[string]Final{},
+		ValueLimit:   valueBytes,
+		byID:         map[string]*Job{},
+		graph:        newGraph(),
+		machineIndex: machineIndex{isChanged: map[int]bool{}},
+		team:         map[int]Usage{},
+		ended:        map[*Job]bool{},
+		retryRecords: newRetryRecords(),
+		dirty:        map[*Job]bool{},
+		chunkLen:     max(minChunkLen, min(maxChunkLen, valueBytes/bytesPerTask)),
+		txnOps:       txnOps,
+		upgraded:     map[string]bool{},
+	}
 }
 
 // Job returns an unfinished job, or one that is finished but not cleaned up.
 func (t *Table) Job(id string) *Job { return t.byID[id] }
 
-// Listen takes one change of the replica.
+// Listen takes one change of the replica; data is nil if the key was deleted.
 func (t *Table) Listen(kind, rest string, data []byte, version uint64) {
 	switch kind {
 	case JobKey:
 		t.onJob(rest, data, version)
 	case RunKey:
-		i := strings.LastIndexByte(rest, '/')
-		if i < 0 {
-			return
-		}
-		if c, err := strconv.Atoi(rest[i+1:]); err == nil && c >= 0 {
-			t.onRun(rest[:i], c, data, version)
+		if id, index, ok := splitNumbered(rest); ok {
+			t.onRun(id, index, data, version)
 		}
 	case FinalKey:
 		t.onFinal(rest, data)
@@ -75,12 +84,8 @@
 	case VersionKey:
 		t.upgraded[rest] = data != nil
 	case PartKey:
-		i := strings.LastIndexByte(rest, '/')
-		if i < 0 {
-			return
-		}
-		if n, err := strconv.Atoi(rest[i+1:]); err == nil && n >= 0 {
-			t.onPart(rest[:i], n, data, version)
+		if id, n, ok := splitNumbered(rest); ok {
+			t.onPart(id, n, data, version)
 		}
 	default:
 		return
@@ -88,34 +93,55 @@
 	t.Changed = true
 }
 
+// splitNumbered splits what follows the kind in a key <kind>/<id>/<n>; not ok: the
+// key has another form, so it is none of ours.
+func splitNumbered(rest string) (id string, n int, ok bool) {
+	i := strings.LastIndexByte(rest, '/')
+	if i < 0 {
+		return "", 0, false
+	}
+	n, err := strconv.Atoi(rest[i+1:])
+	return rest[:i], n, err == nil && n >= 0
+}
+
 // get returns the job, adding an empty one for records that arrive first.
 func (t *Table) get(id string) *Job {
-	j := t.byID[id]
-	if j == nil {
-		j = &Job{ID: id, chunkLen: t.chunkLen, Spec: Spec{Zone: -1}, EffectiveDeadline: NoDeadline, deadlineAt: NoDeadline, propagatedDeadline: NoDeadline}
-		if n := len(t.freeIndexes); n > 0 {
-			j.Index, t.freeIndexes = t.freeIndexes[n-1], t.freeIndexes[:n-1]
-			t.Jobs[j.Index] = j
-		} else {
-			j.Index = len(t.Jobs)
-			t.Jobs = append(t.Jobs, j)
-		}
-		t.byID[id] = j
-		if f, ok := t.Finals[id]; ok {
-			j.Final = f.Phase
-		}
-		t.loadRetry(j)
+	if j := t.byID[id]; j != nil {
+		return j
+	}
+	j := &Job{ID: id, Spec: Spec{Zone: -1}, EffectiveDeadline: NoDeadline}
+	j.chunkLen = t.chunkLen
+	j.deadlineAt = NoDeadline
+	j.propagatedDeadline = NoDeadline
+	t.assignIndex(j)
+	t.byID[id] = j
+	if f, ok := t.Finals[id]; ok {
+		j.Final = f.Phase
 	}
+	t.loadRetry(j)
 	return j
 }
 
+// assignIndex gives a new job an index that is free.
+func (t *Table) assignIndex(j *Job) {
+	last := len(t.freeIndexes) - 1
+	if last < 0 {
+		j.Index = len(t.Jobs)
+		t.Jobs = append(t.Jobs, j)
+		return
+	}
+	j.Index = t.freeIndexes[last]
+	t.freeIndexes = t.freeIndexes[:last]
+	t.Jobs[j.Index] = j
+}
+
 // forget removes a job of which no key is left.
 func (t *Table) forget(j *Job) {
 	if j.Version != 0 || j.active > 0 {
 		return
 	}
-	for i := range j.Chunk {
-		if j.Chunk[i].Version != 0 {
+	for index := range j.Chunk {
+		if j.Chunk[index].Version != 0 {
 			return
 		}
 	}
@@ -128,28 +154,25 @@
 	t.freeIndexes = append(t.freeIndexes, j.Index)
 }
 
+// onJob takes a job's record of the replica.
 func (t *Table) onJob(id string, data []byte, version uint64) {
 	if data == nil {
-		if j := t.byID[id]; j != nil {
-			j.Version = 0
-			t.unlink(j)
-			t.unmarkUpstreamCancelled(j)
-			t.forget(j)
-		}
+		t.onJobDeleted(id)
 		return
 	}
 	j := t.get(id)
-	was := j.Ready
+	wasReady := j.Ready
 	// Entries count by the spec; with none known yet they counted nothing.
-	t.recount(j, -1)
-	if !decode(t.Names, data, j) {
-		t.recount(j, 1)
+	t.recountUsage(j, -1)
+	ok := decode(t.Names, data, j)
+	t.recountUsage(j, 1)
+	if !ok {
 		return
 	}
-	t.recount(j, 1)
 	j.Version = version
-	if j.Ready && !was {
-		j.Order, j.ReadySince = version, max(t.Now, 1)
+	if j.Ready && !wasReady {
+		j.Order = version
+		j.ReadySince = max(t.Now, 1)
 		if j.ReadyAt != 0 && t.clockOffset != 0 {
 			j.ReadySince = t.steadyTime(j.ReadyAt)
 		}
@@ -157,6 +180,17 @@
 	t.updateGraph(j)
 }
 
+func (t *Table) onJobDeleted(id string) {
+	j := t.byID[id]
+	if j == nil {
+		return
+	}
+	j.Version = 0
+	t.unlink(j)
+	t.unmarkUpstreamCancelled(j)
+	t.forget(j)
+}
+
 // byReadiness compares jobs by the order in which they became ready. Jobs of one
 // transaction share their place and follow their IDs.
 func byReadiness(a, b *Job) int {
@@ -183,4 +217,5 @@
 // FinalKeyOf is the key of a job's final mark.
 func FinalKeyOf(id string) string { return FinalKey + "/" + id }
 
-func runKey(id string, c int) string { return RunKey + "/" + id + "/" + strconv.Itoa(c) }
+// runKey is the key of the run record of a job's chunk.
+func runKey(id string, index int) string { return RunKey + "/" + id + "/" + strconv.Itoa(index) }
