--- a/internal/pipeline/compact.go
+++ b/internal/pipeline/compact.go
@@ -152,8 +152,8 @@
 	return length, kind
 }
 
-// continues tells by which rule a span that ends with one entry goes on with the
-// next; not ok: it ends there.
+// continues returns the rule by which a span that ends with one entry goes on with
+// the next; not ok: the span ends there.
 func (r attemptRule) continues(last, next *Entry) (kind ruleKind, ok bool) {
 	if next.Task != last.Task+1 || r.holdsFor(last) != r.holdsFor(next) {
 		return 0, false
--- a/internal/pipeline/finish.go
+++ b/internal/pipeline/finish.go
@@ -74,7 +74,7 @@
 	return list
 }
 
-// complete tells whether every task is done, counting what is not stored yet.
+// complete reports whether every task is done, counting what is not stored yet.
 func (j *Job) complete() bool {
 	if j.Shape == Daemon || j.Final != Queued || j.Version == 0 {
 		return false
@@ -84,7 +84,7 @@
 
 // finish queues the done mark of a complete job. The mark is all that users and
 // the jobs that need it wait for: the job's records are dropped by Clean, after
-// everything else. It tells whether the mark is due or under way.
+// everything else. It reports whether the mark is due or under way.
 func (t *Table) finish(j *Job, now time.Duration, term store.Condition, s Submitter) bool {
 	if j.finishing {
 		return true
--- /dev/null
+++ b/internal/pipeline/fixture_test.go
@@ -0,0 +1,136 @@
+package pipeline
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"lugward/internal/store"
+)
+
+var term = store.Condition{Key: "t/lead", Version: 1}
+
+// queue is a state service's client that lets the test decide what becomes of
+// each write.
+type queue struct{ list []*store.Intent }
+
+func (q *queue) Submit(in *store.Intent, _ time.Duration) { q.list = append(q.list, in) }
+
+// next takes the next intent that has something to write.
+func (q *queue) next(t *testing.T) *store.Intent {
+	t.Helper()
+	for len(q.list) > 0 {
+		in := q.list[0]
+		q.list = q.list[1:]
+		if in.Build == nil || in.Build(in) {
+			return in
+		}
+		in.Done(store.Result{Outcome: store.Refused})
+	}
+	t.Fatal("nothing is written")
+	return nil
+}
+
+// carryOut applies a write as the state service would, and reports its outcome.
+func carryOut(tb *Table, in *store.Intent, revision uint64) {
+	for _, w := range in.Writes {
+		kind, rest := store.SplitKey(w.Key)
+		tb.Listen(kind, rest, w.Data, revision)
+	}
+	in.Done(store.Result{Outcome: store.OK, Revision: revision})
+}
+
+// nameSpec gives a spec the names that every stored job has.
+func nameSpec(n *Names, s *Spec) {
+	s.Class = n.Classes.Index("c")
+	s.Team = n.Teams.Index("t")
+	s.Image = n.Images.Index("b")
+}
+
+// newJob returns a table with a ready job of n tasks.
+func newJob(t *testing.T, n int) (*Table, *Job) {
+	t.Helper()
+	tb := NewTable(&Names{}, 4096, 12)
+	j := &Job{ID: "req-1", Ready: true, Spec: Spec{TaskCount: n, CPUs: 1, Zone: -1}}
+	nameSpec(tb.Names, &j.Spec)
+	tb.Listen(JobKey, j.ID, Encode(tb.Names, j), 1)
+	return tb, tb.Job(j.ID)
+}
+
+// line is a change of a stored key, for tests that replay changes in another order.
+type line struct {
+	kind, rest string
+	data       []byte
+	version    uint64
+}
+
+// fixture is a table together with what is stored.
+type fixture struct {
+	*Table
+	revision uint64
+	log      []line
+}
+
+func newFixture() *fixture {
+	r := &fixture{Table: NewTable(&Names{}, 4096, 4)}
+	r.Now = int64(time.Second)
+	r.SetClock(time.Second, time.Unix(1000, 0)) // steady time 0 is 999 s
+	return r
+}
+
+func (r *fixture) write(kind, rest string, data []byte) {
+	r.revision++
+	r.log = append(r.log, line{kind, rest, data, r.revision})
+	r.Listen(kind, rest, data, r.revision)
+}
+
+func id(n int) string { return fmt.Sprintf("req-%06d", n) }
+
+// job stores a held job below others, or one that is ready if there are none.
+func (r *fixture) job(n int, set func(*Job), up ...int) *Job {
+	j := &Job{
+		ID:    id(n),
+		Owner: "n0",
+		Ready: len(up) == 0,
+		Spec:  Spec{TaskCount: 1, CPUs: 1, Priority: Normal, Zone: -1, EstimatedRuntime: 10},
+	}
+	nameSpec(r.Names, &j.Spec)
+	for _, u := range up {
+		j.Upstream = append(j.Upstream, id(u))
+	}
+	if set != nil {
+		set(j)
+	}
+	r.write(JobKey, j.ID, Encode(r.Names, j))
+	return r.Job(j.ID)
+}
+
+// listInParts has a job's upstream jobs listed in other keys.
+func (j *Job) listInParts(parts int, version uint64) {
+	j.Upstream = nil
+	j.UpstreamParts = parts
+	j.SubmissionVersion = version
+}
+
+func (r *fixture) final(n int, p Phase) {
+	j := &Job{Spec: Spec{TaskCount: 1}}
+	r.write(FinalKey, id(n), EncodeFinal(p, j))
+}
+
+func idsOf(list []*Job) string {
+	var s []string
+	for _, j := range list {
+		s = append(s, strings.TrimLeft(strings.TrimPrefix(j.ID, "req-"), "0"))
+	}
+	return strings.Join(s, " ")
+}
+
+func (r *fixture) upstreamCancelledIDs() string { return idsOf(inOrder(r.graph.upstreamCancelled)) }
+
+func expect(t *testing.T, what, got, want string) {
+	t.Helper()
+	if got != want {
+		t.Errorf("%s: %q, want %q", what, got, want)
+	}
+}
--- a/internal/pipeline/flush.go
+++ b/internal/pipeline/flush.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// flushChunks queues the writes of a job's chunks that are due. It tells whether
+// flushChunks queues the writes of a job's chunks that are due. It reports whether
 // any chunk still differs from what is stored.
 func (t *Table) flushChunks(j *Job, now time.Duration, term store.Condition, s Submitter) (dirty bool) {
 	for index := range j.Chunk {
@@ -64,7 +64,7 @@
 	return int(min(j.EffectivePriority, Normal))
 }
 
-// chunkWrite is a write of a chunk that waits for its turn or is under way. It
+// chunkWrite is a write of a chunk that is queued or under way. It
 // names the chunk by its index, as the list of chunks may grow meanwhile.
 type chunkWrite struct {
 	table      *Table
@@ -75,9 +75,8 @@
 	carried    int  // the chunk's changeCount when the write was built
 }
 
-// queueChunkWrite queues the write of a chunk. What it holds is decided when its
-// turn comes, so a job's tasks share one write however many of them change
-// meanwhile. A write with the priority of placements may overtake one without.
+// queueChunkWrite queues the write of a chunk. Its content is decided when it is
+// sent, so a job's tasks share one write however many of them change meanwhile. A write with the priority of placements may overtake one without.
 func (t *Table) queueChunkWrite(j *Job, index int, now time.Duration, term store.Condition, s Submitter) {
 	ch := &j.Chunk[index]
 	if ch.placementQueued || (ch.progressQueued && !ch.placing) {
@@ -226,7 +225,7 @@
 	data, taken := t.fit(j, ch, c)
 	ch.deferredPlacements = len(c.placements) - len(taken)
 	if ch.deferredPlacements > 0 && len(taken) == 0 && !c.changed {
-		return false // what is stored says it all
+		return false // the stored record has all that can be written
 	}
 	for _, e := range taken {
 		e.sent = true
--- a/internal/pipeline/graph.go
+++ b/internal/pipeline/graph.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// graph is what follows from the edges between jobs. Only held jobs have
-// edges here: once a job is ready all that it needs is over.
+// graph is what follows from the edges between jobs. A job is held until its ready
+// mark is stored. Only held jobs have edges here: once a job is ready, all its
+// upstream jobs are done.
 type graph struct {
 	dependents map[string]map[*Job]bool // by upstream ID: the held jobs that wait for it
-	releasable map[*Job]bool            // held jobs that wait for nothing any more
+	releasable map[*Job]bool            // held jobs whose upstream jobs are all done
 	stale      map[*Job]bool            // effective values are to be derived or passed on
 	parts      map[string]*parts        // stored lists of upstream jobs, by job ID
 
@@ -92,7 +93,7 @@
 	j.linked = true
 	j.linkedUpstream = list
 	j.unfinishedUpstream = 0
-	// Whatever it had before, no upstream job has inherited from it yet.
+	// After an unlink as well, no upstream job has inherited from it yet.
 	j.propagatedPriority = Idle
 	j.propagatedDeadline = NoDeadline
 	upstreamCancelled := false
@@ -197,8 +198,8 @@
 	slices.SortFunc(t.graph.cancelQueue[begin:], byAcceptance)
 }
 
-// Releasable returns the held jobs that wait for nothing any more, the highest
-// effective priority first, within one in the order of their records.
+// Releasable returns the held jobs whose upstream jobs are all done, in the order
+// of effective priority, the highest first, and then of acceptance.
 func (t *Table) Releasable() []*Job {
 	t.inherit()
 	list := inOrder(t.graph.releasable)
@@ -206,7 +207,7 @@
 	return list
 }
 
-// inOrder returns a set of jobs in the order of their records.
+// inOrder returns a set of held jobs in the order in which they were accepted.
 func inOrder(set map[*Job]bool) []*Job {
 	if len(set) == 0 {
 		return nil
--- a/internal/pipeline/graph_test.go
+++ b/internal/pipeline/graph_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestDiamondReady(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	r.job(1, nil)
 	r.job(2, nil, 1)
 	r.job(3, nil, 1, 1)
@@ -24,7 +24,7 @@
 	if d.Phase() != Queued || len(r.Unfinished()) != 0 {
 		t.Errorf("a held job is %v, %d are to be placed", d.Phase(), len(r.Unfinished()))
 	}
-	// Whoever writes the ready mark: it shows.
+	// The ready mark counts whichever controller wrote it.
 	ready := *d
 	ready.Ready = true
 	r.write(JobKey, d.ID, Encode(r.Names, &ready))
@@ -37,7 +37,7 @@
 
 // A record that is written again as it was changes nothing.
 func TestHeldTwice(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	r.job(1, nil)
 	r.job(2, nil, 1)
 	r.job(2, nil, 1)
@@ -47,7 +47,7 @@
 }
 
 func TestDiamondCancelled(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	r.job(1, nil)
 	r.job(2, nil, 1)
 	r.job(3, nil, 1)
@@ -63,7 +63,7 @@
 	r.job(7, nil, 4, 5)
 	r.job(8, nil, 7)
 	expect(t, "upstream cancelled", r.upstreamCancelledIDs(), "2 3 4 7 8")
-	// Its own mark settles it; what comes below it is judged by that.
+	// Once it has its own mark, jobs below it follow from that.
 	r.final(7, Cancelled)
 	r.write(JobKey, id(7), nil)
 	r.job(9, nil, 7)
@@ -77,7 +77,7 @@
 
 // A cancellation that loses to done leaves the jobs below alone.
 func TestLostToDone(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	r.job(1, nil)
 	r.job(2, nil, 1)
 	r.final(1, Done)
@@ -85,8 +85,8 @@
 	expect(t, "held", idsOf(r.Releasable()), "2")
 }
 
-// verdicts tells what follows from the graph for every job.
-func (r *rig) verdicts() string {
+// derivedState shows what follows from the graph for every job.
+func (r *fixture) derivedState() string {
 	r.inherit()
 	var b strings.Builder
 	var names []string
@@ -105,65 +105,90 @@
 	return b.String()
 }
 
+// randomGraph stores jobs with random upstream jobs, some of which end.
+func randomGraph(rng *rand.Rand) *fixture {
+	r := newFixture()
+	const jobs = 60
+	for i := 1; i <= jobs; i++ {
+		var up []int
+		for range rng.IntN(4) {
+			if i > 1 {
+				up = append(up, 1+rng.IntN(i-1))
+			}
+		}
+		r.job(i, func(j *Job) {
+			j.Priority = Priority(rng.IntN(4))
+			j.Submitted = 1000_000 + int64(i)
+			if rng.IntN(3) == 0 {
+				j.Deadline = float64(100 + rng.IntN(100))
+			}
+			if len(up) > 2 {
+				r.writeParts(j, 2)
+			}
+		}, up...)
+		if event := rng.IntN(12); event < 3 && i > 5 {
+			r.endJob(1+rng.IntN(i), event == 0)
+		}
+	}
+	return r
+}
+
+// writeParts stores a job's list of upstream jobs in two parts, the first of which
+// has so many of them.
+func (r *fixture) writeParts(j *Job, first int) {
+	r.write(PartKey, j.ID+"/0", EncodeParts(j.Upstream[:first], 4096)[0])
+	version := r.revision
+	r.write(PartKey, j.ID+"/1", EncodeParts(j.Upstream[first:], 4096)[0])
+	j.listInParts(2, version)
+}
+
+// endJob marks a job as cancelled, or as done if all its upstream jobs are done.
+func (r *fixture) endJob(n int, cancel bool) {
+	j := r.Job(id(n))
+	if _, over := r.Finals[id(n)]; over || j == nil {
+		return
+	}
+	switch {
+	case cancel:
+		r.final(n, Cancelled)
+	case (j.Ready || r.graph.releasable[j]) && j.Phase() == Queued:
+		r.final(n, Done)
+	}
+}
+
 // TestAnyOrder: whatever the order in which keys arrive, the same follows, and
 // the same as derived from scratch.
 func TestAnyOrder(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		r := newRig()
-		const n = 60
-		for i := 1; i <= n; i++ {
-			var up []int
-			for range rng.IntN(4) {
-				if i > 1 {
-					up = append(up, 1+rng.IntN(i-1))
-				}
-			}
-			r.job(i, func(j *Job) {
-				j.Priority = Priority(rng.IntN(4))
-				j.Submitted = 1000_000 + int64(i)
-				if rng.IntN(3) == 0 {
-					j.Deadline = float64(100 + rng.IntN(100))
-				}
-				if len(up) > 2 {
-					r.write(PartKey, j.ID+"/0", EncodeParts(j.Upstream[:2], 4096)[0])
-					j.SubmissionVersion = r.revision
-					r.write(PartKey, j.ID+"/1", EncodeParts(j.Upstream[2:], 4096)[0])
-					j.Upstream, j.UpstreamParts = nil, 2
-				}
-			}, up...)
-			if v := rng.IntN(12); v < 3 && i > 5 {
-				// Of a job that may be over: all that it needs is done.
-				over := 1 + rng.IntN(i)
-				j := r.Job(id(over))
-				if _, ok := r.Finals[id(over)]; !ok && j != nil && v == 0 {
-					r.final(over, Cancelled)
-				} else if !ok && j != nil && (j.Ready || r.graph.releasable[j]) && j.Phase() == Queued {
-					r.final(over, Done)
-				}
-			}
-		}
-		want := r.verdicts()
+		r := randomGraph(rng)
+		want := r.derivedState()
 		checkDerived(t, r)
 		for range 10 {
 			rng.Shuffle(len(r.log), func(a, b int) { r.log[a], r.log[b] = r.log[b], r.log[a] })
-			o := newRig()
+			other := newFixture()
 			for _, l := range r.log {
-				o.Listen(l.kind, l.rest, l.data, l.version)
+				other.Listen(l.kind, l.rest, l.data, l.version)
 				if rng.IntN(4) == 0 {
-					o.inherit()
+					other.inherit()
 				}
 			}
-			if got := o.verdicts(); got != want {
-				a, b := strings.Split(got, "\n"), strings.Split(want, "\n")
-				for i := range b {
-					if i >= len(a) || a[i] != b[i] {
-						t.Errorf("seed %d: %q, in order %q", seed, a[min(i, len(a)-1)], b[i])
-					}
-				}
-				t.FailNow()
+			if got := other.derivedState(); got != want {
+				reportDifferences(t, seed, got, want)
 			}
-			checkDerived(t, o)
+			checkDerived(t, other)
+		}
+	}
+}
+
+// reportDifferences ends the test with the lines that differ.
+func reportDifferences(t *testing.T, seed uint64, got, want string) {
+	t.Helper()
+	a, b := strings.Split(got, "\n"), strings.Split(want, "\n")
+	for i := range b {
+		if i >= len(a) || a[i] != b[i] {
+			t.Errorf("seed %d: %q, in order %q", seed, a[min(i, len(a)-1)], b[i])
 		}
 	}
+	t.FailNow()
 }
--- a/internal/pipeline/inherit.go
+++ b/internal/pipeline/inherit.go
@@ -109,7 +109,7 @@
 }
 
 // inheritFrom raises a job's effective values to what one that needs it asks for.
-// It tells whether they have changed.
+// It reports whether they have changed.
 func (j *Job) inheritFrom(dependent *Job) bool {
 	priority := max(j.EffectivePriority, dependent.EffectivePriority)
 	deadline := j.EffectiveDeadline
--- a/internal/pipeline/inherit_test.go
+++ b/internal/pipeline/inherit_test.go
@@ -7,7 +7,7 @@
 )
 
 // checkDerived compares effective values with the plain definition.
-func checkDerived(t *testing.T, r *rig) {
+func checkDerived(t *testing.T, r *fixture) {
 	t.Helper()
 	r.inherit()
 	var derive func(j *Job) (Priority, int64)
@@ -38,7 +38,7 @@
 // The last job of a pipeline comes late and raises what still waits or runs;
 // when it is cancelled they fall back.
 func TestInherit(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	a := r.job(1, func(j *Job) { j.Priority = Idle })
 	b := r.job(2, func(j *Job) { j.Priority = Idle }, 1)
 	c := r.job(3, nil, 1)
@@ -66,7 +66,7 @@
 // A chain of thousands and a ladder of diamonds, in which paths are without
 // number, are walked once.
 func TestDeep(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	const n = 4000
 	r.job(1, nil)
 	for i := 2; i <= n; i++ {
@@ -84,10 +84,10 @@
 	}
 }
 
-// Waiting counts from readiness and the deadline from submission, whoever
-// takes over and whenever.
+// Waiting counts from readiness and the deadline from submission, also after
+// another controller has taken over.
 func TestTimesSurvive(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	r.Now = int64(50 * time.Second)
 	r.SetClock(50*time.Second, time.Unix(5000, 0)) // steady time 0 is 4950 s
 	j := r.job(1, func(j *Job) { j.Submitted, j.ReadyAt, j.Deadline = 4900_000, 4960_000, 100 })
@@ -98,7 +98,7 @@
 	if j.ReadySince != int64(-50*time.Second) || j.ReadyAt != 4900_000 {
 		t.Errorf("ready since %v, at %d", time.Duration(j.ReadySince), j.ReadyAt)
 	}
-	// A clock that is ahead puts nothing into the future, an old record tells nothing.
+	// A clock that is ahead puts nothing into the future; an old record has no times.
 	for _, at := range []int64{9000_000, 0} {
 		if j = r.job(3+int(at), func(j *Job) { j.Submitted, j.Deadline = at, 100 }); j.ReadySince != r.Now || j.EffectiveDeadline != r.Now+int64(100*time.Second) {
 			t.Errorf("at %d: ready since %v, due at %v", at, time.Duration(j.ReadySince), time.Duration(j.EffectiveDeadline))
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -63,7 +63,7 @@
 	Deadline           float64 // seconds after submission, 0: none
 }
 
-// Allows tells whether the job may use a machine type.
+// Allows reports whether the job may use a machine type.
 func (s *Spec) Allows(machineType int) bool {
 	if s.MachineTypes == nil {
 		return true
@@ -71,7 +71,7 @@
 	return slices.Contains(s.MachineTypes, machineType)
 }
 
-// CountsAsWhole tells whether all tasks count together against the team's limit.
+// CountsAsWhole reports whether all tasks count together against the team's limit.
 func (s *Spec) CountsAsWhole() bool { return s.Shape != Array }
 
 // Names are the tables that map names to the indices used everywhere else.
@@ -132,7 +132,7 @@
 	Owner string // the controller that writes its ready mark
 
 	// Upstream are the upstream jobs that the record itself lists. If UpstreamParts
-	// is not 0, so many keys hold the list instead. SubmissionVersion is then the
+	// is not 0, the list is stored in that many keys instead. SubmissionVersion is then the
 	// version of part 0: what another attempt to submit the job has left behind
 	// does not belong to the list.
 	Upstream          []string
@@ -142,13 +142,13 @@
 	// Submitted and ReadyAt are when the job was submitted and when the last job
 	// that it needs was done, in Unix ms; 0: not known.
 	Submitted, ReadyAt int64
-	// Ready tells that all upstream jobs are done and the ready mark is stored.
+	// Ready means that all upstream jobs are done and the ready mark is stored.
 	Ready bool
 	// Order is the revision at which the job became ready: ready jobs start in
 	// that order.
 	Order uint64
 	// ReadySince is the steady time in ns at which the job became ready, or at which
-	// this controller saw it ready if its record does not tell.
+	// this controller first saw it ready if its record has no such time.
 	ReadySince int64
 
 	// EffectivePriority and EffectiveDeadline (steady time in ns) are the job's own,
@@ -169,8 +169,8 @@
 	leaderState
 }
 
-// taskCounts sums up the chunks of a job, so that no question about them walks
-// over its tasks.
+// taskCounts are kept up to date as chunks change, so that counting does not walk
+// over a job's tasks.
 type taskCounts struct {
 	chunkLen    int // tasks per chunk
 	done        int // tasks that run records show as done
@@ -225,9 +225,9 @@
 type chunkWrites struct {
 	dirty              bool
 	placing            bool  // a placement is not part of any write yet, or its write failed
-	progressQueued     bool  // a write with the priority of progress waits for its turn
-	placementQueued    bool  // a write with the priority of placements waits for its turn
-	changeCount        int   // counts the changes, to tell which of them a write has carried
+	progressQueued     bool  // a write with the priority of progress is queued or under way
+	placementQueued    bool  // a write with the priority of placements is queued or under way
+	changeCount        int   // counts the changes; a write has carried those counted when it was built
 	deferredPlacements int   // placements that did not fit in the last write
 	rejectedWrites     int   // writes in a row that the state service called malformed
 	retryAt            int64 // no write before this steady time, in ns
@@ -244,7 +244,7 @@
 // Active counts tasks that may be on a machine.
 func (j *Job) Active() int { return j.active }
 
-// IsDone tells whether a task is stored as done.
+// IsDone reports whether a task is stored as done.
 func (j *Job) IsDone(task int) bool {
 	index, bit := task/j.chunkLen, task%j.chunkLen
 	if index >= len(j.Chunk) || j.Chunk[index].Done == nil {
@@ -274,7 +274,7 @@
 	}
 }
 
-// Open tells whether a task waits to be placed.
+// Open reports whether a task waits to be placed.
 func (j *Job) Open(task int) bool {
 	return !j.IsDone(task) && j.Entry(task) == nil && !j.doneUnlogged[task]
 }
@@ -284,7 +284,7 @@
 	return max(0, j.TaskCount-j.done-j.active-len(j.doneUnlogged))
 }
 
-// Waits tells whether an unfinished ready job has tasks to place.
+// Waits reports whether an unfinished ready job has tasks to place.
 func (j *Job) Waits(now int64) bool {
 	return j.StartableCount() > 0 && !j.Stopping && !j.BackingOff(now)
 }
@@ -303,7 +303,7 @@
 	return Queued
 }
 
-// UpstreamCancelled tells whether a job that it needs is cancelled: it is cancelled
+// UpstreamCancelled reports whether a job that it needs is cancelled: it is cancelled
 // with that one, whether its own mark is stored yet or not.
 func (j *Job) UpstreamCancelled() bool { return j.upstreamCancelled }
 
--- a/internal/pipeline/marks.go
+++ b/internal/pipeline/marks.go
@@ -38,7 +38,7 @@
 	return min(maxRetryWait, int64(time.Second)<<*rejected)
 }
 
-// markable tells whether a mark of the job may be written now.
+// markable reports whether a mark of the job may be written now.
 func (j *Job) markable(now time.Duration) bool {
 	return !j.marking && int64(now) >= j.retryAt
 }
--- a/internal/pipeline/marks_test.go
+++ b/internal/pipeline/marks_test.go
@@ -8,10 +8,10 @@
 	"lugward/internal/store"
 )
 
-// Ready marks of several owners: only the replica tells that one is through,
-// and a write that lost is not tried without end.
+// Several controllers may write a ready mark: only the replica shows that one of
+// them succeeded, and a write that lost is retried after a pause.
 func TestMarkReady(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	r.job(1, nil)
 	j := r.job(2, func(j *Job) { j.Submitted = 1000_500 }, 1)
 	r.final(1, Done)
@@ -46,7 +46,7 @@
 // a successor finishes what its predecessor began.
 func TestWideCancellation(t *testing.T) {
 	const n = 500
-	r := newRig()
+	r := newFixture()
 	r.job(1, nil)
 	for i := range n {
 		r.job(10+i, nil, 1)
@@ -55,7 +55,7 @@
 	q := &queue{}
 	everything := func(*Job) bool { return true }
 	marked, now := 0, time.Duration(0)
-	step := func(r *rig) {
+	step := func(r *fixture) {
 		now += time.Second
 		r.MarkUpstreamCancelled(now, q, everything)
 		r.MarkUpstreamCancelled(now, q, everything)
@@ -83,11 +83,12 @@
 	for range 10 {
 		step(r)
 	}
-	after := newRig()
+	after := newFixture()
 	for _, l := range r.log {
 		after.Listen(l.kind, l.rest, l.data, l.version)
 	}
-	after.revision, after.log = r.revision, r.log
+	after.revision = r.revision
+	after.log = r.log
 	if len(after.graph.upstreamCancelled) != n-marked || marked == 0 {
 		t.Fatalf("%d marked, %d left to the successor", marked, len(after.graph.upstreamCancelled))
 	}
@@ -106,7 +107,7 @@
 
 // Jobs of others are left to them.
 func TestMarkUpstreamCancelledOurs(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	r.job(1, nil)
 	r.job(2, func(j *Job) { j.Owner = "n1" }, 1)
 	r.job(3, nil, 1)
@@ -121,7 +122,7 @@
 // Many jobs that are freed at once are marked a few at a time, the most
 // important first.
 func TestWideReady(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	r.job(1, nil)
 	for i := range 200 {
 		r.job(10+i, func(j *Job) { j.Priority = Idle }, 1)
--- a/internal/pipeline/parts.go
+++ b/internal/pipeline/parts.go
@@ -22,7 +22,7 @@
 	RivalTimeout = 6 * time.Second
 )
 
-// PartKey is the kind of the keys that hold a long list of upstream jobs:
+// PartKey is the kind of the keys that store a long list of upstream jobs:
 // u/<id>/<n>. Part 0's version stands for the attempt to submit the job: the
 // other parts and the job's record are written on condition of it.
 const PartKey = "u"
@@ -157,13 +157,13 @@
 	}
 }
 
-// accepted tells whether a job's record is stored.
+// accepted reports whether a job's record is stored.
 func (t *Table) accepted(id string) bool {
 	j := t.byID[id]
 	return j != nil && j.Version != 0
 }
 
-// partsNeeded tells whether a list belongs to a held job, or to an attempt to
+// partsNeeded reports whether a list belongs to a held job, or to an attempt to
 // submit one that may still succeed.
 func (t *Table) partsNeeded(id string, now time.Duration) bool {
 	if _, over := t.Finals[id]; over {
--- a/internal/pipeline/parts_test.go
+++ b/internal/pipeline/parts_test.go
@@ -31,9 +31,9 @@
 }
 
 // A job whose list is not whole, or is still that of an older attempt, is
-// neither ready nor judged.
+// neither releasable nor cancelled by it.
 func TestPartsOfAttempts(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	r.job(1, nil)
 	r.job(2, nil)
 	r.final(1, Cancelled)
@@ -43,13 +43,13 @@
 	r.write(PartKey, id(5)+"/1", p(1))
 	old := r.revision
 	r.revision += 10
-	j := r.job(5, func(j *Job) { j.Upstream, j.UpstreamParts, j.SubmissionVersion = nil, 2, old+3 }, 9)
+	j := r.job(5, func(j *Job) { j.listInParts(2, old+3) }, 9)
 	if j.linked || j.upstreamCancelled || len(r.Releasable()) != 0 {
-		t.Fatal("judged by an abandoned list")
+		t.Fatal("linked by an abandoned list")
 	}
 	r.Listen(PartKey, id(5)+"/0", p(2), old+3)
 	if j.linked {
-		t.Fatal("judged by half a list")
+		t.Fatal("linked by half a list")
 	}
 	r.Listen(PartKey, id(5)+"/1", p(2), old+4)
 	expect(t, "held", idsOf(r.Releasable()), "5")
@@ -59,7 +59,7 @@
 }
 
 func TestDeleteStaleParts(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	part := EncodeParts([]string{id(1)}, 4096)[0]
 	r.job(1, nil)
 	for _, k := range []string{"/0", "/1", "/2"} {
@@ -67,7 +67,7 @@
 	}
 	first := r.graph.parts[id(2)].byNumber[0].version
 	r.write(PartKey, id(3)+"/0", part)
-	held := r.job(3, func(j *Job) { j.Upstream, j.UpstreamParts, j.SubmissionVersion = nil, 1, r.revision }, 1)
+	held := r.job(3, func(j *Job) { j.listInParts(1, r.revision) }, 1)
 	q := &queue{}
 	r.DeleteStaleParts(time.Minute, term, q)
 	if len(q.list) != 0 {
@@ -90,7 +90,9 @@
 		t.Error("not all dropped, or too much")
 	}
 	ready := *held
-	ready.Ready, ready.UpstreamParts, ready.SubmissionVersion = true, 0, 0
+	ready.Ready = true
+	ready.UpstreamParts = 0
+	ready.SubmissionVersion = 0
 	r.revision += 5
 	r.write(JobKey, held.ID, Encode(r.Names, &ready))
 	r.DeleteStaleParts(2*time.Minute, term, q)
--- a/internal/pipeline/record.go
+++ b/internal/pipeline/record.go
@@ -29,7 +29,7 @@
 	// The production version before chained jobs ignores these.
 	Submitted         int64  `json:"at,omitempty"` // Unix ms
 	ReadyAt           int64  `json:"ra,omitempty"` // Unix ms, if not at submission
-	UpstreamParts     int    `json:"un,omitempty"` // number of keys that hold the upstream IDs
+	UpstreamParts     int    `json:"un,omitempty"` // number of keys that store the upstream IDs
 	SubmissionVersion uint64 `json:"us,omitempty"` // version of the first of them
 }
 
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -11,7 +11,7 @@
 	"lugward/internal/store"
 )
 
-// RetryKey is the kind of the keys e/<id> that hold how often a job has failed
+// RetryKey is the kind of the keys e/<id> that store how often a job has failed
 // in a row and when it may be tried again, so that a new leader does not begin
 // anew with a job that fails on every machine. Earlier versions ignore them.
 const RetryKey = "e"
@@ -58,7 +58,7 @@
 	avoid        map[int]int64 // by machine where it failed: steady time until which it stays away
 	probe        *Entry        // the one task that tries again
 	dirty        bool          // differs from what is stored
-	queued       bool          // a write of it waits for its turn or is under way
+	queued       bool          // a write of it is queued or under way
 	retryWriteAt int64         // no write before this steady time, in ns
 }
 
@@ -77,7 +77,7 @@
 	}
 }
 
-// AtFault tells whether the job itself has failed, on several machines or
+// AtFault reports whether the job itself has failed, on several machines or
 // repeatedly on its only one, and not succeeded since. Its retries are probes: one
 // task at a time, a gang as a whole.
 func (j *Job) AtFault() bool { return j.retry.failures > 0 }
@@ -85,14 +85,14 @@
 // Failures counts the failed attempts in a row of a job that is at fault.
 func (j *Job) Failures() int { return j.retry.failures }
 
-// BackingOff tells whether the pause after a failed attempt goes on.
+// BackingOff reports whether the pause after a failed attempt goes on.
 func (j *Job) BackingOff(now int64) bool { return j.retry.notBefore > now }
 
-// Avoids tells whether the job stays away from a machine since a task of it has
+// Avoids reports whether the job stays away from a machine since a task of it has
 // failed there a moment ago.
 func (j *Job) Avoids(machine int, now int64) bool { return j.retry.avoid[machine] > now }
 
-// probing tells whether the task that tries again is on its way or running.
+// probing reports whether the task that tries again is on its way or running.
 func (j *Job) probing() bool {
 	probe := j.retry.probe
 	return probe != nil && j.Entry(probe.Task) == probe && probe.Pending == NoPendingWrite
@@ -114,7 +114,7 @@
 }
 
 // TaskFailed records that a task of the job ended with an error, on a machine
-// that is not known to be faulty. It tells whether the job is at fault itself.
+// that is not known to be faulty. It reports whether the job is at fault itself.
 func (t *Table) TaskFailed(e *Entry, now time.Duration) (atFault bool) {
 	j := e.Job
 	known := j.Avoids(e.Machine, int64(now))
@@ -141,28 +141,28 @@
 	return j.AtFault()
 }
 
-// failsEverywhere records that a task failed on a machine, again if avoided tells
-// that one failed there a moment ago. It tells whether that makes the job itself
+// failsEverywhere records that a task failed on a machine, again if avoided
+// says that one failed there a moment ago. It reports whether that makes the job itself
 // suspect: tasks have failed on several machines, or in turn on the only one.
 func (j *Job) failsEverywhere(machine int, avoided bool) bool {
 	if j.retry.failedOn == nil {
 		j.retry.failedOn = map[int]bool{}
 	}
-	// Tasks that fail together tell no more than one of them; where others of the
+	// Tasks that fail together prove no more than one of them; where others of the
 	// job run elsewhere, the machine is as likely to be at fault.
 	again := j.retry.failedOn[machine] && !avoided && !j.activeElsewhere(machine)
 	j.retry.failedOn[machine] = true
 	return again || len(j.retry.failedOn) >= failuresToBackOff
 }
 
-// activeElsewhere tells whether tasks of the job may be on other machines.
+// activeElsewhere reports whether tasks of the job may be on other machines.
 func (j *Job) activeElsewhere(machine int) bool {
 	elsewhere := false
 	j.Entries(func(e *Entry) { elsewhere = elsewhere || e.Machine != machine })
 	return elsewhere
 }
 
-// FailedOnlyOn tells whether a machine is the only one on which tasks of the job
+// FailedOnlyOn reports whether a machine is the only one on which tasks of the job
 // have failed since one succeeded.
 func (j *Job) FailedOnlyOn(machine int) bool {
 	return len(j.retry.failedOn) == 1 && j.retry.failedOn[machine]
@@ -263,8 +263,8 @@
 	}
 }
 
-// writeRetry queues the write of a job's retry state. What it holds is decided
-// when its turn comes.
+// writeRetry queues the write of a job's retry state. Its content is decided
+// when it is sent.
 func (t *Table) writeRetry(j *Job, now time.Duration, term store.Condition, s Submitter) {
 	j.retry.queued = true
 	written := 0
--- a/internal/pipeline/run.go
+++ b/internal/pipeline/run.go
@@ -38,13 +38,12 @@
 	ch := t.chunk(j, index)
 	var active []runEntry
 	if data != nil {
-		var attempt uint64
-		var done []uint64
-		var ok bool
-		attempt, done, active, ch.compacted, ok = decodeRun(data, len(ch.Done))
+		attempt, done, entries, small, ok := decodeRun(data, len(ch.Done))
+		ch.compacted = small // also of a record that is refused
 		if !ok {
 			return
 		}
+		active = entries
 		ch.Attempt = max(ch.Attempt, attempt)
 		for word := range done {
 			ch.Done[word] |= done[word] // a done task stays done
--- a/internal/pipeline/run_record.go
+++ b/internal/pipeline/run_record.go
@@ -80,8 +80,8 @@
 }
 
 // decodeRun reads a chunk's stored form, whose bitmap has so many words; small
-// tells that it is in the compact format. A record that is not ok is damaged, or of
-// a later version, and tells nothing.
+// means that it is in the compact format. A record that is not ok is damaged or of
+// a later version and must be ignored.
 func decodeRun(data []byte, words int) (attempt uint64, done []uint64, active []runEntry, small, ok bool) {
 	var r struct {
 		Attempt uint64          `json:"t"`
--- a/internal/pipeline/size.go
+++ b/internal/pipeline/size.go
@@ -42,7 +42,7 @@
 // Version is what is stored there.
 var Version = []byte(`{"v":3}`)
 
-// AllUpgraded tells whether every controller has shown that it runs this version.
+// AllUpgraded reports whether every controller has shown that it runs this version.
 func (t *Table) AllUpgraded() bool {
 	for _, label := range t.Labels {
 		if !t.upgraded[label] {
@@ -91,7 +91,7 @@
 	}
 }
 
-// fitsPlain tells whether a chunk as it is fits in the plain format.
+// fitsPlain reports whether a chunk as it is fits in the plain format.
 func (t *Table) fitsPlain(ch *Chunk) bool {
 	active := slices.Collect(maps.Values(ch.Entries))
 	return len(encodeRun(t.Names, ch.Attempt, ch.Done, active, plainFormat)) <= t.ValueLimit
--- a/internal/pipeline/table_test.go
+++ b/internal/pipeline/table_test.go
@@ -7,47 +7,6 @@
 	"lugward/internal/store"
 )
 
-// queue is a state service's client that lets the test decide what becomes of
-// each write.
-type queue struct{ list []*store.Intent }
-
-func (q *queue) Submit(in *store.Intent, _ time.Duration) { q.list = append(q.list, in) }
-
-// next takes the next intent whose turn has come and that has something to write.
-func (q *queue) next(t *testing.T) *store.Intent {
-	t.Helper()
-	for len(q.list) > 0 {
-		in := q.list[0]
-		q.list = q.list[1:]
-		if in.Build == nil || in.Build(in) {
-			return in
-		}
-		in.Done(store.Result{Outcome: store.Refused})
-	}
-	t.Fatal("nothing is written")
-	return nil
-}
-
-// carryOut applies a write as the state service would, and tells its outcome.
-func carryOut(tb *Table, in *store.Intent, revision uint64) {
-	for _, w := range in.Writes {
-		kind, rest := store.SplitKey(w.Key)
-		tb.Listen(kind, rest, w.Data, revision)
-	}
-	in.Done(store.Result{Outcome: store.OK, Revision: revision})
-}
-
-func newJob(t *testing.T, n int) (*Table, *Job) {
-	t.Helper()
-	tb := NewTable(&Names{}, 4096, 12)
-	j := &Job{ID: "req-1", Ready: true, Spec: Spec{TaskCount: n, CPUs: 1, Zone: -1}}
-	j.Class, j.Team, j.Image = tb.Names.Classes.Index("c"), tb.Names.Teams.Index("t"), tb.Names.Images.Index("b")
-	tb.Listen(JobKey, j.ID, Encode(tb.Names, j), 1)
-	return tb, tb.Job(j.ID)
-}
-
-var term = store.Condition{Key: "t/lead", Version: 1}
-
 // A leader that ends between the last task's mark and the job's leaves a job
 // on which nothing is due any more: its successor must mark it.
 func TestSuccessorMarksCompleteJob(t *testing.T) {
@@ -63,7 +22,7 @@
 }
 
 // An entry whose write had no answer and that is cleared before it shows must
-// not count for ever: a write without it settles that it never will be stored.
+// not count for ever: a later write without it proves that it never will be stored.
 func TestClearedBeforeStored(t *testing.T) {
 	tb, j := newJob(t, 1)
 	q := &queue{}
@@ -81,7 +40,7 @@
 	}
 }
 
-// Whatever changes while a write waits for its turn goes into the same write.
+// All changes while a write is queued go into that write.
 func TestOneWriteCarriesAll(t *testing.T) {
 	tb, j := newJob(t, 40)
 	q := &queue{}
