--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -88,19 +88,19 @@
 // BackingOff reports whether the pause after a failed attempt goes on.
 func (j *Job) BackingOff(now int64) bool { return j.retry.notBefore > now }
 
-// Avoids reports whether the job stays away from a machine since a task of it has
-// failed there a moment ago.
+// Avoids reports whether the job stays away from a machine because a task of it
+// failed there less than avoidTime before.
 func (j *Job) Avoids(machine int, now int64) bool { return j.retry.avoid[machine] > now }
 
-// probing reports whether the task that tries again is on its way or running.
+// probing reports whether the task that tries again is being started or running.
 func (j *Job) probing() bool {
 	probe := j.retry.probe
 	return probe != nil && j.Entry(probe.Task) == probe && probe.Pending == NoPendingWrite
 }
 
-// StartableCount counts the tasks that may be placed as far as the job's failures
-// go: all open ones, or a single one while the job is at fault. A gang has no
-// smaller unit than itself.
+// StartableCount counts the tasks that the job's failures allow to be placed: all
+// open ones, or a single one while the job is at fault. A gang is always placed as
+// a whole.
 func (j *Job) StartableCount() int {
 	open := j.OpenCount()
 	switch {
@@ -117,7 +117,7 @@
 // that is not known to be faulty. It reports whether the job is at fault itself.
 func (t *Table) TaskFailed(e *Entry, now time.Duration) (atFault bool) {
 	j := e.Job
-	known := j.Avoids(e.Machine, int64(now))
+	avoided := j.Avoids(e.Machine, int64(now))
 	if j.retry.avoid == nil {
 		j.retry.avoid = map[int]int64{}
 	}
@@ -129,7 +129,7 @@
 		if j.retry.probe == e || (j.Shape == Gang && !j.Stopping) {
 			t.BackOff(j, now)
 		}
-	case j.failsEverywhere(e.Machine, known):
+	case j.failsEverywhere(e.Machine, avoided):
 		t.BackOff(j, now)
 	}
 	if j.AtFault() {
@@ -141,9 +141,10 @@
 	return j.AtFault()
 }
 
-// failsEverywhere records that a task failed on a machine, again if avoided
-// says that one failed there a moment ago. It reports whether that makes the job itself
-// suspect: tasks have failed on several machines, or in turn on the only one.
+// failsEverywhere records that a task failed on a machine; avoided means that
+// another one failed there less than avoidTime before. It reports whether the job
+// itself is the likely cause: tasks have failed on several machines, or one after
+// the other on the only one.
 func (j *Job) failsEverywhere(machine int, avoided bool) bool {
 	if j.retry.failedOn == nil {
 		j.retry.failedOn = map[int]bool{}
@@ -177,7 +178,7 @@
 }
 
 // retryPause is the pause after so many failed attempts in a row: it doubles up to
-// a cap, less a part that is drawn from the job's id and the count, so that every
+// a cap, less a part that is drawn from the job's ID and the count, so that every
 // controller draws the same.
 func retryPause(id string, failures int) time.Duration {
 	pause := retryCap
@@ -211,13 +212,13 @@
 
 // onRetry takes a retry record of the replica.
 func (t *Table) onRetry(id string, data []byte, version uint64) {
-	if data == nil {
+	var r retryRecord
+	switch {
+	case data == nil:
 		delete(t.storedRetries, id)
-	} else {
-		var r retryRecord
-		if json.Unmarshal(data, &r) != nil {
-			return
-		}
+	case json.Unmarshal(data, &r) != nil:
+		return // damaged
+	default:
 		t.storedRetries[id] = storedRetry{r, version}
 	}
 	if j := t.byID[id]; j != nil {
--- a/internal/pipeline/size_test.go
+++ b/internal/pipeline/size_test.go
@@ -48,7 +48,10 @@
 	q := &queue{}
 	place(tb, j, 128)
 	now := time.Duration(0)
-	flush := func() { now += 2 * time.Second; tb.Flush(now, term, q) }
+	flush := func() {
+		now += 2 * time.Second
+		tb.Flush(now, term, q)
+	}
 	written := func(revision uint64) string {
 		in := q.next(t)
 		data := string(in.Writes[0].Data)
