--- /dev/null
+++ b/internal/pipeline/entries.go
@@ -0,0 +1,117 @@
+package pipeline
+
+import "slices"
+
+// Usage is what tasks take of machines or of a team's limit.
+type Usage struct{ CPUs, GPUs, Memory float64 }
+
+// Add counts n tasks.
+func (u *Usage) Add(s *Spec, n float64) {
+	u.CPUs += n * s.CPUs
+	u.GPUs += n * s.GPUs
+}
+
+// machineIndex lists the entries of each machine, and the machines whose entries
+// have changed. A list is replaced, never changed in place.
+type machineIndex struct {
+	byMachine       [][]*Entry
+	changes         []uint32     // by machine, how often its entries have changed
+	changedMachines []int        // since they were last taken, in the order of the first change
+	isChanged       map[int]bool // the machines in changedMachines
+}
+
+// OnMachine returns the entries of a machine, as they are now: what is removed
+// meanwhile stays in the list that was returned.
+func (x *machineIndex) OnMachine(machine int) []*Entry {
+	if machine < 0 || machine >= len(x.byMachine) {
+		return nil
+	}
+	return x.byMachine[machine]
+}
+
+// MachinesInUse calls f for every machine with entries.
+func (x *machineIndex) MachinesInUse(f func(machine int)) {
+	for machine, list := range x.byMachine {
+		if len(list) > 0 {
+			f(machine)
+		}
+	}
+}
+
+// MarkMachineChanged notes that something about the entries of a machine has changed.
+func (x *machineIndex) MarkMachineChanged(machine int) {
+	for len(x.changes) <= machine {
+		x.changes = append(x.changes, 0)
+	}
+	x.changes[machine]++
+	if !x.isChanged[machine] {
+		x.isChanged[machine] = true
+		x.changedMachines = append(x.changedMachines, machine)
+	}
+}
+
+// Changes counts the changes of a machine's entries: whoever caches something
+// that follows from them compares it.
+func (x *machineIndex) Changes(machine int) uint32 {
+	if machine >= len(x.changes) {
+		return 0
+	}
+	return x.changes[machine]
+}
+
+// TakeChangedMachines returns, once each, the machines whose entries have changed.
+func (x *machineIndex) TakeChangedMachines() []int {
+	list := x.changedMachines
+	x.changedMachines = nil
+	clear(x.isChanged)
+	return list
+}
+
+func (x *machineIndex) addEntry(e *Entry) {
+	for len(x.byMachine) <= e.Machine {
+		x.byMachine = append(x.byMachine, nil)
+	}
+	x.byMachine[e.Machine] = append(slices.Clip(x.byMachine[e.Machine]), e)
+	x.MarkMachineChanged(e.Machine)
+}
+
+func (x *machineIndex) removeEntry(e *Entry) {
+	x.MarkMachineChanged(e.Machine)
+	list := slices.Clone(x.byMachine[e.Machine])
+	x.byMachine[e.Machine] = slices.DeleteFunc(list, func(other *Entry) bool { return other == e })
+}
+
+// Team returns what a team's tasks may be using.
+func (t *Table) Team(team int) Usage { return t.team[team] }
+
+// add counts an entry that is new.
+func (t *Table) add(e *Entry) {
+	e.Job.active++
+	t.countUsage(e, 1)
+	t.addEntry(e)
+}
+
+// remove counts an entry no more; its chunk no longer lists it.
+func (t *Table) remove(e *Entry) {
+	e.Job.active--
+	if e.Pending == PendingDone {
+		e.Job.pendingDone--
+	}
+	t.countUsage(e, -1)
+	t.removeEntry(e)
+}
+
+// recountUsage counts all entries of a job by its spec as it is now, so many times:
+// -1 before the spec changes, 1 after.
+func (t *Table) recountUsage(j *Job, times float64) {
+	j.Entries(func(e *Entry) {
+		t.countUsage(e, times)
+		t.MarkMachineChanged(e.Machine)
+	})
+}
+
+func (t *Table) countUsage(e *Entry, times float64) {
+	u := t.team[e.Job.Team]
+	u.Add(&e.Job.Spec, times)
+	t.team[e.Job.Team] = u
+}
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -6,18 +6,18 @@
 	"maps"
 	"math/rand/v2"
 	"slices"
-	"sort"
 	"time"
 
 	"lugward/internal/store"
 )
 
-// RetryKey is the kind of the keys e/<id> that hold how often a job has failed
+// RetryKey is the kind of the keys e/<id> that store how often a job has failed
 // in a row and when it may be tried again, so that a new leader does not begin
 // anew with a job that fails on every machine. Earlier versions ignore them.
 const RetryKey = "e"
 
 const (
+	// retryBase is the pause after the first failed attempt.
 	retryBase = 5 * time.Second
 	// retryCap bounds the pause: with the time that a start takes, a job whose
 	// fault is mended waits for less than 90 s beside a free machine.
@@ -31,6 +31,9 @@
 	// failuresToBackOff is the number of machines on which the tasks of a job have
 	// failed, without one that succeeded, from which on the job itself is at fault.
 	failuresToBackOff = 2
+	// maxDoublings is the number of doublings from which on the pause has reached
+	// retryCap, whatever the count of failures.
+	maxDoublings = 8
 )
 
 // retryRecord is the stored form of a job's retry state.
@@ -52,37 +55,52 @@
 	notBefore int64 // steady time in ns
 
 	failedOn     map[int]bool  // machines on which it has failed since it last succeeded
-	avoid        map[int]int64 // machines where it failed: until when it stays away
+	avoid        map[int]int64 // by machine where it failed: steady time until which it stays away
 	probe        *Entry        // the one task that tries again
-	dirty        bool          // not stored as it is
-	queued       bool          // a write of it waits for its turn
-	retryWriteAt int64         // no write before this steady time
+	dirty        bool          // differs from what is stored
+	queued       bool          // a write of it is queued or under way
+	retryWriteAt int64         // no write before this steady time, in ns
 }
 
-// AtFault tells whether the job itself has failed, on several machines or again
-// and again, and not succeeded since. Its retries are probes: one task at a time,
-// a gang as a whole.
+// retryRecords is what is stored of all jobs' retry states, and their writes.
+type retryRecords struct {
+	storedRetries   map[string]storedRetry // by job ID
+	dirtyRetries    map[*Job]bool          // whose retry state differs from what is stored
+	cleaningRetries map[string]bool        // by job ID, whose record's deletion is under way
+}
+
+func newRetryRecords() retryRecords {
+	return retryRecords{
+		storedRetries:   map[string]storedRetry{},
+		dirtyRetries:    map[*Job]bool{},
+		cleaningRetries: map[string]bool{},
+	}
+}
+
+// AtFault reports whether the job itself has failed, on several machines or
+// repeatedly on its only one, and not succeeded since. Its retries are probes: one
+// task at a time, a gang as a whole.
 func (j *Job) AtFault() bool { return j.retry.failures > 0 }
 
 // Failures counts the failed attempts in a row of a job that is at fault.
 func (j *Job) Failures() int { return j.retry.failures }
 
-// BackingOff tells whether the pause after a failed attempt goes on.
+// BackingOff reports whether the pause after a failed attempt goes on.
 func (j *Job) BackingOff(now int64) bool { return j.retry.notBefore > now }
 
-// Avoids tells whether the job stays away from a machine since a task of it has
-// failed there a moment ago.
+// Avoids reports whether the job stays away from a machine because a task of it
+// failed there less than avoidTime before.
 func (j *Job) Avoids(machine int, now int64) bool { return j.retry.avoid[machine] > now }
 
-// probing tells whether the task that tries again is on its way or running.
+// probing reports whether the task that tries again is being started or running.
 func (j *Job) probing() bool {
 	probe := j.retry.probe
 	return probe != nil && j.Entry(probe.Task) == probe && probe.Pending == NoPendingWrite
 }
 
-// StartableCount counts the tasks that may be placed as far as the job's failures
-// go: all open ones, or a single one while the job is at fault. A gang has no
-// smaller unit than itself.
+// StartableCount counts the tasks that the job's failures allow to be placed: all
+// open ones, or a single one while the job is at fault. A gang is always placed as
+// a whole.
 func (j *Job) StartableCount() int {
 	open := j.OpenCount()
 	switch {
@@ -95,11 +113,11 @@
 	}
 }
 
-// TaskFailed takes in that a task of the job ended with an error, on a machine
-// that is not known to be faulty. It tells whether the job is at fault itself.
+// TaskFailed records that a task of the job ended with an error, on a machine
+// that is not known to be faulty. It reports whether the job is at fault itself.
 func (t *Table) TaskFailed(e *Entry, now time.Duration) (atFault bool) {
 	j := e.Job
-	known := j.Avoids(e.Machine, int64(now))
+	avoided := j.Avoids(e.Machine, int64(now))
 	if j.retry.avoid == nil {
 		j.retry.avoid = map[int]int64{}
 	}
@@ -111,7 +129,7 @@
 		if j.retry.probe == e || (j.Shape == Gang && !j.Stopping) {
 			t.BackOff(j, now)
 		}
-	case j.failsEverywhere(e.Machine, known):
+	case j.failsEverywhere(e.Machine, avoided):
 		t.BackOff(j, now)
 	}
 	if j.AtFault() {
@@ -123,28 +141,29 @@
 	return j.AtFault()
 }
 
-// failsEverywhere takes in that a task failed on a machine, again if avoided tells
-// that one failed there a moment ago. It tells whether that makes the job itself
-// suspect: tasks have failed on several machines, or in turn on the only one.
+// failsEverywhere records that a task failed on a machine; avoided means that
+// another one failed there less than avoidTime before. It reports whether the job
+// itself is the likely cause: tasks have failed on several machines, or one after
+// the other on the only one.
 func (j *Job) failsEverywhere(machine int, avoided bool) bool {
 	if j.retry.failedOn == nil {
 		j.retry.failedOn = map[int]bool{}
 	}
-	// Tasks that fail together tell no more than one of them; where others of the
+	// Tasks that fail together prove no more than one of them; where others of the
 	// job run elsewhere, the machine is as likely to be at fault.
 	again := j.retry.failedOn[machine] && !avoided && !j.activeElsewhere(machine)
 	j.retry.failedOn[machine] = true
 	return again || len(j.retry.failedOn) >= failuresToBackOff
 }
 
-// activeElsewhere tells whether tasks of the job may be on other machines.
+// activeElsewhere reports whether tasks of the job may be on other machines.
 func (j *Job) activeElsewhere(machine int) bool {
 	elsewhere := false
 	j.Entries(func(e *Entry) { elsewhere = elsewhere || e.Machine != machine })
 	return elsewhere
 }
 
-// FailedOnlyOn tells whether a machine is the only one on which tasks of the job
+// FailedOnlyOn reports whether a machine is the only one on which tasks of the job
 // have failed since one succeeded.
 func (j *Job) FailedOnlyOn(machine int) bool {
 	return len(j.retry.failedOn) == 1 && j.retry.failedOn[machine]
@@ -159,11 +178,11 @@
 }
 
 // retryPause is the pause after so many failed attempts in a row: it doubles up to
-// a cap, less a part that is drawn from the job's id and the count, so that every
+// a cap, less a part that is drawn from the job's ID and the count, so that every
 // controller draws the same.
 func retryPause(id string, failures int) time.Duration {
 	pause := retryCap
-	if doublings := failures - 1; doublings < 8 {
+	if doublings := failures - 1; doublings < maxDoublings {
 		pause = min(retryCap, retryBase<<doublings)
 	}
 	hash := fnv.New64a()
@@ -172,14 +191,16 @@
 	return pause - time.Duration(random.Float64()*retryJitter*float64(pause))
 }
 
-// ClearFailures takes in that what failed before was not the job's fault: a task of
+// ClearFailures records that what failed before was not the job's fault: a task of
 // it works, or the machine was faulty.
 func (t *Table) ClearFailures(j *Job) {
 	clear(j.retry.failedOn)
 	if !j.AtFault() {
 		return
 	}
-	j.retry.failures, j.retry.notBefore, j.retry.probe = 0, 0, nil
+	j.retry.failures = 0
+	j.retry.notBefore = 0
+	j.retry.probe = nil
 	t.Changed = true
 	t.markRetryDirty(j)
 }
@@ -191,13 +212,13 @@
 
 // onRetry takes a retry record of the replica.
 func (t *Table) onRetry(id string, data []byte, version uint64) {
-	if data == nil {
+	var r retryRecord
+	switch {
+	case data == nil:
 		delete(t.storedRetries, id)
-	} else {
-		var r retryRecord
-		if json.Unmarshal(data, &r) != nil {
-			return
-		}
+	case json.Unmarshal(data, &r) != nil:
+		return // damaged
+	default:
 		t.storedRetries[id] = storedRetry{r, version}
 	}
 	if j := t.byID[id]; j != nil {
@@ -213,9 +234,10 @@
 		return
 	}
 	stored := t.storedRetries[j.ID]
-	j.retry.failures, j.retry.notBefore = stored.Failures, 0
-	if stored.NotBefore != 0 && t.wall != 0 {
-		j.retry.notBefore = min(stored.NotBefore*int64(time.Millisecond)-t.wall, t.Now+int64(retryCap))
+	j.retry.failures = stored.Failures
+	j.retry.notBefore = 0
+	if stored.NotBefore != 0 && t.clockOffset != 0 {
+		j.retry.notBefore = min(stored.NotBefore*int64(time.Millisecond)-t.clockOffset, t.Now+int64(retryCap))
 	}
 }
 
@@ -231,9 +253,7 @@
 	if len(t.dirtyRetries) == 0 {
 		return
 	}
-	list := slices.Collect(maps.Keys(t.dirtyRetries))
-	sort.Slice(list, func(a, b int) bool { return before(list[a], list[b]) })
-	for _, j := range list {
+	for _, j := range slices.SortedFunc(maps.Keys(t.dirtyRetries), byReadiness) {
 		if !j.retry.dirty || j.Final != Queued {
 			delete(t.dirtyRetries, j)
 			continue
@@ -244,8 +264,8 @@
 	}
 }
 
-// writeRetry queues the write of a job's retry state. What it holds is decided
-// when its turn comes.
+// writeRetry queues the write of a job's retry state. Its content is decided
+// when it is sent.
 func (t *Table) writeRetry(j *Job, now time.Duration, term store.Condition, s Submitter) {
 	j.retry.queued = true
 	written := 0
@@ -257,8 +277,12 @@
 			return false
 		}
 		written = j.retry.failures
-		intent.Conditions = []store.Condition{term, {Key: JobKeyOf(j.ID), Version: j.Version}, {Key: FinalKeyOf(j.ID)},
-			{Key: RetryKeyOf(j.ID), Version: stored.version}}
+		intent.Conditions = []store.Condition{
+			term,
+			{Key: JobKeyOf(j.ID), Version: j.Version},
+			{Key: FinalKeyOf(j.ID)},
+			{Key: RetryKeyOf(j.ID), Version: stored.version},
+		}
 		intent.Writes = []store.Write{{Key: RetryKeyOf(j.ID), Data: t.encodeRetry(j)}}
 		return true
 	}
@@ -278,7 +302,10 @@
 	if j.retry.failures == 0 {
 		return nil
 	}
-	data, err := json.Marshal(retryRecord{Failures: j.retry.failures, NotBefore: t.UnixMS(time.Duration(j.retry.notBefore))})
+	data, err := json.Marshal(retryRecord{
+		Failures:  j.retry.failures,
+		NotBefore: t.UnixMS(time.Duration(j.retry.notBefore)),
+	})
 	if err != nil {
 		panic(err) // two integers
 	}
@@ -307,8 +334,11 @@
 		key := RetryKeyOf(id)
 		condition := store.Condition{Key: key, Version: t.storedRetries[id].version}
 		t.cleaningRetries[id] = true
-		s.Submit(&store.Intent{Priority: store.Cleanup, Conditions: []store.Condition{term, condition},
-			Writes: []store.Write{{Key: key}},
-			Done:   func(store.Result) { delete(t.cleaningRetries, id) }}, now+writeTimeout)
+		s.Submit(&store.Intent{
+			Priority:   store.Cleanup,
+			Conditions: []store.Condition{term, condition},
+			Writes:     []store.Write{{Key: key}},
+			Done:       func(store.Result) { delete(t.cleaningRetries, id) },
+		}, now+writeTimeout)
 	}
 }
