--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -17,7 +17,7 @@
 
 // Machines are provisioned for what a team's limit lets all of its jobs together
 // have, not for what it would let each of them have alone.
-func TestRentsWithinLimit(t *testing.T) {
+func TestProvisionsWithinLimit(t *testing.T) {
 	for _, c := range []struct {
 		limit float64
 		want  int
@@ -27,14 +27,14 @@
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
 		f := worker.New(n, jobs, log)
 		s := store.New("state", store.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60}, func(string, []byte, uint64) {})
-		r := New(Config{Addr: "cloud", RPS: 100, IdleKeep: time.Minute}, n, jobs, f, s, log)
-		r.mayPlan = true
-		if !r.takeTypes([]byte(`{"flavors":[{"name":"small","cores":4,"ram_gb":16,"price":1,"low_price":1,"ready_s":10,"yards":["a"]}]}`)) {
+		a := New(Config{Addr: "cloud", RPS: 100, IdleKeep: time.Minute}, n, jobs, f, s, log)
+		a.list.current = true
+		if !a.takeTypes([]byte(`{"flavors":[{"name":"small","cores":4,"ram_gb":16,"price":1,"low_price":1,"ready_s":10,"yards":["a"]}]}`)) {
 			t.Fatal("the types are not taken")
 		}
 		n.Classes.Index("c")
 		n.Images.Index("b")
-		p := &scheduler.Scheduler{Jobs: jobs, Workers: f, MachineTypes: &r.MachineTypes, Teams: map[int]config.Team{n.Teams.Index("t"): {CPUsMax: c.limit}}, SilentAfter: time.Minute}
+		p := &scheduler.Scheduler{Jobs: jobs, Workers: f, MachineTypes: &a.MachineTypes, Teams: map[int]config.Team{n.Teams.Index("t"): {CPUsMax: c.limit}}, SilentAfter: time.Minute}
 		var blocked []*pipeline.Job
 		for i, id := range []string{"req-1", "req-2", "req-3"} {
 			j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{TaskCount: 4, CPUs: 1, Memory: 1, Zone: -1}}
@@ -42,7 +42,7 @@
 			blocked = append(blocked, jobs.Job(id))
 		}
 		var out event.Effects
-		r.Plan(time.Second, blocked, p, 1, &out)
+		a.Plan(time.Second, blocked, p, 1, &out)
 		got := 0
 		for _, call := range out.Calls {
 			var v struct{ Number int }
--- a/internal/autoscaler/boots.go
+++ b/internal/autoscaler/boots.go
@@ -50,51 +50,52 @@
 	if h == nil || h.count == 0 {
 		return 1
 	}
-	list := slices.Clone(h.ratios[:min(h.count, bootSamples)])
-	slices.Sort(list)
-	return min(max(list[len(list)/2], minBootRatio), maxBootRatio)
+	sorted := slices.Clone(h.ratios[:min(h.count, bootSamples)])
+	slices.Sort(sorted)
+	middle := sorted[len(sorted)/2]
+	return min(max(middle, minBootRatio), maxBootRatio)
 }
 
 // recordBootTime notes how long a machine took to come up. Since a term may begin
 // while it boots, only those that we provisioned ourselves count.
-func (r *Autoscaler) recordBootTime(b *bootingMachine, now event.Time) {
-	machineType := r.MachineTypes.Get(b.machineType)
-	if !b.ours || machineType == nil || machineType.BootTime <= 0 {
+func (a *Autoscaler) recordBootTime(booting *bootingMachine, now event.Time) {
+	machineType := a.MachineTypes.Get(booting.machineType)
+	if !booting.ours || machineType == nil || machineType.BootTime <= 0 {
 		return
 	}
-	history := r.boots[b.machineType]
+	history := a.boots[booting.machineType]
 	if history == nil {
 		history = &bootHistory{}
-		r.boots[b.machineType] = history
+		a.boots[booting.machineType] = history
 	}
-	history.add((now - b.since).Seconds() / machineType.BootTime)
+	history.add((now - booting.since).Seconds() / machineType.BootTime)
 }
 
 // expectedBoot is how long a machine of a type usually takes to come up, in
 // seconds.
-func (r *Autoscaler) expectedBoot(machineType *scheduler.MachineType) float64 {
-	return machineType.BootTime * r.boots[machineType.Index].median()
+func (a *Autoscaler) expectedBoot(machineType *scheduler.MachineType) float64 {
+	return machineType.BootTime * a.boots[machineType.Index].median()
 }
 
 // bootTimeout is after which time a machine of a type that has not come up is past
 // a number of usual boots. Quick boots do not shorten it.
-func (r *Autoscaler) bootTimeout(machineType *scheduler.MachineType, factor float64) event.Time {
-	usual := math.Max(machineType.BootTime, r.expectedBoot(machineType))
+func (a *Autoscaler) bootTimeout(machineType *scheduler.MachineType, factor float64) event.Time {
+	usual := math.Max(machineType.BootTime, a.expectedBoot(machineType))
 	return event.Time(factor * usual * float64(time.Second))
 }
 
-// overdue tells whether a booting machine is not to be counted on any more.
-func (r *Autoscaler) overdue(b *bootingMachine, now event.Time) bool {
-	machineType := r.MachineTypes.Get(b.machineType)
-	return machineType != nil && !b.up && now-b.since > r.bootTimeout(machineType, overdueFactor)
+// isOverdue tells whether a booting machine is not to be counted on any more.
+func (a *Autoscaler) isOverdue(booting *bootingMachine, now event.Time) bool {
+	machineType := a.MachineTypes.Get(booting.machineType)
+	return machineType != nil && !booting.up && now-booting.since > a.bootTimeout(machineType, overdueFactor)
 }
 
 // overdueOffers lists the offers with overdue machines.
-func (r *Autoscaler) overdueOffers(now event.Time) map[offer]bool {
+func (a *Autoscaler) overdueOffers(now event.Time) map[offer]bool {
 	offers := map[offer]bool{}
-	for _, b := range r.booting {
-		if r.overdue(b, now) {
-			offers[b.offer] = true
+	for _, booting := range a.booting {
+		if a.isOverdue(booting, now) {
+			offers[booting.offer] = true
 		}
 	}
 	return offers
--- a/internal/autoscaler/boots_test.go
+++ b/internal/autoscaler/boots_test.go
@@ -19,15 +19,15 @@
 	names := &pipeline.Names{}
 	jobs := pipeline.NewTable(names, 4096, 12)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	r := New(Config{}, names, jobs, worker.New(names, jobs, log), nil, log)
-	r.MachineTypes = scheduler.MachineTypes{{BootTime: statedBoot.Seconds()}}
-	return r
+	a := New(Config{}, names, jobs, worker.New(names, jobs, log), nil, log)
+	a.MachineTypes = scheduler.MachineTypes{{BootTime: statedBoot.Seconds()}}
+	return a
 }
 
 // boot lets machines come up after a time, one after the other.
-func (r *Autoscaler) boot(count int, took func(i int) time.Duration) {
+func (a *Autoscaler) boot(count int, took func(i int) time.Duration) {
 	for i := range count {
-		r.recordBootTime(&bootingMachine{ours: true}, took(i))
+		a.recordBootTime(&bootingMachine{ours: true}, took(i))
 	}
 }
 
@@ -50,17 +50,17 @@
 		{"slow boots", slow, 2 * statedBoot, 2 * statedBoot},
 		{"boots that differ by half", spread, statedBoot * 9 / 10, statedBoot * 13 / 10},
 	} {
-		r := newBooting()
-		r.boot(200, c.took)
-		machineType := r.MachineTypes[0]
-		usual := time.Duration(r.expectedBoot(machineType) * float64(time.Second))
+		a := newBooting()
+		a.boot(200, c.took)
+		machineType := a.MachineTypes[0]
+		usual := time.Duration(a.expectedBoot(machineType) * float64(time.Second))
 		if usual < c.least || usual > c.most {
 			t.Errorf("%s: the usual boot takes %s", c.what, usual)
 		}
-		if timeout := r.bootTimeout(machineType, bootFactor); timeout < 2*statedBoot || timeout > 4*statedBoot {
+		if timeout := a.bootTimeout(machineType, bootFactor); timeout < 2*statedBoot || timeout > 4*statedBoot {
 			t.Errorf("%s: released after %s", c.what, timeout)
 		}
-		if timeout := r.bootTimeout(machineType, overdueFactor); timeout < statedBoot*3/2 || timeout > 3*statedBoot {
+		if timeout := a.bootTimeout(machineType, overdueFactor); timeout < statedBoot*3/2 || timeout > 3*statedBoot {
 			t.Errorf("%s: overdue after %s", c.what, timeout)
 		}
 	}
@@ -80,17 +80,18 @@
 		{"it is overdue", time.Second, 2, there},
 		{"it is overdue and the other is dear", time.Second, 4, here},
 	} {
-		r := newBooting()
-		r.MachineTypes = scheduler.MachineTypes{
+		a := newBooting()
+		a.MachineTypes = scheduler.MachineTypes{
 			{Index: here, CPUs: 4, Price: 1, SpotPrice: 1, BootTime: statedBoot.Seconds(), Zones: []int{0}},
 			{Index: there, CPUs: 4, Price: c.price, SpotPrice: c.price, BootTime: statedBoot.Seconds(), Zones: []int{0}},
 		}
-		r.booting[7] = &bootingMachine{since: c.since}
-		r.booting[8] = &bootingMachine{offer: offer{spot: true}, since: c.since}
+		a.booting[7] = &bootingMachine{since: c.since}
+		a.booting[8] = &bootingMachine{offer: offer{spot: true}, since: c.since}
 		now := 5 * statedBoot
-		r.overdueNow = r.overdueOffers(now)
-		j := &pipeline.Job{Spec: pipeline.Spec{TaskCount: 1, CPUs: 1, Zone: -1, AllowSpot: true}}
-		if got, _, ok := r.cheapestOffer(j, 1, map[int]int{}, -1, nil, now); !ok || got.machineType != c.want {
+		a.provisioning.overdue = a.overdueOffers(now)
+		job := &pipeline.Job{Spec: pipeline.Spec{TaskCount: 1, CPUs: 1, Zone: -1, AllowSpot: true}}
+		query := offerQuery{job: job, tasks: 1, zone: anyZone, now: now}
+		if got, ok := a.cheapestOffer(query); !ok || got.offer.machineType != c.want {
 			t.Errorf("%s: %+v is asked for", c.what, got)
 		}
 	}
--- a/internal/autoscaler/calls.go
+++ b/internal/autoscaler/calls.go
@@ -2,53 +2,106 @@
 
 import (
 	"math"
+	"net/http"
+	"time"
 
 	"lugward/internal/event"
 )
 
-func (r *Autoscaler) allowed(now event.Time) bool {
-	if now < r.pauseTo {
+const (
+	callTimeout = 8 * time.Second // for a response of the cloud
+	// After an error nothing is asked of the cloud for this long.
+	errorPause = 2 * time.Second
+	// Requests are sent at this share of the cloud's rate, as a margin to its limit.
+	rateShare = 0.9
+	// Requests that were not sent add up to a burst of this many seconds' worth.
+	burstSeconds = 2
+)
+
+// request is a call to the cloud whose response is awaited.
+type request interface {
+	// finish takes the response in.
+	finish(a *Autoscaler, now event.Time, response response, out *event.Effects)
+}
+
+// response is the cloud's answer to a request. The status is 0 where none arrived.
+type response struct {
+	status int
+	body   []byte
+}
+
+// pendingCall is a request in flight.
+type pendingCall struct {
+	method  string
+	request request
+}
+
+// provisionRetry is a request for machines that is to be repeated.
+type provisionRetry struct {
+	at      event.Time
+	request provisionRequest
+}
+
+// cloudClient holds the calls to the cloud and limits their rate by a token bucket.
+type cloudClient struct {
+	pending     map[uint64]pendingCall // by call
+	retries     []provisionRetry
+	tokens      float64
+	refilledAt  event.Time
+	pausedUntil event.Time
+}
+
+// reset drops all calls: responses to them are ignored from now on.
+func (c *cloudClient) reset() {
+	c.pending = map[uint64]pendingCall{}
+	c.retries = nil
+}
+
+// allowed tells whether another request may be sent now.
+func (a *Autoscaler) allowed(now event.Time) bool {
+	cloud := &a.cloud
+	if now < cloud.pausedUntil {
 		return false
 	}
-	r.tokens = math.Min(2*r.cfg.RPS, r.tokens+r.cfg.RPS*0.9*(now-r.tokensAt).Seconds())
-	r.tokensAt = now
-	return r.tokens >= 1
+	refill := a.cfg.RPS * rateShare * (now - cloud.refilledAt).Seconds()
+	cloud.tokens = math.Min(burstSeconds*a.cfg.RPS, cloud.tokens+refill)
+	cloud.refilledAt = now
+	return cloud.tokens >= 1
 }
 
-func (r *Autoscaler) call(method, path string, body []byte, out *event.Effects, f func(now event.Time, status int, body []byte, out *event.Effects)) {
-	r.tokens--
-	r.calls[out.Call(r.cfg.Addr, method, path, body, callTimeout)] = func(now event.Time, status int, body []byte, out *event.Effects) {
-		if status == 429 || (status == 503 && method == "GET") {
-			r.pauseTo = now + errorPause
-		}
-		f(now, status, body, out)
-	}
+// call sends a request to the cloud. The caller has checked that it is allowed.
+func (a *Autoscaler) call(method, path string, body []byte, request request, out *event.Effects) {
+	a.cloud.tokens--
+	id := out.Call(a.cfg.Addr, method, path, body, callTimeout)
+	a.cloud.pending[id] = pendingCall{method, request}
 }
 
-// CallDone takes the outcome of a call; it tells whether it was ours.
-func (r *Autoscaler) CallDone(now event.Time, d event.CallDone, out *event.Effects) bool {
-	f, ok := r.calls[d.ID]
+// CallDone takes the outcome of a call; it tells whether the call was the
+// autoscaler's.
+func (a *Autoscaler) CallDone(now event.Time, done event.CallDone, out *event.Effects) bool {
+	call, ok := a.cloud.pending[done.ID]
 	if !ok {
 		return false
 	}
-	delete(r.calls, d.ID)
-	f(now, d.Status, d.Body, out)
+	delete(a.cloud.pending, done.ID)
+	// A 503 to a request for machines may only mean that there are none.
+	unavailable := done.Status == http.StatusServiceUnavailable && call.method == http.MethodGet
+	if done.Status == http.StatusTooManyRequests || unavailable {
+		a.cloud.pausedUntil = now + errorPause
+	}
+	call.request.finish(a, now, response{done.Status, done.Body}, out)
 	return true
 }
 
-type pendingRetry struct {
-	at event.Time
-	do func(out *event.Effects)
-}
-
-func (r *Autoscaler) sendRetries(now event.Time, out *event.Effects) {
-	list := r.retries
-	r.retries = nil
-	for _, a := range list {
-		if now >= a.at && r.allowed(now) {
-			a.do(out)
+// sendRetries repeats the requests for machines that are due.
+func (a *Autoscaler) sendRetries(now event.Time, out *event.Effects) {
+	retries := a.cloud.retries
+	a.cloud.retries = nil
+	for _, retry := range retries {
+		if now >= retry.at && a.allowed(now) {
+			a.sendProvision(retry.request, out)
 		} else {
-			r.retries = append(r.retries, a)
+			a.cloud.retries = append(a.cloud.retries, retry)
 		}
 	}
 }
--- a/internal/autoscaler/offers.go
+++ b/internal/autoscaler/offers.go
@@ -5,79 +5,136 @@
 	"maps"
 	"math"
 	"slices"
-	"time"
 
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
 	"lugward/internal/scheduler"
+	"lugward/internal/worker"
 )
 
+// tieBreakWeight weighs less than any real difference in price.
+const tieBreakWeight = 1e-3
+
+// anyZone stands for no restriction to a zone.
+const anyZone = -1
+
+// offer is what the cloud can be asked for: a machine type in a zone, as a spot
+// machine or not.
 type offer struct {
-	machineType, zone int
-	spot              bool
+	machineType int
+	zone        int
+	spot        bool
+}
+
+// offerOf returns the offer under which a machine was provisioned.
+func offerOf(machine *worker.Machine) offer {
+	return offer{machine.MachineType, machine.Zone, machine.Spot}
+}
+
+// compare orders offers by type and zone, spot machines first.
+func (o offer) compare(other offer) int {
+	return cmp.Or(cmp.Compare(o.machineType, other.machineType), cmp.Compare(o.zone, other.zone), o.compareSpot(other))
+}
+
+func (o offer) compareSpot(other offer) int {
+	switch {
+	case o.spot == other.spot:
+		return 0
+	case o.spot:
+		return -1
+	default:
+		return 1
+	}
 }
 
-func (r *Autoscaler) price(o offer) float64 {
-	f := r.MachineTypes.Get(o.machineType)
+// sortedOffers lists the keys in an order that does not change from run to run.
+func sortedOffers(counts map[offer]int) []offer {
+	return slices.SortedFunc(maps.Keys(counts), offer.compare)
+}
+
+// capacity is an empty machine of an offer, nil where its type is not known.
+func (a *Autoscaler) capacity(o offer) *scheduler.Capacity {
+	machineType := a.MachineTypes.Get(o.machineType)
+	if machineType == nil {
+		return nil
+	}
+	return &scheduler.Capacity{
+		MachineType: machineType,
+		Zone:        o.zone,
+		Spot:        o.spot,
+		CPUs:        machineType.CPUs,
+		GPUs:        machineType.GPUs,
+		Memory:      machineType.Memory,
+	}
+}
+
+// price is what a machine of an offer costs per hour.
+func (a *Autoscaler) price(o offer) float64 {
+	machineType := a.MachineTypes.Get(o.machineType)
 	if o.spot {
-		return f.SpotPrice
+		return machineType.SpotPrice
 	}
-	return f.Price
+	return machineType.Price
+}
+
+// offerQuery asks for machines for tasks of a job.
+type offerQuery struct {
+	job    *pipeline.Job
+	tasks  int
+	inZone map[int]int   // tasks of the job that are in each zone already
+	zone   int           // the only one allowed, or anyZone
+	need   map[offer]int // machines that the plan asks for already
+	now    event.Time
+}
+
+// quote is an offer that answers a query.
+type quote struct {
+	offer offer
+	tasks int     // that fit on one machine
+	cost  float64 // per task and hour
 }
 
-// cheapestOffer finds the offer at which the tasks cost least per hour.
-func (r *Autoscaler) cheapestOffer(j *pipeline.Job, left int, inZone map[int]int, only int, need map[offer]int, now event.Time) (best offer, per int, ok bool) {
+// cheapestOffer finds the offer at which the tasks cost least.
+func (a *Autoscaler) cheapestOffer(query offerQuery) (best quote, ok bool) {
 	least := math.Inf(1)
-	for _, f := range r.MachineTypes {
-		if !scheduler.Allows(&j.Spec, f) {
+	for _, machineType := range a.MachineTypes {
+		if !scheduler.Allows(&query.job.Spec, machineType) {
 			continue
 		}
-		for _, z := range f.Zones {
+		for _, zone := range machineType.Zones {
 			for _, spot := range []bool{true, false} {
-				o := offer{f.Index, z, spot}
-				capacity := r.capacity(o)
-				if now < r.refused[o].until || r.partitioned[z] || !capacity.Matches(&j.Spec) || (only >= 0 && z != only) {
-					continue
-				}
-				n := min(capacity.Fits(&j.Spec), scheduler.ZoneCapacity(j, inZone, z))
-				if n <= 0 {
-					continue
-				}
-				// Equal offers share what is asked, so that one plan reaches the
-				// capacity of all zones.
-				cost := r.price(o) / float64(min(n, left)) * (1 + tieBreakWeight*float64(need[o]))
-				if r.overdueNow[o] {
-					cost *= overdueCost
-				}
-				if cost < least {
-					least, best, per, ok = cost, o, n, true
+				quote, available := a.quote(query, offer{machineType.Index, zone, spot})
+				if available && quote.cost < least {
+					least = quote.cost
+					best = quote
+					ok = true
 				}
 			}
 		}
 	}
-	return best, per, ok
-}
-
-// refusal is what we know of an offer that is sold out.
-type refusal struct {
-	until event.Time
-	pause time.Duration
+	return best, ok
 }
 
-func (r *Autoscaler) refuse(o offer, now event.Time) {
-	pause := min(refusedPauseMax, max(refusedPause, 2*r.refused[o].pause))
-	r.refused[o] = refusal{now + pause, pause}
-}
-
-// sortedOffers lists the keys in an order that does not change from run to run.
-func sortedOffers(m map[offer]int) []offer {
-	return slices.SortedFunc(maps.Keys(m), func(a, b offer) int {
-		spot := 0
-		if a.spot != b.spot {
-			if spot = 1; a.spot {
-				spot = -1
-			}
-		}
-		return cmp.Or(cmp.Compare(a.machineType, b.machineType), cmp.Compare(a.zone, b.zone), spot)
-	})
+// quote tells what an offer costs for a query, and whether it can be had.
+func (a *Autoscaler) quote(query offerQuery, o offer) (result quote, available bool) {
+	soldOut := query.now < a.provisioning.refused[o].until
+	otherZone := query.zone != anyZone && o.zone != query.zone
+	if soldOut || otherZone || a.partitioned[o.zone] {
+		return quote{}, false
+	}
+	capacity := a.capacity(o)
+	if !capacity.Matches(&query.job.Spec) {
+		return quote{}, false
+	}
+	tasks := min(capacity.Fits(&query.job.Spec), scheduler.ZoneCapacity(query.job, query.inZone, o.zone))
+	if tasks <= 0 {
+		return quote{}, false
+	}
+	// Machines are spread over equal offers, so that one plan reaches the capacity
+	// of all zones.
+	cost := a.price(o) / float64(min(tasks, query.tasks)) * (1 + tieBreakWeight*float64(query.need[o]))
+	if a.provisioning.overdue[o] {
+		cost *= overdueCost
+	}
+	return quote{o, tasks, cost}, true
 }
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -10,134 +10,229 @@
 	"lugward/internal/scheduler"
 )
 
+// plan finds which machines to provision. It places tasks on machines as they will
+// be once a machine asked for now is up; no placement is carried out.
+type plan struct {
+	*Autoscaler
+	now        event.Time
+	scheduler  *scheduler.Scheduler
+	capacities []*scheduler.Capacity       // of machines that are up, booting or asked for; nil where the type is not known
+	coming     map[int]*scheduler.Capacity // those of booting machines, by machine
+	preempting []*pipeline.Entry           // tasks that are told to stop
+	preempted  map[*pipeline.Job]int       // how many of them a job has: they need capacity again
+	committed  map[int]pipeline.Usage      // by team: what this plan provides for
+	sequences  sequences                   // of short tasks
+	need       map[offer]int               // machines to be asked for
+}
+
 // Plan provisions for the tasks that found no capacity, as things will stand when a
-// machine asked for now is up: what ends or leaves by then frees capacity, what
-// was stopped needs capacity again, and machines that are booting are filled in
-// thought. What is left is bought where a task costs least.
-func (r *Autoscaler) Plan(now event.Time, blocked []*pipeline.Job, p *scheduler.Scheduler, term uint64, out *event.Effects) {
-	if !r.mayPlan {
-		if now >= r.planFrom && !r.listing {
-			r.listAt = now - listInterval
+// machine asked for now is up: what ends or leaves by then frees capacity, what was
+// stopped needs capacity again, and machines that are booting take tasks. For the
+// rest machines are provisioned where a task costs least.
+func (a *Autoscaler) Plan(now event.Time, blocked []*pipeline.Job, s *scheduler.Scheduler, term uint64, out *event.Effects) {
+	if !a.list.current {
+		if now >= a.list.planFrom && !a.list.inFlight {
+			a.list.requestedAt = now - listInterval // the next tick reads it
 		}
 		return
 	}
-	r.overdueNow = r.overdueOffers(now)
-	capacities, leaving := p.FutureCapacities(now)
-	retries := map[*pipeline.Job]int{}
-	for _, e := range leaving {
-		if retries[e.Job]++; retries[e.Job] == 1 && !slices.Contains(blocked, e.Job) {
-			blocked = append(blocked, e.Job)
+	a.provisioning.overdue = a.overdueOffers(now)
+	plan := a.newPlan(now, s)
+	for _, job := range plan.withPreempted(blocked) {
+		plan.provideFor(job)
+	}
+	plan.retireUnneeded()
+	for _, offer := range sortedOffers(plan.need) {
+		if !a.allowed(now) {
+			return
 		}
+		a.provision(offer, min(plan.need[offer], maxProvisionBatch), term, out)
+	}
+}
+
+// newPlan returns a plan with the capacity of all machines that are or will be up.
+func (a *Autoscaler) newPlan(now event.Time, s *scheduler.Scheduler) *plan {
+	capacities, preempting := s.FutureCapacities(now)
+	p := &plan{
+		Autoscaler: a,
+		now:        now,
+		scheduler:  s,
+		capacities: capacities,
+		coming:     map[int]*scheduler.Capacity{},
+		preempting: preempting,
+		preempted:  map[*pipeline.Job]int{},
+		committed:  map[int]pipeline.Usage{},
+		sequences:  sequences{},
+		need:       map[offer]int{},
 	}
-	coming := map[int]*scheduler.Capacity{}
-	for _, i := range slices.Sorted(maps.Keys(r.booting)) {
-		if h := r.workers.At(i); h != nil && !h.Retiring && h.LastReport == 0 && !(r.booting[i].up && r.partitioned[h.Zone]) && !r.overdue(r.booting[i], now) {
-			if coming[i] = r.capacity(r.booting[i].offer); coming[i] != nil {
-				capacities = append(capacities, coming[i])
-			}
+	for _, entry := range preempting {
+		p.preempted[entry.Job]++
+	}
+	p.addBooting()
+	p.addRequested()
+	return p
+}
+
+// addBooting adds the machines that are expected to come up.
+func (p *plan) addBooting() {
+	for _, index := range slices.Sorted(maps.Keys(p.booting)) {
+		booting := p.booting[index]
+		machine := p.workers.At(index)
+		if machine == nil || machine.Retiring || machine.LastReport != 0 {
+			continue
+		}
+		unreachable := booting.up && p.partitioned[machine.Zone]
+		if unreachable || p.isOverdue(booting, p.now) {
+			continue
+		}
+		capacity := p.capacity(booting.offer)
+		p.coming[index] = capacity
+		if capacity != nil {
+			p.capacities = append(p.capacities, capacity)
 		}
 	}
-	for _, o := range sortedOffers(r.provisioning) {
-		for n := r.provisioning[o]; n > 0; n-- {
-			capacities = append(capacities, r.capacity(o))
+}
+
+// addRequested adds the machines that the cloud was asked for.
+func (p *plan) addRequested() {
+	for _, offer := range sortedOffers(p.provisioning.requested) {
+		for range p.provisioning.requested[offer] {
+			p.capacities = append(p.capacities, p.capacity(offer))
 		}
 	}
-	need := map[offer]int{}
-	promised := map[int]pipeline.Usage{} // by team
-	sequences := sequences{}
-	for _, j := range blocked {
-		left := min(j.StartableCount(), p.QuotaBeside(j, promised[j.Team]))
-		if j.Shape == pipeline.Gang && left < j.StartableCount() {
-			continue
+}
+
+// withPreempted adds the jobs with preempted tasks behind those that are blocked.
+func (p *plan) withPreempted(blocked []*pipeline.Job) []*pipeline.Job {
+	for _, entry := range p.preempting {
+		if !slices.Contains(blocked, entry.Job) {
+			blocked = append(blocked, entry.Job)
 		}
-		if j.AtFault() && hasMachineFor(j, capacities) {
-			continue // its probe waits for a machine that is there
-		}
-		u := promised[j.Team]
-		u.Add(&j.Spec, float64(left))
-		promised[j.Team] = u
-		left += retries[j]
-		boot := r.bootTime(j)
-		left = sequences.places(j, left, boot+r.cfg.IdleKeep.Seconds(), p.Workers.ExpectedRuntime(j))
-		for _, capacity := range capacities {
-			if capacity != nil {
-				capacity.ReleaseEnding(boot)
-			}
-		}
-		inZone := p.Zones(j)
-		only, ok := r.onlyZone(j, inZone, capacities, left, now)
-		if !ok {
+	}
+	return blocked
+}
+
+// provideFor places the waiting tasks of a job, first on machines that are there or
+// coming, then on machines to be asked for.
+func (p *plan) provideFor(job *pipeline.Job) {
+	left, ok := p.tasksWithinQuota(job)
+	if !ok {
+		return
+	}
+	left += p.preempted[job]
+	boot := p.bootTime(job)
+	left = p.sequences.places(job, left, boot+p.cfg.IdleKeep.Seconds(), p.workers.ExpectedRuntime(job))
+	for _, capacity := range p.capacities {
+		if capacity != nil {
+			capacity.ReleaseEnding(boot)
+		}
+	}
+	inZone := p.scheduler.Zones(job)
+	zone, ok := p.onlyZone(job, inZone, left)
+	if !ok {
+		return
+	}
+	left = p.useCapacities(job, left, inZone, zone)
+	p.addMachines(job, left, inZone, zone)
+}
+
+// tasksWithinQuota returns how many tasks of a job wait for capacity that its team's
+// limit lets them have, beside what the plan provides for the team's other jobs. ok
+// is false where the job is to get nothing.
+func (p *plan) tasksWithinQuota(job *pipeline.Job) (tasks int, ok bool) {
+	committed := p.committed[job.Team]
+	tasks = min(job.StartableCount(), p.scheduler.QuotaBeside(job, committed))
+	if job.Shape == pipeline.Gang && tasks < job.StartableCount() {
+		return 0, false // whole or not at all
+	}
+	if job.AtFault() && hasMachineFor(job, p.capacities) {
+		return 0, false // its probe waits for a machine that is there
+	}
+	committed.Add(&job.Spec, float64(tasks))
+	p.committed[job.Team] = committed
+	return tasks, true
+}
+
+// useCapacities places tasks on machines that are there or coming. It returns how
+// many are left.
+func (p *plan) useCapacities(job *pipeline.Job, left int, inZone map[int]int, zone int) int {
+	for _, capacity := range p.capacities {
+		if left == 0 {
+			break
+		}
+		if !p.usable(job, capacity, zone) {
 			continue
 		}
-		for _, capacity := range capacities {
-			if left == 0 {
-				break
-			}
-			if capacity == nil || !capacity.Matches(&j.Spec) || (capacity.Machine != nil && j.Avoids(capacity.Machine.Index, int64(now))) || (only >= 0 && capacity.Zone != only) {
-				continue
-			}
-			if n := min(left, capacity.Fits(&j.Spec), scheduler.ZoneCapacity(j, inZone, capacity.Zone)); n > 0 {
-				capacity.Allocate(&j.Spec, n)
-				inZone[capacity.Zone] += n
-				left -= n
-			}
-		}
-		for left > 0 {
-			o, per, ok := r.cheapestOffer(j, left, inZone, only, need, now)
-			if !ok {
-				break
-			}
-			need[o]++
-			n := min(per, left)
-			capacity := r.capacity(o)
-			capacity.Allocate(&j.Spec, n)
-			inZone[o.zone] += n
-			capacities = append(capacities, capacity)
-			left -= n
-		}
-	}
-	for i, capacity := range coming {
-		// What it was provisioned for may be done or have found capacity elsewhere.
-		switch b := r.booting[i]; {
-		case capacity == nil || capacity.Busy:
-			b.idle = 0
-		case b.idle == 0:
-			b.idle = now
-		case now-b.idle > 2*r.cfg.IdleKeep && len(r.jobs.OnMachine(i)) == 0:
-			r.workers.At(i).Retiring = true // logged and returned by the next tick
+		count := min(left, capacity.Fits(&job.Spec), scheduler.ZoneCapacity(job, inZone, capacity.Zone))
+		if count > 0 {
+			capacity.Allocate(&job.Spec, count)
+			inZone[capacity.Zone] += count
+			left -= count
 		}
 	}
-	for _, o := range sortedOffers(need) {
-		if !r.allowed(now) {
+	return left
+}
+
+// usable tells whether tasks of a job may be placed on a machine.
+func (p *plan) usable(job *pipeline.Job, capacity *scheduler.Capacity, zone int) bool {
+	if capacity == nil || !capacity.Matches(&job.Spec) {
+		return false
+	}
+	if capacity.Machine != nil && job.Avoids(capacity.Machine.Index, int64(p.now)) {
+		return false
+	}
+	return zone == anyZone || capacity.Zone == zone
+}
+
+// addMachines places tasks on machines to be asked for.
+func (p *plan) addMachines(job *pipeline.Job, left int, inZone map[int]int, zone int) {
+	for left > 0 {
+		best, ok := p.cheapestOffer(offerQuery{job: job, tasks: left, inZone: inZone, zone: zone, need: p.need, now: p.now})
+		if !ok {
 			return
 		}
-		r.provision(now, o, min(need[o], maxProvisionBatch), term, out)
+		p.need[best.offer]++
+		count := min(best.tasks, left)
+		capacity := p.capacity(best.offer)
+		capacity.Allocate(&job.Spec, count)
+		inZone[best.offer.zone] += count
+		p.capacities = append(p.capacities, capacity)
+		left -= count
 	}
 }
 
-func (r *Autoscaler) capacity(o offer) *scheduler.Capacity {
-	f := r.MachineTypes.Get(o.machineType)
-	if f == nil {
-		return nil
+// retireUnneeded retires booting machines for which no task has been planned for
+// long: what they were provisioned for is done or has found capacity elsewhere.
+func (p *plan) retireUnneeded() {
+	for index, capacity := range p.coming {
+		booting := p.booting[index]
+		machine := p.workers.At(index)
+		switch {
+		case capacity == nil || capacity.Busy:
+			booting.idle = 0
+		case booting.idle == 0:
+			booting.idle = p.now
+		case p.now-booting.idle > 2*p.cfg.IdleKeep && !p.hasTasks(machine):
+			machine.Retiring = true // the next tick stores that and releases it
+		}
 	}
-	return &scheduler.Capacity{MachineType: f, Zone: o.zone, Spot: o.spot, CPUs: f.CPUs, GPUs: f.GPUs, Memory: f.Memory}
 }
 
 // hasMachineFor tells whether a task of a job fits on one of the machines once it is
 // empty.
-func hasMachineFor(j *pipeline.Job, capacities []*scheduler.Capacity) bool {
-	return slices.ContainsFunc(capacities, func(c *scheduler.Capacity) bool {
-		return c != nil && c.Matches(&j.Spec) && scheduler.Allows(&j.Spec, c.MachineType)
+func hasMachineFor(job *pipeline.Job, capacities []*scheduler.Capacity) bool {
+	return slices.ContainsFunc(capacities, func(capacity *scheduler.Capacity) bool {
+		return capacity != nil && capacity.Matches(&job.Spec) && scheduler.Allows(&job.Spec, capacity.MachineType)
 	})
 }
 
-// bootTime is how soon a machine asked for now can be up for a job: by the
-// cloud's word, the quickest type, in seconds.
-func (r *Autoscaler) bootTime(j *pipeline.Job) float64 {
+// bootTime is how soon a machine asked for now can be up for a job, in seconds: the
+// boot of the quickest type.
+func (a *Autoscaler) bootTime(job *pipeline.Job) float64 {
 	least := math.Inf(1)
-	for _, f := range r.MachineTypes {
-		if scheduler.Allows(&j.Spec, f) {
-			least = min(least, r.expectedBoot(f))
+	for _, machineType := range a.MachineTypes {
+		if scheduler.Allows(&job.Spec, machineType) {
+			least = min(least, a.expectedBoot(machineType))
 		}
 	}
 	if math.IsInf(least, 1) {
@@ -146,36 +241,44 @@
 	return least
 }
 
-// onlyZone names the zone to which a job that must stay in one is bound: the
-// one its tasks may still be in, else the one where the missing machines cost
-// least. -1: any; false: there is none.
-func (r *Autoscaler) onlyZone(j *pipeline.Job, inZone map[int]int, capacities []*scheduler.Capacity, left int, now event.Time) (zone int, ok bool) {
-	if !j.SamePlace {
-		return -1, true
+// onlyZone returns the zone to which a job that must stay in one is bound: the one
+// where its tasks may still be, else the one where the missing machines cost least.
+// ok is false where there is none.
+func (p *plan) onlyZone(job *pipeline.Job, inZone map[int]int, left int) (zone int, ok bool) {
+	if !job.SamePlace {
+		return anyZone, true
 	}
 	if len(inZone) > 0 {
 		zone = slices.Sorted(maps.Keys(inZone))[0]
 		return zone, len(inZone) == 1 && zone >= 0
 	}
 	least := math.Inf(1)
-	for z := range r.names.Zones.Len() {
-		rest := left
-		for _, capacity := range capacities {
-			if capacity != nil && capacity.Zone == z && capacity.Matches(&j.Spec) {
-				rest -= capacity.Fits(&j.Spec)
-			}
-		}
-		cost := 0.0
-		if rest > 0 {
-			o, per, found := r.cheapestOffer(j, rest, inZone, z, nil, now)
-			if !found {
-				continue
-			}
-			cost = r.price(o) * math.Ceil(float64(rest)/float64(per))
-		}
-		if cost < least {
-			least, zone, ok = cost, z, true
+	for candidate := range p.names.Zones.Len() {
+		cost, possible := p.costInZone(job, inZone, left, candidate)
+		if possible && cost < least {
+			least = cost
+			zone = candidate
+			ok = true
 		}
 	}
 	return zone, ok
 }
+
+// costInZone is what the machines cost per hour that a job's tasks lack in a zone.
+func (p *plan) costInZone(job *pipeline.Job, inZone map[int]int, left, zone int) (cost float64, possible bool) {
+	missing := left
+	for _, capacity := range p.capacities {
+		if capacity != nil && capacity.Zone == zone && capacity.Matches(&job.Spec) {
+			missing -= capacity.Fits(&job.Spec)
+		}
+	}
+	if missing <= 0 {
+		return 0, true
+	}
+	best, ok := p.cheapestOffer(offerQuery{job: job, tasks: missing, inZone: inZone, zone: zone, now: p.now})
+	if !ok {
+		return 0, false
+	}
+	machines := math.Ceil(float64(missing) / float64(best.tasks))
+	return p.price(best.offer) * machines, true
+}
--- a/internal/autoscaler/release.go
+++ b/internal/autoscaler/release.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"slices"
 	"time"
 
@@ -10,62 +11,122 @@
 	"lugward/internal/worker"
 )
 
-// Retire logs that a machine gets nothing more; once that is stored it is
-// returned. A successor knows by the log not to use it.
-func (r *Autoscaler) Retire(h *worker.Machine, now event.Time, term store.Condition) {
-	h.Retiring = true
-	if r.logging[h.Name] || r.retired[h.Name] != 0 || len(r.logging) >= maxRetiring {
-		return // what is left is retired by a later look at the machines
+const (
+	// Only so many retirements wait for their write at a time: hundreds after a
+	// burst would hold up the writes that free the machines of running jobs.
+	maxRetiring     = 20
+	retireRank      = 100                    // before the progress of any job: an idle machine costs money
+	cleanupTimeout  = 10 * time.Minute       // of a write that nothing waits for
+	maxReleaseBatch = 100                    // machines released by one request
+	releaseInterval = 100 * time.Millisecond // between two looks at what is to be released
+)
+
+// retiredValue is what is stored of a retired machine; only that it exists counts.
+var retiredValue = []byte("1")
+
+// retirements holds the machines on their way out. A retirement is stored before
+// the machine is released, so that no later leader places a task there.
+type retirements struct {
+	stored    map[string]uint64 // by machine: version of the stored retirement
+	storing   map[string]bool   // its write is under way
+	releasing map[string]bool   // the cloud is asked, or the stored retirement is being deleted
+	released  map[string]event.Time
+	checkedAt event.Time
+}
+
+// reset drops what only a leader knows.
+func (r *retirements) reset() {
+	r.storing = map[string]bool{}
+	r.releasing = map[string]bool{}
+	r.released = map[string]event.Time{}
+	r.checkedAt = 0
+}
+
+// wireRelease is the request to release machines in the cloud's protocol.
+type wireRelease struct {
+	Machines []string `json:"hosts"`
+}
+
+// Retire stores that a machine gets no more tasks; it is released once that is
+// stored.
+func (a *Autoscaler) Retire(machine *worker.Machine, now event.Time, term store.Condition) {
+	machine.Retiring = true
+	name := machine.Name
+	if a.retirements.storing[name] || a.retirements.stored[name] != 0 || len(a.retirements.storing) >= maxRetiring {
+		return // a later scan repeats it where it is not stored yet
 	}
-	r.logging[h.Name] = true
-	name := h.Name
-	r.store.Submit(&store.Intent{Priority: store.Progress, Rank: retireRank, Conditions: []store.Condition{term},
-		Writes: []store.Write{{Key: RetireKind + "/" + name, Data: []byte("1")}},
-		Done:   func(store.Result) { delete(r.logging, name) }}, now+time.Minute)
+	a.retirements.storing[name] = true
+	a.store.Submit(&store.Intent{
+		Priority:   store.Progress,
+		Rank:       retireRank,
+		Conditions: []store.Condition{term},
+		Writes:     []store.Write{{Key: retireKey(name), Data: retiredValue}},
+		Done:       func(store.Result) { delete(a.retirements.storing, name) },
+	}, now+writeTimeout)
 }
 
-func (r *Autoscaler) releaseRetired(now event.Time, term store.Condition, out *event.Effects) {
-	if len(r.retired) == 0 || now-r.releaseAt < releaseInterval {
+func retireKey(machine string) string { return RetireKind + "/" + machine }
+
+// releaseRetired releases machines whose retirement is stored.
+func (a *Autoscaler) releaseRetired(now event.Time, term store.Condition, out *event.Effects) {
+	if len(a.retirements.stored) == 0 || now-a.retirements.checkedAt < releaseInterval {
 		return
 	}
-	r.releaseAt = now
+	a.retirements.checkedAt = now
 	var machines []string
-	for name := range r.retired {
-		if !r.releasing[name] {
+	for name := range a.retirements.stored {
+		if !a.retirements.releasing[name] {
 			machines = append(machines, name)
 		}
 	}
 	slices.Sort(machines)
 	for _, name := range machines {
-		r.workers.Machine(name, now).Retiring = true
+		a.workers.Machine(name, now).Retiring = true
 	}
-	if len(machines) == 0 || !r.allowed(now) {
+	if len(machines) == 0 || !a.allowed(now) {
 		return
 	}
 	machines = machines[:min(len(machines), maxReleaseBatch)]
-	for _, n := range machines {
-		r.releasing[n] = true
+	for _, name := range machines {
+		a.retirements.releasing[name] = true
 	}
-	body, _ := json.Marshal(map[string]any{"hosts": machines})
-	r.call("POST", "/rentals/return", body, out, func(now event.Time, status int, _ []byte, _ *event.Effects) {
-		for _, n := range machines {
-			delete(r.releasing, n)
-		}
-		if status != 200 {
-			r.pauseTo = max(r.pauseTo, now+errorPause)
-			return
-		}
-		for _, n := range machines {
-			h := r.workers.Machine(n, now)
-			r.workers.MarkTerminated(h, now) // the answer proves that nothing runs there
-			delete(r.booting, h.Index)
-			delete(r.refused, offer{h.MachineType, h.Zone, h.Spot}) // there is one to be had now
-			r.workers.Machines[h.Index] = nil
-			r.released[n] = now
-			r.releasing[n] = true // not again, until the log entry is dropped
-			r.store.Submit(&store.Intent{Priority: store.Cleanup, Conditions: []store.Condition{term},
-				Writes: []store.Write{{Key: RetireKind + "/" + n}},
-				Done:   func(store.Result) { delete(r.releasing, n) }}, now+cleanupTimeout)
-		}
-	})
+	body, _ := json.Marshal(wireRelease{machines})
+	a.call(http.MethodPost, "/rentals/return", body, releaseRequest{machines, term}, out)
+}
+
+// releaseRequest asks the cloud to take machines back.
+type releaseRequest struct {
+	machines []string
+	term     store.Condition
+}
+
+func (r releaseRequest) finish(a *Autoscaler, now event.Time, response response, _ *event.Effects) {
+	for _, name := range r.machines {
+		delete(a.retirements.releasing, name)
+	}
+	if response.status != http.StatusOK {
+		a.cloud.pausedUntil = max(a.cloud.pausedUntil, now+errorPause)
+		return
+	}
+	for _, name := range r.machines {
+		a.machineReleased(name, now, r.term)
+	}
+}
+
+// machineReleased forgets a machine that the cloud has taken back: that proves that
+// its tasks have terminated.
+func (a *Autoscaler) machineReleased(name string, now event.Time, term store.Condition) {
+	machine := a.workers.Machine(name, now)
+	a.workers.MarkTerminated(machine, now)
+	delete(a.booting, machine.Index)
+	delete(a.provisioning.refused, offerOf(machine)) // the cloud has one again
+	a.workers.Machines[machine.Index] = nil
+	a.retirements.released[name] = now
+	a.retirements.releasing[name] = true // no second request while the stored retirement is deleted
+	a.store.Submit(&store.Intent{
+		Priority:   store.Cleanup,
+		Conditions: []store.Condition{term},
+		Writes:     []store.Write{{Key: retireKey(name)}},
+		Done:       func(store.Result) { delete(a.retirements.releasing, name) },
+	}, now+cleanupTimeout)
 }
--- /dev/null
+++ b/internal/autoscaler/tick.go
@@ -0,0 +1,184 @@
+package autoscaler
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"lugward/internal/event"
+	"lugward/internal/store"
+	"lugward/internal/worker"
+)
+
+const (
+	scanInterval = 500 * time.Millisecond // between two scans of all machines
+	// A machine that is up and does not report for silentTimeout is lost. In a
+	// partitioned zone the network is the likelier cause, and all machines that
+	// were released would have to boot again once it is mended.
+	silentTimeout      = 60 * time.Second
+	partitionedTimeout = 150 * time.Second
+	// A machine that is up and has not confirmed our fencing token after
+	// announceAfter is told it by a direct command. The connection to a silent
+	// machine stays open for a while, so a scan sends a limited number.
+	announceAfter    = 2 * time.Second
+	maxAnnouncements = 20
+)
+
+// scan is one look at all machines.
+type scan struct {
+	now           event.Time
+	leadership    worker.Term
+	term          store.Condition // of all writes
+	silentAfter   time.Duration   // a machine without a report for so long is silent
+	zones         map[int][]*worker.Machine
+	announcements int // sent so far
+}
+
+// Tick does what is due of the leader's work: it reads the machine list, releases
+// machines and finds those that are lost.
+func (a *Autoscaler) Tick(now event.Time, leadership worker.Term, term store.Condition, silentAfter time.Duration, out *event.Effects) {
+	a.Types(now, &term, out)
+	a.sendRetries(now, out)
+	a.releaseRetired(now, term, out)
+	if !a.list.inFlight && now-a.list.requestedAt >= listInterval && a.allowed(now) {
+		a.readList(now, "", out)
+	}
+	if now-a.scannedAt < scanInterval {
+		return
+	}
+	a.scannedAt = now
+	scan := &scan{now: now, leadership: leadership, term: term, silentAfter: silentAfter}
+	a.updateUse(scan)
+	scan.zones = a.zones()
+	a.findPartitioned(scan)
+	a.announceToken(scan, out)
+	a.checkBooting(scan, out)
+	if now-a.termBeganAt < a.cfg.Settle {
+		return
+	}
+	a.releaseSilent(scan)
+	a.releaseUnused(scan)
+}
+
+// updateUse notes which machines are in use, and repeats the write of a retirement
+// that was refused.
+func (a *Autoscaler) updateUse(scan *scan) {
+	for _, machine := range a.workers.Machines {
+		if machine == nil {
+			continue
+		}
+		if a.hasTasks(machine) {
+			machine.IdleFrom = scan.now
+		}
+		if machine.Retiring && a.retirements.stored[machine.Name] == 0 && !a.retirements.releasing[machine.Name] {
+			a.Retire(machine, scan.now, scan.term)
+		}
+	}
+}
+
+// hasTasks tells whether tasks may be on a machine.
+func (a *Autoscaler) hasTasks(machine *worker.Machine) bool {
+	return len(a.jobs.OnMachine(machine.Index)) > 0
+}
+
+// announceToken tells machines our fencing token that reported once and did not
+// confirm it since: that report may have been a copy, while the machine itself
+// reports to another controller.
+func (a *Autoscaler) announceToken(scan *scan, out *event.Effects) {
+	for _, machine := range a.workers.Machines {
+		if machine == nil || machine.LastReport == 0 || machine.TokenConfirmed {
+			continue
+		}
+		if scan.now-machine.LastReport > announceAfter {
+			a.announceTo(machine, scan, out)
+		}
+	}
+}
+
+// announceTo tells one machine our fencing token, within the limit of the scan.
+func (a *Autoscaler) announceTo(machine *worker.Machine, scan *scan, out *event.Effects) {
+	if scan.announcements >= maxAnnouncements {
+		return
+	}
+	scan.announcements++
+	a.workers.AnnounceToken(machine, scan.now, scan.leadership, out)
+}
+
+// checkBooting looks at the machines that have not reported: it forgets those that
+// have by now and retires those that never will.
+func (a *Autoscaler) checkBooting(scan *scan, out *event.Effects) {
+	for _, index := range slices.Sorted(maps.Keys(a.booting)) {
+		booting := a.booting[index]
+		machine := a.workers.At(index)
+		if machine == nil || machine.LastReport > 0 {
+			a.recordBootTime(booting, scan.now)
+			delete(a.booting, index)
+			a.jobs.Changed = true
+			continue
+		}
+		age := scan.now - booting.since
+		if booting.up && age > announceAfter {
+			a.announceTo(machine, scan, out)
+		}
+		timeout, known := a.reportTimeout(booting, machine)
+		if known && age > timeout {
+			a.log.Info("machine never came up", "machine", machine.Name)
+			delete(a.booting, index)
+			a.Retire(machine, scan.now, scan.term)
+		}
+	}
+}
+
+// reportTimeout is within which time a booting machine must report. known is false
+// where its type is not known.
+func (a *Autoscaler) reportTimeout(booting *bootingMachine, machine *worker.Machine) (timeout event.Time, known bool) {
+	machineType := a.MachineTypes.Get(booting.machineType)
+	switch {
+	case machineType == nil:
+		return 0, false
+	case !booting.up:
+		return max(bootMin, a.bootTimeout(machineType, bootFactor)), true
+	case a.partitioned[booting.zone]:
+		return partitionedTimeout, true
+	case a.hasTasks(machine):
+		return silentTimeout, true // its tasks may run on until its lease ends
+	default:
+		return bootMin, true
+	}
+}
+
+// releaseUnused retires machines that are unreachable, lost or of no more use.
+func (a *Autoscaler) releaseUnused(scan *scan) {
+	for _, machine := range a.workers.Machines {
+		if machine == nil || !machine.Known || machine.Retiring {
+			continue
+		}
+		partitioned := a.partitioned[machine.Zone]
+		if a.workers.UnreachableBeyondLease(machine, scan.now, scan.leadership) && !partitioned {
+			a.log.Info("unreachable machine released", "machine", machine.Name)
+			a.Retire(machine, scan.now, scan.term)
+			continue
+		}
+		if a.hasTasks(machine) || machine.LastReport <= 0 {
+			continue
+		}
+		timeout := silentTimeout
+		if partitioned {
+			timeout = partitionedTimeout
+		}
+		lost := scan.now-machine.LastReport > timeout
+		if lost || a.unused(machine, scan.now) {
+			a.Retire(machine, scan.now, scan.term)
+		}
+	}
+}
+
+// unused tells whether a machine without tasks is of no more use.
+func (a *Autoscaler) unused(machine *worker.Machine, now event.Time) bool {
+	if machine.UnknownTasks > 0 {
+		return false // they have not been stopped yet
+	}
+	leaving := machine.Draining || machine.ReclaimAt != 0
+	usedAt := max(machine.IdleFrom, machine.ReservedAt)
+	return leaving || now-usedAt > a.cfg.IdleKeep
+}
--- a/internal/autoscaler/types.go
+++ b/internal/autoscaler/types.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"time"
 
 	"lugward/internal/event"
@@ -9,6 +10,18 @@
 	"lugward/internal/store"
 )
 
+const (
+	typesInterval = 60 * time.Second // between two requests for the machine types
+	writeTimeout  = time.Minute      // of a write that is repeated if it is still needed
+)
+
+// typeRefresh is the state of asking the cloud for its machine types.
+type typeRefresh struct {
+	requestedAt event.Time
+	stored      bool // the state service has them, or refuses them for good
+}
+
+// wireType is a machine type in the cloud's protocol.
 type wireType struct {
 	Name      string   `json:"name"`
 	CPUs      float64  `json:"cores"`
@@ -21,61 +34,102 @@
 	Zones     []string `json:"yards"`
 }
 
+// valid tells whether the type can be used. The comparisons also refuse NaN.
+func (t *wireType) valid() bool {
+	return t.Name != "" && t.CPUs >= 0 && t.Price >= 0
+}
+
+// wireTypes is the cloud's list of machine types, also as it is stored.
 type wireTypes struct {
 	MachineTypes []wireType `json:"flavors"`
 }
 
-func (r *Autoscaler) takeTypes(data []byte) bool {
-	var v wireTypes
-	if json.Unmarshal(data, &v) != nil || len(v.MachineTypes) == 0 {
+// takeTypes takes a list of machine types in, all of it or, where it is malformed,
+// nothing.
+func (a *Autoscaler) takeTypes(data []byte) bool {
+	var list wireTypes
+	if json.Unmarshal(data, &list) != nil || len(list.MachineTypes) == 0 {
 		return false
 	}
-	for _, t := range v.MachineTypes {
-		if t.Name == "" || !(t.CPUs >= 0) || !(t.Price >= 0) {
+	for i := range list.MachineTypes {
+		if !list.MachineTypes[i].valid() {
 			return false
 		}
 	}
-	for _, t := range v.MachineTypes {
-		f := &scheduler.MachineType{Index: r.names.MachineTypes.Index(t.Name), CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.Memory, Price: t.Price,
-			SpotPrice: t.SpotPrice, BootTime: t.Ready, FetchRate: t.Fetch}
-		for _, y := range t.Zones {
-			f.Zones = append(f.Zones, r.names.Zones.Index(y))
-		}
-		for len(r.MachineTypes) <= f.Index {
-			r.MachineTypes = append(r.MachineTypes, nil)
-		}
-		r.MachineTypes[f.Index] = f
+	for i := range list.MachineTypes {
+		a.addType(&list.MachineTypes[i])
 	}
-	r.jobs.Changed = true
+	a.jobs.Changed = true
 	return true
 }
 
-// Types refreshes the machine types; any node may, until they are known.
-func (r *Autoscaler) Types(now event.Time, term *store.Condition, out *event.Effects) {
-	if now-r.typesAt < typesInterval && (len(r.MachineTypes) > 0 || now-r.typesAt < errorPause) || !r.allowed(now) {
+// addType adds a machine type or replaces what was known of it.
+func (a *Autoscaler) addType(wire *wireType) {
+	machineType := &scheduler.MachineType{
+		Index:     a.names.MachineTypes.Index(wire.Name),
+		CPUs:      wire.CPUs,
+		GPUs:      wire.GPUs,
+		Memory:    wire.Memory,
+		Price:     wire.Price,
+		SpotPrice: wire.SpotPrice,
+		BootTime:  wire.Ready,
+		FetchRate: wire.Fetch,
+	}
+	for _, zone := range wire.Zones {
+		machineType.Zones = append(machineType.Zones, a.names.Zones.Index(zone))
+	}
+	for len(a.MachineTypes) <= machineType.Index {
+		a.MachineTypes = append(a.MachineTypes, nil)
+	}
+	a.MachineTypes[machineType.Index] = machineType
+}
+
+// Types refreshes the machine types; any node may, until they are known. A leader
+// gives its term, under which they are stored.
+func (a *Autoscaler) Types(now event.Time, term *store.Condition, out *event.Effects) {
+	interval := typesInterval
+	if len(a.MachineTypes) == 0 {
+		interval = errorPause
+	}
+	if now-a.types.requestedAt < interval || !a.allowed(now) {
 		return
 	}
-	r.typesAt = now
-	r.call("GET", "/machine_types", nil, out, func(now event.Time, status int, body []byte, out *event.Effects) {
-		if status != 200 || !r.takeTypes(body) {
-			r.typesAt = now - typesInterval + errorPause
-			return
-		}
-		if term == nil || len(r.rawType) > 0 {
-			return
-		}
-		var v wireTypes
-		_ = json.Unmarshal(body, &v)
-		raw, err := json.Marshal(v)
-		if err != nil || len(raw) > r.cfg.ValueBytes {
-			return // each controller still learns them from the cloud
-		}
-		r.store.Submit(&store.Intent{Priority: store.Accept, Conditions: []store.Condition{*term},
-			Writes: []store.Write{{Key: TypesKey, Data: raw}},
-			Done: func(res store.Result) {
-				if res.Outcome == store.OK || res.Invalid {
-					r.rawType = raw // refused as malformed: it would be again
-				}
-			}}, now+time.Minute)
-	})
+	a.types.requestedAt = now
+	a.call(http.MethodGet, "/machine_types", nil, typesRequest{term}, out)
+}
+
+// typesRequest asks for the machine types.
+type typesRequest struct {
+	term *store.Condition // nil: not a leader's
+}
+
+func (r typesRequest) finish(a *Autoscaler, now event.Time, response response, _ *event.Effects) {
+	if response.status != http.StatusOK || !a.takeTypes(response.body) {
+		a.types.requestedAt = now - typesInterval + errorPause
+		return
+	}
+	if r.term != nil && !a.types.stored {
+		a.storeTypes(response.body, *r.term, now)
+	}
+}
+
+// storeTypes stores the machine types for the other controllers.
+func (a *Autoscaler) storeTypes(body []byte, term store.Condition, now event.Time) {
+	var list wireTypes
+	_ = json.Unmarshal(body, &list) // takeTypes has decoded it before
+	data, err := json.Marshal(list)
+	if err != nil || len(data) > a.cfg.ValueBytes {
+		return // each controller still learns them from the cloud
+	}
+	a.store.Submit(&store.Intent{
+		Priority:   store.Accept,
+		Conditions: []store.Condition{term},
+		Writes:     []store.Write{{Key: TypesKey, Data: data}},
+		Done: func(result store.Result) {
+			// What is refused as malformed would be refused again.
+			if result.Outcome == store.OK || result.Invalid {
+				a.types.stored = true
+			}
+		},
+	}, now+writeTimeout)
 }
--- a/internal/autoscaler/zones.go
+++ b/internal/autoscaler/zones.go
@@ -6,74 +6,100 @@
 	"time"
 
 	"lugward/internal/event"
-	"lugward/internal/store"
 	"lugward/internal/worker"
 )
 
-// zones lists the machines of each zone that are up, heard or not.
-func (r *Autoscaler) zones() map[int][]*worker.Machine {
+const (
+	// A silent machine is released if for each silent machine of its zone so many
+	// others report.
+	reportingPerSilent = 3
+	// A zone's machines do not show that it is connected until this long after they
+	// reconnected.
+	partitionMemory = 60 * time.Second
+)
+
+// zones lists the machines of each zone that are up, silent ones included.
+func (a *Autoscaler) zones() map[int][]*worker.Machine {
 	zones := map[int][]*worker.Machine{}
-	for _, h := range r.workers.Machines {
-		if h == nil || h.Retiring {
+	for _, machine := range a.workers.Machines {
+		if machine == nil || machine.Retiring {
 			continue
 		}
-		if b := r.booting[h.Index]; h.LastReport != 0 || (b != nil && b.up) {
-			zones[h.Zone] = append(zones[h.Zone], h)
+		booting := a.booting[machine.Index]
+		if machine.LastReport != 0 || (booting != nil && booting.up) {
+			zones[machine.Zone] = append(zones[machine.Zone], machine)
 		}
 	}
 	return zones
 }
 
 // findPartitioned finds the zones most of whose machines are silent: nothing is
-// provisioned there, and what is there is not given up soon.
-func (r *Autoscaler) findPartitioned(zones map[int][]*worker.Machine, now event.Time, silent time.Duration) {
+// provisioned there, and machines that are there are kept for longer.
+func (a *Autoscaler) findPartitioned(scan *scan) {
 	partitioned := map[int]bool{}
-	for z, machines := range zones {
+	for zone, machines := range scan.zones {
 		lost := 0
-		for _, h := range machines {
-			last := h.LastReport
-			if b := r.booting[h.Index]; h.LastReport == 0 && b != nil {
-				last = b.since
-			}
-			if now-last > silent || h.UnreachableSince != 0 {
+		for _, machine := range machines {
+			if scan.now-a.lastSign(machine) > scan.silentAfter || machine.UnreachableSince != 0 {
 				lost++
 			}
 		}
-		if lost > 1 && 2*lost > len(machines) {
-			partitioned[z] = true
-			if !r.partitioned[z] {
-				r.log.Info("zone is partitioned", "zone", r.names.Zones.Name(z), "machines", len(machines), "silent", lost)
-			}
+		// A single lost machine says nothing of its zone.
+		if lost <= 1 || 2*lost <= len(machines) {
+			continue
+		}
+		partitioned[zone] = true
+		if !a.partitioned[zone] {
+			a.log.Info("zone is partitioned", "zone", a.names.Zones.Name(zone), "machines", len(machines), "silent", lost)
 		}
 	}
-	r.partitioned = partitioned
+	a.partitioned = partitioned
+}
+
+// lastSign is when a machine last reported, or was first listed as running where
+// it has not reported.
+func (a *Autoscaler) lastSign(machine *worker.Machine) event.Time {
+	if booting := a.booting[machine.Index]; machine.LastReport == 0 && booting != nil {
+		return booting.since
+	}
+	return machine.LastReport
 }
 
-// releaseSilent returns a machine that alone in its zone went silent: the
-// cloud's answer proves its tasks terminated long before its lease does. Where
-// several are silent the network is the likelier cause, and they are left to
-// go on working; so they are while the zone comes back machine by machine.
-func (r *Autoscaler) releaseSilent(zones map[int][]*worker.Machine, now event.Time, term store.Condition, silent time.Duration) {
-	for _, z := range slices.Sorted(maps.Keys(zones)) {
-		var lost []*worker.Machine
-		for _, h := range zones[z] {
-			if h.LastReport != 0 && now-h.LastReport > silent { // else it counts as booting
-				lost = append(lost, h)
+// releaseSilent releases a machine that alone in its zone went silent: the cloud's
+// response proves that its tasks have terminated long before the end of its lease
+// does. Where several are silent a partition is the likelier cause, and they are
+// left to go on working; so they are while the zone reconnects machine by machine.
+func (a *Autoscaler) releaseSilent(scan *scan) {
+	for _, zone := range slices.Sorted(maps.Keys(scan.zones)) {
+		machines := scan.zones[zone]
+		var silent []*worker.Machine
+		for _, machine := range machines {
+			// One that never reported counts as booting.
+			if machine.LastReport != 0 && scan.now-machine.LastReport > scan.silentAfter {
+				silent = append(silent, machine)
 			}
 		}
-		for _, l := range lost {
-			// Machines behind one cut go silent one by one, each when its next
-			// report is due: only those heard well after count.
-			heard := 0
-			for _, h := range zones[z] {
-				if h.LastReport > l.LastReport+silent*3/4 && (h.ReconnectedAt == 0 || now-h.ReconnectedAt > partitionMemory) {
-					heard++
-				}
-			}
-			if heard >= silentShare*len(lost) {
-				r.log.Info("silent machine released", "machine", l.Name, "tasks", len(r.jobs.OnMachine(l.Index)))
-				r.Retire(l, now, term)
+		for _, machine := range silent {
+			if countReportingAfter(machine, machines, scan) < reportingPerSilent*len(silent) {
+				continue
 			}
+			a.log.Info("silent machine released", "machine", machine.Name, "tasks", len(a.jobs.OnMachine(machine.Index)))
+			a.Retire(machine, scan.now, scan.term)
+		}
+	}
+}
+
+// countReportingAfter counts the machines that show that their zone is connected
+// though one of them is silent. Machines behind one partition go silent one by one,
+// each when its next report is due: only those that reported well after the silent
+// one count.
+func countReportingAfter(silent *worker.Machine, machines []*worker.Machine, scan *scan) (count int) {
+	wellAfter := silent.LastReport + scan.silentAfter*3/4
+	for _, machine := range machines {
+		settled := machine.ReconnectedAt == 0 || scan.now-machine.ReconnectedAt > partitionMemory
+		if machine.LastReport > wellAfter && settled {
+			count++
 		}
 	}
+	return count
 }
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -50,3 +50,12 @@
 func (h *Machine) Up(now event.Time, silent time.Duration) bool {
 	return h.Known && h.TokenConfirmed && h.UnreachableSince == 0 && h.LastReport > 0 && now-h.LastReport < silent && !h.Retiring && !h.Draining && h.ReclaimAt == 0 && h.UnknownTasks == 0 && now >= h.RefusedUntil && !h.Faulty && len(h.SlowJobs) < maxSlowJobs
 }
+
+// Describe records what the machine is: its type, its zone and whether the cloud
+// may reclaim it.
+func (h *Machine) Describe(machineType, zone int, spot bool) {
+	h.MachineType = machineType
+	h.Zone = zone
+	h.Spot = spot
+	h.Known = true
+}
