--- a/internal/scheduler/choose.go
+++ b/internal/scheduler/choose.go
@@ -14,9 +14,12 @@
 	victims  []*pipeline.Entry // to be stopped for it
 }
 
-// pricing tells what one more task costs on what is left of a machine. taken
-// holds the victims that were chosen before. ok is false where it can't be had.
-type pricing func(left *Capacity, taken map[*pipeline.Entry]bool) (cost float64, victims []*pipeline.Entry, ok bool)
+// taken holds the victims that were chosen before.
+type taken map[*pipeline.Entry]bool
+
+// pricing tells what one more task costs on what is left of a machine. ok is false
+// where the machine can take no more.
+type pricing func(left *Capacity, taken taken) (cost float64, victims []*pipeline.Entry, ok bool)
 
 // offer is the cheapest next pick on one machine.
 type offer struct {
@@ -25,6 +28,20 @@
 	index     int       // of the machine among the others, so that equal costs keep an order
 }
 
+// take counts the offer's pick as carried out.
+func (o *offer) take(job *pipeline.Job, taken taken) {
+	if o.remaining == nil {
+		left := *o.capacity
+		o.remaining = &left
+	}
+	for _, victim := range o.victims {
+		taken[victim] = true
+		o.remaining.release(&victim.Job.Spec)
+	}
+	o.remaining.Allocate(&job.Spec, 1)
+}
+
+// offers is a heap, the cheapest first.
 type offers []offer
 
 func (o offers) Len() int { return len(o) }
@@ -40,44 +57,34 @@
 	return last
 }
 
-const anyZone = -1
-
-// choose picks capacity for n tasks of a job, the cheapest first, in one zone or
-// in any. Nothing is changed by it.
-func (p *Scheduler) choose(j *pipeline.Job, capacities []*Capacity, zone, n int, price pricing, now event.Time) []pick {
-	taken := map[*pipeline.Entry]bool{}
-	list := p.offers[:0]
-	for i, r := range capacities {
-		if (zone != anyZone && r.Zone != zone) || !r.Matches(&j.Spec) || !r.fitsEmpty(&j.Spec) || j.Avoids(r.Machine.Index, int64(now)) || r.Machine.Draining {
+// choose picks capacity for a number of tasks of a job, the cheapest first, in one
+// zone or in any. Nothing is changed by it.
+func (s *Scheduler) choose(job *pipeline.Job, capacities []*Capacity, zone, count int, price pricing, now event.Time) []pick {
+	taken := taken{}
+	list := s.scratch.offers[:0]
+	for i, capacity := range capacities {
+		if !mayChoose(job, capacity, zone, now) {
 			continue
 		}
-		if cost, victims, ok := price(r, taken); ok {
-			list = append(list, offer{pick: pick{r, cost, victims}, index: i})
+		if cost, victims, ok := price(capacity, taken); ok {
+			list = append(list, offer{pick: pick{capacity, cost, victims}, index: i})
 		}
 	}
-	p.offers = list
+	s.scratch.offers = list
 	heap.Init(&list)
-	inZone := p.Zones(j)
+	inZone := s.Zones(job)
 	var picks []pick
-	for len(picks) < n && len(list) > 0 {
-		o := &list[0]
-		if ZoneCapacity(j, inZone, o.capacity.Zone) <= 0 {
+	for len(picks) < count && len(list) > 0 {
+		cheapest := &list[0]
+		if ZoneCapacity(job, inZone, cheapest.capacity.Zone) <= 0 {
 			heap.Pop(&list)
 			continue
 		}
-		picks = append(picks, o.pick)
-		inZone[o.capacity.Zone]++
-		if o.remaining == nil {
-			left := *o.capacity
-			o.remaining = &left
-		}
-		for _, e := range o.victims {
-			taken[e] = true
-			o.remaining.release(&e.Job.Spec)
-		}
-		o.remaining.Allocate(&j.Spec, 1)
+		picks = append(picks, cheapest.pick)
+		inZone[cheapest.capacity.Zone]++
+		cheapest.take(job, taken)
 		var ok bool
-		if o.cost, o.victims, ok = price(o.remaining, taken); ok {
+		if cheapest.cost, cheapest.victims, ok = price(cheapest.remaining, taken); ok {
 			heap.Fix(&list, 0)
 		} else {
 			heap.Pop(&list)
@@ -86,31 +93,14 @@
 	return picks
 }
 
-// zonesOf lists the zones to try for a job: one at a time if its tasks must
-// be together, beginning with the one where capacity is being gathered for it.
-func (p *Scheduler) zonesOf(j *pipeline.Job, capacities []*Capacity) []int {
-	if !j.SamePlace || j.TaskCount == 1 {
-		return []int{anyZone}
-	}
-	inZone := p.Zones(j)
-	var zones []int
-	if len(inZone) > 0 {
-		for z := range inZone {
-			if len(inZone) == 1 && z != unknownZone {
-				zones = append(zones, z)
-			}
-		}
-		return zones // tasks of it may still be there
-	}
-	seen := map[int]bool{}
-	if j.ReservedZone != 0 {
-		zones, seen[j.ReservedZone-1] = append(zones, j.ReservedZone-1), true
+// mayChoose tells whether capacity on a machine may be chosen for a job, whatever
+// runs there now.
+func mayChoose(job *pipeline.Job, capacity *Capacity, zone int, now event.Time) bool {
+	if zone != anyZone && capacity.Zone != zone {
+		return false
 	}
-	for _, r := range capacities {
-		if !seen[r.Zone] {
-			seen[r.Zone] = true
-			zones = append(zones, r.Zone)
-		}
+	if capacity.Machine.Draining || !capacity.fitsEmpty(&job.Spec) {
+		return false
 	}
-	return zones
+	return capacity.accepts(job, int64(now))
 }
--- /dev/null
+++ b/internal/scheduler/future.go
@@ -0,0 +1,77 @@
+package scheduler
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"lugward/internal/event"
+	"lugward/internal/pipeline"
+)
+
+// minRemainingShare is the least share of its usual runtime for which a task is
+// expected to run on: estimates are often wrong.
+const minRemainingShare = 0.3
+
+// ending is a task with the seconds that it is expected to run on.
+type ending struct {
+	entry *pipeline.Entry
+	after float64
+}
+
+// sortEndings puts what ends first to the front.
+func sortEndings(endings []ending) {
+	slices.SortFunc(endings, func(a, b ending) int {
+		return cmp.Or(cmp.Compare(a.after, b.after), compareEntries(a.entry, b.entry))
+	})
+}
+
+// compareEntries orders entries by job, in the order of readiness, and task.
+func compareEntries(a, b *pipeline.Entry) int {
+	return cmp.Or(cmp.Compare(a.Job.Order, b.Job.Order), cmp.Compare(a.Task, b.Task))
+}
+
+// Remaining estimates how long a task still runs, in seconds.
+func (s *Scheduler) Remaining(entry *pipeline.Entry, now event.Time) float64 {
+	if entry.Job.Shape == pipeline.Daemon {
+		return math.Inf(1) // until it is cancelled
+	}
+	usual := s.Workers.ExpectedRuntime(entry.Job)
+	if entry.StartedAt == 0 {
+		return usual
+	}
+	return max(usual-secondsSince(entry.StartedAt, now), minRemainingShare*usual)
+}
+
+// FutureCapacities lists what is left of the machines that are up once the tasks
+// that are told to stop have terminated; those that are to run again are returned.
+// ReleaseEnding then adds what ends later.
+func (s *Scheduler) FutureCapacities(now event.Time) (capacities []*Capacity, preempting []*pipeline.Entry) {
+	capacities = s.Capacities(now)
+	for _, capacity := range capacities {
+		for _, entry := range s.Jobs.OnMachine(capacity.Machine.Index) {
+			ended := entry.Job.Final != pipeline.Queued
+			if entry.Evict && !ended {
+				preempting = append(preempting, entry)
+			}
+			switch {
+			case entry.Phase == pipeline.Exited: // it was not counted
+			case entry.Evict || ended || entry.Pending != pipeline.NoPendingWrite:
+				capacity.release(&entry.Job.Spec)
+			default:
+				capacity.endings = append(capacity.endings, ending{entry, s.Remaining(entry, now)})
+			}
+		}
+		sortEndings(capacity.endings)
+	}
+	slices.SortFunc(preempting, compareEntries)
+	return capacities, preempting
+}
+
+// ReleaseEnding frees the capacity of tasks that end within so many seconds.
+func (c *Capacity) ReleaseEnding(within float64) {
+	for len(c.endings) > 0 && c.endings[0].after <= within {
+		c.release(&c.endings[0].entry.Job.Spec)
+		c.endings = c.endings[1:]
+	}
+}
--- /dev/null
+++ b/internal/scheduler/machinetype.go
@@ -0,0 +1,42 @@
+package scheduler
+
+import (
+	"slices"
+
+	"lugward/internal/pipeline"
+)
+
+// MachineType is a machine type as the cloud describes it.
+type MachineType struct {
+	Index     int
+	CPUs      float64
+	GPUs      float64
+	Memory    float64 // GB
+	Price     float64 // per hour
+	SpotPrice float64 // per hour, of a spot machine
+	BootTime  float64 // seconds
+	FetchRate float64 // GB per second
+	Zones     []int
+}
+
+// MachineTypes holds the machine types by index, nil where unknown.
+type MachineTypes []*MachineType
+
+// Get returns a type, or nil.
+func (t MachineTypes) Get(index int) *MachineType {
+	if index < 0 || index >= len(t) {
+		return nil
+	}
+	return t[index]
+}
+
+// Allows tells whether a type can hold a task of the job at all.
+func Allows(spec *pipeline.Spec, machineType *MachineType) bool {
+	if machineType == nil || !spec.Allows(machineType.Index) {
+		return false
+	}
+	if spec.CPUs > machineType.CPUs || spec.GPUs > machineType.GPUs || spec.Memory > machineType.Memory {
+		return false
+	}
+	return spec.Zone < 0 || slices.Contains(machineType.Zones, spec.Zone)
+}
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -8,11 +8,18 @@
 	"lugward/internal/pipeline"
 )
 
-// maxStartDelay is how long a job waits to begin in the order of readiness. The
-// largest are to begin within four minutes; in a full site the tasks in their
-// places need most of that to end, and work that was ready before keeps coming
-// into the places that end first: small jobs, and tasks that were stopped.
-const maxStartDelay = time.Minute
+const (
+	// maxStartDelay is how long a job waits to begin in the order of readiness. The
+	// largest are to begin within four minutes; in a full site the tasks in their
+	// places need most of that to end, and work that was ready before keeps coming
+	// into the places that end first: small jobs, and tasks that were stopped.
+	maxStartDelay = time.Minute
+	// A deadline is at risk if what is left of the time is less than riskFactor
+	// times what is expected to be needed, as estimates are often wrong by half and
+	// more, and riskMargin.
+	riskFactor = 2.0
+	riskMargin = 20 * time.Second
+)
 
 // precedence orders jobs of the same priority, the greatest first.
 type precedence int
@@ -27,14 +34,16 @@
 // precedenceOf returns the precedence of a job. A gang is overdue as long as any
 // of its tasks waits, any other job until its first task is placed; a job that is
 // at fault is not, as it never begins.
-func precedenceOf(j *pipeline.Job, now event.Time) precedence {
-	overdue := int64(now)-j.ReadySince > int64(maxStartDelay) && !j.AtFault()
+func precedenceOf(job *pipeline.Job, now event.Time) precedence {
+	waited := int64(now) - job.ReadySince
+	overdue := waited > int64(maxStartDelay) && !job.AtFault()
+	begun := job.Active() > 0 || job.DoneCount() > 0
 	switch {
-	case j.WithinGuarantee:
+	case job.WithinGuarantee:
 		return withinGuarantee
-	case overdue && j.Shape == pipeline.Gang && j.TaskCount > 1:
+	case overdue && isGang(job):
 		return gangOverdue
-	case overdue && j.Active() == 0 && j.DoneCount() == 0:
+	case overdue && !begun:
 		return startOverdue
 	default:
 		return byReadiness
@@ -45,28 +54,31 @@
 // then gangs and then other jobs that have waited to begin for long; within equal
 // precedence the order of readiness stays.
 func order(jobs []*pipeline.Job, now event.Time) {
-	sort.SliceStable(jobs, func(a, b int) bool {
-		if jobs[a].EffectivePriority != jobs[b].EffectivePriority {
-			return jobs[a].EffectivePriority > jobs[b].EffectivePriority
-		}
-		if x, y := precedenceOf(jobs[a], now), precedenceOf(jobs[b], now); x != y {
-			return x > y
-		}
-		return deadlineAtRisk(jobs[a], now) && !deadlineAtRisk(jobs[b], now)
-	})
+	sort.SliceStable(jobs, func(a, b int) bool { return goesBefore(jobs[a], jobs[b], now) })
 }
 
-const (
-	riskFactor = 2.0 // estimates are often wrong by half and more
-	riskMargin = 20 * time.Second
-)
+// goesBefore tells whether a job is scheduled before another whatever the order of
+// readiness.
+func goesBefore(job, other *pipeline.Job, now event.Time) bool {
+	if job.EffectivePriority != other.EffectivePriority {
+		return job.EffectivePriority > other.EffectivePriority
+	}
+	precedence := precedenceOf(job, now)
+	otherPrecedence := precedenceOf(other, now)
+	if precedence != otherPrecedence {
+		return precedence > otherPrecedence
+	}
+	return deadlineAtRisk(job, now) && !deadlineAtRisk(other, now)
+}
 
-// deadlineAtRisk tells whether a job of a chain has little more time left than it and
-// its longest path to the deadline are expected to take: it goes before others
-// of its standing.
-func deadlineAtRisk(j *pipeline.Job, now event.Time) bool {
-	if !j.Chained || j.EffectiveDeadline == pipeline.NoDeadline {
+// deadlineAtRisk tells whether a job of a chain has little more time left than it
+// and its longest path to the deadline are expected to take: it goes before others
+// of its precedence.
+func deadlineAtRisk(job *pipeline.Job, now event.Time) bool {
+	if !job.Chained || job.EffectiveDeadline == pipeline.NoDeadline {
 		return false
 	}
-	return j.EffectiveDeadline-int64(now) < int64(riskMargin)+int64(riskFactor*j.EstimatedRuntime*1e9)
+	left := job.EffectiveDeadline - int64(now)
+	needed := int64(riskMargin) + int64(riskFactor*job.EstimatedRuntime*nanosecondsPerSecond)
+	return left < needed
 }
--- a/internal/scheduler/pack.go
+++ b/internal/scheduler/pack.go
@@ -2,8 +2,8 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
+	"time"
 
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
@@ -12,124 +12,156 @@
 
 const (
 	// A start that a stop follows sooner does not count for its user.
-	startCountsAfter = int64(30e9)
-	// Moving pays if the machine would else stay busy this much longer.
-	minMoveGain = 25.0 // seconds
-	// The last of a task's time is never sure: estimates are often wrong.
-	minRemainingShare = 0.3
+	startCountsAfter = 30 * time.Second
+	// Moving pays if the machine would else stay busy this much longer, in seconds.
+	minMoveGain = 25.0
+	// checkpointMargin is added to the time that a checkpoint takes, in seconds,
+	// where a task is stopped.
+	checkpointMargin = 1
 )
 
-// Remaining estimates how long a task still runs, in seconds.
-func (p *Scheduler) Remaining(e *pipeline.Entry, now event.Time) float64 {
-	if e.Job.Shape == pipeline.Daemon {
-		return math.Inf(1) // until it is cancelled
-	}
-	usual := p.Workers.ExpectedRuntime(e.Job)
-	if e.StartedAt == 0 {
-		return usual
-	}
-	ran := float64(int64(now)-e.StartedAt) / 1e9
-	return max(usual-ran, minRemainingShare*usual)
+// gracePeriod is the time that a task gets to save a checkpoint, in seconds.
+func gracePeriod(job *pipeline.Job) float64 {
+	return job.CheckpointDuration + checkpointMargin
 }
 
-// Pack finds machines whose tasks all fit on other busy ones, stops those with
-// time to save, and marks the machines as draining so that they are returned
-// once empty. machine capacities is what the last round left. The budget of a round bounds it.
-func (p *Scheduler) Pack(now event.Time, capacities []*Capacity, blocked []*pipeline.Job) (drained []*worker.Machine) {
-	wanted := map[*MachineType]bool{}
-	for _, r := range capacities {
-		if !wanted[r.MachineType] && slices.ContainsFunc(blocked, func(j *pipeline.Job) bool { return r.Matches(&j.Spec) }) {
-			wanted[r.MachineType] = true
-		}
-	}
-	donors := slices.DeleteFunc(slices.Clone(capacities), func(r *Capacity) bool { return wanted[r.MachineType] || !p.mayDrain(r, now) })
+// Pack finds machines whose tasks all fit on other busy ones, stops those with time
+// to save, and marks the machines as draining so that they are released once empty.
+// capacities is what the last round left. The budget of a round bounds it.
+func (s *Scheduler) Pack(now event.Time, capacities []*Capacity, blocked []*pipeline.Job) (drained []*worker.Machine) {
+	donors := s.drainable(now, capacities, blocked)
 	if len(donors) == 0 {
 		return nil
 	}
-	// The dearest first, then the emptiest; each is filled up from the other end.
-	order := func(a, b *Capacity) int {
-		return cmp.Or(cmp.Compare(b.price(), a.price()), cmp.Compare(b.CPUs/b.MachineType.CPUs, a.CPUs/a.MachineType.CPUs))
-	}
-	slices.SortStableFunc(donors, order)
-	var left []*Capacity
-	for _, r := range capacities {
-		if r.Busy && r.Machine != nil && !r.Machine.Draining {
-			c := *r
-			left = append(left, &c)
+	// The dearest are drained first, then the emptiest; the others are filled from
+	// the other end.
+	slices.SortStableFunc(donors, compareForDraining)
+	var receivers []*Capacity
+	for _, capacity := range capacities {
+		if capacity.Busy && capacity.Machine != nil && !capacity.Machine.Draining {
+			receiver := *capacity
+			receivers = append(receivers, &receiver)
 		}
 	}
-	slices.SortStableFunc(left, func(a, b *Capacity) int { return order(b, a) })
+	slices.SortStableFunc(receivers, func(a, b *Capacity) int { return compareForDraining(b, a) })
 	receives := map[*worker.Machine]bool{}
-	for i, d := range donors {
-		if i > 0 && p.OverBudget != nil && p.OverBudget() {
+	for i, donor := range donors {
+		if i > 0 && s.overBudget() {
 			break
 		}
-		if receives[d.Machine] || !p.fitsElsewhere(d, left, receives) {
+		if receives[donor.Machine] || !s.fitsElsewhere(donor, receivers, receives) {
 			continue
 		}
-		for _, e := range p.Jobs.OnMachine(d.Machine.Index) {
-			p.Workers.Evict(e, e.Job.CheckpointDuration+1)
-		}
-		d.Machine.Draining = true
-		drained = append(drained, d.Machine)
+		s.drain(donor.Machine)
+		drained = append(drained, donor.Machine)
 	}
 	return drained
 }
 
-func (r *Capacity) price() float64 {
-	if r.Spot {
-		return r.MachineType.SpotPrice
+// drain moves the tasks of a machine and keeps new ones off it.
+func (s *Scheduler) drain(machine *worker.Machine) {
+	for _, entry := range s.Jobs.OnMachine(machine.Index) {
+		s.Workers.Evict(entry, gracePeriod(entry.Job))
 	}
-	return r.MachineType.Price
+	machine.Draining = true
+}
+
+// compareForDraining puts the dearest machines first, of equal ones the emptiest.
+func compareForDraining(a, b *Capacity) int {
+	free := a.CPUs / a.MachineType.CPUs
+	otherFree := b.CPUs / b.MachineType.CPUs
+	return cmp.Or(cmp.Compare(b.price(), a.price()), cmp.Compare(otherFree, free))
+}
+
+// drainable lists the machines that may be drained: none of a type on which a job
+// waits for capacity.
+func (s *Scheduler) drainable(now event.Time, capacities []*Capacity, blocked []*pipeline.Job) []*Capacity {
+	wanted := map[*MachineType]bool{}
+	for _, capacity := range capacities {
+		matches := func(job *pipeline.Job) bool { return capacity.Matches(&job.Spec) }
+		if !wanted[capacity.MachineType] && slices.ContainsFunc(blocked, matches) {
+			wanted[capacity.MachineType] = true
+		}
+	}
+	return slices.DeleteFunc(slices.Clone(capacities), func(capacity *Capacity) bool {
+		return wanted[capacity.MachineType] || !s.mayDrain(capacity, now)
+	})
 }
 
 // mayDrain tells whether every task of a machine can be saved and moved, and
 // whether that is worth it.
-func (p *Scheduler) mayDrain(r *Capacity, now event.Time) bool {
-	if !r.Busy || r.Machine == nil || r.Machine.Draining {
+func (s *Scheduler) mayDrain(capacity *Capacity, now event.Time) bool {
+	if !capacity.Busy || capacity.Machine == nil || capacity.Machine.Draining {
 		return false
 	}
 	longest := 0.0
-	for _, e := range p.Jobs.OnMachine(r.Machine.Index) {
-		j := e.Job
-		if !e.Durable || e.Evict || e.Pending != pipeline.NoPendingWrite || e.Phase != pipeline.RunningTask || j.CheckpointInterval == 0 ||
-			(j.Shape == pipeline.Gang && j.TaskCount > 1) || int64(now)-e.StartedAt < startCountsAfter {
+	for _, entry := range s.Jobs.OnMachine(capacity.Machine.Index) {
+		if !canMove(entry, now) {
 			return false
 		}
-		longest = max(longest, p.Remaining(e, now))
+		longest = max(longest, s.Remaining(entry, now))
 	}
 	return longest > minMoveGain
 }
 
-// fitsElsewhere puts the tasks of a machine on the others, in thought; what it
-// takes of them is kept if all fit.
-func (p *Scheduler) fitsElsewhere(d *Capacity, left []*Capacity, receives map[*worker.Machine]bool) bool {
-	entries := slices.Clone(p.Jobs.OnMachine(d.Machine.Index))
+// canMove tells whether a running task can save a checkpoint and go on elsewhere
+// without loss.
+func canMove(entry *pipeline.Entry, now event.Time) bool {
+	job := entry.Job
+	running := entry.Phase == pipeline.RunningTask && !entry.Evict
+	if !running || !isStored(entry) {
+		return false
+	}
+	if job.CheckpointInterval == 0 || isGang(job) {
+		return false
+	}
+	return int64(now)-entry.StartedAt >= int64(startCountsAfter)
+}
+
+// isStored tells whether the state service has an entry as it is.
+func isStored(entry *pipeline.Entry) bool {
+	return entry.Durable && entry.Pending == pipeline.NoPendingWrite
+}
+
+// fitsElsewhere tells whether the tasks of a machine fit on others. If all do, what
+// they use there stays allocated.
+func (s *Scheduler) fitsElsewhere(donor *Capacity, receivers []*Capacity, receives map[*worker.Machine]bool) bool {
+	entries := slices.Clone(s.Jobs.OnMachine(donor.Machine.Index))
 	slices.SortFunc(entries, func(a, b *pipeline.Entry) int {
-		return cmp.Or(cmp.Compare(b.Job.CPUs, a.Job.CPUs), cmp.Compare(a.Job.Order, b.Job.Order), cmp.Compare(a.Task, b.Task))
+		return cmp.Or(cmp.Compare(b.Job.CPUs, a.Job.CPUs), compareEntries(a, b))
 	})
 	type move struct {
-		capacity *Capacity
-		job      *pipeline.Job
+		to  *Capacity
+		job *pipeline.Job
 	}
 	var moves []move
-	for _, e := range entries {
-		j := e.Job
-		i := slices.IndexFunc(left, func(r *Capacity) bool {
-			return r.Machine != d.Machine && !r.Machine.Draining && r.Fits(&j.Spec) > 0 && r.Matches(&j.Spec) && !j.Avoids(r.Machine.Index, p.Jobs.Now) &&
-				!(j.SamePlace && j.TaskCount > 1 && r.Zone != d.Zone) && !(j.Scatter && r.Zone != d.Zone)
+	for _, entry := range entries {
+		i := slices.IndexFunc(receivers, func(receiver *Capacity) bool {
+			return s.mayReceive(receiver, entry.Job, donor)
 		})
 		if i < 0 {
-			for _, m := range moves {
-				m.capacity.release(&m.job.Spec)
+			for _, move := range moves {
+				move.to.release(&move.job.Spec)
 			}
 			return false
 		}
-		left[i].Allocate(&j.Spec, 1)
-		moves = append(moves, move{left[i], j})
+		receivers[i].Allocate(&entry.Job.Spec, 1)
+		moves = append(moves, move{receivers[i], entry.Job})
 	}
-	for _, m := range moves {
-		receives[m.capacity.Machine] = true
+	for _, move := range moves {
+		receives[move.to.Machine] = true
 	}
 	return true
 }
+
+// mayReceive tells whether a machine can take a task from another.
+func (s *Scheduler) mayReceive(receiver *Capacity, job *pipeline.Job, donor *Capacity) bool {
+	if receiver.Machine == donor.Machine || receiver.Machine.Draining {
+		return false
+	}
+	if receiver.Fits(&job.Spec) == 0 || !receiver.accepts(job, s.Jobs.Now) {
+		return false
+	}
+	boundToZone := job.Scatter || (job.SamePlace && job.TaskCount > 1)
+	return !boundToZone || receiver.Zone == donor.Zone
+}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -5,148 +5,205 @@
 	"math"
 	"slices"
 
+	"lugward/internal/config"
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
 )
 
-// fetchCost weighs a second that the more important job waits for its image
-// against a second that a stopped task loses.
-const fetchCost = 4.0
-
-// uncountedStartCost is what it costs in seconds that a start does not count for its
-// user because a stop follows it at once.
-const uncountedStartCost = 20.0
+const (
+	// fetchCost weighs a second that the more important job waits for its image
+	// against a second that a stopped task loses.
+	fetchCost = 4.0
+	// moveCost is what it costs in seconds to stop a task, move it and fetch its
+	// image, beside its checkpoint.
+	moveCost = 10.0
+	// uncountedStartCost is what it costs in seconds that a start does not count for
+	// its user because a stop follows it at once.
+	uncountedStartCost = 20.0
+)
 
 // preempt frees capacity for a job that found none by stopping work that it
 // outranks, for all tasks of a gang or for none. Capacity that is already being
-// emptied is counted first, so that a job does not stop more than it needs. It
-// returns how many tasks are left without a promise.
-func (p *Scheduler) preempt(j *pipeline.Job, capacities []*Capacity, now event.Time) (left int) {
-	left = min(j.StartableCount(), p.QuotaBeside(j, p.committed[j.Team]))
-	if j.Shape == pipeline.Gang && left < j.StartableCount() {
+// freed is counted first, so that a job does not stop more than it needs. It
+// returns how many tasks are left without a reservation.
+func (s *Scheduler) preempt(job *pipeline.Job, capacities []*Capacity, now event.Time) (left int) {
+	left = min(job.StartableCount(), s.QuotaBeside(job, s.round.committed[job.Team]))
+	if job.Shape == pipeline.Gang && left < job.StartableCount() {
 		return 0 // whole or not at all
 	}
-	// Nobody is stopped for a probe, which is likely to fail again.
-	if left == 0 || j.AtFault() || (j.EffectivePriority <= p.lowestPriority && !j.WithinGuarantee) {
+	if left == 0 || !s.mayPreemptAny(job) {
 		return left
 	}
-	price := func(r *Capacity, taken map[*pipeline.Entry]bool) (float64, []*pipeline.Entry, bool) {
-		f := r.afterPreemption()
-		fetch := fetchCost * r.FetchTime(j)
-		if f.Fits(&j.Spec) > 0 {
+	attempt := nextAttempt(job)
+	for _, pick := range s.cheapestVictims(job, capacities, left, now) {
+		s.usePick(job, pick, attempt, now)
+		left--
+	}
+	return left
+}
+
+// mayPreemptAny tells whether there may be tasks that a job may stop. None is
+// stopped for the probe of a job at fault, which is likely to fail again.
+func (s *Scheduler) mayPreemptAny(job *pipeline.Job) bool {
+	outranks := job.EffectivePriority > s.round.lowestPriority || job.WithinGuarantee
+	return outranks && !job.AtFault()
+}
+
+// cheapestVictims picks capacity for the tasks of a job, with the victims to stop
+// for it, in the zone where that costs least.
+func (s *Scheduler) cheapestVictims(job *pipeline.Job, capacities []*Capacity, count int, now event.Time) (best []pick) {
+	price := func(capacity *Capacity, taken taken) (float64, []*pipeline.Entry, bool) {
+		free := capacity.afterPreemption()
+		fetch := fetchCost * capacity.FetchTime(job)
+		if free.Fits(&job.Spec) > 0 {
 			return fetch, nil, true
 		}
-		victims, cost := p.victims(j, r, f, taken, now)
+		victims, cost := s.victims(job, capacity, free, taken, now)
 		return cost + fetch, victims, victims != nil
 	}
-	var best []pick
 	least := math.Inf(1)
-	for _, z := range p.zonesOf(j, capacities) {
-		picks := p.choose(j, capacities, z, left, price, now)
-		if len(picks) == 0 || (j.Shape == pipeline.Gang && len(picks) < left) {
+	for _, zone := range s.zonesToTry(job, capacities) {
+		picks := s.choose(job, capacities, zone, count, price, now)
+		if len(picks) == 0 || (job.Shape == pipeline.Gang && len(picks) < count) {
 			continue
 		}
 		cost := 0.0
-		for _, k := range picks {
-			cost += k.cost
+		for _, pick := range picks {
+			cost += pick.cost
 		}
 		if cost < least {
-			least, best = cost, picks
-			j.ReservedZone = z + 1
+			least = cost
+			best = picks
+			setReservedZone(job, zone)
 		}
 	}
-	attempt := p.attempt(j)
-	for _, k := range best {
-		for _, e := range k.victims {
-			p.Workers.Evict(e, e.Job.CheckpointDuration+1)
-			k.capacity.Preempting = append(k.capacity.Preempting, e)
-			p.notePreempted(e)
-		}
-		if k.victims == nil && k.capacity.Fits(&j.Spec) > 0 {
-			// A gang's tasks fetch their image while capacity is made for the
-			// others: all have a promise, and the wait is short.
-			p.placeTasks(j, k.capacity, 1, attempt, now)
-		} else {
-			p.reserveTask(j, k.capacity, now)
-		}
-		left--
+	return best
+}
+
+// usePick stops the victims of a pick. Its capacity is reserved until they have
+// terminated; where there are none the task is placed at once, so that a gang's
+// tasks fetch their image while capacity is freed for the others.
+func (s *Scheduler) usePick(job *pipeline.Job, pick pick, attempt uint64, now event.Time) {
+	for _, victim := range pick.victims {
+		s.Workers.Evict(victim, gracePeriod(victim.Job))
+		pick.capacity.Preempting = append(pick.capacity.Preempting, victim)
+		s.notePreempted(victim)
+	}
+	if pick.victims == nil && pick.capacity.Fits(&job.Spec) > 0 {
+		s.placeTasks(job, placement{pick.capacity, 1}, attempt, now)
+	} else {
+		s.reserveTask(job, pick.capacity, now)
 	}
-	return left
 }
 
-// afterPreemption is the capacity with what is leaving already gone.
-func (r *Capacity) afterPreemption() Capacity {
-	f := *r
-	for _, e := range r.Preempting {
-		f.release(&e.Job.Spec)
+// afterPreemption is the capacity once the tasks that are told to stop have
+// terminated.
+func (c *Capacity) afterPreemption() Capacity {
+	free := *c
+	for _, entry := range c.Preempting {
+		free.release(&entry.Job.Spec)
 	}
-	return f
+	return free
 }
 
-// notePreempted notes that a team gives up what a task uses.
-func (p *Scheduler) notePreempted(e *pipeline.Entry) {
-	u := p.preempting[e.Job.Team]
-	u.Add(&e.Job.Spec, 1)
-	p.preempting[e.Job.Team] = u
+// notePreempted counts what a team loses by a stop.
+func (s *Scheduler) notePreempted(entry *pipeline.Entry) {
+	usage := s.round.preempting[entry.Job.Team]
+	usage.Add(&entry.Job.Spec, 1)
+	s.round.preempting[entry.Job.Team] = usage
 }
 
 // mayPreempt tells whether a job may stop a running task.
-func (p *Scheduler) mayPreempt(j *pipeline.Job, e *pipeline.Entry) bool {
-	o := e.Job
-	if j.EffectivePriority > o.EffectivePriority {
+func (s *Scheduler) mayPreempt(job *pipeline.Job, entry *pipeline.Entry) bool {
+	other := entry.Job
+	if job.EffectivePriority > other.EffectivePriority {
 		return true
 	}
-	// What a team runs within its own guarantee is not stopped for another's,
-	// nor what was placed a moment ago: of two jobs that stopped each other so
-	// in every round, before either was stored, none would ever start.
-	if !j.WithinGuarantee || j.Team == o.Team || o.WithinGuarantee || !e.Durable {
+	if !job.WithinGuarantee || job.Team == other.Team {
+		return false
+	}
+	// A job within its own team's guarantee is not stopped for another's. Nor is
+	// what was placed a moment ago: two jobs that stopped each other in every
+	// round, before either was stored, would never start.
+	if other.WithinGuarantee || !entry.Durable {
 		return false
 	}
-	// Only what borrows the very thing that is guaranteed gives way.
-	mine, t, u, gone := p.Teams[j.Team], p.Teams[o.Team], p.Jobs.Team(o.Team), p.preempting[o.Team]
-	return (mine.CPUs > 0 && j.CPUs > 0 && o.CPUs > 0 && u.CPUs-gone.CPUs > t.CPUs+tolerance) ||
-		(mine.GPUs > 0 && j.GPUs > 0 && o.GPUs > 0 && u.GPUs-gone.GPUs > t.GPUs+tolerance)
+	return s.borrows(other, s.Teams[job.Team], &job.Spec)
+}
+
+// borrows tells whether a job uses, beyond its own team's guarantee, the very thing
+// that is guaranteed to the team of the asking job.
+func (s *Scheduler) borrows(job *pipeline.Job, askingTeam config.Team, asking *pipeline.Spec) bool {
+	guarantee := s.Teams[job.Team]
+	usage := s.Jobs.Team(job.Team)
+	stopped := s.round.preempting[job.Team]
+	if askingTeam.CPUs > 0 && asking.CPUs > 0 && job.CPUs > 0 {
+		if usage.CPUs-stopped.CPUs > guarantee.CPUs+tolerance {
+			return true
+		}
+	}
+	if askingTeam.GPUs > 0 && asking.GPUs > 0 && job.GPUs > 0 {
+		return usage.GPUs-stopped.GPUs > guarantee.GPUs+tolerance
+	}
+	return false
 }
 
 // candidate is a task that may be stopped, and what that costs.
 type candidate struct {
-	e    *pipeline.Entry
-	cost float64
+	entry *pipeline.Entry
+	cost  float64 // seconds of work lost or delayed
 }
 
-// victims picks tasks to stop on a machine until the job fits, those that
-// lose least first. cost is in seconds of work lost or delayed.
-func (p *Scheduler) victims(j *pipeline.Job, r *Capacity, f Capacity, taken map[*pipeline.Entry]bool, now event.Time) (list []*pipeline.Entry, cost float64) {
-	candidates := p.candidates[:0]
-	defer func() { p.candidates = candidates }()
-	for _, e := range p.Jobs.OnMachine(r.Machine.Index) {
-		if taken[e] || e.Evict || e.Pending != pipeline.NoPendingWrite || e.Job.Final != pipeline.Queued || (e.Job.Shape == pipeline.Gang && e.Job.TaskCount > 1) || !p.mayPreempt(j, e) {
-			continue
-		}
-		c := e.Job.CheckpointDuration + 10 // to save, move and fetch
-		if e.Job.CheckpointInterval == 0 && e.StartedAt != 0 {
-			c += float64(int64(now)-e.StartedAt) / 1e9 // all of it is lost
-		}
-		if e.StartedAt != 0 && int64(now)-e.StartedAt < startCountsAfter {
-			c += uncountedStartCost
+// compareCandidates puts the cheapest first, of equal ones that of the youngest job.
+func compareCandidates(a, b candidate) int {
+	return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(b.entry.Job.Order, a.entry.Job.Order), cmp.Compare(a.entry.Task, b.entry.Task))
+}
+
+// victims picks tasks to stop on a machine until the job fits, those that lose
+// least first. cost is in seconds of work lost or delayed. free is what is left once
+// the tasks that are already told to stop have terminated.
+func (s *Scheduler) victims(job *pipeline.Job, capacity *Capacity, free Capacity, taken taken, now event.Time) (victims []*pipeline.Entry, cost float64) {
+	candidates := s.scratch.candidates[:0]
+	for _, entry := range s.Jobs.OnMachine(capacity.Machine.Index) {
+		if !taken[entry] && mayBeVictim(entry) && s.mayPreempt(job, entry) {
+			candidates = append(candidates, candidate{entry, stopCost(entry, now)})
 		}
-		candidates = append(candidates, candidate{e, c})
-	}
-	if len(candidates) == 0 {
-		return nil, 0
-	}
-	slices.SortFunc(candidates, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(b.e.Job.Order, a.e.Job.Order), cmp.Compare(a.e.Task, b.e.Task))
-	})
-	for i, c := range candidates {
-		cost += c.cost
-		f.release(&c.e.Job.Spec)
-		if f.Fits(&j.Spec) > 0 {
-			for _, c := range candidates[:i+1] {
-				list = append(list, c.e)
+	}
+	s.scratch.candidates = candidates
+	slices.SortFunc(candidates, compareCandidates)
+	for i, next := range candidates {
+		cost += next.cost
+		free.release(&next.entry.Job.Spec)
+		if free.Fits(&job.Spec) > 0 {
+			for _, victim := range candidates[:i+1] {
+				victims = append(victims, victim.entry)
 			}
-			return list, cost
+			return victims, cost
 		}
 	}
 	return nil, 0
 }
+
+// mayBeVictim tells whether a task can be stopped at all for another. Gangs are not:
+// all of their tasks would lose their places for the sake of one.
+func mayBeVictim(entry *pipeline.Entry) bool {
+	if entry.Evict || entry.Pending != pipeline.NoPendingWrite {
+		return false
+	}
+	return entry.Job.Final == pipeline.Queued && !isGang(entry.Job)
+}
+
+// stopCost is what it costs to stop a task, in seconds of work lost or delayed.
+func stopCost(entry *pipeline.Entry, now event.Time) float64 {
+	cost := entry.Job.CheckpointDuration + moveCost
+	if entry.StartedAt == 0 {
+		return cost
+	}
+	if entry.Job.CheckpointInterval == 0 {
+		cost += secondsSince(entry.StartedAt, now) // all of it is lost
+	}
+	if int64(now)-entry.StartedAt < int64(startCountsAfter) {
+		cost += uncountedStartCost
+	}
+	return cost
+}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -3,43 +3,59 @@
 import (
 	"math"
 
+	"lugward/internal/config"
 	"lugward/internal/pipeline"
 )
 
 // updateGuarantees finds the jobs that are within their team's guarantee: those that
-// fit there together with the team's unfinished jobs from before. A job must
-// use something that is guaranteed; what is not guaranteed does not count.
-func (p *Scheduler) updateGuarantees(all []*pipeline.Job) {
-	sum := map[int]pipeline.Usage{}
-	p.lowestPriority = pipeline.Production
-	for _, j := range all {
-		t, u, n := p.Teams[j.Team], sum[j.Team], float64(j.TaskCount-j.DoneCount())
-		u.Add(&j.Spec, n)
-		sum[j.Team] = u
-		cpus, gpus := t.CPUs > 0 && j.CPUs > 0, t.GPUs > 0 && j.GPUs > 0
-		j.WithinGuarantee = (cpus || gpus) && (!cpus || u.CPUs <= t.CPUs+tolerance) && (!gpus || u.GPUs <= t.GPUs+tolerance)
-		if j.Active() > 0 {
-			p.lowestPriority = min(p.lowestPriority, j.EffectivePriority)
+// fit there together with the team's earlier unfinished jobs.
+func (s *Scheduler) updateGuarantees(unfinished []*pipeline.Job) {
+	byTeam := map[int]pipeline.Usage{}
+	s.round.lowestPriority = pipeline.Production
+	for _, job := range unfinished {
+		usage := byTeam[job.Team]
+		usage.Add(&job.Spec, float64(job.TaskCount-job.DoneCount()))
+		byTeam[job.Team] = usage
+		job.WithinGuarantee = isWithinGuarantee(job, s.Teams[job.Team], usage)
+		if job.Active() > 0 {
+			s.round.lowestPriority = min(s.round.lowestPriority, job.EffectivePriority)
 		}
 	}
 }
 
+// isWithinGuarantee tells whether a job is within its team's guarantee, given what
+// it uses together with the team's earlier jobs. A job must use something that is
+// guaranteed; what is not guaranteed does not count.
+func isWithinGuarantee(job *pipeline.Job, team config.Team, usage pipeline.Usage) bool {
+	usesCPUs := team.CPUs > 0 && job.CPUs > 0
+	usesGPUs := team.GPUs > 0 && job.GPUs > 0
+	if usesCPUs && usage.CPUs > team.CPUs+tolerance {
+		return false
+	}
+	if usesGPUs && usage.GPUs > team.GPUs+tolerance {
+		return false
+	}
+	return usesCPUs || usesGPUs
+}
+
 // Quota returns how many more tasks of the job its team's limit allows.
-func (p *Scheduler) Quota(j *pipeline.Job) int { return p.QuotaBeside(j, pipeline.Usage{}) }
+func (s *Scheduler) Quota(job *pipeline.Job) int {
+	return s.QuotaBeside(job, pipeline.Usage{})
+}
 
-// QuotaBeside is the quota once the team also has what is promised to other jobs
-// of it: else each of many jobs would be promised all that the limit leaves.
-func (p *Scheduler) QuotaBeside(j *pipeline.Job, committed pipeline.Usage) int {
-	t := p.Teams[j.Team]
-	u := p.Jobs.Team(j.Team)
-	u.CPUs += committed.CPUs
-	u.GPUs += committed.GPUs
-	n := math.MaxInt32
-	if t.CPUsMax > 0 && j.CPUs > 0 {
-		n = min(n, int((t.CPUsMax-u.CPUs+tolerance)/j.CPUs))
+// QuotaBeside is the quota once the team also uses what is committed to other jobs
+// of it: else each of many jobs would be given all that the limit leaves.
+func (s *Scheduler) QuotaBeside(job *pipeline.Job, committed pipeline.Usage) int {
+	team := s.Teams[job.Team]
+	usage := s.Jobs.Team(job.Team)
+	usage.CPUs += committed.CPUs
+	usage.GPUs += committed.GPUs
+	count := math.MaxInt32
+	if team.CPUsMax > 0 && job.CPUs > 0 {
+		count = min(count, int((team.CPUsMax-usage.CPUs+tolerance)/job.CPUs))
 	}
-	if t.GPUsMax > 0 && j.GPUs > 0 {
-		n = min(n, int((t.GPUsMax-u.GPUs+tolerance)/j.GPUs))
+	if team.GPUsMax > 0 && job.GPUs > 0 {
+		count = min(count, int((team.GPUsMax-usage.GPUs+tolerance)/job.GPUs))
 	}
-	return max(n, 0)
+	return max(count, 0)
 }
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -14,74 +14,92 @@
 
 // reserve keeps capacity for tasks of a job that found none: on each machine it
 // takes what will be free first, so that jobs behind it in the order of
-// readiness use only what does not delay it. For a gang that must be in one
-// place a zone is chosen once and kept: else the capacity that gathers in one is
-// left for another whenever that looks a little better, and small work takes it.
-func (p *Scheduler) reserve(j *pipeline.Job, left int, capacities []*Capacity, now event.Time) {
-	if left <= 0 || p.reserved >= maxReservations {
+// readiness use only what does not delay it.
+func (s *Scheduler) reserve(job *pipeline.Job, left int, capacities []*Capacity, now event.Time) {
+	if left <= 0 || s.round.reserved >= maxReservations {
 		return
 	}
-	if j.Shape != pipeline.Gang {
-		left = min(left, maxReservations-p.reserved)
+	if job.Shape != pipeline.Gang {
+		left = min(left, maxReservations-s.round.reserved)
 	}
-	price := func(r *Capacity, _ map[*pipeline.Entry]bool) (float64, []*pipeline.Entry, bool) {
-		at := p.fitsAt(j, r, now)
-		return at, nil, !math.IsInf(at, 1)
+	picks, zone := s.soonestCapacity(job, left, capacities, now)
+	if zone != anyZone && len(picks) == left {
+		setReservedZone(job, zone)
 	}
-	var best []pick
-	soonest, chosen := math.Inf(1), anyZone
-	for _, z := range p.zonesOf(j, capacities) {
-		picks := p.choose(j, capacities, z, left, price, now)
+	for _, pick := range picks {
+		s.round.reserved++
+		s.reserveTask(job, pick.capacity, now)
+	}
+}
+
+// soonestCapacity picks the capacity that will be free first, and returns the zone
+// that it was looked for in. For a gang that must be in one place a zone is chosen
+// once and kept: else the capacity that gathers in one would be left for another
+// whenever that looks a little better, and small jobs would take it.
+func (s *Scheduler) soonestCapacity(job *pipeline.Job, count int, capacities []*Capacity, now event.Time) (best []pick, bestZone int) {
+	price := func(capacity *Capacity, _ taken) (float64, []*pipeline.Entry, bool) {
+		after := s.fitsAfter(job, capacity, now)
+		return after, nil, !math.IsInf(after, 1)
+	}
+	soonest := math.Inf(1)
+	bestZone = anyZone
+	reserved, hasReserved := reservedZone(job)
+	for _, zone := range s.zonesToTry(job, capacities) {
+		picks := s.choose(job, capacities, zone, count, price, now)
 		if len(picks) == 0 {
 			continue
 		}
-		at := picks[len(picks)-1].cost
-		if len(picks) < left {
-			// Not enough machines yet: it holds what there is only where more
-			// are being provisioned for it, and otherwise the most.
-			at = math.MaxFloat64 / float64(1+len(picks))
+		if after := lastCost(picks, count); after < soonest {
+			soonest = after
+			best = picks
+			bestZone = zone
 		}
-		if at < soonest {
-			soonest, best, chosen = at, picks, z
+		if hasReserved && zone == reserved {
+			break
 		}
-		if j.ReservedZone != 0 && z == j.ReservedZone-1 {
-			break // kept
-		}
-	}
-	if chosen != anyZone && len(best) == left {
-		j.ReservedZone = chosen + 1
 	}
-	for _, k := range best {
-		p.reserved++
-		p.reserveTask(j, k.capacity, now)
+	return best, bestZone
+}
+
+// lastCost is the cost of the last pick. Where there are fewer than wanted, for want
+// of machines, it is beyond all real costs, and least where there are the most.
+func lastCost(picks []pick, wanted int) float64 {
+	if len(picks) < wanted {
+		return math.MaxFloat64 / float64(1+len(picks))
 	}
+	return picks[len(picks)-1].cost
 }
 
-// fitsAt estimates in how many seconds a task of the job fits on a machine.
-func (p *Scheduler) fitsAt(j *pipeline.Job, r *Capacity, now event.Time) float64 {
-	if r.Fits(&j.Spec) > 0 {
+// fitsAfter estimates in how many seconds a task of the job fits on a machine.
+func (s *Scheduler) fitsAfter(job *pipeline.Job, capacity *Capacity, now event.Time) float64 {
+	if capacity.Fits(&job.Spec) > 0 {
 		return 0
 	}
-	if !r.sorted {
-		r.sorted = true
-		for _, e := range p.Jobs.OnMachine(r.Machine.Index) {
-			if e.Phase == pipeline.Exited {
-				continue
-			}
-			at := p.Remaining(e, now)
-			if e.Evict {
-				at = e.Job.CheckpointDuration
-			}
-			r.endings = append(r.endings, ending{e, at})
-		}
-		sortEnds(r.endings)
+	if !capacity.endingsListed {
+		s.listEndings(capacity, now)
 	}
-	free := *r
-	for _, x := range r.endings {
-		free.release(&x.e.Job.Spec)
-		if free.Fits(&j.Spec) > 0 {
-			return x.at
+	free := *capacity
+	for _, ending := range capacity.endings {
+		free.release(&ending.entry.Job.Spec)
+		if free.Fits(&job.Spec) > 0 {
+			return ending.after
 		}
 	}
 	return math.Inf(1)
 }
+
+// listEndings lists when the tasks of a machine are expected to end.
+func (s *Scheduler) listEndings(capacity *Capacity, now event.Time) {
+	capacity.endingsListed = true
+	for _, entry := range s.Jobs.OnMachine(capacity.Machine.Index) {
+		if entry.Phase == pipeline.Exited {
+			continue // it was not counted
+		}
+		after := s.Remaining(entry, now)
+		if entry.Evict {
+			after = entry.Job.CheckpointDuration
+		}
+		capacity.endings = append(capacity.endings, ending{entry, after})
+	}
+	sortEndings(capacity.endings)
+}
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -8,74 +8,97 @@
 	"lugward/internal/worker"
 )
 
-// Round places what it can and returns the jobs that still have tasks open,
-// with the machine capacities as they are left. A round that runs out of its budget goes on
-// where it stopped, and then still keeps the capacity that the jobs before that
-// point were promised: else the less important ones behind them would take it.
-func (p *Scheduler) Round(now event.Time) (blocked []*pipeline.Job, capacities []*Capacity) {
-	capacities = p.Capacities(now)
-	all := p.Jobs.Unfinished()
-	p.updateGuarantees(all)
-	jobs := slices.DeleteFunc(all, func(j *pipeline.Job) bool { return !j.Waits(int64(now)) })
+// reservation is capacity on a machine that one task of a job waits for.
+type reservation struct {
+	job     *pipeline.Job
+	machine *worker.Machine
+}
+
+// Round places what it can and returns the jobs that still have tasks open, with
+// what is left of the machines. A round that runs out of its budget goes on where
+// it stopped, and then still keeps the reservations of the jobs before that point:
+// else less important jobs behind them would take that capacity.
+func (s *Scheduler) Round(now event.Time) (blocked []*pipeline.Job, capacities []*Capacity) {
+	capacities = s.Capacities(now)
+	unfinished := s.Jobs.Unfinished()
+	s.updateGuarantees(unfinished)
+	jobs := slices.DeleteFunc(unfinished, func(job *pipeline.Job) bool { return !job.Waits(int64(now)) })
 	order(jobs, now)
-	p.preempting, p.committed = map[int]pipeline.Usage{}, map[int]pipeline.Usage{}
-	start := slices.IndexFunc(jobs, func(j *pipeline.Job) bool { return j == p.resume })
+	start := s.startRound(jobs, capacities)
+	s.scheduleJobs(jobs[start:], capacities, now)
+	for _, job := range jobs {
+		if job.StartableCount() > 0 {
+			blocked = append(blocked, job)
+		}
+	}
+	return blocked, capacities
+}
+
+// startRound resets the state of a round and returns the job to begin with.
+func (s *Scheduler) startRound(jobs []*pipeline.Job, capacities []*Capacity) (start int) {
+	round := &s.round
+	round.preempting = map[int]pipeline.Usage{}
+	round.committed = map[int]pipeline.Usage{}
+	start = slices.Index(jobs, round.resume)
 	if start < 0 {
-		start, p.reservations = 0, p.reservations[:0]
+		start = 0
+		round.reservations = round.reservations[:0]
 	}
-	if len(p.reservations) > 0 {
-		at := make(map[*worker.Machine]*Capacity, len(capacities))
-		for _, r := range capacities {
-			at[r.Machine] = r
-		}
-		for _, h := range p.reservations {
-			if r := at[h.machine]; r != nil && h.job.StartableCount() > 0 && h.job.Final == pipeline.Queued {
-				r.Allocate(&h.job.Spec, 1)
-				p.commitQuota(h.job)
-			}
-		}
+	if len(round.reservations) > 0 {
+		s.keepReservations(capacities)
 	}
-	p.resume = nil
-	p.reserved = 0
-	for i, j := range jobs[start:] {
-		if i > 0 && p.OverBudget != nil && p.OverBudget() {
-			p.resume = j
-			p.Interrupted++
-			break
-		}
-		p.place(j, capacities, now)
-		if j.StartableCount() > 0 {
-			left := p.preempt(j, capacities, now)
-			p.reserve(j, left, capacities, now)
+	round.resume = nil
+	round.reserved = 0
+	return start
+}
+
+// keepReservations allocates what an interrupted round reserved.
+func (s *Scheduler) keepReservations(capacities []*Capacity) {
+	byMachine := make(map[*worker.Machine]*Capacity, len(capacities))
+	for _, capacity := range capacities {
+		byMachine[capacity.Machine] = capacity
+	}
+	for _, reservation := range s.round.reservations {
+		capacity := byMachine[reservation.machine]
+		job := reservation.job
+		if capacity != nil && job.StartableCount() > 0 && job.Final == pipeline.Queued {
+			capacity.Allocate(&job.Spec, 1)
+			s.commitQuota(job)
 		}
 	}
-	for _, j := range jobs {
-		if j.StartableCount() > 0 {
-			blocked = append(blocked, j)
+}
+
+// scheduleJobs places tasks of the jobs, in their order, until the budget is used
+// up. The first job is looked at in any case, so that rounds get on.
+func (s *Scheduler) scheduleJobs(jobs []*pipeline.Job, capacities []*Capacity, now event.Time) {
+	for i, job := range jobs {
+		if i > 0 && s.overBudget() {
+			s.round.resume = job
+			s.Interrupted++
+			return
+		}
+		s.place(job, capacities, now)
+		if job.StartableCount() > 0 {
+			left := s.preempt(job, capacities, now)
+			s.reserve(job, left, capacities, now)
 		}
 	}
-	return blocked, capacities
 }
 
 // Reserved is how many tasks got a reservation in the last round.
-func (p *Scheduler) Reserved() int { return p.reserved }
-
-// reserveTask gives capacity that is not free yet to a task that waits for it.
-func (p *Scheduler) reserveTask(j *pipeline.Job, r *Capacity, now event.Time) {
-	r.Allocate(&j.Spec, 1)
-	p.commitQuota(j)
-	r.Machine.ReservedAt = now
-	p.reservations = append(p.reservations, reservation{j, r.Machine})
-}
+func (s *Scheduler) Reserved() int { return s.round.reserved }
 
-// commitQuota notes that a team is to get what a task of the job takes.
-func (p *Scheduler) commitQuota(j *pipeline.Job) {
-	u := p.committed[j.Team]
-	u.Add(&j.Spec, 1)
-	p.committed[j.Team] = u
+// reserveTask reserves capacity that is not free yet for a task that waits for it.
+func (s *Scheduler) reserveTask(job *pipeline.Job, capacity *Capacity, now event.Time) {
+	capacity.Allocate(&job.Spec, 1)
+	s.commitQuota(job)
+	capacity.Machine.ReservedAt = now
+	s.round.reservations = append(s.round.reservations, reservation{job, capacity.Machine})
 }
 
-type reservation struct {
-	job     *pipeline.Job
-	machine *worker.Machine
+// commitQuota counts a task's reservation for its team's limit.
+func (s *Scheduler) commitQuota(job *pipeline.Job) {
+	usage := s.round.committed[job.Team]
+	usage.Add(&job.Spec, 1)
+	s.round.committed[job.Team] = usage
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -16,21 +16,50 @@
 	MachineTypes   *MachineTypes
 	Teams          map[int]config.Team
 	ReportInterval event.Time // between two reports of a machine
-	SilentAfter    event.Time // a machine not heard for this long gets nothing new
+	SilentAfter    event.Time // a machine without a report for this long gets no new task
 
-	// Interrupted counts the rounds that ran out of their budget, Counted the
-	// machines whose capacity was counted anew.
-	Interrupted, Recounted int
-	// OverBudget tells how much of the budget is used; nil: no limit.
+	// Interrupted counts the rounds that ran out of their budget.
+	Interrupted int
+	// Recounted counts the machines whose capacity was counted anew.
+	Recounted int
+	// OverBudget tells whether the budget of a round is used up; nil: no limit.
 	OverBudget func() bool
 
-	cached         []Capacity             // by machine, as its entries left it
-	offers         offers                 // capacity for choose, and
-	candidates     []candidate            // for victims, to work in
+	cached  []Capacity // by machine, as its entries leave it
+	round   roundState
+	scratch scratch
+}
+
+// roundState is what a round knows beyond the table. Only resume, reservations and
+// reserved outlive it.
+type roundState struct {
 	resume         *pipeline.Job          // where the last round ran out of time
-	reservations   []reservation          // by the jobs before that
+	reservations   []reservation          // by the jobs before resume
 	reserved       int                    // tasks with a reservation in this round
 	lowestPriority pipeline.Priority      // of what runs
-	preempting     map[int]pipeline.Usage // by team, of what this round stops
-	committed      map[int]pipeline.Usage // by team, of the capacity that this round keeps for it
+	preempting     map[int]pipeline.Usage // by team: what this round stops
+	committed      map[int]pipeline.Usage // by team: what this round reserves for it
+}
+
+// scratch is memory that calls reuse.
+type scratch struct {
+	offers     offers      // of choose
+	candidates []candidate // of victims
+}
+
+// overBudget tells whether the round has used up its time.
+func (s *Scheduler) overBudget() bool {
+	return s.OverBudget != nil && s.OverBudget()
+}
+
+const nanosecondsPerSecond = 1e9
+
+// secondsSince is how long ago a steady time in nanoseconds was, in seconds.
+func secondsSince(at int64, now event.Time) float64 {
+	return float64(int64(now)-at) / nanosecondsPerSecond
+}
+
+// isGang tells whether several tasks of a job run together or not at all.
+func isGang(job *pipeline.Job) bool {
+	return job.Shape == pipeline.Gang && job.TaskCount > 1
 }
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -7,32 +7,39 @@
 	"lugward/internal/pipeline"
 )
 
+// Parts of a machine's score for a job. A part of one or less compares how well
+// tasks fill the machine.
 const (
-	fetchWeight      = 0.2
-	reportWaitWeight = 0.1
+	fetchWeight      = 0.2   // per second of fetching the image
+	reportWaitWeight = 0.1   // per second until the machine's next report is due
+	idleGPUsScore    = 100.0 // a machine with GPUs for a job without: they would be idle
+	emptyScore       = 2.0   // a machine without tasks, which could be released
 )
 
 // FetchTime is how long a machine fetches a job's image, in seconds.
-func (r *Capacity) FetchTime(j *pipeline.Job) float64 {
-	if r.Machine == nil || r.Machine.Images[j.Image] || r.MachineType.FetchRate <= 0 {
+func (c *Capacity) FetchTime(job *pipeline.Job) float64 {
+	if c.Machine == nil || c.Machine.Images[job.Image] || c.MachineType.FetchRate <= 0 {
 		return 0
 	}
-	return j.ImageGB / r.MachineType.FetchRate
+	return job.ImageGB / c.MachineType.FetchRate
 }
 
-// score: less is better.
-func (p *Scheduler) score(j *pipeline.Job, r *Capacity, now event.Time) float64 {
-	s := 0.0
-	if j.GPUs == 0 && r.MachineType.GPUs > 0 {
-		s += 100 // GPUs would lie idle
+// score tells how suitable a machine is for a job: less is better.
+func (s *Scheduler) score(job *pipeline.Job, capacity *Capacity, now event.Time) float64 {
+	score := 0.0
+	if job.GPUs == 0 && capacity.MachineType.GPUs > 0 {
+		score += idleGPUsScore
 	}
-	s += fetchWeight * r.FetchTime(j)
+	score += fetchWeight * capacity.FetchTime(job)
 	// The start travels in the answer to the machine's next report.
-	s += reportWaitWeight * max(0, (p.ReportInterval-(now-r.Machine.LastReport)).Seconds())
-	if !r.Busy {
-		s += 2
+	sinceReport := now - capacity.Machine.LastReport
+	score += reportWaitWeight * max(0, (s.ReportInterval-sinceReport).Seconds())
+	if !capacity.Busy {
+		score += emptyScore
 	}
 	// Best fit: the least left over.
-	s += (r.CPUs-j.CPUs)/r.MachineType.CPUs + r.GPUs/math.Max(r.MachineType.GPUs, 1)
-	return s
+	cpusLeft := (capacity.CPUs - job.CPUs) / capacity.MachineType.CPUs
+	gpusLeft := capacity.GPUs / math.Max(capacity.MachineType.GPUs, 1)
+	score += cpusLeft + gpusLeft
+	return score
 }
