--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -165,7 +165,7 @@
 func (s *Scheduler) victims(job *pipeline.Job, capacity *Capacity, free Capacity, taken taken, now event.Time) (victims []*pipeline.Entry, cost float64) {
 	candidates := s.scratch.candidates[:0]
 	for _, entry := range s.Jobs.OnMachine(capacity.Machine.Index) {
-		if !taken[entry] && mayBeVictim(entry) && s.mayPreempt(job, entry) {
+		if !taken[entry] && mayBeVictim(entry) && !forcedStart(entry, now) && s.mayPreempt(job, entry) {
 			candidates = append(candidates, candidate{entry, stopCost(entry, now)})
 		}
 	}
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -25,6 +25,9 @@
 	jobs := slices.DeleteFunc(unfinished, func(job *pipeline.Job) bool { return !job.Waits(int64(now)) })
 	order(jobs, now)
 	start := s.startRound(jobs, capacities)
+	if start == 0 {
+		s.beginStarving(jobs, capacities, now)
+	}
 	s.scheduleJobs(jobs[start:], capacities, now)
 	for _, job := range jobs {
 		if job.StartableCount() > 0 {
