--- /dev/null
+++ b/internal/autoscaler/zones.go
@@ -0,0 +1,105 @@
+package autoscaler
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"lugward/internal/event"
+	"lugward/internal/worker"
+)
+
+const (
+	// A silent machine is released if for each silent machine of its zone so many
+	// others report.
+	reportingPerSilent = 3
+	// A zone's machines do not show that it is connected until this long after they
+	// reconnected.
+	partitionMemory = 60 * time.Second
+)
+
+// zones lists the machines of each zone that are up, silent ones included.
+func (a *Autoscaler) zones() map[int][]*worker.Machine {
+	zones := map[int][]*worker.Machine{}
+	for _, machine := range a.workers.Machines {
+		if machine == nil || machine.Retiring {
+			continue
+		}
+		booting := a.booting[machine.Index]
+		if machine.LastReport != 0 || (booting != nil && booting.up) {
+			zones[machine.Zone] = append(zones[machine.Zone], machine)
+		}
+	}
+	return zones
+}
+
+// findPartitioned finds the zones most of whose machines are silent: nothing is
+// provisioned there, and machines that are there are kept for longer.
+func (a *Autoscaler) findPartitioned(scan *scan) {
+	partitioned := map[int]bool{}
+	for zone, machines := range scan.zones {
+		lost := 0
+		for _, machine := range machines {
+			if scan.now-a.lastSign(machine) > scan.silentAfter || machine.UnreachableSince != 0 {
+				lost++
+			}
+		}
+		// A single lost machine says nothing of its zone.
+		if lost <= 1 || 2*lost <= len(machines) {
+			continue
+		}
+		partitioned[zone] = true
+		if !a.partitioned[zone] {
+			a.log.Info("zone is partitioned", "zone", a.names.Zones.Name(zone), "machines", len(machines), "silent", lost)
+		}
+	}
+	a.partitioned = partitioned
+}
+
+// lastSign is when a machine last reported, or was first listed as running where
+// it has not reported.
+func (a *Autoscaler) lastSign(machine *worker.Machine) event.Time {
+	if booting := a.booting[machine.Index]; machine.LastReport == 0 && booting != nil {
+		return booting.since
+	}
+	return machine.LastReport
+}
+
+// releaseSilent releases a machine that alone in its zone went silent: the cloud's
+// response proves that its tasks have terminated long before the end of its lease
+// does. Where several are silent a partition is the likelier cause, and they are
+// left to go on working; so they are while the zone reconnects machine by machine.
+func (a *Autoscaler) releaseSilent(scan *scan) {
+	for _, zone := range slices.Sorted(maps.Keys(scan.zones)) {
+		machines := scan.zones[zone]
+		var silent []*worker.Machine
+		for _, machine := range machines {
+			// One that never reported counts as booting.
+			if machine.LastReport != 0 && scan.now-machine.LastReport > scan.silentAfter {
+				silent = append(silent, machine)
+			}
+		}
+		for _, machine := range silent {
+			if countReportingAfter(machine, machines, scan) < reportingPerSilent*len(silent) {
+				continue
+			}
+			a.log.Info("silent machine released", "machine", machine.Name, "tasks", len(a.jobs.OnMachine(machine.Index)))
+			a.Retire(machine, scan.now, scan.term)
+		}
+	}
+}
+
+// countReportingAfter counts the machines that show that their zone is connected
+// though one of them is silent. Machines behind one partition go silent one by one,
+// each when its next report is due: only those that reported well after the silent
+// one count.
+func countReportingAfter(silent *worker.Machine, machines []*worker.Machine, scan *scan) (count int) {
+	wellAfter := silent.LastReport + scan.silentAfter*3/4
+	for _, machine := range machines {
+		settled := machine.ReconnectedAt == 0 || scan.now-machine.ReconnectedAt > partitionMemory
+		if machine.LastReport > wellAfter && settled {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/internal/scheduler/capacity.go
@@ -0,0 +1,149 @@
+package scheduler
+
+import (
+	"math"
+	"slices"
+
+	"lugward/internal/event"
+	"lugward/internal/pipeline"
+	"lugward/internal/worker"
+)
+
+// tolerance is allowed in comparisons of amounts, which are decimal numbers.
+const tolerance = 1e-6
+
+// Capacity is what is left of a machine.
+type Capacity struct {
+	Machine     *worker.Machine // nil: not up yet
+	MachineType *MachineType
+	Zone        int
+	Spot        bool
+	CPUs        float64
+	GPUs        float64
+	Memory      float64
+	Busy        bool              // tasks are on it
+	Preempting  []*pipeline.Entry // its tasks that are told to stop
+
+	endings       []ending // of its tasks, soonest first
+	endingsListed bool     // endings are filled in
+	changes       uint32   // of the machine's entries when it was counted
+}
+
+// Fits returns how many tasks of a job fit.
+func (c *Capacity) Fits(spec *pipeline.Spec) int {
+	count := math.MaxInt32
+	if spec.CPUs > 0 {
+		count = int((c.CPUs + tolerance) / spec.CPUs)
+	}
+	if spec.GPUs > 0 {
+		count = min(count, int((c.GPUs+tolerance)/spec.GPUs))
+	}
+	if spec.Memory > 0 {
+		count = min(count, int((c.Memory+tolerance)/spec.Memory))
+	}
+	return max(count, 0)
+}
+
+// fitsEmpty tells whether a task would fit if nothing else were there.
+func (c *Capacity) fitsEmpty(spec *pipeline.Spec) bool {
+	machineType := c.MachineType
+	return spec.CPUs <= machineType.CPUs+tolerance &&
+		spec.GPUs <= machineType.GPUs+tolerance &&
+		spec.Memory <= machineType.Memory+tolerance
+}
+
+// Matches tells whether the machine is of a kind, type and zone that the job
+// allows.
+func (c *Capacity) Matches(spec *pipeline.Spec) bool {
+	if c.MachineType == nil || !spec.Allows(c.MachineType.Index) {
+		return false
+	}
+	zoneAllowed := spec.Zone < 0 || spec.Zone == c.Zone
+	kindAllowed := spec.AllowSpot || !c.Spot
+	return zoneAllowed && kindAllowed
+}
+
+// accepts tells whether a task of a job may be placed on a machine that is up.
+func (c *Capacity) accepts(job *pipeline.Job, now int64) bool {
+	return c.Matches(&job.Spec) && !job.Avoids(c.Machine.Index, now)
+}
+
+// Allocate uses capacity for a number of tasks.
+func (c *Capacity) Allocate(spec *pipeline.Spec, count int) {
+	tasks := float64(count)
+	c.CPUs -= tasks * spec.CPUs
+	c.GPUs -= tasks * spec.GPUs
+	c.Memory -= tasks * spec.Memory
+	c.Busy = true
+}
+
+// release gives back what a task used.
+func (c *Capacity) release(spec *pipeline.Spec) {
+	c.CPUs += spec.CPUs
+	c.GPUs += spec.GPUs
+	c.Memory += spec.Memory
+}
+
+// price is what the machine costs per hour.
+func (c *Capacity) price() float64 {
+	if c.Spot {
+		return c.MachineType.SpotPrice
+	}
+	return c.MachineType.Price
+}
+
+// capacity counts what is left of a machine, unless nothing has changed there.
+func (s *Scheduler) capacity(machine *worker.Machine, machineType *MachineType) *Capacity {
+	for len(s.cached) <= machine.Index {
+		s.cached = append(s.cached, Capacity{})
+	}
+	capacity := &s.cached[machine.Index]
+	changes := s.Jobs.Changes(machine.Index)
+	if capacity.Machine == machine && capacity.MachineType == machineType && capacity.changes == changes {
+		return capacity
+	}
+	s.Recounted++
+	*capacity = Capacity{
+		Machine:     machine,
+		MachineType: machineType,
+		CPUs:        machineType.CPUs,
+		GPUs:        machineType.GPUs,
+		Memory:      machineType.Memory,
+		changes:     changes,
+	}
+	for _, entry := range s.Jobs.OnMachine(machine.Index) {
+		if entry.Phase == pipeline.Exited {
+			continue // it uses nothing any more; only its record is still to change
+		}
+		capacity.Allocate(&entry.Job.Spec, 1)
+		if entry.Evict {
+			capacity.Preempting = append(capacity.Preempting, entry)
+		}
+	}
+	// A round appends to its copy: that must not reach the cached one.
+	capacity.Preempting = slices.Clip(capacity.Preempting)
+	return capacity
+}
+
+// Capacities lists what is left of the machines that are up.
+func (s *Scheduler) Capacities(now event.Time) []*Capacity {
+	all := make([]Capacity, 0, len(s.Workers.Machines))
+	for _, machine := range s.Workers.Machines {
+		if machine == nil || !machine.Up(now, s.SilentAfter) {
+			continue
+		}
+		machineType := s.MachineTypes.Get(machine.MachineType)
+		if machineType == nil {
+			continue
+		}
+		capacity := *s.capacity(machine, machineType)
+		capacity.Zone = machine.Zone
+		capacity.Spot = machine.Spot
+		all = append(all, capacity)
+	}
+	capacities := make([]*Capacity, len(all))
+	for i := range all {
+		capacities[i] = &all[i]
+	}
+	return capacities
+}
--- /dev/null
+++ b/internal/scheduler/round.go
@@ -0,0 +1,107 @@
+package scheduler
+
+import (
+	"slices"
+
+	"lugward/internal/event"
+	"lugward/internal/pipeline"
+	"lugward/internal/worker"
+)
+
+// reservation is capacity on a machine that one task of a job waits for.
+type reservation struct {
+	job     *pipeline.Job
+	machine *worker.Machine
+}
+
+// Round places what it can and returns the jobs that still have tasks open, with
+// what is left of the machines. A round that runs out of its budget goes on where
+// it stopped, and then still keeps the reservations of the jobs before that point:
+// else less important jobs behind them would take that capacity.
+func (s *Scheduler) Round(now event.Time) (blocked []*pipeline.Job, capacities []*Capacity) {
+	capacities = s.Capacities(now)
+	unfinished := s.Jobs.Unfinished()
+	s.updateGuarantees(unfinished)
+	jobs := slices.DeleteFunc(unfinished, func(job *pipeline.Job) bool { return !job.Waits(int64(now)) })
+	order(jobs, now)
+	start := s.startRound(jobs, capacities)
+	if start == 0 {
+		s.beginStarving(jobs, capacities, now)
+	}
+	s.scheduleJobs(jobs[start:], capacities, now)
+	for _, job := range jobs {
+		if job.StartableCount() > 0 {
+			blocked = append(blocked, job)
+		}
+	}
+	return blocked, capacities
+}
+
+// startRound resets the state of a round and returns the job to begin with.
+func (s *Scheduler) startRound(jobs []*pipeline.Job, capacities []*Capacity) (start int) {
+	round := &s.round
+	round.preempting = map[int]pipeline.Usage{}
+	round.committed = map[int]pipeline.Usage{}
+	start = slices.Index(jobs, round.resume)
+	if start < 0 {
+		start = 0
+		round.reservations = round.reservations[:0]
+	}
+	if len(round.reservations) > 0 {
+		s.keepReservations(capacities)
+	}
+	round.resume = nil
+	round.reserved = 0
+	return start
+}
+
+// keepReservations allocates what an interrupted round reserved.
+func (s *Scheduler) keepReservations(capacities []*Capacity) {
+	byMachine := make(map[*worker.Machine]*Capacity, len(capacities))
+	for _, capacity := range capacities {
+		byMachine[capacity.Machine] = capacity
+	}
+	for _, reservation := range s.round.reservations {
+		capacity := byMachine[reservation.machine]
+		job := reservation.job
+		if capacity != nil && job.StartableCount() > 0 && job.Final == pipeline.Queued {
+			capacity.Allocate(&job.Spec, 1)
+			s.commitQuota(job)
+		}
+	}
+}
+
+// scheduleJobs places tasks of the jobs, in their order, until the budget is used
+// up. The first job is looked at in any case, so that rounds get on.
+func (s *Scheduler) scheduleJobs(jobs []*pipeline.Job, capacities []*Capacity, now event.Time) {
+	for i, job := range jobs {
+		if i > 0 && s.overBudget() {
+			s.round.resume = job
+			s.Interrupted++
+			return
+		}
+		s.place(job, capacities, now)
+		if job.StartableCount() > 0 {
+			left := s.preempt(job, capacities, now)
+			s.reserve(job, left, capacities, now)
+		}
+	}
+}
+
+// Reserved is how many tasks got a reservation in the last round.
+func (s *Scheduler) Reserved() int { return s.round.reserved }
+
+// reserveTask reserves capacity that is not free yet for a task that waits for it.
+func (s *Scheduler) reserveTask(job *pipeline.Job, capacity *Capacity, now event.Time) {
+	capacity.Allocate(&job.Spec, 1)
+	s.commitQuota(job)
+	capacity.Machine.ReservedAt = now
+	s.round.reservations = append(s.round.reservations, reservation{job, capacity.Machine})
+}
+
+// commitQuota counts a task's reservation for its team's limit.
+func (s *Scheduler) commitQuota(job *pipeline.Job) {
+	usage := s.round.committed[job.Team]
+	usage.Add(&job.Spec, 1)
+	s.round.committed[job.Team] = usage
+}
