--- a/internal/autoscaler/release.go
+++ b/internal/autoscaler/release.go
@@ -117,7 +117,7 @@
 // its tasks have terminated.
 func (a *Autoscaler) machineReleased(name string, now event.Time, term store.Condition) {
 	machine := a.workers.Machine(name, now)
-	a.workers.MarkTerminated(machine, now)
+	a.workers.MarkTerminated(machine)
 	delete(a.booting, machine.Index)
 	delete(a.provisioning.refused, offerOf(machine)) // the cloud has one again
 	a.workers.Machines[machine.Index] = nil
--- a/internal/scheduler/pack.go
+++ b/internal/scheduler/pack.go
@@ -15,16 +15,8 @@
 	startCountsAfter = 30 * time.Second
 	// Moving pays if the machine would else stay busy this much longer, in seconds.
 	minMoveGain = 25.0
-	// checkpointMargin is added to the time that a checkpoint takes, in seconds,
-	// where a task is stopped.
-	checkpointMargin = 1
 )
 
-// gracePeriod is the time that a task gets to save a checkpoint, in seconds.
-func gracePeriod(job *pipeline.Job) float64 {
-	return job.CheckpointDuration + checkpointMargin
-}
-
 // Pack finds machines whose tasks all fit on other busy ones, stops those with time
 // to save, and marks the machines as draining so that they are released once empty.
 // capacities is what the last round left. The budget of a round bounds it.
@@ -61,7 +53,7 @@
 // drain moves the tasks of a machine and keeps new ones off it.
 func (s *Scheduler) drain(machine *worker.Machine) {
 	for _, entry := range s.Jobs.OnMachine(machine.Index) {
-		s.Workers.Evict(entry, gracePeriod(entry.Job))
+		s.Workers.Evict(entry, worker.GracePeriod(entry.Job))
 	}
 	machine.Draining = true
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -8,6 +8,7 @@
 	"lugward/internal/config"
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
+	"lugward/internal/worker"
 )
 
 const (
@@ -85,7 +86,7 @@
 // tasks fetch their image while capacity is freed for the others.
 func (s *Scheduler) usePick(job *pipeline.Job, pick pick, attempt uint64, now event.Time) {
 	for _, victim := range pick.victims {
-		s.Workers.Evict(victim, gracePeriod(victim.Job))
+		s.Workers.Evict(victim, worker.GracePeriod(victim.Job))
 		pick.capacity.Preempting = append(pick.capacity.Preempting, victim)
 		s.notePreempted(victim)
 	}
--- a/internal/worker/direct.go
+++ b/internal/worker/direct.go
@@ -2,46 +2,70 @@
 
 import (
 	"encoding/json"
+	"net/http"
+	"time"
 
 	"lugward/internal/event"
 )
 
-// AnnounceToken tells a machine our fencing token by a command without orders. A leader that
-// lost the state service and the other controllers, but not its workers, may
-// answer them for its whole grace; told a higher fencing token, they tell it at once,
-// and report to us. The proof of silence does not rest on it.
-func (f *Registry) AnnounceToken(h *Machine, now event.Time, term Term, out *event.Effects) {
-	if h.Addr == "" || (h.lastAnnouncement != 0 && now-h.lastAnnouncement < announceInterval) {
-		return
-	}
-	h.lastAnnouncement = now
-	f.announceToken(h, max(h.Session, 1), term, out, h)
-}
-
-func (f *Registry) announceToken(h *Machine, session uint64, term Term, out *event.Effects, learn *Machine) {
-	body, _ := json.Marshal(directCommand{term.FencingToken(), session, []Order{}})
-	f.calls[out.Call(h.Addr, "POST", "/do", body, directTimeout)] = learn
-}
+const (
+	announceInterval = 10 * time.Second // between two announcements to a machine
+	directTimeout    = 3 * time.Second  // of a direct command
+)
 
+// directCommand is a command to a worker outside of the answers to its reports.
 type directCommand struct {
 	FencingToken uint64  `json:"fence"`
 	Session      uint64  `json:"tenure"`
 	Orders       []Order `json:"orders"`
 }
 
-// CallDone takes the outcome of a direct command: the worker's next report
-// tells what became of it. Only its session is taken from an answer that says
-// that we had it wrong.
-func (f *Registry) CallDone(d event.CallDone, term Term, out *event.Effects) bool {
-	h, ok := f.calls[d.ID]
+// directCall is a direct command in flight.
+type directCall struct {
+	// announcedTo is the machine that is told our fencing token; nil where a
+	// refusal changes nothing.
+	announcedTo *Machine
+}
+
+// sendCommand sends a direct command.
+func (r *Registry) sendCommand(machine *Machine, command directCommand, call directCall, out *event.Effects) {
+	body, _ := json.Marshal(command)
+	r.calls[out.Call(machine.Addr, http.MethodPost, "/do", body, directTimeout)] = call
+}
+
+// AnnounceToken tells a machine our fencing token by a command without orders. A
+// leader that lost the state service and the other controllers, but not its
+// workers, may answer them for its whole grace; told a higher fencing token, they
+// tell it at once, and report to us. The proof of silence does not rest on it.
+func (r *Registry) AnnounceToken(machine *Machine, now event.Time, term Term, out *event.Effects) {
+	if machine.Addr == "" {
+		return
+	}
+	if machine.lastAnnouncement != 0 && now-machine.lastAnnouncement < announceInterval {
+		return
+	}
+	machine.lastAnnouncement = now
+	session := max(machine.Session, 1) // sessions begin at 1
+	command := directCommand{term.FencingToken(), session, []Order{}}
+	r.sendCommand(machine, command, directCall{announcedTo: machine}, out)
+}
+
+// CallDone takes the outcome of a direct command; it tells whether the call was the
+// registry's. The worker's next report tells what became of a command. Only where
+// an announcement named the wrong session it is repeated with the right one, once.
+func (r *Registry) CallDone(done event.CallDone, term Term, out *event.Effects) bool {
+	call, ok := r.calls[done.ID]
 	if !ok {
 		return false
 	}
-	delete(f.calls, d.ID)
-	if h != nil && d.Status == 409 {
-		if r, err := parseReport(d.Body); err == nil && r.FencingToken < term.FencingToken() {
-			f.announceToken(h, r.Session, term, out, nil)
-		}
+	delete(r.calls, done.ID)
+	if call.announcedTo == nil || done.Status != http.StatusConflict {
+		return true
+	}
+	report, err := parseReport(done.Body)
+	if err == nil && report.FencingToken < term.FencingToken() {
+		command := directCommand{term.FencingToken(), report.Session, []Order{}}
+		r.sendCommand(call.announcedTo, command, directCall{}, out)
 	}
 	return true
 }
--- a/internal/worker/failures.go
+++ b/internal/worker/failures.go
@@ -33,64 +33,71 @@
 // faulty or the job is: the job is if it also fails elsewhere, the machine if
 // several jobs fail there that work elsewhere. Until one of these is proven, the
 // job tries another machine at once and the machine is used as before.
-func (f *Registry) taskFailed(h *Machine, e *pipeline.Entry, now event.Time) {
-	j := e.Job
-	f.log.Info("task failed", "job", j.ID, "machine", h.Name)
-	if h.failedJobs == nil {
-		h.failedJobs = map[string]event.Time{}
+func (r *Registry) taskFailed(machine *Machine, entry *pipeline.Entry, now event.Time) {
+	job := entry.Job
+	r.log.Info("task failed", "job", job.ID, "machine", machine.Name)
+	if machine.failedJobs == nil {
+		machine.failedJobs = map[string]event.Time{}
 	}
-	if len(h.failedJobs) == 0 {
-		h.failingSince = now
+	if len(machine.failedJobs) == 0 {
+		machine.failingSince = now
 	}
-	h.failedJobs[j.ID] = runTime(e, now)
-	f.suspects[h.Index] = true
-	failures := j.Failures()
-	if f.Jobs.TaskFailed(e, now); j.Failures() > failures {
-		f.log.Info("job backing off", "job", j.ID, "failures", j.Failures())
+	machine.failedJobs[job.ID] = runTime(entry, now)
+	r.suspects[machine.Index] = true
+	failures := job.Failures()
+	r.Jobs.TaskFailed(entry, now)
+	if job.Failures() > failures {
+		r.log.Info("job backing off", "job", job.ID, "failures", job.Failures())
 	}
 }
 
 // taskSucceeded takes in a task that completed: neither the machine nor the job
 // is at fault.
-func (f *Registry) taskSucceeded(h *Machine, j *pipeline.Job) {
-	clear(h.failedJobs)
-	delete(f.suspects, h.Index)
-	f.Jobs.ClearFailures(j)
+func (r *Registry) taskSucceeded(machine *Machine, job *pipeline.Job) {
+	clear(machine.failedJobs)
+	delete(r.suspects, machine.Index)
+	r.Jobs.ClearFailures(job)
 }
 
 // runTime is for how long a task has been seen running.
-func runTime(e *pipeline.Entry, now event.Time) event.Time {
-	if e.StartedAt == 0 {
+func runTime(entry *pipeline.Entry, now event.Time) event.Time {
+	if entry.StartedAt == 0 {
 		return 0
 	}
-	return now - event.Time(e.StartedAt)
+	return now - event.Time(entry.StartedAt)
+}
+
+// runsFor tells whether a task is running and has been for a time.
+func runsFor(entry *pipeline.Entry, needed, now event.Time) bool {
+	return entry.Phase == pipeline.RunningTask && runTime(entry, now) >= needed
 }
 
 // scanFaults looks at the machines on which tasks have failed. Without any it
 // costs nothing.
-func (f *Registry) scanFaults(now event.Time) {
-	if now-f.faultScanAt < faultScanInterval {
+func (r *Registry) scanFaults(now event.Time) {
+	if now-r.faultScanAt < faultScanInterval {
 		return
 	}
-	f.faultScanAt = now
-	for _, i := range slices.Sorted(maps.Keys(f.suspects)) {
-		h := f.At(i)
-		if h == nil || h.Faulty {
-			delete(f.suspects, i)
+	r.faultScanAt = now
+	for _, index := range slices.Sorted(maps.Keys(r.suspects)) {
+		machine := r.At(index)
+		if machine == nil || machine.Faulty {
+			delete(r.suspects, index)
 			continue
 		}
-		if f.provenFailures(h, now) >= minFailedJobs || f.unprovenFailures(h, now) >= minUnprovenJobs {
-			f.quarantine(h)
+		proven := r.provenFailures(machine, now) >= minFailedJobs
+		if proven || r.unprovenFailures(machine, now) >= minUnprovenJobs {
+			r.quarantine(machine)
 		}
 	}
 }
 
 // provenFailures counts the jobs that failed on a machine though they work
 // elsewhere.
-func (f *Registry) provenFailures(h *Machine, now event.Time) (count int) {
-	for id, ran := range h.failedJobs {
-		j := f.Jobs.Job(id)
-		if j != nil && !j.AtFault() && f.worksElsewhere(j, h, ran, now) {
+func (r *Registry) provenFailures(machine *Machine, now event.Time) (count int) {
+	for id, ran := range machine.failedJobs {
+		job := r.Jobs.Job(id)
+		if job != nil && !job.AtFault() && r.worksElsewhere(job, machine, ran, now) {
 			count++
 		}
 	}
@@ -99,12 +106,12 @@
 
 // unprovenFailures counts the jobs that failed on a machine and nowhere else, once
 // the first failure is long enough ago.
-func (f *Registry) unprovenFailures(h *Machine, now event.Time) (count int) {
-	if now-h.failingSince < unprovenTime {
+func (r *Registry) unprovenFailures(machine *Machine, now event.Time) (count int) {
+	if now-machine.failingSince < unprovenTime {
 		return 0
 	}
-	for id := range h.failedJobs {
-		if j := f.Jobs.Job(id); j != nil && j.FailedOnlyOn(h.Index) {
+	for id := range machine.failedJobs {
+		if job := r.Jobs.Job(id); job != nil && job.FailedOnlyOn(machine.Index) {
 			count++
 		}
 	}
@@ -113,44 +120,44 @@
 
 // worksElsewhere tells whether tasks of a job have completed, or have been running
 // on other machines for longer than one ran on this machine before it failed.
-func (f *Registry) worksElsewhere(j *pipeline.Job, h *Machine, ran, now event.Time) bool {
-	if j.DoneCount() > 0 {
+func (r *Registry) worksElsewhere(job *pipeline.Job, machine *Machine, ran, now event.Time) bool {
+	if job.DoneCount() > 0 {
 		return true
 	}
 	needed := max(minWorkingTime, workingTimeFactor*ran)
 	works := false
-	j.Entries(func(e *pipeline.Entry) {
-		works = works || (e.Machine != h.Index && e.Phase == pipeline.RunningTask && runTime(e, now) >= needed)
+	job.Entries(func(entry *pipeline.Entry) {
+		works = works || (entry.Machine != machine.Index && runsFor(entry, needed, now))
 	})
 	return works
 }
 
 // quarantine takes a faulty machine out of use: what runs there moves at once, and
 // the machine is released when it is empty.
-func (f *Registry) quarantine(h *Machine) {
-	f.log.Info("machine is faulty", "machine", h.Name, "failed_jobs", len(h.failedJobs))
-	h.Faulty = true
-	h.Draining = true
-	for _, id := range slices.Sorted(maps.Keys(h.failedJobs)) {
-		if j := f.Jobs.Job(id); j != nil && j.FailedOnlyOn(h.Index) {
-			f.Jobs.ClearFailures(j)
+func (r *Registry) quarantine(machine *Machine) {
+	r.log.Info("machine is faulty", "machine", machine.Name, "failed_jobs", len(machine.failedJobs))
+	machine.Faulty = true
+	machine.Draining = true
+	for _, id := range slices.Sorted(maps.Keys(machine.failedJobs)) {
+		if job := r.Jobs.Job(id); job != nil && job.FailedOnlyOn(machine.Index) {
+			r.Jobs.ClearFailures(job)
 		}
 	}
-	for _, e := range f.sorted(h) {
-		f.Evict(e, e.Job.CheckpointDuration+1)
+	for _, entry := range r.sortedEntries(machine) {
+		r.Evict(entry, GracePeriod(entry.Job))
 	}
 }
 
 // checkService ends the probing of a service whose replica goes on running.
-func (f *Registry) checkService(j *pipeline.Job, now event.Time) {
-	if !j.AtFault() || j.Shape != pipeline.Daemon {
+func (r *Registry) checkService(job *pipeline.Job, now event.Time) {
+	if !job.AtFault() || job.Shape != pipeline.Daemon {
 		return
 	}
 	works := false
-	j.Entries(func(e *pipeline.Entry) {
-		works = works || (e.Phase == pipeline.RunningTask && runTime(e, now) >= serviceWorkingTime)
+	job.Entries(func(entry *pipeline.Entry) {
+		works = works || runsFor(entry, serviceWorkingTime, now)
 	})
 	if works {
-		f.Jobs.ClearFailures(j)
+		r.Jobs.ClearFailures(job)
 	}
 }
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -6,56 +6,114 @@
 	"lugward/internal/event"
 )
 
-// Machine is a machine.
+// unknown stands for a machine type or zone that is not known yet.
+const unknown = -1
+
+// Machine is a machine of the cloud with its worker.
 type Machine struct {
-	Index       int
-	Name        string
-	Addr        string
+	Index int
+	Name  string
+	Addr  string
+
+	description
+	contact
+	reachability
+	use
+	health
+	commands
+}
+
+// description is what the machine is.
+type description struct {
 	MachineType int
 	Zone        int
 	Spot        bool
+	Known       bool // machine type and zone are known
+}
 
-	Known          bool // machine type and zone are known
-	TokenConfirmed bool // a report of it carried our fencing token: our answers reach it
-	// Deaf is since when our answers seem not to reach it, 0: they do. Its
-	// reports may go on arriving all the while.
+// contact is how far the exchange of reports and answers has come in this term.
+// Reports are ordered by session and sequence.
+type contact struct {
+	Session       uint64
+	Sequence      uint64
+	LastReport    event.Time // 0: none in this term
+	LastAnswer    event.Time // 0: none in this term
+	ReconnectedAt event.Time // when it last reported again after it had been silent
+	firstReport   event.Time
+}
+
+// reachability is whether our answers reach the worker. Its reports may go on
+// arriving where they do not.
+type reachability struct {
+	// TokenConfirmed tells whether a report carried our fencing token.
+	TokenConfirmed bool
+	// UnreachableSince is since when our answers seem not to arrive, 0: they do.
 	UnreachableSince   event.Time
-	unreachableSession uint64
-	unconfirmedReports int // reports without our fencing token since we first answered one
-	Session            uint64
-	Sequence           uint64
-	LastReport         event.Time // of the last report, 0: none in this term
-	LastAnswer         event.Time
-	ReconnectedAt      event.Time // when it was last heard again after it had been silent
-	ReclaimAt          event.Time // 0: no notice
-
-	UnknownTasks int // tasks on it that no entry explains
-	Images       map[int]bool
-	RefusedUntil event.Time // full or in_use: not to be used before
-	// Jobs by name: an index serves another job once one is forgotten.
-	failedJobs        map[string]event.Time // failed here since a task last completed: how long they had run
-	failingSince      event.Time            // the first of these failures
-	Faulty            bool                  // several jobs that work elsewhere fail here: no task may be placed
-	SlowJobs          map[string]bool       // jobs in a row that ran far longer here than their class does
-	Retiring          bool                  // logged as retired: no task may be placed
-	Draining          bool                  // its tasks were told to move: to be returned when empty
-	firstReport       event.Time
-	IdleFrom          event.Time
-	ReservedAt        event.Time // when capacity on it was last kept for a job that waits
-	lastDirectCommand event.Time
-	lastAnnouncement  event.Time
+	unreachableSession uint64 // the session of that time
+	unconfirmedReports int    // without our fencing token since we first answered one
+}
+
+// use is what the machine is used for.
+type use struct {
+	Retiring     bool         // to be released, or released: no task may be placed
+	Draining     bool         // its tasks are told to move: to be released when empty
+	ReclaimAt    event.Time   // when the cloud takes it back, 0: no notice
+	IdleFrom     event.Time   // when it last had tasks
+	ReservedAt   event.Time   // when capacity was last reserved for a job that waits
+	UnknownTasks int          // tasks on it that no entry explains
+	Images       map[int]bool // that it has fetched
+}
+
+// health is what its tasks show of the machine. Jobs go by name, as an index serves
+// another job once one is forgotten.
+type health struct {
+	Faulty       bool                  // several jobs that work elsewhere fail here
+	SlowJobs     map[string]bool       // jobs in a row that ran far longer here than their class does
+	RefusedUntil event.Time            // the worker has refused a task: not to be used before
+	failedJobs   map[string]event.Time // failed here since a task last completed: how long they had run
+	failingSince event.Time            // the first of these failures
+}
+
+// commands is when the worker was last called directly.
+type commands struct {
+	lastStops        event.Time
+	lastAnnouncement event.Time
 }
 
 // Up tells whether a machine can take tasks now.
-func (h *Machine) Up(now event.Time, silent time.Duration) bool {
-	return h.Known && h.TokenConfirmed && h.UnreachableSince == 0 && h.LastReport > 0 && now-h.LastReport < silent && !h.Retiring && !h.Draining && h.ReclaimAt == 0 && h.UnknownTasks == 0 && now >= h.RefusedUntil && !h.Faulty && len(h.SlowJobs) < maxSlowJobs
+func (m *Machine) Up(now event.Time, silentAfter time.Duration) bool {
+	reporting := m.LastReport > 0 && now-m.LastReport < silentAfter
+	return reporting && m.Known && m.reachable() && m.accepting(now) && m.healthy()
+}
+
+// reachable tells whether our answers reach the worker.
+func (c *reachability) reachable() bool {
+	return c.TokenConfirmed && c.UnreachableSince == 0
+}
+
+// leaving tells whether the machine is to be released or reclaimed.
+func (u *use) leaving() bool {
+	return u.Retiring || u.ReclaimAt != 0
+}
+
+// accepting tells whether nothing forbids another task.
+func (m *Machine) accepting(now event.Time) bool {
+	if m.leaving() || m.Draining {
+		return false
+	}
+	return m.UnknownTasks == 0 && now >= m.RefusedUntil
+}
+
+// healthy tells whether tasks run on the machine as they do elsewhere.
+func (h *health) healthy() bool {
+	return !h.Faulty && len(h.SlowJobs) < maxSlowJobs
 }
 
 // Describe records what the machine is: its type, its zone and whether the cloud
 // may reclaim it.
-func (h *Machine) Describe(machineType, zone int, spot bool) {
-	h.MachineType = machineType
-	h.Zone = zone
-	h.Spot = spot
-	h.Known = true
+func (d *description) Describe(machineType, zone int, spot bool) {
+	d.MachineType = machineType
+	d.Zone = zone
+	d.Spot = spot
+	d.Known = true
 }
--- a/internal/worker/reachability.go
+++ b/internal/worker/reachability.go
@@ -2,75 +2,115 @@
 
 import (
 	"slices"
+	"time"
 
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
 )
 
-// checkReachable finds out whether our answers reach a machine: being heard from is not
-// being reachable. A machine is used once a report carries our fencing token, which is
-// also what tells a report of this term from a copy of an older one; and no
-// more once it does not take up what it was told.
-func (f *Registry) checkReachable(h *Machine, r *Report, now event.Time, term Term) {
-	if !h.TokenConfirmed {
-		switch {
-		case r.FencingToken == term.FencingToken():
-			h.TokenConfirmed, h.UnreachableSince = true, 0
-			f.Jobs.Changed = true
-		case h.UnreachableSince != 0 || h.LastAnswer == 0:
-		case h.unconfirmedReports < maxMissedStarts:
-			// What we answered first may have been a copy; the machine itself,
-			// which stayed with the leader before us, answers for itself.
-			h.unconfirmedReports++
-		case now-h.firstReport > f.SilentAfter:
-			f.markUnreachable(h, now)
-		}
-		return
+const (
+	// A start that so many reports in a row do not show did not arrive. A fencing
+	// token that so many do not carry may not have arrived either.
+	maxMissedStarts = 3
+	// unreachableMargin is added to the lease of an unreachable machine, for clock
+	// drift and delays.
+	unreachableMargin = 3 * time.Second
+)
+
+// checkReachable finds out whether our answers reach a machine; that its reports
+// reach us does not show it. A machine is used once a report carries our fencing
+// token, which also tells a report of this term from a copy of an older one, and no
+// more once it does not do what it was ordered.
+func (r *Registry) checkReachable(machine *Machine, report *Report, now event.Time, term Term) {
+	switch {
+	case !machine.TokenConfirmed:
+		r.checkToken(machine, report, now, term)
+	case machine.UnreachableSince != 0:
+		r.checkReconnected(machine, now, term)
+	default:
+		r.checkStarts(machine, report, now)
 	}
-	if h.UnreachableSince != 0 {
-		// A session that outlives the lease has heard us.
-		if h.Session == h.unreachableSession && now-h.UnreachableSince > term.WorkerLease()+unreachableMargin {
-			f.log.Info("machine is reachable again", "machine", h.Name)
-			h.UnreachableSince = 0
-			f.Jobs.Changed = true
-		} else {
-			f.evictUnstarted(h)
-		}
+}
+
+// checkToken looks whether a machine has taken up our fencing token.
+func (r *Registry) checkToken(machine *Machine, report *Report, now event.Time, term Term) {
+	switch {
+	case report.FencingToken == term.FencingToken():
+		machine.TokenConfirmed = true
+		machine.UnreachableSince = 0
+		r.Jobs.Changed = true
+	case machine.UnreachableSince != 0 || machine.LastAnswer == 0:
+	case machine.unconfirmedReports < maxMissedStarts:
+		// What we answered first may have been a copy, while the machine itself
+		// was still answered by the leader before us.
+		machine.unconfirmedReports++
+	case now-machine.firstReport > r.SilentAfter:
+		r.markUnreachable(machine, now)
+	}
+}
+
+// checkReconnected looks whether the session of an unreachable machine has outlived
+// its lease: an answer has renewed it.
+func (r *Registry) checkReconnected(machine *Machine, now event.Time, term Term) {
+	outlived := now-machine.UnreachableSince > term.WorkerLease()+unreachableMargin
+	if machine.Session != machine.unreachableSession || !outlived {
+		r.evictUnstarted(machine)
 		return
 	}
-	for _, e := range f.Jobs.OnMachine(h.Index) {
-		if e.OrderedSequence == 0 || e.OrderedSequence >= r.Sequence || e.Phase != pipeline.Unseen {
+	r.log.Info("machine is reachable again", "machine", machine.Name)
+	machine.UnreachableSince = 0
+	r.Jobs.Changed = true
+}
+
+// checkStarts looks whether the tasks that a machine was ordered to start show up in
+// its reports.
+func (r *Registry) checkStarts(machine *Machine, report *Report, now event.Time) {
+	for _, entry := range r.Jobs.OnMachine(machine.Index) {
+		ordered := entry.OrderedSequence != 0 && entry.OrderedSequence < report.Sequence
+		if !ordered || entry.Phase != pipeline.Unseen {
+			continue
+		}
+		if report.lists(taskName(entry)) {
+			entry.MissedReports = 0
 			continue
 		}
-		name := taskName(e)
-		if slices.ContainsFunc(r.Tasks, func(s TaskReport) bool { return s.Task == name }) {
-			e.MissedReports = 0
-		} else if e.MissedReports++; e.MissedReports >= maxMissedStarts {
-			f.markUnreachable(h, now)
+		entry.MissedReports++
+		if entry.MissedReports >= maxMissedStarts {
+			r.markUnreachable(machine, now)
 			return
 		}
 	}
 }
 
-// markUnreachable gives up on a machine that does not hear us: what it never took up is
-// moved, once a report proves that it will not start. What runs goes on: it may
-// complete before its lease ends, and we may be wrong.
-func (f *Registry) markUnreachable(h *Machine, now event.Time) {
-	f.log.Info("machine is unreachable: it does not receive our answers", "machine", h.Name, "tasks", len(f.Jobs.OnMachine(h.Index)))
-	h.UnreachableSince, h.unreachableSession = now, h.Session
-	f.evictUnstarted(h)
+// lists tells whether a report shows a task.
+func (r *Report) lists(name string) bool {
+	return slices.ContainsFunc(r.Tasks, func(task TaskReport) bool { return task.Task == name })
+}
+
+// markUnreachable notes that our answers do not reach a machine: what it never
+// started is moved, once a report proves that it will not start. What runs goes on:
+// it may complete before its lease ends, and we may be wrong.
+func (r *Registry) markUnreachable(machine *Machine, now event.Time) {
+	r.log.Info("machine is unreachable: it does not receive our answers", "machine", machine.Name, "tasks", len(r.Jobs.OnMachine(machine.Index)))
+	machine.UnreachableSince = now
+	machine.unreachableSession = machine.Session
+	r.evictUnstarted(machine)
 }
 
-func (f *Registry) evictUnstarted(h *Machine) {
-	for _, e := range f.sorted(h) {
-		if e.Phase == pipeline.Unseen {
-			f.Evict(e, e.Job.CheckpointDuration+1)
+// evictUnstarted moves the tasks that a machine has not started.
+func (r *Registry) evictUnstarted(machine *Machine) {
+	for _, entry := range r.sortedEntries(machine) {
+		if entry.Phase == pipeline.Unseen {
+			r.Evict(entry, GracePeriod(entry.Job))
 		}
 	}
 }
 
-// UnreachableBeyondLease tells whether a machine has not heard us for so long that its
-// tasks have ended with its lease.
-func (f *Registry) UnreachableBeyondLease(h *Machine, now event.Time, term Term) bool {
-	return h.UnreachableSince != 0 && now-h.UnreachableSince > term.WorkerLease()+2*unreachableMargin
+// UnreachableBeyondLease tells whether a machine has been unreachable for so long
+// that its tasks have ended with its lease.
+func (r *Registry) UnreachableBeyondLease(machine *Machine, now event.Time, term Term) bool {
+	if machine.UnreachableSince == 0 {
+		return false
+	}
+	return now-machine.UnreachableSince > term.WorkerLease()+2*unreachableMargin
 }
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -1,158 +1,196 @@
 package worker
 
 import (
+	"cmp"
 	"log/slog"
 	"maps"
 	"slices"
-	"sort"
+	"time"
 
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
 )
 
+// scanInterval is the time between two scans of all machines in use.
+const scanInterval = 250 * time.Millisecond
+
 // Registry is the table of machines.
 type Registry struct {
-	Names        *pipeline.Names
-	Jobs         *pipeline.Table
-	Machines     []*Machine // by index, nil if gone
+	Names    *pipeline.Names
+	Jobs     *pipeline.Table
+	Machines []*Machine // by index, nil if released
+	// SilentAfter is how long a machine may send no report before that tells
+	// something.
+	SilentAfter event.Time
+
 	log          *slog.Logger
-	calls        map[uint64]*Machine // direct commands in flight, nil: nothing is to be learnt
-	toStop       map[int]bool        // machines on which a task is to be stopped
-	scanAt       event.Time
-	runtimeRatio map[int]float64 // run time against estimate, per class
-	suspects     map[int]bool    // machines with failed jobs
+	calls        map[uint64]directCall // in flight, by call
+	toStop       map[int]bool          // machines on which a task is to be stopped
+	suspects     map[int]bool          // machines with failed jobs
+	runtimeRatio map[int]float64       // runtime against estimate, by class
+	scannedAt    event.Time
 	faultScanAt  event.Time
-
-	// Silent is how long a machine may be quiet before that tells something.
-	SilentAfter event.Time
 }
 
-// New returns an empty worker registry.
-func New(n *pipeline.Names, t *pipeline.Table, log *slog.Logger) *Registry {
-	return &Registry{Names: n, Jobs: t, log: log, calls: map[uint64]*Machine{}, toStop: map[int]bool{}, runtimeRatio: map[int]float64{}, suspects: map[int]bool{}}
+// New returns an empty registry.
+func New(names *pipeline.Names, jobs *pipeline.Table, log *slog.Logger) *Registry {
+	return &Registry{
+		Names:        names,
+		Jobs:         jobs,
+		log:          log,
+		calls:        map[uint64]directCall{},
+		toStop:       map[int]bool{},
+		suspects:     map[int]bool{},
+		runtimeRatio: map[int]float64{},
+	}
 }
 
 // Machine returns a machine by name, adding it when new.
-func (f *Registry) Machine(name string, now event.Time) *Machine {
-	i := f.Names.Machines.Index(name)
-	for len(f.Machines) <= i {
-		f.Machines = append(f.Machines, nil)
+func (r *Registry) Machine(name string, now event.Time) *Machine {
+	index := r.Names.Machines.Index(name)
+	for len(r.Machines) <= index {
+		r.Machines = append(r.Machines, nil)
 	}
-	if f.Machines[i] == nil {
-		f.Machines[i] = &Machine{Index: i, Name: name, MachineType: -1, Zone: -1, Images: map[int]bool{}, IdleFrom: now}
+	if r.Machines[index] == nil {
+		r.Machines[index] = &Machine{
+			Index:       index,
+			Name:        name,
+			description: description{MachineType: unknown, Zone: unknown},
+			use:         use{IdleFrom: now, Images: map[int]bool{}},
+		}
 	}
-	return f.Machines[i]
+	return r.Machines[index]
 }
 
 // At returns a machine by index, or nil.
-func (f *Registry) At(i int) *Machine {
-	if i < 0 || i >= len(f.Machines) {
+func (r *Registry) At(index int) *Machine {
+	if index < 0 || index >= len(r.Machines) {
 		return nil
 	}
-	return f.Machines[i]
+	return r.Machines[index]
 }
 
 // Reset drops what only a leader knows.
-func (f *Registry) Reset() {
-	f.Machines = nil
-	clear(f.toStop)
-	clear(f.suspects)
+func (r *Registry) Reset() {
+	r.Machines = nil
+	clear(r.toStop)
+	clear(r.suspects)
 }
 
-// Settled tells whether nothing that concerns the machine is being stored:
-// an answer given now would not be followed by another in a moment.
-func (f *Registry) Settled(machine int) bool {
-	for _, e := range f.Jobs.OnMachine(machine) {
-		if !e.Durable || e.Pending != pipeline.NoPendingWrite {
-			return false
+// Tick sends stops straight to workers, finds machines whose tasks have surely
+// terminated and lets gangs start again whose old attempt has ended. Machines on
+// which nothing is to be stopped cost nothing.
+func (r *Registry) Tick(now event.Time, term Term, out *event.Effects) {
+	for _, job := range r.Jobs.TakeEnded() {
+		job.Entries(r.stopSoon)
+	}
+	for _, index := range slices.Sorted(maps.Keys(r.toStop)) {
+		machine := r.At(index)
+		if machine == nil || !r.sendStops(machine, now, term, out) {
+			delete(r.toStop, index)
+		}
+	}
+	if now-r.scannedAt < scanInterval {
+		return
+	}
+	r.scannedAt = now
+	r.scanFaults(now)
+	r.Jobs.MachinesInUse(func(index int) { r.checkExpired(index, now, term) })
+	for _, job := range r.Jobs.Jobs {
+		if job != nil {
+			r.checkService(job, now)
+			r.checkStopped(job)
 		}
 	}
-	return true
 }
 
-// Idle tells whether a usable machine reports no task and has none to start yet.
-func (f *Registry) Idle(r *Report) bool {
-	i, ok := f.Names.Machines.Lookup(r.Machine)
-	if !ok || len(r.Tasks) > 0 {
-		return false
-	}
-	h := f.At(i)
-	if h == nil || !h.TokenConfirmed || h.UnreachableSince != 0 || h.Retiring || h.ReclaimAt != 0 {
-		return false
+// checkExpired clears a machine whose tasks have terminated because its lease has
+// ended.
+func (r *Registry) checkExpired(index int, now event.Time, term Term) {
+	machine := r.At(index)
+	if machine == nil {
+		machine = r.Machine(r.Names.Machines.Name(index), now)
 	}
-	for _, e := range f.Jobs.OnMachine(i) {
-		if e.Durable {
-			return false
-		}
+	// A report that is taken and not answered yet counts, too: what is placed on
+	// the machine meanwhile is not lost with its old session.
+	lastContact := max(machine.LastAnswer, machine.LastReport)
+	if now >= term.TasksExpireAt(lastContact) {
+		r.MarkTerminated(machine)
 	}
-	return true
 }
 
-func (f *Registry) sorted(h *Machine) []*pipeline.Entry {
-	if len(f.Jobs.OnMachine(h.Index)) == 0 {
-		return nil
+// checkStopped lets a gang start again once all of its old attempt has terminated.
+func (r *Registry) checkStopped(job *pipeline.Job) {
+	if job.Stopping && job.Active() == 0 {
+		job.Stopping = false
+		r.Jobs.Changed = true
 	}
-	list := slices.Clone(f.Jobs.OnMachine(h.Index))
-	sort.Slice(list, func(a, b int) bool {
-		if list[a].Job.Order != list[b].Job.Order {
-			return list[a].Job.Order < list[b].Job.Order
-		}
-		return list[a].Task < list[b].Task
-	})
-	return list
 }
 
-// Tick sends stops straight to workers, finds machines whose tasks are surely
-// gone and re-arms gangs whose old attempt has ended. Machines on which nothing
-// is to be stopped cost nothing.
-func (f *Registry) Tick(now event.Time, term Term, out *event.Effects) {
-	for _, j := range f.Jobs.TakeEnded() {
-		j.Entries(f.stopSoon)
+// MarkTerminated clears everything on a machine that is proven to run nothing.
+func (r *Registry) MarkTerminated(machine *Machine) {
+	if machine.LastReport != 0 {
+		r.log.Info("machine terminated", "machine", machine.Name, "tasks", len(r.Jobs.OnMachine(machine.Index)))
 	}
-	for _, i := range slices.Sorted(maps.Keys(f.toStop)) {
-		if h := f.At(i); h == nil || !f.directStops(h, now, term, out) {
-			delete(f.toStop, i)
+	for _, entry := range r.sortedEntries(machine) {
+		if isGang(entry.Job) {
+			r.stopGang(entry.Job)
 		}
+		r.Jobs.Clear(entry)
 	}
-	if now-f.scanAt < scanInterval {
-		return
+	machine.LastReport = 0
+	r.Jobs.Changed = true
+}
+
+// sortedEntries lists the entries of a machine by job, in the order of readiness,
+// and task.
+func (r *Registry) sortedEntries(machine *Machine) []*pipeline.Entry {
+	entries := r.Jobs.OnMachine(machine.Index)
+	if len(entries) == 0 {
+		return nil
 	}
-	f.scanAt = now
-	f.scanFaults(now)
-	f.Jobs.MachinesInUse(func(i int) {
-		h := f.At(i)
-		if h == nil {
-			h = f.Machine(f.Names.Machines.Name(i), now)
-		}
-		// A report that is taken and not answered yet counts, too: what is
-		// placed on the machine meanwhile is not lost with its old session.
-		if now >= term.TasksExpireAt(max(h.LastAnswer, h.LastReport)) {
-			f.MarkTerminated(h, now)
-		}
+	sorted := slices.Clone(entries)
+	slices.SortFunc(sorted, func(a, b *pipeline.Entry) int {
+		return cmp.Or(cmp.Compare(a.Job.Order, b.Job.Order), cmp.Compare(a.Task, b.Task))
 	})
-	for _, j := range f.Jobs.Jobs {
-		if j == nil {
-			continue
-		}
-		f.checkService(j, now)
-		if j.Stopping && j.Active() == 0 {
-			j.Stopping = false
-			f.Jobs.Changed = true
+	return sorted
+}
+
+// isGang tells whether several tasks of a job run together or not at all.
+func isGang(job *pipeline.Job) bool {
+	return job.Shape == pipeline.Gang && job.TaskCount > 1
+}
+
+// isStored tells whether the state service has an entry as it is.
+func isStored(entry *pipeline.Entry) bool {
+	return entry.Durable && entry.Pending == pipeline.NoPendingWrite
+}
+
+// Settled tells whether nothing that concerns the machine is being stored: an
+// answer given now would not be followed by another in a moment.
+func (r *Registry) Settled(machine int) bool {
+	for _, entry := range r.Jobs.OnMachine(machine) {
+		if !isStored(entry) {
+			return false
 		}
 	}
+	return true
 }
 
-// MarkTerminated clears everything on a machine that is proven to run nothing.
-func (f *Registry) MarkTerminated(h *Machine, now event.Time) {
-	if h.LastReport != 0 {
-		f.log.Info("machine terminated", "machine", h.Name, "tasks", len(f.Jobs.OnMachine(h.Index)))
+// Idle tells whether a usable machine reports no task and has none to start yet.
+func (r *Registry) Idle(report *Report) bool {
+	index, ok := r.Names.Machines.Lookup(report.Machine)
+	if !ok || len(report.Tasks) > 0 {
+		return false
+	}
+	machine := r.At(index)
+	if machine == nil || !machine.reachable() || machine.leaving() {
+		return false
 	}
-	for _, e := range f.sorted(h) {
-		if e.Job.Shape == pipeline.Gang && e.Job.TaskCount > 1 {
-			f.stopGang(e.Job)
+	for _, entry := range r.Jobs.OnMachine(index) {
+		if entry.Durable {
+			return false
 		}
-		f.Jobs.Clear(e)
 	}
-	h.LastReport = 0
-	f.Jobs.Changed = true
+	return true
 }
--- a/internal/worker/reports.go
+++ b/internal/worker/reports.go
@@ -9,143 +9,235 @@
 	"lugward/internal/pipeline"
 )
 
+// refusedPause is how long nothing is placed on a machine whose worker refused a
+// task.
+const refusedPause = 4 * time.Second
+
+// Causes of a task's end in the protocol.
+const (
+	causeDone    = "done"
+	causeError   = "error"
+	causeFull    = "full"    // the worker has no capacity
+	causeInUse   = "in_use"  // another attempt is on the worker
+	causeUnknown = "unknown" // nobody has uploaded the image
+)
+
+// phaseExited is the phase of a task that has terminated in the protocol.
+const phaseExited = "exited"
+
+var phases = map[string]pipeline.TaskPhase{
+	"pulling":   pipeline.Pulling,
+	"waiting":   pipeline.Waiting,
+	"running":   pipeline.RunningTask,
+	"saving":    pipeline.Saving,
+	phaseExited: pipeline.Exited,
+}
+
+// exited tells whether the task has terminated.
+func (t *TaskReport) exited() bool { return t.Phase == phaseExited }
+
 // ParseTaskName splits a task's name into its job and number.
-func ParseTaskName(s string) (job string, task int, ok bool) {
-	i := strings.LastIndexByte(s, '/')
-	if i < 0 {
+func ParseTaskName(name string) (job string, task int, ok bool) {
+	slash := strings.LastIndexByte(name, '/')
+	if slash < 0 {
 		return "", 0, false
 	}
-	n, err := strconv.Atoi(s[i+1:])
-	return s[:i], n, err == nil && n >= 0
+	task, err := strconv.Atoi(name[slash+1:])
+	return name[:slash], task, err == nil && task >= 0
 }
 
 // taskName is a task's name.
-func taskName(e *pipeline.Entry) string { return e.Job.ID + "/" + strconv.Itoa(e.Task) }
-
-var phases = map[string]pipeline.TaskPhase{"pulling": pipeline.Pulling, "waiting": pipeline.Waiting,
-
-	"running": pipeline.RunningTask, "saving": pipeline.Saving, "exited": pipeline.Exited}
+func taskName(entry *pipeline.Entry) string {
+	return entry.Job.ID + "/" + strconv.Itoa(entry.Task)
+}
 
 // TakeReport takes a report in. ok is false for a report that is older than one we
 // have seen.
-func (f *Registry) TakeReport(r *Report, now event.Time, term Term) (ok bool) {
-	h := f.Machine(r.Machine, now)
-	if r.Session < h.Session || (r.Session == h.Session && r.Sequence <= h.Sequence) {
-		// Held back by the network, or a copy: its task list is as old as it
-		// is, and whoever sent it waits for no answer.
+func (r *Registry) TakeReport(report *Report, now event.Time, term Term) (ok bool) {
+	machine := r.Machine(report.Machine, now)
+	if machine.outdates(report) || machine.sessionOver(report, now, term) {
 		return false
 	}
-	if r.Session == h.Session && h.LastAnswer > 0 && now >= term.TasksExpireAt(max(h.LastAnswer, h.LastReport)) {
-		// Its session has ended since we answered it last: this was held back
-		// since before, by a machine that may be gone.
-		return false
-	}
-	term.ObserveToken(r.FencingToken)
-	f.updateMachine(h, r, now)
-	for _, s := range r.Tasks {
-		if j, e, task := f.find(h, s); e != nil {
-			f.progress(h, e, s, now)
-		} else if s.Phase == "exited" && s.Cause == "done" && j != nil && j.Final == pipeline.Queued && !j.IsDone(task) {
-			// The result counts, whichever attempt it came from; it is
-			// reaped once it is stored.
-			f.Jobs.MarkDone(j, task)
-		}
+	term.ObserveToken(report.FencingToken)
+	r.updateMachine(machine, report, now)
+	for i := range report.Tasks {
+		r.takeTask(machine, &report.Tasks[i], now)
 	}
-	// The list came before the question whether the machine hears us: what it
-	// shows is there, whatever a copy that we took before did not show.
-	f.checkReachable(h, r, now, term)
+	// The tasks come before the question whether our answers arrive: what the
+	// report shows is there, whatever a copy that came before did not show.
+	r.checkReachable(machine, report, now, term)
 	return true
 }
 
-// find returns the job and the entry that a reported task belongs to, nil
-// where there is none.
-func (f *Registry) find(h *Machine, s TaskReport) (j *pipeline.Job, e *pipeline.Entry, task int) {
-	id, task, good := ParseTaskName(s.Task)
-	if !good {
-		return nil, nil, 0
+// outdates tells whether a report is not newer than the last one: it was delayed by
+// the network, or is a copy. Its list of tasks is out of date, and its sender waits
+// for no answer.
+func (c *contact) outdates(report *Report) bool {
+	if report.Session != c.Session {
+		return report.Session < c.Session
+	}
+	return report.Sequence <= c.Sequence
+}
+
+// sessionOver tells whether the session of a report has ended since it was last
+// answered: the report was delayed from before then, and its machine may be gone.
+func (c *contact) sessionOver(report *Report, now event.Time, term Term) bool {
+	if report.Session != c.Session || c.LastAnswer <= 0 {
+		return false
 	}
-	if j = f.Jobs.Job(id); j == nil || task >= j.TaskCount {
-		return nil, nil, task
+	return now >= term.TasksExpireAt(max(c.LastAnswer, c.LastReport))
+}
+
+// updateMachine takes in what a report says of its machine.
+func (r *Registry) updateMachine(machine *Machine, report *Report, now event.Time) {
+	if report.Session != machine.Session && machine.Session != 0 {
+		machine.Images = map[int]bool{}
+		r.log.Info("worker lost its lease", "machine", report.Machine, "session", report.Session)
+	}
+	if machine.LastReport != 0 && now-machine.LastReport > r.SilentAfter {
+		machine.ReconnectedAt = now
+	}
+	if machine.LastReport == 0 {
+		machine.IdleFrom = now // it was not idle while it booted
+		machine.firstReport = now
+		r.Jobs.Changed = true
+	}
+	machine.Addr = report.Addr
+	machine.Session = report.Session
+	machine.Sequence = report.Sequence
+	machine.LastReport = now
+	machine.Describe(r.Names.MachineTypes.Index(report.MachineType), r.Names.Zones.Index(report.Zone), report.Spot)
+	switch {
+	case report.ReclaimIn == nil:
+		machine.ReclaimAt = 0
+	case machine.ReclaimAt == 0:
+		machine.ReclaimAt = now + time.Duration(*report.ReclaimIn*float64(time.Second))
+		r.Jobs.Changed = true
 	}
-	if e = j.Entry(task); e != nil && (e.Machine != h.Index || e.Attempt != s.Attempt) {
-		e = nil
+}
+
+// reportedTask is a task of a report with the job and entry that it belongs to.
+type reportedTask struct {
+	*TaskReport
+	job    *pipeline.Job   // nil: not known
+	entry  *pipeline.Entry // nil: none for this attempt on this machine
+	number int
+}
+
+// find finds what a reported task belongs to.
+func (r *Registry) find(machine *Machine, report *TaskReport) reportedTask {
+	found := reportedTask{TaskReport: report}
+	id, number, ok := ParseTaskName(report.Task)
+	if !ok {
+		return found
+	}
+	job := r.Jobs.Job(id)
+	if job == nil || number >= job.TaskCount {
+		return found
+	}
+	found.job = job
+	found.number = number
+	entry := job.Entry(number)
+	if entry != nil && entry.Machine == machine.Index && entry.Attempt == report.Attempt {
+		found.entry = entry
+	}
+	return found
+}
+
+// newResult tells whether a task without an entry is done though its job does not
+// know that yet. The result counts, whichever attempt it came from.
+func (t *reportedTask) newResult() bool {
+	if !t.exited() || t.Cause != causeDone || t.job == nil {
+		return false
 	}
-	return j, e, task
+	return t.job.Final == pipeline.Queued && !t.job.IsDone(t.number)
 }
 
-func (f *Registry) updateMachine(h *Machine, r *Report, now event.Time) {
-	if r.Session != h.Session && h.Session != 0 {
-		h.Images = map[int]bool{}
-		f.log.Info("worker lost its lease", "machine", r.Machine, "session", r.Session)
+// takeTask takes in what a report says of a task.
+func (r *Registry) takeTask(machine *Machine, report *TaskReport, now event.Time) {
+	task := r.find(machine, report)
+	switch {
+	case task.entry != nil:
+		r.updateEntry(machine, task.entry, report, now)
+	case task.newResult():
+		r.Jobs.MarkDone(task.job, task.number) // reaped once it is stored
 	}
-	if h.LastReport != 0 && now-h.LastReport > f.SilentAfter {
-		h.ReconnectedAt = now
+}
+
+// updateEntry takes in what a report says of a task with an entry.
+func (r *Registry) updateEntry(machine *Machine, entry *pipeline.Entry, report *TaskReport, now event.Time) {
+	phase := phases[report.Phase]
+	started := phase >= pipeline.Waiting && phase < pipeline.Exited
+	if started && entry.StartedAt == 0 {
+		entry.StartedAt = int64(now)
+		r.logStart(machine, entry, now)
 	}
-	if h.LastReport == 0 {
-		// A machine is not idle while it boots.
-		h.IdleFrom, h.firstReport = now, now
-		f.Jobs.Changed = true
+	entry.Phase = phase
+	if phase >= pipeline.Waiting {
+		machine.Images[entry.Job.Image] = true
 	}
-	h.Addr, h.Spot, h.Session, h.Sequence, h.LastReport = r.Addr, r.Spot, r.Session, r.Sequence, now
-	h.MachineType, h.Zone, h.Known = f.Names.MachineTypes.Index(r.MachineType), f.Names.Zones.Index(r.Zone), true
-	if r.ReclaimIn != nil && h.ReclaimAt == 0 {
-		h.ReclaimAt = now + time.Duration(*r.ReclaimIn*float64(time.Second))
-		f.Jobs.Changed = true
-	} else if r.ReclaimIn == nil && h.ReclaimAt != 0 {
-		h.ReclaimAt = 0
+	if phase == pipeline.Exited {
+		r.taskExited(machine, entry, report.Cause, now)
 	}
 }
 
-// progress takes in what a report says of a task that we know of.
-func (f *Registry) progress(h *Machine, e *pipeline.Entry, s TaskReport, now event.Time) {
-	j := e.Job
-	ph := phases[s.Phase]
-	if ph >= pipeline.Waiting && ph < pipeline.Exited && e.StartedAt == 0 {
-		e.StartedAt = int64(now)
-		f.log.Debug("started", "job", j.ID, "class", f.Names.Classes.Name(j.Class), "task", e.Task, "attempt", e.Attempt, "machine", h.Name, "since_placed", now-time.Duration(e.PlacedAt), "since_ready", now-time.Duration(j.ReadySince))
-	}
-	e.Phase = ph
-	if ph >= pipeline.Waiting {
-		h.Images[j.Image] = true
-	}
-	if ph != pipeline.Exited {
+func (r *Registry) logStart(machine *Machine, entry *pipeline.Entry, now event.Time) {
+	job := entry.Job
+	r.log.Debug("started",
+		"job", job.ID,
+		"class", r.Names.Classes.Name(job.Class),
+		"task", entry.Task,
+		"attempt", entry.Attempt,
+		"machine", machine.Name,
+		"since_placed", now-time.Duration(entry.PlacedAt),
+		"since_ready", now-time.Duration(job.ReadySince))
+}
+
+// taskExited takes in that a task has terminated. It is done, or its entry is
+// cleared so that it can run again.
+func (r *Registry) taskExited(machine *Machine, entry *pipeline.Entry, cause string, now event.Time) {
+	job := entry.Job
+	r.Jobs.Changed = true
+	r.Jobs.MarkMachineChanged(machine.Index) // what the task used is free again
+	if job.Final == pipeline.Cancelled {
+		r.Jobs.Clear(entry)
 		return
 	}
-	f.Jobs.Changed = true
-	f.Jobs.MarkMachineChanged(h.Index) // what the task took is free again
-	if j.Final == pipeline.Cancelled {
-		f.Jobs.Clear(e)
+	switch cause {
+	case causeDone:
+		r.taskDone(machine, entry, now)
 		return
-	}
-	switch s.Cause {
-	case "done":
-		f.taskSucceeded(h, j)
-		if e.Pending == pipeline.NoPendingWrite {
-			f.recordRuntime(h, e, now)
+	case causeError:
+		if entry.Pending == pipeline.NoPendingWrite {
+			r.taskFailed(machine, entry, now)
 		}
-		if j.Shape == pipeline.Gang {
-			// They complete together: when one task is done, all are.
-			for t := 0; t < j.TaskCount; t++ {
-				f.Jobs.MarkDone(j, t)
-			}
-			return
+	case causeFull, causeInUse:
+		machine.RefusedUntil = now + refusedPause
+	case causeUnknown:
+		// Another attempt would fail as well until its user has uploaded the image.
+		if !job.BackingOff(int64(now)) {
+			r.Jobs.BackOff(job, now)
 		}
-		f.Jobs.MarkDone(j, e.Task)
+	}
+	if isGang(job) {
+		r.stopGang(job)
+	}
+	r.Jobs.Clear(entry)
+}
+
+// taskDone takes in that a task has completed. The tasks of a gang complete
+// together: when one is done, all are.
+func (r *Registry) taskDone(machine *Machine, entry *pipeline.Entry, now event.Time) {
+	job := entry.Job
+	r.taskSucceeded(machine, job)
+	if entry.Pending == pipeline.NoPendingWrite {
+		r.recordRuntime(machine, entry, now)
+	}
+	if job.Shape != pipeline.Gang {
+		r.Jobs.MarkDone(job, entry.Task)
 		return
-	case "error":
-		if e.Pending == pipeline.NoPendingWrite {
-			f.taskFailed(h, e, now)
-		}
-	case "full", "in_use":
-		h.RefusedUntil = now + refusedPause
-	case "unknown":
-		// Its user has not uploaded it: another attempt comes to the same so soon.
-		if !j.BackingOff(int64(now)) {
-			f.Jobs.BackOff(j, now)
-		}
 	}
-	if j.Shape == pipeline.Gang && j.TaskCount > 1 {
-		f.stopGang(j)
+	for task := range job.TaskCount {
+		r.Jobs.MarkDone(job, task)
 	}
-	f.Jobs.Clear(e)
 }
--- a/internal/worker/runtime.go
+++ b/internal/worker/runtime.go
@@ -7,37 +7,56 @@
 	"lugward/internal/pipeline"
 )
 
+const (
+	// A machine on which this many jobs in a row took slowFactor times what their
+	// class takes gets no more tasks. One job says little: estimates are often
+	// wrong by half.
+	maxSlowJobs = 3
+	slowFactor  = 1.8
+	// ratioWeight is the weight of a new completion in a class's ratio of runtime to
+	// estimate.
+	ratioWeight = 0.1
+)
+
 // recordRuntime learns from a completion how long a class runs, measured in its
 // owners' estimates, and whether a machine is slow.
-func (f *Registry) recordRuntime(h *Machine, e *pipeline.Entry, now event.Time) {
-	j := e.Job
-	if j.EstimatedRuntime <= 0 || e.StartedAt == 0 {
+func (r *Registry) recordRuntime(machine *Machine, entry *pipeline.Entry, now event.Time) {
+	job := entry.Job
+	if job.EstimatedRuntime <= 0 || entry.StartedAt == 0 {
 		return
 	}
-	took := time.Duration(int64(now)-e.StartedAt).Seconds() / j.EstimatedRuntime
-	usual, known := f.runtimeRatio[j.Class]
+	took := time.Duration(int64(now) - entry.StartedAt).Seconds()
+	ratio := took / job.EstimatedRuntime
+	usual, known := r.runtimeRatio[job.Class]
 	if !known {
 		usual = 1
 	}
-	if took > slowFactor*usual {
-		if h.SlowJobs == nil {
-			h.SlowJobs = map[string]bool{}
-		}
-		if h.SlowJobs[j.ID] = true; len(h.SlowJobs) == maxSlowJobs {
-			f.log.Info("machine is slow", "machine", h.Name)
-		}
+	if ratio > slowFactor*usual {
+		r.recordSlowJob(machine, job)
 	} else {
-		clear(h.SlowJobs)
+		clear(machine.SlowJobs)
 	}
-	f.runtimeRatio[j.Class] = usual + ratioWeight*(took-usual)
+	r.runtimeRatio[job.Class] = usual + ratioWeight*(ratio-usual)
 }
 
-// ExpectedRuntime is what a job's task usually takes, in seconds: its owner's estimate,
-// corrected by what its class took lately. On some days estimates are mostly
-// too high or mostly too low.
-func (f *Registry) ExpectedRuntime(j *pipeline.Job) float64 {
-	if r, ok := f.runtimeRatio[j.Class]; ok {
-		return j.EstimatedRuntime * r
+// recordSlowJob counts a job that took far longer on a machine than its class does.
+func (r *Registry) recordSlowJob(machine *Machine, job *pipeline.Job) {
+	if machine.SlowJobs == nil {
+		machine.SlowJobs = map[string]bool{}
+	}
+	machine.SlowJobs[job.ID] = true
+	if len(machine.SlowJobs) == maxSlowJobs {
+		r.log.Info("machine is slow", "machine", machine.Name)
+	}
+}
+
+// ExpectedRuntime is what a job's task usually takes, in seconds: its owner's
+// estimate, corrected by what its class took lately. On some days estimates are
+// mostly too high or mostly too low.
+func (r *Registry) ExpectedRuntime(job *pipeline.Job) float64 {
+	ratio, known := r.runtimeRatio[job.Class]
+	if !known {
+		return job.EstimatedRuntime
 	}
-	return j.EstimatedRuntime
+	return job.EstimatedRuntime * ratio
 }
--- a/internal/worker/stops.go
+++ b/internal/worker/stops.go
@@ -1,68 +1,91 @@
 package worker
 
 import (
-	"encoding/json"
-	"sort"
+	"cmp"
+	"slices"
+	"time"
 
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
 )
 
-func (f *Registry) stopGang(j *pipeline.Job) {
-	j.Stopping = true
-	j.Entries(func(e *pipeline.Entry) {
-		if !e.Evict {
-			e.Evict, e.GracePeriod = true, j.CheckpointDuration+1
-			f.Jobs.MarkMachineChanged(e.Machine)
-		}
-		f.stopSoon(e)
-		if !e.Durable {
-			f.Jobs.Clear(e)
-		}
-	})
+const (
+	// checkpointMargin is added to the time that a checkpoint takes, in seconds,
+	// where a task is stopped.
+	checkpointMargin = 1
+	// stopsInterval is the time between two direct commands with stops to a worker.
+	stopsInterval = time.Second
+)
+
+// GracePeriod is the time that a task gets to save a checkpoint before it is
+// stopped, in seconds.
+func GracePeriod(job *pipeline.Job) float64 {
+	return job.CheckpointDuration + checkpointMargin
 }
 
-// Evict asks for a task to be stopped so that it can run elsewhere. A gang
-// stops as a whole.
-func (f *Registry) Evict(e *pipeline.Entry, gracePeriod float64) {
-	if e.Evict {
+// Evict asks for a task to be stopped so that it can run elsewhere. A gang stops as
+// a whole.
+func (r *Registry) Evict(entry *pipeline.Entry, gracePeriod float64) {
+	if entry.Evict {
 		return
 	}
-	f.Jobs.Changed = true
-	if e.Job.Shape == pipeline.Gang && e.Job.TaskCount > 1 {
-		f.stopGang(e.Job)
+	r.Jobs.Changed = true
+	if isGang(entry.Job) {
+		r.stopGang(entry.Job)
 		return
 	}
-	e.Evict, e.GracePeriod = true, gracePeriod
-	f.Jobs.MarkMachineChanged(e.Machine)
-	f.stopSoon(e)
-	if !e.Durable {
-		f.Jobs.Clear(e)
+	r.evictEntry(entry, gracePeriod)
+}
+
+// stopGang stops all tasks of a gang. It starts again when all have terminated.
+func (r *Registry) stopGang(job *pipeline.Job) {
+	job.Stopping = true
+	job.Entries(func(entry *pipeline.Entry) { r.evictEntry(entry, GracePeriod(job)) })
+}
+
+// evictEntry marks an entry to be stopped, and clears it at once where it is not
+// stored yet: nothing was ordered then.
+func (r *Registry) evictEntry(entry *pipeline.Entry, gracePeriod float64) {
+	if !entry.Evict {
+		entry.Evict = true
+		entry.GracePeriod = gracePeriod
+		r.Jobs.MarkMachineChanged(entry.Machine)
+	}
+	r.stopSoon(entry)
+	if !entry.Durable {
+		r.Jobs.Clear(entry)
 	}
 }
 
 // stopSoon notes that a task is to be stopped.
-func (f *Registry) stopSoon(e *pipeline.Entry) { f.toStop[e.Machine] = true }
+func (r *Registry) stopSoon(entry *pipeline.Entry) {
+	r.toStop[entry.Machine] = true
+}
 
-// directStops sends stops that cannot wait for the next report. Executed
-// late they do no harm: they name an attempt, and attempts are not reused. It
-// tells whether a task on the machine is still to be stopped.
-func (f *Registry) directStops(h *Machine, now event.Time, term Term, out *event.Effects) (more bool) {
-	ready := h.LastReport != 0 && h.Addr != "" && now-h.lastDirectCommand >= directInterval
+// sendStops sends stops that cannot wait for the next report. Carried out late they
+// do no harm: they name an attempt, and attempts are not reused. It tells whether a
+// task on the machine is still to be stopped.
+func (r *Registry) sendStops(machine *Machine, now event.Time, term Term, out *event.Effects) (more bool) {
+	due := now-machine.lastStops >= stopsInterval
+	ready := due && machine.LastReport != 0 && machine.Addr != ""
 	var orders []Order
-	for _, e := range f.Jobs.OnMachine(h.Index) {
-		stop, gracePeriod := f.mustStop(e)
+	for _, entry := range r.Jobs.OnMachine(machine.Index) {
+		stop, gracePeriod := mustStop(entry)
 		more = more || stop
-		if ready && stop && e.Durable && e.Pending == pipeline.NoPendingWrite && e.Phase != pipeline.Unseen && e.Phase < pipeline.Saving {
-			orders = append(orders, Order{Verb: "stop", Task: taskName(e), Attempt: e.Attempt, GracePeriod: &gracePeriod})
+		if ready && stop && isStored(entry) && hasNoStop(entry) {
+			orders = append(orders, stopOrder(taskName(entry), entry.Attempt, gracePeriod))
 		}
 	}
-	sort.Slice(orders, func(a, b int) bool { return orders[a].Task < orders[b].Task })
 	if len(orders) == 0 {
 		return more
 	}
-	h.lastDirectCommand = now
-	body, _ := json.Marshal(directCommand{term.FencingToken(), h.Session, orders})
-	f.calls[out.Call(h.Addr, "POST", "/do", body, directTimeout)] = nil
+	slices.SortFunc(orders, func(a, b Order) int { return cmp.Compare(a.Task, b.Task) })
+	machine.lastStops = now
+	r.sendCommand(machine, directCommand{term.FencingToken(), machine.Session, orders}, directCall{}, out)
 	return more
 }
+
+// hasNoStop tells whether a worker that has a task has not begun to stop it.
+func hasNoStop(entry *pipeline.Entry) bool {
+	return entry.Phase != pipeline.Unseen && entry.Phase < pipeline.Saving
+}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,5 +1,5 @@
-// Package worker knows the machines: what their workers report, which orders
-// they are to get, and when the tasks on a silent machine are surely terminated.
+// Package worker knows the machines: what their workers report, which orders they
+// are to get, and when the tasks on a silent machine have surely terminated.
 package worker
 
 import (
@@ -8,28 +8,17 @@
 	"lugward/internal/event"
 )
 
-// Term is what the worker registry asks of the leadership.
+// Term is what the registry needs to know of the leadership.
 type Term interface {
+	// FencingToken is the token of our term.
 	FencingToken() uint64
+	// MayStart tells whether tasks may be started now.
 	MayStart(now event.Time) bool
-	ObserveToken(f uint64)
+	// ObserveToken takes in a token that a worker has shown.
+	ObserveToken(token uint64)
+	// TasksExpireAt is when the tasks of a machine have terminated at the latest,
+	// given when a report of it was last answered.
 	TasksExpireAt(lastAnswer event.Time) event.Time
+	// WorkerLease is the lease that an answered report gives a worker.
 	WorkerLease() time.Duration
 }
-
-const (
-	// A machine on which this many jobs in a row took slowFactor what their class
-	// takes, by their owners' estimates, gets nothing more. One job says little:
-	// estimates are often wrong by half.
-	maxSlowJobs  = 3
-	slowFactor   = 1.8
-	ratioWeight  = 0.1 // of a new completion in a class's ratio of run time to estimate
-	refusedPause = 4 * time.Second
-	// A start that so many reports in a row do not show did not arrive.
-	maxMissedStarts   = 3
-	unreachableMargin = 3 * time.Second
-	directInterval    = time.Second
-	announceInterval  = 10 * time.Second
-	scanInterval      = 250 * time.Millisecond // between two looks at all machines in use
-	directTimeout     = 3 * time.Second
-)
