--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -22,27 +22,27 @@
 		limit float64
 		want  int
 	}{{4, 1}, {8, 2}, {0, 3}} {
-		n := &pipeline.Names{}
-		jobs := pipeline.NewTable(n, 4096, 12)
+		names := &pipeline.Names{}
+		jobs := pipeline.NewTable(names, 4096, 12)
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		f := worker.New(n, jobs, log)
-		s := store.New("state", store.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60}, func(string, []byte, uint64) {})
-		a := New(Config{Addr: "cloud", RPS: 100, IdleKeep: time.Minute}, n, jobs, f, s, log)
+		workers := worker.New(names, jobs, log)
+		client := store.New("state", store.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60}, func(string, []byte, uint64) {})
+		a := New(Config{Addr: "cloud", RPS: 100, IdleKeep: time.Minute}, names, jobs, workers, client, log)
 		a.list.current = true
 		if !a.takeTypes([]byte(`{"flavors":[{"name":"small","cores":4,"ram_gb":16,"price":1,"low_price":1,"ready_s":10,"yards":["a"]}]}`)) {
 			t.Fatal("the types are not taken")
 		}
-		n.Classes.Index("c")
-		n.Images.Index("b")
-		p := &scheduler.Scheduler{Jobs: jobs, Workers: f, MachineTypes: &a.MachineTypes, Teams: map[int]config.Team{n.Teams.Index("t"): {CPUsMax: c.limit}}, SilentAfter: time.Minute}
+		names.Classes.Index("c")
+		names.Images.Index("b")
+		s := &scheduler.Scheduler{Jobs: jobs, Workers: workers, MachineTypes: &a.MachineTypes, Teams: map[int]config.Team{names.Teams.Index("t"): {CPUsMax: c.limit}}, SilentAfter: time.Minute}
 		var blocked []*pipeline.Job
 		for i, id := range []string{"req-1", "req-2", "req-3"} {
 			j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{TaskCount: 4, CPUs: 1, Memory: 1, Zone: -1}}
-			jobs.Listen(pipeline.JobKey, id, pipeline.Encode(n, j), uint64(i+1))
+			jobs.Listen(pipeline.JobKey, id, pipeline.Encode(names, j), uint64(i+1))
 			blocked = append(blocked, jobs.Job(id))
 		}
 		var out event.Effects
-		a.Plan(time.Second, blocked, p, 1, &out)
+		a.Plan(time.Second, blocked, s, 1, &out)
 		got := 0
 		for _, call := range out.Calls {
 			var v struct{ Number int }
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -18,7 +18,7 @@
 	scheduler  *scheduler.Scheduler
 	capacities []*scheduler.Capacity       // of machines that are up, booting or asked for; nil where the type is not known
 	coming     map[int]*scheduler.Capacity // those of booting machines, by machine
-	preempting []*pipeline.Entry           // tasks that are told to stop
+	preempting []*pipeline.Entry           // tasks that are being stopped
 	preempted  map[*pipeline.Job]int       // how many of them a job has: they need capacity again
 	committed  map[int]pipeline.Usage      // by team: what this plan provides for
 	sequences  sequences                   // of short tasks
--- a/internal/autoscaler/tick.go
+++ b/internal/autoscaler/tick.go
@@ -18,7 +18,7 @@
 	silentTimeout      = 60 * time.Second
 	partitionedTimeout = 150 * time.Second
 	// A machine that is up and has not confirmed our fencing token after
-	// announceAfter is told it by a direct command. The connection to a silent
+	// announceAfter gets it by a direct command. The connection to a silent
 	// machine stays open for a while, so a scan sends a limited number.
 	announceAfter    = 2 * time.Second
 	maxAnnouncements = 20
@@ -81,7 +81,7 @@
 	return len(a.jobs.OnMachine(machine.Index)) > 0
 }
 
-// announceToken tells machines our fencing token that reported once and did not
+// announceToken sends our fencing token to machines that reported and did not
 // confirm it since: that report may have been a copy, while the machine itself
 // reports to another controller.
 func (a *Autoscaler) announceToken(scan *scan, out *event.Effects) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// announceTo tells one machine our fencing token, within the limit of the scan.
+// announceTo sends one machine our fencing token, within the limit of the scan.
 func (a *Autoscaler) announceTo(machine *worker.Machine, scan *scan, out *event.Effects) {
 	if scan.announcements >= maxAnnouncements {
 		return
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -22,7 +22,7 @@
 	GPUs        float64
 	Memory      float64
 	Busy        bool              // tasks are on it
-	Preempting  []*pipeline.Entry // its tasks that are told to stop
+	Preempting  []*pipeline.Entry // its tasks that are being stopped
 
 	endings       []ending // of its tasks, soonest first
 	endingsListed bool     // endings are filled in
--- a/internal/scheduler/chain_test.go
+++ b/internal/scheduler/chain_test.go
@@ -19,16 +19,23 @@
 }
 
 func newSite() *site {
-	n := names(&pipeline.Names{})
-	jobs := pipeline.NewTable(n, 4096, 12)
-	f := worker.New(n, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	s := &site{Scheduler: &Scheduler{Jobs: jobs, Workers: f, MachineTypes: &MachineTypes{{CPUs: 8, Memory: 32}}, SilentAfter: time.Minute}, now: 100 * time.Second}
+	names := names(&pipeline.Names{})
+	jobs := pipeline.NewTable(names, 4096, 12)
+	workers := worker.New(names, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := &site{Scheduler: &Scheduler{Jobs: jobs, Workers: workers, MachineTypes: &MachineTypes{{CPUs: 8, Memory: 32}}, SilentAfter: time.Minute}, now: 100 * time.Second}
 	jobs.Now = int64(s.now)
-	h := f.Machine("i-1", s.now)
-	h.MachineType, h.Zone, h.Known, h.TokenConfirmed, h.LastReport = 0, 0, true, true, s.now
+	addMachine(workers, "i-1", s.now)
 	return s
 }
 
+// addMachine adds a machine of the first type that has just reported.
+func addMachine(workers *worker.Registry, name string, now time.Duration) {
+	machine := workers.Machine(name, now)
+	machine.Describe(0, 0, false)
+	machine.TokenConfirmed = true
+	machine.LastReport = now
+}
+
 func (s *site) job(id string, set func(*pipeline.Job)) *pipeline.Job {
 	j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{TaskCount: 1, CPUs: 8, Memory: 1, Zone: -1, Priority: pipeline.Normal, EstimatedRuntime: 10}}
 	if set != nil {
--- a/internal/scheduler/future.go
+++ b/internal/scheduler/future.go
@@ -44,7 +44,7 @@
 }
 
 // FutureCapacities lists what is left of the machines that are up once the tasks
-// that are told to stop have terminated; those that are to run again are returned.
+// that are being stopped have terminated; those that are to run again are returned.
 // ReleaseEnding then adds what ends later.
 func (s *Scheduler) FutureCapacities(now event.Time) (capacities []*Capacity, preempting []*pipeline.Entry) {
 	capacities = s.Capacities(now)
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// afterPreemption is the capacity once the tasks that are told to stop have
+// afterPreemption is the capacity once the tasks that are being stopped have
 // terminated.
 func (c *Capacity) afterPreemption() Capacity {
 	free := *c
@@ -162,7 +162,7 @@
 
 // victims picks tasks to stop on a machine until the job fits, those that lose
 // least first. cost is in seconds of work lost or delayed. free is what is left once
-// the tasks that are already told to stop have terminated.
+// the tasks that are already being stopped have terminated.
 func (s *Scheduler) victims(job *pipeline.Job, capacity *Capacity, free Capacity, taken taken, now event.Time) (victims []*pipeline.Entry, cost float64) {
 	candidates := s.scratch.candidates[:0]
 	for _, entry := range s.Jobs.OnMachine(capacity.Machine.Index) {
--- a/internal/worker/direct.go
+++ b/internal/worker/direct.go
@@ -13,6 +13,9 @@
 	directTimeout    = 3 * time.Second  // of a direct command
 )
 
+// firstSession is the first session of a worker.
+const firstSession = 1
+
 // directCommand is a command to a worker outside of the answers to its reports.
 type directCommand struct {
 	FencingToken uint64  `json:"fence"`
@@ -22,7 +25,7 @@
 
 // directCall is a direct command in flight.
 type directCall struct {
-	// announcedTo is the machine that is told our fencing token; nil where a
+	// announcedTo is the machine that our fencing token is announced to; nil where a
 	// refusal changes nothing.
 	announcedTo *Machine
 }
@@ -35,8 +38,8 @@
 
 // AnnounceToken tells a machine our fencing token by a command without orders. A
 // leader that lost the state service and the other controllers, but not its
-// workers, may answer them for its whole grace; told a higher fencing token, they
-// tell it at once, and report to us. The proof of silence does not rest on it.
+// workers, may answer them for its whole grace. Workers that know a higher fencing token
+// show it in their next report, which ends that, and report to us. The proof of silence does not rest on it.
 func (r *Registry) AnnounceToken(machine *Machine, now event.Time, term Term, out *event.Effects) {
 	if machine.Addr == "" {
 		return
@@ -45,7 +48,7 @@
 		return
 	}
 	machine.lastAnnouncement = now
-	session := max(machine.Session, 1) // sessions begin at 1
+	session := max(machine.Session, firstSession)
 	command := directCommand{term.FencingToken(), session, []Order{}}
 	r.sendCommand(machine, command, directCall{announcedTo: machine}, out)
 }
--- a/internal/worker/failures_test.go
+++ b/internal/worker/failures_test.go
@@ -33,8 +33,8 @@
 
 // start puts a task on a machine as a stored placement.
 func (c *cluster) start(j *pipeline.Job, task int, machine string) {
-	h := c.Machine(machine, c.now)
-	entry := c.Jobs.Place(j, task, h.Index, j.MaxAttempt()+1, int64(c.now))
+	placedOn := c.Machine(machine, c.now)
+	entry := c.Jobs.Place(j, task, placedOn.Index, j.MaxAttempt()+1, int64(c.now))
 	entry.Durable = true
 }
 
@@ -72,7 +72,7 @@
 	}
 	c.wait(time.Minute)
 	for _, name := range []string{"i-1", "i-2"} {
-		if h := c.Machine(name, c.now); h.Faulty || h.Draining || h.Retiring {
+		if m := c.Machine(name, c.now); m.Faulty || m.Draining || m.Retiring {
 			t.Errorf("%s is blamed", name)
 		}
 	}
@@ -101,8 +101,8 @@
 		t.Error("two failures are no proof yet")
 	}
 	c.wait(minWorkingTime)
-	h := c.Machine("i-1", c.now)
-	if !h.Faulty || !h.Draining {
+	faulty := c.Machine("i-1", c.now)
+	if !faulty.Faulty || !faulty.Draining {
 		t.Error("the machine is not taken out of use")
 	}
 	if entry := other.Entry(0); entry == nil || !entry.Evict {
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -56,7 +56,7 @@
 // use is what the machine is used for.
 type use struct {
 	Retiring     bool         // to be released, or released: no task may be placed
-	Draining     bool         // its tasks are told to move: to be released when empty
+	Draining     bool         // its tasks are being moved: to be released when empty
 	ReclaimAt    event.Time   // when the cloud takes it back, 0: no notice
 	IdleFrom     event.Time   // when it last had tasks
 	ReservedAt   event.Time   // when capacity was last reserved for a job that waits
--- a/internal/worker/report.go
+++ b/internal/worker/report.go
@@ -1,13 +1,12 @@
 package worker
 
 import (
-	"bytes"
 	"encoding/json"
-	"fmt"
-	"strconv"
+	"errors"
 )
 
-// Report is a worker's report.
+// Report is a worker's report. Those of a machine are ordered by session and
+// sequence.
 type Report struct {
 	Machine      string       `json:"host"`
 	Addr         string       `json:"addr"`
@@ -38,82 +37,24 @@
 	GracePeriod *float64 `json:"wind_down_s,omitempty"`
 }
 
-// Parser reads reports. Most say what the last one of their machine said, but
-// for the tick: their text is compared, not decoded again.
-type Parser struct {
-	last map[string]*lastReport // by the text before the tick's digits
-	key  map[string]string      // of a machine's, in last
+// errIncomplete is returned for a report that lacks a field which identifies its
+// machine or session.
+var errIncomplete = errors.New("report lacks a field")
 
-	// Decoded counts the bytes that were decoded, Same those that were not.
-	Decoded, Unchanged int
-}
-
-type lastReport struct {
-	report Report
-	rest   []byte // the text behind the digits
-}
-
-// maxCachedReports bounds what garbage can make a parser keep.
-const maxCachedReports = 1 << 14
-
-// Parse reads and checks a report. What it returns shares its list of tasks
-// with other reports that say the same.
-func (p *Parser) Parse(body []byte) (*Report, error) {
-	before, sequence, rest, ok := splitSequence(body)
-	if ok {
-		if l := p.last[string(before)]; l != nil && bytes.Equal(l.rest, rest) {
-			p.Unchanged += len(body)
-			r := l.report
-			r.Sequence = sequence
-			return &r, nil
-		}
-	}
-	p.Decoded += len(body)
-	r, err := parseReport(body)
-	if err != nil || !ok || r.Sequence != sequence {
-		return r, err
-	}
-	if p.last == nil || len(p.last) >= maxCachedReports {
-		p.last, p.key = map[string]*lastReport{}, map[string]string{}
-	}
-	delete(p.last, p.key[r.Machine])
-	key := string(before)
-	p.key[r.Machine] = key
-	p.last[key] = &lastReport{*r, bytes.Clone(rest)}
-	return r, nil
-}
-
-var sequenceName = []byte(`"tick":`)
-
-// splitSequence cuts a report's text around the digits of its tick. ok is false
-// where that can't be told without decoding it.
-func splitSequence(body []byte) (before []byte, sequence uint64, rest []byte, ok bool) {
-	i := bytes.Index(body, sequenceName)
-	if i < 0 || bytes.Contains(body[i+1:], sequenceName) {
-		return nil, 0, nil, false
-	}
-	from := i + len(sequenceName)
-	for from < len(body) && body[from] == ' ' {
-		from++
-	}
-	to := from
-	for to < len(body) && body[to] >= '0' && body[to] <= '9' {
-		to++
-	}
-	if to == len(body) || (body[to] != ',' && body[to] != '}') || (body[from] == '0' && to > from+1) {
-		return nil, 0, nil, false
-	}
-	sequence, err := strconv.ParseUint(string(body[from:to]), 10, 64)
-	return body[:from], sequence, body[to:], err == nil
+// complete tells whether the fields are there that every report has.
+func (r *Report) complete() bool {
+	described := r.MachineType != "" && r.Zone != ""
+	return described && r.Machine != "" && r.Session != 0
 }
 
+// parseReport decodes and checks a report.
 func parseReport(body []byte) (*Report, error) {
-	r := &Report{}
-	if err := json.Unmarshal(body, r); err != nil {
+	report := &Report{}
+	if err := json.Unmarshal(body, report); err != nil {
 		return nil, err
 	}
-	if r.Machine == "" || r.MachineType == "" || r.Zone == "" || r.Session == 0 {
-		return nil, fmt.Errorf("report lacks a field")
+	if !report.complete() {
+		return nil, errIncomplete
 	}
-	return r, nil
+	return report, nil
 }
--- a/internal/worker/reports.go
+++ b/internal/worker/reports.go
@@ -80,7 +80,7 @@
 }
 
 // sessionOver tells whether the session of a report has ended since it was last
-// answered: the report was delayed from before then, and its machine may be gone.
+// answered: the report was delayed from before then, and its machine may be released.
 func (c *contact) sessionOver(report *Report, now event.Time, term Term) bool {
 	if report.Session != c.Session || c.LastAnswer <= 0 {
 		return false
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -23,10 +23,10 @@
 
 // TestReports: which reports are believed, in the order in which they arrive.
 func TestReports(t *testing.T) {
-	n := &pipeline.Names{}
-	f := New(n, pipeline.NewTable(n, 4096, 12), slog.New(slog.NewTextHandler(io.Discard, nil)))
-	f.SilentAfter = 13 * time.Second
-	for _, r := range []struct {
+	names := &pipeline.Names{}
+	registry := New(names, pipeline.NewTable(names, 4096, 12), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	registry.SilentAfter = 13 * time.Second
+	for _, c := range []struct {
 		at                time.Duration
 		session, sequence uint64
 		token             uint64
@@ -38,18 +38,18 @@
 		{3, 1, 8, 5, false, true, "a copy"},
 		{4, 1, 6, 4, false, true, "a copy from before our term"},
 		{9, 1, 9, 5, true, true, "the next"},
-		{50, 1, 10, 5, false, false, "held back: that session ended 32 s after our last answer"},
+		{50, 1, 10, 5, false, false, "delayed: that session ended 32 s after our last answer"},
 		{51, 1, 30, 5, false, false, "however many there are of it"},
 		{52, 2, 31, 5, true, true, "the machine itself, in its next session"},
 	} {
-		now := r.at * time.Second
-		rep := &Report{Machine: "i-1", Addr: "10.1.0.1:9000", MachineType: "f", Zone: "a", Session: r.session, Sequence: r.sequence, FencingToken: r.token}
-		taken := f.TakeReport(rep, now, term{})
+		now := c.at * time.Second
+		report := &Report{Machine: "i-1", Addr: "10.1.0.1:9000", MachineType: "f", Zone: "a", Session: c.session, Sequence: c.sequence, FencingToken: c.token}
+		taken := registry.TakeReport(report, now, term{})
 		if taken {
-			f.Orders(rep, now, term{})
+			registry.Orders(report, now, term{})
 		}
-		if up := f.Machine("i-1", now).Up(now, f.SilentAfter); taken != r.taken || up != r.up {
-			t.Errorf("%s: taken %v, usable %v", r.what, taken, up)
+		if up := registry.Machine("i-1", now).Up(now, registry.SilentAfter); taken != c.taken || up != c.up {
+			t.Errorf("%s: taken %v, usable %v", c.what, taken, up)
 		}
 	}
 }
@@ -99,25 +99,25 @@
 // even if it was taken to be over.
 func TestCancelledIsStoppedWhatever(t *testing.T) {
 	for _, pending := range []pipeline.PendingWrite{pipeline.NoPendingWrite, pipeline.PendingClear, pipeline.PendingDone} {
-		n := &pipeline.Names{}
-		tb := pipeline.NewTable(n, 4096, 12)
+		names := &pipeline.Names{}
+		jobs := pipeline.NewTable(names, 4096, 12)
 		j := &pipeline.Job{ID: "req-1", Ready: true, Spec: pipeline.Spec{TaskCount: 1, Zone: -1}}
-		j.Class, j.Team, j.Image = n.Classes.Index("c"), n.Teams.Index("t"), n.Images.Index("b")
-		tb.Listen(pipeline.JobKey, j.ID, pipeline.Encode(n, j), 1)
-		tb.Listen(pipeline.RunKey, "req-1/0", []byte(`{"t":3,"a":[[0,3,"i-1"]]}`), 2)
-		e := tb.Job(j.ID).Entry(0)
+		j.Class, j.Team, j.Image = names.Classes.Index("c"), names.Teams.Index("t"), names.Images.Index("b")
+		jobs.Listen(pipeline.JobKey, j.ID, pipeline.Encode(names, j), 1)
+		jobs.Listen(pipeline.RunKey, "req-1/0", []byte(`{"t":3,"a":[[0,3,"i-1"]]}`), 2)
+		entry := jobs.Job(j.ID).Entry(0)
 		switch pending {
 		case pipeline.PendingClear:
-			tb.Clear(e)
+			jobs.Clear(entry)
 		case pipeline.PendingDone:
-			tb.MarkDone(e.Job, 0)
+			jobs.MarkDone(entry.Job, 0)
 		}
-		tb.Listen(pipeline.FinalKey, "req-1", pipeline.EncodeFinal(pipeline.Cancelled, j), 3)
-		f := New(n, tb, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		rep := &Report{Machine: "i-1", Addr: "10.1.0.1:9000", MachineType: "f", Zone: "a", Session: 1, Sequence: 9, FencingToken: 5,
+		jobs.Listen(pipeline.FinalKey, "req-1", pipeline.EncodeFinal(pipeline.Cancelled, j), 3)
+		registry := New(names, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		report := &Report{Machine: "i-1", Addr: "10.1.0.1:9000", MachineType: "f", Zone: "a", Session: 1, Sequence: 9, FencingToken: 5,
 			Tasks: []TaskReport{{Task: "req-1/0", Attempt: 3, Phase: "running"}}}
-		f.TakeReport(rep, time.Second, term{})
-		got := f.Orders(rep, time.Second, term{})
+		registry.TakeReport(report, time.Second, term{})
+		got := registry.Orders(report, time.Second, term{})
 		if len(got) != 1 || got[0].Verb != "stop" || got[0].Task != "req-1/0" || *got[0].GracePeriod != 0 {
 			t.Errorf("wish %d: %+v", pending, got)
 		}
