--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -8,6 +8,7 @@
 	"lugward/internal/config"
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
+	"lugward/internal/worker"
 )
 
 const (
@@ -85,7 +86,7 @@
 // tasks fetch their image while capacity is freed for the others.
 func (s *Scheduler) usePick(job *pipeline.Job, pick pick, attempt uint64, now event.Time) {
 	for _, victim := range pick.victims {
-		s.Workers.Evict(victim, gracePeriod(victim.Job))
+		s.Workers.Evict(victim, worker.GracePeriod(victim.Job))
 		pick.capacity.Preempting = append(pick.capacity.Preempting, victim)
 		s.notePreempted(victim)
 	}
@@ -96,7 +97,7 @@
 	}
 }
 
-// afterPreemption is the capacity once the tasks that are told to stop have
+// afterPreemption is the capacity once the tasks that are being stopped have
 // terminated.
 func (c *Capacity) afterPreemption() Capacity {
 	free := *c
@@ -161,7 +162,7 @@
 
 // victims picks tasks to stop on a machine until the job fits, those that lose
 // least first. cost is in seconds of work lost or delayed. free is what is left once
-// the tasks that are already told to stop have terminated.
+// the tasks that are already being stopped have terminated.
 func (s *Scheduler) victims(job *pipeline.Job, capacity *Capacity, free Capacity, taken taken, now event.Time) (victims []*pipeline.Entry, cost float64) {
 	candidates := s.scratch.candidates[:0]
 	for _, entry := range s.Jobs.OnMachine(capacity.Machine.Index) {
