--- a/internal/pipeline/compact_test.go
+++ b/internal/pipeline/compact_test.go
@@ -13,11 +13,11 @@
 	t.Helper()
 	plain := encodeRun(n, 7, nil, active, plainFormat)
 	small := encodeRun(n, 7, nil, active, compactFormat)
-	_, _, want, isSmall, ok1 := decodeRun(plain, 16)
-	_, _, got, small2, ok2 := decodeRun(small, 16)
+	want, ok1 := decodeRun(plain, 16)
+	got, ok2 := decodeRun(small, 16)
 	byTask := func(a, b runEntry) int { return a.task - b.task }
-	slices.SortFunc(got, byTask)
-	if !ok1 || !ok2 || isSmall || !small2 || !reflect.DeepEqual(got, want) {
+	slices.SortFunc(got.active, byTask)
+	if !ok1 || !ok2 || want.compacted || !got.compacted || !reflect.DeepEqual(got.active, want.active) {
 		t.Fatalf("%s\nis not\n%s", small, plain)
 	}
 	return len(small)
--- /dev/null
+++ b/internal/pipeline/fields_test.go
@@ -0,0 +1,62 @@
+package pipeline
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+	"time"
+)
+
+// Fields of a later version survive when a record is written again: controllers of
+// both versions serve while they are replaced.
+func TestUnknownFieldsAreKept(t *testing.T) {
+	const unknown = `"zz":{"a":[1,2]},"y y":"\"x"`
+	check := func(what string, data []byte) {
+		t.Helper()
+		var fields map[string]json.RawMessage
+		if err := json.Unmarshal(data, &fields); err != nil {
+			t.Errorf("%s: %v in %s", what, err, data)
+		}
+		if string(fields["zz"]) != `{"a":[1,2]}` || string(fields["y y"]) != `"\"x"` {
+			t.Errorf("%s: %s", what, data)
+		}
+	}
+	tb, j := newJob(t, 4)
+	record := Encode(tb.Names, j)
+	withUnknown := append(append(record[:len(record)-1:len(record)-1], ','), unknown+"}"...)
+	tb.Listen(JobKey, j.ID, withUnknown, 5)
+	check("job", Encode(tb.Names, tb.Job(j.ID)))
+
+	tb.Listen(RunKey, "req-1/0", []byte(`{"t":1,`+unknown+`,"a":[[0,1,"i-1"]]}`), 6)
+	if j.Active() != 1 {
+		t.Fatalf("%d entries", j.Active())
+	}
+	tb.Place(j, 1, 3, 0, 1)
+	tb.Names.Machines.Index("i-2")
+	tb.Names.Machines.Index("i-3")
+	tb.Names.Machines.Index("i-4")
+	q := &queue{}
+	tb.Flush(0, term, q)
+	write := q.next(t)
+	check("run", write.Writes[0].Data)
+
+	tb.Listen(RetryKey, j.ID, []byte(`{"n":1,`+unknown+`}`), 7)
+	tb.BackOff(j, time.Second)
+	q = &queue{}
+	tb.FlushRetries(time.Second, term, q)
+	check("retry", q.next(t).Writes[0].Data)
+}
+
+// A record without such fields is written as ever.
+func TestNoUnknownFields(t *testing.T) {
+	var none recordFields
+	if got := string(none.appendTo([]byte(`{"t":1}`))); got != `{"t":1}` {
+		t.Error(got)
+	}
+	if got := unknownFields([]byte(`{"t":1,"d":"","a":[]}`), runFields); got != nil {
+		t.Error(got)
+	}
+	if want := map[string]bool{"t": true, "d": true, "a": true}; !reflect.DeepEqual(runFields, want) {
+		t.Error(runFields)
+	}
+}
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -129,7 +129,8 @@
 	ID    string
 	Index int // in the table's list of jobs
 	Spec
-	Owner string // the controller that writes its ready mark
+	Owner   string       // the controller that writes its ready mark
+	unknown recordFields // of its record, stored by a later version
 
 	// Upstream are the upstream jobs that the record itself lists. If UpstreamParts
 	// is not 0, the list is stored in that many keys instead. SubmissionVersion is then the
@@ -217,6 +218,7 @@
 	Done      []uint64       // bitmap of the tasks that are stored as done
 	Entries   map[int]*Entry // by task: stored ones, and placements not stored yet
 	compacted bool           // stored in the compact format
+	unknown   recordFields   // stored by a later version
 	chunkWrites
 }
 
--- a/internal/pipeline/production_test.go
+++ b/internal/pipeline/production_test.go
@@ -200,8 +200,8 @@
 	if _, _, _, ok = oldRun(data, 2); ok {
 		t.Error("a compact record is read as something")
 	}
-	if _, _, list, _, ok = decodeRun(data, 2); !ok || len(list) != len(active) {
-		t.Errorf("%v, %d entries", ok, len(list))
+	if run, ok := decodeRun(data, 2); !ok || len(run.active) != len(active) {
+		t.Errorf("%v, %d entries", ok, len(run.active))
 	}
 	// With nothing on machines the two are the same.
 	if !bytes.Equal(encodeRun(n, 9, done, nil, true), encodeRun(n, 9, done, nil, false)) {
--- a/internal/pipeline/record.go
+++ b/internal/pipeline/record.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		panic(err) // the API admits finite numbers only
 	}
-	return data
+	return j.unknown.appendTo(data)
 }
 
 func encodeFlags(s *Spec) (flags int) {
@@ -106,6 +106,7 @@
 		return false
 	}
 	j.Spec = decodeSpec(n, &r)
+	j.unknown = unknownFields(data, jobFields)
 	j.Owner = r.Owner
 	j.Upstream = r.Upstream
 	j.UpstreamParts = r.UpstreamParts
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -46,6 +46,7 @@
 type storedRetry struct {
 	retryRecord
 	version uint64
+	unknown recordFields // of a later version
 }
 
 // retryState is what a job's failures so far mean for its next attempt. Failures
@@ -219,7 +220,7 @@
 	case json.Unmarshal(data, &r) != nil:
 		return // damaged
 	default:
-		t.storedRetries[id] = storedRetry{r, version}
+		t.storedRetries[id] = storedRetry{r, version, unknownFields(data, retryFields)}
 	}
 	if j := t.byID[id]; j != nil {
 		t.loadRetry(j)
@@ -309,7 +310,7 @@
 	if err != nil {
 		panic(err) // two integers
 	}
-	return data
+	return t.storedRetries[j.ID].unknown.appendTo(data)
 }
 
 // RetryKeyOf is the key of a job's retry state.
--- a/internal/pipeline/run.go
+++ b/internal/pipeline/run.go
@@ -38,15 +38,16 @@
 	ch := t.chunk(j, index)
 	var active []runEntry
 	if data != nil {
-		attempt, done, entries, small, ok := decodeRun(data, len(ch.Done))
-		ch.compacted = small // also of a record that is refused
+		run, ok := decodeRun(data, len(ch.Done))
+		ch.compacted = run.compacted // also of a record that is refused
 		if !ok {
 			return
 		}
-		active = entries
-		ch.Attempt = max(ch.Attempt, attempt)
-		for word := range done {
-			ch.Done[word] |= done[word] // a done task stays done
+		active = run.active
+		ch.unknown = run.unknown
+		ch.Attempt = max(ch.Attempt, run.attempt)
+		for word := range run.done {
+			ch.Done[word] |= run.done[word] // a done task stays done
 		}
 	}
 	ch.Version = version
--- a/internal/pipeline/run_record.go
+++ b/internal/pipeline/run_record.go
@@ -79,24 +79,33 @@
 	machine string
 }
 
-// decodeRun reads a chunk's stored form, whose bitmap has so many words; small
-// means that it is in the compact format. A record that is not ok is damaged or of
-// a later version and must be ignored.
-func decodeRun(data []byte, words int) (attempt uint64, done []uint64, active []runEntry, small, ok bool) {
-	var r struct {
-		Attempt uint64          `json:"t"`
-		Done    string          `json:"d"`
-		Active  json.RawMessage `json:"a"`
+// storedRun is what a chunk's stored form says.
+type storedRun struct {
+	attempt   uint64
+	done      []uint64
+	active    []runEntry
+	compacted bool         // in the compact format, also if it could not be read
+	unknown   recordFields // of a later version
+}
+
+// decodeRun reads a chunk's stored form, whose bitmap has so many words. A record
+// that is not ok is damaged or of a later version and must be ignored.
+func decodeRun(data []byte, words int) (run storedRun, ok bool) {
+	var fields recordFields
+	if json.Unmarshal(data, &fields) != nil {
+		return run, false
 	}
-	if json.Unmarshal(data, &r) != nil {
-		return 0, nil, nil, false, false
+	var bitmap string
+	if !fields.read("t", &run.attempt) || !fields.read("d", &bitmap) {
+		return run, false
 	}
-	done, ok = decodeBitmap(r.Done, words)
+	run.done, ok = decodeBitmap(bitmap, words)
 	if !ok {
-		return 0, nil, nil, false, false
+		return run, false
 	}
-	active, small, ok = decodeActive(r.Active)
-	return r.Attempt, done, active, small, ok
+	run.unknown = fields.without(runFields)
+	run.active, run.compacted, ok = decodeActive(fields["a"])
+	return run, ok
 }
 
 func decodeActive(data json.RawMessage) (active []runEntry, small, ok bool) {
--- a/internal/pipeline/size.go
+++ b/internal/pipeline/size.go
@@ -28,9 +28,9 @@
 
 // encodeChunk encodes a chunk's record, plain if it fits or must be plain.
 func (t *Table) encodeChunk(ch *Chunk, done []uint64, active []*Entry) []byte {
-	data := encodeRun(t.Names, ch.Attempt, done, active, plainFormat)
+	data := ch.unknown.appendTo(encodeRun(t.Names, ch.Attempt, done, active, plainFormat))
 	if len(data) > t.ValueLimit && t.AllUpgraded() {
-		data = encodeRun(t.Names, ch.Attempt, done, active, compactFormat)
+		data = ch.unknown.appendTo(encodeRun(t.Names, ch.Attempt, done, active, compactFormat))
 	}
 	return data
 }
@@ -94,5 +94,6 @@
 // fitsPlain reports whether a chunk as it is fits in the plain format.
 func (t *Table) fitsPlain(ch *Chunk) bool {
 	active := slices.Collect(maps.Values(ch.Entries))
-	return len(encodeRun(t.Names, ch.Attempt, ch.Done, active, plainFormat)) <= t.ValueLimit
+	data := encodeRun(t.Names, ch.Attempt, ch.Done, active, plainFormat)
+	return len(ch.unknown.appendTo(data)) <= t.ValueLimit
 }
