--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -7,6 +7,7 @@
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
 	"lugward/internal/scheduler"
+	"lugward/internal/worker"
 )
 
 // Intervals of the leader's periodic work.
@@ -30,9 +31,6 @@
 	// evictionMargin is the time for an order to stop to reach its worker and
 	// for the answer to come back.
 	evictionMargin = 4 * time.Second
-	// saveMarginSeconds is added to the time that a task needs to save, when it
-	// is stopped before its machine is reclaimed.
-	saveMarginSeconds = 1
 )
 
 // leadership is what a controller keeps as leader. It is active from the
@@ -217,7 +215,7 @@
 			job := entry.Job
 			needed := config.Seconds(job.CheckpointDuration) + evictionMargin
 			if job.CheckpointInterval > 0 && machine.ReclaimAt-now < needed {
-				n.workers.Evict(entry, job.CheckpointDuration+saveMarginSeconds)
+				n.workers.Evict(entry, worker.GracePeriod(job))
 			}
 		}
 	}
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -71,6 +71,9 @@
 	return slices.Contains(s.MachineTypes, machineType)
 }
 
+// IsGang tells whether several tasks run together or not at all.
+func (s *Spec) IsGang() bool { return s.Shape == Gang && s.TaskCount > 1 }
+
 // CountsAsWhole reports whether all tasks count together against the team's limit.
 func (s *Spec) CountsAsWhole() bool { return s.Shape != Array }
 
@@ -101,6 +104,9 @@
 	PlacedAt        int64   // steady time in ns of the decision
 }
 
+// Stored tells whether the state service has the entry as it is.
+func (e *Entry) Stored() bool { return e.Durable && e.Pending == NoPendingWrite }
+
 // PendingWrite is the change the leader wants for an entry.
 type PendingWrite uint8
 
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -41,7 +41,7 @@
 	switch {
 	case job.WithinGuarantee:
 		return withinGuarantee
-	case overdue && isGang(job):
+	case overdue && job.IsGang():
 		return gangOverdue
 	case overdue && !begun:
 		return startOverdue
--- a/internal/scheduler/pack.go
+++ b/internal/scheduler/pack.go
@@ -101,20 +101,15 @@
 func canMove(entry *pipeline.Entry, now event.Time) bool {
 	job := entry.Job
 	running := entry.Phase == pipeline.RunningTask && !entry.Evict
-	if !running || !isStored(entry) {
+	if !running || !entry.Stored() {
 		return false
 	}
-	if job.CheckpointInterval == 0 || isGang(job) {
+	if job.CheckpointInterval == 0 || job.IsGang() {
 		return false
 	}
 	return int64(now)-entry.StartedAt >= int64(startCountsAfter)
 }
 
-// isStored tells whether the state service has an entry as it is.
-func isStored(entry *pipeline.Entry) bool {
-	return entry.Durable && entry.Pending == pipeline.NoPendingWrite
-}
-
 // fitsElsewhere tells whether the tasks of a machine fit on others. If all do, what
 // they use there stays allocated.
 func (s *Scheduler) fitsElsewhere(donor *Capacity, receivers []*Capacity, receives map[*worker.Machine]bool) bool {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -191,7 +191,7 @@
 	if entry.Evict || entry.Pending != pipeline.NoPendingWrite {
 		return false
 	}
-	return entry.Job.Final == pipeline.Queued && !isGang(entry.Job)
+	return entry.Job.Final == pipeline.Queued && !entry.Job.IsGang()
 }
 
 // stopCost is what it costs to stop a task, in seconds of work lost or delayed.
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -58,8 +58,3 @@
 func secondsSince(at int64, now event.Time) float64 {
 	return float64(int64(now)-at) / nanosecondsPerSecond
 }
-
-// isGang tells whether several tasks of a job run together or not at all.
-func isGang(job *pipeline.Job) bool {
-	return job.Shape == pipeline.Gang && job.TaskCount > 1
-}
--- a/internal/scheduler/starving.go
+++ b/internal/scheduler/starving.go
@@ -25,7 +25,7 @@
 func starving(job *pipeline.Job, now event.Time) bool {
 	waited := int64(now) - job.ReadySince
 	begun := job.Active() > 0 || job.DoneCount() > 0
-	return waited > int64(startLimit) && !begun && !isGang(job) && !job.AtFault()
+	return waited > int64(startLimit) && !begun && !job.IsGang() && !job.AtFault()
 }
 
 // forcedStart tells whether a task was placed a moment ago as the first one of a
--- a/internal/worker/orders.go
+++ b/internal/worker/orders.go
@@ -57,7 +57,7 @@
 		r.answerTask(answer, r.find(answer.machine, &report.Tasks[i]))
 	}
 	for _, entry := range r.sortedEntries(answer.machine) {
-		if !answer.listed[entry] && isStored(entry) {
+		if !answer.listed[entry] && entry.Stored() {
 			r.answerUnlisted(answer, entry)
 		}
 	}
@@ -103,7 +103,7 @@
 	stop, _ := mustStop(entry)
 	lost := entry.Phase >= pipeline.Waiting && answer.confirmed
 	switch {
-	case !stop && lost && isGang(entry.Job):
+	case !stop && lost && entry.Job.IsGang():
 		// The worker lost it: the rest of the gang cannot go on.
 		r.stopGang(entry.Job)
 		r.Jobs.Clear(entry)
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -133,7 +133,7 @@
 		r.log.Info("machine terminated", "machine", machine.Name, "tasks", len(r.Jobs.OnMachine(machine.Index)))
 	}
 	for _, entry := range r.sortedEntries(machine) {
-		if isGang(entry.Job) {
+		if entry.Job.IsGang() {
 			r.stopGang(entry.Job)
 		}
 		r.Jobs.Clear(entry)
@@ -156,21 +156,11 @@
 	return sorted
 }
 
-// isGang tells whether several tasks of a job run together or not at all.
-func isGang(job *pipeline.Job) bool {
-	return job.Shape == pipeline.Gang && job.TaskCount > 1
-}
-
-// isStored tells whether the state service has an entry as it is.
-func isStored(entry *pipeline.Entry) bool {
-	return entry.Durable && entry.Pending == pipeline.NoPendingWrite
-}
-
 // Settled tells whether nothing that concerns the machine is being stored: an
 // answer given now would not be followed by another in a moment.
 func (r *Registry) Settled(machine int) bool {
 	for _, entry := range r.Jobs.OnMachine(machine) {
-		if !isStored(entry) {
+		if !entry.Stored() {
 			return false
 		}
 	}
--- a/internal/worker/reports.go
+++ b/internal/worker/reports.go
@@ -219,7 +219,7 @@
 			r.Jobs.BackOff(job, now)
 		}
 	}
-	if isGang(job) {
+	if job.IsGang() {
 		r.stopGang(job)
 	}
 	r.Jobs.Clear(entry)
--- a/internal/worker/stops.go
+++ b/internal/worker/stops.go
@@ -30,7 +30,7 @@
 		return
 	}
 	r.Jobs.Changed = true
-	if isGang(entry.Job) {
+	if entry.Job.IsGang() {
 		r.stopGang(entry.Job)
 		return
 	}
@@ -72,7 +72,7 @@
 	for _, entry := range r.Jobs.OnMachine(machine.Index) {
 		stop, gracePeriod := mustStop(entry)
 		more = more || stop
-		if ready && stop && isStored(entry) && hasNoStop(entry) {
+		if ready && stop && entry.Stored() && hasNoStop(entry) {
 			orders = append(orders, stopOrder(taskName(entry), entry.Attempt, gracePeriod))
 		}
 	}
