--- a/internal/pipeline/finish_test.go
+++ b/internal/pipeline/finish_test.go
@@ -64,3 +64,20 @@
 		}
 	}
 }
+
+// The ready mark of a job waits with the writes of jobs of its priority, not behind
+// them: what comes after it in a chain waits for it.
+func TestReadyMarkHasItsJobsRank(t *testing.T) {
+	for _, priority := range []Priority{Idle, Normal, High} {
+		tb := NewTable(&Names{}, 4096, 12)
+		j := &Job{ID: "req-2", Upstream: []string{"req-1"}, Spec: Spec{TaskCount: 1, Priority: priority, Zone: -1}}
+		j.Class, j.Team, j.Image = tb.Names.Classes.Index("c"), tb.Names.Teams.Index("t"), tb.Names.Images.Index("b")
+		tb.Listen(JobKey, j.ID, Encode(tb.Names, j), 1)
+		tb.Listen(FinalKey, "req-1", []byte(`{"p":"done","n":1}`), 2)
+		q := &queue{}
+		tb.MarkReady(0, q, func(*Job) bool { return true })
+		if mark, want := q.next(t), tb.Job(j.ID).writeRank(); mark.Rank != want || mark.Priority != store.Place {
+			t.Errorf("priority %d: rank %d, not %d", priority, mark.Rank, want)
+		}
+	}
+}
--- a/internal/pipeline/marks.go
+++ b/internal/pipeline/marks.go
@@ -76,6 +76,7 @@
 func (j *Job) submitMark(inFlight *int, now time.Duration, s Submitter, in *store.Intent) {
 	j.marking = true
 	*inFlight++
+	in.Rank = j.writeRank()
 	in.Conditions = []store.Condition{{Key: JobKeyOf(j.ID), Version: j.Version}, {Key: FinalKeyOf(j.ID)}}
 	in.Done = func(r store.Result) {
 		j.marking = false
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -270,7 +270,7 @@
 func (t *Table) writeRetry(j *Job, now time.Duration, term store.Condition, s Submitter) {
 	j.retry.queued = true
 	written := 0
-	intent := &store.Intent{Priority: store.Progress, Key: RetryKeyOf(j.ID)}
+	intent := &store.Intent{Priority: store.Progress, Rank: j.writeRank(), Key: RetryKeyOf(j.ID)}
 	intent.Build = func(intent *store.Intent) bool {
 		stored := t.storedRetries[j.ID]
 		if !j.retry.dirty || j.Final != Queued || (j.retry.failures == 0 && stored.version == 0) {
