--- a/internal/simtest/network.go
+++ b/internal/simtest/network.go
@@ -146,6 +146,7 @@
 		n.next++
 		id := n.next
 		n.conns[id] = answer
+		w.observe(Message{From: from, To: n.name, Method: method, Path: path, Body: body})
 		n.step(func(now event.Time) {
 			crowded := path == "/hello" && n.connect(from, id)
 			n.core.Request(now, event.Request{Conn: id, Method: method, Path: path, Body: body, Crowded: crowded}, &n.out)
--- a/internal/simtest/node.go
+++ b/internal/simtest/node.go
@@ -130,6 +130,7 @@
 
 // perform carries out the effects of a step.
 func (n *node) perform(replies []event.Reply, calls []event.Call, frames []event.PeerFrame) {
+	n.observeEffects(replies, calls, frames)
 	life := n.life
 	for _, r := range replies {
 		if answer := n.conns[r.Conn]; answer != nil {
@@ -141,16 +142,7 @@
 		n.call(c, life)
 	}
 	for _, fr := range frames {
-		var to *node
-		k := 0
-		for _, o := range n.w.nodes {
-			if o != n {
-				if k == fr.Peer {
-					to = o
-				}
-				k++
-			}
-		}
+		to := n.peer(fr.Peer)
 		data := fr.Data
 		n.w.send(n.name, to.name, func() {
 			if to.up {
@@ -160,6 +152,21 @@
 	}
 }
 
+// peer returns the controller at a place in this one's list of seeds.
+func (n *node) peer(seed int) *node {
+	others := 0
+	for _, o := range n.w.nodes {
+		if o == n {
+			continue
+		}
+		if others == seed {
+			return o
+		}
+		others++
+	}
+	return nil
+}
+
 func (n *node) call(c event.Call, life int) {
 	answered := false
 	finish := func(status int, body []byte) {
@@ -167,6 +174,7 @@
 			return
 		}
 		answered = true
+		n.w.observe(Message{From: c.Addr, To: n.name, Path: c.Path, Status: status, Body: body})
 		n.step(func(now event.Time) {
 			n.core.CallDone(now, event.CallDone{ID: c.ID, Status: status, Body: body}, &n.out)
 		})
--- a/internal/simtest/scenario_test.go
+++ b/internal/simtest/scenario_test.go
@@ -43,7 +43,10 @@
 }
 
 // scenario is a world that commands of a file begin and change.
-type scenario struct{ world *World }
+type scenario struct {
+	world *World
+	wire  WireObserver // nil: none
+}
 
 // play carries out one command of a file; an error tells its file and line.
 func (s *scenario) play(d *datadriven.TestData) (string, error) {
@@ -63,7 +66,7 @@
 		if err := a.check(nil, worldArguments); err != nil {
 			return "", err
 		}
-		s.world = newScenarioWorld(a)
+		s.world = newScenarioWorld(a, s.wire)
 		return "ok", nil
 	}
 	if s.world == nil {
@@ -72,8 +75,8 @@
 	return s.world.Do(d.Cmd, a, d.Input)
 }
 
-func newScenarioWorld(a Args) *World {
-	w := NewWith(Announce(Settings, a), int(a.num("nodes", "3")), uint64(a.num("seed", "1")), logOut(), func(p *config.Platform) {
+func newScenarioWorld(a Args, wire WireObserver) *World {
+	w := NewObserved(Announce(Settings, a), int(a.num("nodes", "3")), uint64(a.num("seed", "1")), logOut(), wire, func(p *config.Platform) {
 		p.Settings.Workers.ReportS = a.num("report", "1")
 		p.Settings.Workers.LeaseS = a.num("lease", "10")
 		p.Settings.Workers.CancelS = a.num("cancel", "25")
@@ -200,8 +203,11 @@
 	Errorf(format string, args ...any)
 }
 
-func play(t failer, seed uint64) {
-	w := New(3, seed, logOut())
+func play(t failer, seed uint64) { playObserved(t, seed, nil) }
+
+// playObserved is play with an observer of the wire.
+func playObserved(t failer, seed uint64, wire WireObserver) {
+	w := NewObserved(Settings, 3, seed, logOut(), wire)
 	w.watchRules()
 	w.loss, w.late = 0.01, 0.05
 	w.copies, w.copyLate = 0.05, 30*time.Second
--- a/internal/simtest/world.go
+++ b/internal/simtest/world.go
@@ -54,6 +54,7 @@
 	answers         map[string]string // to requests that nobody waits for, by what was asked
 	faults          []string          // errors of the service against its own limits
 	log             *slog.Logger
+	wire            WireObserver // nil: none
 	activeFaults
 }
 
@@ -74,6 +75,11 @@
 
 // NewWith is New with settings of its own.
 func NewWith(settings string, nodes int, seed uint64, log io.Writer, tune ...func(*config.Platform)) *World {
+	return NewObserved(settings, nodes, seed, log, nil, tune...)
+}
+
+// NewObserved is NewWith with an observer of every message that a controller receives or sends.
+func NewObserved(settings string, nodes int, seed uint64, log io.Writer, wire WireObserver, tune ...func(*config.Platform)) *World {
 	cfg, err := config.Parse([]byte(settings))
 	if err != nil {
 		panic(err)
@@ -81,7 +87,7 @@
 	for _, f := range tune {
 		f(cfg)
 	}
-	w := &World{rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, workers: map[string]*worker{}, jobs: map[string]*job{},
+	w := &World{rng: rand.New(rand.NewPCG(seed, 1)), wire: wire, cfg: cfg, workers: map[string]*worker{}, jobs: map[string]*job{},
 		cut: map[[2]string]bool{}, lost: map[[2]string]bool{}, pageLimit: 1000, answers: map[string]string{},
 		announced: strings.Contains(settings, `"next":`), log: slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelInfo}))}
 	w.state, w.cloud, w.check = newState(w), newCloud(w), newChecker(w)
