--- a/cmd/lugward/main.go
+++ b/cmd/lugward/main.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 
 	"lugward/internal/config"
-	"lugward/internal/core"
+	"lugward/internal/controller"
 	"lugward/internal/engine"
 )
 
@@ -126,7 +126,7 @@
 		}
 	}
 	start := time.Now()
-	node := core.New(cfg, log, func() time.Duration { return time.Since(start) })
+	node := controller.New(cfg, log, func() time.Duration { return time.Since(start) })
 	log.Info("starting", "label", cfg.Label, "bind", cfg.Bind)
 	return engine.Run(engineConfig(cfg), node, log)
 }
--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -3,8 +3,8 @@
 import (
 	"lugward/internal/event"
 	"lugward/internal/httpwire"
+	"lugward/internal/kv"
 	"lugward/internal/pipeline"
-	"lugward/internal/store"
 )
 
 // maxCancelRetries bounds the attempts at one cancellation. Each conflict means
@@ -26,7 +26,7 @@
 		return
 	}
 	if s.unavailable(now) || c.retries >= maxCancelRetries {
-		out.Busy(c.conn, retryAfter)
+		out.Unavailable(c.conn, retryAfter)
 		return
 	}
 	j := s.accepted(c.id)
@@ -34,27 +34,27 @@
 		s.cancelUnseen(c)
 		return
 	}
-	jobKey, finalKey := pipeline.JobKeyOf(c.id), pipeline.FinalKeyOf(c.id)
-	s.store.Submit(&store.Intent{
-		Priority:   store.Cancel,
-		Conditions: []store.Condition{{Key: jobKey, Version: j.Version}, {Key: finalKey}},
-		Writes:     []store.Write{{Key: finalKey, Data: pipeline.EncodeFinal(pipeline.Cancelled, j)}},
-		Done:       func(r store.Result) { s.cancelWritten(c, r) },
+	jobKey, finalKey := pipeline.JobKeyOf(c.id), pipeline.TerminalKeyOf(c.id)
+	s.store.Submit(&kv.Txn{
+		Priority: kv.PriorityCancellation,
+		Compares: []kv.Compare{{Key: jobKey, ModRevision: j.ModRevision}, {Key: finalKey}},
+		Writes:   []kv.Write{{Key: finalKey, Data: pipeline.EncodeTerminal(pipeline.Cancelled, j)}},
+		Done:     func(r kv.Result) { s.cancelWritten(c, r) },
 	}, now+s.cfg.Answer)
 }
 
 // cancelWritten handles the result of the write. After a conflict or without an
 // answer the mark may be there, ours or another's: what is stored decides.
-func (s *Server) cancelWritten(c cancellation, r store.Result) {
+func (s *Server) cancelWritten(c cancellation, r kv.Result) {
 	switch r.Outcome {
-	case store.OK:
+	case kv.Committed:
 		s.cancel(r.Now, c, r.Out) // answers from the mark
-	case store.Refused:
-		r.Out.Busy(c.conn, retryAfter)
+	case kv.Aborted:
+		r.Out.Unavailable(c.conn, retryAfter)
 	default:
 		s.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
 			if !ok {
-				out.Busy(c.conn, retryAfter)
+				out.Unavailable(c.conn, retryAfter)
 				return
 			}
 			s.retryCancel(now, c, out)
@@ -68,7 +68,7 @@
 	s.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
 		switch {
 		case !ok:
-			out.Busy(c.conn, retryAfter)
+			out.Unavailable(c.conn, retryAfter)
 		case s.state(c.id) == nil:
 			out.Reply(c.conn, httpwire.StatusNotFound, nil)
 		default:
--- a/internal/api/feasibility.go
+++ b/internal/api/feasibility.go
@@ -53,8 +53,8 @@
 		Memory:             *sub.Memory,
 		ImageGB:            *sub.ImageGB,
 		Zone:               anyZone,
-		SamePlace:          *sub.SamePlace,
-		Scatter:            *sub.Scatter,
+		SameZone:           *sub.SamePlace,
+		SpreadZones:        *sub.Scatter,
 		AllowSpot:          *sub.AllowSpot,
 		EstimatedRuntime:   *sub.EstimatedRuntime,
 		CheckpointInterval: *sub.CheckpointInterval,
@@ -100,8 +100,8 @@
 		return fmt.Errorf("%w: it exceeds the limit of team %q", errInfeasible, team.Name)
 	}
 	// Scattered means at most half in one zone, which one zone can't give.
-	scattered := spec.Scatter && spec.TaskCount > 1 && spec.CountsAsWhole()
-	if scattered && (spec.SamePlace || zones < 2) {
+	scattered := spec.SpreadZones && spec.TaskCount > 1 && spec.CountsAllTasks()
+	if scattered && (spec.SameZone || zones < 2) {
 		return fmt.Errorf("%w: its tasks cannot be scattered", errInfeasible)
 	}
 	return nil
@@ -132,7 +132,7 @@
 // team may ever use: all tasks of a gang or a daemon, one task of an array.
 func exceedsLimit(spec *pipeline.Spec, team config.Team) bool {
 	tasks := 1.0
-	if spec.CountsAsWhole() {
+	if spec.CountsAllTasks() {
 		tasks = float64(spec.TaskCount)
 	}
 	return exceeds(tasks*spec.CPUs, team.CPUsMax) || exceeds(tasks*spec.GPUs, team.GPUsMax)
--- a/internal/api/node_test.go
+++ b/internal/api/node_test.go
@@ -8,9 +8,9 @@
 
 	"lugward/internal/config"
 	"lugward/internal/event"
+	"lugward/internal/kv"
 	"lugward/internal/pipeline"
 	"lugward/internal/scheduler"
-	"lugward/internal/store"
 )
 
 // node is the API of one controller. Its watch is never answered, so it sees
@@ -20,7 +20,7 @@
 	service *service
 	server  *Server
 	jobs    *pipeline.Table
-	store   *store.Client
+	store   *kv.Client
 	out     event.Effects
 	now     event.Time
 	conn    uint64
@@ -32,10 +32,10 @@
 	names := &pipeline.Names{}
 	names.Zones.Index("a")
 	n.jobs = pipeline.NewTable(names, valueBytes, txnOps)
-	limits := store.Limits{TxnOps: txnOps, RPS: 1000, WriteRPS: 1000, StaleAfter: time.Hour}
-	n.store = store.New("s", limits, func(key string, data []byte, version uint64) {
-		kind, rest := store.SplitKey(key)
-		n.jobs.Listen(kind, rest, data, version)
+	limits := kv.Limits{TxnOps: txnOps, RPS: 1000, WriteRPS: 1000, StaleAfter: time.Hour}
+	n.store = kv.New("s", limits, func(key string, data []byte, version uint64) {
+		kind, rest := kv.SplitKey(key)
+		n.jobs.HandleChange(kind, rest, data, version)
 	})
 	machineTypes := &scheduler.MachineTypes{{Index: names.MachineTypes.Index("m"), CPUs: 8, Memory: 32, Zones: []int{0}}}
 	cfg := Config{
@@ -76,7 +76,7 @@
 		}
 		for _, c := range calls {
 			if status, body, ok := n.service.serve(c); ok {
-				n.store.CallDone(n.now, event.CallDone{ID: c.ID, Status: status, Body: []byte(body)}, &n.out)
+				n.store.HandleCallResult(n.now, event.CallResult{ID: c.ID, Status: status, Body: []byte(body)}, &n.out)
 			}
 		}
 	}
@@ -119,7 +119,7 @@
 }
 
 func final(p pipeline.Phase, shape pipeline.Shape) []byte {
-	return pipeline.EncodeFinal(p, &pipeline.Job{Spec: pipeline.Spec{TaskCount: 1, Shape: shape}})
+	return pipeline.EncodeTerminal(p, &pipeline.Job{Spec: pipeline.Spec{TaskCount: 1, Shape: shape}})
 }
 
 // upstreamList stores so many jobs, shows them to the node and returns the field
--- a/internal/api/parts_test.go
+++ b/internal/api/parts_test.go
@@ -20,7 +20,7 @@
 	r := n.submit(1, list)
 	n.expect("long list", r, 201, "queued")
 	parts := s.parts(1)
-	if j := n.jobs.Job("req-1"); len(parts) < 10 || j.UpstreamParts != len(parts) || j.Ready || j.UpstreamCancelled() {
+	if j := n.jobs.Job("req-1"); len(parts) < 10 || j.UpstreamPages != len(parts) || j.Ready || j.UpstreamCancelled() {
 		t.Fatalf("%d parts, record %s", len(parts), s.keys["j/req-1"].data)
 	}
 	// The record came last, on condition of part 0; so did the other parts.
--- a/internal/api/pending.go
+++ b/internal/api/pending.go
@@ -7,8 +7,8 @@
 
 	"lugward/internal/event"
 	"lugward/internal/httpwire"
+	"lugward/internal/kv"
 	"lugward/internal/pipeline"
-	"lugward/internal/store"
 )
 
 const (
@@ -46,24 +46,24 @@
 // for the same job is under way, here or, as part 0 shows, elsewhere.
 func (s *Server) beginPartsWrite(now event.Time, conn uint64, j *pipeline.Job, parts [][]byte, out *event.Effects) {
 	version, seenFor := s.jobs.SubmissionAttempt(j.ID, now)
-	if s.pending[j.ID] != nil || (version != 0 && seenFor < pipeline.RivalTimeout) {
-		out.Busy(conn, retryAfter)
+	if s.pending[j.ID] != nil || (version != 0 && seenFor < pipeline.SubmissionAttemptTimeout) {
+		out.Unavailable(conn, retryAfter)
 		return
 	}
 	p := &pendingSubmission{id: j.ID, job: j, conn: conn, began: now, parts: parts, next: 1}
 	s.pending[j.ID] = p
-	part0 := pipeline.PartKeyOf(j.ID, 0)
-	s.submitPart(now, store.Write{Key: part0, Data: parts[0]}, store.Condition{Key: part0, Version: version}, p,
-		func(r store.Result) { s.partZeroWritten(p, r) })
+	part0 := pipeline.UpstreamPageKeyOf(j.ID, 0)
+	s.submitPart(now, kv.Write{Key: part0, Data: parts[0]}, kv.Compare{Key: part0, ModRevision: version}, p,
+		func(r kv.Result) { s.partZeroWritten(p, r) })
 }
 
-func (s *Server) partZeroWritten(p *pendingSubmission, r store.Result) {
+func (s *Server) partZeroWritten(p *pendingSubmission, r kv.Result) {
 	switch r.Outcome {
-	case store.OK:
+	case kv.Committed:
 		p.version = r.Revision
-		p.job.SubmissionVersion = r.Revision
+		p.job.SubmissionRevision = r.Revision
 		s.writeNextParts(r.Now, p)
-	case store.Refused:
+	case kv.Aborted:
 		s.abandon(p, r)
 	default:
 		// The part 0 that is stored may be ours or a rival's: its value does not
@@ -74,12 +74,12 @@
 
 // submitPart submits one write of an attempt. Besides its own condition it
 // requires that the job has not been accepted.
-func (s *Server) submitPart(now event.Time, write store.Write, condition store.Condition, p *pendingSubmission, done func(store.Result)) {
-	s.store.Submit(&store.Intent{
-		Priority:   store.Accept,
-		Conditions: []store.Condition{condition, {Key: pipeline.JobKeyOf(p.id)}, {Key: pipeline.FinalKeyOf(p.id)}},
-		Writes:     []store.Write{write},
-		Done:       done,
+func (s *Server) submitPart(now event.Time, write kv.Write, condition kv.Compare, p *pendingSubmission, done func(kv.Result)) {
+	s.store.Submit(&kv.Txn{
+		Priority: kv.PrioritySubmission,
+		Compares: []kv.Compare{condition, {Key: pipeline.JobKeyOf(p.id)}, {Key: pipeline.TerminalKeyOf(p.id)}},
+		Writes:   []kv.Write{write},
+		Done:     done,
 	}, now+submissionTimeout)
 }
 
@@ -90,14 +90,14 @@
 		part := p.next
 		p.next++
 		p.inFlight++
-		s.writePart(now, p, store.Write{Key: pipeline.PartKeyOf(p.id, part), Data: p.parts[part]}, func(r store.Result) {
+		s.writePart(now, p, kv.Write{Key: pipeline.UpstreamPageKeyOf(p.id, part), Data: p.parts[part]}, func(r kv.Result) {
 			p.inFlight--
 			s.writeNextParts(r.Now, p)
 		})
 	}
 	if p.next == len(p.parts) && p.inFlight == 0 {
 		p.inFlight++
-		s.writePart(now, p, store.Write{Key: pipeline.JobKeyOf(p.id), Data: pipeline.Encode(s.names, p.job)}, func(r store.Result) {
+		s.writePart(now, p, kv.Write{Key: pipeline.JobKeyOf(p.id), Data: pipeline.Encode(s.names, p.job)}, func(r kv.Result) {
 			delete(s.pending, p.id)
 			if !p.answered {
 				r.Out.Reply(p.conn, httpwire.StatusCreated, s.stateOfNew(p.id))
@@ -108,20 +108,20 @@
 
 // writePart writes a value on condition of part 0, and again if no answer comes:
 // carried out twice, the write changes nothing. written is called on success.
-func (s *Server) writePart(now event.Time, p *pendingSubmission, write store.Write, written func(store.Result)) {
+func (s *Server) writePart(now event.Time, p *pendingSubmission, write kv.Write, written func(kv.Result)) {
 	if !s.current(p) {
 		return
 	}
-	condition := store.Condition{Key: pipeline.PartKeyOf(p.id, 0), Version: p.version}
-	s.submitPart(now, write, condition, p, func(r store.Result) {
+	condition := kv.Compare{Key: pipeline.UpstreamPageKeyOf(p.id, 0), ModRevision: p.version}
+	s.submitPart(now, write, condition, p, func(r kv.Result) {
 		switch {
 		case !s.current(p):
-		case r.Outcome == store.OK:
+		case r.Outcome == kv.Committed:
 			written(r)
-		case r.Outcome == store.Unknown && p.retries < maxWriteRetries:
+		case r.Outcome == kv.Unknown && p.retries < maxWriteRetries:
 			p.retries++
 			s.writePart(r.Now, p, write, written)
-		case r.Outcome == store.Refused:
+		case r.Outcome == kv.Aborted:
 			s.abandon(p, r)
 		default:
 			s.concede(p)
@@ -133,7 +133,7 @@
 func (s *Server) current(p *pendingSubmission) bool { return s.pending[p.id] == p }
 
 // abandon ends an attempt whose write was not executed.
-func (s *Server) abandon(p *pendingSubmission, r store.Result) {
+func (s *Server) abandon(p *pendingSubmission, r kv.Result) {
 	delete(s.pending, p.id)
 	if !p.answered {
 		s.refuseForBacklog(p.conn, r.Out)
@@ -156,7 +156,7 @@
 		p := s.pending[id]
 		age := now - p.began
 		if !p.answered && age > s.cfg.Answer {
-			out.Busy(p.conn, retryAfter)
+			out.Unavailable(p.conn, retryAfter)
 			p.answered = true
 		}
 		if age > submissionTimeout {
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -40,7 +40,7 @@
 		return
 	}
 	if s.unavailable(now) {
-		out.Busy(conn, retryAfter)
+		out.Unavailable(conn, retryAfter)
 		return
 	}
 	s.answerAfterBarrier(conn, id, func(_ event.Time, out *event.Effects) {
@@ -54,7 +54,7 @@
 func (s *Server) answerAfterBarrier(conn uint64, id string, unknown func(now event.Time, out *event.Effects)) {
 	s.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
 		if !ok {
-			out.Busy(conn, retryAfter)
+			out.Unavailable(conn, retryAfter)
 		} else if b := s.state(id); b != nil {
 			out.Reply(conn, httpwire.StatusOK, b)
 		} else {
@@ -66,7 +66,7 @@
 // accepted returns a job that has been stored, or nil. A record that the
 // replica does not show yet does not count.
 func (s *Server) accepted(id string) *pipeline.Job {
-	if j := s.jobs.Job(id); j != nil && j.Version != 0 {
+	if j := s.jobs.Job(id); j != nil && j.ModRevision != 0 {
 		return j
 	}
 	return nil
@@ -75,10 +75,10 @@
 // finalState returns the encoded state of a job that has ended, nil for any
 // other: the job has a final mark, or needs a cancelled job.
 func (s *Server) finalState(id string) []byte {
-	if final, ok := s.jobs.Finals.Get(id); ok {
+	if final, ok := s.jobs.Terminal.Get(id); ok {
 		a := answer{ID: id, Phase: phaseNames[final.Phase]}
 		if final.Phase == pipeline.Done {
-			a.Done = final.N
+			a.Done = final.TaskCount
 		}
 		return a.encode()
 	}
@@ -98,5 +98,5 @@
 	if j == nil {
 		return nil
 	}
-	return answer{ID: id, Phase: phaseNames[j.Phase()], Done: j.DoneCount(), Running: j.Active()}.encode()
+	return answer{ID: id, Phase: phaseNames[j.Phase()], Done: j.DoneCount(), Running: j.ActiveCount()}.encode()
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -12,9 +12,9 @@
 	"lugward/internal/config"
 	"lugward/internal/event"
 	"lugward/internal/httpwire"
+	"lugward/internal/kv"
 	"lugward/internal/pipeline"
 	"lugward/internal/scheduler"
-	"lugward/internal/store"
 )
 
 // Config holds the settings of the API.
@@ -41,7 +41,7 @@
 	cfg          Config
 	names        *pipeline.Names
 	jobs         *pipeline.Table
-	store        *store.Client
+	store        *kv.Client
 	machineTypes *scheduler.MachineTypes
 	teams        map[string]config.Team
 	// pending holds, by job ID, the submissions whose lists of upstream jobs are
@@ -51,7 +51,7 @@
 
 // New returns a server. It reads the table and the machine types as others
 // update them; it changes neither.
-func New(cfg Config, names *pipeline.Names, jobs *pipeline.Table, client *store.Client, machineTypes *scheduler.MachineTypes) *Server {
+func New(cfg Config, names *pipeline.Names, jobs *pipeline.Table, client *kv.Client, machineTypes *scheduler.MachineTypes) *Server {
 	s := &Server{
 		cfg:          cfg,
 		names:        names,
@@ -99,5 +99,5 @@
 // unavailable reports whether requests that need the state service are to be
 // refused at once instead of being left to time out.
 func (s *Server) unavailable(now event.Time) bool {
-	return !s.store.Synced() || (s.store.Outage() && now-s.store.Contact() > outageAfter)
+	return !s.store.Synced() || (s.store.Unavailable() && now-s.store.LastContact() > outageAfter)
 }
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -6,8 +6,8 @@
 
 	"lugward/internal/event"
 	"lugward/internal/httpwire"
+	"lugward/internal/kv"
 	"lugward/internal/pipeline"
-	"lugward/internal/store"
 )
 
 // submit accepts a job once its record is stored. A repeat of an accepted
@@ -25,7 +25,7 @@
 		return
 	}
 	if s.unavailable(now) {
-		out.Busy(r.Conn, retryAfter)
+		out.Unavailable(r.Conn, retryAfter)
 		return
 	}
 	if s.accepted(id) != nil {
@@ -40,7 +40,7 @@
 	j, err := s.newJob(sub)
 	switch {
 	case errors.Is(err, errMachineTypesUnknown):
-		out.Busy(r.Conn, retryAfter)
+		out.Unavailable(r.Conn, retryAfter)
 	case err != nil:
 		s.reject(r.Conn, id, httpwire.StatusUnprocessableContent)
 	case !s.validUpstream(upstream):
@@ -75,7 +75,7 @@
 // new job itself is not accepted, so it cannot be among them.
 func (s *Server) validUpstream(upstream []string) bool {
 	for _, id := range upstream {
-		if final, ok := s.jobs.Finals.Get(id); ok {
+		if final, ok := s.jobs.Terminal.Get(id); ok {
 			if final.Daemon {
 				return false
 			}
@@ -90,13 +90,13 @@
 
 // accept stores the record of a job that can run.
 func (s *Server) accept(now event.Time, conn uint64, j *pipeline.Job, upstream []string, out *event.Effects) {
-	j.Submitted = s.jobs.UnixMS(now)
+	j.SubmittedAt = s.jobs.UnixMS(now)
 	for _, id := range upstream {
-		final, _ := s.jobs.Finals.Get(id)
+		final, _ := s.jobs.Terminal.Get(id)
 		j.Ready = j.Ready && final.Phase == pipeline.Done
 	}
 	if j.Ready {
-		j.ReadyAt = j.Submitted
+		j.ReadyAt = j.SubmittedAt
 	}
 	parts := s.layOutUpstream(j, upstream)
 	data := pipeline.Encode(s.names, j)
@@ -108,7 +108,7 @@
 		out.Reply(conn, httpwire.StatusBadRequest, nil)
 		return
 	}
-	if best, _ := s.store.Backlog(store.Accept); best > s.cfg.Answer.Seconds() {
+	if best, _ := s.store.Backlog(kv.PrioritySubmission); best > s.cfg.Answer.Seconds() {
 		// The write would wait for longer than the user does. Refusing it now
 		// leaves the rate to those that wait already.
 		s.refuseForBacklog(conn, out)
@@ -122,16 +122,16 @@
 }
 
 func (s *Server) storeRecord(now event.Time, conn uint64, id string, record []byte) {
-	jobKey, finalKey := pipeline.JobKeyOf(id), pipeline.FinalKeyOf(id)
-	s.store.Submit(&store.Intent{
-		Priority:   store.Accept,
-		Conditions: []store.Condition{{Key: jobKey}, {Key: finalKey}},
-		Writes:     []store.Write{{Key: jobKey, Data: record}},
-		Done: func(r store.Result) {
+	jobKey, finalKey := pipeline.JobKeyOf(id), pipeline.TerminalKeyOf(id)
+	s.store.Submit(&kv.Txn{
+		Priority: kv.PrioritySubmission,
+		Compares: []kv.Compare{{Key: jobKey}, {Key: finalKey}},
+		Writes:   []kv.Write{{Key: jobKey, Data: record}},
+		Done: func(r kv.Result) {
 			switch r.Outcome {
-			case store.OK:
+			case kv.Committed:
 				r.Out.Reply(conn, httpwire.StatusCreated, s.stateOfNew(id))
-			case store.Refused:
+			case kv.Aborted:
 				s.refuseForBacklog(conn, r.Out)
 			default:
 				s.answerFromStore(conn, id)
@@ -151,9 +151,9 @@
 
 // refuseForBacklog answers 503 with the time that the writes before this one take.
 func (s *Server) refuseForBacklog(conn uint64, out *event.Effects) {
-	_, wait := s.store.Backlog(store.Accept)
+	_, wait := s.store.Backlog(kv.PrioritySubmission)
 	seconds := min(max(wait, retryAfter), maxRetryAfter)
-	out.Busy(conn, int(math.Ceil(seconds)))
+	out.Unavailable(conn, int(math.Ceil(seconds)))
 }
 
 // answerFromStore answers a submission whose write conflicted or whose outcome
@@ -161,6 +161,6 @@
 // job, which the user's retry finds.
 func (s *Server) answerFromStore(conn uint64, id string) {
 	s.answerAfterBarrier(conn, id, func(_ event.Time, out *event.Effects) {
-		out.Busy(conn, retryAfter)
+		out.Unavailable(conn, retryAfter)
 	})
 }
--- a/internal/api/upstream.go
+++ b/internal/api/upstream.go
@@ -17,7 +17,7 @@
 	j.Upstream = upstream
 	largest := *j
 	largest.Ready = true
-	largest.ReadyAt = j.Submitted + 1 // has as many digits as any later time
+	largest.ReadyAt = j.SubmittedAt + 1 // has as many digits as any later time
 	if len(pipeline.Encode(s.names, &largest)) <= s.cfg.ValueBytes {
 		return nil
 	}
@@ -25,7 +25,7 @@
 	if j.Ready {
 		return nil
 	}
-	parts := pipeline.EncodeParts(upstream, s.cfg.ValueBytes)
-	j.UpstreamParts = len(parts)
+	parts := pipeline.EncodeUpstreamPages(upstream, s.cfg.ValueBytes)
+	j.UpstreamPages = len(parts)
 	return parts
 }
--- a/internal/api/upstream_test.go
+++ b/internal/api/upstream_test.go
@@ -25,8 +25,8 @@
 	n.expect("itself", n.submit(4, `,"awaits":["req-4"]`), 422, "")
 	n.expect("unknown", n.submit(4, `,"awaits":["req-1","req-99"]`), 422, "")
 	n.expect("waiting for others", n.submit(4, `,"awaits":["req-1","req-2","req-1"]`), 201, "queued")
-	if j := n.jobs.Job("req-4"); j.Ready || strings.Join(j.Upstream, " ") != "req-1 req-2" || j.Submitted == 0 {
-		t.Errorf("ready %v, upstream %v, at %d", j.Ready, j.Upstream, j.Submitted)
+	if j := n.jobs.Job("req-4"); j.Ready || strings.Join(j.Upstream, " ") != "req-1 req-2" || j.SubmittedAt == 0 {
+		t.Errorf("ready %v, upstream %v, at %d", j.Ready, j.Upstream, j.SubmittedAt)
 	}
 	// A retry is found before it is judged.
 	for _, list := range []string{`["req-99"]`, `["req-4"]`, `[]`, `7`} {
@@ -82,7 +82,7 @@
 	s.put("j/req-1", nil)
 	n.expect("poll", n.send("GET", "/submissions/req-1", ""), 200, "done")
 	n.expect("all done", n.submit(4, `,"awaits":["req-1"]`), 201, "queued")
-	if j := n.jobs.Job("req-4"); !j.Ready || j.ReadyAt != j.Submitted {
+	if j := n.jobs.Job("req-4"); !j.Ready || j.ReadyAt != j.SubmittedAt {
 		t.Errorf("ready %v", j.Ready)
 	}
 	n.expect("waiting for others", n.submit(5, `,"awaits":["req-2"]`), 201, "queued")
--- a/internal/autoscaler/announce_test.go
+++ b/internal/autoscaler/announce_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/kv"
 	"lugward/internal/pipeline"
-	"lugward/internal/store"
 	"lugward/internal/worker"
 )
 
@@ -17,7 +17,7 @@
 type leading struct{}
 
 func (leading) FencingToken() uint64                     { return 5 }
-func (leading) MayStart(event.Time) bool                 { return true }
+func (leading) MayAct(event.Time) bool                   { return true }
 func (leading) ObserveToken(uint64)                      {}
 func (leading) WorkerLease() time.Duration               { return 30 * time.Second }
 func (leading) TasksExpireAt(last event.Time) event.Time { return last + 32*time.Second }
@@ -31,27 +31,27 @@
 	jobs := pipeline.NewTable(names, 4096, 12)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	workers := worker.New(names, jobs, log)
-	client := store.New("state", store.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60}, func(string, []byte, uint64) {})
+	client := kv.New("state", kv.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60}, func(string, []byte, uint64) {})
 	a := New(Config{Addr: "cloud", RPS: 100, MaxConnections: sockets, IdleKeep: time.Hour, Settle: time.Hour}, names, jobs, workers, client, log)
 	now := time.Second
 	for i := range machines {
-		machine := workers.Machine(fmt.Sprintf("i-%d", i), now)
+		machine := workers.Add(fmt.Sprintf("i-%d", i), now)
 		machine.Addr = fmt.Sprintf("10.1.0.1:%d", i)
-		machine.LastReport = now
+		machine.LastHeartbeat = now
 		machine.Describe(0, i%3, false)
 	}
 	now += 3 * time.Second
 	told := map[string]int{}
 	for range 100 {
 		var out event.Effects
-		a.Tick(now, leading{}, store.Condition{}, time.Hour, &out)
+		a.Tick(now, leading{}, kv.Compare{}, time.Hour, &out)
 		if workers.Announcing() > limit {
 			t.Fatalf("%d announcements at a time", workers.Announcing())
 		}
 		for _, call := range out.Calls {
 			if call.Path == "/do" {
 				told[call.Addr]++
-				workers.CallDone(event.CallDone{ID: call.ID, Status: event.StatusOK, Body: []byte("{}")}, leading{}, &out)
+				workers.HandleCallResult(event.CallResult{ID: call.ID, Status: event.StatusOK, Body: []byte("{}")}, leading{}, &out)
 			}
 		}
 		now += 50 * time.Millisecond
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -8,17 +8,17 @@
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/kv"
 	"lugward/internal/pipeline"
 	"lugward/internal/scheduler"
-	"lugward/internal/store"
 	"lugward/internal/worker"
 )
 
 // Keys in the state service.
 const (
-	TypesKey   = "c/types" // the machine types as last seen
-	Kind       = "c"       // of TypesKey
-	RetireKind = "h"       // h/<machine>: retired, to be released
+	TypesKey              = "c/types" // the machine types as last seen
+	TypesKeyPrefix        = "c"       // of TypesKey
+	DecommissionKeyPrefix = "h"       // h/<machine>: retired, to be released
 )
 
 // Config are the settings of the autoscaler.
@@ -39,7 +39,7 @@
 	names   *pipeline.Names
 	jobs    *pipeline.Table
 	workers *worker.Registry
-	store   *store.Client
+	store   *kv.Client
 	log     *slog.Logger
 
 	// MachineTypes are the machine types of the cloud as last seen.
@@ -51,7 +51,7 @@
 	cloud             cloudClient
 	list              listProgress
 	provisioning      provisioning
-	retirements       retirements
+	decommissions     decommissions
 	booting           map[int]*bootingMachine // by machine
 	boots             map[int]*bootHistory    // by machine type
 	partitioned       map[int]bool            // zones most of whose machines are silent
@@ -61,37 +61,37 @@
 }
 
 // New returns an autoscaler that knows no machine types yet.
-func New(cfg Config, names *pipeline.Names, jobs *pipeline.Table, workers *worker.Registry, client *store.Client, log *slog.Logger) *Autoscaler {
+func New(cfg Config, names *pipeline.Names, jobs *pipeline.Table, workers *worker.Registry, client *kv.Client, log *slog.Logger) *Autoscaler {
 	a := &Autoscaler{
-		cfg:         cfg,
-		names:       names,
-		jobs:        jobs,
-		workers:     workers,
-		store:       client,
-		log:         log,
-		boots:       map[int]*bootHistory{},
-		retirements: retirements{stored: map[string]uint64{}},
+		cfg:           cfg,
+		names:         names,
+		jobs:          jobs,
+		workers:       workers,
+		store:         client,
+		log:           log,
+		boots:         map[int]*bootHistory{},
+		decommissions: decommissions{stored: map[string]uint64{}},
 	}
-	a.Forget()
+	a.Reset()
 	return a
 }
 
-// Forget drops what only a leader knows.
-func (a *Autoscaler) Forget() {
+// Reset drops what only a leader knows.
+func (a *Autoscaler) Reset() {
 	a.types.requestedAt = -typesInterval
 	a.cloud.reset()
 	a.list.reset()
 	a.provisioning.reset()
-	a.retirements.reset()
+	a.decommissions.reset()
 	a.booting = map[int]*bootingMachine{}
 	a.partitioned = nil
 	a.announcementsLeft = false
 	a.scannedAt = 0
 }
 
-// Begin starts a term.
-func (a *Autoscaler) Begin(now event.Time, token uint64) {
-	a.Forget()
+// BeginTerm starts a term.
+func (a *Autoscaler) BeginTerm(now event.Time, token uint64) {
+	a.Reset()
 	a.termBeganAt = now
 	a.provisioning.serial = 0
 	// What a leader before us provisioned last may be missing from the list: a
@@ -102,13 +102,13 @@
 	}
 }
 
-// Listen takes a change of the replica.
-func (a *Autoscaler) Listen(kind, rest string, data []byte, version uint64) {
+// HandleChange takes a change of the replica.
+func (a *Autoscaler) HandleChange(kind, rest string, data []byte, version uint64) {
 	switch {
-	case kind == RetireKind && data == nil:
-		delete(a.retirements.stored, rest)
-	case kind == RetireKind:
-		a.retirements.stored[rest] = version
+	case kind == DecommissionKeyPrefix && data == nil:
+		delete(a.decommissions.stored, rest)
+	case kind == DecommissionKeyPrefix:
+		a.decommissions.stored[rest] = version
 	case data != nil:
 		a.takeTypes(data)
 	}
@@ -117,16 +117,16 @@
 // Released tells whether a machine was released in this term: a report of it
 // that arrives now was written before.
 func (a *Autoscaler) Released(machine string) bool {
-	_, ok := a.retirements.released[machine]
+	_, ok := a.decommissions.released[machine]
 	return ok
 }
 
 // IsBooting tells whether a machine is waited for, by its index.
 func (a *Autoscaler) IsBooting(machine int) bool { return a.booting[machine] != nil }
 
-// HasSilentMachines tells whether the cloud lists a machine as running that has not
+// HasUnregisteredMachines tells whether the cloud lists a machine as running that has not
 // reported to us.
-func (a *Autoscaler) HasSilentMachines() bool {
+func (a *Autoscaler) HasUnregisteredMachines() bool {
 	for _, booting := range a.booting {
 		if booting.up {
 			return true
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -9,9 +9,9 @@
 
 	"lugward/internal/config"
 	"lugward/internal/event"
+	"lugward/internal/kv"
 	"lugward/internal/pipeline"
 	"lugward/internal/scheduler"
-	"lugward/internal/store"
 	"lugward/internal/worker"
 )
 
@@ -26,7 +26,7 @@
 		jobs := pipeline.NewTable(names, 4096, 12)
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
 		workers := worker.New(names, jobs, log)
-		client := store.New("state", store.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60}, func(string, []byte, uint64) {})
+		client := kv.New("state", kv.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60}, func(string, []byte, uint64) {})
 		a := New(Config{Addr: "cloud", RPS: 100, IdleKeep: time.Minute}, names, jobs, workers, client, log)
 		a.list.current = true
 		if !a.takeTypes([]byte(`{"flavors":[{"name":"small","cores":4,"ram_gb":16,"price":1,"low_price":1,"ready_s":10,"yards":["a"]}]}`)) {
@@ -34,11 +34,11 @@
 		}
 		names.Classes.Index("c")
 		names.Images.Index("b")
-		s := &scheduler.Scheduler{Jobs: jobs, Workers: workers, MachineTypes: &a.MachineTypes, Teams: map[int]config.Team{names.Teams.Index("t"): {CPUsMax: c.limit}}, SilentAfter: time.Minute}
+		s := &scheduler.Scheduler{Jobs: jobs, Workers: workers, MachineTypes: &a.MachineTypes, Teams: map[int]config.Team{names.Teams.Index("t"): {CPUsMax: c.limit}}, HeartbeatTimeout: time.Minute}
 		var blocked []*pipeline.Job
 		for i, id := range []string{"req-1", "req-2", "req-3"} {
 			j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{TaskCount: 4, CPUs: 1, Memory: 1, Zone: -1}}
-			jobs.Listen(pipeline.JobKey, id, pipeline.Encode(names, j), uint64(i+1))
+			jobs.HandleChange(pipeline.JobKey, id, pipeline.Encode(names, j), uint64(i+1))
 			blocked = append(blocked, jobs.Job(id))
 		}
 		var out event.Effects
--- a/internal/autoscaler/calls.go
+++ b/internal/autoscaler/calls.go
@@ -76,9 +76,9 @@
 	a.cloud.pending[id] = pendingCall{method, request}
 }
 
-// CallDone takes the outcome of a call; it tells whether the call was the
+// HandleCallResult takes the outcome of a call; it tells whether the call was the
 // autoscaler's.
-func (a *Autoscaler) CallDone(now event.Time, done event.CallDone, out *event.Effects) bool {
+func (a *Autoscaler) HandleCallResult(now event.Time, done event.CallResult, out *event.Effects) bool {
 	call, ok := a.cloud.pending[done.ID]
 	if !ok {
 		return false
--- a/internal/autoscaler/list.go
+++ b/internal/autoscaler/list.go
@@ -135,14 +135,14 @@
 
 // observeListed takes in what the list says of a machine.
 func (a *Autoscaler) observeListed(listed *wireMachine, now event.Time) {
-	if listed.Name == "" || a.retirements.stored[listed.Name] != 0 || a.retirements.releasing[listed.Name] {
+	if listed.Name == "" || a.decommissions.stored[listed.Name] != 0 || a.decommissions.releasing[listed.Name] {
 		return
 	}
-	releasedAt, released := a.retirements.released[listed.Name]
+	releasedAt, released := a.decommissions.released[listed.Name]
 	if released && now-releasedAt < 2*a.cfg.ListLag+listInterval {
 		return // the list is older than the release
 	}
-	machine := a.workers.Machine(listed.Name, now)
+	machine := a.workers.Add(listed.Name, now)
 	if machine.Addr == "" {
 		machine.Addr = listed.Addr
 	}
@@ -150,10 +150,10 @@
 		machine.Describe(a.names.MachineTypes.Index(listed.Type), a.names.Zones.Index(listed.Zone), listed.Spot)
 	}
 	if listed.Phase == phaseFailed {
-		machine.Retiring = true // the next tick stores that and releases it
+		machine.Decommissioning = true // the next tick stores that and releases it
 		return
 	}
-	if machine.LastReport == 0 {
+	if machine.LastHeartbeat == 0 {
 		a.observeUnreported(machine, listed, now)
 	}
 }
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -19,10 +19,10 @@
 	capacities []*scheduler.Capacity       // of machines that are up, booting or asked for; nil where the type is not known
 	coming     map[int]*scheduler.Capacity // those of booting machines, by machine
 	released   float64                     // what ends within so many seconds has freed its capacity
-	preempting []*pipeline.Entry           // tasks that are being stopped
+	preempting []*pipeline.Assignment      // tasks that are being stopped
 	preempted  map[*pipeline.Job]int       // how many of them a job has: they need capacity again
 	committed  map[int]pipeline.Usage      // by team: what this plan provides for
-	sequences  sequences                   // of short tasks
+	sequences  taskWaves                   // of short tasks
 	need       map[offer]int               // machines to be asked for
 }
 
@@ -40,9 +40,9 @@
 	a.provisioning.overdue = a.overdueOffers(now)
 	plan := a.newPlan(now, s)
 	for _, job := range plan.withPreempted(blocked) {
-		plan.provideFor(job)
+		plan.provisionFor(job)
 	}
-	plan.retireUnneeded()
+	plan.decommissionUnneeded()
 	for _, offer := range sortedOffers(plan.need) {
 		if !a.allowed(now) {
 			return
@@ -63,7 +63,7 @@
 		preempting: preempting,
 		preempted:  map[*pipeline.Job]int{},
 		committed:  map[int]pipeline.Usage{},
-		sequences:  sequences{},
+		sequences:  taskWaves{},
 		need:       map[offer]int{},
 	}
 	for _, entry := range preempting {
@@ -78,8 +78,8 @@
 func (p *plan) addBooting() {
 	for _, index := range slices.Sorted(maps.Keys(p.booting)) {
 		booting := p.booting[index]
-		machine := p.workers.At(index)
-		if machine == nil || machine.Retiring || machine.LastReport != 0 {
+		machine := p.workers.MachineAt(index)
+		if machine == nil || machine.Decommissioning || machine.LastHeartbeat != 0 {
 			continue
 		}
 		unreachable := booting.up && p.partitioned[machine.Zone]
@@ -118,9 +118,9 @@
 	return blocked
 }
 
-// provideFor places the waiting tasks of a job, first on machines that are there or
+// provisionFor places the waiting tasks of a job, first on machines that are there or
 // coming, then on machines to be asked for.
-func (p *plan) provideFor(job *pipeline.Job) {
+func (p *plan) provisionFor(job *pipeline.Job) {
 	left, ok := p.tasksWithinQuota(job)
 	if !ok {
 		return
@@ -156,7 +156,7 @@
 // is false where the job is to get nothing.
 func (p *plan) tasksWithinQuota(job *pipeline.Job) (tasks int, ok bool) {
 	committed := p.committed[job.Team]
-	tasks = min(job.StartableCount(), p.scheduler.QuotaBeside(job, committed))
+	tasks = min(job.StartableCount(), p.scheduler.RemainingLimitBeside(job, committed))
 	if job.Shape == pipeline.Gang && tasks < job.StartableCount() {
 		return 0, false // whole or not at all
 	}
@@ -193,7 +193,7 @@
 	if capacity == nil || !capacity.Matches(&job.Spec) {
 		return false
 	}
-	if capacity.Machine != nil && job.Avoids(capacity.Machine.Index, int64(p.now)) {
+	if capacity.Machine != nil && job.AvoidsMachine(capacity.Machine.Index, int64(p.now)) {
 		return false
 	}
 	return zone == anyZone || capacity.Zone == zone
@@ -216,19 +216,19 @@
 	}
 }
 
-// retireUnneeded retires booting machines for which no task has been planned for
+// decommissionUnneeded retires booting machines for which no task has been planned for
 // long: what they were provisioned for is done or has found capacity elsewhere.
-func (p *plan) retireUnneeded() {
+func (p *plan) decommissionUnneeded() {
 	for index, capacity := range p.coming {
 		booting := p.booting[index]
-		machine := p.workers.At(index)
+		machine := p.workers.MachineAt(index)
 		switch {
-		case capacity == nil || capacity.Busy:
+		case capacity == nil || capacity.InUse:
 			booting.idle = 0
 		case booting.idle == 0:
 			booting.idle = p.now
 		case p.now-booting.idle > 2*p.cfg.IdleKeep && !p.hasTasks(machine):
-			machine.Retiring = true // the next tick stores that and releases it
+			machine.Decommissioning = true // the next tick stores that and releases it
 		}
 	}
 }
@@ -260,7 +260,7 @@
 // where its tasks may still be, else the one where the missing machines cost least.
 // ok is false where there is none.
 func (p *plan) onlyZone(job *pipeline.Job, inZone map[int]int, left int) (zone int, ok bool) {
-	if !job.SamePlace {
+	if !job.SameZone {
 		return anyZone, true
 	}
 	if len(inZone) > 0 {
--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -12,7 +12,7 @@
 const (
 	maxProvisionBatch   = 50 // machines asked for by one request
 	maxProvisionRetries = 5
-	// An offer that is sold out is not asked for again for refusedPause, which
+	// An offer that is sold out is not asked for again for retryPause, which
 	// doubles with each refusal up to refusedPauseMax.
 	refusedPause    = 15 * time.Second
 	refusedPauseMax = 2 * time.Minute
@@ -128,8 +128,8 @@
 	a.log.Info("provisioned", "request", request.name, "machine_type", a.names.MachineTypes.Name(offer.machineType),
 		"spot", offer.spot, "asked", request.count, "got", len(machines))
 	for _, name := range machines {
-		machine := a.workers.Machine(name, now)
-		if machine.LastReport != 0 {
+		machine := a.workers.Add(name, now)
+		if machine.LastHeartbeat != 0 {
 			continue // it reported before the response arrived
 		}
 		machine.Describe(offer.machineType, offer.zone, offer.spot)
--- a/internal/autoscaler/release.go
+++ b/internal/autoscaler/release.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lugward/internal/event"
-	"lugward/internal/store"
+	"lugward/internal/kv"
 	"lugward/internal/worker"
 )
 
@@ -24,9 +24,9 @@
 // retiredValue is what is stored of a retired machine; only that it exists counts.
 var retiredValue = []byte("1")
 
-// retirements holds the machines on their way out. A retirement is stored before
+// decommissions holds the machines on their way out. A retirement is stored before
 // the machine is released, so that no later leader places a task there.
-type retirements struct {
+type decommissions struct {
 	stored    map[string]uint64 // by machine: version of the stored retirement
 	storing   map[string]bool   // its write is under way
 	releasing map[string]bool   // the cloud is asked, or the stored retirement is being deleted
@@ -35,7 +35,7 @@
 }
 
 // reset drops what only a leader knows.
-func (r *retirements) reset() {
+func (r *decommissions) reset() {
 	r.storing = map[string]bool{}
 	r.releasing = map[string]bool{}
 	r.released = map[string]event.Time{}
@@ -47,48 +47,48 @@
 	Machines []string `json:"hosts"`
 }
 
-// Retire stores that a machine gets no more tasks; it is released once that is
+// Decommission stores that a machine gets no more tasks; it is released once that is
 // stored.
-func (a *Autoscaler) Retire(machine *worker.Machine, now event.Time, term store.Condition) {
-	machine.Retiring = true
+func (a *Autoscaler) Decommission(machine *worker.Machine, now event.Time, term kv.Compare) {
+	machine.Decommissioning = true
 	name := machine.Name
-	if a.retirements.storing[name] || a.retirements.stored[name] != 0 || len(a.retirements.storing) >= maxRetiring {
+	if a.decommissions.storing[name] || a.decommissions.stored[name] != 0 || len(a.decommissions.storing) >= maxRetiring {
 		return // a later scan repeats it where it is not stored yet
 	}
-	a.retirements.storing[name] = true
-	a.store.Submit(&store.Intent{
-		Priority:   store.Progress,
-		Rank:       retireRank,
-		Conditions: []store.Condition{term},
-		Writes:     []store.Write{{Key: retireKey(name), Data: retiredValue}},
-		Done:       func(store.Result) { delete(a.retirements.storing, name) },
+	a.decommissions.storing[name] = true
+	a.store.Submit(&kv.Txn{
+		Priority: kv.PriorityProgress,
+		Rank:     retireRank,
+		Compares: []kv.Compare{term},
+		Writes:   []kv.Write{{Key: decommissionKey(name), Data: retiredValue}},
+		Done:     func(kv.Result) { delete(a.decommissions.storing, name) },
 	}, now+writeTimeout)
 }
 
-func retireKey(machine string) string { return RetireKind + "/" + machine }
+func decommissionKey(machine string) string { return DecommissionKeyPrefix + "/" + machine }
 
-// releaseRetired releases machines whose retirement is stored.
-func (a *Autoscaler) releaseRetired(now event.Time, term store.Condition, out *event.Effects) {
-	if len(a.retirements.stored) == 0 || now-a.retirements.checkedAt < releaseInterval {
+// releaseDecommissioned releases machines whose retirement is stored.
+func (a *Autoscaler) releaseDecommissioned(now event.Time, term kv.Compare, out *event.Effects) {
+	if len(a.decommissions.stored) == 0 || now-a.decommissions.checkedAt < releaseInterval {
 		return
 	}
-	a.retirements.checkedAt = now
+	a.decommissions.checkedAt = now
 	var machines []string
-	for name := range a.retirements.stored {
-		if !a.retirements.releasing[name] {
+	for name := range a.decommissions.stored {
+		if !a.decommissions.releasing[name] {
 			machines = append(machines, name)
 		}
 	}
 	slices.Sort(machines)
 	for _, name := range machines {
-		a.workers.Machine(name, now).Retiring = true
+		a.workers.Add(name, now).Decommissioning = true
 	}
 	if len(machines) == 0 || !a.allowed(now) {
 		return
 	}
 	machines = machines[:min(len(machines), maxReleaseBatch)]
 	for _, name := range machines {
-		a.retirements.releasing[name] = true
+		a.decommissions.releasing[name] = true
 	}
 	body, _ := json.Marshal(wireRelease{machines})
 	a.call(http.MethodPost, "/rentals/return", body, releaseRequest{machines, term}, out)
@@ -97,12 +97,12 @@
 // releaseRequest asks the cloud to take machines back.
 type releaseRequest struct {
 	machines []string
-	term     store.Condition
+	term     kv.Compare
 }
 
 func (r releaseRequest) finish(a *Autoscaler, now event.Time, response response, _ *event.Effects) {
 	for _, name := range r.machines {
-		delete(a.retirements.releasing, name)
+		delete(a.decommissions.releasing, name)
 	}
 	if response.status != http.StatusOK {
 		a.cloud.pausedUntil = max(a.cloud.pausedUntil, now+errorPause)
@@ -115,18 +115,18 @@
 
 // machineReleased forgets a machine that the cloud has taken back: that proves that
 // its tasks have terminated.
-func (a *Autoscaler) machineReleased(name string, now event.Time, term store.Condition) {
-	machine := a.workers.Machine(name, now)
-	a.workers.MarkTerminated(machine)
+func (a *Autoscaler) machineReleased(name string, now event.Time, term kv.Compare) {
+	machine := a.workers.Add(name, now)
+	a.workers.RecordTermination(machine)
 	delete(a.booting, machine.Index)
 	delete(a.provisioning.refused, offerOf(machine)) // the cloud has one again
 	a.workers.Machines[machine.Index] = nil
-	a.retirements.released[name] = now
-	a.retirements.releasing[name] = true // no second request while the stored retirement is deleted
-	a.store.Submit(&store.Intent{
-		Priority:   store.Cleanup,
-		Conditions: []store.Condition{term},
-		Writes:     []store.Write{{Key: retireKey(name)}},
-		Done:       func(store.Result) { delete(a.retirements.releasing, name) },
+	a.decommissions.released[name] = now
+	a.decommissions.releasing[name] = true // no second request while the stored retirement is deleted
+	a.store.Submit(&kv.Txn{
+		Priority: kv.PriorityCleanup,
+		Compares: []kv.Compare{term},
+		Writes:   []kv.Write{{Key: decommissionKey(name)}},
+		Done:     func(kv.Result) { delete(a.decommissions.releasing, name) },
 	}, now+cleanupTimeout)
 }
--- a/internal/autoscaler/sequence_test.go
+++ b/internal/autoscaler/sequence_test.go
@@ -27,7 +27,7 @@
 		{"a deadline", pipeline.Array, 1, 1, 1000, 2, 1000},
 		{"a gang runs at once", pipeline.Gang, pipeline.NoDeadline, 1, 10, 2, 10},
 	} {
-		s := sequences{}
+		s := taskWaves{}
 		got := 0
 		for range c.jobs {
 			j := &pipeline.Job{EffectiveDeadline: c.deadline, Spec: pipeline.Spec{Shape: c.shape, TaskCount: c.waiting}}
--- a/internal/autoscaler/tick.go
+++ b/internal/autoscaler/tick.go
@@ -6,17 +6,17 @@
 	"time"
 
 	"lugward/internal/event"
-	"lugward/internal/store"
+	"lugward/internal/kv"
 	"lugward/internal/worker"
 )
 
 const (
 	scanInterval = 500 * time.Millisecond // between two scans of all machines
-	// A machine that is up and does not report for silentTimeout is lost. In a
+	// A machine that is up and does not report for heartbeatLossTimeout is lost. In a
 	// partitioned zone the network is the likelier cause, and all machines that
 	// were released would have to boot again once it is mended.
-	silentTimeout      = 60 * time.Second
-	partitionedTimeout = 150 * time.Second
+	heartbeatLossTimeout = 60 * time.Second
+	partitionedTimeout   = 150 * time.Second
 	// A machine that is up and has not confirmed our fencing token after
 	// announceAfter gets it by a direct command. The connection to a silent
 	// machine stays open for a while, so only one in announcementDivisor of all
@@ -30,18 +30,18 @@
 // scan is one look at all machines.
 type scan struct {
 	now         event.Time
-	leadership  worker.Term
-	term        store.Condition // of all writes
-	silentAfter time.Duration   // a machine without a report for so long is silent
+	leadership  worker.Leadership
+	term        kv.Compare    // of all writes
+	silentAfter time.Duration // a machine without a report for so long is silent
 	zones       map[int][]*worker.Machine
 }
 
 // Tick does what is due of the leader's work: it reads the machine list, releases
 // machines and finds those that are lost.
-func (a *Autoscaler) Tick(now event.Time, leadership worker.Term, term store.Condition, silentAfter time.Duration, out *event.Effects) {
-	a.Types(now, &term, out)
+func (a *Autoscaler) Tick(now event.Time, leadership worker.Leadership, term kv.Compare, silentAfter time.Duration, out *event.Effects) {
+	a.RefreshMachineTypes(now, &term, out)
 	a.sendRetries(now, out)
-	a.releaseRetired(now, term, out)
+	a.releaseDecommissioned(now, term, out)
 	if a.list.due(now, a.cfg.RPS) && a.allowed(now) {
 		a.readList(now, out)
 	}
@@ -61,7 +61,7 @@
 	if now-a.termBeganAt < a.cfg.Settle {
 		return
 	}
-	a.releaseSilent(scan)
+	a.releaseUnresponsive(scan)
 	a.releaseUnused(scan)
 }
 
@@ -73,10 +73,10 @@
 			continue
 		}
 		if a.hasTasks(machine) {
-			machine.IdleFrom = scan.now
+			machine.IdleSince = scan.now
 		}
-		if machine.Retiring && a.retirements.stored[machine.Name] == 0 && !a.retirements.releasing[machine.Name] {
-			a.Retire(machine, scan.now, scan.term)
+		if machine.Decommissioning && a.decommissions.stored[machine.Name] == 0 && !a.decommissions.releasing[machine.Name] {
+			a.Decommission(machine, scan.now, scan.term)
 		}
 	}
 }
@@ -108,8 +108,8 @@
 // awaitsToken tells whether a machine that is up has not shown our fencing token
 // though it has had time to.
 func (a *Autoscaler) awaitsToken(machine *worker.Machine, now event.Time) bool {
-	if machine.LastReport != 0 {
-		return !machine.TokenConfirmed && now-machine.LastReport > announceAfter
+	if machine.LastHeartbeat != 0 {
+		return !machine.TokenConfirmed && now-machine.LastHeartbeat > announceAfter
 	}
 	booting := a.booting[machine.Index]
 	return booting != nil && booting.up && now-booting.since > announceAfter
@@ -120,26 +120,26 @@
 func (a *Autoscaler) checkBooting(scan *scan) {
 	for _, index := range slices.Sorted(maps.Keys(a.booting)) {
 		booting := a.booting[index]
-		machine := a.workers.At(index)
-		if machine == nil || machine.LastReport > 0 {
+		machine := a.workers.MachineAt(index)
+		if machine == nil || machine.LastHeartbeat > 0 {
 			a.recordBootTime(booting, scan.now)
 			delete(a.booting, index)
 			a.jobs.Changed = true
 			continue
 		}
 		age := scan.now - booting.since
-		timeout, known := a.reportTimeout(booting, machine)
+		timeout, known := a.registrationTimeout(booting, machine)
 		if known && age > timeout {
 			a.log.Info("machine never came up", "machine", machine.Name)
 			delete(a.booting, index)
-			a.Retire(machine, scan.now, scan.term)
+			a.Decommission(machine, scan.now, scan.term)
 		}
 	}
 }
 
-// reportTimeout is within which time a booting machine must report. known is false
+// registrationTimeout is within which time a booting machine must report. known is false
 // where its type is not known.
-func (a *Autoscaler) reportTimeout(booting *bootingMachine, machine *worker.Machine) (timeout event.Time, known bool) {
+func (a *Autoscaler) registrationTimeout(booting *bootingMachine, machine *worker.Machine) (timeout event.Time, known bool) {
 	machineType := a.MachineTypes.Get(booting.machineType)
 	switch {
 	case machineType == nil:
@@ -149,7 +149,7 @@
 	case a.partitioned[booting.zone]:
 		return partitionedTimeout, true
 	case a.hasTasks(machine):
-		return silentTimeout, true // its tasks may run on until its lease ends
+		return heartbeatLossTimeout, true // its tasks may run on until its lease ends
 	default:
 		return bootMin, true
 	}
@@ -158,35 +158,35 @@
 // releaseUnused retires machines that are unreachable, lost or of no more use.
 func (a *Autoscaler) releaseUnused(scan *scan) {
 	for _, machine := range a.workers.Machines {
-		if machine == nil || !machine.Known || machine.Retiring {
+		if machine == nil || !machine.Known || machine.Decommissioning {
 			continue
 		}
 		partitioned := a.partitioned[machine.Zone]
 		if a.workers.UnreachableBeyondLease(machine, scan.now, scan.leadership) && !partitioned {
 			a.log.Info("unreachable machine released", "machine", machine.Name)
-			a.Retire(machine, scan.now, scan.term)
+			a.Decommission(machine, scan.now, scan.term)
 			continue
 		}
-		if a.hasTasks(machine) || machine.LastReport <= 0 {
+		if a.hasTasks(machine) || machine.LastHeartbeat <= 0 {
 			continue
 		}
-		timeout := silentTimeout
+		timeout := heartbeatLossTimeout
 		if partitioned {
 			timeout = partitionedTimeout
 		}
-		lost := scan.now-machine.LastReport > timeout
-		if lost || a.unused(machine, scan.now) {
-			a.Retire(machine, scan.now, scan.term)
+		lost := scan.now-machine.LastHeartbeat > timeout
+		if lost || a.isUnused(machine, scan.now) {
+			a.Decommission(machine, scan.now, scan.term)
 		}
 	}
 }
 
-// unused tells whether a machine without tasks is of no more use.
-func (a *Autoscaler) unused(machine *worker.Machine, now event.Time) bool {
+// isUnused tells whether a machine without tasks is of no more use.
+func (a *Autoscaler) isUnused(machine *worker.Machine, now event.Time) bool {
 	if machine.UnknownTasks > 0 {
 		return false // they have not been stopped yet
 	}
 	leaving := machine.Draining || machine.ReclaimAt != 0
-	usedAt := max(machine.IdleFrom, machine.ReservedAt)
+	usedAt := max(machine.IdleSince, machine.ReservedAt)
 	return leaving || now-usedAt > a.cfg.IdleKeep
 }
--- a/internal/autoscaler/types.go
+++ b/internal/autoscaler/types.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/kv"
 	"lugward/internal/scheduler"
-	"lugward/internal/store"
 )
 
 const (
@@ -84,9 +84,9 @@
 	a.MachineTypes[machineType.Index] = machineType
 }
 
-// Types refreshes the machine types; any node may, until they are known. A leader
+// RefreshMachineTypes refreshes the machine types; any node may, until they are known. A leader
 // gives its term, under which they are stored.
-func (a *Autoscaler) Types(now event.Time, term *store.Condition, out *event.Effects) {
+func (a *Autoscaler) RefreshMachineTypes(now event.Time, term *kv.Compare, out *event.Effects) {
 	interval := typesInterval
 	if len(a.MachineTypes) == 0 {
 		interval = errorPause
@@ -100,7 +100,7 @@
 
 // typesRequest asks for the machine types.
 type typesRequest struct {
-	term *store.Condition // nil: not a leader's
+	term *kv.Compare // nil: not a leader's
 }
 
 func (r typesRequest) finish(a *Autoscaler, now event.Time, response response, _ *event.Effects) {
@@ -114,20 +114,20 @@
 }
 
 // storeTypes stores the machine types for the other controllers.
-func (a *Autoscaler) storeTypes(body []byte, term store.Condition, now event.Time) {
+func (a *Autoscaler) storeTypes(body []byte, term kv.Compare, now event.Time) {
 	var list wireTypes
 	_ = json.Unmarshal(body, &list) // takeTypes has decoded it before
 	data, err := json.Marshal(list)
 	if err != nil || len(data) > a.cfg.ValueBytes {
 		return // each controller still learns them from the cloud
 	}
-	a.store.Submit(&store.Intent{
-		Priority:   store.Accept,
-		Conditions: []store.Condition{term},
-		Writes:     []store.Write{{Key: TypesKey, Data: data}},
-		Done: func(result store.Result) {
+	a.store.Submit(&kv.Txn{
+		Priority: kv.PrioritySubmission,
+		Compares: []kv.Compare{term},
+		Writes:   []kv.Write{{Key: TypesKey, Data: data}},
+		Done: func(result kv.Result) {
 			// What is refused as malformed would be refused again.
-			if result.Outcome == store.OK || result.Invalid {
+			if result.Outcome == kv.Committed || result.Malformed {
 				a.types.stored = true
 			}
 		},
--- a/internal/autoscaler/zones.go
+++ b/internal/autoscaler/zones.go
@@ -22,11 +22,11 @@
 func (a *Autoscaler) zones() map[int][]*worker.Machine {
 	zones := map[int][]*worker.Machine{}
 	for _, machine := range a.workers.Machines {
-		if machine == nil || machine.Retiring {
+		if machine == nil || machine.Decommissioning {
 			continue
 		}
 		booting := a.booting[machine.Index]
-		if machine.LastReport != 0 || (booting != nil && booting.up) {
+		if machine.LastHeartbeat != 0 || (booting != nil && booting.up) {
 			zones[machine.Zone] = append(zones[machine.Zone], machine)
 		}
 	}
@@ -59,50 +59,50 @@
 // lastSign is when a machine last reported, or was first listed as running where
 // it has not reported.
 func (a *Autoscaler) lastSign(machine *worker.Machine) event.Time {
-	if booting := a.booting[machine.Index]; machine.LastReport == 0 && booting != nil {
+	if booting := a.booting[machine.Index]; machine.LastHeartbeat == 0 && booting != nil {
 		return booting.since
 	}
-	return machine.LastReport
+	return machine.LastHeartbeat
 }
 
-// releaseSilent releases a machine that alone in its zone went silent: the cloud's
+// releaseUnresponsive releases a machine that alone in its zone went silent: the cloud's
 // response proves that its tasks have terminated long before the end of its lease
 // does. Where several are silent a partition is the likelier cause, and they are
 // left to go on working; so they are while the zone reconnects machine by machine.
-func (a *Autoscaler) releaseSilent(scan *scan) {
+func (a *Autoscaler) releaseUnresponsive(scan *scan) {
 	for _, zone := range slices.Sorted(maps.Keys(scan.zones)) {
 		machines := scan.zones[zone]
 		var silent []*worker.Machine
 		for _, machine := range machines {
 			// One that never reported counts as booting.
-			if machine.LastReport != 0 && scan.now-machine.LastReport > scan.silentAfter {
+			if machine.LastHeartbeat != 0 && scan.now-machine.LastHeartbeat > scan.silentAfter {
 				silent = append(silent, machine)
 			}
 		}
 		if len(silent) == 0 {
 			continue
 		}
-		reports := connectedReports(machines, scan)
+		reports := connectedHeartbeats(machines, scan)
 		for _, machine := range silent {
-			if countAfter(reports, machine.LastReport+scan.silentAfter*3/4) < reportingPerSilent*len(silent) {
+			if countAfter(reports, machine.LastHeartbeat+scan.silentAfter*3/4) < reportingPerSilent*len(silent) {
 				continue
 			}
 			a.log.Info("silent machine released", "machine", machine.Name, "tasks", len(a.jobs.OnMachine(machine.Index)))
-			a.Retire(machine, scan.now, scan.term)
+			a.Decommission(machine, scan.now, scan.term)
 		}
 	}
 }
 
-// connectedReports lists, in order, when the machines of a zone last reported that
+// connectedHeartbeats lists, in order, when the machines of a zone last reported that
 // show by it that the zone is connected to us. Those do not that were silent a while
 // ago, nor those whose reports come through another controller: what cuts them off
 // from us may cut off a machine that has not found that way yet.
-func connectedReports(machines []*worker.Machine, scan *scan) []event.Time {
+func connectedHeartbeats(machines []*worker.Machine, scan *scan) []event.Time {
 	recent := func(at event.Time) bool { return at != 0 && scan.now-at <= partitionMemory }
 	var reports []event.Time
 	for _, machine := range machines {
 		if !recent(machine.ReconnectedAt) && !recent(machine.RelayedAt) {
-			reports = append(reports, machine.LastReport)
+			reports = append(reports, machine.LastHeartbeat)
 		}
 	}
 	slices.Sort(reports)
--- a/internal/core/divert.go
+++ b/internal/controller/divert.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"hash/fnv"
@@ -7,38 +7,38 @@
 	"lugward/internal/worker"
 )
 
-// divert sends a worker that the leader has no socket for to another controller, which
+// redirectToRelay sends a worker that the leader has no socket for to another controller, which
 // sees by the fencing token that the leader has served it and relays its reports: so
 // the sockets of all controllers carry workers, where else the worker would have to
 // dial the leader anew for each report. One that is back soon is served here, as that
 // controller does not reach us or has ended. It tells whether the worker was sent away;
 // what its report says comes again with the next one.
-func (n *Node) divert(now event.Time, r event.Request, report *worker.Report, out *event.Effects) bool {
-	if !r.Crowded || report.FencingToken != n.election.FencingToken() {
+func (n *Controller) redirectToRelay(now event.Time, r event.Request, report *worker.Heartbeat, out *event.Effects) bool {
+	if !r.ConnectionLimitReached || report.FencingToken != n.election.FencingToken() {
 		return false
 	}
 	machine := n.workers.Lookup(report.Machine)
 	if machine == nil {
 		return false
 	}
-	if machine.DivertedAt != 0 && now-machine.DivertedAt < redirectWindow {
+	if machine.RedirectedAt != 0 && now-machine.RedirectedAt < redirectWindow {
 		return false
 	}
 	label := n.relayingPeer(report.Machine)
 	if label == "" {
 		return false
 	}
-	machine.DivertedAt = now
+	machine.RedirectedAt = now
 	redirectTo(label, r.Conn, out)
 	return true
 }
 
 // relayingPeer picks, among the controllers that are alive, the one that relays for a
 // machine, so that machines are spread evenly; "" if none is alive.
-func (n *Node) relayingPeer(machine string) string {
+func (n *Controller) relayingPeer(machine string) string {
 	var labels []string
 	for _, p := range n.peers {
-		if n.alive(p) {
+		if n.isAlive(p) {
 			labels = append(labels, p.label)
 		}
 	}
--- a/internal/core/health.go
+++ b/internal/controller/health.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"time"
@@ -11,11 +11,11 @@
 const isolatedAfter = 5 * time.Second
 
 // handleHealth answers a health probe.
-func (n *Node) handleHealth(now event.Time, r event.Request, out *event.Effects) {
+func (n *Controller) handleHealth(now event.Time, r event.Request, out *event.Effects) {
 	if n.healthy(now) {
 		out.Reply(r.Conn, event.StatusOK, nil)
 	} else {
-		out.Busy(r.Conn, retryAfterSeconds)
+		out.Unavailable(r.Conn, retryAfterSeconds)
 	}
 }
 
@@ -24,17 +24,17 @@
 // one that is cut off: users' connections stay where they are while a node is
 // healthy, so they would learn nothing about their jobs. In an outage that all
 // controllers share they stay healthy, and service resumes at once after it.
-func (n *Node) healthy(now event.Time) bool {
+func (n *Controller) healthy(now event.Time) bool {
 	if !n.store.Synced() {
 		return false
 	}
-	withoutState := now - n.store.Contact()
-	if !n.store.Outage() || withoutState <= heartbeatTimeout {
+	withoutState := now - n.store.LastContact()
+	if !n.store.Unavailable() || withoutState <= peerHeartbeatTimeout {
 		return true
 	}
 	anyAlive := false
 	for _, p := range n.peers {
-		if !n.alive(p) {
+		if !n.isAlive(p) {
 			continue
 		}
 		anyAlive = true
--- a/internal/core/machines.go
+++ b/internal/controller/machines.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"time"
@@ -13,7 +13,7 @@
 
 // forgetGoneMachines drops what is kept of machines that nothing refers to any more,
 // so that their indices serve others.
-func (n *Node) forgetGoneMachines(now event.Time) {
+func (n *Controller) forgetGoneMachines(now event.Time) {
 	if now-n.machinesSweptAt < machineSweepInterval {
 		return
 	}
@@ -28,7 +28,7 @@
 }
 
 // refersToMachine tells whether a machine's index is in use.
-func (n *Node) refersToMachine(index int) bool {
-	known := n.workers.At(index) != nil || n.autoscaler.IsBooting(index)
-	return known || len(n.jobs.OnMachine(index)) > 0 || n.waiting.byMachine[index] != nil
+func (n *Controller) refersToMachine(index int) bool {
+	known := n.workers.MachineAt(index) != nil || n.autoscaler.IsBooting(index)
+	return known || len(n.jobs.OnMachine(index)) > 0 || n.pending.byMachine[index] != nil
 }
--- a/internal/core/marks.go
+++ b/internal/controller/marks.go
@@ -1,12 +1,12 @@
-package core
+package controller
 
 import (
 	"slices"
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/kv"
 	"lugward/internal/pipeline"
-	"lugward/internal/store"
 )
 
 const (
@@ -26,11 +26,11 @@
 	nextAt   event.Time // of the next attempt; 0: none is planned yet
 }
 
-// markJobs writes the ready marks of held jobs and the cancelled marks of jobs
+// writeReadinessAndCancellations writes the ready marks of held jobs and the cancelled marks of jobs
 // below a cancelled one: of jobs that we own and, as leader, of those whose
 // owner cannot. Each write requires the record as it was, so two controllers
 // that mark the same job do no harm.
-func (n *Node) markJobs(now event.Time) {
+func (n *Controller) writeReadinessAndCancellations(now event.Time) {
 	if !n.store.Synced() {
 		return
 	}
@@ -40,16 +40,16 @@
 		}
 		return n.leadership.active && !n.ownerCanWrite(job.Owner)
 	}
-	n.jobs.MarkReady(now, n.store, responsible)
-	n.jobs.MarkUpstreamCancelled(now, n.store, responsible)
+	n.jobs.WriteReadiness(now, n.store, responsible)
+	n.jobs.WriteCancellations(now, n.store, responsible)
 }
 
 // ownerCanWrite tells whether a peer can mark the jobs that it owns: its
 // heartbeats arrive and say that it reaches the state service.
-func (n *Node) ownerCanWrite(label string) bool {
+func (n *Controller) ownerCanWrite(label string) bool {
 	for _, p := range n.peers {
 		if p.label == label {
-			return n.alive(p) && p.heartbeat.StateOK
+			return n.isAlive(p) && p.heartbeat.StateOK
 		}
 	}
 	return false
@@ -57,25 +57,25 @@
 
 // publishVersion stores, once, that this controller runs this version. It is
 // not urgent: after a start of all controllers, terms and users go first.
-func (n *Node) publishVersion(now event.Time) {
+func (n *Controller) publishVersion(now event.Time) {
 	key := pipeline.VersionKey + "/" + n.cfg.Label
-	stored := n.store.Version(key) != 0
-	if n.version.inFlight || stored || !n.store.Synced() || n.election.Holder() == "" {
+	stored := n.store.ModRevision(key) != 0
+	if n.version.inFlight || stored || !n.store.Synced() || n.election.Leader() == "" {
 		return
 	}
 	if n.version.nextAt == 0 {
-		position := slices.Index(n.jobs.Labels, n.cfg.Label)
+		position := slices.Index(n.jobs.ControllerLabels, n.cfg.Label)
 		n.version.nextAt = now + versionRetryInterval + versionStagger*event.Time(position)
 	}
 	if now < n.version.nextAt {
 		return
 	}
 	n.version.inFlight = true
-	n.store.Submit(&store.Intent{
-		Priority:   store.Progress,
-		Conditions: []store.Condition{{Key: key}},
-		Writes:     []store.Write{{Key: key, Data: pipeline.Version}},
-		Done: func(result store.Result) {
+	n.store.Submit(&kv.Txn{
+		Priority: kv.PriorityProgress,
+		Compares: []kv.Compare{{Key: key}},
+		Writes:   []kv.Write{{Key: key, Data: pipeline.Version}},
+		Done: func(result kv.Result) {
 			n.version.inFlight = false
 			n.version.nextAt = result.Now + versionRetryInterval
 		},
--- a/internal/core/peers.go
+++ b/internal/controller/peers.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"math"
@@ -11,9 +11,9 @@
 )
 
 const (
-	heartbeatInterval = 500 * time.Millisecond
-	// heartbeatTimeout: a peer without a heartbeat for this long is not alive.
-	heartbeatTimeout = 2 * time.Second
+	peerHeartbeatInterval = 500 * time.Millisecond
+	// peerHeartbeatTimeout: a peer without a heartbeat for this long is not alive.
+	peerHeartbeatTimeout = 2 * time.Second
 	// neverHeard is the time of the last heartbeat of a peer that has sent none.
 	neverHeard = -time.Hour
 )
@@ -44,21 +44,23 @@
 	return labels
 }
 
-// alive tells whether a peer's heartbeats arrive. Judged as of our last own
+// isAlive tells whether a peer's heartbeats arrive. Judged as of our last own
 // heartbeat, it does not change because we stood still.
-func (n *Node) alive(p *peerState) bool { return n.heartbeatAt-p.heartbeatAt < heartbeatTimeout }
+func (n *Controller) isAlive(p *peerState) bool {
+	return n.peerHeartbeatAt-p.heartbeatAt < peerHeartbeatTimeout
+}
 
-// sendHeartbeat sends, when it is due, our view of the cluster to all peers.
-func (n *Node) sendHeartbeat(now event.Time, out *event.Effects) {
-	if now-n.heartbeatAt < heartbeatInterval {
+// sendPeerHeartbeat sends, when it is due, our view of the cluster to all peers.
+func (n *Controller) sendPeerHeartbeat(now event.Time, out *event.Effects) {
+	if now-n.peerHeartbeatAt < peerHeartbeatInterval {
 		return
 	}
-	n.heartbeatAt = now
-	own := n.share(now)
+	n.peerHeartbeatAt = now
+	own := n.shareRates(now)
 	heartbeat := peer.Frame{
 		Kind:     peer.Heartbeat,
 		Label:    n.cfg.Label,
-		StateOK:  n.store.Synced() && !n.store.Outage(),
+		StateOK:  n.store.Synced() && !n.store.Unavailable(),
 		IsLeader: n.leadership.active,
 		Requests: saturate(own.requests),
 		Writes:   saturate(own.writes),
@@ -75,9 +77,9 @@
 // saturate converts a rate for the frame, which has 16 bits for it.
 func saturate(rate float64) uint16 { return uint16(min(rate, math.MaxUint16)) }
 
-// Frame takes a frame from another controller. Frames of unknown controllers
+// HandleFrame takes a frame from another controller. Frames of unknown controllers
 // are ignored.
-func (n *Node) Frame(now event.Time, in event.PeerFrame, out *event.Effects) {
+func (n *Controller) HandleFrame(now event.Time, in event.PeerFrame, out *event.Effects) {
 	frame, err := peer.Decode(in.Data)
 	if err != nil {
 		n.log.Debug("bad frame", "err", err)
@@ -90,7 +92,7 @@
 	}
 }
 
-func (n *Node) handleFrame(now event.Time, from int, frame *peer.Frame, out *event.Effects) {
+func (n *Controller) handleFrame(now event.Time, from int, frame *peer.Frame, out *event.Effects) {
 	switch frame.Kind {
 	case peer.Heartbeat:
 		p := n.peers[from]
@@ -100,8 +102,8 @@
 			n.election.ObserveToken(frame.FencingToken)
 		}
 	case peer.Relay:
-		n.handleRelayedReport(now, from, frame, out)
+		n.handleRelayedHeartbeat(now, from, frame, out)
 	case peer.RelayAck:
-		n.handleRelayAnswer(frame, out)
+		n.handleRelayAck(frame, out)
 	}
 }
--- a/internal/core/relay.go
+++ b/internal/controller/relay.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"encoding/json"
@@ -84,16 +84,16 @@
 // leader, and its reports are relayed over the peer link. So a partition between two
 // zones costs no worker its lease as long as one controller reaches both sides. The
 // leader treats relayed reports like any other; a late one is merely old.
-func (n *Node) relayOrRedirect(now event.Time, r event.Request, report *worker.Report, out *event.Effects) {
+func (n *Controller) relayOrRedirect(now event.Time, r event.Request, report *worker.Heartbeat, out *event.Effects) {
 	leader := n.liveLeader()
 	reachable := leader >= 0
-	n.relays.beginTerm(n.election.HolderToken())
+	n.relays.beginTerm(n.election.LeaderToken())
 	route := n.relays.route(report.Machine)
 	cameBack := now-route.servedAt < redirectWindow
 	// A worker that shows the leader's fencing token was served by it and has left
 	// it for want of an answer: to send it back first would cost it seconds in which
 	// nothing starts there.
-	leftLeader := report.FencingToken != 0 && report.FencingToken == n.election.HolderToken()
+	leftLeader := report.FencingToken != 0 && report.FencingToken == n.election.LeaderToken()
 	relayedLongEnough := route.relayingSince != 0 && now-route.relayingSince > relayDuration
 	switch {
 	case (cameBack || leftLeader) && !reachable:
@@ -116,10 +116,10 @@
 
 // liveLeader returns the index of the peer that leads, -1 if none that is
 // alive does.
-func (n *Node) liveLeader() int {
+func (n *Controller) liveLeader() int {
 	leader := -1
 	for i, p := range n.peers {
-		if p.label == n.election.Holder() && n.alive(p) {
+		if p.label == n.election.Leader() && n.isAlive(p) {
 			leader = i
 		}
 	}
@@ -127,7 +127,7 @@
 }
 
 // relay sends a report to the leader over the peer link.
-func (n *Node) relay(now event.Time, r event.Request, leader int, out *event.Effects) {
+func (n *Controller) relay(now event.Time, r event.Request, leader int, out *event.Effects) {
 	out.Send(leader, peer.Append(nil, &peer.Frame{
 		Kind:  peer.Relay,
 		Label: n.cfg.Label,
@@ -136,20 +136,20 @@
 	}))
 }
 
-// handleRelayedReport takes, as leader, a report that a peer has relayed.
-func (n *Node) handleRelayedReport(now event.Time, from int, frame *peer.Frame, out *event.Effects) {
+// handleRelayedHeartbeat takes, as leader, a report that a peer has relayed.
+func (n *Controller) handleRelayedHeartbeat(now event.Time, from int, frame *peer.Frame, out *event.Effects) {
 	to := replyTo{peer: from, relayID: frame.ID}
 	report, err := n.parser.Parse(frame.Body)
-	if err != nil || !n.leadsReports(now) {
+	if err != nil || !n.mayAnswerHeartbeats(now) {
 		n.respond(to, event.StatusServiceUnavailable, nil, out)
 		return
 	}
-	n.takeReport(now, to, report, out)
+	n.acceptHeartbeat(now, to, report, out)
 }
 
-// handleRelayAnswer passes the leader's answer to a relayed report on to its
+// handleRelayAck passes the leader's answer to a relayed report on to its
 // worker. An answer that comes after the relay has expired is ignored.
-func (n *Node) handleRelayAnswer(frame *peer.Frame, out *event.Effects) {
+func (n *Controller) handleRelayAck(frame *peer.Frame, out *event.Effects) {
 	relay, ok := n.relays.pending[frame.ID]
 	if !ok {
 		return
@@ -159,19 +159,19 @@
 }
 
 // expireRelays answers the workers whose relayed report got no answer in time.
-func (n *Node) expireRelays(now event.Time, out *event.Effects) {
+func (n *Controller) expireRelays(now event.Time, out *event.Effects) {
 	for _, id := range slices.Sorted(maps.Keys(n.relays.pending)) {
 		relay := n.relays.pending[id]
 		if now-relay.since > relayTimeout {
 			delete(n.relays.pending, id)
-			out.Busy(relay.conn, retryAfterSeconds)
+			out.Unavailable(relay.conn, retryAfterSeconds)
 		}
 	}
 }
 
 // redirect tells a worker which controller leads, if that is known.
-func (n *Node) redirect(conn uint64, out *event.Effects) {
-	leader := n.election.Holder()
+func (n *Controller) redirect(conn uint64, out *event.Effects) {
+	leader := n.election.Leader()
 	if leader == "" || leader == n.cfg.Label {
 		out.Reply(conn, event.StatusMisdirected, nil)
 		return
--- a/internal/core/share.go
+++ b/internal/controller/share.go
@@ -1,9 +1,9 @@
-package core
+package controller
 
 import (
 	"lugward/internal/event"
+	"lugward/internal/kv"
 	"lugward/internal/peer"
-	"lugward/internal/store"
 )
 
 // How the controllers share the request rates of the state service: each is
@@ -30,35 +30,35 @@
 	writes   float64
 }
 
-// share sets our part of the state service's rates by what each controller
+// shareRates sets our part of the state service's rates by what each controller
 // could use. It returns what we could use ourselves.
-func (n *Node) share(now event.Time) demand {
+func (n *Controller) shareRates(now event.Time) demand {
 	var own demand
 	own.requests, own.writes = n.store.Demand(now)
 	requestRate, writeRate := n.store.Rates()
 	requests := n.split(requestsShare*requestRate, own.requests, func(f *peer.Frame) uint16 { return f.Requests })
 	writes := n.split(writeRate, own.writes, func(f *peer.Frame) uint16 { return f.Writes })
-	n.store.SetShare(requests, writes)
+	n.store.SetRateShare(requests, writes)
 	return own
 }
 
 // split returns our part of a rate. A peer that is not alive counts with its
 // guaranteed part, as it may use that without our knowing.
-func (n *Node) split(rate, own float64, demandOf func(*peer.Frame) uint16) float64 {
+func (n *Controller) split(rate, own float64, demandOf func(*peer.Frame) uint16) float64 {
 	guaranteed := guaranteedShare * rate / float64(len(n.peers)+1)
-	claims := []store.Claim{{
+	claims := []kv.Claim{{
 		Want:   max(guaranteed, demandMargin*own),
 		Weight: claimWeight(n.leadership.active),
 	}}
 	for _, p := range n.peers {
-		claim := store.Claim{Want: guaranteed, Weight: followerWeight}
-		if n.alive(p) {
+		claim := kv.Claim{Want: guaranteed, Weight: followerWeight}
+		if n.isAlive(p) {
 			claim.Want = max(guaranteed, demandMargin*float64(demandOf(&p.heartbeat)))
 			claim.Weight = claimWeight(p.heartbeat.IsLeader)
 		}
 		claims = append(claims, claim)
 	}
-	return store.Split(rate, claims)[0]
+	return kv.Split(rate, claims)[0]
 }
 
 func claimWeight(leads bool) float64 {
--- a/internal/election/candidacy.go
+++ b/internal/election/candidacy.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 
 	"lugward/internal/event"
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
 // notScheduled is the campaign time of a controller that has not seen the term
@@ -45,27 +45,27 @@
 // is left from before a restart: that process has ended, so it can be replaced
 // at once.
 func (l *Election) termIsFree() bool {
-	return l.observed.holder == "" || l.observed.holder == l.cfg.Label
+	return l.observed.leader == "" || l.observed.leader == l.cfg.Label
 }
 
 // campaign asks for a lease and writes the term key with it.
 func (l *Election) campaign(now event.Time, out *event.Effects) {
 	l.candidacy.inFlight = true
 	sentAt := now
-	l.store.Lease(l.cfg.TermLease, now, out, func(now event.Time, leaseID uint64, out *event.Effects) {
+	l.store.GrantLease(l.cfg.TermLease, now, out, func(now event.Time, leaseID uint64, out *event.Effects) {
 		if leaseID == 0 {
 			l.campaignFailed(now)
 			return
 		}
 		if !l.termIsFree() {
-			l.store.Drop(leaseID, now, out)
+			l.store.RevokeLease(leaseID, now, out)
 			l.campaignFailed(now)
 			return
 		}
 		l.submitTerm(now, campaign{
 			sentAt:  sentAt,
 			leaseID: leaseID,
-			token:   max(l.observed.count, l.observed.holderToken, l.observed.highestToken) + 1,
+			token:   max(l.observed.count, l.observed.leaderToken, l.observed.highestToken) + 1,
 		})
 	})
 }
@@ -74,18 +74,18 @@
 // neither has changed.
 func (l *Election) submitTerm(now event.Time, c campaign) {
 	data, _ := json.Marshal(termRecord{Label: l.cfg.Label, FencingToken: c.token})
-	l.store.Submit(&store.Intent{
-		Priority: store.Term,
-		Conditions: []store.Condition{
-			{Key: TermKey, Version: l.observed.termVersion},
-			{Key: countKey, Version: l.store.Version(countKey)},
+	l.store.Submit(&kv.Txn{
+		Priority: kv.PriorityTerm,
+		Compares: []kv.Compare{
+			{Key: TermKey, ModRevision: l.observed.termModRevision},
+			{Key: countKey, ModRevision: l.store.ModRevision(countKey)},
 		},
-		Writes: []store.Write{
+		Writes: []kv.Write{
 			{Key: TermKey, Data: data, LeaseID: c.leaseID},
 			{Key: countKey, Data: data},
 		},
-		Done: func(result store.Result) {
-			if result.Outcome != store.OK {
+		Done: func(result kv.Result) {
+			if result.Outcome != kv.Committed {
 				// An unknown outcome may leave a term that nobody holds; it
 				// ends with its lease.
 				l.campaignFailed(result.Now)
@@ -107,12 +107,12 @@
 // lease was granted.
 func (l *Election) beginTerm(leasedAt event.Time, c campaign, version uint64) {
 	l.term.leaseID = c.leaseID
-	l.term.version = version
+	l.term.modRevision = version
 	l.term.token = c.token
 	l.term.validUntil = c.sentAt + l.reliableLease()
 	l.term.renewAt = leasedAt
 	l.term.leasedAt = leasedAt
-	l.term.unnoticed = true
+	l.term.acquisitionPending = true
 	// A read that brings the replica up to the beginning of the term.
 	l.store.Barrier(func(event.Time, bool, *event.Effects) {})
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -11,14 +11,14 @@
 	"time"
 
 	"lugward/internal/event"
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
 // Keys of the term in the state service.
 const (
-	Kind     = "t" // of all keys of this package
-	TermKey  = "t/lead"
-	countKey = "t/count"
+	KeyPrefix = "t" // of all keys of this package
+	TermKey   = "t/lead"
+	countKey  = "t/count"
 )
 
 const (
@@ -67,9 +67,9 @@
 	Grace time.Duration
 }
 
-// GraceFor derives the grace from the time for a cancellation and from the
+// GracePeriod derives the grace from the time for a cancellation and from the
 // lease of a worker.
-func GraceFor(cancel, lease time.Duration) time.Duration {
+func GracePeriod(cancel, lease time.Duration) time.Duration {
 	rest := cancel - lease - lease/clockDriftDivisor
 	return max(0, rest-min(graceMargin, rest/2))
 }
@@ -78,7 +78,7 @@
 // the answers of the state service; the store calls Listen for the keys of Kind.
 type Election struct {
 	cfg   Config
-	store *store.Client
+	store *kv.Client
 	log   *slog.Logger
 
 	observed  observed
@@ -88,20 +88,20 @@
 
 // observed is what the replica and the messages of others say about the term.
 type observed struct {
-	holder       string // label in the replica's term key, "" if there is none
-	holderToken  uint64
-	termVersion  uint64 // of the term key
-	count        uint64 // the counter
-	highestToken uint64 // highest fencing token of any worker's or peer's message
+	leader          string // label in the replica's term key, "" if there is none
+	leaderToken     uint64
+	termModRevision uint64 // of the term key
+	count           uint64 // the counter
+	highestToken    uint64 // highest fencing token of any worker's or peer's message
 }
 
 // New returns an election that has seen nothing yet.
-func New(cfg Config, s *store.Client, log *slog.Logger) *Election {
+func New(cfg Config, s *kv.Client, log *slog.Logger) *Election {
 	return &Election{cfg: cfg, store: s, log: log, candidacy: candidacy{campaignAt: notScheduled}}
 }
 
-// Listen takes a change of the replica; data is nil when the key was deleted.
-func (l *Election) Listen(key string, data []byte, version uint64) {
+// HandleChange takes a change of the replica; data is nil when the key was deleted.
+func (l *Election) HandleChange(key string, data []byte, version uint64) {
 	var record termRecord
 	if data != nil && json.Unmarshal(data, &record) != nil {
 		return
@@ -111,11 +111,11 @@
 		if data == nil {
 			version = 0
 		}
-		l.observed.holder = record.Label
-		l.observed.holderToken = record.FencingToken
-		l.observed.termVersion = version
+		l.observed.leader = record.Label
+		l.observed.leaderToken = record.FencingToken
+		l.observed.termModRevision = version
 		l.candidacy.campaignAt = notScheduled
-		if l.Holds() && version != l.term.version {
+		if l.HoldsTerm() && version != l.term.modRevision {
 			l.stepDown("the term key changed")
 		}
 	case countKey:
@@ -123,12 +123,12 @@
 	}
 }
 
-// Holder is the label of the controller that holds the term, "" if the replica
+// Leader is the label of the controller that holds the term, "" if the replica
 // shows none.
-func (l *Election) Holder() string { return l.observed.holder }
+func (l *Election) Leader() string { return l.observed.leader }
 
-// HolderToken is the fencing token of the term that the replica shows.
-func (l *Election) HolderToken() uint64 { return l.observed.holderToken }
+// LeaderToken is the fencing token of the term that the replica shows.
+func (l *Election) LeaderToken() uint64 { return l.observed.leaderToken }
 
 // ObserveToken notes a fencing token in a message of a worker or controller.
 func (l *Election) ObserveToken(token uint64) {
@@ -137,7 +137,7 @@
 
 // Tick keeps our term, or stands for the next one.
 func (l *Election) Tick(now event.Time, out *event.Effects) {
-	if l.Holds() {
+	if l.HoldsTerm() {
 		l.maintain(now, out)
 	} else {
 		l.stand(now, out)
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -9,23 +9,23 @@
 	"time"
 
 	"lugward/internal/event"
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
 // fixture is an election on a client of the state service, whose calls the
 // test answers.
 type fixture struct {
 	t        *testing.T
-	store    *store.Client
+	store    *kv.Client
 	election *Election
 	out      event.Effects
 }
 
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{t: t}
-	limits := store.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60, StaleAfter: time.Hour}
-	f.store = store.New("state", limits, func(key string, data []byte, version uint64) {
-		f.election.Listen(key, data, version)
+	limits := kv.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60, StaleAfter: time.Hour}
+	f.store = kv.New("state", limits, func(key string, data []byte, version uint64) {
+		f.election.HandleChange(key, data, version)
 	})
 	f.election = New(Config{
 		Label:       "n0",
@@ -42,8 +42,8 @@
 	for i, call := range f.out.Calls {
 		if strings.HasPrefix(call.Path, path) {
 			f.out.Calls = append(f.out.Calls[:i:i], f.out.Calls[i+1:]...)
-			done := event.CallDone{ID: call.ID, Status: event.StatusOK, Body: []byte(body)}
-			f.store.CallDone(now, done, &f.out)
+			done := event.CallResult{ID: call.ID, Status: event.StatusOK, Body: []byte(body)}
+			f.store.HandleCallResult(now, done, &f.out)
 			return
 		}
 	}
@@ -73,26 +73,26 @@
 	// A placement of the process before was carried out late, at revision 6.
 	f.answer(now, "/commit", `{"epoch":7}`)
 	l := f.election
-	if !l.Holds() {
+	if !l.HoldsTerm() {
 		t.Fatal("the term was not taken")
 	}
-	if l.MayStart(now) || l.MayAnswer(now) || l.Acquired() {
+	if l.MayAct(now) || l.MayRenewWorkers(now) || l.TakeAcquired() {
 		t.Error("acts on a replica that lacks what was written before its term")
 	}
 	f.tick(now)
-	if !l.Holds() {
+	if !l.HoldsTerm() {
 		t.Error("stepped down while the replica catches up")
 	}
 	now += time.Millisecond
 	f.answer(now, "/follow", `{"epoch":7,"log":[{"write":"r/req-1/0","data":{},"stamp":6},`+
 		`{"write":"t/lead","data":{"l":"n0","f":2},"stamp":7},{"write":"t/count","data":{"l":"n0","f":2},"stamp":7}]}`)
-	if !l.MayStart(now) || !l.MayAnswer(now) {
+	if !l.MayAct(now) || !l.MayRenewWorkers(now) {
 		t.Error("does not act, though the replica is complete")
 	}
-	if !l.Acquired() {
+	if !l.TakeAcquired() {
 		t.Error("the term does not begin, though the replica is complete")
 	}
-	if l.Acquired() {
+	if l.TakeAcquired() {
 		t.Error("the term begins twice")
 	}
 }
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -4,55 +4,59 @@
 	"time"
 
 	"lugward/internal/event"
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
 // term is the term that this controller holds or has held last. It is held
 // while both leaseID and version are set. The other fields outlast it: a write
 // or an answer of it may still be under way.
 type term struct {
-	leaseID    uint64     // lease of the term key
-	version    uint64     // of the term key, as we have written it
-	token      uint64     // fencing token
-	leasedAt   event.Time // when its lease was granted; the term before had ended by then
-	validUntil event.Time // until then the lease is alive for certain
-	renewAt    event.Time
-	renewing   bool // a renewal is under way
-	unnoticed  bool // Acquired has not reported it yet
+	leaseID            uint64     // lease of the term key
+	modRevision        uint64     // of the term key, as we have written it
+	token              uint64     // fencing token
+	leasedAt           event.Time // when its lease was granted; the term before had ended by then
+	validUntil         event.Time // until then the lease is alive for certain
+	renewAt            event.Time
+	renewing           bool // a renewal is under way
+	acquisitionPending bool // Acquired has not reported it yet
 }
 
-// Holds tells whether this node holds a term at all, be it only in grace.
-func (l *Election) Holds() bool { return l.term.leaseID != 0 && l.term.version != 0 }
+// HoldsTerm tells whether this node holds a term at all, be it only in grace.
+func (l *Election) HoldsTerm() bool { return l.term.leaseID != 0 && l.term.modRevision != 0 }
 
 // FencingToken is the number of our term.
 func (l *Election) FencingToken() uint64 { return l.term.token }
 
-// Condition is the condition that every write of a leader carries.
-func (l *Election) Condition() store.Condition {
-	return store.Condition{Key: TermKey, Version: l.term.version}
+// Fence is the condition that every write of a leader carries.
+func (l *Election) Fence() kv.Compare {
+	return kv.Compare{Key: TermKey, ModRevision: l.term.modRevision}
 }
 
-// MayStart tells whether tasks may be started: the lease is alive for certain.
-func (l *Election) MayStart(now event.Time) bool {
-	return l.caughtUp() && now < l.term.validUntil
+// MayAct tells whether tasks may be started: the lease is alive for certain.
+func (l *Election) MayAct(now event.Time) bool {
+	return l.cacheShowsTerm() && now < l.term.validUntil
 }
 
-// MayAnswer tells whether reports may be answered with 200: within the lease
+// MayRenewWorkers tells whether reports may be answered with 200: within the lease
 // and, with nothing started, for the grace after it.
-func (l *Election) MayAnswer(now event.Time) bool { return l.caughtUp() && l.termLasts(now) }
+func (l *Election) MayRenewWorkers(now event.Time) bool {
+	return l.cacheShowsTerm() && l.termLasts(now)
+}
 
-// caughtUp tells whether we hold a term and the replica shows everything up to
+// cacheShowsTerm tells whether we hold a term and the replica shows everything up to
 // its beginning. A node that replaces its own term from before a restart, or has
 // just read all keys page by page, would otherwise miss what the term before
 // wrote last, and place other tasks on the same capacity and quota.
-func (l *Election) caughtUp() bool { return l.Holds() && l.store.Revision() >= l.term.version }
+func (l *Election) cacheShowsTerm() bool {
+	return l.HoldsTerm() && l.store.Revision() >= l.term.modRevision
+}
 
 // termLasts tells whether our term, or its grace, goes on.
 func (l *Election) termLasts(now event.Time) bool {
 	// Each 200 keeps the tasks of that worker alive. A cancellation that
 	// another node has confirmed may be missing from our replica for no longer
 	// than the grace, whatever the lease says.
-	if now >= l.store.Fresh()+l.cfg.Grace {
+	if now >= l.store.FreshUntil()+l.cfg.Grace {
 		return false
 	}
 	if now < l.term.validUntil {
@@ -75,26 +79,26 @@
 	return l.cfg.WorkerLease + l.cfg.WorkerLease/clockDriftDivisor
 }
 
-// Acquired tells, once for each term, that a term has begun and the replica
+// TakeAcquired tells, once for each term, that a term has begun and the replica
 // has caught up with it.
-func (l *Election) Acquired() bool {
-	if !l.term.unnoticed || (l.Holds() && !l.caughtUp()) {
+func (l *Election) TakeAcquired() bool {
+	if !l.term.acquisitionPending || (l.HoldsTerm() && !l.cacheShowsTerm()) {
 		return false
 	}
-	l.term.unnoticed = false
-	if l.Holds() {
+	l.term.acquisitionPending = false
+	if l.HoldsTerm() {
 		l.log.Info("term begun", "token", l.term.token)
 	}
-	return l.Holds()
+	return l.HoldsTerm()
 }
 
 // Resign ends our term early, for another controller to take: this one does
 // not stand for a while. The reason goes to the log.
 func (l *Election) Resign(now event.Time, out *event.Effects, why string) {
-	if !l.Holds() {
+	if !l.HoldsTerm() {
 		return
 	}
-	l.store.Drop(l.term.leaseID, now, out)
+	l.store.RevokeLease(l.term.leaseID, now, out)
 	l.candidacy.notBefore = now + abstainDuration
 	l.stepDown(why)
 }
@@ -103,7 +107,7 @@
 func (l *Election) stepDown(why string) {
 	l.log.Info("term lost", "token", l.term.token, "why", why)
 	l.term.leaseID = 0
-	l.term.version = 0
+	l.term.modRevision = 0
 }
 
 // maintain steps down when the term has run out and renews its lease when that
@@ -122,7 +126,7 @@
 	l.term.renewing = true
 	r := renewal{sentAt: now, token: l.term.token}
 	timeout := l.cfg.TermLease / renewalsPerLease
-	l.store.Extend(l.term.leaseID, timeout, now, out, func(now event.Time, status int, _ *event.Effects) {
+	l.store.RenewLease(l.term.leaseID, timeout, now, out, func(now event.Time, status int, _ *event.Effects) {
 		l.renewed(now, r, status)
 	})
 }
@@ -138,7 +142,7 @@
 func (l *Election) renewed(now event.Time, r renewal, status int) {
 	l.term.renewing = false
 	l.log.Debug("term renewal answered", "status", status, "after", now-r.sentAt, "token", r.token)
-	if r.token != l.term.token || !l.Holds() {
+	if r.token != l.term.token || !l.HoldsTerm() {
 		return
 	}
 	switch status {
--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -80,7 +80,7 @@
 			e.keepSpare(c)
 		}
 	}
-	e.step(callDoneInput{event.CallDone{ID: id, Status: status, Body: body}})
+	e.step(callDoneInput{event.CallResult{ID: id, Status: status, Body: body}})
 }
 
 // abortCall ends a call whose connection has ended.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -19,16 +19,16 @@
 
 // Core is the state machine that the engine drives, one input at a time.
 type Core interface {
-	// Clock sets the time of day before each Tick.
-	Clock(now event.Time, wall time.Time)
+	// SetWallClock sets the time of day before each Tick.
+	SetWallClock(now event.Time, wall time.Time)
 	// Tick does what is due.
 	Tick(now event.Time, out *event.Effects)
-	// Request takes an HTTP request, which needs exactly one reply.
-	Request(now event.Time, r event.Request, out *event.Effects)
-	// CallDone takes the outcome of a call.
-	CallDone(now event.Time, d event.CallDone, out *event.Effects)
-	// Frame takes a frame of another controller.
-	Frame(now event.Time, f event.PeerFrame, out *event.Effects)
+	// HandleRequest takes an HTTP request, which needs exactly one reply.
+	HandleRequest(now event.Time, r event.Request, out *event.Effects)
+	// HandleCallResult takes the outcome of a call.
+	HandleCallResult(now event.Time, d event.CallResult, out *event.Effects)
+	// HandleFrame takes a frame of another controller.
+	HandleFrame(now event.Time, f event.PeerFrame, out *event.Effects)
 }
 
 // Config says where to listen and how many connections to have.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -20,10 +20,10 @@
 	calls  []string // addresses to call at the next tick
 
 	crowded map[string]int // by path
-	done    chan event.CallDone
+	done    chan event.CallResult
 }
 
-func (c *echoCore) Clock(event.Time, time.Time) {}
+func (c *echoCore) SetWallClock(event.Time, time.Time) {}
 
 func (c *echoCore) Tick(_ event.Time, out *event.Effects) {
 	c.mu.Lock()
@@ -34,8 +34,8 @@
 	c.calls = nil
 }
 
-func (c *echoCore) Request(_ event.Time, r event.Request, out *event.Effects) {
-	if r.Crowded {
+func (c *echoCore) HandleRequest(_ event.Time, r event.Request, out *event.Effects) {
+	if r.ConnectionLimitReached {
 		c.mu.Lock()
 		c.crowded[r.Path]++
 		c.mu.Unlock()
@@ -43,9 +43,9 @@
 	out.Reply(r.Conn, event.StatusOK, []byte(r.Method+" "+r.Path+" "+string(r.Body)))
 }
 
-func (c *echoCore) CallDone(_ event.Time, d event.CallDone, _ *event.Effects) { c.done <- d }
+func (c *echoCore) HandleCallResult(_ event.Time, d event.CallResult, _ *event.Effects) { c.done <- d }
 
-func (c *echoCore) Frame(_ event.Time, f event.PeerFrame, _ *event.Effects) {
+func (c *echoCore) HandleFrame(_ event.Time, f event.PeerFrame, _ *event.Effects) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.frames = append(c.frames, f.Data)
@@ -92,10 +92,10 @@
 	}
 }
 
-func (c *slowCore) Request(now event.Time, r event.Request, out *event.Effects) {
+func (c *slowCore) HandleRequest(now event.Time, r event.Request, out *event.Effects) {
 	time.Sleep(tickInterval + 10*time.Millisecond)
 	c.order <- requestEvent
-	c.echoCore.Request(now, r, out)
+	c.echoCore.HandleRequest(now, r, out)
 }
 
 // TestTimePasses checks that time passes between requests that arrive at once.
@@ -144,7 +144,7 @@
 
 // start runs an engine with an echoCore for the rest of the test process.
 func start(t *testing.T, maxConnections int) (*echoCore, Config) {
-	core := &echoCore{crowded: map[string]int{}, done: make(chan event.CallDone, 100)}
+	core := &echoCore{crowded: map[string]int{}, done: make(chan event.CallResult, 100)}
 	return core, serve(t, core, maxConnections)
 }
 
--- a/internal/engine/http.go
+++ b/internal/engine/http.go
@@ -54,10 +54,10 @@
 		Path:   message.Target,
 		Body:   append([]byte(nil), message.Body...),
 
-		Crowded: e.isCrowded(c),
+		ConnectionLimitReached: e.isCrowded(c),
 	}
 	_, _ = c.socket.Discard(size)
-	e.core.Request(e.now(), request, &e.steps.effects)
+	e.core.HandleRequest(e.now(), request, &e.steps.effects)
 }
 
 // reply answers a request and lets the next one on its connection be read.
--- a/internal/engine/steps.go
+++ b/internal/engine/steps.go
@@ -22,14 +22,16 @@
 func (in tickInput) deliver(e *engine) { e.core.Tick(in.now, &e.steps.effects) }
 
 // callDoneInput is the outcome of a call.
-type callDoneInput struct{ done event.CallDone }
+type callDoneInput struct{ done event.CallResult }
 
-func (in callDoneInput) deliver(e *engine) { e.core.CallDone(e.now(), in.done, &e.steps.effects) }
+func (in callDoneInput) deliver(e *engine) {
+	e.core.HandleCallResult(e.now(), in.done, &e.steps.effects)
+}
 
 // frameInput is a frame of another controller.
 type frameInput struct{ frame event.PeerFrame }
 
-func (in frameInput) deliver(e *engine) { e.core.Frame(e.now(), in.frame, &e.steps.effects) }
+func (in frameInput) deliver(e *engine) { e.core.HandleFrame(e.now(), in.frame, &e.steps.effects) }
 
 // requestInput is a connection on which a request may have arrived.
 type requestInput struct{ c *connection }
--- a/internal/engine/ticker.go
+++ b/internal/engine/ticker.go
@@ -72,7 +72,7 @@
 		e.timers.sweptAt = now
 		e.sweep(now)
 	}
-	e.core.Clock(now, time.Now())
+	e.core.SetWallClock(now, time.Now())
 	e.step(tickInput{now})
 }
 
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -14,9 +14,9 @@
 	Method string
 	Path   string
 	Body   []byte
-	// Crowded tells that more workers are connected than there are sockets for: this
+	// ConnectionLimitReached tells that more workers are connected than there are sockets for: this
 	// one's connection ends with the reply.
-	Crowded bool
+	ConnectionLimitReached bool
 }
 
 // Reply answers the Request of a connection.
@@ -38,9 +38,9 @@
 	Timeout time.Duration
 }
 
-// CallDone is the outcome of a Call. With the status NoResponse the request may
+// CallResult is the outcome of a Call. With the status NoResponse the request may
 // have been carried out or not, or may still be.
-type CallDone struct {
+type CallResult struct {
 	ID     uint64
 	Status int
 	Body   []byte
@@ -67,9 +67,9 @@
 	o.Replies = append(o.Replies, Reply{Conn: conn, Status: status, Body: body})
 }
 
-// Busy refuses a request for now with 503; the client may come back after the
+// Unavailable refuses a request for now with 503; the client may come back after the
 // given number of seconds.
-func (o *Effects) Busy(conn uint64, retryAfter int) {
+func (o *Effects) Unavailable(conn uint64, retryAfter int) {
 	o.Replies = append(o.Replies, Reply{Conn: conn, Status: StatusServiceUnavailable, RetryAfter: retryAfter})
 }
 
--- a/internal/store/barrier.go
+++ b/internal/kv/barrier.go
@@ -1,4 +1,4 @@
-package store
+package kv
 
 import "lugward/internal/event"
 
@@ -26,7 +26,7 @@
 // sendBarrier asks for all changes up to now, for those that wait or because
 // the replica has not been refreshed for long.
 func (c *Client) sendBarrier(now event.Time, out *event.Effects) {
-	stale := now-c.replica.fresh >= c.limits.StaleAfter
+	stale := now-c.cache.fresh >= c.limits.StaleAfter
 	if !c.barrier.due(now) || (len(c.barrierQueue) == 0 && !stale) || !c.rates.requests.has(now, 1) {
 		return
 	}
@@ -44,7 +44,7 @@
 	c.barrier.open = false
 	ok := c.takeChanges(now, r)
 	if !ok {
-		c.barrier.notBefore = now + refusedPause
+		c.barrier.notBefore = now + retryPause
 	}
 	for _, done := range b.waiting {
 		done(now, ok, out)
--- a/internal/store/batch.go
+++ b/internal/kv/batch.go
@@ -1,4 +1,4 @@
-package store
+package kv
 
 import (
 	"encoding/json"
@@ -10,41 +10,41 @@
 	// maxTransactionBytes is the estimated size of a transaction's body, a
 	// margin below the 64 KiB that the service takes.
 	maxTransactionBytes = 60 << 10
-	// writeOverhead and conditionOverhead are the most bytes that the JSON of a
+	// writeOverhead and compareOverhead are the most bytes that the JSON of a
 	// write takes beside its key and data, and that of a condition in all.
-	writeOverhead     = 60
-	conditionOverhead = 120
-	// conditionsPerOp is the number of conditions that the service takes for
+	writeOverhead   = 60
+	compareOverhead = 120
+	// comparesPerOp is the number of conditions that the service takes for
 	// each write that it allows in a transaction.
-	conditionsPerOp = 4
+	comparesPerOp = 4
 )
 
 // batch is a transaction that is being put together. No key is in two of its
 // writes, since the service would carry out only one of them.
 type batch struct {
-	intents    []*Intent
-	ops        int // writes
-	conditions int
-	bytes      int // estimated size
-	keys       map[string]bool
+	txns     []*Txn
+	ops      int // writes
+	compares int
+	bytes    int // estimated size
+	keys     map[string]bool
 }
 
 // size estimates what the intent adds to a transaction's body.
-func (in *Intent) size() int {
-	bytes := conditionOverhead * len(in.Conditions)
+func (in *Txn) size() int {
+	bytes := compareOverhead * len(in.Compares)
 	for _, write := range in.Writes {
 		bytes += len(write.Key) + len(write.Data) + writeOverhead
 	}
 	return bytes
 }
 
-func (b *batch) add(in *Intent) {
+func (b *batch) add(in *Txn) {
 	for _, write := range in.Writes {
 		b.keys[write.Key] = true
 	}
-	b.intents = append(b.intents, in)
+	b.txns = append(b.txns, in)
 	b.ops += len(in.Writes)
-	b.conditions += len(in.Conditions)
+	b.compares += len(in.Compares)
 	b.bytes += in.size()
 }
 
@@ -63,7 +63,7 @@
 	b := &batch{keys: map[string]bool{}}
 	mayRequest := c.rates.requests.has(now, 1)
 	writes := c.rates.writes.whole(now)
-	for p := range c.transactions.queue {
+	for p := range c.txns.queue {
 		priority := Priority(p)
 		capacity := c.limits.TxnOps
 		if !priority.exceedsShare() {
@@ -72,7 +72,7 @@
 			}
 			capacity = min(capacity, writes)
 		}
-		if full := c.pickPriority(now, priority, capacity, b); full && len(b.intents) > 0 {
+		if full := c.pickPriority(now, priority, capacity, b); full && len(b.txns) > 0 {
 			break
 		}
 	}
@@ -83,14 +83,14 @@
 // takes no more. Within a priority the order is kept, lest small intents
 // starve a large one.
 func (c *Client) pickPriority(now event.Time, priority Priority, capacity int, b *batch) (full bool) {
-	waiting := c.transactions.queue[priority]
+	waiting := c.txns.queue[priority]
 	kept := waiting[:0]
 	for _, in := range waiting {
 		if full {
 			kept = append(kept, in)
 			continue
 		}
-		switch c.pickIntent(now, in, capacity, b) {
+		switch c.pickTxn(now, in, capacity, b) {
 		case added:
 			full = in.mustGoAlone()
 		case finished:
@@ -101,24 +101,24 @@
 			full = true
 		}
 	}
-	c.transactions.queue[priority] = kept
+	c.txns.queue[priority] = kept
 	return full
 }
 
-// pickIntent builds an intent and adds it to the batch if it fits.
-func (c *Client) pickIntent(now event.Time, in *Intent, capacity int, b *batch) verdict {
-	if in.mustGoAlone() && len(b.intents) > 0 {
+// pickTxn builds an intent and adds it to the batch if it fits.
+func (c *Client) pickTxn(now event.Time, in *Txn, capacity int, b *batch) verdict {
+	if in.mustGoAlone() && len(b.txns) > 0 {
 		return blocked
 	}
 	if b.ops+in.ops() > max(capacity, c.borrowable(in, b)) {
 		return blocked
 	}
 	if in.Build != nil {
-		if c.transactions.busyKeys[in.Key] {
+		if c.txns.keysInFlight[in.Key] {
 			return skipped
 		}
 		if !in.Build(in) {
-			in.Done(Result{Outcome: Refused, Now: now})
+			in.Done(Result{Outcome: Aborted, Now: now})
 			return finished
 		}
 	}
@@ -127,7 +127,7 @@
 	}
 	if b.ops+len(in.Writes) > max(capacity, c.borrowable(in, b)) ||
 		b.bytes+in.size() > maxTransactionBytes ||
-		b.conditions+len(in.Conditions) > conditionsPerOp*c.limits.TxnOps {
+		b.compares+len(in.Compares) > comparesPerOp*c.limits.TxnOps {
 		return blocked
 	}
 	b.add(in)
@@ -136,9 +136,9 @@
 
 // clashes reports whether a key of the intent is written by the batch or by a
 // transaction that is under way.
-func (c *Client) clashes(in *Intent, b *batch) bool {
+func (c *Client) clashes(in *Txn, b *batch) bool {
 	for _, write := range in.Writes {
-		if c.transactions.busyKeys[write.Key] || b.keys[write.Key] {
+		if c.txns.keysInFlight[write.Key] || b.keys[write.Key] {
 			return true
 		}
 	}
@@ -148,7 +148,7 @@
 // borrowable is the capacity for an intent that has more writes than this
 // node's part of the rate ever holds: once the bucket is full and nothing is
 // before the intent, it goes and the rest is owed. Else it would wait for ever.
-func (c *Client) borrowable(in *Intent, b *batch) int {
+func (c *Client) borrowable(in *Txn, b *batch) int {
 	n := in.ops()
 	bucket := &c.rates.writes
 	if b.ops == 0 && n <= c.limits.TxnOps && n > int(bucket.capacity()) && bucket.full() {
@@ -157,10 +157,10 @@
 	return 0
 }
 
-// wireCondition and wireWrite are the JSON of a transaction's parts.
-type wireCondition struct {
-	Key     string `json:"key"`
-	Version uint64 `json:"stamp"`
+// wireCompare and wireWrite are the JSON of a transaction's parts.
+type wireCompare struct {
+	Key         string `json:"key"`
+	ModRevision uint64 `json:"stamp"`
 }
 
 type wireWrite struct {
@@ -174,15 +174,15 @@
 // appear once.
 func (b *batch) encode() []byte {
 	var transaction struct {
-		If   []wireCondition `json:"if"`
-		Then []wireWrite     `json:"then"`
+		If   []wireCompare `json:"if"`
+		Then []wireWrite   `json:"then"`
 	}
-	seen := map[Condition]bool{}
-	for _, in := range b.intents {
-		for _, condition := range in.Conditions {
+	seen := map[Compare]bool{}
+	for _, in := range b.txns {
+		for _, condition := range in.Compares {
 			if !seen[condition] {
 				seen[condition] = true
-				transaction.If = append(transaction.If, wireCondition(condition))
+				transaction.If = append(transaction.If, wireCompare(condition))
 			}
 		}
 		for _, write := range in.Writes {
--- a/internal/store/call.go
+++ b/internal/kv/call.go
@@ -1,4 +1,4 @@
-package store
+package kv
 
 import (
 	"time"
@@ -46,9 +46,9 @@
 	c.pending[id] = pendingCall{sent: now, request: handler}
 }
 
-// CallDone takes the outcome of a call. It reports whether the call was one of
+// HandleCallResult takes the outcome of a call. It reports whether the call was one of
 // this client's.
-func (c *Client) CallDone(now event.Time, done event.CallDone, out *event.Effects) bool {
+func (c *Client) HandleCallResult(now event.Time, done event.CallResult, out *event.Effects) bool {
 	pending, ok := c.pending[done.ID]
 	if !ok {
 		return false
@@ -64,24 +64,24 @@
 
 // health is what the answers say about the service's availability.
 type health struct {
-	contact event.Time // when the last request that was executed was sent
-	outage  bool       // the last answer, 429 apart, was 503 or missing
+	lastContact event.Time // when the last request that was executed was sent
+	unavailable bool       // the last answer, 429 apart, was 503 or missing
 }
 
 // neverInContact lies before any time at which a request can have been sent, so
 // that a node that has just started does not count as recently in contact.
 const neverInContact event.Time = -time.Hour
 
-func newHealth() health { return health{contact: neverInContact} }
+func newHealth() health { return health{lastContact: neverInContact} }
 
 func (h *health) observe(status int, sent event.Time) {
 	switch status {
 	case noResponse, httpwire.StatusServiceUnavailable:
-		h.outage = true
+		h.unavailable = true
 	case httpwire.StatusTooManyRequests:
 		// Neither executed nor unavailable.
 	default:
-		h.contact = max(h.contact, sent)
-		h.outage = false
+		h.lastContact = max(h.lastContact, sent)
+		h.unavailable = false
 	}
 }
--- a/internal/store/client.go
+++ b/internal/kv/client.go
@@ -1,4 +1,4 @@
-// Package store is the client of the state service. It keeps a replica of all
+// Package kv is the client of the state service. It keeps a replica of all
 // keys by following the service's changes, batches writes into transactions
 // under the rates that the controllers share, manages leases, and offers the
 // read barrier that every answer to a user rests on.
@@ -6,7 +6,7 @@
 // Nothing here blocks or reads a clock: requests leave as effects, their
 // answers and the passing of time come in through Client.CallDone and
 // Client.Tick.
-package store
+package kv
 
 import (
 	"log/slog"
@@ -29,21 +29,21 @@
 	// StaleAfter is the age at which the replica is refreshed although nobody
 	// waits for a read barrier.
 	StaleAfter time.Duration
-	// Permanent is the beginning of keys that are written once and never change or
+	// ImmutablePrefix is the beginning of keys that are written once and never change or
 	// go. There may be very many; the replica keeps nothing of them, and the listener
 	// may receive one more than once. "": there are none.
-	Permanent string
+	ImmutablePrefix string
 }
 
-// ListenFunc receives every change of the replica. data is nil when the key
+// ChangeFunc receives every change of the replica. data is nil when the key
 // has been dropped.
-type ListenFunc func(key string, data []byte, version uint64)
+type ChangeFunc func(key string, data []byte, version uint64)
 
 const (
 	// callTimeout bounds every request that is answered without waiting.
 	callTimeout = 1500 * time.Millisecond
-	// refusedPause is the pause before a retry after 429, 503 or no answer.
-	refusedPause = 100 * time.Millisecond
+	// retryPause is the pause before a retry after 429, 503 or no answer.
+	retryPause = 100 * time.Millisecond
 	// minPollInterval is the least time between two watches, and between two
 	// barriers: answers come one round trip after each, so more would not make
 	// the replica any fresher.
@@ -67,55 +67,55 @@
 	pending map[uint64]pendingCall // by the ID of the event.Call
 	health  health
 
-	replica replica
+	cache   watchCache
 	scan    scan
 	watch   poll
 	barrier poll
 	// barrierQueue are the callers that wait for the next barrier to be sent.
 	barrierQueue []BarrierFunc
 
-	transactions transactions
+	txns txnQueue
 }
 
 // New returns a client for the service at addr. listen is called for every
 // change of the replica, from within Tick and CallDone.
-func New(addr string, limits Limits, listen ListenFunc) *Client {
+func New(addr string, limits Limits, listen ChangeFunc) *Client {
 	return &Client{
-		addr:         addr,
-		limits:       limits,
-		rates:        newRates(limits),
-		pending:      map[uint64]pendingCall{},
-		health:       newHealth(),
-		replica:      newReplica(listen, limits.Permanent),
-		watch:        poll{interval: minPollInterval},
-		barrier:      poll{interval: minPollInterval},
-		transactions: newTransactions(),
+		addr:    addr,
+		limits:  limits,
+		rates:   newRates(limits),
+		pending: map[uint64]pendingCall{},
+		health:  newHealth(),
+		cache:   newWatchCache(listen, limits.ImmutablePrefix),
+		watch:   poll{interval: minPollInterval},
+		barrier: poll{interval: minPollInterval},
+		txns:    newTxnQueue(),
 	}
 }
 
 // Synced reports whether the replica is complete: every key has been read, and
 // the changes since then can be followed.
-func (c *Client) Synced() bool { return c.replica.synced }
+func (c *Client) Synced() bool { return c.cache.synced }
 
-// Contact is when the last request that the service executed was sent.
-func (c *Client) Contact() event.Time { return c.health.contact }
+// LastContact is when the last request that the service executed was sent.
+func (c *Client) LastContact() event.Time { return c.health.lastContact }
 
-// Fresh is a time up to which the replica holds every change. It shows a
+// FreshUntil is a time up to which the replica holds every change. It shows a
 // replica that has become stale because the answer to a watch was lost.
-func (c *Client) Fresh() event.Time { return c.replica.fresh }
+func (c *Client) FreshUntil() event.Time { return c.cache.fresh }
 
 // Revision is the revision of the service up to which the replica is complete.
-func (c *Client) Revision() uint64 { return c.replica.revision }
+func (c *Client) Revision() uint64 { return c.cache.revision }
 
-// Outage reports whether the last request found the service unavailable.
-func (c *Client) Outage() bool { return c.health.outage }
+// Unavailable reports whether the last request found the service unavailable.
+func (c *Client) Unavailable() bool { return c.health.unavailable }
 
-// Version returns the version of a key in the replica, 0 if absent.
-func (c *Client) Version(key string) uint64 { return c.replica.versions[key] }
+// ModRevision returns the version of a key in the replica, 0 if absent.
+func (c *Client) ModRevision(key string) uint64 { return c.cache.modRevisions[key] }
 
-// SetShare changes this node's part of the rates. Watches and barriers are
+// SetRateShare changes this node's part of the rates. Watches and barriers are
 // paced so that they leave requests for transactions and leases.
-func (c *Client) SetShare(rps, writeRPS float64) {
+func (c *Client) SetRateShare(rps, writeRPS float64) {
 	c.rates.requests.rate = rps
 	c.rates.writes.rate = writeRPS
 	interval := time.Duration(pollKinds / (pollShare * rps) * float64(time.Second))
@@ -141,8 +141,8 @@
 // Tick ends what has expired and sends what is due. It is called at least as
 // often as the shortest interval above.
 func (c *Client) Tick(now event.Time, out *event.Effects) {
-	c.expireIntents(now, out)
-	if !c.replica.synced {
+	c.expireTxns(now, out)
+	if !c.cache.synced {
 		c.failBarriers(now, out)
 		if !c.scan.running && now >= c.scan.notBefore {
 			c.startScan(now, out)
--- a/internal/store/client_test.go
+++ b/internal/kv/client_test.go
@@ -1,4 +1,4 @@
-package store
+package kv
 
 import (
 	"encoding/json"
@@ -38,7 +38,7 @@
 }
 
 func (h *harness) answer(c event.Call, status int, body string) {
-	h.CallDone(h.now, event.CallDone{ID: c.ID, Status: status, Body: []byte(body)}, &h.out)
+	h.HandleCallResult(h.now, event.CallResult{ID: c.ID, Status: status, Body: []byte(body)}, &h.out)
 }
 
 func (h *harness) wait(d time.Duration) {
@@ -48,9 +48,9 @@
 
 // newWrite returns an intent that writes the keys, and the results that its
 // Done has received so far.
-func newWrite(keys ...string) (in *Intent, results *[]Result) {
+func newWrite(keys ...string) (in *Txn, results *[]Result) {
 	results = new([]Result)
-	in = &Intent{Priority: Progress, Done: func(r Result) { *results = append(*results, r) }}
+	in = &Txn{Priority: PriorityProgress, Done: func(r Result) { *results = append(*results, r) }}
 	for _, k := range keys {
 		in.Writes = append(in.Writes, Write{Key: k, Data: []byte(`1`)})
 	}
@@ -81,10 +81,10 @@
 		}
 		h.wait(time.Second)
 	}
-	if len(*goodResults) != 1 || (*goodResults)[0].Outcome != OK || (*goodResults)[0].Invalid {
+	if len(*goodResults) != 1 || (*goodResults)[0].Outcome != Committed || (*goodResults)[0].Malformed {
 		t.Errorf("its neighbour: %+v", *goodResults)
 	}
-	if len(*badResults) != 1 || (*badResults)[0].Outcome != Refused || !(*badResults)[0].Invalid {
+	if len(*badResults) != 1 || (*badResults)[0].Outcome != Aborted || !(*badResults)[0].Malformed {
 		t.Errorf("%+v", *badResults)
 	}
 }
@@ -93,7 +93,7 @@
 // intent has, the intent is sent once the bucket is full, and the rest is owed.
 func TestSmallShare(t *testing.T) {
 	h := newHarness(Limits{TxnOps: 4, RPS: 100, WriteRPS: 100})
-	h.SetShare(100, 0.5)
+	h.SetRateShare(100, 0.5)
 	h.wait(0)
 	h.take("")
 	sent := 0
@@ -129,7 +129,7 @@
 		k := string(rune('a' + i))
 		in, _ := newWrite(k)
 		for _, c := range "12345" {
-			in.Conditions = append(in.Conditions, Condition{Key: k + string(c), Version: 1})
+			in.Compares = append(in.Compares, Compare{Key: k + string(c), ModRevision: 1})
 		}
 		in.Done = func(Result) { done++ }
 		h.Submit(in, h.now+time.Minute)
@@ -162,8 +162,8 @@
 	barrier := h.take("/follow")[0]
 	h.answer(barrier, 200, `{"epoch":9,"log":[{"write":"j/req-1","data":{"n":2},"stamp":7},{"drop":"j/req-1","stamp":9}]}`)
 	h.answer(watch, 200, `{"epoch":7,"log":[{"write":"j/req-1","data":{"n":2},"stamp":7}]}`)
-	if got := h.values["j/req-1"]; got != "" || h.Version("j/req-1") != 0 {
-		t.Errorf("a dropped key is back: %s, version %d", got, h.Version("j/req-1"))
+	if got := h.values["j/req-1"]; got != "" || h.ModRevision("j/req-1") != 0 {
+		t.Errorf("a dropped key is back: %s, version %d", got, h.ModRevision("j/req-1"))
 	}
 	if h.Revision() != 9 {
 		t.Errorf("the replica is at %d", h.Revision())
@@ -175,14 +175,14 @@
 func TestOvertakenCommit(t *testing.T) {
 	h := newHarness(ampleLimits)
 	watch := h.take("/follow")[0]
-	outcome := Refused
-	h.Submit(&Intent{Priority: Accept, Conditions: []Condition{{Key: "j/req-1"}}, Writes: []Write{{Key: "j/req-1", Data: []byte(`{"n":1}`)}},
+	outcome := Aborted
+	h.Submit(&Txn{Priority: PrioritySubmission, Compares: []Compare{{Key: "j/req-1"}}, Writes: []Write{{Key: "j/req-1", Data: []byte(`{"n":1}`)}},
 		Done: func(r Result) { outcome = r.Outcome }}, time.Minute)
 	h.wait(time.Second)
 	commit := h.take("/commit")[0]
 	h.answer(watch, 200, `{"epoch":8,"log":[{"write":"j/req-1","data":{"n":1},"stamp":6},{"drop":"j/req-1","stamp":8}]}`)
 	h.answer(commit, 200, `{"epoch":6}`)
-	if outcome != OK || h.values["j/req-1"] != "" || h.Version("j/req-1") != 0 {
+	if outcome != Committed || h.values["j/req-1"] != "" || h.ModRevision("j/req-1") != 0 {
 		t.Errorf("outcome %v, the dropped key shows %q", outcome, h.values["j/req-1"])
 	}
 }
@@ -190,11 +190,11 @@
 // TestOwnWriteAtOnce: a write of ours is in the replica before the log brings it.
 func TestOwnWriteAtOnce(t *testing.T) {
 	h := newHarness(ampleLimits)
-	h.Submit(&Intent{Priority: Accept, Writes: []Write{{Key: "f/req-1", Data: []byte(`{}`)}}, Done: func(Result) {}}, time.Minute)
+	h.Submit(&Txn{Priority: PrioritySubmission, Writes: []Write{{Key: "f/req-1", Data: []byte(`{}`)}}, Done: func(Result) {}}, time.Minute)
 	h.wait(time.Second)
 	h.answer(h.take("/commit")[0], 200, `{"epoch":6}`)
-	if h.Version("f/req-1") != 6 || h.Revision() != 5 {
-		t.Errorf("version %d at %d", h.Version("f/req-1"), h.Revision())
+	if h.ModRevision("f/req-1") != 6 || h.Revision() != 5 {
+		t.Errorf("version %d at %d", h.ModRevision("f/req-1"), h.Revision())
 	}
 }
 
@@ -219,7 +219,7 @@
 		}
 		h.wait(time.Second)
 		h.answer(h.take("/commit")[0], 200, `{"epoch":9}`)
-		if len(*results) != 1 || (*results)[0].Outcome != OK {
+		if len(*results) != 1 || (*results)[0].Outcome != Committed {
 			t.Errorf("the write: %+v", *results)
 		}
 	}
@@ -249,10 +249,10 @@
 // and from writes of ours; nothing of them is kept, and a new scan drops none of them.
 func TestPermanentKeys(t *testing.T) {
 	limits := ampleLimits
-	limits.Permanent = "f/"
+	limits.ImmutablePrefix = "f/"
 	h := newHarness(limits, `{"key":"f/req-1","data":{"n":1},"stamp":3}`, `{"key":"j/req-2","data":{"n":2},"stamp":4}`)
 	watch := h.take("/follow")[0]
-	h.Submit(&Intent{Priority: Accept, Conditions: []Condition{{Key: "f/req-2"}}, Writes: []Write{{Key: "f/req-2", Data: []byte(`{"n":2}`)}}, Done: func(Result) {}}, time.Minute)
+	h.Submit(&Txn{Priority: PrioritySubmission, Compares: []Compare{{Key: "f/req-2"}}, Writes: []Write{{Key: "f/req-2", Data: []byte(`{"n":2}`)}}, Done: func(Result) {}}, time.Minute)
 	h.wait(time.Second)
 	h.answer(h.take("/commit")[0], 200, `{"epoch":6}`)
 	h.answer(watch, 200, `{"epoch":7,"log":[{"write":"f/req-2","data":{"n":2},"stamp":6},{"write":"f/req-3","data":{"n":3},"stamp":7}]}`)
@@ -261,11 +261,11 @@
 	h.wait(time.Second)
 	h.answer(h.take("/keys")[0], 200, `{"items":[],"has_next":false,"epoch":9}`)
 	for _, key := range []string{"f/req-1", "f/req-2", "f/req-3"} {
-		if h.values[key] == "" || h.Version(key) != 0 {
-			t.Errorf("%s: %q, version %d", key, h.values[key], h.Version(key))
+		if h.values[key] == "" || h.ModRevision(key) != 0 {
+			t.Errorf("%s: %q, version %d", key, h.values[key], h.ModRevision(key))
 		}
 	}
-	if h.values["j/req-2"] != "" || len(h.replica.versions) != 0 {
-		t.Errorf("%v, versions %v", h.values, h.replica.versions)
+	if h.values["j/req-2"] != "" || len(h.cache.modRevisions) != 0 {
+		t.Errorf("%v, versions %v", h.values, h.cache.modRevisions)
 	}
 }
--- a/internal/store/demand.go
+++ b/internal/kv/demand.go
@@ -1,4 +1,4 @@
-package store
+package kv
 
 import (
 	"time"
@@ -48,7 +48,7 @@
 // recent use and the writes that wait.
 func (c *Client) Demand(now event.Time) (requests, writes float64) {
 	waiting := 0.0
-	for _, list := range c.transactions.queue {
+	for _, list := range c.txns.queue {
 		for _, intent := range list {
 			waiting += float64(intent.ops())
 		}
@@ -61,7 +61,7 @@
 // this node's, and at the node's present part of it.
 func (c *Client) Backlog(priority Priority) (best, now float64) {
 	before := 0
-	for _, list := range c.transactions.queue[:priority+1] {
+	for _, list := range c.txns.queue[:priority+1] {
 		before += len(list)
 	}
 	return float64(before) / c.limits.WriteRPS, float64(before) / c.rates.writes.rate
--- a/internal/store/follow.go
+++ b/internal/kv/follow.go
@@ -1,4 +1,4 @@
-package store
+package kv
 
 import (
 	"encoding/json"
@@ -33,18 +33,18 @@
 // due reports whether a poll may be sent, if the request rate allows it.
 func (p *poll) due(now event.Time) bool { return !p.open && now >= p.notBefore }
 
-// logEntry is one change in the service's log: a write or a drop.
-type logEntry struct {
-	Write   string          `json:"write"`
-	Drop    string          `json:"drop"`
-	Data    json.RawMessage `json:"data"`
-	Version uint64          `json:"stamp"`
+// loggedChange is one change in the service's log: a write or a drop.
+type loggedChange struct {
+	Write       string          `json:"write"`
+	Drop        string          `json:"drop"`
+	Data        json.RawMessage `json:"data"`
+	ModRevision uint64          `json:"stamp"`
 }
 
 // followPath asks for the changes since the replica's revision. The service
 // answers at the first one, or with none after wait.
 func (c *Client) followPath(wait time.Duration) string {
-	return fmt.Sprintf("/follow?starts=&from=%d&wait_ms=%d", c.replica.revision, wait.Milliseconds())
+	return fmt.Sprintf("/follow?starts=&from=%d&wait_ms=%d", c.cache.revision, wait.Milliseconds())
 }
 
 // takeChanges brings the replica up to date with an answer to /follow. It
@@ -53,26 +53,26 @@
 	if r.status == httpwire.StatusGone || r.status == event.ResponseTooLarge {
 		// The log no longer reaches back to our revision, or so far that its part
 		// is more than we take at once: read every key again, page by page.
-		c.replica.synced = false
+		c.cache.synced = false
 		c.scan.notBefore = now
 		return false
 	}
 	var answer struct {
-		Revision uint64     `json:"epoch"`
-		Log      []logEntry `json:"log"`
+		Revision uint64         `json:"epoch"`
+		Log      []loggedChange `json:"log"`
 	}
 	if r.status != httpwire.StatusOK || json.Unmarshal(r.body, &answer) != nil {
 		return false
 	}
-	c.replica.fresh = max(c.replica.fresh, r.sent)
+	c.cache.fresh = max(c.cache.fresh, r.sent)
 	for _, entry := range answer.Log {
 		if entry.Drop != "" {
-			c.replica.change(entry.Drop, nil, entry.Version)
+			c.cache.change(entry.Drop, nil, entry.ModRevision)
 		} else if entry.Write != "" {
-			c.replica.change(entry.Write, entry.Data, entry.Version)
+			c.cache.change(entry.Write, entry.Data, entry.ModRevision)
 		}
 	}
-	c.replica.advance(answer.Revision)
+	c.cache.advance(answer.Revision)
 	return true
 }
 
@@ -92,7 +92,7 @@
 func (watchRequest) answered(c *Client, now event.Time, r response, out *event.Effects) {
 	c.watch.open = false
 	if !c.takeChanges(now, r) {
-		c.watch.notBefore = max(c.watch.notBefore, now+refusedPause)
+		c.watch.notBefore = max(c.watch.notBefore, now+retryPause)
 	}
 	c.Tick(now, out)
 }
--- a/internal/store/intent.go
+++ b/internal/kv/intent.go
@@ -1,4 +1,4 @@
-package store
+package kv
 
 import "lugward/internal/event"
 
@@ -7,21 +7,21 @@
 
 // From most to least urgent.
 const (
-	Term Priority = iota
-	Cancel
-	Accept
-	Place
-	Progress
-	// Cleanup is for what nobody waits for.
-	Cleanup
-	priorities
+	PriorityTerm Priority = iota
+	PriorityCancellation
+	PrioritySubmission
+	PriorityPlacement
+	PriorityProgress
+	// PriorityCleanup is for what nobody waits for.
+	PriorityCleanup
+	priorityCount
 )
 
 // exceedsShare reports whether intents of this priority are sent beyond this
 // node's part of the rates, which is then owed. Terms and cancellations are:
 // where many nodes share a small rate, a part may be less than the two writes
 // that a term takes, and no node would ever lead.
-func (p Priority) exceedsShare() bool { return p <= Cancel }
+func (p Priority) exceedsShare() bool { return p <= PriorityCancellation }
 
 // Write is one change of a transaction.
 type Write struct {
@@ -30,22 +30,22 @@
 	LeaseID uint64 // if not 0, the key is dropped when this lease ends
 }
 
-// Condition requires that a key has a version (0: does not exist).
-type Condition struct {
-	Key     string
-	Version uint64
+// Compare requires that a key has a version (0: does not exist).
+type Compare struct {
+	Key         string
+	ModRevision uint64
 }
 
 // Outcome is how an intent ended.
 type Outcome uint8
 
 const (
-	// OK means that the writes were executed.
-	OK Outcome = iota
+	// Committed means that the writes were executed.
+	Committed Outcome = iota
 	// Conflict means that a condition of this intent did not hold: nothing was executed.
 	Conflict
-	// Refused means that nothing was executed.
-	Refused
+	// Aborted means that nothing was executed.
+	Aborted
 	// Unknown means that no response came: the writes may have been executed or
 	// may yet be. All our writes carry the versions they build on, so a late one
 	// either fails or arrives as an ordinary change.
@@ -55,24 +55,24 @@
 // Result is how an intent ended, and when.
 type Result struct {
 	Outcome  Outcome
-	Revision uint64 // of the transaction when OK
-	// Invalid means refused with 400. The same write would be refused again
+	Revision uint64 // of the transaction when Committed
+	// Malformed means refused with 400. The same write would be refused again
 	// (its size is the likely reason), so the caller retries it ever less often.
-	Invalid bool
-	Now     event.Time
+	Malformed bool
+	Now       event.Time
 	// Out takes the effects of handling the result. It is nil when Build has
 	// just said that there is nothing to write.
 	Out *event.Effects
 }
 
-// Intent is a set of writes that happen together or not at all. Several
+// Txn is a set of writes that happen together or not at all. Several
 // intents may share one transaction.
-type Intent struct {
+type Txn struct {
 	Priority Priority
 	// Rank orders the intents of one priority: the greater goes first.
-	Rank       int
-	Conditions []Condition
-	Writes     []Write
+	Rank     int
+	Compares []Compare
+	Writes   []Write
 	// Done is called once, when the intent has ended.
 	Done func(r Result)
 	// Build, if set, fills in Conditions and Writes when the intent's turn comes,
@@ -80,7 +80,7 @@
 	// called again for another attempt. It returns false if there is nothing to
 	// write any more; Done is then called with Refused at once, and must not
 	// submit another intent from within that call.
-	Build func(in *Intent) bool
+	Build func(in *Txn) bool
 	// Key is the key that Build writes: the intent is not built while another
 	// write of that key is under way.
 	Key string
@@ -91,21 +91,21 @@
 
 // ops is the number of writes that the intent takes, at least one: before Build
 // the number is not known.
-func (in *Intent) ops() int { return max(1, len(in.Writes)) }
+func (in *Txn) ops() int { return max(1, len(in.Writes)) }
 
 // attemptsBeforeAlone is the number of attempts without a result after which an
 // intent gets a transaction of its own: what others in a shared one cause then
 // no longer delays it, and a result is certain to be about it.
 const attemptsBeforeAlone = 2
 
-func (in *Intent) mustGoAlone() bool { return in.attempts >= attemptsBeforeAlone }
+func (in *Txn) mustGoAlone() bool { return in.attempts >= attemptsBeforeAlone }
 
 // sendAlone gives the next attempt a transaction of its own.
-func (in *Intent) sendAlone() { in.attempts = max(in.attempts, attemptsBeforeAlone) }
+func (in *Txn) sendAlone() { in.attempts = max(in.attempts, attemptsBeforeAlone) }
 
 // requires reports whether one of the intent's conditions is on a key of the set.
-func (in *Intent) requires(keys map[string]bool) bool {
-	for _, condition := range in.Conditions {
+func (in *Txn) requires(keys map[string]bool) bool {
+	for _, condition := range in.Compares {
 		if keys[condition.Key] {
 			return true
 		}
--- a/internal/store/lease.go
+++ b/internal/kv/lease.go
@@ -1,4 +1,4 @@
-package store
+package kv
 
 import (
 	"encoding/json"
@@ -12,26 +12,26 @@
 
 const leasesPath = "/leases"
 
-// GrantFunc receives the ID of a granted lease, or 0 if none was granted.
-type GrantFunc func(now event.Time, leaseID uint64, out *event.Effects)
+// LeaseGrantFunc receives the ID of a granted lease, or 0 if none was granted.
+type LeaseGrantFunc func(now event.Time, leaseID uint64, out *event.Effects)
 
-// ExtendFunc receives the HTTP status of a lease's renewal; 0 means no answer.
-type ExtendFunc func(now event.Time, status int, out *event.Effects)
+// LeaseRenewalFunc receives the HTTP status of a lease's renewal; 0 means no answer.
+type LeaseRenewalFunc func(now event.Time, status int, out *event.Effects)
 
-// Lease asks for a new lease of the given duration.
-func (c *Client) Lease(duration time.Duration, now event.Time, out *event.Effects, done GrantFunc) {
+// GrantLease asks for a new lease of the given duration.
+func (c *Client) GrantLease(duration time.Duration, now event.Time, out *event.Effects, done LeaseGrantFunc) {
 	body := fmt.Appendf(nil, `{"life_ms":%d}`, duration.Milliseconds())
 	c.send(call{method: "POST", path: leasesPath, body: body, timeout: callTimeout}, leaseGrant{done}, now, out)
 }
 
-// Extend renews a lease.
-func (c *Client) Extend(leaseID uint64, timeout time.Duration, now event.Time, out *event.Effects, done ExtendFunc) {
+// RenewLease renews a lease.
+func (c *Client) RenewLease(leaseID uint64, timeout time.Duration, now event.Time, out *event.Effects, done LeaseRenewalFunc) {
 	path := leasePath(leaseID) + "/extend"
 	c.send(call{method: "POST", path: path, timeout: timeout}, leaseExtension{done}, now, out)
 }
 
-// Drop ends a lease at once. A lease whose Drop gets lost ends by itself.
-func (c *Client) Drop(leaseID uint64, now event.Time, out *event.Effects) {
+// RevokeLease ends a lease at once. A lease whose Drop gets lost ends by itself.
+func (c *Client) RevokeLease(leaseID uint64, now event.Time, out *event.Effects) {
 	c.send(call{method: "DELETE", path: leasePath(leaseID), timeout: callTimeout}, leaseDrop{}, now, out)
 }
 
@@ -40,7 +40,7 @@
 }
 
 // leaseGrant is a pending request for a new lease.
-type leaseGrant struct{ done GrantFunc }
+type leaseGrant struct{ done LeaseGrantFunc }
 
 func (g leaseGrant) answered(_ *Client, now event.Time, r response, out *event.Effects) {
 	var granted struct {
@@ -53,7 +53,7 @@
 }
 
 // leaseExtension is a pending renewal of a lease.
-type leaseExtension struct{ done ExtendFunc }
+type leaseExtension struct{ done LeaseRenewalFunc }
 
 func (e leaseExtension) answered(_ *Client, now event.Time, r response, out *event.Effects) {
 	e.done(now, r.status, out)
--- a/internal/store/rank_test.go
+++ b/internal/kv/rank_test.go
@@ -1,4 +1,4 @@
-package store
+package kv
 
 import (
 	"strings"
@@ -14,7 +14,7 @@
 		key      string
 		priority Priority
 		rank     int
-	}{{"cleanup", Cleanup, 9}, {"low", Progress, 0}, {"first", Progress, 1}, {"second", Progress, 1}, {"place", Place, 0}} {
+	}{{"cleanup", PriorityCleanup, 9}, {"low", PriorityProgress, 0}, {"first", PriorityProgress, 1}, {"second", PriorityProgress, 1}, {"place", PriorityPlacement, 0}} {
 		in, _ := newWrite(intent.key)
 		in.Priority, in.Rank = intent.priority, intent.rank
 		h.Submit(in, h.now+time.Minute)
--- a/internal/store/scan.go
+++ b/internal/kv/scan.go
@@ -1,4 +1,4 @@
-package store
+package kv
 
 import (
 	"encoding/json"
@@ -72,10 +72,10 @@
 		c.scan.revision = page.Revision
 	}
 	for _, item := range page.Items {
-		if !c.replica.isPermanent(item.Key) {
+		if !c.cache.isImmutable(item.Key) {
 			c.scan.seen[item.Key] = true
 		}
-		c.replica.apply(item.Key, item.Data, item.Version)
+		c.cache.apply(item.Key, item.Data, item.Version)
 	}
 	if page.HasNext {
 		c.sendPage(pageRequest{after: page.Items[len(page.Items)-1].Key}, now, out)
@@ -86,9 +86,9 @@
 }
 
 func (c *Client) finishScan() {
-	c.replica.dropUnseen(c.scan.seen, c.scan.revision)
-	c.replica.revision = c.scan.revision
-	c.replica.synced = true
+	c.cache.dropUnseen(c.scan.seen, c.scan.revision)
+	c.cache.revision = c.scan.revision
+	c.cache.synced = true
 	c.scan.seen = nil
 	c.scan.running = false
 }
--- a/internal/store/share.go
+++ b/internal/kv/share.go
@@ -1,4 +1,4 @@
-package store
+package kv
 
 // Claim is one node's claim on a rate that several nodes share.
 type Claim struct{ Want, Weight float64 }
--- a/internal/store/share_test.go
+++ b/internal/kv/share_test.go
@@ -1,4 +1,4 @@
-package store
+package kv
 
 import (
 	"math"
--- a/internal/store/transactions.go
+++ b/internal/kv/transactions.go
@@ -1,4 +1,4 @@
-package store
+package kv
 
 import (
 	"encoding/json"
@@ -13,22 +13,22 @@
 // answered the next is on its way, and what waits gathers for the one after.
 const maxInFlight = 2
 
-// transactions holds the intents that wait and the transactions under way.
-type transactions struct {
-	queue    [priorities][]*Intent
+// txnQueue holds the intents that wait and the transactions under way.
+type txnQueue struct {
+	queue    [priorityCount][]*Txn
 	inFlight int
-	// busyKeys are the keys that a transaction under way writes. No other write
+	// keysInFlight are the keys that a transaction under way writes. No other write
 	// of such a key is sent, as its conditions would not hold.
-	busyKeys    map[string]bool
-	pausedUntil event.Time // after the service refused one
+	keysInFlight map[string]bool
+	pausedUntil  event.Time // after the service refused one
 }
 
-func newTransactions() transactions { return transactions{busyKeys: map[string]bool{}} }
+func newTxnQueue() txnQueue { return txnQueue{keysInFlight: map[string]bool{}} }
 
 // Submit queues an intent behind those of its priority and rank. If it has not been sent by expires, it ends as Refused.
-func (c *Client) Submit(in *Intent, expires event.Time) {
+func (c *Client) Submit(in *Txn, expires event.Time) {
 	in.expires = expires
-	queue := &c.transactions.queue[in.Priority]
+	queue := &c.txns.queue[in.Priority]
 	at := len(*queue)
 	for at > 0 && (*queue)[at-1].Rank < in.Rank {
 		at--
@@ -37,19 +37,19 @@
 }
 
 // requeue puts intents back at the head of their queues, in their order.
-func (t *transactions) requeue(list []*Intent) {
+func (t *txnQueue) requeue(list []*Txn) {
 	for i := len(list) - 1; i >= 0; i-- {
 		p := list[i].Priority
-		t.queue[p] = append([]*Intent{list[i]}, t.queue[p]...)
+		t.queue[p] = append([]*Txn{list[i]}, t.queue[p]...)
 	}
 }
 
-// expireIntents ends the intents that have waited for too long.
-func (c *Client) expireIntents(now event.Time, out *event.Effects) {
-	for p := range c.transactions.queue {
-		waiting := c.transactions.queue[p]
+// expireTxns ends the intents that have waited for too long.
+func (c *Client) expireTxns(now event.Time, out *event.Effects) {
+	for p := range c.txns.queue {
+		waiting := c.txns.queue[p]
 		kept := waiting[:0]
-		var expired []*Intent
+		var expired []*Txn
 		for _, in := range waiting {
 			if now >= in.expires {
 				expired = append(expired, in)
@@ -58,9 +58,9 @@
 			}
 		}
 		// Stored before Done is called, as Done may submit another intent.
-		c.transactions.queue[p] = kept
+		c.txns.queue[p] = kept
 		for _, in := range expired {
-			in.Done(Result{Outcome: Refused, Now: now, Out: out})
+			in.Done(Result{Outcome: Aborted, Now: now, Out: out})
 		}
 	}
 }
@@ -68,9 +68,9 @@
 // sendTransactions sends waiting intents as far as the rates and the number of
 // transactions under way allow.
 func (c *Client) sendTransactions(now event.Time, out *event.Effects) {
-	for c.transactions.inFlight < maxInFlight && now >= c.transactions.pausedUntil {
+	for c.txns.inFlight < maxInFlight && now >= c.txns.pausedUntil {
 		b := c.pickBatch(now)
-		if len(b.intents) == 0 {
+		if len(b.txns) == 0 {
 			return
 		}
 		c.sendBatch(b, now, out)
@@ -78,14 +78,14 @@
 }
 
 func (c *Client) sendBatch(b *batch, now event.Time, out *event.Effects) {
-	for _, in := range b.intents {
+	for _, in := range b.txns {
 		in.attempts++
 	}
 	for key := range b.keys {
-		c.transactions.busyKeys[key] = true
+		c.txns.keysInFlight[key] = true
 	}
 	c.rates.takeWrites(now, b.ops)
-	c.transactions.inFlight++
+	c.txns.inFlight++
 	body := b.encode()
 	c.send(call{method: "POST", path: "/commit", body: body, timeout: callTimeout}, commitRequest{b}, now, out)
 }
@@ -100,9 +100,9 @@
 }
 
 func (r commitRequest) answered(c *Client, now event.Time, resp response, out *event.Effects) {
-	c.transactions.inFlight--
+	c.txns.inFlight--
 	for key := range r.keys {
-		delete(c.transactions.busyKeys, key)
+		delete(c.txns.keysInFlight, key)
 	}
 	r.end(c, now, resp, out)
 	c.Tick(now, out)
@@ -123,12 +123,12 @@
 	case httpwire.StatusConflict:
 		r.conflicted(c, now, answer.Failed, out)
 	case httpwire.StatusTooManyRequests, httpwire.StatusServiceUnavailable:
-		c.transactions.pausedUntil = now + refusedPause
-		c.transactions.requeue(r.intents)
+		c.txns.pausedUntil = now + retryPause
+		c.txns.requeue(r.txns)
 	case httpwire.StatusBadRequest:
 		r.malformed(c, now, resp.body, out)
 	default:
-		for _, in := range r.intents {
+		for _, in := range r.txns {
 			in.Done(Result{Outcome: Unknown, Now: now, Out: out})
 		}
 	}
@@ -136,13 +136,13 @@
 
 // committed shows all writes in the replica before any intent's Done is called.
 func (r commitRequest) committed(c *Client, now event.Time, revision uint64, out *event.Effects) {
-	for _, in := range r.intents {
+	for _, in := range r.txns {
 		for _, write := range in.Writes {
-			c.replica.change(write.Key, write.Data, revision)
+			c.cache.change(write.Key, write.Data, revision)
 		}
 	}
-	for _, in := range r.intents {
-		in.Done(Result{Outcome: OK, Revision: revision, Now: now, Out: out})
+	for _, in := range r.txns {
+		in.Done(Result{Outcome: Committed, Revision: revision, Now: now, Out: out})
 	}
 }
 
@@ -153,36 +153,36 @@
 	for _, key := range failed {
 		failedKeys[key] = true
 	}
-	var again []*Intent
-	for _, in := range r.intents {
-		if len(r.intents) == 1 || in.requires(failedKeys) {
+	var again []*Txn
+	for _, in := range r.txns {
+		if len(r.txns) == 1 || in.requires(failedKeys) {
 			in.Done(Result{Outcome: Conflict, Now: now, Out: out})
 		} else {
 			again = append(again, in)
 		}
 	}
-	c.transactions.requeue(again)
+	c.txns.requeue(again)
 }
 
 // malformed handles a 400. Where intents shared the transaction, each is sent
 // alone to find the one that it is about.
 func (r commitRequest) malformed(c *Client, now event.Time, body []byte, out *event.Effects) {
-	if len(r.intents) > 1 {
-		for _, in := range r.intents {
+	if len(r.txns) > 1 {
+		for _, in := range r.txns {
 			in.sendAlone()
 		}
-		c.transactions.requeue(r.intents)
+		c.txns.requeue(r.txns)
 		return
 	}
-	in := r.intents[0]
+	in := r.txns[0]
 	c.logMalformed(in, body)
-	in.Done(Result{Outcome: Refused, Now: now, Out: out, Invalid: true})
+	in.Done(Result{Outcome: Aborted, Now: now, Out: out, Malformed: true})
 }
 
 // maxLoggedAnswer is how many bytes of a refusal's body go into the log.
 const maxLoggedAnswer = 200
 
-func (c *Client) logMalformed(in *Intent, body []byte) {
+func (c *Client) logMalformed(in *Txn, body []byte) {
 	if c.Log == nil {
 		return
 	}
--- a/internal/pipeline/clean.go
+++ b/internal/pipeline/clean.go
@@ -3,27 +3,27 @@
 import (
 	"time"
 
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
-// Clean drops the records that finished jobs leave behind, once no task of theirs
+// CollectGarbage drops the records that finished jobs leave behind, once no task of theirs
 // can be on a machine; at most limit jobs at a time.
-func (t *Table) Clean(now time.Duration, term store.Condition, s Submitter, limit int) {
-	t.cleanRetries(now, term, s, limit)
+func (t *Table) CollectGarbage(now time.Duration, term kv.Compare, s TxnSubmitter, limit int) {
+	t.deleteOrphanedRetries(now, term, s, limit)
 	for _, j := range t.Jobs {
 		if limit == 0 {
 			return
 		}
-		if j == nil || j.Final == Queued || j.cleaning || j.active > 0 || int64(now) < j.retryAt {
+		if j == nil || j.TerminalPhase == Queued || j.deletionInFlight || j.active > 0 || int64(now) < j.retryAt {
 			continue
 		}
 		in := t.recordDrop(j, term)
 		if len(in.Writes) == 0 {
 			continue
 		}
-		j.cleaning = true
-		in.Done = func(r store.Result) {
-			j.cleaning = false
+		j.deletionInFlight = true
+		in.Done = func(r kv.Result) {
+			j.deletionInFlight = false
 			j.backOff(r)
 		}
 		s.Submit(in, now+writeTimeout)
@@ -33,19 +33,19 @@
 
 // recordDrop returns the deletion of a job's records, each on condition of the
 // version that the replica shows. Chunks beyond the limit on writes follow later.
-func (t *Table) recordDrop(j *Job, term store.Condition) *store.Intent {
-	in := &store.Intent{Priority: store.Cleanup, Conditions: []store.Condition{term}}
+func (t *Table) recordDrop(j *Job, term kv.Compare) *kv.Txn {
+	in := &kv.Txn{Priority: kv.PriorityCleanup, Compares: []kv.Compare{term}}
 	drop := func(key string, version uint64) {
-		in.Conditions = append(in.Conditions, store.Condition{Key: key, Version: version})
-		in.Writes = append(in.Writes, store.Write{Key: key})
+		in.Compares = append(in.Compares, kv.Compare{Key: key, ModRevision: version})
+		in.Writes = append(in.Writes, kv.Write{Key: key})
 	}
-	for index := range j.Chunk {
-		if j.Chunk[index].Version != 0 && len(in.Writes) < t.txnOps-1 { // one is for the job's record
-			drop(runKey(j.ID, index), j.Chunk[index].Version)
+	for index := range j.Segments {
+		if j.Segments[index].ModRevision != 0 && len(in.Writes) < t.txnOps-1 { // one is for the job's record
+			drop(runKey(j.ID, index), j.Segments[index].ModRevision)
 		}
 	}
-	if j.Version != 0 {
-		drop(JobKeyOf(j.ID), j.Version)
+	if j.ModRevision != 0 {
+		drop(JobKeyOf(j.ID), j.ModRevision)
 	}
 	return in
 }
--- a/internal/pipeline/clock.go
+++ b/internal/pipeline/clock.go
@@ -16,9 +16,9 @@
 	return (t.clockOffset + int64(now)) / int64(time.Millisecond)
 }
 
-// steadyTime converts a stored time, in Unix ms, to the steady one in ns. It is
+// monotonicTime converts a stored time, in Unix ms, to the steady one in ns. It is
 // never in the future, also if the clock of the process that stored it is ahead.
-func (t *Table) steadyTime(unixMS int64) int64 {
+func (t *Table) monotonicTime(unixMS int64) int64 {
 	return min(unixMS*int64(time.Millisecond)-t.clockOffset, max(t.Now, 1))
 }
 
--- a/internal/pipeline/compact.go
+++ b/internal/pipeline/compact.go
@@ -43,7 +43,7 @@
 	return r.base
 }
 
-func (r attemptRule) holdsFor(e *Entry) bool {
+func (r attemptRule) holdsFor(e *Assignment) bool {
 	return r.attempt(int64(e.Task)) == int64(e.Attempt)
 }
 
@@ -59,7 +59,7 @@
 // A span's own attempt is that of all its tasks (@) or of its first, counting up
 // (+). Numbers have base 36. A version that does not know this format takes no text
 // for a list, so it refuses the record instead of reading it as empty.
-func compact(n *Names, active []*Entry) string {
+func compact(n *Names, active []*Assignment) string {
 	common := mostCommonRule(active)
 	prefix := commonPrefix(n, active)
 	text := []byte{byte(common.kind)}
@@ -82,7 +82,7 @@
 }
 
 // mostCommonRule is the rule that holds for most entries.
-func mostCommonRule(active []*Entry) attemptRule {
+func mostCommonRule(active []*Assignment) attemptRule {
 	attempts := map[int64]int{}
 	differences := map[int64]int{}
 	for _, e := range active {
@@ -111,7 +111,7 @@
 
 // commonPrefix is what the names of all machines begin with. It ends between two
 // characters, as JSON would replace half of one.
-func commonPrefix(n *Names, active []*Entry) string {
+func commonPrefix(n *Names, active []*Assignment) string {
 	prefix := n.Machines.Name(active[0].Machine)
 	for _, e := range active {
 		name := n.Machines.Name(e.Machine)
@@ -124,8 +124,8 @@
 
 // groupByMachine returns the machines in the order of their first tasks, and the
 // entries of each.
-func groupByMachine(active []*Entry) (machines []int, byMachine map[int][]*Entry) {
-	byMachine = map[int][]*Entry{}
+func groupByMachine(active []*Assignment) (machines []int, byMachine map[int][]*Assignment) {
+	byMachine = map[int][]*Assignment{}
 	for _, e := range active {
 		if byMachine[e.Machine] == nil {
 			machines = append(machines, e.Machine)
@@ -137,7 +137,7 @@
 
 // span returns how many entries at the start of a list make a span, and which rule
 // holds for it, where r is the one of the whole record.
-func (r attemptRule) span(list []*Entry) (length int, kind ruleKind) {
+func (r attemptRule) span(list []*Assignment) (length int, kind ruleKind) {
 	kind = sameAttempt // of a single task
 	if r.holdsFor(list[0]) {
 		kind = commonRule
@@ -154,7 +154,7 @@
 
 // continues returns the rule by which a span that ends with one entry goes on with
 // the next; not ok: the span ends there.
-func (r attemptRule) continues(last, next *Entry) (kind ruleKind, ok bool) {
+func (r attemptRule) continues(last, next *Assignment) (kind ruleKind, ok bool) {
 	if next.Task != last.Task+1 || r.holdsFor(last) != r.holdsFor(next) {
 		return 0, false
 	}
@@ -169,7 +169,7 @@
 	return 0, false
 }
 
-func appendSpan(text []byte, span []*Entry, kind ruleKind) []byte {
+func appendSpan(text []byte, span []*Assignment, kind ruleKind) []byte {
 	first := span[0]
 	text = strconv.AppendInt(text, int64(first.Task), compactBase)
 	if len(span) > 1 {
@@ -184,7 +184,7 @@
 }
 
 // expand reads what compact writes; not ok: the text is damaged.
-func expand(text string) (active []runEntry, ok bool) {
+func expand(text string) (active []runAssignment, ok bool) {
 	groups := strings.Split(text, " ")
 	if len(groups) < 2 {
 		return nil, false
@@ -221,7 +221,7 @@
 }
 
 // expandSpan reads a span of tasks on a machine.
-func expandSpan(text string, common attemptRule, machine string) (entries []runEntry, ok bool) {
+func expandSpan(text string, common attemptRule, machine string) (entries []runAssignment, ok bool) {
 	tasks, own := text, ""
 	if i := strings.IndexAny(text, ruleKinds); i >= 0 {
 		tasks, own = text[:i], text[i:]
@@ -242,7 +242,7 @@
 		if attempt < 0 {
 			return nil, false
 		}
-		entries = append(entries, runEntry{int(task), uint64(attempt), machine})
+		entries = append(entries, runAssignment{int(task), uint64(attempt), machine})
 	}
 	return entries, true
 }
--- a/internal/pipeline/compact_test.go
+++ b/internal/pipeline/compact_test.go
@@ -9,13 +9,13 @@
 )
 
 // roundTrip checks that a compact record says the same as a plain one.
-func roundTrip(t *testing.T, n *Names, active []*Entry) (size int) {
+func roundTrip(t *testing.T, n *Names, active []*Assignment) (size int) {
 	t.Helper()
 	plain := encodeRun(n, 7, nil, active, plainFormat)
 	small := encodeRun(n, 7, nil, active, compactFormat)
 	want, ok1 := decodeRun(plain, 16)
 	got, ok2 := decodeRun(small, 16)
-	byTask := func(a, b runEntry) int { return a.task - b.task }
+	byTask := func(a, b runAssignment) int { return a.task - b.task }
 	slices.SortFunc(got.active, byTask)
 	if !ok1 || !ok2 || want.compacted || !got.compacted || !reflect.DeepEqual(got.active, want.active) {
 		t.Fatalf("%s\nis not\n%s", small, plain)
@@ -29,7 +29,7 @@
 		n := &Names{}
 		form := []string{"i-%06d", "%d", "x%d@+:,-y", "ü%d"}[rng.IntN(4)]
 		first, next := 1024*rng.IntN(90), uint64(0)
-		var active []*Entry
+		var active []*Assignment
 		for task := range 1 + rng.IntN(256) {
 			if next++; rng.IntN(5) == 0 {
 				next = rng.Uint64N(300)
@@ -40,7 +40,7 @@
 			}
 			if rng.IntN(4) > 0 {
 				machine := n.Machines.Index(fmt.Sprintf(form, rng.IntN(1+rng.IntN(100))))
-				active = append(active, &Entry{Task: first + task, Machine: machine, Attempt: attempt})
+				active = append(active, &Assignment{Task: first + task, Machine: machine, Attempt: attempt})
 			}
 		}
 		if len(active) > 0 {
@@ -65,9 +65,9 @@
 		{"a gang of 256", 256, func(t int) int { return 100 + t }, func(int) uint64 { return 4 }, 2048},
 	} {
 		n := &Names{}
-		var active []*Entry
+		var active []*Assignment
 		for task := range c.n {
-			active = append(active, &Entry{Task: task, Machine: n.Machines.Index(fmt.Sprintf("i-%06d", c.machine(task))), Attempt: c.attempt(task)})
+			active = append(active, &Assignment{Task: task, Machine: n.Machines.Index(fmt.Sprintf("i-%06d", c.machine(task))), Attempt: c.attempt(task)})
 		}
 		if size := roundTrip(t, n, active); size > c.most {
 			t.Errorf("%s: %d bytes", c.what, size)
@@ -88,9 +88,9 @@
 	} {
 		n := &Names{}
 		machine := n.Machines.Index("i-1")
-		var active []*Entry
+		var active []*Assignment
 		for task, attempt := range attempts {
-			active = append(active, &Entry{Task: task, Machine: machine, Attempt: attempt})
+			active = append(active, &Assignment{Task: task, Machine: machine, Attempt: attempt})
 		}
 		expect(t, "compact", compact(n, active), want)
 		roundTrip(t, n, active)
--- a/internal/pipeline/entries.go
+++ b/internal/pipeline/entries.go
@@ -14,7 +14,7 @@
 // machineIndex lists the entries of each machine, and the machines whose entries
 // have changed. A list is replaced, never changed in place.
 type machineIndex struct {
-	byMachine       [][]*Entry
+	byMachine       [][]*Assignment
 	changes         []uint32     // by machine, how often its entries have changed
 	changedMachines []int        // since they were last taken, in the order of the first change
 	isChanged       map[int]bool // the machines in changedMachines
@@ -22,7 +22,7 @@
 
 // OnMachine returns the entries of a machine, as they are now: what is removed
 // meanwhile stays in the list that was returned.
-func (x *machineIndex) OnMachine(machine int) []*Entry {
+func (x *machineIndex) OnMachine(machine int) []*Assignment {
 	if machine < 0 || machine >= len(x.byMachine) {
 		return nil
 	}
@@ -38,8 +38,8 @@
 	}
 }
 
-// MarkMachineChanged notes that something about the entries of a machine has changed.
-func (x *machineIndex) MarkMachineChanged(machine int) {
+// NoteMachineChanged notes that something about the entries of a machine has changed.
+func (x *machineIndex) NoteMachineChanged(machine int) {
 	for len(x.changes) <= machine {
 		x.changes = append(x.changes, 0)
 	}
@@ -67,51 +67,51 @@
 	return list
 }
 
-func (x *machineIndex) addEntry(e *Entry) {
+func (x *machineIndex) addToMachine(e *Assignment) {
 	for len(x.byMachine) <= e.Machine {
 		x.byMachine = append(x.byMachine, nil)
 	}
 	x.byMachine[e.Machine] = append(slices.Clip(x.byMachine[e.Machine]), e)
-	x.MarkMachineChanged(e.Machine)
+	x.NoteMachineChanged(e.Machine)
 }
 
-func (x *machineIndex) removeEntry(e *Entry) {
-	x.MarkMachineChanged(e.Machine)
+func (x *machineIndex) removeFromMachine(e *Assignment) {
+	x.NoteMachineChanged(e.Machine)
 	list := slices.Clone(x.byMachine[e.Machine])
-	x.byMachine[e.Machine] = slices.DeleteFunc(list, func(other *Entry) bool { return other == e })
+	x.byMachine[e.Machine] = slices.DeleteFunc(list, func(other *Assignment) bool { return other == e })
 }
 
-// Team returns what a team's tasks may be using.
-func (t *Table) Team(team int) Usage { return t.team[team] }
+// TeamUsage returns what a team's tasks may be using.
+func (t *Table) TeamUsage(team int) Usage { return t.team[team] }
 
-// add counts an entry that is new.
-func (t *Table) add(e *Entry) {
+// addAssignment counts an entry that is new.
+func (t *Table) addAssignment(e *Assignment) {
 	e.Job.active++
 	t.countUsage(e, 1)
-	t.addEntry(e)
+	t.addToMachine(e)
 }
 
-// remove counts an entry no more; its chunk no longer lists it.
-func (t *Table) remove(e *Entry) {
+// removeAssignment counts an entry no more; its chunk no longer lists it.
+func (t *Table) removeAssignment(e *Assignment) {
 	e.Job.active--
-	e.Job.reopened(e.Task)
+	e.Job.noteUnplaced(e.Task)
 	if e.Pending == PendingDone {
 		e.Job.pendingDone--
 	}
 	t.countUsage(e, -1)
-	t.removeEntry(e)
+	t.removeFromMachine(e)
 }
 
 // recountUsage counts all entries of a job by its spec as it is now, so many times:
 // -1 before the spec changes, 1 after.
 func (t *Table) recountUsage(j *Job, times float64) {
-	j.Entries(func(e *Entry) {
+	j.Assignments(func(e *Assignment) {
 		t.countUsage(e, times)
-		t.MarkMachineChanged(e.Machine)
+		t.NoteMachineChanged(e.Machine)
 	})
 }
 
-func (t *Table) countUsage(e *Entry, times float64) {
+func (t *Table) countUsage(e *Assignment, times float64) {
 	u := t.team[e.Job.Team]
 	u.Add(&e.Job.Spec, times)
 	t.team[e.Job.Team] = u
--- a/internal/pipeline/fields_test.go
+++ b/internal/pipeline/fields_test.go
@@ -24,14 +24,14 @@
 	tb, j := newJob(t, 4)
 	record := Encode(tb.Names, j)
 	withUnknown := append(append(record[:len(record)-1:len(record)-1], ','), unknown+"}"...)
-	tb.Listen(JobKey, j.ID, withUnknown, 5)
+	tb.HandleChange(JobKey, j.ID, withUnknown, 5)
 	check("job", Encode(tb.Names, tb.Job(j.ID)))
 
-	tb.Listen(RunKey, "req-1/0", []byte(`{"t":1,`+unknown+`,"a":[[0,1,"i-1"]]}`), 6)
-	if j.Active() != 1 {
-		t.Fatalf("%d entries", j.Active())
+	tb.HandleChange(RunKey, "req-1/0", []byte(`{"t":1,`+unknown+`,"a":[[0,1,"i-1"]]}`), 6)
+	if j.ActiveCount() != 1 {
+		t.Fatalf("%d entries", j.ActiveCount())
 	}
-	tb.Place(j, 1, 3, 0, 1)
+	tb.Assign(j, 1, 3, 0, 1)
 	tb.Names.Machines.Index("i-2")
 	tb.Names.Machines.Index("i-3")
 	tb.Names.Machines.Index("i-4")
@@ -40,7 +40,7 @@
 	write := q.next(t)
 	check("run", write.Writes[0].Data)
 
-	tb.Listen(RetryKey, j.ID, []byte(`{"n":1,`+unknown+`}`), 7)
+	tb.HandleChange(RetryKey, j.ID, []byte(`{"n":1,`+unknown+`}`), 7)
 	tb.BackOff(j, time.Second)
 	q = &queue{}
 	tb.FlushRetries(time.Second, term, q)
--- a/internal/pipeline/finals.go
+++ b/internal/pipeline/finals.go
@@ -5,39 +5,39 @@
 	"strings"
 )
 
-// Finals holds the final marks of all jobs that have ever ended. They are kept for
+// TerminalRecords holds the final marks of all jobs that have ever ended. They are kept for
 // ever, as users may ask about a job at any later time, so each takes little: its ID
 // and its mark as one number each.
-type Finals struct {
-	packed map[packedID]packedFinal
-	other  map[string]Final // whose ID or size does not fit
+type TerminalRecords struct {
+	packed map[packedID]packedTerminal
+	other  map[string]TerminalRecord // whose ID or size does not fit
 }
 
 // packedID is an ID as a number: how many digits it has, as those in front may be
 // zeros, and their value.
 type packedID uint64
 
-// packedFinal is a mark as a number: the phase, whether the job was a service, and the
+// packedTerminal is a mark as a number: the phase, whether the job was a service, and the
 // number of its tasks.
-type packedFinal uint32
+type packedTerminal uint32
 
 const (
 	idDigitsShift   = 59 // the value takes the bits below
 	maxPackedDigits = 17 // of which the largest value is less than 1<<idDigitsShift
 
-	finalPhaseBits = 2
-	finalPhaseMask = 1<<finalPhaseBits - 1
-	finalDaemonBit = 1 << finalPhaseBits
-	finalSizeShift = finalPhaseBits + 1
-	maxPackedSize  = 1<<(32-finalSizeShift) - 1
+	terminalPhaseBits = 2
+	terminalPhaseMask = 1<<terminalPhaseBits - 1
+	terminalDaemonBit = 1 << terminalPhaseBits
+	terminalSizeShift = terminalPhaseBits + 1
+	maxPackedSize     = 1<<(32-terminalSizeShift) - 1
 )
 
-func newFinals() Finals {
-	return Finals{packed: map[packedID]packedFinal{}, other: map[string]Final{}}
+func newTerminalRecords() TerminalRecords {
+	return TerminalRecords{packed: map[packedID]packedTerminal{}, other: map[string]TerminalRecord{}}
 }
 
 // Get returns the mark of a job that has ended.
-func (f *Finals) Get(id string) (final Final, ok bool) {
+func (f *TerminalRecords) Get(id string) (final TerminalRecord, ok bool) {
 	key, packable := packID(id)
 	if !packable {
 		final, ok = f.other[id]
@@ -51,16 +51,16 @@
 }
 
 // Has tells whether a job has ended.
-func (f *Finals) Has(id string) bool {
+func (f *TerminalRecords) Has(id string) bool {
 	_, ok := f.Get(id)
 	return ok
 }
 
 // add adds the mark of a job.
-func (f *Finals) add(id string, final Final) {
+func (f *TerminalRecords) add(id string, final TerminalRecord) {
 	key, packable := packID(id)
-	if packable && final.N >= 0 && final.N <= maxPackedSize {
-		f.packed[key] = packFinal(final)
+	if packable && final.TaskCount >= 0 && final.TaskCount <= maxPackedSize {
+		f.packed[key] = packTerminal(final)
 		return
 	}
 	f.other[id] = final
@@ -82,18 +82,18 @@
 	return packedID(uint64(len(digits))<<idDigitsShift | value), true
 }
 
-func packFinal(final Final) packedFinal {
-	mark := packedFinal(final.Phase) | packedFinal(final.N)<<finalSizeShift
+func packTerminal(final TerminalRecord) packedTerminal {
+	mark := packedTerminal(final.Phase) | packedTerminal(final.TaskCount)<<terminalSizeShift
 	if final.Daemon {
-		mark |= finalDaemonBit
+		mark |= terminalDaemonBit
 	}
 	return mark
 }
 
-func (p packedFinal) unpack() Final {
-	return Final{
-		Phase:  Phase(p & finalPhaseMask),
-		N:      int(p >> finalSizeShift),
-		Daemon: p&finalDaemonBit != 0,
+func (p packedTerminal) unpack() TerminalRecord {
+	return TerminalRecord{
+		Phase:     Phase(p & terminalPhaseMask),
+		TaskCount: int(p >> terminalSizeShift),
+		Daemon:    p&terminalDaemonBit != 0,
 	}
 }
--- a/internal/pipeline/finals_test.go
+++ b/internal/pipeline/finals_test.go
@@ -18,13 +18,13 @@
 			rapid.StringMatching("req-0{1,18}[0-9]{0,2}"),
 			rapid.SampledFrom([]string{"", "req-", "req-+1", "req--1", "req- 1", "req-1x", "REQ-1", "req-99999999999999999"}),
 		)
-		finals, want := newFinals(), map[string]Final{}
+		finals, want := newTerminalRecords(), map[string]TerminalRecord{}
 		for range 50 {
 			name := id.Draw(rt, "id")
-			final := Final{
-				Phase:  rapid.SampledFrom([]Phase{Done, Cancelled}).Draw(rt, "phase"),
-				N:      rapid.OneOf(rapid.IntRange(0, 100_000), rapid.SampledFrom([]int{-1, 1 << 28, 1 << 29, 1 << 30})).Draw(rt, "size"),
-				Daemon: rapid.Bool().Draw(rt, "service"),
+			final := TerminalRecord{
+				Phase:     rapid.SampledFrom([]Phase{Done, Cancelled}).Draw(rt, "phase"),
+				TaskCount: rapid.OneOf(rapid.IntRange(0, 100_000), rapid.SampledFrom([]int{-1, 1 << 28, 1 << 29, 1 << 30})).Draw(rt, "size"),
+				Daemon:    rapid.Bool().Draw(rt, "service"),
 			}
 			if _, ok := want[name]; !ok {
 				want[name] = final
@@ -52,13 +52,13 @@
 		return stats.HeapAlloc
 	}
 	before := heap()
-	finals := newFinals()
+	finals := newTerminalRecords()
 	for i := range marks {
-		finals.add(fmt.Sprintf("req-%06d", i), Final{Phase: Done, N: i % 1000})
+		finals.add(fmt.Sprintf("req-%06d", i), TerminalRecord{Phase: Done, TaskCount: i % 1000})
 	}
 	each := float64(heap()-before) / marks
 	t.Logf("%.1f bytes a mark", each)
-	if final, ok := finals.Get("req-000412"); !ok || final.N != 412 || each > limit {
+	if final, ok := finals.Get("req-000412"); !ok || final.TaskCount != 412 || each > limit {
 		t.Errorf("%.1f bytes a mark, %+v", each, final)
 	}
 }
--- a/internal/pipeline/finish.go
+++ b/internal/pipeline/finish.go
@@ -4,31 +4,31 @@
 	"encoding/json"
 	"time"
 
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
-// Final is a job's final mark.
-type Final struct {
-	Phase  Phase // Done or Cancelled
-	N      int   // number of tasks
-	Daemon bool  // false also if an earlier version wrote the mark
+// TerminalRecord is a job's final mark.
+type TerminalRecord struct {
+	Phase     Phase // Done or Cancelled
+	TaskCount int   // number of tasks
+	Daemon    bool  // false also if an earlier version wrote the mark
 }
 
-// onFinal takes a final mark of the replica. It reports whether the mark is new: it
+// onTerminal takes a final mark of the replica. It reports whether the mark is new: it
 // never changes, and may be shown twice.
-func (t *Table) onFinal(id string, data []byte) bool {
-	if data == nil || t.Finals.Has(id) {
+func (t *Table) onTerminal(id string, data []byte) bool {
+	if data == nil || t.Terminal.Has(id) {
 		return false
 	}
-	var r finalRecord
+	var r terminalRecord
 	if json.Unmarshal(data, &r) != nil {
 		return false
 	}
-	f := Final{Phase: Done, N: r.TaskCount, Daemon: r.Daemon}
-	if r.Phase == markCancelled {
+	f := TerminalRecord{Phase: Done, TaskCount: r.TaskCount, Daemon: r.Daemon}
+	if r.Phase == terminalCancelled {
 		f.Phase = Cancelled
 	}
-	t.Finals.add(id, f)
+	t.Terminal.add(id, f)
 	t.propagateFinal(id, f.Phase)
 	if j := t.byID[id]; j != nil {
 		t.finalize(j, f.Phase)
@@ -38,12 +38,12 @@
 
 // finalize takes over a final mark in the job's own state.
 func (t *Table) finalize(j *Job, phase Phase) {
-	j.Final = phase
+	j.TerminalPhase = phase
 	t.unlink(j)
 	t.unmarkUpstreamCancelled(j)
 	if j.active > 0 {
-		t.ended[j] = true
-		j.Entries(func(e *Entry) { t.MarkMachineChanged(e.Machine) })
+		t.terminated[j] = true
+		j.Assignments(func(e *Assignment) { t.NoteMachineChanged(e.Machine) })
 	}
 	t.removePlacements(j)
 	if phase == Done {
@@ -55,81 +55,81 @@
 // removePlacements removes the placements of a job with a final mark that are not
 // stored: they never will be, as their write requires that there is no such mark.
 func (t *Table) removePlacements(j *Job) {
-	for index := range j.Chunk {
-		for task, e := range j.Chunk[index].Entries {
+	for index := range j.Segments {
+		for task, e := range j.Segments[index].Assignments {
 			if !e.Durable {
-				delete(j.Chunk[index].Entries, task)
-				t.remove(e)
+				delete(j.Segments[index].Assignments, task)
+				t.removeAssignment(e)
 			}
 		}
 	}
 }
 
-// TakeEnded returns, once each, the jobs that are over while tasks of theirs
+// TakeTerminatedJobs returns, once each, the jobs that are over while tasks of theirs
 // may be on machines.
-func (t *Table) TakeEnded() []*Job {
-	list := make([]*Job, 0, len(t.ended))
-	for j := range t.ended {
+func (t *Table) TakeTerminatedJobs() []*Job {
+	list := make([]*Job, 0, len(t.terminated))
+	for j := range t.terminated {
 		list = append(list, j)
 	}
-	clear(t.ended)
+	clear(t.terminated)
 	return list
 }
 
 // complete reports whether every task is done, counting what is not stored yet.
 func (j *Job) complete() bool {
-	if j.Shape == Daemon || j.Final != Queued || j.Version == 0 {
+	if j.Shape == Daemon || j.TerminalPhase != Queued || j.ModRevision == 0 {
 		return false
 	}
-	return j.done+len(j.doneUnlogged)+j.pendingDone >= j.TaskCount
+	return j.done+len(j.doneUnassigned)+j.pendingDone >= j.TaskCount
 }
 
 // finish queues the done mark of a complete job. The mark is all that users and
 // the jobs that need it wait for: the job's records are dropped by Clean, after
 // everything else. It reports whether the mark is due or under way.
-func (t *Table) finish(j *Job, now time.Duration, term store.Condition, s Submitter) bool {
-	if j.finishing {
+func (t *Table) finish(j *Job, now time.Duration, term kv.Compare, s TxnSubmitter) bool {
+	if j.terminalWriteInFlight {
 		return true
 	}
 	if !j.complete() {
 		return false
 	}
-	for index := range j.Chunk {
-		if int64(now) < j.Chunk[index].retryAt {
+	for index := range j.Segments {
+		if int64(now) < j.Segments[index].retryAt {
 			return true // the replica does not show what was written last
 		}
 	}
-	j.finishing = true
-	s.Submit(&store.Intent{
-		Priority: store.Progress,
+	j.terminalWriteInFlight = true
+	s.Submit(&kv.Txn{
+		Priority: kv.PriorityProgress,
 		Rank:     j.writeRank(),
-		Key:      FinalKeyOf(j.ID),
-		Build:    func(in *store.Intent) bool { return j.buildDoneMark(in, term) },
-		Done:     j.doneMarkWritten,
+		Key:      TerminalKeyOf(j.ID),
+		Build:    func(in *kv.Txn) bool { return j.buildTerminalWrite(in, term) },
+		Done:     j.terminalWritten,
 	}, now+writeTimeout)
 	return true
 }
 
-// buildDoneMark fills in the done mark. It requires the job's record as the replica
+// buildTerminalWrite fills in the done mark. It requires the job's record as the replica
 // shows it and no final mark, so it loses against a cancellation that came first.
-func (j *Job) buildDoneMark(in *store.Intent, term store.Condition) bool {
+func (j *Job) buildTerminalWrite(in *kv.Txn, term kv.Compare) bool {
 	if !j.complete() {
 		return false
 	}
-	in.Conditions = []store.Condition{term, {Key: JobKeyOf(j.ID), Version: j.Version}, {Key: FinalKeyOf(j.ID)}}
-	in.Writes = []store.Write{{Key: FinalKeyOf(j.ID), Data: EncodeFinal(Done, j)}}
+	in.Compares = []kv.Compare{term, {Key: JobKeyOf(j.ID), ModRevision: j.ModRevision}, {Key: TerminalKeyOf(j.ID)}}
+	in.Writes = []kv.Write{{Key: TerminalKeyOf(j.ID), Data: EncodeTerminal(Done, j)}}
 	return true
 }
 
-// doneMarkWritten takes the outcome of writing the done mark.
-func (j *Job) doneMarkWritten(r store.Result) {
-	j.finishing = false
-	if r.Outcome == store.OK {
+// terminalWritten takes the outcome of writing the done mark.
+func (j *Job) terminalWritten(r kv.Result) {
+	j.terminalWriteInFlight = false
+	if r.Outcome == kv.Committed {
 		return
 	}
 	j.backOff(r)
-	for index := range j.Chunk {
-		j.Chunk[index].retryAt = j.retryAt
+	for index := range j.Segments {
+		j.Segments[index].retryAt = j.retryAt
 	}
 }
 
@@ -138,21 +138,21 @@
 // ends together), and the mark keeps them from being started again. What is left
 // may still be on a machine and stays until it is proven to have terminated.
 func (t *Table) dropCompleted(j *Job) {
-	for index := range j.Chunk {
-		chunk := &j.Chunk[index]
-		for task, e := range chunk.Entries {
-			if e.Pending == PendingDone && (e.Phase == Exited || j.Shape == Gang) {
-				delete(chunk.Entries, task)
-				t.remove(e)
+	for index := range j.Segments {
+		chunk := &j.Segments[index]
+		for task, e := range chunk.Assignments {
+			if e.Pending == PendingDone && (e.Phase == TaskExited || j.Shape == Gang) {
+				delete(chunk.Assignments, task)
+				t.removeAssignment(e)
 			}
 		}
 	}
 	if j.active > 0 {
 		return
 	}
-	for index := range j.Chunk {
-		j.Chunk[index].dirty = false // Clean drops the record
+	for index := range j.Segments {
+		j.Segments[index].dirty = false // Clean drops the record
 	}
 	delete(t.dirty, j)
-	delete(t.ended, j)
+	delete(t.terminated, j)
 }
--- a/internal/pipeline/finish_test.go
+++ b/internal/pipeline/finish_test.go
@@ -3,35 +3,35 @@
 import (
 	"testing"
 
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
 // A job is done with a single write, whatever its records; what its tasks took is
 // free at once, and the records go behind everything else.
 func TestMarkAloneEndsJob(t *testing.T) {
 	tb, j := newJob(t, 2)
-	tb.Listen(RunKey, "req-1/0", []byte(`{"t":2,"a":[[0,1,"i-1"],[1,2,"i-2"]]}`), 2)
+	tb.HandleChange(RunKey, "req-1/0", []byte(`{"t":2,"a":[[0,1,"i-1"],[1,2,"i-2"]]}`), 2)
 	for task := range 2 {
-		j.Entry(task).Phase = Exited
-		tb.MarkDone(j, task)
+		j.Assignment(task).Phase = TaskExited
+		tb.RecordCompletion(j, task)
 	}
 	q := &queue{}
 	tb.Flush(0, term, q)
 	mark := q.next(t)
-	if len(mark.Writes) != 1 || mark.Writes[0].Key != FinalKeyOf(j.ID) || mark.Priority != store.Progress {
+	if len(mark.Writes) != 1 || mark.Writes[0].Key != TerminalKeyOf(j.ID) || mark.Priority != kv.PriorityProgress {
 		t.Fatalf("%+v is written", mark.Writes)
 	}
 	carryOut(tb, mark, 3)
-	if used := tb.Team(j.Team); j.Phase() != Done || j.Active() != 0 || used.CPUs != 0 {
-		t.Errorf("%v with %d entries, the team uses %v", j.Phase(), j.Active(), used)
+	if used := tb.TeamUsage(j.Team); j.Phase() != Done || j.ActiveCount() != 0 || used.CPUs != 0 {
+		t.Errorf("%v with %d entries, the team uses %v", j.Phase(), j.ActiveCount(), used)
 	}
 	tb.Flush(1, term, q)
 	if len(q.list) != 0 {
 		t.Error("the record is written once more")
 	}
-	tb.Clean(1, term, q, 10)
+	tb.CollectGarbage(1, term, q, 10)
 	drop := q.next(t)
-	if drop.Priority != store.Cleanup || len(drop.Writes) != 2 {
+	if drop.Priority != kv.PriorityCleanup || len(drop.Writes) != 2 {
 		t.Errorf("%+v", drop)
 	}
 	carryOut(tb, drop, 4)
@@ -44,14 +44,14 @@
 // run: what it takes stays counted until its end is proven.
 func TestOtherAttemptStaysCounted(t *testing.T) {
 	tb, j := newJob(t, 1)
-	tb.Listen(RunKey, "req-1/0", []byte(`{"t":2,"a":[[0,2,"i-2"]]}`), 2)
-	j.Entry(0).Phase = RunningTask
-	tb.MarkDone(j, 0)
+	tb.HandleChange(RunKey, "req-1/0", []byte(`{"t":2,"a":[[0,2,"i-2"]]}`), 2)
+	j.Assignment(0).Phase = TaskRunning
+	tb.RecordCompletion(j, 0)
 	q := &queue{}
 	tb.Flush(0, term, q)
 	carryOut(tb, q.next(t), 3)
-	if j.Phase() != Done || j.Active() != 1 || len(tb.TakeEnded()) != 1 {
-		t.Errorf("%v with %d entries", j.Phase(), j.Active())
+	if j.Phase() != Done || j.ActiveCount() != 1 || len(tb.TakeTerminatedJobs()) != 1 {
+		t.Errorf("%v with %d entries", j.Phase(), j.ActiveCount())
 	}
 }
 
@@ -72,11 +72,11 @@
 		tb := NewTable(&Names{}, 4096, 12)
 		j := &Job{ID: "req-2", Upstream: []string{"req-1"}, Spec: Spec{TaskCount: 1, Priority: priority, Zone: -1}}
 		j.Class, j.Team, j.Image = tb.Names.Classes.Index("c"), tb.Names.Teams.Index("t"), tb.Names.Images.Index("b")
-		tb.Listen(JobKey, j.ID, Encode(tb.Names, j), 1)
-		tb.Listen(FinalKey, "req-1", []byte(`{"p":"done","n":1}`), 2)
+		tb.HandleChange(JobKey, j.ID, Encode(tb.Names, j), 1)
+		tb.HandleChange(TerminalKey, "req-1", []byte(`{"p":"done","n":1}`), 2)
 		q := &queue{}
-		tb.MarkReady(0, q, func(*Job) bool { return true })
-		if mark, want := q.next(t), tb.Job(j.ID).writeRank(); mark.Rank != want || mark.Priority != store.Place {
+		tb.WriteReadiness(0, q, func(*Job) bool { return true })
+		if mark, want := q.next(t), tb.Job(j.ID).writeRank(); mark.Rank != want || mark.Priority != kv.PriorityPlacement {
 			t.Errorf("priority %d: rank %d, not %d", priority, mark.Rank, want)
 		}
 	}
--- a/internal/pipeline/fixture_test.go
+++ b/internal/pipeline/fixture_test.go
@@ -6,19 +6,19 @@
 	"testing"
 	"time"
 
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
-var term = store.Condition{Key: "t/lead", Version: 1}
+var term = kv.Compare{Key: "t/lead", ModRevision: 1}
 
 // queue is a state service's client that lets the test decide what becomes of
 // each write.
-type queue struct{ list []*store.Intent }
+type queue struct{ list []*kv.Txn }
 
-func (q *queue) Submit(in *store.Intent, _ time.Duration) { q.list = append(q.list, in) }
+func (q *queue) Submit(in *kv.Txn, _ time.Duration) { q.list = append(q.list, in) }
 
 // next takes the next intent that has something to write.
-func (q *queue) next(t *testing.T) *store.Intent {
+func (q *queue) next(t *testing.T) *kv.Txn {
 	t.Helper()
 	for len(q.list) > 0 {
 		in := q.list[0]
@@ -26,19 +26,19 @@
 		if in.Build == nil || in.Build(in) {
 			return in
 		}
-		in.Done(store.Result{Outcome: store.Refused})
+		in.Done(kv.Result{Outcome: kv.Aborted})
 	}
 	t.Fatal("nothing is written")
 	return nil
 }
 
 // carryOut applies a write as the state service would, and reports its outcome.
-func carryOut(tb *Table, in *store.Intent, revision uint64) {
+func carryOut(tb *Table, in *kv.Txn, revision uint64) {
 	for _, w := range in.Writes {
-		kind, rest := store.SplitKey(w.Key)
-		tb.Listen(kind, rest, w.Data, revision)
+		kind, rest := kv.SplitKey(w.Key)
+		tb.HandleChange(kind, rest, w.Data, revision)
 	}
-	in.Done(store.Result{Outcome: store.OK, Revision: revision})
+	in.Done(kv.Result{Outcome: kv.Committed, Revision: revision})
 }
 
 // nameSpec gives a spec the names that every stored job has.
@@ -54,7 +54,7 @@
 	tb := NewTable(&Names{}, 4096, 12)
 	j := &Job{ID: "req-1", Ready: true, Spec: Spec{TaskCount: n, CPUs: 1, Zone: -1}}
 	nameSpec(tb.Names, &j.Spec)
-	tb.Listen(JobKey, j.ID, Encode(tb.Names, j), 1)
+	tb.HandleChange(JobKey, j.ID, Encode(tb.Names, j), 1)
 	return tb, tb.Job(j.ID)
 }
 
@@ -82,7 +82,7 @@
 func (r *fixture) write(kind, rest string, data []byte) {
 	r.revision++
 	r.log = append(r.log, line{kind, rest, data, r.revision})
-	r.Listen(kind, rest, data, r.revision)
+	r.HandleChange(kind, rest, data, r.revision)
 }
 
 func id(n int) string { return fmt.Sprintf("req-%06d", n) }
@@ -109,13 +109,13 @@
 // listInParts has a job's upstream jobs listed in other keys.
 func (j *Job) listInParts(parts int, version uint64) {
 	j.Upstream = nil
-	j.UpstreamParts = parts
-	j.SubmissionVersion = version
+	j.UpstreamPages = parts
+	j.SubmissionRevision = version
 }
 
 func (r *fixture) final(n int, p Phase) {
 	j := &Job{Spec: Spec{TaskCount: 1}}
-	r.write(FinalKey, id(n), EncodeFinal(p, j))
+	r.write(TerminalKey, id(n), EncodeTerminal(p, j))
 }
 
 func idsOf(list []*Job) string {
--- a/internal/pipeline/flush.go
+++ b/internal/pipeline/flush.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
 const (
@@ -20,15 +20,15 @@
 	deferredWait = int64(time.Second)
 )
 
-// Submitter queues intents; *store.Client is one.
-type Submitter interface {
-	Submit(in *store.Intent, expires time.Duration)
+// TxnSubmitter queues intents; *kv.Client is one.
+type TxnSubmitter interface {
+	Submit(in *kv.Txn, expires time.Duration)
 }
 
 // Flush queues a write of every run record that differs from what is stored, and
 // the done mark of every job that is complete. term is the condition that our
 // term holds.
-func (t *Table) Flush(now time.Duration, term store.Condition, s Submitter) {
+func (t *Table) Flush(now time.Duration, term kv.Compare, s TxnSubmitter) {
 	if len(t.dirty) == 0 {
 		return
 	}
@@ -36,23 +36,23 @@
 		if t.finish(j, now, term, s) {
 			continue // the done mark makes further writes of its records needless
 		}
-		if !t.flushChunks(j, now, term, s) {
+		if !t.flushSegments(j, now, term, s) {
 			delete(t.dirty, j)
 		}
 	}
 }
 
-// flushChunks queues the writes of a job's chunks that are due. It reports whether
+// flushSegments queues the writes of a job's chunks that are due. It reports whether
 // any chunk still differs from what is stored.
-func (t *Table) flushChunks(j *Job, now time.Duration, term store.Condition, s Submitter) (dirty bool) {
-	for index := range j.Chunk {
-		ch := &j.Chunk[index]
+func (t *Table) flushSegments(j *Job, now time.Duration, term kv.Compare, s TxnSubmitter) (dirty bool) {
+	for index := range j.Segments {
+		ch := &j.Segments[index]
 		if !ch.dirty {
 			continue
 		}
 		dirty = true
 		if int64(now) >= ch.retryAt {
-			t.queueChunkWrite(j, index, now, term, s)
+			t.queueSegmentWrite(j, index, now, term, s)
 		}
 	}
 	return dirty
@@ -64,31 +64,31 @@
 	return int(min(j.EffectivePriority, Normal))
 }
 
-// chunkWrite is a write of a chunk that is queued or under way. It
+// segmentWrite is a write of a chunk that is queued or under way. It
 // names the chunk by its index, as the list of chunks may grow meanwhile.
-type chunkWrite struct {
+type segmentWrite struct {
 	table      *Table
 	job        *Job
 	index      int
-	term       store.Condition
+	term       kv.Compare
 	placements bool // queued with the priority of placements
 	carried    int  // the chunk's changeCount when the write was built
 }
 
-// queueChunkWrite queues the write of a chunk. Its content is decided when it is
+// queueSegmentWrite queues the write of a chunk. Its content is decided when it is
 // sent, so a job's tasks share one write however many of them change meanwhile. A write with the priority of placements may overtake one without.
-func (t *Table) queueChunkWrite(j *Job, index int, now time.Duration, term store.Condition, s Submitter) {
-	ch := &j.Chunk[index]
+func (t *Table) queueSegmentWrite(j *Job, index int, now time.Duration, term kv.Compare, s TxnSubmitter) {
+	ch := &j.Segments[index]
 	if ch.placementQueued || (ch.progressQueued && !ch.placing) {
 		return // the queued write will carry whatever has changed by then
 	}
-	w := &chunkWrite{table: t, job: j, index: index, term: term, placements: ch.placing}
+	w := &segmentWrite{table: t, job: j, index: index, term: term, placements: ch.placing}
 	w.setQueued(true)
-	priority := store.Progress
+	priority := kv.PriorityProgress
 	if w.placements {
-		priority = store.Place
+		priority = kv.PriorityPlacement
 	}
-	s.Submit(&store.Intent{
+	s.Submit(&kv.Txn{
 		Priority: priority,
 		Rank:     j.writeRank(),
 		Key:      runKey(j.ID, index),
@@ -97,9 +97,9 @@
 	}, now+writeTimeout)
 }
 
-func (w *chunkWrite) chunk() *Chunk { return &w.job.Chunk[w.index] }
+func (w *segmentWrite) chunk() *Segment { return &w.job.Segments[w.index] }
 
-func (w *chunkWrite) setQueued(queued bool) {
+func (w *segmentWrite) setQueued(queued bool) {
 	if w.placements {
 		w.chunk().placementQueued = queued
 	} else {
@@ -108,27 +108,27 @@
 }
 
 // build fills in the write as things stand; false: there is nothing to write.
-func (w *chunkWrite) build(in *store.Intent) bool {
+func (w *segmentWrite) build(in *kv.Txn) bool {
 	ch := w.chunk()
-	if !ch.dirty || w.job.finishing {
+	if !ch.dirty || w.job.terminalWriteInFlight {
 		return false
 	}
 	w.carried = ch.changeCount
-	return w.table.buildChunkWrite(in, w.job, w.index, w.term)
+	return w.table.buildSegmentWrite(in, w.job, w.index, w.term)
 }
 
 // done takes the outcome of the write.
-func (w *chunkWrite) done(r store.Result) {
+func (w *segmentWrite) done(r kv.Result) {
 	w.setQueued(false)
 	switch {
-	case r.Outcome == store.OK:
+	case r.Outcome == kv.Committed:
 		w.succeeded(r)
 	case w.chunk().dirty:
 		w.failed(r)
 	}
 }
 
-func (w *chunkWrite) succeeded(r store.Result) {
+func (w *segmentWrite) succeeded(r kv.Result) {
 	ch := w.chunk()
 	w.table.removeDropped(ch)
 	ch.rejectedWrites = 0
@@ -146,11 +146,11 @@
 // removeDropped removes entries that were part of a write without an answer and
 // have been cleared since: the write that just succeeded builds on a version
 // without them, so that earlier write can no longer be carried out.
-func (t *Table) removeDropped(ch *Chunk) {
-	for task, e := range ch.Entries {
+func (t *Table) removeDropped(ch *Segment) {
+	for task, e := range ch.Assignments {
 		if e.dropped && !e.Durable {
-			delete(ch.Entries, task)
-			t.remove(e)
+			delete(ch.Assignments, task)
+			t.removeAssignment(e)
 			t.Changed = true
 		}
 	}
@@ -158,32 +158,32 @@
 
 // failed keeps the pending write. If the failed one was carried out unseen, its
 // retry conflicts until the replica shows it, then builds on it.
-func (w *chunkWrite) failed(r store.Result) {
+func (w *segmentWrite) failed(r kv.Result) {
 	ch := w.chunk()
 	ch.retryAt = int64(r.Now) + retryAfter(r, &ch.rejectedWrites)
 	if ch.deferredPlacements > 0 {
 		ch.retryAt = max(ch.retryAt, int64(r.Now)+deferredWait)
 	}
 	w.table.dirty[w.job] = true
-	for _, e := range ch.Entries {
+	for _, e := range ch.Assignments {
 		ch.placing = ch.placing || (e.Pending == NoPendingWrite && !e.Durable)
 	}
 }
 
-// chunkContent is what a chunk's record is to say with all pending writes in it.
-type chunkContent struct {
-	done       []uint64 // bitmap of the chunk's completed tasks
-	active     []*Entry // stored entries that remain
-	placements []*Entry // entries that are not stored yet
-	changed    bool     // an entry goes or a task is done: more than placements
+// segmentContent is what a chunk's record is to say with all pending writes in it.
+type segmentContent struct {
+	done       []uint64      // bitmap of the chunk's completed tasks
+	active     []*Assignment // stored entries that remain
+	placements []*Assignment // entries that are not stored yet
+	changed    bool          // an entry goes or a task is done: more than placements
 }
 
 // content gathers what a chunk's record is to say, and marks the entries that it
 // leaves out.
-func (t *Table) content(j *Job, index int) chunkContent {
-	ch := &j.Chunk[index]
-	c := chunkContent{done: slices.Clone(ch.Done)}
-	for _, e := range ch.Entries {
+func (t *Table) content(j *Job, index int) segmentContent {
+	ch := &j.Segments[index]
+	c := segmentContent{done: slices.Clone(ch.Done)}
+	for _, e := range ch.Assignments {
 		switch e.Pending {
 		case NoPendingWrite:
 			if e.Durable {
@@ -193,32 +193,32 @@
 			}
 		case PendingDone:
 			c.changed = true
-			setDone(c.done, e.Task%t.chunkLen)
+			setDone(c.done, e.Task%t.segmentLen)
 		case PendingClear:
 			c.changed = true
 			e.dropped = true
 		}
 	}
-	for task := range j.doneUnlogged {
-		if task/t.chunkLen == index {
+	for task := range j.doneUnassigned {
+		if task/t.segmentLen == index {
 			c.changed = true
-			setDone(c.done, task%t.chunkLen)
+			setDone(c.done, task%t.segmentLen)
 		}
 	}
 	return c
 }
 
-// buildChunkWrite fills in the write of a chunk as things stand. It requires the
+// buildSegmentWrite fills in the write of a chunk as things stand. It requires the
 // stored version to be the one that the replica shows, and no placement is written
 // once the job has its final mark.
-func (t *Table) buildChunkWrite(in *store.Intent, j *Job, index int, term store.Condition) bool {
-	ch := &j.Chunk[index]
+func (t *Table) buildSegmentWrite(in *kv.Txn, j *Job, index int, term kv.Compare) bool {
+	ch := &j.Segments[index]
 	key := runKey(j.ID, index)
 	ch.placing = false
 	c := t.content(j, index)
-	in.Conditions = []store.Condition{term, {Key: key, Version: ch.Version}}
-	if j.Final == Queued {
-		in.Conditions = append(in.Conditions, store.Condition{Key: FinalKeyOf(j.ID)})
+	in.Compares = []kv.Compare{term, {Key: key, ModRevision: ch.ModRevision}}
+	if j.TerminalPhase == Queued {
+		in.Compares = append(in.Compares, kv.Compare{Key: TerminalKeyOf(j.ID)})
 	} else if len(c.active)+len(c.placements) == 0 {
 		return ch.buildDrop(in, key)
 	}
@@ -230,18 +230,18 @@
 	for _, e := range taken {
 		e.sent = true
 	}
-	in.Writes = []store.Write{{Key: key, Data: data}}
+	in.Writes = []kv.Write{{Key: key, Data: data}}
 	return true
 }
 
 // buildDrop fills in the deletion of a chunk's record, of which nothing is needed
 // any more; false: none is stored.
-func (ch *Chunk) buildDrop(in *store.Intent, key string) bool {
+func (ch *Segment) buildDrop(in *kv.Txn, key string) bool {
 	ch.deferredPlacements = 0
-	if ch.Version == 0 {
+	if ch.ModRevision == 0 {
 		ch.dirty = false
 		return false
 	}
-	in.Writes = []store.Write{{Key: key}}
+	in.Writes = []kv.Write{{Key: key}}
 	return true
 }
--- a/internal/pipeline/graph.go
+++ b/internal/pipeline/graph.go
@@ -9,19 +9,19 @@
 // mark is stored. Only held jobs have edges here: once a job is ready, all its
 // upstream jobs are done.
 type graph struct {
-	dependents map[string]map[*Job]bool // by upstream ID: the held jobs that wait for it
-	releasable map[*Job]bool            // held jobs whose upstream jobs are all done
-	stale      map[*Job]bool            // effective values are to be derived or passed on
-	parts      map[string]*parts        // stored lists of upstream jobs, by job ID
+	dependents map[string]map[*Job]bool  // by upstream ID: the held jobs that wait for it
+	releasable map[*Job]bool             // held jobs whose upstream jobs are all done
+	stale      map[*Job]bool             // effective values are to be derived or passed on
+	pages      map[string]*upstreamPages // stored lists of upstream jobs, by job ID
 
 	// upstreamCancelled are the jobs below a cancelled one whose own mark is not
 	// stored; cancelQueue has them in the order in which they get it.
 	upstreamCancelled map[*Job]bool
 	cancelQueue       []*Job
 
-	readyMarksInFlight    int
-	cancelMarksInFlight   int
-	partDeletionsInFlight int
+	readinessWritesInFlight    int
+	cancellationWritesInFlight int
+	pageDeletionsInFlight      int
 }
 
 func newGraph() graph {
@@ -29,7 +29,7 @@
 		dependents:        map[string]map[*Job]bool{},
 		releasable:        map[*Job]bool{},
 		stale:             map[*Job]bool{},
-		parts:             map[string]*parts{},
+		pages:             map[string]*upstreamPages{},
 		upstreamCancelled: map[*Job]bool{},
 	}
 }
@@ -37,14 +37,14 @@
 // updateGraph takes a job's record, as it is now, into the graph.
 func (t *Table) updateGraph(j *Job) {
 	j.deadlineAt = t.ownDeadline(j)
-	j.Chained = j.Chained || len(j.Upstream) > 0 || j.UpstreamParts > 0
+	j.Chained = j.Chained || len(j.Upstream) > 0 || j.UpstreamPages > 0
 	if j.linked || len(t.graph.dependents[j.ID]) > 0 {
 		t.markStale(j)
 	} else {
 		j.EffectivePriority = j.Priority
 		j.EffectiveDeadline = j.deadlineAt
 	}
-	if j.Ready || j.Final != Queued {
+	if j.Ready || j.TerminalPhase != Queued {
 		t.unlink(j)
 		return
 	}
@@ -60,8 +60,8 @@
 	}
 	from := j.ReadySince
 	switch {
-	case j.Submitted != 0 && t.clockOffset != 0:
-		from = t.steadyTime(j.Submitted)
+	case j.SubmittedAt != 0 && t.clockOffset != 0:
+		from = t.monotonicTime(j.SubmittedAt)
 	case from == 0:
 		from = max(t.Now, 1)
 	}
@@ -77,7 +77,7 @@
 // linkIfComplete links a held job once its whole list of upstream jobs is there:
 // until then it is neither releasable nor cancelled by an upstream job.
 func (t *Table) linkIfComplete(j *Job) {
-	if j.linked || j.upstreamCancelled || j.Ready || j.Version == 0 || j.Final != Queued {
+	if j.linked || j.upstreamCancelled || j.Ready || j.ModRevision == 0 || j.TerminalPhase != Queued {
 		return
 	}
 	list, complete := t.upstreamList(j)
@@ -99,7 +99,7 @@
 	upstreamCancelled := false
 	for _, id := range list {
 		upstream := t.byID[id]
-		final, _ := t.Finals.Get(id)
+		final, _ := t.Terminal.Get(id)
 		switch phase := final.Phase; {
 		case phase == Done:
 		case phase == Cancelled || (upstream != nil && upstream.upstreamCancelled):
@@ -184,7 +184,7 @@
 	for len(stack) > 0 {
 		j := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		if j.upstreamCancelled || j.Ready || j.Final != Queued {
+		if j.upstreamCancelled || j.Ready || j.TerminalPhase != Queued {
 			continue
 		}
 		j.upstreamCancelled = true
@@ -223,5 +223,5 @@
 
 // byAcceptance compares held jobs by the order in which they were accepted.
 func byAcceptance(a, b *Job) int {
-	return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.ID, b.ID))
+	return cmp.Or(cmp.Compare(a.ModRevision, b.ModRevision), cmp.Compare(a.ID, b.ID))
 }
--- a/internal/pipeline/graph_test.go
+++ b/internal/pipeline/graph_test.go
@@ -21,15 +21,15 @@
 	expect(t, "second done", idsOf(r.Releasable()), "3")
 	r.final(3, Done)
 	expect(t, "all done", idsOf(r.Releasable()), "4")
-	if d.Phase() != Queued || len(r.Unfinished()) != 0 {
-		t.Errorf("a held job is %v, %d are to be placed", d.Phase(), len(r.Unfinished()))
+	if d.Phase() != Queued || len(r.ReadyJobs()) != 0 {
+		t.Errorf("a held job is %v, %d are to be placed", d.Phase(), len(r.ReadyJobs()))
 	}
 	// The ready mark counts whichever controller wrote it.
 	ready := *d
 	ready.Ready = true
 	r.write(JobKey, d.ID, Encode(r.Names, &ready))
 	expect(t, "ready", idsOf(r.Releasable()), "")
-	expect(t, "to be placed", idsOf(r.Unfinished()), "4")
+	expect(t, "to be placed", idsOf(r.ReadyJobs()), "4")
 	if len(r.graph.dependents)+len(r.graph.releasable) != 0 {
 		t.Errorf("the lists keep %d and %d", len(r.graph.dependents), len(r.graph.releasable))
 	}
@@ -96,7 +96,7 @@
 	slices.Sort(names)
 	for _, id := range names {
 		j := r.byID[id]
-		fmt.Fprint(&b, id, " ", j.Version, j.Phase(), j.upstreamCancelled, r.graph.releasable[j])
+		fmt.Fprint(&b, id, " ", j.ModRevision, j.Phase(), j.upstreamCancelled, r.graph.releasable[j])
 		if j.Phase() == Queued {
 			fmt.Fprint(&b, " ", j.EffectivePriority, j.EffectiveDeadline)
 		}
@@ -118,7 +118,7 @@
 		}
 		r.job(i, func(j *Job) {
 			j.Priority = Priority(rng.IntN(4))
-			j.Submitted = 1000_000 + int64(i)
+			j.SubmittedAt = 1000_000 + int64(i)
 			if rng.IntN(3) == 0 {
 				j.Deadline = float64(100 + rng.IntN(100))
 			}
@@ -136,16 +136,16 @@
 // writeParts stores a job's list of upstream jobs in two parts, the first of which
 // has so many of them.
 func (r *fixture) writeParts(j *Job, first int) {
-	r.write(PartKey, j.ID+"/0", EncodeParts(j.Upstream[:first], 4096)[0])
+	r.write(UpstreamPageKey, j.ID+"/0", EncodeUpstreamPages(j.Upstream[:first], 4096)[0])
 	version := r.revision
-	r.write(PartKey, j.ID+"/1", EncodeParts(j.Upstream[first:], 4096)[0])
+	r.write(UpstreamPageKey, j.ID+"/1", EncodeUpstreamPages(j.Upstream[first:], 4096)[0])
 	j.listInParts(2, version)
 }
 
 // endJob marks a job as cancelled, or as done if all its upstream jobs are done.
 func (r *fixture) endJob(n int, cancel bool) {
 	j := r.Job(id(n))
-	if r.Finals.Has(id(n)) || j == nil {
+	if r.Terminal.Has(id(n)) || j == nil {
 		return
 	}
 	switch {
@@ -168,7 +168,7 @@
 			rng.Shuffle(len(r.log), func(a, b int) { r.log[a], r.log[b] = r.log[b], r.log[a] })
 			other := newFixture()
 			for _, l := range r.log {
-				other.Listen(l.kind, l.rest, l.data, l.version)
+				other.HandleChange(l.kind, l.rest, l.data, l.version)
 				if rng.IntN(4) == 0 {
 					other.inherit()
 				}
--- a/internal/pipeline/inherit.go
+++ b/internal/pipeline/inherit.go
@@ -40,7 +40,7 @@
 	if j.Ready {
 		return 0
 	}
-	return j.Version
+	return j.ModRevision
 }
 
 // inherit derives the effective priorities and deadlines that follow from what
@@ -96,7 +96,7 @@
 	j.propagatedDeadline = j.EffectiveDeadline
 	for _, id := range j.linkedUpstream {
 		upstream := t.byID[id]
-		if upstream == nil || upstream.Final != Queued {
+		if upstream == nil || upstream.TerminalPhase != Queued {
 			continue
 		}
 		if asksLess {
--- a/internal/pipeline/inherit_test.go
+++ b/internal/pipeline/inherit_test.go
@@ -14,7 +14,7 @@
 	derive = func(j *Job) (Priority, int64) {
 		priority, deadline := j.Priority, j.deadlineAt
 		for _, d := range r.byID {
-			if d.Ready || d.Final != Queued || d.upstreamCancelled || !slices.Contains(d.linkedUpstream, j.ID) {
+			if d.Ready || d.TerminalPhase != Queued || d.upstreamCancelled || !slices.Contains(d.linkedUpstream, j.ID) {
 				continue
 			}
 			dr, dd := derive(d)
@@ -26,7 +26,7 @@
 		return priority, deadline
 	}
 	for _, j := range r.byID {
-		if j.Final != Queued || j.upstreamCancelled {
+		if j.TerminalPhase != Queued || j.upstreamCancelled {
 			continue
 		}
 		if priority, deadline := derive(j); priority != j.EffectivePriority || deadline != j.EffectiveDeadline {
@@ -45,7 +45,7 @@
 	if r.inherit(); a.EffectivePriority != Normal || a.EffectiveDeadline != NoDeadline || b.EffectivePriority != Idle {
 		t.Errorf("%v %v %v", a.EffectivePriority, a.EffectiveDeadline, b.EffectivePriority)
 	}
-	last := r.job(4, func(j *Job) { j.Priority, j.Deadline, j.Submitted = High, 100, 1000_000 }, 2, 3)
+	last := r.job(4, func(j *Job) { j.Priority, j.Deadline, j.SubmittedAt = High, 100, 1000_000 }, 2, 3)
 	r.inherit()
 	// Submitted a second after steady time 0, due 100 s later.
 	deadline := int64(101 * time.Second)
@@ -73,7 +73,7 @@
 		r.job(i, nil, i-1, max(1, i-2))
 	}
 	r.inherit()
-	r.job(n+1, func(j *Job) { j.Priority, j.Deadline, j.Submitted = Production, 1e6, 1000_000 }, n)
+	r.job(n+1, func(j *Job) { j.Priority, j.Deadline, j.SubmittedAt = Production, 1e6, 1000_000 }, n)
 	r.inherit()
 	if root := r.Job(id(1)); root.EffectivePriority != Production || root.EffectiveDeadline != int64((1e6+1-10*n)*1e9) {
 		t.Errorf("the root has %v and %v", root.EffectivePriority, root.EffectiveDeadline)
@@ -90,17 +90,17 @@
 	r := newFixture()
 	r.Now = int64(50 * time.Second)
 	r.SetClock(50*time.Second, time.Unix(5000, 0)) // steady time 0 is 4950 s
-	j := r.job(1, func(j *Job) { j.Submitted, j.ReadyAt, j.Deadline = 4900_000, 4960_000, 100 })
+	j := r.job(1, func(j *Job) { j.SubmittedAt, j.ReadyAt, j.Deadline = 4900_000, 4960_000, 100 })
 	if j.ReadySince != int64(10*time.Second) || j.EffectiveDeadline != int64(50*time.Second) {
 		t.Errorf("ready since %v, due at %v", time.Duration(j.ReadySince), time.Duration(j.EffectiveDeadline))
 	}
-	j = r.job(2, func(j *Job) { j.Submitted, j.Deadline = 4900_000, 100 })
+	j = r.job(2, func(j *Job) { j.SubmittedAt, j.Deadline = 4900_000, 100 })
 	if j.ReadySince != int64(-50*time.Second) || j.ReadyAt != 4900_000 {
 		t.Errorf("ready since %v, at %d", time.Duration(j.ReadySince), j.ReadyAt)
 	}
 	// A clock that is ahead puts nothing into the future; an old record has no times.
 	for _, at := range []int64{9000_000, 0} {
-		if j = r.job(3+int(at), func(j *Job) { j.Submitted, j.Deadline = at, 100 }); j.ReadySince != r.Now || j.EffectiveDeadline != r.Now+int64(100*time.Second) {
+		if j = r.job(3+int(at), func(j *Job) { j.SubmittedAt, j.Deadline = at, 100 }); j.ReadySince != r.Now || j.EffectiveDeadline != r.Now+int64(100*time.Second) {
 			t.Errorf("at %d: ready since %v, due at %v", at, time.Duration(j.ReadySince), time.Duration(j.EffectiveDeadline))
 		}
 	}
