--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -54,8 +54,8 @@
 	ImageGB            float64
 	MachineTypes       []int // nil: any
 	Zone               int   // -1: any
-	SamePlace          bool
-	Scatter            bool
+	SameZone           bool
+	SpreadZones        bool
 	AllowSpot          bool
 	EstimatedRuntime   float64 // seconds
 	CheckpointInterval float64 // seconds
@@ -74,17 +74,17 @@
 // IsGang tells whether several tasks run together or not at all.
 func (s *Spec) IsGang() bool { return s.Shape == Gang && s.TaskCount > 1 }
 
-// CountsAsWhole reports whether all tasks count together against the team's limit.
-func (s *Spec) CountsAsWhole() bool { return s.Shape != Array }
+// CountsAllTasks reports whether all tasks count together against the team's limit.
+func (s *Spec) CountsAllTasks() bool { return s.Shape != Array }
 
 // Names are the tables that map names to the indices used everywhere else.
 type Names struct {
 	Classes, Teams, Images, MachineTypes, Zones, Machines intern.Table
 }
 
-// Entry says that an attempt of a task may be on a machine. It exists from
+// Assignment says that an attempt of a task may be on a machine. It exists from
 // before the start is logged until its end is proven and logged.
-type Entry struct {
+type Assignment struct {
 	Job     *Job
 	Task    int
 	Machine int
@@ -94,18 +94,18 @@
 	dropped bool // left out of a write that is under way
 
 	// What only the leader knows; lost with the term.
-	Pending         PendingWrite
-	Phase           TaskPhase
-	Evict           bool    // to be stopped, to run elsewhere
-	GracePeriod     float64 // of that stop, in seconds
-	OrderedSequence uint64  // sequence of the report whose answer last carried the start
-	MissedReports   int     // reports in a row that do not show the task
-	StartedAt       int64   // steady time in ns when first seen on its machine, 0 before
-	PlacedAt        int64   // steady time in ns of the decision
+	Pending          PendingWrite
+	Phase            TaskPhase
+	Evicting         bool    // to be stopped, to run elsewhere
+	GracePeriod      float64 // of that stop, in seconds
+	OrderedSequence  uint64  // sequence of the report whose answer last carried the start
+	MissedHeartbeats int     // reports in a row that do not show the task
+	StartedAt        int64   // steady time in ns when first seen on its machine, 0 before
+	PlacedAt         int64   // steady time in ns of the decision
 }
 
 // Stored tells whether the state service has the entry as it is.
-func (e *Entry) Stored() bool { return e.Durable && e.Pending == NoPendingWrite }
+func (e *Assignment) Stored() bool { return e.Durable && e.Pending == NoPendingWrite }
 
 // PendingWrite is the change the leader wants for an entry.
 type PendingWrite uint8
@@ -122,12 +122,12 @@
 
 // The task phases.
 const (
-	Unseen TaskPhase = iota
-	Pulling
-	Waiting
-	RunningTask
-	Saving
-	Exited
+	TaskUnseen TaskPhase = iota
+	TaskPulling
+	TaskWaitingForGang
+	TaskRunning
+	TaskCheckpointing
+	TaskExited
 )
 
 // Job is a vertex of a pipeline: what its record says, and what the table derives.
@@ -138,22 +138,22 @@
 	Owner   string       // the controller that writes its ready mark
 	unknown recordFields // of its record, stored by a later version
 
-	// Upstream are the upstream jobs that the record itself lists. If UpstreamParts
-	// is not 0, the list is stored in that many keys instead. SubmissionVersion is then the
+	// Upstream are the upstream jobs that the record itself lists. If UpstreamPages
+	// is not 0, the list is stored in that many keys instead. SubmissionRevision is then the
 	// version of part 0: what another attempt to submit the job has left behind
 	// does not belong to the list.
-	Upstream          []string
-	UpstreamParts     int
-	SubmissionVersion uint64
+	Upstream           []string
+	UpstreamPages      int
+	SubmissionRevision uint64
 
-	// Submitted and ReadyAt are when the job was submitted and when the last job
+	// SubmittedAt and ReadyAt are when the job was submitted and when the last job
 	// that it needs was done, in Unix ms; 0: not known.
-	Submitted, ReadyAt int64
+	SubmittedAt, ReadyAt int64
 	// Ready means that all upstream jobs are done and the ready mark is stored.
 	Ready bool
-	// Order is the revision at which the job became ready: ready jobs start in
+	// ReadyRevision is the revision at which the job became ready: ready jobs start in
 	// that order.
-	Order uint64
+	ReadyRevision uint64
 	// ReadySince is the steady time in ns at which the job became ready, or at which
 	// this controller first saw it ready if its record has no such time.
 	ReadySince int64
@@ -165,13 +165,13 @@
 	EffectiveDeadline int64
 	Chained           bool // it has upstream jobs, or had one that needs it
 
-	Version uint64  // of the job record, 0: none is stored
-	Final   Phase   // Done or Cancelled once marked, else Queued
-	Chunk   []Chunk // its run records, by index
+	ModRevision   uint64    // of the job record, 0: none is stored
+	TerminalPhase Phase     // Done or Cancelled once marked, else Queued
+	Segments      []Segment // its run records, by index
 
 	taskCounts
 	graphLinks
-	markWrites
+	recordWrites
 	retry retryState
 	leaderState
 }
@@ -179,7 +179,7 @@
 // taskCounts are kept up to date as chunks change, so that counting does not walk
 // over a job's tasks.
 type taskCounts struct {
-	chunkLen    int // tasks per chunk
+	segmentLen  int // tasks per chunk
 	done        int // tasks that run records show as done
 	active      int // entries
 	pendingDone int // entries with a pending write that marks them done
@@ -199,39 +199,39 @@
 	propagatedDeadline int64
 }
 
-// markWrites is what a controller knows of the writes of a job's marks and of the
+// recordWrites is what a controller knows of the writes of a job's marks and of the
 // deletion of its records.
-type markWrites struct {
-	marking        bool  // a ready mark or a cancelled one is under way
-	finishing      bool  // a done mark is under way
-	cleaning       bool  // the deletion of its records is under way
-	retryAt        int64 // no such write before this steady time, in ns
-	rejectedWrites int   // writes in a row that the state service called malformed
+type recordWrites struct {
+	recordWriteInFlight   bool  // a ready mark or a cancelled one is under way
+	terminalWriteInFlight bool  // a done mark is under way
+	deletionInFlight      bool  // the deletion of its records is under way
+	retryAt               int64 // no such write before this steady time, in ns
+	rejectedWrites        int   // writes in a row that the state service called malformed
 }
 
 // leaderState is what the leader decides about a job; it is lost with the term.
 type leaderState struct {
-	Stopping        bool         // gang: its attempt is being ended
-	WithinGuarantee bool         // it fits in its team's guarantee
-	ReservedZone    int          // 1 + the zone where capacity is gathered for it, 0: none
-	openFrom        int          // no task below it waits to be placed
-	doneUnlogged    map[int]bool // completed tasks that have no entry to mark as done
+	Terminating    bool         // gang: its attempt is being ended
+	WithinQuota    bool         // it fits in its team's guarantee
+	ReservedZone   int          // 1 + the zone where capacity is gathered for it, 0: none
+	unplacedFrom   int          // no task below it waits to be placed
+	doneUnassigned map[int]bool // completed tasks that have no entry to mark as done
 }
 
-// Chunk is the part of a job's run record that one key holds.
-type Chunk struct {
-	Version   uint64         // of the stored record, 0: none is stored
-	Attempt   uint64         // highest attempt used
-	Done      []uint64       // bitmap of the tasks that are stored as done
-	Entries   map[int]*Entry // by task: stored ones, and placements not stored yet
-	compacted bool           // stored in the compact format
-	unknown   recordFields   // stored by a later version
-	chunkWrites
+// Segment is the part of a job's run record that one key holds.
+type Segment struct {
+	ModRevision uint64              // of the stored record, 0: none is stored
+	Attempt     uint64              // highest attempt used
+	Done        []uint64            // bitmap of the tasks that are stored as done
+	Assignments map[int]*Assignment // by task: stored ones, and placements not stored yet
+	compacted   bool                // stored in the compact format
+	unknown     recordFields        // stored by a later version
+	segmentWrites
 }
 
-// chunkWrites is what the leader knows of the writes of a chunk. A chunk that
+// segmentWrites is what the leader knows of the writes of a chunk. A chunk that
 // differs from what is stored is dirty until a write has carried all changes.
-type chunkWrites struct {
+type segmentWrites struct {
 	dirty              bool
 	placing            bool  // a placement is not part of any write yet, or its write failed
 	progressQueued     bool  // a write with the priority of progress is queued or under way
@@ -244,63 +244,63 @@
 
 // DoneCount counts tasks that are marked done.
 func (j *Job) DoneCount() int {
-	if j.Final == Done {
+	if j.TerminalPhase == Done {
 		return j.TaskCount
 	}
 	return j.done
 }
 
-// Active counts tasks that may be on a machine.
-func (j *Job) Active() int { return j.active }
+// ActiveCount counts tasks that may be on a machine.
+func (j *Job) ActiveCount() int { return j.active }
 
 // IsDone reports whether a task is stored as done.
 func (j *Job) IsDone(task int) bool {
-	index, bit := task/j.chunkLen, task%j.chunkLen
-	if index >= len(j.Chunk) || j.Chunk[index].Done == nil {
+	index, bit := task/j.segmentLen, task%j.segmentLen
+	if index >= len(j.Segments) || j.Segments[index].Done == nil {
 		return false
 	}
-	return j.Chunk[index].Done[bit/bitsPerWord]>>(bit%bitsPerWord)&1 == 1
+	return j.Segments[index].Done[bit/bitsPerWord]>>(bit%bitsPerWord)&1 == 1
 }
 
-// Entry returns the entry of a task, or nil.
-func (j *Job) Entry(task int) *Entry {
-	index := task / j.chunkLen
-	if index >= len(j.Chunk) {
+// Assignment returns the entry of a task, or nil.
+func (j *Job) Assignment(task int) *Assignment {
+	index := task / j.segmentLen
+	if index >= len(j.Segments) {
 		return nil
 	}
-	return j.Chunk[index].Entries[task]
+	return j.Segments[index].Assignments[task]
 }
 
-// Entries calls f for every entry of the job.
-func (j *Job) Entries(f func(*Entry)) {
+// Assignments calls f for every entry of the job.
+func (j *Job) Assignments(f func(*Assignment)) {
 	if j.active == 0 {
 		return
 	}
-	for index := range j.Chunk {
-		for _, e := range j.Chunk[index].Entries {
+	for index := range j.Segments {
+		for _, e := range j.Segments[index].Assignments {
 			f(e)
 		}
 	}
 }
 
-// Open reports whether a task waits to be placed.
-func (j *Job) Open(task int) bool {
-	return !j.IsDone(task) && j.Entry(task) == nil && !j.doneUnlogged[task]
+// Unplaced reports whether a task waits to be placed.
+func (j *Job) Unplaced(task int) bool {
+	return !j.IsDone(task) && j.Assignment(task) == nil && !j.doneUnassigned[task]
 }
 
-// Begun reports whether a task of the job has been placed, be it that it is done.
-func (j *Job) Begun() bool { return j.Active() > 0 || j.DoneCount() > 0 }
+// HasStarted reports whether a task of the job has been placed, be it that it is done.
+func (j *Job) HasStarted() bool { return j.ActiveCount() > 0 || j.DoneCount() > 0 }
 
-// NextOpen returns the first task from a number on that waits to be placed, TaskCount
+// NextUnplaced returns the first task from a number on that waits to be placed, TaskCount
 // if there is none. What it has passed over is not looked at again until it opens, so
 // that an array is not walked over from its first task for each one that is placed.
-func (j *Job) NextOpen(from int) int {
-	task := max(from, j.openFrom)
-	for task < j.TaskCount && !j.Open(task) {
+func (j *Job) NextUnplaced(from int) int {
+	task := max(from, j.unplacedFrom)
+	for task < j.TaskCount && !j.Unplaced(task) {
 		task++
 	}
-	if from <= j.openFrom {
-		j.openFrom = task
+	if from <= j.unplacedFrom {
+		j.unplacedFrom = task
 	}
 	return task
 }
@@ -309,34 +309,34 @@
 // the open ones take turns, as only some of them may fail. It is TaskCount if there
 // is none.
 func (j *Job) ProbeTask() int {
-	open := j.OpenCount()
+	open := j.UnplacedCount()
 	if open == 0 {
 		return j.TaskCount
 	}
-	task := j.NextOpen(0)
+	task := j.NextUnplaced(0)
 	for range j.Failures() % open {
-		task = j.NextOpen(task + 1)
+		task = j.NextUnplaced(task + 1)
 	}
 	return task
 }
 
-// reopened notes that a task may wait to be placed again.
-func (j *Job) reopened(task int) { j.openFrom = min(j.openFrom, task) }
+// noteUnplaced notes that a task may wait to be placed again.
+func (j *Job) noteUnplaced(task int) { j.unplacedFrom = min(j.unplacedFrom, task) }
 
-// OpenCount counts the tasks that wait to be placed.
-func (j *Job) OpenCount() int {
-	return max(0, j.TaskCount-j.done-j.active-len(j.doneUnlogged))
+// UnplacedCount counts the tasks that wait to be placed.
+func (j *Job) UnplacedCount() int {
+	return max(0, j.TaskCount-j.done-j.active-len(j.doneUnassigned))
 }
 
-// Waits reports whether an unfinished ready job has tasks to place.
-func (j *Job) Waits(now int64) bool {
-	return j.StartableCount() > 0 && !j.Stopping && !j.BackingOff(now)
+// Schedulable reports whether an unfinished ready job has tasks to place.
+func (j *Job) Schedulable(now int64) bool {
+	return j.StartableCount() > 0 && !j.Terminating && !j.BackingOff(now)
 }
 
 // Phase is the phase that users are shown.
 func (j *Job) Phase() Phase {
-	if j.Final != Queued {
-		return j.Final
+	if j.TerminalPhase != Queued {
+		return j.TerminalPhase
 	}
 	if j.upstreamCancelled {
 		return Cancelled
@@ -354,8 +354,8 @@
 // MaxAttempt is the highest attempt used by any task of the job.
 func (j *Job) MaxAttempt() uint64 {
 	var highest uint64
-	for index := range j.Chunk {
-		highest = max(highest, j.Chunk[index].Attempt)
+	for index := range j.Segments {
+		highest = max(highest, j.Segments[index].Attempt)
 	}
 	return highest
 }
--- a/internal/pipeline/marks_test.go
+++ b/internal/pipeline/marks_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
 // Several controllers may write a ready mark: only the replica shows that one of
@@ -13,21 +13,21 @@
 func TestMarkReady(t *testing.T) {
 	r := newFixture()
 	r.job(1, nil)
-	j := r.job(2, func(j *Job) { j.Submitted = 1000_500 }, 1)
+	j := r.job(2, func(j *Job) { j.SubmittedAt = 1000_500 }, 1)
 	r.final(1, Done)
 	q := &queue{}
 	now := 2 * time.Second
-	mark := func() { r.MarkReady(now, q, func(*Job) bool { return true }) }
+	mark := func() { r.WriteReadiness(now, q, func(*Job) bool { return true }) }
 	mark()
 	mark()
 	if len(q.list) != 1 {
 		t.Fatalf("%d writes", len(q.list))
 	}
 	in := q.next(t)
-	if !slices.Contains(in.Conditions, store.Condition{Key: JobKeyOf(j.ID), Version: j.Version}) || !slices.Contains(in.Conditions, store.Condition{Key: FinalKeyOf(j.ID)}) {
-		t.Errorf("conditions %v", in.Conditions)
+	if !slices.Contains(in.Compares, kv.Compare{Key: JobKeyOf(j.ID), ModRevision: j.ModRevision}) || !slices.Contains(in.Compares, kv.Compare{Key: TerminalKeyOf(j.ID)}) {
+		t.Errorf("conditions %v", in.Compares)
 	}
-	in.Done(store.Result{Outcome: store.Conflict, Now: now})
+	in.Done(kv.Result{Outcome: kv.Conflict, Now: now})
 	mark()
 	if len(q.list) != 0 {
 		t.Error("tried again at once")
@@ -37,8 +37,8 @@
 	r.revision++
 	carryOut(r.Table, q.next(t), r.revision)
 	mark()
-	if len(q.list) != 0 || !j.Ready || j.Submitted != 1000_500 || j.ReadyAt != 1002_000 {
-		t.Errorf("%d writes, ready %v, submitted %d, ready at %d", len(q.list), j.Ready, j.Submitted, j.ReadyAt)
+	if len(q.list) != 0 || !j.Ready || j.SubmittedAt != 1000_500 || j.ReadyAt != 1002_000 {
+		t.Errorf("%d writes, ready %v, submitted %d, ready at %d", len(q.list), j.Ready, j.SubmittedAt, j.ReadyAt)
 	}
 }
 
@@ -57,23 +57,23 @@
 	marked, now := 0, time.Duration(0)
 	step := func(r *fixture) {
 		now += time.Second
-		r.MarkUpstreamCancelled(now, q, everything)
-		r.MarkUpstreamCancelled(now, q, everything)
-		if len(q.list) > maxCancelMarks {
+		r.WriteCancellations(now, q, everything)
+		r.WriteCancellations(now, q, everything)
+		if len(q.list) > maxCancellationWrites {
 			t.Fatalf("%d at a time", len(q.list))
 		}
 		for i := 0; len(q.list) > 0; i++ {
 			in := q.next(t)
-			if len(in.Writes) > 4 || len(in.Conditions) > 16 {
-				t.Fatalf("%d writes, %d conditions", len(in.Writes), len(in.Conditions))
+			if len(in.Writes) > 4 || len(in.Compares) > 16 {
+				t.Fatalf("%d writes, %d conditions", len(in.Writes), len(in.Compares))
 			}
 			if i%3 == 2 {
-				in.Done(store.Result{Outcome: store.Unknown, Now: now})
+				in.Done(kv.Result{Outcome: kv.Unknown, Now: now})
 				continue
 			}
 			r.revision++
 			for _, w := range in.Writes {
-				kind, rest := store.SplitKey(w.Key)
+				kind, rest := kv.SplitKey(w.Key)
 				r.log = append(r.log, line{kind, rest, w.Data, r.revision})
 			}
 			carryOut(r.Table, in, r.revision)
@@ -85,7 +85,7 @@
 	}
 	after := newFixture()
 	for _, l := range r.log {
-		after.Listen(l.kind, l.rest, l.data, l.version)
+		after.HandleChange(l.kind, l.rest, l.data, l.version)
 	}
 	after.revision = r.revision
 	after.log = r.log
@@ -96,11 +96,11 @@
 		step(after)
 	}
 	for i := range n {
-		if final, _ := after.Finals.Get(id(10 + i)); final.Phase != Cancelled || after.Job(id(10+i)) != nil {
+		if final, _ := after.Terminal.Get(id(10 + i)); final.Phase != Cancelled || after.Job(id(10+i)) != nil {
 			t.Fatalf("job %d is left", i)
 		}
 	}
-	if marked != n || len(after.graph.cancelQueue) > maxCancelMarks {
+	if marked != n || len(after.graph.cancelQueue) > maxCancellationWrites {
 		t.Errorf("%d marks for %d jobs, %d queued", marked, n, len(after.graph.cancelQueue))
 	}
 }
@@ -113,8 +113,8 @@
 	r.job(3, nil, 1)
 	r.final(1, Cancelled)
 	q := &queue{}
-	r.MarkUpstreamCancelled(time.Second, q, func(j *Job) bool { return j.Owner == "n0" })
-	if len(q.list) != 1 || q.list[0].Writes[0].Key != FinalKeyOf(id(3)) {
+	r.WriteCancellations(time.Second, q, func(j *Job) bool { return j.Owner == "n0" })
+	if len(q.list) != 1 || q.list[0].Writes[0].Key != TerminalKeyOf(id(3)) {
 		t.Errorf("%d marks", len(q.list))
 	}
 }
@@ -130,9 +130,9 @@
 	r.job(300, func(j *Job) { j.Priority = High }, 209)
 	r.final(1, Done)
 	q := &queue{}
-	r.MarkReady(time.Second, q, func(*Job) bool { return true })
-	r.MarkReady(time.Second, q, func(*Job) bool { return true })
-	if len(q.list) != maxReadyMarks || q.list[0].Writes[0].Key != JobKeyOf(id(209)) || q.list[1].Writes[0].Key != JobKeyOf(id(10)) {
+	r.WriteReadiness(time.Second, q, func(*Job) bool { return true })
+	r.WriteReadiness(time.Second, q, func(*Job) bool { return true })
+	if len(q.list) != maxReadinessWrites || q.list[0].Writes[0].Key != JobKeyOf(id(209)) || q.list[1].Writes[0].Key != JobKeyOf(id(10)) {
 		t.Errorf("%d marks, first %s", len(q.list), q.list[0].Writes[0].Key)
 	}
 	marked := 0
@@ -142,7 +142,7 @@
 			carryOut(r.Table, q.next(t), r.revision)
 			marked++
 		}
-		r.MarkReady(now, q, func(*Job) bool { return true })
+		r.WriteReadiness(now, q, func(*Job) bool { return true })
 	}
 	if marked != 200 || len(r.graph.releasable) != 0 {
 		t.Errorf("%d marked, %d left", marked, len(r.graph.releasable))
--- a/internal/pipeline/parts.go
+++ b/internal/pipeline/parts.go
@@ -8,55 +8,57 @@
 	"strings"
 	"time"
 
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
 const (
-	// maxPartDeletions bounds the deletions of parts in flight: nothing waits for them.
-	maxPartDeletions = 4
+	// maxPageDeletions bounds the deletions of parts in flight: nothing waits for them.
+	maxPageDeletions = 4
 	// orphanTimeout, in ns, is how long a list may show without its job's record
 	// before it counts as left behind by an attempt that failed.
 	orphanTimeout = int64(time.Minute)
-	// RivalTimeout is how long a list that another attempt to submit the job began
+	// SubmissionAttemptTimeout is how long a list that another attempt to submit the job began
 	// keeps others from beginning anew.
-	RivalTimeout = 6 * time.Second
+	SubmissionAttemptTimeout = 6 * time.Second
 )
 
-// PartKey is the kind of the keys that store a long list of upstream jobs:
+// UpstreamPageKey is the kind of the keys that store a long list of upstream jobs:
 // u/<id>/<n>. Part 0's version stands for the attempt to submit the job: the
 // other parts and the job's record are written on condition of it.
-const PartKey = "u"
+const UpstreamPageKey = "u"
 
-// PartKeyOf names a part of a job's list.
-func PartKeyOf(id string, n int) string { return PartKey + "/" + id + "/" + strconv.Itoa(n) }
+// UpstreamPageKeyOf names a part of a job's list.
+func UpstreamPageKeyOf(id string, n int) string {
+	return UpstreamPageKey + "/" + id + "/" + strconv.Itoa(n)
+}
 
-// part is one stored part of a list of upstream jobs.
-type part struct {
-	version uint64
-	ids     []string
+// upstreamPage is one stored part of a list of upstream jobs.
+type upstreamPage struct {
+	modRevision uint64
+	ids         []string
 }
 
-// parts are what is stored of a job's list.
-type parts struct {
-	byNumber   map[int]part
+// upstreamPages are what is stored of a job's list.
+type upstreamPages struct {
+	byNumber   map[int]upstreamPage
 	shownSince int64 // steady time in ns at which part 0 showed, or any if it has none
 }
 
 // idPrefix begins the IDs of all jobs; stored lists leave it out.
 const idPrefix = "req-"
 
-// partOverhead is what an ID adds to a part beside itself, in bytes: the space
+// pageIDOverhead is what an ID adds to a part beside itself, in bytes: the space
 // before it and the quote that ends the part.
-const partOverhead = 2
+const pageIDOverhead = 2
 
-// EncodeParts returns the stored form of a list of upstream jobs, in values
+// EncodeUpstreamPages returns the stored form of a list of upstream jobs, in values
 // of at most limit bytes.
-func EncodeParts(ids []string, limit int) [][]byte {
+func EncodeUpstreamPages(ids []string, limit int) [][]byte {
 	var list [][]byte
 	text := []byte{'"'}
 	for _, id := range ids {
 		id = strings.TrimPrefix(id, idPrefix)
-		if len(text) > 1 && len(text)+len(id)+partOverhead > limit {
+		if len(text) > 1 && len(text)+len(id)+pageIDOverhead > limit {
 			list = append(list, append(text, '"'))
 			text = []byte{'"'}
 		}
@@ -68,7 +70,7 @@
 	return append(list, append(text, '"'))
 }
 
-func decodePart(data []byte) (ids []string, ok bool) {
+func decodeUpstreamPage(data []byte) (ids []string, ok bool) {
 	var text string
 	if json.Unmarshal(data, &text) != nil {
 		return nil, false
@@ -79,30 +81,30 @@
 	return ids, true
 }
 
-// onPart takes a part of the replica.
-func (t *Table) onPart(id string, n int, data []byte, version uint64) {
-	p := t.graph.parts[id]
+// onUpstreamPage takes a part of the replica.
+func (t *Table) onUpstreamPage(id string, n int, data []byte, version uint64) {
+	p := t.graph.pages[id]
 	if data == nil {
 		if p != nil {
 			delete(p.byNumber, n)
 			if len(p.byNumber) == 0 {
-				delete(t.graph.parts, id)
+				delete(t.graph.pages, id)
 			}
 		}
 		return
 	}
-	ids, ok := decodePart(data)
+	ids, ok := decodeUpstreamPage(data)
 	if !ok {
 		ids = nil // damaged: it counts as a part, so that it is deleted with the others
 	}
 	if p == nil {
-		p = &parts{byNumber: map[int]part{}, shownSince: t.Now}
-		t.graph.parts[id] = p
+		p = &upstreamPages{byNumber: map[int]upstreamPage{}, shownSince: t.Now}
+		t.graph.pages[id] = p
 	}
 	if n == 0 {
 		p.shownSince = t.Now
 	}
-	p.byNumber[n] = part{version, ids}
+	p.byNumber[n] = upstreamPage{version, ids}
 	if j := t.byID[id]; j != nil {
 		t.linkIfComplete(j)
 	}
@@ -111,16 +113,16 @@
 // upstreamList returns the whole list of a job's upstream jobs; false: parts of it
 // are missing, or are still those of an earlier attempt to submit the job.
 func (t *Table) upstreamList(j *Job) (list []string, complete bool) {
-	if j.UpstreamParts == 0 {
+	if j.UpstreamPages == 0 {
 		return slices.Clone(j.Upstream), true
 	}
-	p := t.graph.parts[j.ID]
+	p := t.graph.pages[j.ID]
 	if p == nil {
 		return nil, false
 	}
-	for n := range j.UpstreamParts {
+	for n := range j.UpstreamPages {
 		part, ok := p.byNumber[n]
-		if !ok || (n == 0 && part.version != j.SubmissionVersion) || part.version < j.SubmissionVersion {
+		if !ok || (n == 0 && part.modRevision != j.SubmissionRevision) || part.modRevision < j.SubmissionRevision {
 			return nil, false
 		}
 		list = append(list, part.ids...)
@@ -131,28 +133,28 @@
 // SubmissionAttempt returns the version of the attempt to submit a job that part 0 of its
 // list stands for, and for how long it has shown; 0: there is none.
 func (t *Table) SubmissionAttempt(id string, now time.Duration) (version uint64, shown time.Duration) {
-	p := t.graph.parts[id]
+	p := t.graph.pages[id]
 	if p == nil {
 		return 0, 0
 	}
-	return p.byNumber[0].version, now - time.Duration(p.shownSince)
+	return p.byNumber[0].modRevision, now - time.Duration(p.shownSince)
 }
 
-// DeleteStaleParts deletes the lists that nobody needs: those of jobs that are ready
+// DeleteStaleUpstreamPages deletes the lists that nobody needs: those of jobs that are ready
 // or over, and those that failed attempts to submit left behind.
-func (t *Table) DeleteStaleParts(now time.Duration, term store.Condition, s Submitter) {
-	if len(t.graph.parts) == 0 || t.graph.partDeletionsInFlight > 0 {
+func (t *Table) DeleteStaleUpstreamPages(now time.Duration, term kv.Compare, s TxnSubmitter) {
+	if len(t.graph.pages) == 0 || t.graph.pageDeletionsInFlight > 0 {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(t.graph.parts)) {
-		if t.partsNeeded(id, now) {
+	for _, id := range slices.Sorted(maps.Keys(t.graph.pages)) {
+		if t.pagesNeeded(id, now) {
 			continue
 		}
-		for _, n := range t.graph.parts[id].deletable() {
-			if t.graph.partDeletionsInFlight >= maxPartDeletions {
+		for _, n := range t.graph.pages[id].deletable() {
+			if t.graph.pageDeletionsInFlight >= maxPageDeletions {
 				return
 			}
-			t.deletePart(id, n, now, term, s)
+			t.deletePage(id, n, now, term, s)
 		}
 	}
 }
@@ -160,47 +162,47 @@
 // accepted reports whether a job's record is stored.
 func (t *Table) accepted(id string) bool {
 	j := t.byID[id]
-	return j != nil && j.Version != 0
+	return j != nil && j.ModRevision != 0
 }
 
-// partsNeeded reports whether a list belongs to a held job, or to an attempt to
+// pagesNeeded reports whether a list belongs to a held job, or to an attempt to
 // submit one that may still succeed.
-func (t *Table) partsNeeded(id string, now time.Duration) bool {
-	if t.Finals.Has(id) {
+func (t *Table) pagesNeeded(id string, now time.Duration) bool {
+	if t.Terminal.Has(id) {
 		return false
 	}
 	if t.accepted(id) {
 		return !t.byID[id].Ready
 	}
-	return int64(now)-t.graph.parts[id].shownSince < orphanTimeout
+	return int64(now)-t.graph.pages[id].shownSince < orphanTimeout
 }
 
 // deletable returns the parts that may be deleted now: part 0 first and alone, so
 // that nothing is added to an attempt that is being deleted.
-func (p *parts) deletable() []int {
+func (p *upstreamPages) deletable() []int {
 	if _, ok := p.byNumber[0]; ok {
 		return []int{0}
 	}
 	return slices.Sorted(maps.Keys(p.byNumber))
 }
 
-// deletePart queues the deletion of a part on condition of its version, and without
+// deletePage queues the deletion of a part on condition of its version, and without
 // a record of the job on condition that there is still none: a late attempt that
 // has just made the job accepted keeps its list.
-func (t *Table) deletePart(id string, n int, now time.Duration, term store.Condition, s Submitter) {
-	conditions := []store.Condition{term}
+func (t *Table) deletePage(id string, n int, now time.Duration, term kv.Compare, s TxnSubmitter) {
+	conditions := []kv.Compare{term}
 	if n != 0 {
-		conditions = append(conditions, store.Condition{Key: PartKeyOf(id, 0)})
+		conditions = append(conditions, kv.Compare{Key: UpstreamPageKeyOf(id, 0)})
 	}
-	conditions = append(conditions, store.Condition{Key: PartKeyOf(id, n), Version: t.graph.parts[id].byNumber[n].version})
+	conditions = append(conditions, kv.Compare{Key: UpstreamPageKeyOf(id, n), ModRevision: t.graph.pages[id].byNumber[n].modRevision})
 	if !t.accepted(id) {
-		conditions = append(conditions, store.Condition{Key: JobKeyOf(id)})
-	}
-	t.graph.partDeletionsInFlight++
-	s.Submit(&store.Intent{
-		Priority:   store.Progress,
-		Conditions: conditions,
-		Writes:     []store.Write{{Key: PartKeyOf(id, n)}},
-		Done:       func(store.Result) { t.graph.partDeletionsInFlight-- },
+		conditions = append(conditions, kv.Compare{Key: JobKeyOf(id)})
+	}
+	t.graph.pageDeletionsInFlight++
+	s.Submit(&kv.Txn{
+		Priority: kv.PriorityProgress,
+		Compares: conditions,
+		Writes:   []kv.Write{{Key: UpstreamPageKeyOf(id, n)}},
+		Done:     func(kv.Result) { t.graph.pageDeletionsInFlight-- },
 	}, now+writeTimeout)
 }
--- a/internal/pipeline/parts_test.go
+++ b/internal/pipeline/parts_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
 func TestEncodeParts(t *testing.T) {
@@ -15,11 +15,11 @@
 		list = append(list, fmt.Sprintf("req-%d", i*i*i*i))
 	}
 	var back []string
-	for _, p := range EncodeParts(list, 2048) {
+	for _, p := range EncodeUpstreamPages(list, 2048) {
 		if len(p) > 2048 {
 			t.Errorf("a part of %d bytes", len(p))
 		}
-		got, ok := decodePart(p)
+		got, ok := decodeUpstreamPage(p)
 		if !ok {
 			t.Fatalf("%s", p)
 		}
@@ -38,66 +38,66 @@
 	r.job(2, nil)
 	r.final(1, Cancelled)
 	r.final(2, Done)
-	p := func(n int) []byte { return EncodeParts([]string{id(n)}, 4096)[0] }
-	r.write(PartKey, id(5)+"/0", p(1)) // abandoned
-	r.write(PartKey, id(5)+"/1", p(1))
+	p := func(n int) []byte { return EncodeUpstreamPages([]string{id(n)}, 4096)[0] }
+	r.write(UpstreamPageKey, id(5)+"/0", p(1)) // abandoned
+	r.write(UpstreamPageKey, id(5)+"/1", p(1))
 	old := r.revision
 	r.revision += 10
 	j := r.job(5, func(j *Job) { j.listInParts(2, old+3) }, 9)
 	if j.linked || j.upstreamCancelled || len(r.Releasable()) != 0 {
 		t.Fatal("linked by an abandoned list")
 	}
-	r.Listen(PartKey, id(5)+"/0", p(2), old+3)
+	r.HandleChange(UpstreamPageKey, id(5)+"/0", p(2), old+3)
 	if j.linked {
 		t.Fatal("linked by half a list")
 	}
-	r.Listen(PartKey, id(5)+"/1", p(2), old+4)
+	r.HandleChange(UpstreamPageKey, id(5)+"/1", p(2), old+4)
 	expect(t, "held", idsOf(r.Releasable()), "5")
 	// The list may go once it is ready; what was linked stays linked till then.
-	r.Listen(PartKey, id(5)+"/0", nil, r.revision+1)
+	r.HandleChange(UpstreamPageKey, id(5)+"/0", nil, r.revision+1)
 	expect(t, "held", idsOf(r.Releasable()), "5")
 }
 
 func TestDeleteStaleParts(t *testing.T) {
 	r := newFixture()
-	part := EncodeParts([]string{id(1)}, 4096)[0]
+	part := EncodeUpstreamPages([]string{id(1)}, 4096)[0]
 	r.job(1, nil)
 	for _, k := range []string{"/0", "/1", "/2"} {
-		r.write(PartKey, id(2)+k, part) // left behind
+		r.write(UpstreamPageKey, id(2)+k, part) // left behind
 	}
-	first := r.graph.parts[id(2)].byNumber[0].version
-	r.write(PartKey, id(3)+"/0", part)
+	first := r.graph.pages[id(2)].byNumber[0].modRevision
+	r.write(UpstreamPageKey, id(3)+"/0", part)
 	held := r.job(3, func(j *Job) { j.listInParts(1, r.revision) }, 1)
 	q := &queue{}
-	r.DeleteStaleParts(time.Minute, term, q)
+	r.DeleteStaleUpstreamPages(time.Minute, term, q)
 	if len(q.list) != 0 {
 		t.Fatalf("%d drops of what is young or needed", len(q.list))
 	}
-	r.DeleteStaleParts(2*time.Minute, term, q)
-	r.DeleteStaleParts(2*time.Minute, term, q)
-	if len(q.list) != 1 || q.list[0].Writes[0].Key != PartKeyOf(id(2), 0) ||
-		!slices.Contains(q.list[0].Conditions, store.Condition{Key: PartKeyOf(id(2), 0), Version: first}) || !slices.Contains(q.list[0].Conditions, store.Condition{Key: JobKeyOf(id(2))}) {
+	r.DeleteStaleUpstreamPages(2*time.Minute, term, q)
+	r.DeleteStaleUpstreamPages(2*time.Minute, term, q)
+	if len(q.list) != 1 || q.list[0].Writes[0].Key != UpstreamPageKeyOf(id(2), 0) ||
+		!slices.Contains(q.list[0].Compares, kv.Compare{Key: UpstreamPageKeyOf(id(2), 0), ModRevision: first}) || !slices.Contains(q.list[0].Compares, kv.Compare{Key: JobKeyOf(id(2))}) {
 		t.Fatalf("%d drops", len(q.list))
 	}
 	carryOut(r.Table, q.next(t), r.revision+1)
-	r.DeleteStaleParts(2*time.Minute, term, q)
-	if len(q.list) != 2 || !slices.Contains(q.list[0].Conditions, store.Condition{Key: PartKeyOf(id(2), 0)}) {
+	r.DeleteStaleUpstreamPages(2*time.Minute, term, q)
+	if len(q.list) != 2 || !slices.Contains(q.list[0].Compares, kv.Compare{Key: UpstreamPageKeyOf(id(2), 0)}) {
 		t.Fatalf("%d drops", len(q.list))
 	}
 	carryOut(r.Table, q.next(t), r.revision+2)
 	carryOut(r.Table, q.next(t), r.revision+3)
-	if r.graph.parts[id(2)] != nil || !held.linked {
+	if r.graph.pages[id(2)] != nil || !held.linked {
 		t.Error("not all dropped, or too much")
 	}
 	ready := *held
 	ready.Ready = true
-	ready.UpstreamParts = 0
-	ready.SubmissionVersion = 0
+	ready.UpstreamPages = 0
+	ready.SubmissionRevision = 0
 	r.revision += 5
 	r.write(JobKey, held.ID, Encode(r.Names, &ready))
-	r.DeleteStaleParts(2*time.Minute, term, q)
+	r.DeleteStaleUpstreamPages(2*time.Minute, term, q)
 	carryOut(r.Table, q.next(t), r.revision+1)
-	if len(r.graph.parts) != 0 {
+	if len(r.graph.pages) != 0 {
 		t.Error("the list of a ready job is kept")
 	}
 }
--- a/internal/pipeline/pending.go
+++ b/internal/pipeline/pending.go
@@ -1,76 +1,76 @@
 package pipeline
 
-// Place records the pending write to start a task on a machine. The start may be sent
+// Assign records the pending write to start a task on a machine. The start may be sent
 // once the entry is durable. Attempt 0 stands for the next one of the chunk.
-func (t *Table) Place(j *Job, task, machine int, attempt uint64, now int64) *Entry {
-	ch := t.chunk(j, task/t.chunkLen)
+func (t *Table) Assign(j *Job, task, machine int, attempt uint64, now int64) *Assignment {
+	ch := t.segment(j, task/t.segmentLen)
 	if attempt == 0 {
 		attempt = ch.Attempt + 1
 	}
 	ch.Attempt = max(ch.Attempt, attempt)
-	e := &Entry{Job: j, Task: task, Machine: machine, Attempt: attempt, PlacedAt: now}
-	ch.Entries[task] = e
-	t.add(e)
+	e := &Assignment{Job: j, Task: task, Machine: machine, Attempt: attempt, PlacedAt: now}
+	ch.Assignments[task] = e
+	t.addAssignment(e)
 	if j.AtFault() && j.Shape != Gang {
 		j.retry.probe = e
 	}
 	ch.placing = true
-	t.markDirty(j, ch)
+	t.noteSegmentChanged(j, ch)
 	return e
 }
 
-// markDirty notes that a chunk differs from what is stored.
-func (t *Table) markDirty(j *Job, ch *Chunk) {
+// noteSegmentChanged notes that a chunk differs from what is stored.
+func (t *Table) noteSegmentChanged(j *Job, ch *Segment) {
 	ch.dirty = true
 	ch.changeCount++
 	t.dirty[j] = true
 }
 
-// Clear records that an attempt is proven to have terminated.
-func (t *Table) Clear(e *Entry) {
+// RecordTermination records that an attempt is proven to have terminated.
+func (t *Table) RecordTermination(e *Assignment) {
 	if e.Pending == PendingDone {
 		return
 	}
-	ch := &e.Job.Chunk[e.Task/t.chunkLen]
+	ch := &e.Job.Segments[e.Task/t.segmentLen]
 	if !e.sent && !e.Durable {
 		// Never part of a write: nothing to undo.
-		if ch.Entries[e.Task] == e {
-			delete(ch.Entries, e.Task)
-			t.remove(e)
+		if ch.Assignments[e.Task] == e {
+			delete(ch.Assignments, e.Task)
+			t.removeAssignment(e)
 			t.Changed = true
 		}
 		return
 	}
 	if e.Pending != PendingClear {
 		e.Pending = PendingClear
-		t.MarkMachineChanged(e.Machine)
-		t.markDirty(e.Job, ch)
+		t.NoteMachineChanged(e.Machine)
+		t.noteSegmentChanged(e.Job, ch)
 	}
 }
 
-// MarkDone records that a task has completed, whichever attempt it was.
-func (t *Table) MarkDone(j *Job, task int) {
-	if task < 0 || task >= j.TaskCount || j.IsDone(task) || j.Final != Queued {
+// RecordCompletion records that a task has completed, whichever attempt it was.
+func (t *Table) RecordCompletion(j *Job, task int) {
+	if task < 0 || task >= j.TaskCount || j.IsDone(task) || j.TerminalPhase != Queued {
 		return
 	}
-	ch := t.chunk(j, task/t.chunkLen)
-	if e := ch.Entries[task]; e != nil {
+	ch := t.segment(j, task/t.segmentLen)
+	if e := ch.Assignments[task]; e != nil {
 		if e.Pending != PendingDone {
 			e.Pending = PendingDone
 			j.pendingDone++
-			t.MarkMachineChanged(e.Machine)
-			t.markDirty(j, ch)
+			t.NoteMachineChanged(e.Machine)
+			t.noteSegmentChanged(j, ch)
 		}
 		return
 	}
-	if j.doneUnlogged[task] {
+	if j.doneUnassigned[task] {
 		return
 	}
-	if j.doneUnlogged == nil {
-		j.doneUnlogged = map[int]bool{}
+	if j.doneUnassigned == nil {
+		j.doneUnassigned = map[int]bool{}
 	}
-	j.doneUnlogged[task] = true
-	t.markDirty(j, ch)
+	j.doneUnassigned[task] = true
+	t.noteSegmentChanged(j, ch)
 }
 
 // Reset drops everything that only a leader knows.
@@ -82,8 +82,8 @@
 	}
 	clear(t.dirty)
 	clear(t.dirtyRetries)
-	clear(t.cleaningRetries)
-	clear(t.ended)
+	clear(t.retryDeletionsInFlight)
+	clear(t.terminated)
 	for _, j := range t.Jobs {
 		if j == nil {
 			continue
@@ -93,8 +93,8 @@
 		if j.complete() {
 			t.dirty[j] = true
 		}
-		if j.Final != Queued && j.active > 0 {
-			t.ended[j] = true
+		if j.TerminalPhase != Queued && j.active > 0 {
+			t.terminated[j] = true
 		}
 	}
 	t.Changed = true
@@ -104,20 +104,20 @@
 func (t *Table) resetJob(j *Job) {
 	t.resetRetry(j)
 	j.leaderState = leaderState{}
-	j.cleaning = false
-	j.finishing = false
-	for index := range j.Chunk {
-		ch := &j.Chunk[index]
+	j.deletionInFlight = false
+	j.terminalWriteInFlight = false
+	for index := range j.Segments {
+		ch := &j.Segments[index]
 		ch.dirty = false
 		ch.placing = false
 		ch.retryAt = 0
-		for task, e := range ch.Entries {
+		for task, e := range ch.Assignments {
 			if !e.Durable {
-				delete(ch.Entries, task)
-				t.remove(e)
+				delete(ch.Assignments, task)
+				t.removeAssignment(e)
 				continue
 			}
-			t.MarkMachineChanged(e.Machine)
+			t.NoteMachineChanged(e.Machine)
 			e.reset()
 		}
 	}
@@ -125,12 +125,12 @@
 }
 
 // reset drops what only a leader knows of an entry.
-func (e *Entry) reset() {
+func (e *Assignment) reset() {
 	e.Pending = NoPendingWrite
-	e.Phase = Unseen
-	e.Evict = false
+	e.Phase = TaskUnseen
+	e.Evicting = false
 	e.StartedAt = 0
 	e.PlacedAt = 0
 	e.OrderedSequence = 0
-	e.MissedReports = 0
+	e.MissedHeartbeats = 0
 }
--- a/internal/pipeline/production_test.go
+++ b/internal/pipeline/production_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
 // stored reads keys as the version in production has written them, one a line:
@@ -28,7 +28,7 @@
 			t.Fatalf("%q", s)
 		}
 		var l line
-		l.kind, l.rest = store.SplitKey(f[1])
+		l.kind, l.rest = kv.SplitKey(f[1])
 		if l.version = version; f[2] != "" {
 			l.data = []byte(f[2])
 		}
@@ -44,7 +44,7 @@
 	seen := map[string]int{}
 	most := 0
 	for _, l := range stored(t, "production_store.txt") {
-		tb.Listen(l.kind, l.rest, l.data, l.version)
+		tb.HandleChange(l.kind, l.rest, l.data, l.version)
 		if l.data == nil {
 			continue
 		}
@@ -52,7 +52,7 @@
 		switch l.kind {
 		case JobKey:
 			j := tb.Job(l.rest)
-			if j == nil || !j.Ready || j.Version != l.version || j.Order != l.version || j.EffectivePriority != j.Priority {
+			if j == nil || !j.Ready || j.ModRevision != l.version || j.ReadyRevision != l.version || j.EffectivePriority != j.Priority {
 				t.Fatalf("%s is read as %+v", l.rest, j)
 			}
 			if got := Encode(tb.Names, j); !bytes.Equal(got, l.data) {
@@ -62,36 +62,36 @@
 			id, chunk, _ := strings.Cut(l.rest, "/")
 			j := tb.Job(id)
 			c, _ := strconv.Atoi(chunk)
-			var active []*Entry
-			for _, e := range j.Chunk[c].Entries {
+			var active []*Assignment
+			for _, e := range j.Segments[c].Assignments {
 				if !e.Durable {
 					t.Errorf("%s: an entry is not stored", l.rest)
 				}
 				active = append(active, e)
 			}
 			most = max(most, len(active))
-			if got := encodeRun(tb.Names, j.Chunk[c].Attempt, j.Chunk[c].Done, active, false); !bytes.Equal(got, l.data) {
+			if got := encodeRun(tb.Names, j.Segments[c].Attempt, j.Segments[c].Done, active, false); !bytes.Equal(got, l.data) {
 				t.Errorf("%s becomes %s", l.data, got)
 			}
-		case FinalKey:
-			var r finalRecord
+		case TerminalKey:
+			var r terminalRecord
 			if json.Unmarshal(l.data, &r) != nil {
 				t.Fatal(string(l.data))
 			}
-			f, _ := tb.Finals.Get(l.rest)
-			if got := EncodeFinal(f.Phase, &Job{Spec: Spec{TaskCount: f.N}}); !bytes.Equal(got, l.data) {
+			f, _ := tb.Terminal.Get(l.rest)
+			if got := EncodeTerminal(f.Phase, &Job{Spec: Spec{TaskCount: f.TaskCount}}); !bytes.Equal(got, l.data) {
 				t.Errorf("%s becomes %s", l.data, got)
 			}
 		}
 	}
-	if seen[JobKey] < 5 || seen[RunKey] < 10 || seen[FinalKey] < 4 || most < 40 {
+	if seen[JobKey] < 5 || seen[RunKey] < 10 || seen[TerminalKey] < 4 || most < 40 {
 		t.Errorf("seen %v, at most %d entries", seen, most)
 	}
 	if len(tb.byID) != 0 {
 		t.Errorf("%d jobs are left", len(tb.byID))
 	}
 	for id, want := range map[string]Phase{"req-000001": Done, "req-000002": Done, "req-000003": Cancelled, "req-000004": Done, "req-000005": Cancelled} {
-		if final, _ := tb.Finals.Get(id); final.Phase != want {
+		if final, _ := tb.Terminal.Get(id); final.Phase != want {
 			t.Errorf("%s: %v", id, final)
 		}
 	}
@@ -123,7 +123,7 @@
 )
 
 // oldRun reads a run record as that version does.
-func oldRun(data []byte, words int) (attempt uint64, done []uint64, active []runEntry, ok bool) {
+func oldRun(data []byte, words int) (attempt uint64, done []uint64, active []runAssignment, ok bool) {
 	var r struct {
 		Attempt uint64               `json:"t"`
 		Done    string               `json:"d"`
@@ -141,7 +141,7 @@
 		done[i/8] |= uint64(b) << (i % 8 * 8)
 	}
 	for _, a := range r.Active {
-		var e runEntry
+		var e runAssignment
 		if json.Unmarshal(a[0], &e.task) != nil || json.Unmarshal(a[1], &e.attempt) != nil || json.Unmarshal(a[2], &e.machine) != nil {
 			return
 		}
@@ -154,12 +154,14 @@
 // all that it knows, whatever else there is.
 func TestOldReadsNewJobs(t *testing.T) {
 	n := &Names{}
-	j := &Job{ID: "req-1", Owner: "n2", Upstream: []string{"req-2", "req-3"}, Ready: true, Submitted: 1_700_000_000_123, ReadyAt: 1_700_000_060_456, Spec: Spec{
+	j := &Job{ID: "req-1", Owner: "n2", Upstream: []string{"req-2", "req-3"}, Ready: true, SubmittedAt: 1_700_000_000_123, ReadyAt: 1_700_000_060_456, Spec: Spec{
 		Class: n.Classes.Index("c"), Team: n.Teams.Index("t"), Image: n.Images.Index("b"), Shape: Gang, Priority: High, TaskCount: 7, CPUs: 1.5, GPUs: 2, Memory: 3,
-		ImageGB: 4.5, MachineTypes: []int{n.MachineTypes.Index("x"), n.MachineTypes.Index("y")}, Zone: n.Zones.Index("z"), SamePlace: true, AllowSpot: true,
+		ImageGB: 4.5, MachineTypes: []int{n.MachineTypes.Index("x"), n.MachineTypes.Index("y")}, Zone: n.Zones.Index("z"), SameZone: true, AllowSpot: true,
 		EstimatedRuntime: 10, CheckpointInterval: 20, CheckpointDuration: 30, Deadline: 40}}
 	want := oldJob{"c", "t", Gang, High, 7, []float64{1.5, 2, 3}, "b", 4.5, []string{"x", "y"}, "z", 5, []float64{10, 20, 30, 40}, "n2", []string{"req-2", "req-3"}, true}
-	for _, change := range []func(){func() {}, func() { j.Upstream, j.UpstreamParts, j.SubmissionVersion, j.Ready, j.ReadyAt = nil, 9, 1<<63, false, 0 }} {
+	for _, change := range []func(){func() {}, func() {
+		j.Upstream, j.UpstreamPages, j.SubmissionRevision, j.Ready, j.ReadyAt = nil, 9, 1<<63, false, 0
+	}} {
 		change()
 		want.Up, want.Ready = j.Upstream, j.Ready
 		var got oldJob
@@ -168,14 +170,14 @@
 			t.Errorf("%s: %+v, %v", data, got, err)
 		}
 		back := &Job{ID: "req-1"}
-		if !decode(n, data, back) || back.Submitted != j.Submitted || back.ReadyAt != j.ReadyAt || back.UpstreamParts != j.UpstreamParts || back.SubmissionVersion != j.SubmissionVersion || !reflect.DeepEqual(back.Spec, j.Spec) {
+		if !decode(n, data, back) || back.SubmittedAt != j.SubmittedAt || back.ReadyAt != j.ReadyAt || back.UpstreamPages != j.UpstreamPages || back.SubmissionRevision != j.SubmissionRevision || !reflect.DeepEqual(back.Spec, j.Spec) {
 			t.Errorf("%s: %+v", data, back)
 		}
 	}
 	for _, shape := range []Shape{Array, Daemon} {
 		for _, p := range []Phase{Done, Cancelled} {
 			var got oldFinal
-			data := EncodeFinal(p, &Job{Spec: Spec{TaskCount: 3, Shape: shape}})
+			data := EncodeTerminal(p, &Job{Spec: Spec{TaskCount: 3, Shape: shape}})
 			if err := json.Unmarshal(data, &got); err != nil || got.N != 3 || got.Phase != map[Phase]string{Done: "done", Cancelled: "cancelled"}[p] {
 				t.Errorf("%s: %+v, %v", data, got, err)
 			}
@@ -187,9 +189,9 @@
 // one for damaged: it keeps what it knew instead of taking tasks for gone.
 func TestOldReadsNewRuns(t *testing.T) {
 	n := &Names{}
-	var active []*Entry
+	var active []*Assignment
 	for task := range 30 {
-		active = append(active, &Entry{Task: task, Machine: n.Machines.Index("i-00000" + strconv.Itoa(task/7)), Attempt: uint64(1 + task%2)})
+		active = append(active, &Assignment{Task: task, Machine: n.Machines.Index("i-00000" + strconv.Itoa(task/7)), Attempt: uint64(1 + task%2)})
 	}
 	done := []uint64{5 << 40, 0}
 	attempt, bits, list, ok := oldRun(encodeRun(n, 9, done, active, false), 2)
--- a/internal/pipeline/record.go
+++ b/internal/pipeline/record.go
@@ -4,9 +4,9 @@
 
 // Kinds of the keys in the state service that belong to this package.
 const (
-	JobKey   = "j" // j/<id>: the job, written at submission and by its ready mark
-	RunKey   = "r" // r/<id>/<chunk>: what may run where, what is done
-	FinalKey = "f" // f/<id>: the final mark, created once, never changed
+	JobKey      = "j" // j/<id>: the job, written at submission and by its ready mark
+	RunKey      = "r" // r/<id>/<chunk>: what may run where, what is done
+	TerminalKey = "f" // f/<id>: the final mark, created once, never changed
 )
 
 // jobRecord is a job record's stored form.
@@ -27,10 +27,10 @@
 	Upstream     []string  `json:"up,omitempty"`
 	Ready        bool      `json:"r,omitempty"`
 	// The production version before chained jobs ignores these.
-	Submitted         int64  `json:"at,omitempty"` // Unix ms
-	ReadyAt           int64  `json:"ra,omitempty"` // Unix ms, if not at submission
-	UpstreamParts     int    `json:"un,omitempty"` // number of keys that store the upstream IDs
-	SubmissionVersion uint64 `json:"us,omitempty"` // version of the first of them
+	Submitted          int64  `json:"at,omitempty"` // Unix ms
+	ReadyAt            int64  `json:"ra,omitempty"` // Unix ms, if not at submission
+	UpstreamPages      int    `json:"un,omitempty"` // number of keys that store the upstream IDs
+	SubmissionRevision uint64 `json:"us,omitempty"` // version of the first of them
 }
 
 // Lengths of the lists in a job record.
@@ -41,32 +41,32 @@
 
 // Bits of a job record's flags.
 const (
-	flagSamePlace = 1 << iota
-	flagScatter
+	flagSameZone = 1 << iota
+	flagSpreadZones
 	flagAllowSpot
 )
 
 // Encode returns the stored form of a job.
 func Encode(n *Names, j *Job) []byte {
 	r := jobRecord{
-		Class:             n.Classes.Name(j.Class),
-		Team:              n.Teams.Name(j.Team),
-		Shape:             j.Shape,
-		Priority:          j.Priority,
-		TaskCount:         j.TaskCount,
-		Resources:         []float64{j.CPUs, j.GPUs, j.Memory},
-		Image:             n.Images.Name(j.Image),
-		ImageGB:           j.ImageGB,
-		Flags:             encodeFlags(&j.Spec),
-		Times:             []float64{j.EstimatedRuntime, j.CheckpointInterval, j.CheckpointDuration, j.Deadline},
-		Owner:             j.Owner,
-		Upstream:          j.Upstream,
-		Ready:             j.Ready,
-		Submitted:         j.Submitted,
-		UpstreamParts:     j.UpstreamParts,
-		SubmissionVersion: j.SubmissionVersion,
-	}
-	if j.Ready && j.ReadyAt != j.Submitted {
+		Class:              n.Classes.Name(j.Class),
+		Team:               n.Teams.Name(j.Team),
+		Shape:              j.Shape,
+		Priority:           j.Priority,
+		TaskCount:          j.TaskCount,
+		Resources:          []float64{j.CPUs, j.GPUs, j.Memory},
+		Image:              n.Images.Name(j.Image),
+		ImageGB:            j.ImageGB,
+		Flags:              encodeFlags(&j.Spec),
+		Times:              []float64{j.EstimatedRuntime, j.CheckpointInterval, j.CheckpointDuration, j.Deadline},
+		Owner:              j.Owner,
+		Upstream:           j.Upstream,
+		Ready:              j.Ready,
+		Submitted:          j.SubmittedAt,
+		UpstreamPages:      j.UpstreamPages,
+		SubmissionRevision: j.SubmissionRevision,
+	}
+	if j.Ready && j.ReadyAt != j.SubmittedAt {
 		r.ReadyAt = j.ReadyAt
 	}
 	for _, machineType := range j.MachineTypes {
@@ -83,11 +83,11 @@
 }
 
 func encodeFlags(s *Spec) (flags int) {
-	if s.SamePlace {
-		flags |= flagSamePlace
+	if s.SameZone {
+		flags |= flagSameZone
 	}
-	if s.Scatter {
-		flags |= flagScatter
+	if s.SpreadZones {
+		flags |= flagSpreadZones
 	}
 	if s.AllowSpot {
 		flags |= flagAllowSpot
@@ -109,10 +109,10 @@
 	j.unknown = unknownFields(data, jobFields)
 	j.Owner = r.Owner
 	j.Upstream = r.Upstream
-	j.UpstreamParts = r.UpstreamParts
-	j.SubmissionVersion = r.SubmissionVersion
+	j.UpstreamPages = r.UpstreamPages
+	j.SubmissionRevision = r.SubmissionRevision
 	j.Ready = r.Ready
-	j.Submitted = r.Submitted
+	j.SubmittedAt = r.Submitted
 	j.ReadyAt = r.ReadyAt
 	if r.Ready && r.ReadyAt == 0 {
 		j.ReadyAt = r.Submitted
@@ -133,8 +133,8 @@
 		Image:              n.Images.Index(r.Image),
 		ImageGB:            r.ImageGB,
 		Zone:               -1,
-		SamePlace:          r.Flags&flagSamePlace != 0,
-		Scatter:            r.Flags&flagScatter != 0,
+		SameZone:           r.Flags&flagSameZone != 0,
+		SpreadZones:        r.Flags&flagSpreadZones != 0,
 		AllowSpot:          r.Flags&flagAllowSpot != 0,
 		EstimatedRuntime:   r.Times[0],
 		CheckpointInterval: r.Times[1],
@@ -150,8 +150,8 @@
 	return s
 }
 
-// finalRecord is a final mark's stored form.
-type finalRecord struct {
+// terminalRecord is a final mark's stored form.
+type terminalRecord struct {
 	Phase     string `json:"p"`
 	TaskCount int    `json:"n"`
 	Daemon    bool   `json:"s,omitempty"` // no job may name one as its upstream job
@@ -159,15 +159,15 @@
 
 // Phases in a final mark.
 const (
-	markDone      = "done"
-	markCancelled = "cancelled"
+	terminalDone      = "done"
+	terminalCancelled = "cancelled"
 )
 
-// EncodeFinal returns the stored form of a final mark.
-func EncodeFinal(p Phase, j *Job) []byte {
-	r := finalRecord{Phase: markDone, TaskCount: j.TaskCount, Daemon: j.Shape == Daemon}
+// EncodeTerminal returns the stored form of a final mark.
+func EncodeTerminal(p Phase, j *Job) []byte {
+	r := terminalRecord{Phase: terminalDone, TaskCount: j.TaskCount, Daemon: j.Shape == Daemon}
 	if p == Cancelled {
-		r.Phase = markCancelled
+		r.Phase = terminalCancelled
 	}
 	data, err := json.Marshal(r)
 	if err != nil {
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
 // RetryKey is the kind of the keys e/<id> that store how often a job has failed
@@ -57,7 +57,7 @@
 
 	failedOn     map[int]bool  // machines on which it has failed since it last succeeded
 	avoid        map[int]int64 // by machine where it failed: steady time until which it stays away
-	probe        *Entry        // the one task that tries again
+	probe        *Assignment   // the one task that tries again
 	dirty        bool          // differs from what is stored
 	queued       bool          // a write of it is queued or under way
 	retryWriteAt int64         // no write before this steady time, in ns
@@ -65,16 +65,16 @@
 
 // retryRecords is what is stored of all jobs' retry states, and their writes.
 type retryRecords struct {
-	storedRetries   map[string]storedRetry // by job ID
-	dirtyRetries    map[*Job]bool          // whose retry state differs from what is stored
-	cleaningRetries map[string]bool        // by job ID, whose record's deletion is under way
+	storedRetries          map[string]storedRetry // by job ID
+	dirtyRetries           map[*Job]bool          // whose retry state differs from what is stored
+	retryDeletionsInFlight map[string]bool        // by job ID, whose record's deletion is under way
 }
 
 func newRetryRecords() retryRecords {
 	return retryRecords{
-		storedRetries:   map[string]storedRetry{},
-		dirtyRetries:    map[*Job]bool{},
-		cleaningRetries: map[string]bool{},
+		storedRetries:          map[string]storedRetry{},
+		dirtyRetries:           map[*Job]bool{},
+		retryDeletionsInFlight: map[string]bool{},
 	}
 }
 
@@ -89,21 +89,21 @@
 // BackingOff reports whether the pause after a failed attempt goes on.
 func (j *Job) BackingOff(now int64) bool { return j.retry.notBefore > now }
 
-// Avoids reports whether the job stays away from a machine because a task of it
+// AvoidsMachine reports whether the job stays away from a machine because a task of it
 // failed there less than avoidTime before.
-func (j *Job) Avoids(machine int, now int64) bool { return j.retry.avoid[machine] > now }
+func (j *Job) AvoidsMachine(machine int, now int64) bool { return j.retry.avoid[machine] > now }
 
 // probing reports whether the task that tries again is being started or running.
 func (j *Job) probing() bool {
 	probe := j.retry.probe
-	return probe != nil && j.Entry(probe.Task) == probe && probe.Pending == NoPendingWrite
+	return probe != nil && j.Assignment(probe.Task) == probe && probe.Pending == NoPendingWrite
 }
 
 // StartableCount counts the tasks that the job's failures allow to be placed: all
 // open ones, or a single one while the job is at fault. A gang is always placed as
 // a whole.
 func (j *Job) StartableCount() int {
-	open := j.OpenCount()
+	open := j.UnplacedCount()
 	switch {
 	case !j.AtFault() || j.Shape == Gang:
 		return open
@@ -114,11 +114,11 @@
 	}
 }
 
-// TaskFailed records that a task of the job ended with an error, on a machine
+// RecordFailure records that a task of the job ended with an error, on a machine
 // that is not known to be faulty. It reports whether the job is at fault itself.
-func (t *Table) TaskFailed(e *Entry, now time.Duration) (atFault bool) {
+func (t *Table) RecordFailure(e *Assignment, now time.Duration) (atFault bool) {
 	j := e.Job
-	avoided := j.Avoids(e.Machine, int64(now))
+	avoided := j.AvoidsMachine(e.Machine, int64(now))
 	if j.retry.avoid == nil {
 		j.retry.avoid = map[int]int64{}
 	}
@@ -127,7 +127,7 @@
 	case j.AtFault():
 		// Tasks that ran beside the probe, and the rest of a gang, belong to an
 		// attempt that was counted already.
-		if j.retry.probe == e || (j.Shape == Gang && !j.Stopping) {
+		if j.retry.probe == e || (j.Shape == Gang && !j.Terminating) {
 			t.BackOff(j, now)
 		}
 	case j.failsEverywhere(e.Machine, avoided):
@@ -160,7 +160,7 @@
 // activeElsewhere reports whether tasks of the job may be on other machines.
 func (j *Job) activeElsewhere(machine int) bool {
 	elsewhere := false
-	j.Entries(func(e *Entry) { elsewhere = elsewhere || e.Machine != machine })
+	j.Assignments(func(e *Assignment) { elsewhere = elsewhere || e.Machine != machine })
 	return elsewhere
 }
 
@@ -175,7 +175,7 @@
 	j.retry.failures++
 	j.retry.probe = nil
 	j.retry.notBefore = int64(now + retryPause(j.ID, j.retry.failures))
-	t.markRetryDirty(j)
+	t.noteRetryChanged(j)
 }
 
 // retryPause is the pause after so many failed attempts in a row: it doubles up to
@@ -213,10 +213,10 @@
 	j.retry.notBefore = 0
 	j.retry.probe = nil
 	t.Changed = true
-	t.markRetryDirty(j)
+	t.noteRetryChanged(j)
 }
 
-func (t *Table) markRetryDirty(j *Job) {
+func (t *Table) noteRetryChanged(j *Job) {
 	j.retry.dirty = true
 	t.dirtyRetries[j] = true
 }
@@ -260,12 +260,12 @@
 
 // FlushRetries queues the writes of retry states that have changed. term is the
 // condition that our term holds.
-func (t *Table) FlushRetries(now time.Duration, term store.Condition, s Submitter) {
+func (t *Table) FlushRetries(now time.Duration, term kv.Compare, s TxnSubmitter) {
 	if len(t.dirtyRetries) == 0 {
 		return
 	}
 	for _, j := range slices.SortedFunc(maps.Keys(t.dirtyRetries), byReadiness) {
-		if !j.retry.dirty || j.Final != Queued {
+		if !j.retry.dirty || j.TerminalPhase != Queued {
 			delete(t.dirtyRetries, j)
 			continue
 		}
@@ -277,29 +277,29 @@
 
 // writeRetry queues the write of a job's retry state. Its content is decided
 // when it is sent.
-func (t *Table) writeRetry(j *Job, now time.Duration, term store.Condition, s Submitter) {
+func (t *Table) writeRetry(j *Job, now time.Duration, term kv.Compare, s TxnSubmitter) {
 	j.retry.queued = true
 	written := 0
-	intent := &store.Intent{Priority: store.Progress, Rank: j.writeRank(), Key: RetryKeyOf(j.ID)}
-	intent.Build = func(intent *store.Intent) bool {
+	intent := &kv.Txn{Priority: kv.PriorityProgress, Rank: j.writeRank(), Key: RetryKeyOf(j.ID)}
+	intent.Build = func(intent *kv.Txn) bool {
 		stored := t.storedRetries[j.ID]
-		if !j.retry.dirty || j.Final != Queued || (j.retry.failures == 0 && stored.version == 0) {
+		if !j.retry.dirty || j.TerminalPhase != Queued || (j.retry.failures == 0 && stored.version == 0) {
 			j.retry.dirty = false
 			return false
 		}
 		written = j.retry.failures
-		intent.Conditions = []store.Condition{
+		intent.Compares = []kv.Compare{
 			term,
-			{Key: JobKeyOf(j.ID), Version: j.Version},
-			{Key: FinalKeyOf(j.ID)},
-			{Key: RetryKeyOf(j.ID), Version: stored.version},
+			{Key: JobKeyOf(j.ID), ModRevision: j.ModRevision},
+			{Key: TerminalKeyOf(j.ID)},
+			{Key: RetryKeyOf(j.ID), ModRevision: stored.version},
 		}
-		intent.Writes = []store.Write{{Key: RetryKeyOf(j.ID), Data: t.encodeRetry(j)}}
+		intent.Writes = []kv.Write{{Key: RetryKeyOf(j.ID), Data: t.encodeRetry(j)}}
 		return true
 	}
-	intent.Done = func(result store.Result) {
+	intent.Done = func(result kv.Result) {
 		j.retry.queued = false
-		if result.Outcome == store.OK && j.retry.failures == written {
+		if result.Outcome == kv.Committed && j.retry.failures == written {
 			j.retry.dirty = false
 		}
 		j.retry.retryWriteAt = int64(result.Now) + retryWait
@@ -331,7 +331,7 @@
 func (t *Table) orphanedRetries(limit int) []string {
 	var list []string
 	for id := range t.storedRetries {
-		if t.Finals.Has(id) && t.byID[id] == nil && !t.cleaningRetries[id] {
+		if t.Terminal.Has(id) && t.byID[id] == nil && !t.retryDeletionsInFlight[id] {
 			list = append(list, id)
 		}
 	}
@@ -339,17 +339,17 @@
 	return list[:min(limit, len(list))]
 }
 
-// cleanRetries drops the retry records of jobs that are over.
-func (t *Table) cleanRetries(now time.Duration, term store.Condition, s Submitter, limit int) {
+// deleteOrphanedRetries drops the retry records of jobs that are over.
+func (t *Table) deleteOrphanedRetries(now time.Duration, term kv.Compare, s TxnSubmitter, limit int) {
 	for _, id := range t.orphanedRetries(limit) {
 		key := RetryKeyOf(id)
-		condition := store.Condition{Key: key, Version: t.storedRetries[id].version}
-		t.cleaningRetries[id] = true
-		s.Submit(&store.Intent{
-			Priority:   store.Cleanup,
-			Conditions: []store.Condition{term, condition},
-			Writes:     []store.Write{{Key: key}},
-			Done:       func(store.Result) { delete(t.cleaningRetries, id) },
+		condition := kv.Compare{Key: key, ModRevision: t.storedRetries[id].version}
+		t.retryDeletionsInFlight[id] = true
+		s.Submit(&kv.Txn{
+			Priority: kv.PriorityCleanup,
+			Compares: []kv.Compare{term, condition},
+			Writes:   []kv.Write{{Key: key}},
+			Done:     func(kv.Result) { delete(t.retryDeletionsInFlight, id) },
 		}, now+writeTimeout)
 	}
 }
--- a/internal/pipeline/retry_test.go
+++ b/internal/pipeline/retry_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
 // A job whose tasks fail on one machine tries another at once; one that fails on
@@ -14,30 +14,30 @@
 // with a single task.
 func TestJobBacksOffOnce(t *testing.T) {
 	tb, j := newJob(t, 8)
-	var entries []*Entry
+	var entries []*Assignment
 	for task := range 6 {
-		entries = append(entries, tb.Place(j, task, task/2, 0, 1))
+		entries = append(entries, tb.Assign(j, task, task/2, 0, 1))
 	}
 	for i, want := range []int{0, 0, 1, 1, 1, 1} {
-		if atFault := tb.TaskFailed(entries[i], time.Second); atFault != (want > 0) || j.Failures() != want {
+		if atFault := tb.RecordFailure(entries[i], time.Second); atFault != (want > 0) || j.Failures() != want {
 			t.Errorf("task %d: at fault %v, %d failures, not %d", i, atFault, j.Failures(), want)
 		}
-		tb.Clear(entries[i])
+		tb.RecordTermination(entries[i])
 	}
-	if !j.BackingOff(int64(time.Second)) || j.Waits(int64(time.Second)) {
+	if !j.BackingOff(int64(time.Second)) || j.Schedulable(int64(time.Second)) {
 		t.Error("the job is tried again at once")
 	}
 	later := 10 * time.Second
-	if !j.Waits(int64(later)) || j.StartableCount() != 1 {
+	if !j.Schedulable(int64(later)) || j.StartableCount() != 1 {
 		t.Errorf("after the pause %d tasks are to be tried", j.StartableCount())
 	}
-	probe := tb.Place(j, 6, 9, 0, int64(later))
-	if j.StartableCount() != 0 || j.Waits(int64(later)) {
+	probe := tb.Assign(j, 6, 9, 0, int64(later))
+	if j.StartableCount() != 0 || j.Schedulable(int64(later)) {
 		t.Error("a second probe is sent")
 	}
-	tb.TaskFailed(probe, later)
-	tb.Clear(probe)
-	if j.Failures() != 2 || !j.Avoids(9, int64(later)) || j.Avoids(0, int64(later)) {
+	tb.RecordFailure(probe, later)
+	tb.RecordTermination(probe)
+	if j.Failures() != 2 || !j.AvoidsMachine(9, int64(later)) || j.AvoidsMachine(0, int64(later)) {
 		t.Errorf("%d failures; the next probe goes elsewhere than the last one", j.Failures())
 	}
 	tb.ClearFailures(j)
@@ -50,16 +50,16 @@
 // it is not kept away from that machine for ever.
 func TestOnlyMachine(t *testing.T) {
 	tb, j := newJob(t, 1)
-	first := tb.Place(j, 0, 3, 0, 1)
-	if tb.TaskFailed(first, time.Second) || !j.Avoids(3, int64(time.Second)) {
+	first := tb.Assign(j, 0, 3, 0, 1)
+	if tb.RecordFailure(first, time.Second) || !j.AvoidsMachine(3, int64(time.Second)) {
 		t.Error("one failure is no proof")
 	}
-	tb.Clear(first)
+	tb.RecordTermination(first)
 	later := time.Second + avoidTime
-	if j.Avoids(3, int64(later)) {
+	if j.AvoidsMachine(3, int64(later)) {
 		t.Error("the only machine is avoided for ever")
 	}
-	if !tb.TaskFailed(tb.Place(j, 0, 3, 0, int64(later)), later) {
+	if !tb.RecordFailure(tb.Assign(j, 0, 3, 0, int64(later)), later) {
 		t.Error("the second failure does not count")
 	}
 }
@@ -70,18 +70,18 @@
 	j.Shape = Gang
 	fail := func(now time.Duration) {
 		attempt := j.MaxAttempt() + 1
-		var entries []*Entry
+		var entries []*Assignment
 		for task := range 3 {
-			entries = append(entries, tb.Place(j, task, task, attempt, int64(now)))
+			entries = append(entries, tb.Assign(j, task, task, attempt, int64(now)))
 		}
 		for _, entry := range entries {
-			tb.TaskFailed(entry, now)
-			j.Stopping = true // as the whole gang is stopped with its first task
+			tb.RecordFailure(entry, now)
+			j.Terminating = true // as the whole gang is stopped with its first task
 		}
 		for _, entry := range entries {
-			tb.Clear(entry)
+			tb.RecordTermination(entry)
 		}
-		j.Stopping = false
+		j.Terminating = false
 	}
 	fail(time.Second)
 	if j.Failures() != 1 {
@@ -122,9 +122,9 @@
 	tb, j := newJob(t, 4)
 	tb.SetClock(0, time.UnixMilli(1_000_000))
 	for machine := range 2 {
-		entry := tb.Place(j, machine, machine, 0, 1)
-		tb.TaskFailed(entry, time.Second)
-		tb.Clear(entry)
+		entry := tb.Assign(j, machine, machine, 0, 1)
+		tb.RecordFailure(entry, time.Second)
+		tb.RecordTermination(entry)
 	}
 	q := &queue{}
 	tb.FlushRetries(time.Second, term, q)
@@ -138,14 +138,14 @@
 	other := NewTable(&Names{}, 4096, 12)
 	other.SetClock(time.Hour, time.UnixMilli(1_002_000))
 	other.Now = int64(time.Hour)
-	other.Listen(RetryKey, j.ID, []byte(`{"n":3,"u":1010000}`), 7)
-	other.Listen(JobKey, j.ID, Encode(tb.Names, j), 1)
+	other.HandleChange(RetryKey, j.ID, []byte(`{"n":3,"u":1010000}`), 7)
+	other.HandleChange(JobKey, j.ID, Encode(tb.Names, j), 1)
 	o := other.Job(j.ID)
 	if o.Failures() != 3 || !o.BackingOff(int64(time.Hour+7*time.Second)) || o.BackingOff(int64(time.Hour+9*time.Second)) {
 		t.Errorf("another controller reads %d failures", o.Failures())
 	}
 	// A clock that is far ahead can't put the job off for long.
-	other.Listen(RetryKey, j.ID, []byte(`{"n":4,"u":9999999999}`), 8)
+	other.HandleChange(RetryKey, j.ID, []byte(`{"n":4,"u":9999999999}`), 8)
 	if o.BackingOff(int64(time.Hour + retryCap)) {
 		t.Error("a clock that is ahead holds the job up")
 	}
@@ -167,20 +167,20 @@
 // ended the job: that one does not know such records.
 func TestRetryRecordGoes(t *testing.T) {
 	tb, j := newJob(t, 2)
-	tb.Listen(RetryKey, j.ID, []byte(`{"n":2,"u":1}`), 5)
-	tb.Listen(FinalKey, j.ID, EncodeFinal(Cancelled, j), 6)
+	tb.HandleChange(RetryKey, j.ID, []byte(`{"n":2,"u":1}`), 5)
+	tb.HandleChange(TerminalKey, j.ID, EncodeTerminal(Cancelled, j), 6)
 	q := &queue{}
-	tb.Clean(0, term, q, 10)
+	tb.CollectGarbage(0, term, q, 10)
 	for len(q.list) > 0 {
 		carryOut(tb, q.next(t), 7)
 	}
-	tb.Clean(0, term, q, 10)
-	tb.Clean(0, term, q, 10) // the first is under way
+	tb.CollectGarbage(0, term, q, 10)
+	tb.CollectGarbage(0, term, q, 10) // the first is under way
 	if len(q.list) != 1 {
 		t.Fatalf("%d drops", len(q.list))
 	}
 	drop := q.next(t)
-	if drop.Priority != store.Cleanup || drop.Writes[0].Key != RetryKeyOf(j.ID) || drop.Conditions[1].Version != 5 {
+	if drop.Priority != kv.PriorityCleanup || drop.Writes[0].Key != RetryKeyOf(j.ID) || drop.Compares[1].ModRevision != 5 {
 		t.Errorf("%+v", drop)
 	}
 	carryOut(tb, drop, 8)
@@ -193,19 +193,19 @@
 // tasks, so that one that works is found and the job goes on.
 func TestProbesTakeTurns(t *testing.T) {
 	tb, j := newJob(t, 5)
-	tb.MarkDone(j, 1) // never tried again
+	tb.RecordCompletion(j, 1) // never tried again
 	for _, machine := range []int{0, 1} {
-		e := tb.Place(j, 0, machine, 0, 1)
-		tb.TaskFailed(e, time.Second)
-		tb.Clear(e)
+		e := tb.Assign(j, 0, machine, 0, 1)
+		tb.RecordFailure(e, time.Second)
+		tb.RecordTermination(e)
 	}
 	var tried []int
 	for range 5 {
 		task := j.ProbeTask()
 		tried = append(tried, task)
-		probe := tb.Place(j, task, 2, 0, 1)
-		tb.TaskFailed(probe, time.Second)
-		tb.Clear(probe)
+		probe := tb.Assign(j, task, 2, 0, 1)
+		tb.RecordFailure(probe, time.Second)
+		tb.RecordTermination(probe)
 	}
 	if fmt.Sprint(tried) != "[2 3 4 0 2]" {
 		t.Errorf("tried: %v", tried)
@@ -219,20 +219,20 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	for step := range 2000 {
 		task := rng.IntN(j.TaskCount)
-		entry := j.Entry(task)
+		entry := j.Assignment(task)
 		switch {
 		case entry != nil:
-			tb.Clear(entry)
-		case j.Open(task) && rng.IntN(20) > 0:
-			tb.Place(j, task, 0, 0, 1)
+			tb.RecordTermination(entry)
+		case j.Unplaced(task) && rng.IntN(20) > 0:
+			tb.Assign(j, task, 0, 0, 1)
 		case rng.IntN(100) == 0:
-			tb.MarkDone(j, task)
+			tb.RecordCompletion(j, task)
 		}
 		want := 0
-		for want < j.TaskCount && !j.Open(want) {
+		for want < j.TaskCount && !j.Unplaced(want) {
 			want++
 		}
-		if got := j.NextOpen(0); got != want {
+		if got := j.NextUnplaced(0); got != want {
 			t.Fatalf("step %d: task %d, not %d", step, got, want)
 		}
 		if step%500 == 499 {
--- a/internal/pipeline/run.go
+++ b/internal/pipeline/run.go
@@ -14,15 +14,15 @@
 	done[task/bitsPerWord] |= 1 << (task % bitsPerWord)
 }
 
-// chunk returns a job's chunk by its index, growing the list.
-func (t *Table) chunk(j *Job, index int) *Chunk {
-	for len(j.Chunk) <= index {
-		j.Chunk = append(j.Chunk, Chunk{
-			Done:    make([]uint64, (t.chunkLen+bitsPerWord-1)/bitsPerWord),
-			Entries: map[int]*Entry{},
+// segment returns a job's chunk by its index, growing the list.
+func (t *Table) segment(j *Job, index int) *Segment {
+	for len(j.Segments) <= index {
+		j.Segments = append(j.Segments, Segment{
+			Done:        make([]uint64, (t.segmentLen+bitsPerWord-1)/bitsPerWord),
+			Assignments: map[int]*Assignment{},
 		})
 	}
-	return &j.Chunk[index]
+	return &j.Segments[index]
 }
 
 // onRun replaces what the table knows of a chunk by what is stored: this is
@@ -31,12 +31,12 @@
 	if data == nil && t.byID[id] == nil {
 		return
 	}
-	if index > maxTasks/t.chunkLen {
+	if index > maxTasks/t.segmentLen {
 		return
 	}
 	j := t.get(id)
-	ch := t.chunk(j, index)
-	var active []runEntry
+	ch := t.segment(j, index)
+	var active []runAssignment
 	if data != nil {
 		run, ok := decodeRun(data, len(ch.Done))
 		ch.compacted = run.compacted // also of a record that is refused
@@ -50,11 +50,11 @@
 			ch.Done[word] |= run.done[word] // a done task stays done
 		}
 	}
-	ch.Version = version
+	ch.ModRevision = version
 	if data == nil {
-		ch.Version = 0
+		ch.ModRevision = 0
 	}
-	stored := t.storeEntries(j, ch, active)
+	stored := t.storeAssignments(j, ch, active)
 	t.removeOutdated(j, ch, stored)
 	j.countDone()
 	if j.complete() {
@@ -65,23 +65,23 @@
 	}
 }
 
-// storeEntries marks the entries that a chunk's record lists as durable, adding
+// storeAssignments marks the entries that a chunk's record lists as durable, adding
 // those that are not known. It returns them by task.
-func (t *Table) storeEntries(j *Job, ch *Chunk, active []runEntry) map[int]*Entry {
-	stored := map[int]*Entry{}
+func (t *Table) storeAssignments(j *Job, ch *Segment, active []runAssignment) map[int]*Assignment {
+	stored := map[int]*Assignment{}
 	for _, a := range active {
 		machine := t.Names.Machines.Index(a.machine)
-		e := ch.Entries[a.task]
+		e := ch.Assignments[a.task]
 		if e == nil || e.Machine != machine || e.Attempt != a.attempt {
 			if e != nil {
-				t.remove(e)
+				t.removeAssignment(e)
 			}
-			e = &Entry{Job: j, Task: a.task, Machine: machine, Attempt: a.attempt}
-			ch.Entries[a.task] = e
-			t.add(e)
+			e = &Assignment{Job: j, Task: a.task, Machine: machine, Attempt: a.attempt}
+			ch.Assignments[a.task] = e
+			t.addAssignment(e)
 		}
 		if !e.Durable {
-			t.MarkMachineChanged(machine)
+			t.NoteMachineChanged(machine)
 		}
 		e.Durable = true
 		e.sent = true
@@ -92,11 +92,11 @@
 
 // removeOutdated removes the entries that a chunk's record does not list, except
 // placements that may still be written.
-func (t *Table) removeOutdated(j *Job, ch *Chunk, stored map[int]*Entry) {
-	for task, e := range ch.Entries {
-		if stored[task] == nil && (e.Durable || j.Final != Queued || j.IsDone(task)) {
-			delete(ch.Entries, task)
-			t.remove(e)
+func (t *Table) removeOutdated(j *Job, ch *Segment, stored map[int]*Assignment) {
+	for task, e := range ch.Assignments {
+		if stored[task] == nil && (e.Durable || j.TerminalPhase != Queued || j.IsDone(task)) {
+			delete(ch.Assignments, task)
+			t.removeAssignment(e)
 		}
 	}
 }
@@ -105,14 +105,14 @@
 // that waited to be shown so.
 func (j *Job) countDone() {
 	j.done = 0
-	for index := range j.Chunk {
-		for _, word := range j.Chunk[index].Done {
+	for index := range j.Segments {
+		for _, word := range j.Segments[index].Done {
 			j.done += bits.OnesCount64(word)
 		}
 	}
-	for task := range j.doneUnlogged {
+	for task := range j.doneUnassigned {
 		if j.IsDone(task) {
-			delete(j.doneUnlogged, task)
+			delete(j.doneUnassigned, task)
 		}
 	}
 }
--- a/internal/pipeline/run_record.go
+++ b/internal/pipeline/run_record.go
@@ -28,9 +28,9 @@
 const bytesPerWord = 8
 
 // encodeRun returns the stored form of a chunk. It sorts active by task.
-func encodeRun(n *Names, attempt uint64, done []uint64, active []*Entry, format runFormat) []byte {
+func encodeRun(n *Names, attempt uint64, done []uint64, active []*Assignment, format runFormat) []byte {
 	r := runRecord{Attempt: attempt, Done: encodeBitmap(done)}
-	slices.SortFunc(active, func(a, b *Entry) int { return cmp.Compare(a.Task, b.Task) })
+	slices.SortFunc(active, func(a, b *Assignment) int { return cmp.Compare(a.Task, b.Task) })
 	switch {
 	case len(active) == 0:
 	case format == compactFormat:
@@ -72,8 +72,8 @@
 	return done, true
 }
 
-// runEntry is an active task as a run record lists it.
-type runEntry struct {
+// runAssignment is an active task as a run record lists it.
+type runAssignment struct {
 	task    int
 	attempt uint64
 	machine string
@@ -83,7 +83,7 @@
 type storedRun struct {
 	attempt   uint64
 	done      []uint64
-	active    []runEntry
+	active    []runAssignment
 	compacted bool         // in the compact format, also if it could not be read
 	unknown   recordFields // of a later version
 }
@@ -108,7 +108,7 @@
 	return run, ok
 }
 
-func decodeActive(data json.RawMessage) (active []runEntry, small, ok bool) {
+func decodeActive(data json.RawMessage) (active []runAssignment, small, ok bool) {
 	if len(data) == 0 {
 		return nil, false, true
 	}
@@ -125,7 +125,7 @@
 		return nil, false, false
 	}
 	for _, fields := range list {
-		e, ok := decodeRunEntry(fields)
+		e, ok := decodeRunAssignment(fields)
 		if !ok {
 			return nil, false, false
 		}
@@ -134,7 +134,7 @@
 	return active, false, true
 }
 
-func decodeRunEntry(fields [3]json.RawMessage) (e runEntry, ok bool) {
+func decodeRunAssignment(fields [3]json.RawMessage) (e runAssignment, ok bool) {
 	ok = json.Unmarshal(fields[0], &e.task) == nil &&
 		json.Unmarshal(fields[1], &e.attempt) == nil &&
 		json.Unmarshal(fields[2], &e.machine) == nil
--- a/internal/pipeline/size.go
+++ b/internal/pipeline/size.go
@@ -10,7 +10,7 @@
 // version reads, while that fits, else in the compact one once every controller is
 // known to read it. Placements that are not stored yet are left out until they fit,
 // those of a gang all together; taken are those that are not left out.
-func (t *Table) fit(j *Job, ch *Chunk, c chunkContent) (data []byte, taken []*Entry) {
+func (t *Table) fit(j *Job, ch *Segment, c segmentContent) (data []byte, taken []*Assignment) {
 	encode := func(count int) []byte {
 		return t.encodeChunk(ch, c.done, slices.Concat(c.active, c.placements[:count]))
 	}
@@ -27,9 +27,9 @@
 }
 
 // encodeChunk encodes a chunk's record, plain if it fits or must be plain.
-func (t *Table) encodeChunk(ch *Chunk, done []uint64, active []*Entry) []byte {
+func (t *Table) encodeChunk(ch *Segment, done []uint64, active []*Assignment) []byte {
 	data := ch.unknown.appendTo(encodeRun(t.Names, ch.Attempt, done, active, plainFormat))
-	if len(data) > t.ValueLimit && t.AllUpgraded() {
+	if len(data) > t.ValueLimit && t.AllControllersUpgraded() {
 		data = ch.unknown.appendTo(encodeRun(t.Names, ch.Attempt, done, active, compactFormat))
 	}
 	return data
@@ -42,24 +42,24 @@
 // Version is what is stored there.
 var Version = []byte(`{"v":3}`)
 
-// AllUpgraded reports whether every controller has shown that it runs this version.
-func (t *Table) AllUpgraded() bool {
-	for _, label := range t.Labels {
+// AllControllersUpgraded reports whether every controller has shown that it runs this version.
+func (t *Table) AllControllersUpgraded() bool {
+	for _, label := range t.ControllerLabels {
 		if !t.upgraded[label] {
 			return false
 		}
 	}
-	return len(t.Labels) > 0
+	return len(t.ControllerLabels) > 0
 }
 
-// Compact counts the run records that are stored in the compact format.
-func (t *Table) Compact() (count int) {
+// CompactCount counts the run records that are stored in the compact format.
+func (t *Table) CompactCount() (count int) {
 	for _, j := range t.Jobs {
 		if j == nil {
 			continue
 		}
-		for index := range j.Chunk {
-			if j.Chunk[index].compacted && j.Chunk[index].Version != 0 {
+		for index := range j.Segments {
+			if j.Segments[index].compacted && j.Segments[index].ModRevision != 0 {
 				count++
 			}
 		}
@@ -72,12 +72,12 @@
 // back to a version that does not read the compact one. At most limit at a time.
 func (t *Table) ExpandRecords(limit int) {
 	for _, j := range t.Jobs {
-		if j == nil || j.Final != Queued {
+		if j == nil || j.TerminalPhase != Queued {
 			continue
 		}
-		for index := range j.Chunk {
-			ch := &j.Chunk[index]
-			if !ch.compacted || ch.dirty || ch.Version == 0 {
+		for index := range j.Segments {
+			ch := &j.Segments[index]
+			if !ch.compacted || ch.dirty || ch.ModRevision == 0 {
 				continue
 			}
 			if limit == 0 {
@@ -85,15 +85,15 @@
 			}
 			limit--
 			if t.fitsPlain(ch) {
-				t.markDirty(j, ch)
+				t.noteSegmentChanged(j, ch)
 			}
 		}
 	}
 }
 
 // fitsPlain reports whether a chunk as it is fits in the plain format.
-func (t *Table) fitsPlain(ch *Chunk) bool {
-	active := slices.Collect(maps.Values(ch.Entries))
+func (t *Table) fitsPlain(ch *Segment) bool {
+	active := slices.Collect(maps.Values(ch.Assignments))
 	data := encodeRun(t.Names, ch.Attempt, ch.Done, active, plainFormat)
 	return len(ch.unknown.appendTo(data)) <= t.ValueLimit
 }
--- a/internal/pipeline/size_test.go
+++ b/internal/pipeline/size_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
 // limited returns a table whose state service will take values of 2 KiB, with a
@@ -15,9 +15,9 @@
 	t.Helper()
 	tb, _ := newJob(t, 1)
 	tb.ValueLimit = 2048
-	tb.Labels = []string{"n0", "n1"}
+	tb.ControllerLabels = []string{"n0", "n1"}
 	j := &Job{ID: "req-2", Ready: true, Spec: Spec{TaskCount: 128, Shape: shape, CPUs: 1, Zone: -1}}
-	tb.Listen(JobKey, j.ID, Encode(tb.Names, j), 2)
+	tb.HandleChange(JobKey, j.ID, Encode(tb.Names, j), 2)
 	return tb, tb.Job(j.ID)
 }
 
@@ -27,12 +27,12 @@
 		attempt = 1
 	}
 	for task := range n {
-		tb.Place(j, task, tb.Names.Machines.Index(fmt.Sprintf("i-%06d", 100+task)), attempt, 0)
+		tb.Assign(j, task, tb.Names.Machines.Index(fmt.Sprintf("i-%06d", 100+task)), attempt, 0)
 	}
 }
 
 func durable(j *Job) (n int) {
-	j.Entries(func(e *Entry) {
+	j.Assignments(func(e *Assignment) {
 		if e.Durable {
 			n++
 		}
@@ -44,7 +44,7 @@
 // it is not written over and over, and goes on once all of them do.
 func TestLargeRecordWaits(t *testing.T) {
 	tb, j := limited(t, Array)
-	tb.Listen(VersionKey, "n0", Version, 3)
+	tb.HandleChange(VersionKey, "n0", Version, 3)
 	q := &queue{}
 	place(tb, j, 128)
 	now := time.Duration(0)
@@ -59,10 +59,10 @@
 			t.Fatalf("%d bytes", len(data))
 		}
 		for _, w := range in.Writes {
-			kind, rest := store.SplitKey(w.Key)
-			tb.Listen(kind, rest, w.Data, revision)
+			kind, rest := kv.SplitKey(w.Key)
+			tb.HandleChange(kind, rest, w.Data, revision)
 		}
-		in.Done(store.Result{Outcome: store.OK, Revision: revision, Now: now})
+		in.Done(kv.Result{Outcome: kv.Committed, Revision: revision, Now: now})
 		return data
 	}
 	flush()
@@ -70,8 +70,8 @@
 		t.Errorf("not plain: %s", data)
 	}
 	part := durable(j)
-	if part < 60 || part > 120 || j.Active() != 128 || j.OpenCount() != 0 {
-		t.Errorf("%d of %d stored, %d to place", part, j.Active(), j.OpenCount())
+	if part < 60 || part > 120 || j.ActiveCount() != 128 || j.UnplacedCount() != 0 {
+		t.Errorf("%d of %d stored, %d to place", part, j.ActiveCount(), j.UnplacedCount())
 	}
 	for range 5 {
 		flush()
@@ -81,19 +81,19 @@
 			if in.Build(in) {
 				t.Fatal("written again with nothing new in it")
 			}
-			in.Done(store.Result{Outcome: store.Refused, Now: now})
+			in.Done(kv.Result{Outcome: kv.Aborted, Now: now})
 		}
 	}
 	// Capacity comes free: others take it.
 	for task := range 10 {
-		tb.MarkDone(j, task)
+		tb.RecordCompletion(j, task)
 	}
 	flush()
 	written(5)
-	if got := durable(j); got <= part-10 || j.Active() != 118 {
-		t.Errorf("%d of %d stored", got, j.Active())
+	if got := durable(j); got <= part-10 || j.ActiveCount() != 118 {
+		t.Errorf("%d of %d stored", got, j.ActiveCount())
 	}
-	tb.Listen(VersionKey, "n1", Version, 6)
+	tb.HandleChange(VersionKey, "n1", Version, 6)
 	flush()
 	if data := written(7); !strings.Contains(data, `"a":"`) {
 		t.Errorf("not compact: %s", data)
@@ -111,24 +111,24 @@
 // any other change.
 func TestExpandRecords(t *testing.T) {
 	tb, j := limited(t, Array)
-	for _, l := range tb.Labels {
-		tb.Listen(VersionKey, l, Version, 3)
+	for _, l := range tb.ControllerLabels {
+		tb.HandleChange(VersionKey, l, Version, 3)
 	}
 	q := &queue{}
 	place(tb, j, 128)
 	tb.Flush(0, term, q)
 	carryOut(tb, q.next(t), 4)
 	tb.ExpandRecords(2)
-	if tb.Flush(time.Second, term, q); len(q.list) != 0 || tb.Compact() != 1 {
-		t.Errorf("%d writes, %d compact", len(q.list), tb.Compact())
+	if tb.Flush(time.Second, term, q); len(q.list) != 0 || tb.CompactCount() != 1 {
+		t.Errorf("%d writes, %d compact", len(q.list), tb.CompactCount())
 	}
 	tb.ValueLimit = 4096
 	tb.ExpandRecords(2)
 	tb.Flush(time.Second, term, q)
 	carryOut(tb, q.next(t), 5)
 	tb.ExpandRecords(2)
-	if tb.Flush(2*time.Second, term, q); len(q.list) != 0 || tb.Compact() != 0 || durable(j) != 128 {
-		t.Errorf("%d writes, %d compact, %d stored", len(q.list), tb.Compact(), durable(j))
+	if tb.Flush(2*time.Second, term, q); len(q.list) != 0 || tb.CompactCount() != 0 || durable(j) != 128 {
+		t.Errorf("%d writes, %d compact, %d stored", len(q.list), tb.CompactCount(), durable(j))
 	}
 }
 
@@ -141,11 +141,11 @@
 	if in := q.list[0]; in.Build(in) {
 		t.Fatalf("written: %s", in.Writes[0].Data)
 	} else {
-		in.Done(store.Result{Outcome: store.Refused})
+		in.Done(kv.Result{Outcome: kv.Aborted})
 	}
 	q.list = nil
-	for _, l := range tb.Labels {
-		tb.Listen(VersionKey, l, Version, 3)
+	for _, l := range tb.ControllerLabels {
+		tb.HandleChange(VersionKey, l, Version, 3)
 	}
 	tb.Flush(2*time.Second, term, q)
 	carryOut(tb, q.next(t), 4)
@@ -161,24 +161,24 @@
 	for _, all := range []bool{true, false} {
 		tb := NewTable(&Names{}, 4096, 4)
 		tb.ValueLimit = 2048
-		tb.Labels = []string{"n0"}
+		tb.ControllerLabels = []string{"n0"}
 		if all {
-			tb.Listen(VersionKey, "n0", Version, 1)
+			tb.HandleChange(VersionKey, "n0", Version, 1)
 		}
 		l := stored(t, "production_large.txt")[0]
 		if len(l.data) <= tb.ValueLimit {
 			t.Fatal("the record is not large")
 		}
-		tb.Listen(l.kind, l.rest, l.data, l.version)
+		tb.HandleChange(l.kind, l.rest, l.data, l.version)
 		id, _, _ := strings.Cut(l.rest, "/")
 		job := &Job{ID: id, Ready: true, Spec: Spec{TaskCount: 10_000, Zone: -1}}
 		nameSpec(tb.Names, &job.Spec)
-		tb.Listen(JobKey, id, Encode(tb.Names, job), l.version)
+		tb.HandleChange(JobKey, id, Encode(tb.Names, job), l.version)
 		j := tb.Job(id)
 		before := durable(j)
-		var one *Entry
-		j.Entries(func(e *Entry) { one = e })
-		tb.MarkDone(j, one.Task)
+		var one *Assignment
+		j.Assignments(func(e *Assignment) { one = e })
+		tb.RecordCompletion(j, one.Task)
 		q := &queue{}
 		tb.Flush(0, term, q)
 		in := q.next(t)
@@ -197,8 +197,8 @@
 func TestMalformedWrites(t *testing.T) {
 	everything := func(*Job) bool { return true }
 	for what, begin := range map[string]func(r *fixture){
-		"run record":     func(r *fixture) { r.Place(r.Job(id(1)), 0, 0, 0, 0) },
-		"done mark":      func(r *fixture) { r.MarkDone(r.Job(id(1)), 0) },
+		"run record":     func(r *fixture) { r.Assign(r.Job(id(1)), 0, 0, 0, 0) },
+		"done mark":      func(r *fixture) { r.RecordCompletion(r.Job(id(1)), 0) },
 		"ready mark":     func(r *fixture) { r.final(1, Done) },
 		"cancelled mark": func(r *fixture) { r.final(1, Cancelled) },
 		"clean-up":       func(r *fixture) { r.final(3, Cancelled) },
@@ -214,13 +214,13 @@
 		const minutes = 10
 		for now := time.Duration(0); now < minutes*time.Minute; now += 50 * time.Millisecond {
 			if what == "ready mark" {
-				r.MarkReady(now, q, everything)
+				r.WriteReadiness(now, q, everything)
 			}
 			if what == "cancelled mark" {
-				r.MarkUpstreamCancelled(now, q, everything)
+				r.WriteCancellations(now, q, everything)
 			}
 			if what == "clean-up" {
-				r.Clean(now, term, q, 1)
+				r.CollectGarbage(now, term, q, 1)
 			}
 			r.Flush(now, term, q)
 			for len(q.list) > 0 {
@@ -228,9 +228,9 @@
 				q.list = q.list[1:]
 				if in.Build == nil || in.Build(in) {
 					attempts++
-					in.Done(store.Result{Outcome: store.Refused, Invalid: true, Now: now})
+					in.Done(kv.Result{Outcome: kv.Aborted, Malformed: true, Now: now})
 				} else {
-					in.Done(store.Result{Outcome: store.Refused, Now: now})
+					in.Done(kv.Result{Outcome: kv.Aborted, Now: now})
 				}
 			}
 		}
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -9,9 +9,9 @@
 
 // Table is the replica of the graph with the leader's pending writes.
 type Table struct {
-	Names  *Names
-	Jobs   []*Job // by index; nil: the index is free
-	Finals Finals
+	Names    *Names
+	Jobs     []*Job // by index; nil: the index is free
+	Terminal TerminalRecords
 	// Now is the steady time of the input that is being handled, in ns.
 	Now int64
 	// Changed is set whenever something that placement depends on has changed.
@@ -19,19 +19,19 @@
 	// ValueLimit bounds the values that are written, in bytes. It may be smaller
 	// than what the chunks were laid out for, which all versions must agree on.
 	ValueLimit int
-	// Labels are those of all controllers.
-	Labels []string
+	// ControllerLabels are those of all controllers.
+	ControllerLabels []string
 
 	byID        map[string]*Job
 	freeIndexes []int // of Jobs
 	graph       graph
 	machineIndex
-	team  map[int]Usage // by team, what its entries take
-	ended map[*Job]bool // marked while tasks of theirs may be on machines
+	team       map[int]Usage // by team, what its entries take
+	terminated map[*Job]bool // marked while tasks of theirs may be on machines
 	retryRecords
 
 	dirty       map[*Job]bool   // some chunk differs from what is stored, or the done mark is due
-	chunkLen    int             // tasks per run record
+	segmentLen  int             // tasks per run record
 	txnOps      int             // the state service's limit on writes in a transaction
 	upgraded    map[string]bool // by label, the controllers that have shown this version
 	clockOffset int64           // Unix time in ns at steady time 0; 0: not known yet
@@ -40,9 +40,9 @@
 // The number of tasks per run record follows from the state service's limit on
 // values. All versions must agree on it, as it decides which key holds a task.
 const (
-	bytesPerTask = 32 // what a task takes in the plain format, with a reserve
-	minChunkLen  = 16
-	maxChunkLen  = 1024
+	bytesPerTask  = 32 // what a task takes in the plain format, with a reserve
+	minSegmentLen = 16
+	maxSegmentLen = 1024
 )
 
 // NewTable returns an empty table. valueBytes and txnOps are the state
@@ -50,16 +50,16 @@
 func NewTable(n *Names, valueBytes, txnOps int) *Table {
 	return &Table{
 		Names:        n,
-		Finals:       newFinals(),
+		Terminal:     newTerminalRecords(),
 		ValueLimit:   valueBytes,
 		byID:         map[string]*Job{},
 		graph:        newGraph(),
 		machineIndex: machineIndex{isChanged: map[int]bool{}},
 		team:         map[int]Usage{},
-		ended:        map[*Job]bool{},
+		terminated:   map[*Job]bool{},
 		retryRecords: newRetryRecords(),
 		dirty:        map[*Job]bool{},
-		chunkLen:     max(minChunkLen, min(maxChunkLen, valueBytes/bytesPerTask)),
+		segmentLen:   max(minSegmentLen, min(maxSegmentLen, valueBytes/bytesPerTask)),
 		txnOps:       txnOps,
 		upgraded:     map[string]bool{},
 	}
@@ -68,8 +68,8 @@
 // Job returns an unfinished job, or one that is finished but not cleaned up.
 func (t *Table) Job(id string) *Job { return t.byID[id] }
 
-// Listen takes one change of the replica; data is nil if the key was deleted.
-func (t *Table) Listen(kind, rest string, data []byte, version uint64) {
+// HandleChange takes one change of the replica; data is nil if the key was deleted.
+func (t *Table) HandleChange(kind, rest string, data []byte, version uint64) {
 	switch kind {
 	case JobKey:
 		t.onJob(rest, data, version)
@@ -77,17 +77,17 @@
 		if id, index, ok := splitNumbered(rest); ok {
 			t.onRun(id, index, data, version)
 		}
-	case FinalKey:
-		if !t.onFinal(rest, data) {
+	case TerminalKey:
+		if !t.onTerminal(rest, data) {
 			return
 		}
 	case RetryKey:
 		t.onRetry(rest, data, version)
 	case VersionKey:
 		t.upgraded[rest] = data != nil
-	case PartKey:
+	case UpstreamPageKey:
 		if id, n, ok := splitNumbered(rest); ok {
-			t.onPart(id, n, data, version)
+			t.onUpstreamPage(id, n, data, version)
 		}
 	default:
 		return
@@ -112,13 +112,13 @@
 		return j
 	}
 	j := &Job{ID: id, Spec: Spec{Zone: -1}, EffectiveDeadline: NoDeadline}
-	j.chunkLen = t.chunkLen
+	j.segmentLen = t.segmentLen
 	j.deadlineAt = NoDeadline
 	j.propagatedDeadline = NoDeadline
 	t.assignIndex(j)
 	t.byID[id] = j
-	if f, ok := t.Finals.Get(id); ok {
-		j.Final = f.Phase
+	if f, ok := t.Terminal.Get(id); ok {
+		j.TerminalPhase = f.Phase
 	}
 	t.loadRetry(j)
 	return j
@@ -139,18 +139,18 @@
 
 // forget removes a job of which no key is left.
 func (t *Table) forget(j *Job) {
-	if j.Version != 0 || j.active > 0 {
+	if j.ModRevision != 0 || j.active > 0 {
 		return
 	}
-	for index := range j.Chunk {
-		if j.Chunk[index].Version != 0 {
+	for index := range j.Segments {
+		if j.Segments[index].ModRevision != 0 {
 			return
 		}
 	}
 	delete(t.byID, j.ID)
 	delete(t.dirty, j)
 	delete(t.dirtyRetries, j)
-	delete(t.ended, j)
+	delete(t.terminated, j)
 	delete(t.graph.stale, j)
 	t.Jobs[j.Index] = nil
 	t.freeIndexes = append(t.freeIndexes, j.Index)
@@ -171,12 +171,12 @@
 	if !ok {
 		return
 	}
-	j.Version = version
+	j.ModRevision = version
 	if j.Ready && !wasReady {
-		j.Order = version
+		j.ReadyRevision = version
 		j.ReadySince = max(t.Now, 1)
 		if j.ReadyAt != 0 && t.clockOffset != 0 {
-			j.ReadySince = t.steadyTime(j.ReadyAt)
+			j.ReadySince = t.monotonicTime(j.ReadyAt)
 		}
 	}
 	t.updateGraph(j)
@@ -187,7 +187,7 @@
 	if j == nil {
 		return
 	}
-	j.Version = 0
+	j.ModRevision = 0
 	t.unlink(j)
 	t.unmarkUpstreamCancelled(j)
 	t.forget(j)
@@ -196,16 +196,16 @@
 // byReadiness compares jobs by the order in which they became ready. Jobs of one
 // transaction share their place and follow their IDs.
 func byReadiness(a, b *Job) int {
-	return cmp.Or(cmp.Compare(a.Order, b.Order), cmp.Compare(a.ID, b.ID))
+	return cmp.Or(cmp.Compare(a.ReadyRevision, b.ReadyRevision), cmp.Compare(a.ID, b.ID))
 }
 
-// Unfinished returns the ready jobs that are not over, in the order in which
+// ReadyJobs returns the ready jobs that are not over, in the order in which
 // they became ready.
-func (t *Table) Unfinished() []*Job {
+func (t *Table) ReadyJobs() []*Job {
 	t.inherit()
 	var list []*Job
 	for _, j := range t.Jobs {
-		if j != nil && j.Version != 0 && j.Ready && j.Final == Queued {
+		if j != nil && j.ModRevision != 0 && j.Ready && j.TerminalPhase == Queued {
 			list = append(list, j)
 		}
 	}
@@ -216,8 +216,8 @@
 // JobKeyOf is the key of a job's record.
 func JobKeyOf(id string) string { return JobKey + "/" + id }
 
-// FinalKeyOf is the key of a job's final mark.
-func FinalKeyOf(id string) string { return FinalKey + "/" + id }
+// TerminalKeyOf is the key of a job's final mark.
+func TerminalKeyOf(id string) string { return TerminalKey + "/" + id }
 
 // runKey is the key of the run record of a job's chunk.
 func runKey(id string, index int) string { return RunKey + "/" + id + "/" + strconv.Itoa(index) }
--- a/internal/pipeline/table_test.go
+++ b/internal/pipeline/table_test.go
@@ -4,19 +4,19 @@
 	"testing"
 	"time"
 
-	"lugward/internal/store"
+	"lugward/internal/kv"
 )
 
 // A leader that ends between the last task's mark and the job's leaves a job
 // on which nothing is due any more: its successor must mark it.
 func TestSuccessorMarksCompleteJob(t *testing.T) {
 	tb, j := newJob(t, 2)
-	tb.Listen(RunKey, "req-1/0", []byte(`{"t":1,"d":"Aw"}`), 2)
+	tb.HandleChange(RunKey, "req-1/0", []byte(`{"t":1,"d":"Aw"}`), 2)
 	tb.Reset()
 	q := &queue{}
 	tb.Flush(0, term, q)
 	carryOut(tb, q.next(t), 3)
-	if f, _ := tb.Finals.Get("req-1"); f.Phase != Done || j.Phase() != Done {
+	if f, _ := tb.Terminal.Get("req-1"); f.Phase != Done || j.Phase() != Done {
 		t.Errorf("the job is %v, its mark %v", j.Phase(), f)
 	}
 }
@@ -26,17 +26,17 @@
 func TestClearedBeforeStored(t *testing.T) {
 	tb, j := newJob(t, 1)
 	q := &queue{}
-	e := tb.Place(j, 0, tb.Names.Machines.Index("i-1"), 0, 0)
+	e := tb.Assign(j, 0, tb.Names.Machines.Index("i-1"), 0, 0)
 	tb.Flush(0, term, q)
-	q.next(t).Done(store.Result{Outcome: store.Unknown, Now: time.Second})
-	tb.Clear(e)
-	if j.Active() != 1 {
+	q.next(t).Done(kv.Result{Outcome: kv.Unknown, Now: time.Second})
+	tb.RecordTermination(e)
+	if j.ActiveCount() != 1 {
 		t.Error("the entry is given up while its write may still be carried out")
 	}
 	tb.Flush(2*time.Second, term, q)
 	carryOut(tb, q.next(t), 3)
-	if j.Active() != 0 || j.OpenCount() != 1 {
-		t.Errorf("%d entries, %d tasks to place", j.Active(), j.OpenCount())
+	if j.ActiveCount() != 0 || j.UnplacedCount() != 1 {
+		t.Errorf("%d entries, %d tasks to place", j.ActiveCount(), j.UnplacedCount())
 	}
 }
 
@@ -45,7 +45,7 @@
 	tb, j := newJob(t, 40)
 	q := &queue{}
 	for task := range 40 {
-		tb.Place(j, task, tb.Names.Machines.Index("i-1"), 0, 0)
+		tb.Assign(j, task, tb.Names.Machines.Index("i-1"), 0, 0)
 		tb.Flush(0, term, q)
 	}
 	if len(q.list) != 1 {
@@ -53,7 +53,7 @@
 	}
 	carryOut(tb, q.next(t), 2)
 	for task := range 40 {
-		if !j.Entry(task).Durable {
+		if !j.Assignment(task).Durable {
 			t.Fatalf("task %d is not stored", task)
 		}
 	}
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -21,8 +21,8 @@
 	CPUs        float64
 	GPUs        float64
 	Memory      float64
-	Busy        bool              // tasks are on it
-	Preempting  []*pipeline.Entry // its tasks that are being stopped
+	InUse       bool                   // tasks are on it
+	Preempting  []*pipeline.Assignment // its tasks that are being stopped
 
 	endings       []ending // of its tasks, soonest first
 	endingsListed bool     // endings are filled in
@@ -65,7 +65,7 @@
 
 // accepts tells whether a task of a job may be placed on a machine that is up.
 func (c *Capacity) accepts(job *pipeline.Job, now int64) bool {
-	return c.Matches(&job.Spec) && !job.Avoids(c.Machine.Index, now)
+	return c.Matches(&job.Spec) && !job.AvoidsMachine(c.Machine.Index, now)
 }
 
 // Allocate uses capacity for a number of tasks.
@@ -74,7 +74,7 @@
 	c.CPUs -= tasks * spec.CPUs
 	c.GPUs -= tasks * spec.GPUs
 	c.Memory -= tasks * spec.Memory
-	c.Busy = true
+	c.InUse = true
 }
 
 // release gives back what a task used.
@@ -112,11 +112,11 @@
 		changes:     changes,
 	}
 	for _, entry := range s.Jobs.OnMachine(machine.Index) {
-		if entry.Phase == pipeline.Exited {
+		if entry.Phase == pipeline.TaskExited {
 			continue // it uses nothing any more; only its record is still to change
 		}
 		capacity.Allocate(&entry.Job.Spec, 1)
-		if entry.Evict {
+		if entry.Evicting {
 			capacity.Preempting = append(capacity.Preempting, entry)
 		}
 	}
@@ -129,7 +129,7 @@
 func (s *Scheduler) Capacities(now event.Time) []*Capacity {
 	all := make([]Capacity, 0, len(s.Workers.Machines))
 	for _, machine := range s.Workers.Machines {
-		if machine == nil || !machine.Up(now, s.SilentAfter) {
+		if machine == nil || !machine.Schedulable(now, s.HeartbeatTimeout) {
 			continue
 		}
 		machineType := s.MachineTypes.Get(machine.MachineType)
--- a/internal/scheduler/chain_test.go
+++ b/internal/scheduler/chain_test.go
@@ -22,7 +22,7 @@
 	names := names(&pipeline.Names{})
 	jobs := pipeline.NewTable(names, 4096, 12)
 	workers := worker.New(names, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	s := &site{Scheduler: &Scheduler{Jobs: jobs, Workers: workers, MachineTypes: &MachineTypes{{CPUs: 8, Memory: 32}}, SilentAfter: time.Minute}, now: 100 * time.Second}
+	s := &site{Scheduler: &Scheduler{Jobs: jobs, Workers: workers, MachineTypes: &MachineTypes{{CPUs: 8, Memory: 32}}, HeartbeatTimeout: time.Minute}, now: 100 * time.Second}
 	jobs.Now = int64(s.now)
 	addMachine(workers, "i-1", s.now)
 	return s
@@ -30,10 +30,10 @@
 
 // addMachine adds a machine of the first type that has just reported.
 func addMachine(workers *worker.Registry, name string, now time.Duration) {
-	machine := workers.Machine(name, now)
+	machine := workers.Add(name, now)
 	machine.Describe(0, 0, false)
 	machine.TokenConfirmed = true
-	machine.LastReport = now
+	machine.LastHeartbeat = now
 }
 
 func (s *site) job(id string, set func(*pipeline.Job)) *pipeline.Job {
@@ -42,7 +42,7 @@
 		set(j)
 	}
 	s.revision++
-	s.Jobs.Listen(pipeline.JobKey, id, pipeline.Encode(s.Jobs.Names, j), s.revision)
+	s.Jobs.HandleChange(pipeline.JobKey, id, pipeline.Encode(s.Jobs.Names, j), s.revision)
 	return s.Jobs.Job(id)
 }
 
@@ -53,7 +53,7 @@
 }
 
 func (s *site) order() string {
-	list := s.Jobs.Unfinished()
+	list := s.Jobs.ReadyJobs()
 	order(list, s.now)
 	var names []string
 	for _, j := range list {
@@ -77,7 +77,7 @@
 		t.Errorf("with the last: %s", got)
 	}
 	s.revision++
-	s.Jobs.Listen(pipeline.FinalKey, "req-4", pipeline.EncodeFinal(pipeline.Cancelled, s.Jobs.Job("req-4")), s.revision)
+	s.Jobs.HandleChange(pipeline.TerminalKey, "req-4", pipeline.EncodeTerminal(pipeline.Cancelled, s.Jobs.Job("req-4")), s.revision)
 	if got := s.order(); got != "req-1 req-2" {
 		t.Errorf("without it: %s", got)
 	}
@@ -89,17 +89,17 @@
 	s := newSite()
 	other := s.job("req-1", nil)
 	s.Round(s.now)
-	if other.Active() != 1 {
+	if other.ActiveCount() != 1 {
 		t.Fatal("the machine is not taken")
 	}
 	s.job("req-2", func(j *pipeline.Job) { j.Priority = pipeline.Idle })
 	s.Round(s.now)
-	if e := other.Entry(0); e == nil || e.Evict {
+	if e := other.Assignment(0); e == nil || e.Evicting {
 		t.Fatal("stopped for less important work")
 	}
 	s.job("req-3", below("req-2", pipeline.High, 0))
 	s.Round(s.now)
-	if e := other.Entry(0); e != nil && !e.Evict { // one that is not stored yet is taken back at once
+	if e := other.Assignment(0); e != nil && !e.Evicting { // one that is not stored yet is taken back at once
 		t.Error("not stopped for what an important job needs")
 	}
 
@@ -109,7 +109,7 @@
 	s.Round(s.now)
 	s.job("req-1", nil)
 	s.Round(s.now)
-	if e := low.Entry(0); e == nil || e.Evict {
+	if e := low.Assignment(0); e == nil || e.Evicting {
 		t.Error("what an important job needs is stopped for a lesser one")
 	}
 }
--- a/internal/scheduler/choose.go
+++ b/internal/scheduler/choose.go
@@ -11,15 +11,15 @@
 type pick struct {
 	capacity *Capacity
 	cost     float64
-	victims  []*pipeline.Entry // to be stopped for it
+	victims  []*pipeline.Assignment // to be stopped for it
 }
 
 // taken holds the victims that were chosen before.
-type taken map[*pipeline.Entry]bool
+type taken map[*pipeline.Assignment]bool
 
 // pricing tells what one more task costs on what is left of a machine. ok is false
 // where the machine can take no more.
-type pricing func(left *Capacity, taken taken) (cost float64, victims []*pipeline.Entry, ok bool)
+type pricing func(left *Capacity, taken taken) (cost float64, victims []*pipeline.Assignment, ok bool)
 
 // offer is the cheapest next pick on one machine.
 type offer struct {
--- a/internal/scheduler/future.go
+++ b/internal/scheduler/future.go
@@ -15,24 +15,24 @@
 
 // ending is a task with the seconds that it is expected to run on.
 type ending struct {
-	entry *pipeline.Entry
+	entry *pipeline.Assignment
 	after float64
 }
 
 // sortEndings puts what ends first to the front.
 func sortEndings(endings []ending) {
 	slices.SortFunc(endings, func(a, b ending) int {
-		return cmp.Or(cmp.Compare(a.after, b.after), compareEntries(a.entry, b.entry))
+		return cmp.Or(cmp.Compare(a.after, b.after), compareAssignments(a.entry, b.entry))
 	})
 }
 
-// compareEntries orders entries by job, in the order of readiness, and task.
-func compareEntries(a, b *pipeline.Entry) int {
-	return cmp.Or(cmp.Compare(a.Job.Order, b.Job.Order), cmp.Compare(a.Task, b.Task))
+// compareAssignments orders entries by job, in the order of readiness, and task.
+func compareAssignments(a, b *pipeline.Assignment) int {
+	return cmp.Or(cmp.Compare(a.Job.ReadyRevision, b.Job.ReadyRevision), cmp.Compare(a.Task, b.Task))
 }
 
 // Remaining estimates how long a task still runs, in seconds.
-func (s *Scheduler) Remaining(entry *pipeline.Entry, now event.Time) float64 {
+func (s *Scheduler) Remaining(entry *pipeline.Assignment, now event.Time) float64 {
 	if entry.Job.Shape == pipeline.Daemon {
 		return math.Inf(1) // until it is cancelled
 	}
@@ -46,17 +46,17 @@
 // FutureCapacities lists what is left of the machines that are up once the tasks
 // that are being stopped have terminated; those that are to run again are returned.
 // ReleaseEnding then adds what ends later.
-func (s *Scheduler) FutureCapacities(now event.Time) (capacities []*Capacity, preempting []*pipeline.Entry) {
+func (s *Scheduler) FutureCapacities(now event.Time) (capacities []*Capacity, preempting []*pipeline.Assignment) {
 	capacities = s.Capacities(now)
 	for _, capacity := range capacities {
 		for _, entry := range s.Jobs.OnMachine(capacity.Machine.Index) {
-			ended := entry.Job.Final != pipeline.Queued
-			if entry.Evict && !ended {
+			ended := entry.Job.TerminalPhase != pipeline.Queued
+			if entry.Evicting && !ended {
 				preempting = append(preempting, entry)
 			}
 			switch {
-			case entry.Phase == pipeline.Exited: // it was not counted
-			case entry.Evict || ended || entry.Pending != pipeline.NoPendingWrite:
+			case entry.Phase == pipeline.TaskExited: // it was not counted
+			case entry.Evicting || ended || entry.Pending != pipeline.NoPendingWrite:
 				capacity.release(&entry.Job.Spec)
 			default:
 				capacity.endings = append(capacity.endings, ending{entry, s.Remaining(entry, now)})
@@ -64,7 +64,7 @@
 		}
 		sortEndings(capacity.endings)
 	}
-	slices.SortFunc(preempting, compareEntries)
+	slices.SortFunc(preempting, compareAssignments)
 	return capacities, preempting
 }
 
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -38,11 +38,11 @@
 	waited := int64(now) - job.ReadySince
 	overdue := waited > int64(maxStartDelay) && !job.AtFault()
 	switch {
-	case job.WithinGuarantee:
+	case job.WithinQuota:
 		return withinGuarantee
 	case overdue && job.IsGang():
 		return gangOverdue
-	case overdue && !job.Begun():
+	case overdue && !job.HasStarted():
 		return startOverdue
 	default:
 		return byReadiness
--- a/internal/scheduler/order_test.go
+++ b/internal/scheduler/order_test.go
@@ -43,13 +43,13 @@
 		first := s.job("req-1", func(j *pipeline.Job) { j.Shape, j.TaskCount, j.CPUs, j.Priority = c.first, 2, 4, c.priority })
 		second := s.job("req-2", func(j *pipeline.Job) { j.Shape, j.TaskCount, j.CPUs = c.second, 2, 4 })
 		s.now = time.Hour
-		s.Workers.Machine("i-1", s.now).LastReport = s.now
+		s.Workers.Add("i-1", s.now).LastHeartbeat = s.now
 		first.ReadySince, second.ReadySince = int64(s.now-longAgo), int64(s.now-c.waited)
 		if c.record != "" {
-			s.Jobs.Listen(pipeline.RunKey, "req-1/0", []byte(c.record), 9)
+			s.Jobs.HandleChange(pipeline.RunKey, "req-1/0", []byte(c.record), 9)
 		}
 		if c.retry != "" {
-			s.Jobs.Listen(pipeline.RetryKey, "req-2", []byte(c.retry), 9)
+			s.Jobs.HandleChange(pipeline.RetryKey, "req-2", []byte(c.retry), 9)
 		}
 		want := "req-1 req-2"
 		if c.secondIsNext {
@@ -59,7 +59,7 @@
 			t.Errorf("%s: order %s, not %s", c.what, got, want)
 		}
 		s.Round(s.now)
-		if got := second.Active() == second.TaskCount; got != c.secondIsNext {
+		if got := second.ActiveCount() == second.TaskCount; got != c.secondIsNext {
 			t.Errorf("%s: all of the second is placed: %v", c.what, got)
 		}
 	}
--- a/internal/scheduler/pack.go
+++ b/internal/scheduler/pack.go
@@ -17,10 +17,10 @@
 	minMoveGain = 25.0
 )
 
-// Pack finds machines whose tasks all fit on other busy ones, stops those with time
+// Consolidate finds machines whose tasks all fit on other busy ones, stops those with time
 // to save, and marks the machines as draining so that they are released once empty.
 // capacities is what the last round left. The budget of a round bounds it.
-func (s *Scheduler) Pack(now event.Time, capacities []*Capacity, blocked []*pipeline.Job) (drained []*worker.Machine) {
+func (s *Scheduler) Consolidate(now event.Time, capacities []*Capacity, blocked []*pipeline.Job) (drained []*worker.Machine) {
 	receivers := listReceivers(capacities)
 	blocked = append(slices.Clone(blocked), s.reserveForMoving(receivers)...)
 	donors := s.drainable(now, capacities, blocked)
@@ -46,7 +46,7 @@
 func listReceivers(capacities []*Capacity) []*Capacity {
 	var receivers []*Capacity
 	for _, capacity := range capacities {
-		if capacity.Busy && capacity.Machine != nil && !capacity.Machine.Draining {
+		if capacity.InUse && capacity.Machine != nil && !capacity.Machine.Draining {
 			receiver := *capacity
 			receivers = append(receivers, &receiver)
 		}
@@ -65,7 +65,7 @@
 			continue
 		}
 		for _, entry := range s.Jobs.OnMachine(machine.Index) {
-			if !entry.Evict || entry.Job.Final != pipeline.Queued {
+			if !entry.Evicting || entry.Job.TerminalPhase != pipeline.Queued {
 				continue
 			}
 			i := slices.IndexFunc(receivers, func(receiver *Capacity) bool {
@@ -114,7 +114,7 @@
 // mayDrain tells whether every task of a machine can be saved and moved, and
 // whether that is worth it.
 func (s *Scheduler) mayDrain(capacity *Capacity, now event.Time) bool {
-	if !capacity.Busy || capacity.Machine == nil || capacity.Machine.Draining {
+	if !capacity.InUse || capacity.Machine == nil || capacity.Machine.Draining {
 		return false
 	}
 	longest := 0.0
@@ -129,9 +129,9 @@
 
 // canMove tells whether a running task can save a checkpoint and go on elsewhere
 // without loss.
-func canMove(entry *pipeline.Entry, now event.Time) bool {
+func canMove(entry *pipeline.Assignment, now event.Time) bool {
 	job := entry.Job
-	running := entry.Phase == pipeline.RunningTask && !entry.Evict
+	running := entry.Phase == pipeline.TaskRunning && !entry.Evicting
 	if !running || !entry.Stored() {
 		return false
 	}
@@ -145,8 +145,8 @@
 // they use there stays allocated.
 func (s *Scheduler) fitsElsewhere(donor *Capacity, receivers []*Capacity, receives map[*worker.Machine]bool) bool {
 	entries := slices.Clone(s.Jobs.OnMachine(donor.Machine.Index))
-	slices.SortFunc(entries, func(a, b *pipeline.Entry) int {
-		return cmp.Or(cmp.Compare(b.Job.CPUs, a.Job.CPUs), compareEntries(a, b))
+	slices.SortFunc(entries, func(a, b *pipeline.Assignment) int {
+		return cmp.Or(cmp.Compare(b.Job.CPUs, a.Job.CPUs), compareAssignments(a, b))
 	})
 	type move struct {
 		to  *Capacity
@@ -180,6 +180,6 @@
 	if receiver.Fits(&job.Spec) == 0 || !receiver.accepts(job, s.Jobs.Now) {
 		return false
 	}
-	boundToZone := job.Scatter || (job.SamePlace && job.TaskCount > 1)
+	boundToZone := job.SpreadZones || (job.SameZone && job.TaskCount > 1)
 	return !boundToZone || receiver.Zone == donor.Zone
 }
--- a/internal/scheduler/pack_test.go
+++ b/internal/scheduler/pack_test.go
@@ -25,26 +25,26 @@
 			j.CPUs, j.EstimatedRuntime, j.CheckpointInterval = 4, 600, 5
 		})
 		record := fmt.Sprintf(`{"t":1,"a":[[0,1,%q]]}`, name)
-		s.Jobs.Listen(pipeline.RunKey, id+"/0", []byte(record), 100)
-		entry := job.Entry(0)
-		entry.Phase = pipeline.RunningTask
+		s.Jobs.HandleChange(pipeline.RunKey, id+"/0", []byte(record), 100)
+		entry := job.Assignment(0)
+		entry.Phase = pipeline.TaskRunning
 		entry.StartedAt = int64(s.now - time.Minute)
 	}
-	first := s.Pack(s.now, s.Capacities(s.now), nil)
+	first := s.Consolidate(s.now, s.Capacities(s.now), nil)
 	if len(first) != machines/2 {
 		t.Fatalf("%d of %d machines drained, not half of them", len(first), machines)
 	}
-	if second := s.Pack(s.now, s.Capacities(s.now), nil); len(second) != 0 {
+	if second := s.Consolidate(s.now, s.Capacities(s.now), nil); len(second) != 0 {
 		t.Errorf("%d more machines drained while the tasks of the first ones have no place yet", len(second))
 	}
 	waiting := s.job("req-9", func(j *pipeline.Job) { j.CPUs = 1 })
 	for _, machine := range first {
 		for _, entry := range s.Jobs.OnMachine(machine.Index) {
-			entry.Evict = false
+			entry.Evicting = false
 		}
 		machine.Draining = false
 	}
-	if third := s.Pack(s.now, s.Capacities(s.now), []*pipeline.Job{waiting}); len(third) != 0 {
+	if third := s.Consolidate(s.now, s.Capacities(s.now), []*pipeline.Job{waiting}); len(third) != 0 {
 		t.Errorf("%d machines drained of a type on which a job waits", len(third))
 	}
 }
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -26,11 +26,11 @@
 		return
 	}
 	inZone := s.Zones(job)
-	if job.SamePlace {
+	if job.SameZone {
 		candidates = singleZone(job, candidates, inZone, wanted)
 	}
 	placements, left := fillCapacities(job, candidates, inZone, wanted)
-	if job.Shape == pipeline.Gang && left > 0 && job.Active() == 0 {
+	if job.Shape == pipeline.Gang && left > 0 && job.ActiveCount() == 0 {
 		return
 	}
 	attempt := nextAttempt(job)
@@ -44,7 +44,7 @@
 // their places; of an older attempt there are none, or the gang would be stopping.
 func (s *Scheduler) wantedTasks(job *pipeline.Job) int {
 	startable := job.StartableCount()
-	quota := s.Quota(job)
+	quota := s.RemainingLimit(job)
 	if job.Shape == pipeline.Gang && quota < startable {
 		return 0
 	}
@@ -97,7 +97,7 @@
 	switch {
 	case job.Shape != pipeline.Gang:
 		return 0
-	case job.Active() == 0:
+	case job.ActiveCount() == 0:
 		return job.MaxAttempt() + 1
 	default:
 		return job.MaxAttempt()
@@ -108,7 +108,7 @@
 func (s *Scheduler) placeTasks(job *pipeline.Job, placement placement, attempt uint64, now event.Time) {
 	placement.capacity.Allocate(&job.Spec, placement.tasks)
 	for range placement.tasks {
-		s.Jobs.Place(job, nextTask(job), placement.capacity.Machine.Index, attempt, int64(now))
+		s.Jobs.Assign(job, nextTask(job), placement.capacity.Machine.Index, attempt, int64(now))
 	}
 }
 
@@ -117,5 +117,5 @@
 	if job.AtFault() && job.Shape != pipeline.Gang {
 		return job.ProbeTask()
 	}
-	return job.NextOpen(0)
+	return job.NextUnplaced(0)
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -28,7 +28,7 @@
 // freed is counted first, so that a job does not stop more than it needs. It
 // returns how many tasks are left without a reservation.
 func (s *Scheduler) preempt(job *pipeline.Job, capacities []*Capacity, now event.Time) (left int) {
-	left = min(job.StartableCount(), s.QuotaBeside(job, s.round.committed[job.Team]))
+	left = min(job.StartableCount(), s.RemainingLimitBeside(job, s.round.committed[job.Team]))
 	if job.Shape == pipeline.Gang && left < job.StartableCount() {
 		return 0 // whole or not at all
 	}
@@ -46,14 +46,14 @@
 // mayPreemptAny tells whether there may be tasks that a job may stop. None is
 // stopped for the probe of a job at fault, which is likely to fail again.
 func (s *Scheduler) mayPreemptAny(job *pipeline.Job) bool {
-	outranks := job.EffectivePriority > s.round.lowestPriority || job.WithinGuarantee
+	outranks := job.EffectivePriority > s.round.lowestPriority || job.WithinQuota
 	return outranks && !job.AtFault()
 }
 
 // cheapestVictims picks capacity for the tasks of a job, with the victims to stop
 // for it, in the zone where that costs least.
 func (s *Scheduler) cheapestVictims(job *pipeline.Job, capacities []*Capacity, count int, now event.Time) (best []pick) {
-	price := func(capacity *Capacity, taken taken) (float64, []*pipeline.Entry, bool) {
+	price := func(capacity *Capacity, taken taken) (float64, []*pipeline.Assignment, bool) {
 		free := capacity.afterPreemption()
 		fetch := fetchCost * capacity.FetchTime(job)
 		if free.Fits(&job.Spec) > 0 {
@@ -108,25 +108,25 @@
 }
 
 // notePreempted counts what a team loses by a stop.
-func (s *Scheduler) notePreempted(entry *pipeline.Entry) {
+func (s *Scheduler) notePreempted(entry *pipeline.Assignment) {
 	usage := s.round.preempting[entry.Job.Team]
 	usage.Add(&entry.Job.Spec, 1)
 	s.round.preempting[entry.Job.Team] = usage
 }
 
 // mayPreempt tells whether a job may stop a running task.
-func (s *Scheduler) mayPreempt(job *pipeline.Job, entry *pipeline.Entry) bool {
+func (s *Scheduler) mayPreempt(job *pipeline.Job, entry *pipeline.Assignment) bool {
 	other := entry.Job
 	if job.EffectivePriority > other.EffectivePriority {
 		return true
 	}
-	if !job.WithinGuarantee || job.Team == other.Team {
+	if !job.WithinQuota || job.Team == other.Team {
 		return false
 	}
 	// A job within its own team's guarantee is not stopped for another's. Nor is
 	// what was placed a moment ago: two jobs that stopped each other in every
 	// round, before either was stored, would never start.
-	if other.WithinGuarantee || !entry.Durable {
+	if other.WithinQuota || !entry.Durable {
 		return false
 	}
 	return s.borrows(other, s.Teams[job.Team], &job.Spec)
@@ -136,7 +136,7 @@
 // that is guaranteed to the team of the asking job.
 func (s *Scheduler) borrows(job *pipeline.Job, askingTeam config.Team, asking *pipeline.Spec) bool {
 	guarantee := s.Teams[job.Team]
-	usage := s.Jobs.Team(job.Team)
+	usage := s.Jobs.TeamUsage(job.Team)
 	stopped := s.round.preempting[job.Team]
 	if askingTeam.CPUs > 0 && asking.CPUs > 0 && job.CPUs > 0 {
 		if usage.CPUs-stopped.CPUs > guarantee.CPUs+tolerance {
@@ -151,23 +151,23 @@
 
 // candidate is a task that may be stopped, and what that costs.
 type candidate struct {
-	entry *pipeline.Entry
+	entry *pipeline.Assignment
 	cost  float64 // seconds of work lost or delayed
 }
 
 // compareCandidates puts the cheapest first, of equal ones that of the youngest job.
 func compareCandidates(a, b candidate) int {
-	return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(b.entry.Job.Order, a.entry.Job.Order), cmp.Compare(a.entry.Task, b.entry.Task))
+	return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(b.entry.Job.ReadyRevision, a.entry.Job.ReadyRevision), cmp.Compare(a.entry.Task, b.entry.Task))
 }
 
 // victims picks tasks to stop on a machine until the job fits, those that lose
 // least first. cost is in seconds of work lost or delayed. free is what is left once
 // the tasks that are already being stopped have terminated.
-func (s *Scheduler) victims(job *pipeline.Job, capacity *Capacity, free Capacity, taken taken, now event.Time) (victims []*pipeline.Entry, cost float64) {
+func (s *Scheduler) victims(job *pipeline.Job, capacity *Capacity, free Capacity, taken taken, now event.Time) (victims []*pipeline.Assignment, cost float64) {
 	candidates := s.scratch.candidates[:0]
 	for _, entry := range s.Jobs.OnMachine(capacity.Machine.Index) {
 		if !taken[entry] && mayBeVictim(entry) && !forcedStart(entry, now) && s.mayPreempt(job, entry) {
-			candidates = append(candidates, candidate{entry, stopCost(entry, now)})
+			candidates = append(candidates, candidate{entry, evictionCost(entry, now)})
 		}
 	}
 	s.scratch.candidates = candidates
@@ -187,15 +187,15 @@
 
 // mayBeVictim tells whether a task can be stopped at all for another. Gangs are not:
 // all of their tasks would lose their places for the sake of one.
-func mayBeVictim(entry *pipeline.Entry) bool {
-	if entry.Evict || entry.Pending != pipeline.NoPendingWrite {
+func mayBeVictim(entry *pipeline.Assignment) bool {
+	if entry.Evicting || entry.Pending != pipeline.NoPendingWrite {
 		return false
 	}
-	return entry.Job.Final == pipeline.Queued && !entry.Job.IsGang()
+	return entry.Job.TerminalPhase == pipeline.Queued && !entry.Job.IsGang()
 }
 
-// stopCost is what it costs to stop a task, in seconds of work lost or delayed.
-func stopCost(entry *pipeline.Entry, now event.Time) float64 {
+// evictionCost is what it costs to stop a task, in seconds of work lost or delayed.
+func evictionCost(entry *pipeline.Assignment, now event.Time) float64 {
 	cost := entry.Job.CheckpointDuration + moveCost
 	if entry.StartedAt == 0 {
 		return cost
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -18,24 +18,24 @@
 	asks := s.job("req-1", nil)
 	borrower := func(j *pipeline.Job) { j.Team, j.CPUs = other, 4 }
 	within, beyond := s.job("req-2", borrower), s.job("req-3", borrower)
-	fresh := s.Jobs.Place(beyond, 0, 0, 1, int64(s.now))
-	s.Jobs.Listen(pipeline.RunKey, "req-2/0", []byte(`{"t":1,"a":[[0,1,"i-1"]]}`), 9)
-	s.updateGuarantees(s.Jobs.Unfinished())
-	if !asks.WithinGuarantee || !within.WithinGuarantee || beyond.WithinGuarantee {
-		t.Fatalf("within the guarantee: %v %v %v", asks.WithinGuarantee, within.WithinGuarantee, beyond.WithinGuarantee)
+	fresh := s.Jobs.Assign(beyond, 0, 0, 1, int64(s.now))
+	s.Jobs.HandleChange(pipeline.RunKey, "req-2/0", []byte(`{"t":1,"a":[[0,1,"i-1"]]}`), 9)
+	s.updateQuotas(s.Jobs.ReadyJobs())
+	if !asks.WithinQuota || !within.WithinQuota || beyond.WithinQuota {
+		t.Fatalf("within the guarantee: %v %v %v", asks.WithinQuota, within.WithinQuota, beyond.WithinQuota)
 	}
-	if s.mayPreempt(asks, within.Entry(0)) {
+	if s.mayPreempt(asks, within.Assignment(0)) {
 		t.Error("a job within its own team's guarantee is stopped")
 	}
 	if s.mayPreempt(asks, fresh) {
 		t.Error("a task is stopped before it is stored")
 	}
-	s.Jobs.Listen(pipeline.RunKey, "req-3/0", []byte(`{"t":1,"a":[[0,1,"i-1"]]}`), 10)
-	if e := beyond.Entry(0); !e.Durable || !s.mayPreempt(asks, e) {
+	s.Jobs.HandleChange(pipeline.RunKey, "req-3/0", []byte(`{"t":1,"a":[[0,1,"i-1"]]}`), 10)
+	if e := beyond.Assignment(0); !e.Durable || !s.mayPreempt(asks, e) {
 		t.Error("what a team borrows does not give way")
 	}
 	asks.EffectivePriority = pipeline.High
-	if !s.mayPreempt(asks, within.Entry(0)) {
+	if !s.mayPreempt(asks, within.Assignment(0)) {
 		t.Error("work of lower rank does not give way")
 	}
 }
@@ -53,7 +53,7 @@
 		other := s.Jobs.Names.Teams.Index("u")
 		s.Teams = map[int]config.Team{s.Jobs.Names.Teams.Index("t"): {CPUsMax: c.limit}}
 		s.job("req-1", func(j *pipeline.Job) { j.Team = other })
-		s.Jobs.Listen(pipeline.RunKey, "req-1/0", []byte(`{"t":1,"a":[[0,1,"i-1"]]}`), 9)
+		s.Jobs.HandleChange(pipeline.RunKey, "req-1/0", []byte(`{"t":1,"a":[[0,1,"i-1"]]}`), 9)
 		for _, id := range []string{"req-2", "req-3"} {
 			s.job(id, func(j *pipeline.Job) { j.Shape, j.TaskCount, j.CPUs = c.shape, c.n, 1 })
 		}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -7,26 +7,26 @@
 	"lugward/internal/pipeline"
 )
 
-// updateGuarantees finds the jobs that are within their team's guarantee: those that
+// updateQuotas finds the jobs that are within their team's guarantee: those that
 // fit there together with the team's earlier unfinished jobs.
-func (s *Scheduler) updateGuarantees(unfinished []*pipeline.Job) {
+func (s *Scheduler) updateQuotas(unfinished []*pipeline.Job) {
 	byTeam := map[int]pipeline.Usage{}
 	s.round.lowestPriority = pipeline.Production
 	for _, job := range unfinished {
 		usage := byTeam[job.Team]
 		usage.Add(&job.Spec, float64(job.TaskCount-job.DoneCount()))
 		byTeam[job.Team] = usage
-		job.WithinGuarantee = isWithinGuarantee(job, s.Teams[job.Team], usage)
-		if job.Active() > 0 {
+		job.WithinQuota = isWithinQuota(job, s.Teams[job.Team], usage)
+		if job.ActiveCount() > 0 {
 			s.round.lowestPriority = min(s.round.lowestPriority, job.EffectivePriority)
 		}
 	}
 }
 
-// isWithinGuarantee tells whether a job is within its team's guarantee, given what
+// isWithinQuota tells whether a job is within its team's guarantee, given what
 // it uses together with the team's earlier jobs. A job must use something that is
 // guaranteed; what is not guaranteed does not count.
-func isWithinGuarantee(job *pipeline.Job, team config.Team, usage pipeline.Usage) bool {
+func isWithinQuota(job *pipeline.Job, team config.Team, usage pipeline.Usage) bool {
 	usesCPUs := team.CPUs > 0 && job.CPUs > 0
 	usesGPUs := team.GPUs > 0 && job.GPUs > 0
 	if usesCPUs && usage.CPUs > team.CPUs+tolerance {
@@ -38,16 +38,16 @@
 	return usesCPUs || usesGPUs
 }
 
-// Quota returns how many more tasks of the job its team's limit allows.
-func (s *Scheduler) Quota(job *pipeline.Job) int {
-	return s.QuotaBeside(job, pipeline.Usage{})
+// RemainingLimit returns how many more tasks of the job its team's limit allows.
+func (s *Scheduler) RemainingLimit(job *pipeline.Job) int {
+	return s.RemainingLimitBeside(job, pipeline.Usage{})
 }
 
-// QuotaBeside is the quota once the team also uses what is committed to other jobs
+// RemainingLimitBeside is the quota once the team also uses what is committed to other jobs
 // of it: else each of many jobs would be given all that the limit leaves.
-func (s *Scheduler) QuotaBeside(job *pipeline.Job, committed pipeline.Usage) int {
+func (s *Scheduler) RemainingLimitBeside(job *pipeline.Job, committed pipeline.Usage) int {
 	team := s.Teams[job.Team]
-	usage := s.Jobs.Team(job.Team)
+	usage := s.Jobs.TeamUsage(job.Team)
 	usage.CPUs += committed.CPUs
 	usage.GPUs += committed.GPUs
 	count := math.MaxInt32
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -24,8 +24,8 @@
 	if job.Shape != pipeline.Gang {
 		left = min(left, maxReservations-s.round.reserved)
 	}
-	picks, zone := s.soonestCapacity(job, left, capacities, now)
-	if job.IsGang() && job.Active() == 0 && len(picks) < left {
+	picks, zone := s.earliestCapacity(job, left, capacities, now)
+	if job.IsGang() && job.ActiveCount() == 0 && len(picks) < left {
 		return // however long it waits for what is up: others may use that
 	}
 	if zone != anyZone && len(picks) == left {
@@ -37,12 +37,12 @@
 	}
 }
 
-// soonestCapacity picks the capacity that will be free first, and returns the zone
+// earliestCapacity picks the capacity that will be free first, and returns the zone
 // that it was looked for in. For a gang that must be in one place a zone is chosen
 // once and kept: else the capacity that gathers in one would be left for another
 // whenever that looks a little better, and small jobs would take it.
-func (s *Scheduler) soonestCapacity(job *pipeline.Job, count int, capacities []*Capacity, now event.Time) (best []pick, bestZone int) {
-	price := func(capacity *Capacity, _ taken) (float64, []*pipeline.Entry, bool) {
+func (s *Scheduler) earliestCapacity(job *pipeline.Job, count int, capacities []*Capacity, now event.Time) (best []pick, bestZone int) {
+	price := func(capacity *Capacity, _ taken) (float64, []*pipeline.Assignment, bool) {
 		after := s.fitsAfter(job, capacity, now)
 		return after, nil, !math.IsInf(after, 1)
 	}
@@ -52,7 +52,7 @@
 	for _, zone := range s.zonesToTry(job, capacities) {
 		var picks []pick
 		if count == 1 {
-			picks = s.soonestOne(job, capacities, zone, now)
+			picks = s.earliestSingle(job, capacities, zone, now)
 		} else {
 			picks = s.choose(job, capacities, zone, count, price, now)
 		}
@@ -71,48 +71,48 @@
 	return best, bestZone
 }
 
-// freeing is a machine with the seconds after which capacity comes free there first:
+// capacityRelease is a machine with the seconds after which capacity comes free there first:
 // no task that is waiting fits sooner.
-type freeing struct {
+type capacityRelease struct {
 	capacity *Capacity
 	after    float64
 	index    int // of the machine among the others, so that equal ones keep an order
 }
 
-// listBySoonest lists the machines by when capacity comes free first.
-func (s *Scheduler) listBySoonest(capacities []*Capacity, now event.Time) []freeing {
+// listByRelease lists the machines by when capacity comes free first.
+func (s *Scheduler) listByRelease(capacities []*Capacity, now event.Time) []capacityRelease {
 	roomy := make(map[*Capacity]bool, len(s.round.roomy))
 	for _, capacity := range s.round.roomy {
 		roomy[capacity] = true
 	}
-	list := make([]freeing, 0, len(capacities))
+	list := make([]capacityRelease, 0, len(capacities))
 	for i, capacity := range capacities {
 		if !capacity.endingsListed {
 			s.listEndings(capacity, now)
 		}
 		switch {
 		case roomy[capacity]:
-			list = append(list, freeing{capacity, 0, i})
+			list = append(list, capacityRelease{capacity, 0, i})
 		case len(capacity.endings) > 0:
-			list = append(list, freeing{capacity, capacity.endings[0].after, i})
+			list = append(list, capacityRelease{capacity, capacity.endings[0].after, i})
 		}
 	}
-	slices.SortFunc(list, freeing.compare)
+	slices.SortFunc(list, capacityRelease.compare)
 	return list
 }
 
-func (f freeing) compare(other freeing) int {
+func (f capacityRelease) compare(other capacityRelease) int {
 	return cmp.Or(cmp.Compare(f.after, other.after), cmp.Compare(f.index, other.index))
 }
 
-// soonestOne picks the capacity that will be free first for a single task, as choose
+// earliestSingle picks the capacity that will be free first for a single task, as choose
 // would among all machines, and looks no further than at those that may be the one.
-func (s *Scheduler) soonestOne(job *pipeline.Job, capacities []*Capacity, zone int, now event.Time) []pick {
+func (s *Scheduler) earliestSingle(job *pipeline.Job, capacities []*Capacity, zone int, now event.Time) []pick {
 	if s.round.bySoonest == nil {
-		s.round.bySoonest = s.listBySoonest(capacities, now)
+		s.round.bySoonest = s.listByRelease(capacities, now)
 	}
 	inZone := s.Zones(job)
-	var best freeing
+	var best capacityRelease
 	for _, candidate := range s.round.bySoonest {
 		if best.capacity != nil && candidate.compare(best) > 0 {
 			break
@@ -122,7 +122,7 @@
 		if !mayChoose(job, capacity, zone, now) || ZoneCapacity(job, inZone, capacity.Zone) <= 0 {
 			continue
 		}
-		found := freeing{capacity, s.fitsAfter(job, capacity, now), candidate.index}
+		found := capacityRelease{capacity, s.fitsAfter(job, capacity, now), candidate.index}
 		if !math.IsInf(found.after, 1) && (best.capacity == nil || found.compare(best) < 0) {
 			best = found
 		}
@@ -164,11 +164,11 @@
 func (s *Scheduler) listEndings(capacity *Capacity, now event.Time) {
 	capacity.endingsListed = true
 	for _, entry := range s.Jobs.OnMachine(capacity.Machine.Index) {
-		if entry.Phase == pipeline.Exited {
+		if entry.Phase == pipeline.TaskExited {
 			continue // it was not counted
 		}
 		after := s.Remaining(entry, now)
-		if entry.Evict {
+		if entry.Evicting {
 			after = entry.Job.CheckpointDuration
 		}
 		capacity.endings = append(capacity.endings, ending{entry, after})
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -21,15 +21,15 @@
 // else less important jobs behind them would take that capacity.
 func (s *Scheduler) Round(now event.Time) (blocked []*pipeline.Job, capacities []*Capacity) {
 	capacities = s.Capacities(now)
-	unfinished := s.Jobs.Unfinished()
-	s.updateGuarantees(unfinished)
-	jobs := slices.DeleteFunc(unfinished, func(job *pipeline.Job) bool { return !job.Waits(int64(now)) })
+	unfinished := s.Jobs.ReadyJobs()
+	s.updateQuotas(unfinished)
+	jobs := slices.DeleteFunc(unfinished, func(job *pipeline.Job) bool { return !job.Schedulable(int64(now)) })
 	order(jobs, now)
 	start := s.startRound(jobs, capacities)
-	s.round.roomy = roomyCapacities(jobs, capacities)
+	s.round.roomy = capacitiesWithRoom(jobs, capacities)
 	s.round.bySoonest = nil
 	if start == 0 {
-		s.beginStarving(jobs, capacities, now)
+		s.startStarving(jobs, capacities, now)
 	}
 	s.scheduleJobs(jobs[start:], capacities, now)
 	for _, job := range jobs {
@@ -58,10 +58,10 @@
 	return start
 }
 
-// roomyCapacities lists the machines with capacity for the least that any of the jobs
+// capacitiesWithRoom lists the machines with capacity for the least that any of the jobs
 // asks for of each resource: in a full site these are few, and only they are looked at
 // to place a task.
-func roomyCapacities(jobs []*pipeline.Job, capacities []*Capacity) []*Capacity {
+func capacitiesWithRoom(jobs []*pipeline.Job, capacities []*Capacity) []*Capacity {
 	if len(jobs) == 0 {
 		return nil
 	}
@@ -89,9 +89,9 @@
 	for _, reservation := range s.round.reservations {
 		capacity := byMachine[reservation.machine]
 		job := reservation.job
-		if capacity != nil && job.StartableCount() > 0 && job.Final == pipeline.Queued {
+		if capacity != nil && job.StartableCount() > 0 && job.TerminalPhase == pipeline.Queued {
 			capacity.Allocate(&job.Spec, 1)
-			s.commitQuota(job)
+			s.commitUsage(job)
 		}
 	}
 }
@@ -119,13 +119,13 @@
 // reserveTask reserves capacity that is not free yet for a task that waits for it.
 func (s *Scheduler) reserveTask(job *pipeline.Job, capacity *Capacity, now event.Time) {
 	capacity.Allocate(&job.Spec, 1)
-	s.commitQuota(job)
+	s.commitUsage(job)
 	capacity.Machine.ReservedAt = now
 	s.round.reservations = append(s.round.reservations, reservation{job, capacity.Machine})
 }
 
-// commitQuota counts a task's reservation for its team's limit.
-func (s *Scheduler) commitQuota(job *pipeline.Job) {
+// commitUsage counts a task's reservation for its team's limit.
+func (s *Scheduler) commitUsage(job *pipeline.Job) {
 	usage := s.round.committed[job.Team]
 	usage.Add(&job.Spec, 1)
 	s.round.committed[job.Team] = usage
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -11,12 +11,12 @@
 
 // Scheduler makes the rounds.
 type Scheduler struct {
-	Jobs           *pipeline.Table
-	Workers        *worker.Registry
-	MachineTypes   *MachineTypes
-	Teams          map[int]config.Team
-	ReportInterval event.Time // between two reports of a machine
-	SilentAfter    event.Time // a machine without a report for this long gets no new task
+	Jobs              *pipeline.Table
+	Workers           *worker.Registry
+	MachineTypes      *MachineTypes
+	Teams             map[int]config.Team
+	HeartbeatInterval event.Time // between two reports of a machine
+	HeartbeatTimeout  event.Time // a machine without a report for this long gets no new task
 
 	// Interrupted counts the rounds that ran out of their budget.
 	Interrupted int
@@ -38,7 +38,7 @@
 	resume         *pipeline.Job          // where the last round ran out of time
 	reservations   []reservation          // by the jobs before resume
 	roomy          []*Capacity            // on which a task of some job fits; capacity only shrinks in a round
-	bySoonest      []freeing              // the machines by when capacity comes free first, nil: not listed yet
+	bySoonest      []capacityRelease      // the machines by when capacity comes free first, nil: not listed yet
 	reserved       int                    // tasks with a reservation in this round
 	lowestPriority pipeline.Priority      // of what runs
 	preempting     map[int]pipeline.Usage // by team: what this round stops
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -18,13 +18,13 @@
 	jobs := pipeline.NewTable(n, 4096, 12)
 	workers := worker.New(n, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	machineTypes := MachineTypes{{CPUs: 8, Memory: 32}}
-	s := &Scheduler{Jobs: jobs, Workers: workers, MachineTypes: &machineTypes, SilentAfter: time.Minute}
+	s := &Scheduler{Jobs: jobs, Workers: workers, MachineTypes: &machineTypes, HeartbeatTimeout: time.Minute}
 	now := time.Second
 	for _, name := range []string{"i-1", "i-2"} {
 		addMachine(workers, name, now)
 	}
 	j := &pipeline.Job{ID: "req-1", Spec: pipeline.Spec{TaskCount: 2, CPUs: 3, Memory: 1, Zone: -1}}
-	jobs.Listen(pipeline.JobKey, j.ID, pipeline.Encode(names(n), j), 1)
+	jobs.HandleChange(pipeline.JobKey, j.ID, pipeline.Encode(names(n), j), 1)
 	left := func() (a, b float64) {
 		capacities := s.Capacities(now)
 		return capacities[0].CPUs, capacities[1].CPUs
@@ -32,11 +32,11 @@
 	if a, b := left(); a != 8 || b != 8 || s.Recounted != 2 {
 		t.Fatalf("empty machines have %v and %v CPUs, %d recounted", a, b, s.Recounted)
 	}
-	e := jobs.Place(jobs.Job("req-1"), 0, 1, 1, int64(now))
+	e := jobs.Assign(jobs.Job("req-1"), 0, 1, 1, int64(now))
 	if a, b := left(); a != 8 || b != 5 || s.Recounted != 3 {
 		t.Errorf("with a task on the second: %v and %v, %d counted", a, b, s.Recounted)
 	}
-	jobs.Clear(e)
+	jobs.RecordTermination(e)
 	if a, b := left(); a != 8 || b != 8 || s.Recounted != 4 {
 		t.Errorf("without it again: %v and %v, %d counted", a, b, s.Recounted)
 	}
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -32,9 +32,9 @@
 	}
 	score += fetchWeight * capacity.FetchTime(job)
 	// The start travels in the answer to the machine's next report.
-	sinceReport := now - capacity.Machine.LastReport
-	score += reportWaitWeight * max(0, (s.ReportInterval-sinceReport).Seconds())
-	if !capacity.Busy {
+	sinceReport := now - capacity.Machine.LastHeartbeat
+	score += reportWaitWeight * max(0, (s.HeartbeatInterval-sinceReport).Seconds())
+	if !capacity.InUse {
 		score += emptyScore
 	}
 	// Best fit: the least left over.
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -24,9 +24,9 @@
 			j.CPUs, j.TaskCount, j.EstimatedRuntime = 4, 2, 100
 		})
 		record := fmt.Sprintf(`{"t":1,"a":[[0,1,%q],[1,1,%q]]}`, name, name)
-		s.Jobs.Listen(pipeline.RunKey, id+"/0", []byte(record), uint64(10_000_000+i))
-		s.Jobs.Job(id).Entries(func(e *pipeline.Entry) {
-			e.Phase = pipeline.RunningTask
+		s.Jobs.HandleChange(pipeline.RunKey, id+"/0", []byte(record), uint64(10_000_000+i))
+		s.Jobs.Job(id).Assignments(func(e *pipeline.Assignment) {
+			e.Phase = pipeline.TaskRunning
 			e.StartedAt = int64(s.now - time.Duration(i%90)*time.Second)
 		})
 	}
@@ -47,12 +47,12 @@
 		s := fullSite(machines, 50, 1)
 		s.Round(s.now)
 		id := fmt.Sprintf("req-%d", 100_000)
-		s.Jobs.Listen(pipeline.RunKey, id+"/0", []byte(`{"t":1,"d":"AQ","a":[[1,1,"i-00000"]]}`), 90_000_000)
+		s.Jobs.HandleChange(pipeline.RunKey, id+"/0", []byte(`{"t":1,"d":"AQ","a":[[1,1,"i-00000"]]}`), 90_000_000)
 		before := work{s.Recounted, s.Visited, 0}
 		s.Round(s.now)
 		placed := 0
-		for _, job := range s.Jobs.Unfinished() {
-			job.Entries(func(e *pipeline.Entry) {
+		for _, job := range s.Jobs.ReadyJobs() {
+			job.Assignments(func(e *pipeline.Assignment) {
 				if !e.Durable {
 					placed++
 				}
@@ -77,7 +77,7 @@
 		s := fullSite(rapid.IntRange(1, 30).Draw(rt, "machines"), 0, 0)
 		job := s.job("req-1", func(j *pipeline.Job) {
 			j.CPUs = float64(rapid.IntRange(1, 8).Draw(rt, "CPUs"))
-			j.Scatter = rapid.Bool().Draw(rt, "scatter")
+			j.SpreadZones = rapid.Bool().Draw(rt, "scatter")
 			j.TaskCount = rapid.IntRange(1, 3).Draw(rt, "tasks")
 		})
 		capacities := s.Capacities(s.now)
@@ -87,14 +87,14 @@
 			}
 		}
 		s.startRound(nil, capacities)
-		s.round.roomy = roomyCapacities([]*pipeline.Job{job}, capacities)
-		price := func(capacity *Capacity, _ taken) (float64, []*pipeline.Entry, bool) {
+		s.round.roomy = capacitiesWithRoom([]*pipeline.Job{job}, capacities)
+		price := func(capacity *Capacity, _ taken) (float64, []*pipeline.Assignment, bool) {
 			after := s.fitsAfter(job, capacity, s.now)
 			return after, nil, !math.IsInf(after, 1)
 		}
 		for range 3 {
 			want := s.choose(job, capacities, anyZone, 1, price, s.now)
-			got := s.soonestOne(job, capacities, anyZone, s.now)
+			got := s.earliestSingle(job, capacities, anyZone, s.now)
 			if len(got) != len(want) || (len(got) > 0 && (got[0].capacity != want[0].capacity || got[0].cost != want[0].cost)) {
 				rt.Fatalf("%+v, not %+v", got, want)
 			}
--- a/internal/scheduler/starving.go
+++ b/internal/scheduler/starving.go
@@ -24,22 +24,22 @@
 // before any other work. Gangs are left to their order: they have no first task.
 func starving(job *pipeline.Job, now event.Time) bool {
 	waited := int64(now) - job.ReadySince
-	return waited > int64(startLimit) && !job.Begun() && !job.IsGang() && !job.AtFault()
+	return waited > int64(startLimit) && !job.HasStarted() && !job.IsGang() && !job.AtFault()
 }
 
 // forcedStart tells whether a task was placed a moment ago as the first one of a
 // job that was starving.
-func forcedStart(entry *pipeline.Entry, now event.Time) bool {
+func forcedStart(entry *pipeline.Assignment, now event.Time) bool {
 	job := entry.Job
-	first := job.Active() == 1 && job.DoneCount() == 0
+	first := job.ActiveCount() == 1 && job.DoneCount() == 0
 	late := entry.PlacedAt-job.ReadySince > int64(startLimit)
 	return first && late && int64(now)-entry.PlacedAt < int64(forcedStartTime)
 }
 
-// beginStarving places one task of each starving job, or reserves the capacity that
+// startStarving places one task of each starving job, or reserves the capacity that
 // comes free for it first. Nobody is stopped for it, and the rest of the job keeps
 // its place in the order: a single task takes little from jobs of higher priority.
-func (s *Scheduler) beginStarving(jobs []*pipeline.Job, capacities []*Capacity, now event.Time) {
+func (s *Scheduler) startStarving(jobs []*pipeline.Job, capacities []*Capacity, now event.Time) {
 	begun := 0
 	for _, job := range jobs {
 		if begun == maxForcedStarts || s.overBudget() {
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -14,9 +14,9 @@
 // Zones counts, per zone, the tasks of a job that may be on machines there.
 func (s *Scheduler) Zones(job *pipeline.Job) map[int]int {
 	inZone := map[int]int{}
-	job.Entries(func(entry *pipeline.Entry) {
+	job.Assignments(func(entry *pipeline.Assignment) {
 		zone := unknownZone
-		if machine := s.Workers.At(entry.Machine); machine != nil {
+		if machine := s.Workers.MachineAt(entry.Machine); machine != nil {
 			zone = machine.Zone
 		}
 		inZone[zone]++
@@ -28,7 +28,7 @@
 // is to be scattered. A new leader does not know yet where a silent machine stands:
 // its tasks count in every zone.
 func ZoneCapacity(job *pipeline.Job, inZone map[int]int, zone int) int {
-	if !job.Scatter {
+	if !job.SpreadZones {
 		return math.MaxInt32
 	}
 	half := (job.TaskCount + 1) / 2
@@ -56,7 +56,7 @@
 		if len(inZone) > 0 {
 			return nil
 		}
-		zone = roomiestZone(job, candidates, wanted)
+		zone = zoneWithMostCapacity(job, candidates, wanted)
 	}
 	var kept []*Capacity
 	for _, capacity := range candidates {
@@ -67,9 +67,9 @@
 	return kept
 }
 
-// roomiestZone is the zone that holds most of the wanted tasks, of equal ones that
+// zoneWithMostCapacity is the zone that holds most of the wanted tasks, of equal ones that
 // of the most suitable machine.
-func roomiestZone(job *pipeline.Job, candidates []*Capacity, wanted int) int {
+func zoneWithMostCapacity(job *pipeline.Job, candidates []*Capacity, wanted int) int {
 	fits := map[int]int{}
 	for _, capacity := range candidates {
 		fits[capacity.Zone] += capacity.Fits(&job.Spec)
@@ -88,7 +88,7 @@
 // zonesToTry lists the zones to try for a job: one at a time if its tasks must be
 // together, beginning with the one where capacity is reserved for it.
 func (s *Scheduler) zonesToTry(job *pipeline.Job, capacities []*Capacity) []int {
-	if !job.SamePlace || job.TaskCount == 1 {
+	if !job.SameZone || job.TaskCount == 1 {
 		return []int{anyZone}
 	}
 	inZone := s.Zones(job)
--- a/internal/simtest/commands_inspect.go
+++ b/internal/simtest/commands_inspect.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"lugward/internal/core"
+	"lugward/internal/controller"
 )
 
 // inspectionCommands print what came of everything; they change nothing.
@@ -47,17 +47,17 @@
 // bytes of reports they may decode so many hundredths, in a round count the
 // machine capacities of so many machines anew, and make so many writes in all.
 func workDone(w *World, a Args) string {
-	var sum core.Work
+	var sum controller.WorkCounters
 	for _, n := range w.nodes {
-		one := n.core.Work()
-		sum.Reports += one.Reports
+		one := n.core.WorkCounters()
+		sum.Heartbeats += one.Heartbeats
 		sum.Decoded += one.Decoded
 		sum.Unchanged += one.Unchanged
 		sum.Rounds += one.Rounds
-		sum.CapacitiesRecounted += one.CapacitiesRecounted
+		sum.CapacitiesRecomputed += one.CapacitiesRecomputed
 	}
 	if float64(sum.Decoded) <= a.num("decoded", "0")/100*float64(sum.Decoded+sum.Unchanged) &&
-		float64(sum.CapacitiesRecounted) <= a.num("counted", "0") &&
+		float64(sum.CapacitiesRecomputed) <= a.num("counted", "0") &&
 		w.state.written <= int(a.num("writes", "0")) {
 		return "within"
 	}
--- a/internal/simtest/hang.go
+++ b/internal/simtest/hang.go
@@ -13,7 +13,7 @@
 	onWake   []func()      // what happens once it goes on, in order
 }
 
-// answerTimeout is how long a worker waits for the answer to a report.
+// heartbeatAnswerTimeout is how long a worker waits for the answer to a report.
 const answerTimeout = 4 * time.Second
 
 // hang lets the machine be paused for that long.
--- a/internal/simtest/messages.go
+++ b/internal/simtest/messages.go
@@ -61,7 +61,7 @@
 	Attempt uint64 `json:"try"`
 }
 
-// reportAnswer is a controller's answer to a report.
+// heartbeatResponse is a controller's answer to a report.
 type reportAnswer struct {
 	FencingToken uint64  `json:"fence"`
 	Leader       string  `json:"steward"`
--- a/internal/simtest/network.go
+++ b/internal/simtest/network.go
@@ -149,7 +149,7 @@
 		w.observe(Message{From: from, To: n.name, Method: method, Path: path, Body: body})
 		n.step(func(now event.Time) {
 			crowded := path == "/hello" && n.connect(from, id)
-			n.core.Request(now, event.Request{Conn: id, Method: method, Path: path, Body: body, Crowded: crowded}, &n.out)
+			n.core.HandleRequest(now, event.Request{Conn: id, Method: method, Path: path, Body: body, ConnectionLimitReached: crowded}, &n.out)
 		})
 	}
 	to, there, back := w.reportDelays(n, path)
--- a/internal/simtest/node.go
+++ b/internal/simtest/node.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"lugward/internal/config"
-	"lugward/internal/core"
+	"lugward/internal/controller"
 	"lugward/internal/event"
 )
 
@@ -17,7 +17,7 @@
 	w     *World
 	index int
 	name  string
-	core  *core.Node
+	core  *controller.Controller
 	out   event.Effects
 	life  int // incarnation
 	up    bool
@@ -49,7 +49,7 @@
 	n.up, n.start = true, n.w.now
 	n.conns = map[uint64]func(int, []byte){}
 	n.connected = map[string]bool{}
-	n.core = core.New(&cfg, n.w.log.With("node", n.name, "life", n.life), nil)
+	n.core = controller.New(&cfg, n.w.log.With("node", n.name, "life", n.life), nil)
 	n.out.Reset()
 	n.tick(n.life)
 }
@@ -74,7 +74,7 @@
 	}
 	if !n.paused {
 		n.step(func(now event.Time) {
-			n.core.Clock(now, dayBegin.Add(n.w.now))
+			n.core.SetWallClock(now, dayBegin.Add(n.w.now))
 			n.core.Tick(now, &n.out)
 		})
 	}
@@ -146,7 +146,7 @@
 		data := fr.Data
 		n.w.send(n.name, to.name, func() {
 			if to.up {
-				to.step(func(now event.Time) { to.core.Frame(now, event.PeerFrame{Peer: -1, Data: data}, &to.out) })
+				to.step(func(now event.Time) { to.core.HandleFrame(now, event.PeerFrame{Peer: -1, Data: data}, &to.out) })
 			}
 		})
 	}
@@ -176,7 +176,7 @@
 		answered = true
 		n.w.observe(Message{From: c.Addr, To: n.name, Path: c.Path, Status: status, Body: body})
 		n.step(func(now event.Time) {
-			n.core.CallDone(now, event.CallDone{ID: c.ID, Status: status, Body: body}, &n.out)
+			n.core.HandleCallResult(now, event.CallResult{ID: c.ID, Status: status, Body: body}, &n.out)
 		})
 	}
 	n.w.after(c.Timeout, func() { finish(0, nil) })
--- a/internal/simtest/size_test.go
+++ b/internal/simtest/size_test.go
@@ -25,7 +25,7 @@
 		t.Fatalf("only %d machines were provisioned", seen)
 	}
 	for _, n := range w.nodes {
-		if indices := n.core.Work().MachineIndices; indices > 30 {
+		if indices := n.core.WorkCounters().MachineIndices; indices > 30 {
 			t.Errorf("%s keeps %d machines", n.name, indices)
 		}
 	}
--- a/internal/worker/direct.go
+++ b/internal/worker/direct.go
@@ -13,14 +13,14 @@
 	directTimeout    = 3 * time.Second  // of a direct command
 )
 
-// firstSession is the first session of a worker.
-const firstSession = 1
+// firstIncarnation is the first session of a worker.
+const firstIncarnation = 1
 
 // directCommand is a command to a worker outside of the answers to its reports.
 type directCommand struct {
-	FencingToken uint64  `json:"fence"`
-	Session      uint64  `json:"tenure"`
-	Orders       []Order `json:"orders"`
+	FencingToken uint64    `json:"fence"`
+	Incarnation  uint64    `json:"tenure"`
+	Commands     []Command `json:"orders"`
 }
 
 // directCall is a direct command in flight.
@@ -40,7 +40,7 @@
 // leader that lost the state service and the other controllers, but not its
 // workers, may answer them for its whole grace. Workers that know a higher fencing token
 // show it in their next report, which ends that, and report to us. The proof of silence does not rest on it.
-func (r *Registry) AnnounceToken(machine *Machine, now event.Time, term Term, out *event.Effects) {
+func (r *Registry) AnnounceToken(machine *Machine, now event.Time, term Leadership, out *event.Effects) {
 	if machine.Addr == "" {
 		return
 	}
@@ -48,8 +48,8 @@
 		return
 	}
 	machine.lastAnnouncement = now
-	session := max(machine.Session, firstSession)
-	command := directCommand{term.FencingToken(), session, []Order{}}
+	session := max(machine.Incarnation, firstIncarnation)
+	command := directCommand{term.FencingToken(), session, []Command{}}
 	r.announcing++
 	r.sendCommand(machine, command, directCall{announcedTo: machine}, out)
 }
@@ -57,10 +57,10 @@
 // Announcing counts the announcements in flight.
 func (r *Registry) Announcing() int { return r.announcing }
 
-// CallDone takes the outcome of a direct command; it tells whether the call was the
+// HandleCallResult takes the outcome of a direct command; it tells whether the call was the
 // registry's. The worker's next report tells what became of a command. Only where
 // an announcement named the wrong session it is repeated with the right one, once.
-func (r *Registry) CallDone(done event.CallDone, term Term, out *event.Effects) bool {
+func (r *Registry) HandleCallResult(done event.CallResult, term Leadership, out *event.Effects) bool {
 	call, ok := r.calls[done.ID]
 	if !ok {
 		return false
@@ -72,9 +72,9 @@
 	if call.announcedTo == nil || done.Status != http.StatusConflict {
 		return true
 	}
-	report, err := parseReport(done.Body)
+	report, err := parseHeartbeat(done.Body)
 	if err == nil && report.FencingToken < term.FencingToken() {
-		command := directCommand{term.FencingToken(), report.Session, []Order{}}
+		command := directCommand{term.FencingToken(), report.Incarnation, []Command{}}
 		r.sendCommand(call.announcedTo, command, directCall{}, out)
 	}
 	return true
--- a/internal/worker/failures.go
+++ b/internal/worker/failures.go
@@ -33,7 +33,7 @@
 // faulty or the job is: the job is if it also fails elsewhere, the machine if
 // several jobs fail there that work elsewhere. Until one of these is proven, the
 // job tries another machine at once and the machine is used as before.
-func (r *Registry) taskFailed(machine *Machine, entry *pipeline.Entry, now event.Time) {
+func (r *Registry) taskFailed(machine *Machine, entry *pipeline.Assignment, now event.Time) {
 	job := entry.Job
 	r.log.Info("task failed", "job", job.ID, "machine", machine.Name)
 	if machine.failedJobs == nil {
@@ -45,7 +45,7 @@
 	machine.failedJobs[job.ID] = runTime(entry, now)
 	r.suspects[machine.Index] = true
 	failures := job.Failures()
-	r.Jobs.TaskFailed(entry, now)
+	r.Jobs.RecordFailure(entry, now)
 	if job.Failures() > failures {
 		r.log.Info("job backing off", "job", job.ID, "failures", job.Failures())
 	}
@@ -60,7 +60,7 @@
 }
 
 // runTime is for how long a task has been seen running.
-func runTime(entry *pipeline.Entry, now event.Time) event.Time {
+func runTime(entry *pipeline.Assignment, now event.Time) event.Time {
 	if entry.StartedAt == 0 {
 		return 0
 	}
@@ -68,8 +68,8 @@
 }
 
 // runsFor tells whether a task is running and has been for a time.
-func runsFor(entry *pipeline.Entry, needed, now event.Time) bool {
-	return entry.Phase == pipeline.RunningTask && runTime(entry, now) >= needed
+func runsFor(entry *pipeline.Assignment, needed, now event.Time) bool {
+	return entry.Phase == pipeline.TaskRunning && runTime(entry, now) >= needed
 }
 
 // scanFaults looks at the machines on which tasks have failed. Without any it
@@ -80,8 +80,8 @@
 	}
 	r.faultScanAt = now
 	for _, index := range slices.Sorted(maps.Keys(r.suspects)) {
-		machine := r.At(index)
-		if machine == nil || machine.Faulty {
+		machine := r.MachineAt(index)
+		if machine == nil || machine.Quarantined {
 			delete(r.suspects, index)
 			continue
 		}
@@ -126,7 +126,7 @@
 	}
 	needed := max(minWorkingTime, workingTimeFactor*ran)
 	works := false
-	job.Entries(func(entry *pipeline.Entry) {
+	job.Assignments(func(entry *pipeline.Assignment) {
 		works = works || (entry.Machine != machine.Index && runsFor(entry, needed, now))
 	})
 	return works
@@ -136,14 +136,14 @@
 // the machine is released when it is empty.
 func (r *Registry) quarantine(machine *Machine) {
 	r.log.Info("machine is faulty", "machine", machine.Name, "failed_jobs", len(machine.failedJobs))
-	machine.Faulty = true
+	machine.Quarantined = true
 	machine.Draining = true
 	for _, id := range slices.Sorted(maps.Keys(machine.failedJobs)) {
 		if job := r.Jobs.Job(id); job != nil && job.FailedOnlyOn(machine.Index) {
 			r.Jobs.ClearFailures(job)
 		}
 	}
-	for _, entry := range r.sortedEntries(machine) {
+	for _, entry := range r.sortedAssignments(machine) {
 		r.Evict(entry, GracePeriod(entry.Job))
 	}
 }
@@ -154,7 +154,7 @@
 		return
 	}
 	works := false
-	job.Entries(func(entry *pipeline.Entry) {
+	job.Assignments(func(entry *pipeline.Assignment) {
 		works = works || runsFor(entry, serviceWorkingTime, now)
 	})
 	if works {
--- a/internal/worker/failures_test.go
+++ b/internal/worker/failures_test.go
@@ -27,14 +27,14 @@
 func (c *cluster) submit(id string, shape pipeline.Shape, tasks int) *pipeline.Job {
 	j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{Shape: shape, TaskCount: tasks, Zone: -1}}
 	j.Class, j.Team, j.Image = c.Names.Classes.Index("c"), c.Names.Teams.Index("t"), c.Names.Images.Index("b")
-	c.Jobs.Listen(pipeline.JobKey, id, pipeline.Encode(c.Names, j), 1)
+	c.Jobs.HandleChange(pipeline.JobKey, id, pipeline.Encode(c.Names, j), 1)
 	return c.Jobs.Job(id)
 }
 
 // start puts a task on a machine as a stored placement.
 func (c *cluster) start(j *pipeline.Job, task int, machine string) {
-	placedOn := c.Machine(machine, c.now)
-	entry := c.Jobs.Place(j, task, placedOn.Index, j.MaxAttempt()+1, int64(c.now))
+	placedOn := c.Add(machine, c.now)
+	entry := c.Jobs.Assign(j, task, placedOn.Index, j.MaxAttempt()+1, int64(c.now))
 	entry.Durable = true
 }
 
@@ -42,11 +42,11 @@
 func (c *cluster) report(machine string, j *pipeline.Job, task int, phase, cause string) {
 	c.sequence++
 	attempt := uint64(0)
-	if entry := j.Entry(task); entry != nil {
+	if entry := j.Assignment(task); entry != nil {
 		attempt = entry.Attempt
 	}
-	c.TakeReport(&Report{Machine: machine, Addr: "10.1.0.1:9000", MachineType: "f", Zone: "a", Session: 1, Sequence: c.sequence, FencingToken: 5,
-		Tasks: []TaskReport{{Task: fmt.Sprintf("%s/%d", j.ID, task), Attempt: attempt, Phase: phase, Cause: cause}}}, c.now, term{})
+	c.HandleHeartbeat(&Heartbeat{Machine: machine, Addr: "10.1.0.1:9000", MachineType: "f", Zone: "a", Incarnation: 1, Sequence: c.sequence, FencingToken: 5,
+		Tasks: []TaskStatus{{Task: fmt.Sprintf("%s/%d", j.ID, task), Attempt: attempt, Phase: phase, Cause: cause}}}, c.now, term{})
 }
 
 func (c *cluster) wait(d time.Duration) {
@@ -72,7 +72,7 @@
 	}
 	c.wait(time.Minute)
 	for _, name := range []string{"i-1", "i-2"} {
-		if m := c.Machine(name, c.now); m.Faulty || m.Draining || m.Retiring {
+		if m := c.Add(name, c.now); m.Quarantined || m.Draining || m.Decommissioning {
 			t.Errorf("%s is blamed", name)
 		}
 	}
@@ -89,26 +89,26 @@
 		j := c.submit(fmt.Sprint("req-", n), pipeline.Array, 1)
 		c.start(j, 0, "i-1")
 		c.report("i-1", j, 0, "exited", "error")
-		if j.BackingOff(int64(c.now)) || !j.Avoids(c.Machine("i-1", c.now).Index, int64(c.now)) {
+		if j.BackingOff(int64(c.now)) || !j.AvoidsMachine(c.Add("i-1", c.now).Index, int64(c.now)) {
 			t.Errorf("%s does not move at once", j.ID)
 		}
-		c.Jobs.Listen(pipeline.RunKey, j.ID+"/0", []byte(`{"t":1}`), 5)
+		c.Jobs.HandleChange(pipeline.RunKey, j.ID+"/0", []byte(`{"t":1}`), 5)
 		c.start(j, 0, "i-2")
 		c.report("i-2", j, 0, "running", "")
 	}
 	c.wait(time.Second)
-	if c.Machine("i-1", c.now).Faulty {
+	if c.Add("i-1", c.now).Quarantined {
 		t.Error("two failures are no proof yet")
 	}
 	c.wait(minWorkingTime)
-	faulty := c.Machine("i-1", c.now)
-	if !faulty.Faulty || !faulty.Draining {
+	faulty := c.Add("i-1", c.now)
+	if !faulty.Quarantined || !faulty.Draining {
 		t.Error("the machine is not taken out of use")
 	}
-	if entry := other.Entry(0); entry == nil || !entry.Evict {
+	if entry := other.Assignment(0); entry == nil || !entry.Evicting {
 		t.Error("what runs there does not move")
 	}
-	if c.Machine("i-2", c.now).Faulty {
+	if c.Add("i-2", c.now).Quarantined {
 		t.Error("the healthy machine is blamed")
 	}
 }
@@ -122,7 +122,7 @@
 		c.start(j, task, machine)
 		c.report(machine, j, task, "exited", "error")
 	}
-	c.Jobs.Listen(pipeline.RunKey, j.ID+"/0", []byte(`{"t":2}`), 5)
+	c.Jobs.HandleChange(pipeline.RunKey, j.ID+"/0", []byte(`{"t":2}`), 5)
 	c.wait(time.Minute)
 	if !j.AtFault() || j.StartableCount() != 1 {
 		t.Fatalf("%d failures, %d to try", j.Failures(), j.StartableCount())
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -34,14 +34,14 @@
 // contact is how far the exchange of reports and answers has come in this term.
 // Reports are ordered by session and sequence.
 type contact struct {
-	Session       uint64
-	Sequence      uint64
-	LastReport    event.Time // 0: none in this term
-	LastAnswer    event.Time // 0: none in this term
-	ReconnectedAt event.Time // when it last reported again after it had been silent
-	DivertedAt    event.Time // when it was last sent to another controller for want of sockets, 0: never
-	RelayedAt     event.Time // when a report of it last came through another controller, 0: never
-	firstReport   event.Time
+	Incarnation    uint64
+	Sequence       uint64
+	LastHeartbeat  event.Time // 0: none in this term
+	LastAnswer     event.Time // 0: none in this term
+	ReconnectedAt  event.Time // when it last reported again after it had been silent
+	RedirectedAt   event.Time // when it was last sent to another controller for want of sockets, 0: never
+	RelayedAt      event.Time // when a report of it last came through another controller, 0: never
+	firstHeartbeat event.Time
 }
 
 // reachability is whether our answers reach the worker. Its reports may go on
@@ -50,41 +50,41 @@
 	// TokenConfirmed tells whether a report carried our fencing token.
 	TokenConfirmed bool
 	// UnreachableSince is since when our answers seem not to arrive, 0: they do.
-	UnreachableSince   event.Time
-	unreachableSession uint64 // the session of that time
-	unconfirmedReports int    // without our fencing token since we first answered one
+	UnreachableSince       event.Time
+	unreachableIncarnation uint64 // the session of that time
+	unconfirmedHeartbeats  int    // without our fencing token since we first answered one
 }
 
 // use is what the machine is used for.
 type use struct {
-	Retiring     bool         // to be released, or released: no task may be placed
-	Draining     bool         // its tasks are being moved: to be released when empty
-	ReclaimAt    event.Time   // when the cloud takes it back, 0: no notice
-	IdleFrom     event.Time   // when it last had tasks
-	ReservedAt   event.Time   // when capacity was last reserved for a job that waits
-	UnknownTasks int          // tasks on it that no entry explains
-	Images       map[int]bool // that it has fetched
+	Decommissioning bool         // to be released, or released: no task may be placed
+	Draining        bool         // its tasks are being moved: to be released when empty
+	ReclaimAt       event.Time   // when the cloud takes it back, 0: no notice
+	IdleSince       event.Time   // when it last had tasks
+	ReservedAt      event.Time   // when capacity was last reserved for a job that waits
+	UnknownTasks    int          // tasks on it that no entry explains
+	Images          map[int]bool // that it has fetched
 }
 
 // health is what its tasks show of the machine. Jobs go by name, as an index serves
 // another job once one is forgotten.
 type health struct {
-	Faulty       bool                  // several jobs that work elsewhere fail here
-	SlowJobs     map[string]bool       // jobs in a row that ran far longer here than their class does
-	RefusedUntil event.Time            // the worker has refused a task: not to be used before
-	failedJobs   map[string]event.Time // failed here since a task last completed: how long they had run
-	failingSince event.Time            // the first of these failures
+	Quarantined      bool                  // several jobs that work elsewhere fail here
+	SlowJobs         map[string]bool       // jobs in a row that ran far longer here than their class does
+	UnavailableUntil event.Time            // the worker has refused a task: not to be used before
+	failedJobs       map[string]event.Time // failed here since a task last completed: how long they had run
+	failingSince     event.Time            // the first of these failures
 }
 
 // commands is when the worker was last called directly.
 type commands struct {
-	lastStops        event.Time
+	lastTerminations event.Time
 	lastAnnouncement event.Time
 }
 
-// Up tells whether a machine can take tasks now.
-func (m *Machine) Up(now event.Time, silentAfter time.Duration) bool {
-	reporting := m.LastReport > 0 && now-m.LastReport < silentAfter
+// Schedulable tells whether a machine can take tasks now.
+func (m *Machine) Schedulable(now event.Time, silentAfter time.Duration) bool {
+	reporting := m.LastHeartbeat > 0 && now-m.LastHeartbeat < silentAfter
 	return reporting && m.Known && m.reachable() && m.accepting(now) && m.healthy()
 }
 
@@ -95,7 +95,7 @@
 
 // leaving tells whether the machine is to be released or reclaimed.
 func (u *use) leaving() bool {
-	return u.Retiring || u.ReclaimAt != 0
+	return u.Decommissioning || u.ReclaimAt != 0
 }
 
 // accepting tells whether nothing forbids another task.
@@ -103,12 +103,12 @@
 	if m.leaving() || m.Draining {
 		return false
 	}
-	return m.UnknownTasks == 0 && now >= m.RefusedUntil
+	return m.UnknownTasks == 0 && now >= m.UnavailableUntil
 }
 
 // healthy tells whether tasks run on the machine as they do elsewhere.
 func (h *health) healthy() bool {
-	return !h.Faulty && len(h.SlowJobs) < maxSlowJobs
+	return !h.Quarantined && len(h.SlowJobs) < maxSlowJobs
 }
 
 // Describe records what the machine is: its type, its zone and whether the cloud
--- a/internal/worker/orders.go
+++ b/internal/worker/orders.go
@@ -12,51 +12,51 @@
 	verbReap  = "reap" // forget a task that has terminated
 )
 
-func startOrder(entry *pipeline.Entry) Order {
-	return Order{Verb: verbStart, Task: taskName(entry), Attempt: entry.Attempt}
+func startCommand(entry *pipeline.Assignment) Command {
+	return Command{Verb: verbStart, Task: taskName(entry), Attempt: entry.Attempt}
 }
 
-func stopOrder(task string, attempt uint64, gracePeriod float64) Order {
-	return Order{Verb: verbStop, Task: task, Attempt: attempt, GracePeriod: &gracePeriod}
+func terminateCommand(task string, attempt uint64, gracePeriod float64) Command {
+	return Command{Verb: verbStop, Task: task, Attempt: attempt, GracePeriod: &gracePeriod}
 }
 
-func reapOrder(task *TaskReport) Order {
-	return Order{Verb: verbReap, Task: task.Task, Attempt: task.Attempt}
+func reapCommand(task *TaskStatus) Command {
+	return Command{Verb: verbReap, Task: task.Task, Attempt: task.Attempt}
 }
 
 // answer is the answer to a report while it is put together.
 type answer struct {
 	machine   *Machine
-	report    *Report
+	report    *Heartbeat
 	confirmed bool // the report carries our fencing token: it proves what it does not list
 	mayStart  bool
-	listed    map[*pipeline.Entry]bool // in the report
+	listed    map[*pipeline.Assignment]bool // in the report
 
-	reaps  []Order
-	stops  []Order
-	starts []Order
+	reaps  []Command
+	stops  []Command
+	starts []Command
 }
 
 // orders lists the orders, reaps first: a start is refused while another attempt is
 // listed.
-func (a *answer) orders() []Order {
+func (a *answer) orders() []Command {
 	return append(append(a.reaps, a.stops...), a.starts...)
 }
 
-// Orders returns what to answer to a report that was taken, as things stand now.
-func (r *Registry) Orders(report *Report, now event.Time, term Term) []Order {
+// Commands returns what to answer to a report that was taken, as things stand now.
+func (r *Registry) Commands(report *Heartbeat, now event.Time, term Leadership) []Command {
 	answer := &answer{
-		machine:   r.Machine(report.Machine, now),
+		machine:   r.Add(report.Machine, now),
 		report:    report,
 		confirmed: report.FencingToken == term.FencingToken(),
-		mayStart:  term.MayStart(now),
-		listed:    map[*pipeline.Entry]bool{},
+		mayStart:  term.MayAct(now),
+		listed:    map[*pipeline.Assignment]bool{},
 	}
 	answer.machine.UnknownTasks = 0
 	for i := range report.Tasks {
 		r.answerTask(answer, r.find(answer.machine, &report.Tasks[i]))
 	}
-	for _, entry := range r.sortedEntries(answer.machine) {
+	for _, entry := range r.sortedAssignments(answer.machine) {
 		if !answer.listed[entry] && entry.Stored() {
 			r.answerUnlisted(answer, entry)
 		}
@@ -77,12 +77,12 @@
 	}
 	// A cancelled job's task is stopped whatever write is pending: one that was
 	// taken to have terminated may hang and go on.
-	cancelled := task.entry.Job.Final == pipeline.Cancelled
+	cancelled := task.entry.Job.TerminalPhase == pipeline.Cancelled
 	if task.entry.Pending != pipeline.NoPendingWrite && !cancelled {
 		return
 	}
-	if stop, gracePeriod := mustStop(task.entry); stop {
-		answer.stops = append(answer.stops, stopOrder(task.Task, task.Attempt, gracePeriod))
+	if stop, gracePeriod := mustTerminate(task.entry); stop {
+		answer.stops = append(answer.stops, terminateCommand(task.Task, task.Attempt, gracePeriod))
 	}
 }
 
@@ -91,40 +91,40 @@
 	switch {
 	case task.newResult(): // reaped once it is stored
 	case task.exited():
-		answer.reaps = append(answer.reaps, reapOrder(task.TaskReport))
+		answer.reaps = append(answer.reaps, reapCommand(task.TaskStatus))
 	default:
 		answer.machine.UnknownTasks++
-		answer.stops = append(answer.stops, stopOrder(task.Task, task.Attempt, 0))
+		answer.stops = append(answer.stops, terminateCommand(task.Task, task.Attempt, 0))
 	}
 }
 
 // answerUnlisted decides what to do with a stored entry that the report lacks.
-func (r *Registry) answerUnlisted(answer *answer, entry *pipeline.Entry) {
-	stop, _ := mustStop(entry)
-	lost := entry.Phase >= pipeline.Waiting && answer.confirmed
+func (r *Registry) answerUnlisted(answer *answer, entry *pipeline.Assignment) {
+	stop, _ := mustTerminate(entry)
+	lost := entry.Phase >= pipeline.TaskWaitingForGang && answer.confirmed
 	switch {
 	case !stop && lost && entry.Job.IsGang():
 		// The worker lost it: the rest of the gang cannot go on.
-		r.stopGang(entry.Job)
-		r.Jobs.Clear(entry)
+		r.terminateGang(entry.Job)
+		r.Jobs.RecordTermination(entry)
 	case !stop && answer.mayStart:
-		answer.starts = append(answer.starts, startOrder(entry))
+		answer.starts = append(answer.starts, startCommand(entry))
 		// If it was there before it was lost with the worker's session.
 		entry.OrderedSequence = answer.report.Sequence
-		entry.Phase = pipeline.Unseen
+		entry.Phase = pipeline.TaskUnseen
 		entry.StartedAt = 0
 		answer.machine.Images[entry.Job.Image] = true
 	case stop && answer.confirmed:
 		// A worker has one report in flight and carries out no late answer: a
 		// start that this report does not show will not happen.
-		r.Jobs.Clear(entry)
+		r.Jobs.RecordTermination(entry)
 	}
 }
 
-// mustStop tells whether a task is to be stopped, and with how much grace.
-func mustStop(entry *pipeline.Entry) (stop bool, gracePeriod float64) {
-	if entry.Job.Final != pipeline.Queued {
+// mustTerminate tells whether a task is to be stopped, and with how much grace.
+func mustTerminate(entry *pipeline.Assignment) (stop bool, gracePeriod float64) {
+	if entry.Job.TerminalPhase != pipeline.Queued {
 		return true, 0
 	}
-	return entry.Evict, entry.GracePeriod
+	return entry.Evicting, entry.GracePeriod
 }
--- a/internal/worker/parser.go
+++ b/internal/worker/parser.go
@@ -5,14 +5,14 @@
 	"strconv"
 )
 
-// maxCachedReports bounds what malformed reports can make a parser keep.
-const maxCachedReports = 1 << 14
+// maxCachedHeartbeats bounds what malformed reports can make a parser keep.
+const maxCachedHeartbeats = 1 << 14
 
-// Parser reads reports. Most say what the last one of their machine said, but for
+// HeartbeatParser reads reports. Most say what the last one of their machine said, but for
 // the sequence: their text is compared, not decoded again.
-type Parser struct {
-	last map[string]*lastReport // by the text before the sequence's digits
-	keys map[string]string      // in last, by machine
+type HeartbeatParser struct {
+	last map[string]*cachedHeartbeat // by the text before the sequence's digits
+	keys map[string]string           // in last, by machine
 
 	// Decoded counts the bytes that were decoded.
 	Decoded int
@@ -20,15 +20,15 @@
 	Unchanged int
 }
 
-// lastReport is the last report of a machine.
-type lastReport struct {
-	report Report
+// cachedHeartbeat is the last report of a machine.
+type cachedHeartbeat struct {
+	report Heartbeat
 	after  []byte // the text after the sequence's digits
 }
 
 // Parse reads and checks a report. What it returns shares its list of tasks with
 // other reports that say the same.
-func (p *Parser) Parse(body []byte) (*Report, error) {
+func (p *HeartbeatParser) Parse(body []byte) (*Heartbeat, error) {
 	text, ok := splitSequence(body)
 	if ok {
 		last := p.last[string(text.before)]
@@ -40,7 +40,7 @@
 		}
 	}
 	p.Decoded += len(body)
-	report, err := parseReport(body)
+	report, err := parseHeartbeat(body)
 	if err != nil {
 		return nil, err
 	}
@@ -51,19 +51,19 @@
 }
 
 // remember keeps a report in place of the last one of its machine.
-func (p *Parser) remember(report *Report, text reportText) {
-	if p.last == nil || len(p.last) >= maxCachedReports {
-		p.last = map[string]*lastReport{}
+func (p *HeartbeatParser) remember(report *Heartbeat, text heartbeatText) {
+	if p.last == nil || len(p.last) >= maxCachedHeartbeats {
+		p.last = map[string]*cachedHeartbeat{}
 		p.keys = map[string]string{}
 	}
 	delete(p.last, p.keys[report.Machine])
 	key := string(text.before)
 	p.keys[report.Machine] = key
-	p.last[key] = &lastReport{*report, bytes.Clone(text.after)}
+	p.last[key] = &cachedHeartbeat{*report, bytes.Clone(text.after)}
 }
 
 // Retain forgets the last reports of all machines but those that keep names.
-func (p *Parser) Retain(keep func(machine string) bool) {
+func (p *HeartbeatParser) Retain(keep func(machine string) bool) {
 	for machine, key := range p.keys {
 		if !keep(machine) {
 			delete(p.last, key)
@@ -72,8 +72,8 @@
 	}
 }
 
-// reportText is a report's text around the digits of its sequence.
-type reportText struct {
+// heartbeatText is a report's text around the digits of its sequence.
+type heartbeatText struct {
 	before   []byte
 	sequence uint64
 	after    []byte
@@ -83,10 +83,10 @@
 
 // splitSequence splits a report's text. ok is false where the sequence can't be
 // found without decoding the text.
-func splitSequence(body []byte) (text reportText, ok bool) {
+func splitSequence(body []byte) (text heartbeatText, ok bool) {
 	name := bytes.Index(body, sequenceName)
 	if name < 0 || bytes.Contains(body[name+1:], sequenceName) {
-		return reportText{}, false
+		return heartbeatText{}, false
 	}
 	from := name + len(sequenceName)
 	for from < len(body) && body[from] == ' ' {
@@ -97,10 +97,10 @@
 		to++
 	}
 	if to == len(body) || !endsNumber(body[to]) || hasLeadingZero(body[from:to]) {
-		return reportText{}, false
+		return heartbeatText{}, false
 	}
 	sequence, err := strconv.ParseUint(string(body[from:to]), 10, 64)
-	return reportText{body[:from], sequence, body[to:]}, err == nil
+	return heartbeatText{body[:from], sequence, body[to:]}, err == nil
 }
 
 func isDigit(char byte) bool { return char >= '0' && char <= '9' }
--- a/internal/worker/reachability.go
+++ b/internal/worker/reachability.go
@@ -21,7 +21,7 @@
 // reach us does not show it. A machine is used once a report carries our fencing
 // token, which also tells a report of this term from a copy of an older one, and no
 // more once it does not do what it was ordered.
-func (r *Registry) checkReachable(machine *Machine, report *Report, now event.Time, term Term) {
+func (r *Registry) checkReachable(machine *Machine, report *Heartbeat, now event.Time, term Leadership) {
 	switch {
 	case !machine.TokenConfirmed:
 		r.checkToken(machine, report, now, term)
@@ -33,27 +33,27 @@
 }
 
 // checkToken looks whether a machine has taken up our fencing token.
-func (r *Registry) checkToken(machine *Machine, report *Report, now event.Time, term Term) {
+func (r *Registry) checkToken(machine *Machine, report *Heartbeat, now event.Time, term Leadership) {
 	switch {
 	case report.FencingToken == term.FencingToken():
 		machine.TokenConfirmed = true
 		machine.UnreachableSince = 0
 		r.Jobs.Changed = true
 	case machine.UnreachableSince != 0 || machine.LastAnswer == 0:
-	case machine.unconfirmedReports < maxMissedStarts:
+	case machine.unconfirmedHeartbeats < maxMissedStarts:
 		// What we answered first may have been a copy, while the machine itself
 		// was still answered by the leader before us.
-		machine.unconfirmedReports++
-	case now-machine.firstReport > r.SilentAfter:
+		machine.unconfirmedHeartbeats++
+	case now-machine.firstHeartbeat > r.HeartbeatTimeout:
 		r.markUnreachable(machine, now)
 	}
 }
 
 // checkReconnected looks whether the session of an unreachable machine has outlived
 // its lease: an answer has renewed it.
-func (r *Registry) checkReconnected(machine *Machine, now event.Time, term Term) {
+func (r *Registry) checkReconnected(machine *Machine, now event.Time, term Leadership) {
 	outlived := now-machine.UnreachableSince > term.WorkerLease()+unreachableMargin
-	if machine.Session != machine.unreachableSession || !outlived {
+	if machine.Incarnation != machine.unreachableIncarnation || !outlived {
 		r.evictUnstarted(machine)
 		return
 	}
@@ -64,18 +64,18 @@
 
 // checkStarts looks whether the tasks that a machine was ordered to start show up in
 // its reports.
-func (r *Registry) checkStarts(machine *Machine, report *Report, now event.Time) {
+func (r *Registry) checkStarts(machine *Machine, report *Heartbeat, now event.Time) {
 	for _, entry := range r.Jobs.OnMachine(machine.Index) {
 		ordered := entry.OrderedSequence != 0 && entry.OrderedSequence < report.Sequence
-		if !ordered || entry.Phase != pipeline.Unseen {
+		if !ordered || entry.Phase != pipeline.TaskUnseen {
 			continue
 		}
 		if report.lists(taskName(entry)) {
-			entry.MissedReports = 0
+			entry.MissedHeartbeats = 0
 			continue
 		}
-		entry.MissedReports++
-		if entry.MissedReports >= maxMissedStarts {
+		entry.MissedHeartbeats++
+		if entry.MissedHeartbeats >= maxMissedStarts {
 			r.markUnreachable(machine, now)
 			return
 		}
@@ -83,8 +83,8 @@
 }
 
 // lists tells whether a report shows a task.
-func (r *Report) lists(name string) bool {
-	return slices.ContainsFunc(r.Tasks, func(task TaskReport) bool { return task.Task == name })
+func (r *Heartbeat) lists(name string) bool {
+	return slices.ContainsFunc(r.Tasks, func(task TaskStatus) bool { return task.Task == name })
 }
 
 // markUnreachable notes that our answers do not reach a machine: what it never
@@ -93,14 +93,14 @@
 func (r *Registry) markUnreachable(machine *Machine, now event.Time) {
 	r.log.Info("machine is unreachable: it does not receive our answers", "machine", machine.Name, "tasks", len(r.Jobs.OnMachine(machine.Index)))
 	machine.UnreachableSince = now
-	machine.unreachableSession = machine.Session
+	machine.unreachableIncarnation = machine.Incarnation
 	r.evictUnstarted(machine)
 }
 
 // evictUnstarted moves the tasks that a machine has not started.
 func (r *Registry) evictUnstarted(machine *Machine) {
-	for _, entry := range r.sortedEntries(machine) {
-		if entry.Phase == pipeline.Unseen {
+	for _, entry := range r.sortedAssignments(machine) {
+		if entry.Phase == pipeline.TaskUnseen {
 			r.Evict(entry, GracePeriod(entry.Job))
 		}
 	}
@@ -108,7 +108,7 @@
 
 // UnreachableBeyondLease tells whether a machine has been unreachable for so long
 // that its tasks have ended with its lease.
-func (r *Registry) UnreachableBeyondLease(machine *Machine, now event.Time, term Term) bool {
+func (r *Registry) UnreachableBeyondLease(machine *Machine, now event.Time, term Leadership) bool {
 	if machine.UnreachableSince == 0 {
 		return false
 	}
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -19,14 +19,14 @@
 	Names    *pipeline.Names
 	Jobs     *pipeline.Table
 	Machines []*Machine // by index, nil if released
-	// SilentAfter is how long a machine may send no report before that tells
+	// HeartbeatTimeout is how long a machine may send no report before that tells
 	// something.
-	SilentAfter event.Time
+	HeartbeatTimeout event.Time
 
 	log          *slog.Logger
 	calls        map[uint64]directCall // in flight, by call
 	announcing   int                   // of these, the announcements
-	toStop       map[int]bool          // machines on which a task is to be stopped
+	terminating  map[int]bool          // machines on which a task is to be stopped
 	suspects     map[int]bool          // machines with failed jobs
 	runtimeRatio map[int]float64       // runtime against estimate, by class
 	scannedAt    event.Time
@@ -40,14 +40,14 @@
 		Jobs:         jobs,
 		log:          log,
 		calls:        map[uint64]directCall{},
-		toStop:       map[int]bool{},
+		terminating:  map[int]bool{},
 		suspects:     map[int]bool{},
 		runtimeRatio: map[int]float64{},
 	}
 }
 
-// Machine returns a machine by name, adding it when new.
-func (r *Registry) Machine(name string, now event.Time) *Machine {
+// Add returns a machine by name, adding it when new.
+func (r *Registry) Add(name string, now event.Time) *Machine {
 	index := r.Names.Machines.Index(name)
 	for len(r.Machines) <= index {
 		r.Machines = append(r.Machines, nil)
@@ -57,7 +57,7 @@
 			Index:       index,
 			Name:        name,
 			description: description{MachineType: unknown, Zone: unknown},
-			use:         use{IdleFrom: now, Images: map[int]bool{}},
+			use:         use{IdleSince: now, Images: map[int]bool{}},
 		}
 	}
 	return r.Machines[index]
@@ -69,11 +69,11 @@
 	if !ok {
 		return nil
 	}
-	return r.At(index)
+	return r.MachineAt(index)
 }
 
-// At returns a machine by index, or nil.
-func (r *Registry) At(index int) *Machine {
+// MachineAt returns a machine by index, or nil.
+func (r *Registry) MachineAt(index int) *Machine {
 	if index < 0 || index >= len(r.Machines) {
 		return nil
 	}
@@ -83,21 +83,21 @@
 // Reset drops what only a leader knows.
 func (r *Registry) Reset() {
 	r.Machines = nil
-	clear(r.toStop)
+	clear(r.terminating)
 	clear(r.suspects)
 }
 
 // Tick sends stops straight to workers, finds machines whose tasks have surely
 // terminated and lets gangs start again whose old attempt has ended. Machines on
 // which nothing is to be stopped cost nothing.
-func (r *Registry) Tick(now event.Time, term Term, out *event.Effects) {
-	for _, job := range r.Jobs.TakeEnded() {
-		job.Entries(r.stopSoon)
-	}
-	for _, index := range slices.Sorted(maps.Keys(r.toStop)) {
-		machine := r.At(index)
-		if machine == nil || !r.sendStops(machine, now, term, out) {
-			delete(r.toStop, index)
+func (r *Registry) Tick(now event.Time, term Leadership, out *event.Effects) {
+	for _, job := range r.Jobs.TakeTerminatedJobs() {
+		job.Assignments(r.terminateSoon)
+	}
+	for _, index := range slices.Sorted(maps.Keys(r.terminating)) {
+		machine := r.MachineAt(index)
+		if machine == nil || !r.sendTerminations(machine, now, term, out) {
+			delete(r.terminating, index)
 		}
 	}
 	if now-r.scannedAt < scanInterval {
@@ -116,59 +116,59 @@
 
 // checkExpired clears a machine whose tasks have terminated because its lease has
 // ended.
-func (r *Registry) checkExpired(index int, now event.Time, term Term) {
-	machine := r.At(index)
+func (r *Registry) checkExpired(index int, now event.Time, term Leadership) {
+	machine := r.MachineAt(index)
 	if machine == nil {
-		machine = r.Machine(r.Names.Machines.Name(index), now)
+		machine = r.Add(r.Names.Machines.Name(index), now)
 	}
 	// A report that is taken and not answered yet counts, too: what is placed on
 	// the machine meanwhile is not lost with its old session.
-	lastContact := max(machine.LastAnswer, machine.LastReport)
+	lastContact := max(machine.LastAnswer, machine.LastHeartbeat)
 	if now >= term.TasksExpireAt(lastContact) {
-		r.MarkTerminated(machine)
+		r.RecordTermination(machine)
 	}
 }
 
 // checkStopped lets a gang start again once all of its old attempt has terminated.
 func (r *Registry) checkStopped(job *pipeline.Job) {
-	if job.Stopping && job.Active() == 0 {
-		job.Stopping = false
+	if job.Terminating && job.ActiveCount() == 0 {
+		job.Terminating = false
 		r.Jobs.Changed = true
 	}
 }
 
-// MarkTerminated clears everything on a machine that is proven to run nothing.
-func (r *Registry) MarkTerminated(machine *Machine) {
-	if machine.LastReport != 0 {
+// RecordTermination clears everything on a machine that is proven to run nothing.
+func (r *Registry) RecordTermination(machine *Machine) {
+	if machine.LastHeartbeat != 0 {
 		r.log.Info("machine terminated", "machine", machine.Name, "tasks", len(r.Jobs.OnMachine(machine.Index)))
 	}
-	for _, entry := range r.sortedEntries(machine) {
+	for _, entry := range r.sortedAssignments(machine) {
 		if entry.Job.IsGang() {
-			r.stopGang(entry.Job)
+			r.terminateGang(entry.Job)
 		}
-		r.Jobs.Clear(entry)
+		r.Jobs.RecordTermination(entry)
 	}
-	machine.LastReport = 0
+	machine.LastHeartbeat = 0
 	r.Jobs.Changed = true
 }
 
-// sortedEntries lists the entries of a machine by job, in the order of readiness,
+// sortedAssignments lists the entries of a machine by job, in the order of readiness,
 // and task.
-func (r *Registry) sortedEntries(machine *Machine) []*pipeline.Entry {
+func (r *Registry) sortedAssignments(machine *Machine) []*pipeline.Assignment {
 	entries := r.Jobs.OnMachine(machine.Index)
 	if len(entries) == 0 {
 		return nil
 	}
 	sorted := slices.Clone(entries)
-	slices.SortFunc(sorted, func(a, b *pipeline.Entry) int {
-		return cmp.Or(cmp.Compare(a.Job.Order, b.Job.Order), cmp.Compare(a.Task, b.Task))
+	slices.SortFunc(sorted, func(a, b *pipeline.Assignment) int {
+		return cmp.Or(cmp.Compare(a.Job.ReadyRevision, b.Job.ReadyRevision), cmp.Compare(a.Task, b.Task))
 	})
 	return sorted
 }
 
-// Settled tells whether nothing that concerns the machine is being stored: an
+// AllStored tells whether nothing that concerns the machine is being stored: an
 // answer given now would not be followed by another in a moment.
-func (r *Registry) Settled(machine int) bool {
+func (r *Registry) AllStored(machine int) bool {
 	for _, entry := range r.Jobs.OnMachine(machine) {
 		if !entry.Stored() {
 			return false
@@ -178,7 +178,7 @@
 }
 
 // Idle tells whether a usable machine reports no task and has none to start yet.
-func (r *Registry) Idle(report *Report) bool {
+func (r *Registry) Idle(report *Heartbeat) bool {
 	if len(report.Tasks) > 0 {
 		return false
 	}
--- a/internal/worker/report.go
+++ b/internal/worker/report.go
@@ -5,32 +5,32 @@
 	"errors"
 )
 
-// Report is a worker's report. Those of a machine are ordered by session and
+// Heartbeat is a worker's report. Those of a machine are ordered by session and
 // sequence.
-type Report struct {
+type Heartbeat struct {
 	Machine      string       `json:"host"`
 	Addr         string       `json:"addr"`
 	MachineType  string       `json:"flavor"`
 	Zone         string       `json:"yard"`
 	Spot         bool         `json:"loaners"`
-	Session      uint64       `json:"tenure"`
+	Incarnation  uint64       `json:"tenure"`
 	Sequence     uint64       `json:"tick"`
 	FencingToken uint64       `json:"fence"`
 	ReclaimIn    *float64     `json:"recall_s"`
-	Tasks        []TaskReport `json:"shards"`
+	Tasks        []TaskStatus `json:"shards"`
 }
 
-// TaskReport is one task in a report.
-type TaskReport struct {
-	Task    string `json:"shard"`
-	Attempt uint64 `json:"try"`
-	Phase   string `json:"phase"`
-	Cause   string `json:"cause"`
-	Stored  bool   `json:"stored"`
+// TaskStatus is one task in a report.
+type TaskStatus struct {
+	Task             string `json:"shard"`
+	Attempt          uint64 `json:"try"`
+	Phase            string `json:"phase"`
+	Cause            string `json:"cause"`
+	CheckpointStored bool   `json:"stored"`
 }
 
-// Order is a command to a worker.
-type Order struct {
+// Command is a command to a worker.
+type Command struct {
 	Verb        string   `json:"verb"`
 	Task        string   `json:"shard"`
 	Attempt     uint64   `json:"try"`
@@ -42,14 +42,14 @@
 var errIncomplete = errors.New("report lacks a field")
 
 // complete tells whether the fields are there that every report has.
-func (r *Report) complete() bool {
+func (r *Heartbeat) complete() bool {
 	described := r.MachineType != "" && r.Zone != ""
-	return described && r.Machine != "" && r.Session != 0
+	return described && r.Machine != "" && r.Incarnation != 0
 }
 
-// parseReport decodes and checks a report.
-func parseReport(body []byte) (*Report, error) {
-	report := &Report{}
+// parseHeartbeat decodes and checks a report.
+func parseHeartbeat(body []byte) (*Heartbeat, error) {
+	report := &Heartbeat{}
 	if err := json.Unmarshal(body, report); err != nil {
 		return nil, err
 	}
--- a/internal/worker/reports.go
+++ b/internal/worker/reports.go
@@ -9,7 +9,7 @@
 	"lugward/internal/pipeline"
 )
 
-// refusedPause is how long nothing is placed on a machine whose worker refused a
+// retryPause is how long nothing is placed on a machine whose worker refused a
 // task.
 const refusedPause = 4 * time.Second
 
@@ -26,15 +26,15 @@
 const phaseExited = "exited"
 
 var phases = map[string]pipeline.TaskPhase{
-	"pulling":   pipeline.Pulling,
-	"waiting":   pipeline.Waiting,
-	"running":   pipeline.RunningTask,
-	"saving":    pipeline.Saving,
-	phaseExited: pipeline.Exited,
+	"pulling":   pipeline.TaskPulling,
+	"waiting":   pipeline.TaskWaitingForGang,
+	"running":   pipeline.TaskRunning,
+	"saving":    pipeline.TaskCheckpointing,
+	phaseExited: pipeline.TaskExited,
 }
 
 // exited tells whether the task has terminated.
-func (t *TaskReport) exited() bool { return t.Phase == phaseExited }
+func (t *TaskStatus) exited() bool { return t.Phase == phaseExited }
 
 // ParseTaskName splits a task's name into its job and number.
 func ParseTaskName(name string) (job string, task int, ok bool) {
@@ -47,21 +47,21 @@
 }
 
 // taskName is a task's name.
-func taskName(entry *pipeline.Entry) string {
+func taskName(entry *pipeline.Assignment) string {
 	return entry.Job.ID + "/" + strconv.Itoa(entry.Task)
 }
 
-// TakeReport takes a report in. ok is false for a report that is older than one we
+// HandleHeartbeat takes a report in. ok is false for a report that is older than one we
 // have seen.
-func (r *Registry) TakeReport(report *Report, now event.Time, term Term) (ok bool) {
-	machine := r.Machine(report.Machine, now)
-	if machine.outdates(report) || machine.sessionOver(report, now, term) {
+func (r *Registry) HandleHeartbeat(report *Heartbeat, now event.Time, term Leadership) (ok bool) {
+	machine := r.Add(report.Machine, now)
+	if machine.isStale(report) || machine.incarnationExpired(report, now, term) {
 		return false
 	}
 	term.ObserveToken(report.FencingToken)
 	r.updateMachine(machine, report, now)
 	for i := range report.Tasks {
-		r.takeTask(machine, &report.Tasks[i], now)
+		r.handleTaskStatus(machine, &report.Tasks[i], now)
 	}
 	// The tasks come before the question whether our answers arrive: what the
 	// report shows is there, whatever a copy that came before did not show.
@@ -69,49 +69,49 @@
 	return true
 }
 
-// MarkRelayed records that the last report of a machine came through another
+// RecordRelay records that the last report of a machine came through another
 // controller: the machine does not reach us itself.
-func (r *Registry) MarkRelayed(name string, now event.Time) {
-	r.Machine(name, now).RelayedAt = now
+func (r *Registry) RecordRelay(name string, now event.Time) {
+	r.Add(name, now).RelayedAt = now
 }
 
-// outdates tells whether a report is not newer than the last one: it was delayed by
+// isStale tells whether a report is not newer than the last one: it was delayed by
 // the network, or is a copy. Its list of tasks is out of date, and its sender waits
 // for no answer.
-func (c *contact) outdates(report *Report) bool {
-	if report.Session != c.Session {
-		return report.Session < c.Session
+func (c *contact) isStale(report *Heartbeat) bool {
+	if report.Incarnation != c.Incarnation {
+		return report.Incarnation < c.Incarnation
 	}
 	return report.Sequence <= c.Sequence
 }
 
-// sessionOver tells whether the session of a report has ended since it was last
+// incarnationExpired tells whether the session of a report has ended since it was last
 // answered: the report was delayed from before then, and its machine may be released.
-func (c *contact) sessionOver(report *Report, now event.Time, term Term) bool {
-	if report.Session != c.Session || c.LastAnswer <= 0 {
+func (c *contact) incarnationExpired(report *Heartbeat, now event.Time, term Leadership) bool {
+	if report.Incarnation != c.Incarnation || c.LastAnswer <= 0 {
 		return false
 	}
-	return now >= term.TasksExpireAt(max(c.LastAnswer, c.LastReport))
+	return now >= term.TasksExpireAt(max(c.LastAnswer, c.LastHeartbeat))
 }
 
 // updateMachine takes in what a report says of its machine.
-func (r *Registry) updateMachine(machine *Machine, report *Report, now event.Time) {
-	if report.Session != machine.Session && machine.Session != 0 {
+func (r *Registry) updateMachine(machine *Machine, report *Heartbeat, now event.Time) {
+	if report.Incarnation != machine.Incarnation && machine.Incarnation != 0 {
 		machine.Images = map[int]bool{}
-		r.log.Info("worker lost its lease", "machine", report.Machine, "session", report.Session)
+		r.log.Info("worker lost its lease", "machine", report.Machine, "session", report.Incarnation)
 	}
-	if machine.LastReport != 0 && now-machine.LastReport > r.SilentAfter {
+	if machine.LastHeartbeat != 0 && now-machine.LastHeartbeat > r.HeartbeatTimeout {
 		machine.ReconnectedAt = now
 	}
-	if machine.LastReport == 0 {
-		machine.IdleFrom = now // it was not idle while it booted
-		machine.firstReport = now
+	if machine.LastHeartbeat == 0 {
+		machine.IdleSince = now // it was not idle while it booted
+		machine.firstHeartbeat = now
 		r.Jobs.Changed = true
 	}
 	machine.Addr = report.Addr
-	machine.Session = report.Session
+	machine.Incarnation = report.Incarnation
 	machine.Sequence = report.Sequence
-	machine.LastReport = now
+	machine.LastHeartbeat = now
 	machine.Describe(r.Names.MachineTypes.Index(report.MachineType), r.Names.Zones.Index(report.Zone), report.Spot)
 	switch {
 	case report.ReclaimIn == nil:
@@ -124,15 +124,15 @@
 
 // reportedTask is a task of a report with the job and entry that it belongs to.
 type reportedTask struct {
-	*TaskReport
-	job    *pipeline.Job   // nil: not known
-	entry  *pipeline.Entry // nil: none for this attempt on this machine
+	*TaskStatus
+	job    *pipeline.Job        // nil: not known
+	entry  *pipeline.Assignment // nil: none for this attempt on this machine
 	number int
 }
 
 // find finds what a reported task belongs to.
-func (r *Registry) find(machine *Machine, report *TaskReport) reportedTask {
-	found := reportedTask{TaskReport: report}
+func (r *Registry) find(machine *Machine, report *TaskStatus) reportedTask {
+	found := reportedTask{TaskStatus: report}
 	id, number, ok := ParseTaskName(report.Task)
 	if !ok {
 		return found
@@ -143,7 +143,7 @@
 	}
 	found.job = job
 	found.number = number
-	entry := job.Entry(number)
+	entry := job.Assignment(number)
 	if entry != nil && entry.Machine == machine.Index && entry.Attempt == report.Attempt {
 		found.entry = entry
 	}
@@ -156,38 +156,38 @@
 	if !t.exited() || t.Cause != causeDone || t.job == nil {
 		return false
 	}
-	return t.job.Final == pipeline.Queued && !t.job.IsDone(t.number)
+	return t.job.TerminalPhase == pipeline.Queued && !t.job.IsDone(t.number)
 }
 
-// takeTask takes in what a report says of a task.
-func (r *Registry) takeTask(machine *Machine, report *TaskReport, now event.Time) {
+// handleTaskStatus takes in what a report says of a task.
+func (r *Registry) handleTaskStatus(machine *Machine, report *TaskStatus, now event.Time) {
 	task := r.find(machine, report)
 	switch {
 	case task.entry != nil:
-		r.updateEntry(machine, task.entry, report, now)
+		r.updateAssignment(machine, task.entry, report, now)
 	case task.newResult():
-		r.Jobs.MarkDone(task.job, task.number) // reaped once it is stored
+		r.Jobs.RecordCompletion(task.job, task.number) // reaped once it is stored
 	}
 }
 
-// updateEntry takes in what a report says of a task with an entry.
-func (r *Registry) updateEntry(machine *Machine, entry *pipeline.Entry, report *TaskReport, now event.Time) {
+// updateAssignment takes in what a report says of a task with an entry.
+func (r *Registry) updateAssignment(machine *Machine, entry *pipeline.Assignment, report *TaskStatus, now event.Time) {
 	phase := phases[report.Phase]
-	started := phase >= pipeline.Waiting && phase < pipeline.Exited
+	started := phase >= pipeline.TaskWaitingForGang && phase < pipeline.TaskExited
 	if started && entry.StartedAt == 0 {
 		entry.StartedAt = int64(now)
 		r.logStart(machine, entry, now)
 	}
 	entry.Phase = phase
-	if phase >= pipeline.Waiting {
+	if phase >= pipeline.TaskWaitingForGang {
 		machine.Images[entry.Job.Image] = true
 	}
-	if phase == pipeline.Exited {
+	if phase == pipeline.TaskExited {
 		r.taskExited(machine, entry, report.Cause, now)
 	}
 }
 
-func (r *Registry) logStart(machine *Machine, entry *pipeline.Entry, now event.Time) {
+func (r *Registry) logStart(machine *Machine, entry *pipeline.Assignment, now event.Time) {
 	job := entry.Job
 	r.log.Debug("started",
 		"job", job.ID,
@@ -201,15 +201,15 @@
 
 // taskExited takes in that a task has terminated. It is done, or its entry is
 // cleared so that it can run again.
-func (r *Registry) taskExited(machine *Machine, entry *pipeline.Entry, cause string, now event.Time) {
+func (r *Registry) taskExited(machine *Machine, entry *pipeline.Assignment, cause string, now event.Time) {
 	job := entry.Job
 	r.Jobs.Changed = true
-	r.Jobs.MarkMachineChanged(machine.Index) // what the task used is free again
-	if job.Final != pipeline.Queued || job.IsDone(entry.Task) {
+	r.Jobs.NoteMachineChanged(machine.Index) // what the task used is free again
+	if job.TerminalPhase != pipeline.Queued || job.IsDone(entry.Task) {
 		// Nothing of it is to be recorded any more. A new leader finds such entries
 		// where the one before it wrote the job's mark and did not get to drop the
 		// job's records: left as it is, the entry would keep its machine for ever.
-		r.Jobs.Clear(entry)
+		r.Jobs.RecordTermination(entry)
 		return
 	}
 	switch cause {
@@ -221,7 +221,7 @@
 			r.taskFailed(machine, entry, now)
 		}
 	case causeFull, causeInUse:
-		machine.RefusedUntil = now + refusedPause
+		machine.UnavailableUntil = now + refusedPause
 	case causeUnknown:
 		// Another attempt would fail as well until its user has uploaded the image.
 		if !job.BackingOff(int64(now)) {
@@ -229,24 +229,24 @@
 		}
 	}
 	if job.IsGang() {
-		r.stopGang(job)
+		r.terminateGang(job)
 	}
-	r.Jobs.Clear(entry)
+	r.Jobs.RecordTermination(entry)
 }
 
 // taskDone takes in that a task has completed. The tasks of a gang complete
 // together: when one is done, all are.
-func (r *Registry) taskDone(machine *Machine, entry *pipeline.Entry, now event.Time) {
+func (r *Registry) taskDone(machine *Machine, entry *pipeline.Assignment, now event.Time) {
 	job := entry.Job
 	r.taskSucceeded(machine, job)
 	if entry.Pending == pipeline.NoPendingWrite {
 		r.recordRuntime(machine, entry, now)
 	}
 	if job.Shape != pipeline.Gang {
-		r.Jobs.MarkDone(job, entry.Task)
+		r.Jobs.RecordCompletion(job, entry.Task)
 		return
 	}
 	for task := range job.TaskCount {
-		r.Jobs.MarkDone(job, task)
+		r.Jobs.RecordCompletion(job, task)
 	}
 }
--- a/internal/worker/runtime.go
+++ b/internal/worker/runtime.go
@@ -20,7 +20,7 @@
 
 // recordRuntime learns from a completion how long a class runs, measured in its
 // owners' estimates, and whether a machine is slow.
-func (r *Registry) recordRuntime(machine *Machine, entry *pipeline.Entry, now event.Time) {
+func (r *Registry) recordRuntime(machine *Machine, entry *pipeline.Assignment, now event.Time) {
 	job := entry.Job
 	if job.EstimatedRuntime <= 0 || entry.StartedAt == 0 {
 		return
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -8,12 +8,12 @@
 	"lugward/internal/event"
 )
 
-// Term is what the registry needs to know of the leadership.
-type Term interface {
+// Leadership is what the registry needs to know of the leadership.
+type Leadership interface {
 	// FencingToken is the token of our term.
 	FencingToken() uint64
-	// MayStart tells whether tasks may be started now.
-	MayStart(now event.Time) bool
+	// MayAct tells whether tasks may be started now.
+	MayAct(now event.Time) bool
 	// ObserveToken takes in a token that a worker has shown.
 	ObserveToken(token uint64)
 	// TasksExpireAt is when the tasks of a machine have terminated at the latest,
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -16,7 +16,7 @@
 type term struct{}
 
 func (term) FencingToken() uint64                     { return 5 }
-func (term) MayStart(event.Time) bool                 { return true }
+func (term) MayAct(event.Time) bool                   { return true }
 func (term) ObserveToken(uint64)                      {}
 func (term) WorkerLease() time.Duration               { return 30 * time.Second }
 func (term) TasksExpireAt(last event.Time) event.Time { return last + 32*time.Second }
@@ -25,7 +25,7 @@
 func TestReports(t *testing.T) {
 	names := &pipeline.Names{}
 	registry := New(names, pipeline.NewTable(names, 4096, 12), slog.New(slog.NewTextHandler(io.Discard, nil)))
-	registry.SilentAfter = 13 * time.Second
+	registry.HeartbeatTimeout = 13 * time.Second
 	for _, c := range []struct {
 		at                time.Duration
 		session, sequence uint64
@@ -43,12 +43,12 @@
 		{52, 2, 31, 5, true, true, "the machine itself, in its next session"},
 	} {
 		now := c.at * time.Second
-		report := &Report{Machine: "i-1", Addr: "10.1.0.1:9000", MachineType: "f", Zone: "a", Session: c.session, Sequence: c.sequence, FencingToken: c.token}
-		taken := registry.TakeReport(report, now, term{})
+		report := &Heartbeat{Machine: "i-1", Addr: "10.1.0.1:9000", MachineType: "f", Zone: "a", Incarnation: c.session, Sequence: c.sequence, FencingToken: c.token}
+		taken := registry.HandleHeartbeat(report, now, term{})
 		if taken {
-			registry.Orders(report, now, term{})
+			registry.Commands(report, now, term{})
 		}
-		if up := registry.Machine("i-1", now).Up(now, registry.SilentAfter); taken != c.taken || up != c.up {
+		if up := registry.Add("i-1", now).Schedulable(now, registry.HeartbeatTimeout); taken != c.taken || up != c.up {
 			t.Errorf("%s: taken %v, usable %v", c.what, taken, up)
 		}
 	}
@@ -61,7 +61,7 @@
 		return []byte(`{"host":"i-1","addr":"10.1.0.1:9000","flavor":"f","yard":"a","loaners":true,"tenure":2,"tick":` + sequence + `,"fence":3,` + more +
 			`"shards":[{"shard":"req-1/0","try":4,"phase":"running"}]}`)
 	}
-	var p Parser
+	var p HeartbeatParser
 	for _, c := range []struct {
 		body     []byte
 		sequence uint64
@@ -85,7 +85,7 @@
 		if decoded := p.Decoded > before; decoded != c.decoded {
 			t.Errorf("%s: decoded %v", c.what, decoded)
 		}
-		want, wantErr := parseReport(c.body)
+		want, wantErr := parseHeartbeat(c.body)
 		if (err == nil) != (wantErr == nil) || (err == nil && !reflect.DeepEqual(got, want)) {
 			t.Errorf("%s: %+v (%v), not %+v (%v)", c.what, got, err, want, wantErr)
 		}
@@ -103,21 +103,21 @@
 		jobs := pipeline.NewTable(names, 4096, 12)
 		j := &pipeline.Job{ID: "req-1", Ready: true, Spec: pipeline.Spec{TaskCount: 1, Zone: -1}}
 		j.Class, j.Team, j.Image = names.Classes.Index("c"), names.Teams.Index("t"), names.Images.Index("b")
-		jobs.Listen(pipeline.JobKey, j.ID, pipeline.Encode(names, j), 1)
-		jobs.Listen(pipeline.RunKey, "req-1/0", []byte(`{"t":3,"a":[[0,3,"i-1"]]}`), 2)
-		entry := jobs.Job(j.ID).Entry(0)
+		jobs.HandleChange(pipeline.JobKey, j.ID, pipeline.Encode(names, j), 1)
+		jobs.HandleChange(pipeline.RunKey, "req-1/0", []byte(`{"t":3,"a":[[0,3,"i-1"]]}`), 2)
+		entry := jobs.Job(j.ID).Assignment(0)
 		switch pending {
 		case pipeline.PendingClear:
-			jobs.Clear(entry)
+			jobs.RecordTermination(entry)
 		case pipeline.PendingDone:
-			jobs.MarkDone(entry.Job, 0)
+			jobs.RecordCompletion(entry.Job, 0)
 		}
-		jobs.Listen(pipeline.FinalKey, "req-1", pipeline.EncodeFinal(pipeline.Cancelled, j), 3)
+		jobs.HandleChange(pipeline.TerminalKey, "req-1", pipeline.EncodeTerminal(pipeline.Cancelled, j), 3)
 		registry := New(names, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		report := &Report{Machine: "i-1", Addr: "10.1.0.1:9000", MachineType: "f", Zone: "a", Session: 1, Sequence: 9, FencingToken: 5,
-			Tasks: []TaskReport{{Task: "req-1/0", Attempt: 3, Phase: "running"}}}
-		registry.TakeReport(report, time.Second, term{})
-		got := registry.Orders(report, time.Second, term{})
+		report := &Heartbeat{Machine: "i-1", Addr: "10.1.0.1:9000", MachineType: "f", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: 5,
+			Tasks: []TaskStatus{{Task: "req-1/0", Attempt: 3, Phase: "running"}}}
+		registry.HandleHeartbeat(report, time.Second, term{})
+		got := registry.Commands(report, time.Second, term{})
 		if len(got) != 1 || got[0].Verb != "stop" || got[0].Task != "req-1/0" || *got[0].GracePeriod != 0 {
 			t.Errorf("wish %d: %+v", pending, got)
 		}
