--- a/internal/api/node_test.go
+++ b/internal/api/node_test.go
@@ -55,7 +55,7 @@
 // run lets time pass.
 func (n *node) run(d time.Duration) {
 	for end := n.now + d; n.now < end; n.now += 10 * time.Millisecond {
-		n.jobs.Now = int64(n.now)
+		n.jobs.SetNow(n.now)
 		n.jobs.SetClock(n.now, time.Unix(1_700_000_000, 0).Add(n.now))
 		n.store.Tick(n.now, &n.out)
 		n.server.Tick(n.now, &n.out)
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -193,7 +193,7 @@
 	if capacity == nil || !capacity.Matches(&job.Spec) {
 		return false
 	}
-	if capacity.Machine != nil && job.AvoidsMachine(capacity.Machine.Index, int64(p.now)) {
+	if capacity.Machine != nil && job.AvoidsMachine(capacity.Machine.Index, p.now) {
 		return false
 	}
 	return zone == anyZone || capacity.Zone == zone
--- a/internal/autoscaler/sequence_test.go
+++ b/internal/autoscaler/sequence_test.go
@@ -1,6 +1,7 @@
 package autoscaler
 
 import (
+	"lugward/internal/event"
 	"testing"
 
 	"lugward/internal/pipeline"
@@ -13,7 +14,7 @@
 	for _, c := range []struct {
 		what     string
 		shape    pipeline.Shape
-		deadline int64
+		deadline event.Time
 		jobs     int
 		waiting  int
 		runtime  float64
--- a/internal/autoscaler/tick.go
+++ b/internal/autoscaler/tick.go
@@ -124,7 +124,7 @@
 		if machine == nil || machine.LastHeartbeat > 0 {
 			a.recordBootTime(booting, scan.now)
 			delete(a.booting, index)
-			a.jobs.Changed = true
+			a.jobs.RequestRound()
 			continue
 		}
 		age := scan.now - booting.since
--- a/internal/autoscaler/types.go
+++ b/internal/autoscaler/types.go
@@ -59,7 +59,7 @@
 	for i := range list.MachineTypes {
 		a.addType(&list.MachineTypes[i])
 	}
-	a.jobs.Changed = true
+	a.jobs.RequestRound()
 	return true
 }
 
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -132,7 +132,9 @@
 		n.evictBeforeReclaim(now)
 	}
 	n.autoscaler.Tick(now, n.election, n.election.Fence(), n.workerHeartbeatTimeout(), out)
-	n.jobs.Changed = n.jobs.Changed || n.autoscaler.Replan
+	if n.autoscaler.Replan {
+		n.jobs.RequestRound()
+	}
 	if n.roundDue(now) {
 		n.runRound(now, out)
 	}
@@ -153,7 +155,7 @@
 // change, rarely without one.
 func (n *Controller) roundDue(now event.Time) bool {
 	elapsed := now - n.leadership.schedule.roundAt
-	if n.jobs.Changed && elapsed >= time.Duration(n.cfg.Operator.Scheduler.Round) {
+	if n.jobs.RoundRequested() && elapsed >= time.Duration(n.cfg.Operator.Scheduler.Round) {
 		return true
 	}
 	return elapsed >= idleRoundInterval
@@ -164,7 +166,7 @@
 func (n *Controller) runRound(now event.Time, out *event.Effects) {
 	schedule := &n.leadership.schedule
 	schedule.roundAt = now
-	n.jobs.Changed = false
+	n.jobs.ClearRoundRequest()
 	n.startBudget()
 	n.work.Rounds++
 	blocked, capacities := n.scheduler.Round(now)
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -134,8 +134,8 @@
 		n.answerAll(now, out)
 		return
 	}
-	roundOver := waiting.roundPending && !n.jobs.Changed
-	waiting.roundPending = n.jobs.Changed
+	roundOver := waiting.roundPending && !n.jobs.RoundRequested()
+	waiting.roundPending = n.jobs.RoundRequested()
 	if roundOver {
 		recheck = waiting.appendPending(recheck)
 	}
@@ -184,7 +184,7 @@
 // reviewHeartbeat answers a report unless its answer may soon say more.
 func (n *Controller) reviewHeartbeat(report *pendingHeartbeat, now event.Time, out *event.Effects) {
 	waited := now - report.since
-	if !report.idle && waited < heartbeatAnswerTimeout && n.jobs.Changed {
+	if !report.idle && waited < heartbeatAnswerTimeout && n.jobs.RoundRequested() {
 		return // the next round may place something on the machine
 	}
 	if waited < idleHeartbeatAnswerTimeout && n.workers.Idle(report.heartbeat) {
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -6,14 +6,14 @@
 	"lugward/internal/event"
 )
 
-// SetWallClock sets the time of day that belongs to a time of the steady clock.
-// Stored times are times of day, since steady clocks of other processes have
+// SetWallClock sets the time of day that belongs to a time of the monotonic clock.
+// Stored times are times of day, since monotonic clocks of other processes have
 // other starts.
 func (n *Controller) SetWallClock(now event.Time, wall time.Time) { n.jobs.SetClock(now, wall) }
 
 // Tick does what is due at the given time.
 func (n *Controller) Tick(now event.Time, out *event.Effects) {
-	n.jobs.Now = int64(now)
+	n.jobs.SetNow(now)
 	n.store.Tick(now, out)
 	n.election.Tick(now, out)
 	n.updateLeadership(now, out)
@@ -34,7 +34,7 @@
 
 // HandleCallResult takes the outcome of a call of ours.
 func (n *Controller) HandleCallResult(now event.Time, done event.CallResult, out *event.Effects) {
-	n.jobs.Now = int64(now)
+	n.jobs.SetNow(now)
 	if n.store.HandleCallResult(now, done, out) {
 		n.onStoreAnswer(now, out)
 		return
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -45,7 +45,7 @@
 	cfg   Config
 	core  Core
 	log   *slog.Logger
-	start time.Time    // of the steady clock
+	start time.Time    // of the monotonic clock
 	loop  atomic.Value // loopRef
 
 	steps    stepQueue
@@ -83,5 +83,5 @@
 		gnet.WithLogger(gnetLog{}))
 }
 
-// now returns the time of the steady clock.
+// now returns the time of the monotonic clock.
 func (e *engine) now() event.Time { return time.Since(e.start) }
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// Time is a point on the process's steady clock, counted from its start.
+// Time is a point on the process's monotonic clock, counted from its start.
 type Time = time.Duration
 
 // Request is an HTTP request that has reached this controller.
--- a/internal/pipeline/clean.go
+++ b/internal/pipeline/clean.go
@@ -14,7 +14,7 @@
 		if limit == 0 {
 			return
 		}
-		if j == nil || j.TerminalPhase == Queued || j.deletionInFlight || j.active > 0 || int64(now) < j.retryAt {
+		if j == nil || j.TerminalPhase == Queued || j.deletionInFlight || j.active > 0 || now < j.retryAt {
 			continue
 		}
 		in := t.recordDrop(j, term)
--- a/internal/pipeline/finish.go
+++ b/internal/pipeline/finish.go
@@ -95,7 +95,7 @@
 		return false
 	}
 	for index := range j.Segments {
-		if int64(now) < j.Segments[index].retryAt {
+		if now < j.Segments[index].retryAt {
 			return true // the replica does not show what was written last
 		}
 	}
--- a/internal/pipeline/fixture_test.go
+++ b/internal/pipeline/fixture_test.go
@@ -74,8 +74,8 @@
 
 func newFixture() *fixture {
 	r := &fixture{Table: NewTable(&Names{}, 4096, 4)}
-	r.Now = int64(time.Second)
-	r.SetClock(time.Second, time.Unix(1000, 0)) // steady time 0 is 999 s
+	r.SetNow(time.Second)
+	r.SetClock(time.Second, time.Unix(1000, 0)) // monotonic time 0 is 999 s
 	return r
 }
 
--- a/internal/pipeline/flush.go
+++ b/internal/pipeline/flush.go
@@ -12,12 +12,12 @@
 	// writeTimeout is how long a queued write waits for the write rate before it
 	// is given up and queued anew.
 	writeTimeout = 20 * time.Second
-	// retryWait, in ns, is the pause after a write that failed: the replica needs
+	// retryWait is the pause after a write that failed: the replica needs
 	// about that long to show what the state service holds.
-	retryWait = int64(200 * time.Millisecond)
-	// deferredWait, in ns, is the pause until placements that did not fit in a
+	retryWait = 200 * time.Millisecond
+	// deferredWait is the pause until placements that did not fit in a
 	// record are tried again.
-	deferredWait = int64(time.Second)
+	deferredWait = time.Second
 )
 
 // TxnSubmitter queues intents; *kv.Client is one.
@@ -51,7 +51,7 @@
 			continue
 		}
 		dirty = true
-		if int64(now) >= ch.retryAt {
+		if now >= ch.retryAt {
 			t.queueSegmentWrite(j, index, now, term, s)
 		}
 	}
@@ -137,7 +137,7 @@
 		// What has changed since the write was built is still to be written.
 	case ch.deferredPlacements > 0:
 		ch.placing = true
-		ch.retryAt = int64(r.Now) + deferredWait
+		ch.retryAt = r.Now + deferredWait
 	default:
 		ch.dirty = false
 	}
@@ -151,7 +151,7 @@
 		if e.dropped && !e.Durable {
 			delete(ch.Assignments, task)
 			t.removeAssignment(e)
-			t.Changed = true
+			t.RequestRound()
 		}
 	}
 }
@@ -160,9 +160,9 @@
 // retry conflicts until the replica shows it, then builds on it.
 func (w *segmentWrite) failed(r kv.Result) {
 	ch := w.chunk()
-	ch.retryAt = int64(r.Now) + retryAfter(r, &ch.rejectedWrites)
+	ch.retryAt = r.Now + retryAfter(r, &ch.rejectedWrites)
 	if ch.deferredPlacements > 0 {
-		ch.retryAt = max(ch.retryAt, int64(r.Now)+deferredWait)
+		ch.retryAt = max(ch.retryAt, r.Now+deferredWait)
 	}
 	w.table.dirty[w.job] = true
 	for _, e := range ch.Assignments {
--- a/internal/pipeline/graph.go
+++ b/internal/pipeline/graph.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"slices"
+
+	"lugward/internal/event"
 )
 
 // graph is what follows from the edges between jobs. A job is held until its ready
@@ -51,10 +53,10 @@
 	t.linkIfComplete(j)
 }
 
-// ownDeadline is the deadline that a job's user gave, as a steady time in ns. It
+// ownDeadline is the deadline that a job's user gave. It
 // counts from the submission, or where that is not known from when the job became
 // ready or is first seen.
-func (t *Table) ownDeadline(j *Job) int64 {
+func (t *Table) ownDeadline(j *Job) event.Time {
 	if j.Deadline <= 0 {
 		return NoDeadline
 	}
@@ -63,9 +65,9 @@
 	case j.SubmittedAt != 0 && t.clockOffset != 0:
 		from = t.monotonicTime(j.SubmittedAt)
 	case from == 0:
-		from = max(t.Now, 1)
+		from = max(t.now, 1)
 	}
-	return from + nanoseconds(j.Deadline)
+	return from + secondsToDuration(j.Deadline)
 }
 
 // markStale has a job's effective values derived anew.
--- a/internal/pipeline/inherit.go
+++ b/internal/pipeline/inherit.go
@@ -114,7 +114,7 @@
 	priority := max(j.EffectivePriority, dependent.EffectivePriority)
 	deadline := j.EffectiveDeadline
 	if dependent.EffectiveDeadline != NoDeadline {
-		deadline = min(deadline, dependent.EffectiveDeadline-nanoseconds(dependent.EstimatedRuntime))
+		deadline = min(deadline, dependent.EffectiveDeadline-secondsToDuration(dependent.EstimatedRuntime))
 	}
 	changed := priority != j.EffectivePriority || deadline != j.EffectiveDeadline
 	j.EffectivePriority = priority
--- a/internal/pipeline/inherit_test.go
+++ b/internal/pipeline/inherit_test.go
@@ -1,6 +1,7 @@
 package pipeline
 
 import (
+	"lugward/internal/event"
 	"slices"
 	"testing"
 	"time"
@@ -10,8 +11,8 @@
 func checkDerived(t *testing.T, r *fixture) {
 	t.Helper()
 	r.inherit()
-	var derive func(j *Job) (Priority, int64)
-	derive = func(j *Job) (Priority, int64) {
+	var derive func(j *Job) (Priority, event.Time)
+	derive = func(j *Job) (Priority, event.Time) {
 		priority, deadline := j.Priority, j.deadlineAt
 		for _, d := range r.byID {
 			if d.Ready || d.TerminalPhase != Queued || d.upstreamCancelled || !slices.Contains(d.linkedUpstream, j.ID) {
@@ -20,7 +21,7 @@
 			dr, dd := derive(d)
 			priority = max(priority, dr)
 			if dd != NoDeadline {
-				deadline = min(deadline, dd-int64(d.EstimatedRuntime*1e9))
+				deadline = min(deadline, dd-event.Time(d.EstimatedRuntime*1e9))
 			}
 		}
 		return priority, deadline
@@ -47,9 +48,9 @@
 	}
 	last := r.job(4, func(j *Job) { j.Priority, j.Deadline, j.SubmittedAt = High, 100, 1000_000 }, 2, 3)
 	r.inherit()
-	// Submitted a second after steady time 0, due 100 s later.
-	deadline := int64(101 * time.Second)
-	step := int64(10 * time.Second)
+	// Submitted a second after monotonic time 0, due 100 s later.
+	deadline := 101 * time.Second
+	step := 10 * time.Second
 	if a.EffectivePriority != High || b.EffectivePriority != High || c.EffectivePriority != High || last.EffectiveDeadline != deadline || b.EffectiveDeadline != deadline-step || a.EffectiveDeadline != deadline-2*step {
 		t.Errorf("%v %v %v; %d %d %d", a.EffectivePriority, b.EffectivePriority, c.EffectivePriority, last.EffectiveDeadline, b.EffectiveDeadline, a.EffectiveDeadline)
 	}
@@ -75,7 +76,7 @@
 	r.inherit()
 	r.job(n+1, func(j *Job) { j.Priority, j.Deadline, j.SubmittedAt = Production, 1e6, 1000_000 }, n)
 	r.inherit()
-	if root := r.Job(id(1)); root.EffectivePriority != Production || root.EffectiveDeadline != int64((1e6+1-10*n)*1e9) {
+	if root := r.Job(id(1)); root.EffectivePriority != Production || root.EffectiveDeadline != event.Time((1e6+1-10*n)*1e9) {
 		t.Errorf("the root has %v and %v", root.EffectivePriority, root.EffectiveDeadline)
 	}
 	r.final(1, Cancelled)
@@ -88,19 +89,19 @@
 // another controller has taken over.
 func TestTimesSurvive(t *testing.T) {
 	r := newFixture()
-	r.Now = int64(50 * time.Second)
-	r.SetClock(50*time.Second, time.Unix(5000, 0)) // steady time 0 is 4950 s
+	r.SetNow(50 * time.Second)
+	r.SetClock(50*time.Second, time.Unix(5000, 0)) // monotonic time 0 is 4950 s
 	j := r.job(1, func(j *Job) { j.SubmittedAt, j.ReadyAt, j.Deadline = 4900_000, 4960_000, 100 })
-	if j.ReadySince != int64(10*time.Second) || j.EffectiveDeadline != int64(50*time.Second) {
+	if j.ReadySince != 10*time.Second || j.EffectiveDeadline != 50*time.Second {
 		t.Errorf("ready since %v, due at %v", time.Duration(j.ReadySince), time.Duration(j.EffectiveDeadline))
 	}
 	j = r.job(2, func(j *Job) { j.SubmittedAt, j.Deadline = 4900_000, 100 })
-	if j.ReadySince != int64(-50*time.Second) || j.ReadyAt != 4900_000 {
+	if j.ReadySince != -50*time.Second || j.ReadyAt != 4900_000 {
 		t.Errorf("ready since %v, at %d", time.Duration(j.ReadySince), j.ReadyAt)
 	}
 	// A clock that is ahead puts nothing into the future; an old record has no times.
 	for _, at := range []int64{9000_000, 0} {
-		if j = r.job(3+int(at), func(j *Job) { j.SubmittedAt, j.Deadline = at, 100 }); j.ReadySince != r.Now || j.EffectiveDeadline != r.Now+int64(100*time.Second) {
+		if j = r.job(3+int(at), func(j *Job) { j.SubmittedAt, j.Deadline = at, 100 }); j.ReadySince != r.now || j.EffectiveDeadline != r.now+100*time.Second {
 			t.Errorf("at %d: ready since %v, due at %v", at, time.Duration(j.ReadySince), time.Duration(j.EffectiveDeadline))
 		}
 	}
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -8,6 +8,7 @@
 import (
 	"slices"
 
+	"lugward/internal/event"
 	"lugward/internal/intern"
 )
 
@@ -96,12 +97,12 @@
 	// What only the leader knows; lost with the term.
 	Pending          PendingWrite
 	Phase            TaskPhase
-	Evicting         bool    // to be stopped, to run elsewhere
-	GracePeriod      float64 // of that stop, in seconds
-	OrderedSequence  uint64  // sequence of the report whose answer last carried the start
-	MissedHeartbeats int     // reports in a row that do not show the task
-	StartedAt        int64   // steady time in ns when first seen on its machine, 0 before
-	PlacedAt         int64   // steady time in ns of the decision
+	Evicting         bool       // to be stopped, to run elsewhere
+	GracePeriod      float64    // of that stop, in seconds
+	OrderedSequence  uint64     // sequence of the report whose answer last carried the start
+	MissedHeartbeats int        // reports in a row that do not show the task
+	StartedAt        event.Time // when first seen on its machine, 0 before
+	PlacedAt         event.Time // when it was decided
 }
 
 // Stored tells whether the state service has the entry as it is.
@@ -154,15 +155,15 @@
 	// ReadyRevision is the revision at which the job became ready: ready jobs start in
 	// that order.
 	ReadyRevision uint64
-	// ReadySince is the steady time in ns at which the job became ready, or at which
-	// this controller first saw it ready if its record has no such time.
-	ReadySince int64
+	// ReadySince is when the job became ready, or when this
+	// controller first saw it ready if its record has no such time.
+	ReadySince event.Time
 
-	// EffectivePriority and EffectiveDeadline (steady time in ns) are the job's own,
+	// EffectivePriority and EffectiveDeadline are the job's own,
 	// or those of the unfinished jobs that need it if they ask for more. They are
 	// derived as the graph changes and never stored.
 	EffectivePriority Priority
-	EffectiveDeadline int64
+	EffectiveDeadline event.Time
 	Chained           bool // it has upstream jobs, or had one that needs it
 
 	ModRevision   uint64    // of the job record, 0: none is stored
@@ -193,20 +194,20 @@
 	unfinishedUpstream int      // of these, those without a done mark
 	upstreamCancelled  bool     // a job that it needs is cancelled
 
-	deadlineAt         int64    // its own deadline, steady time in ns
-	inheritStale       bool     // its effective values are to be derived anew
-	propagatedPriority Priority // what its upstream jobs have inherited from it
-	propagatedDeadline int64
+	deadlineAt         event.Time // its own deadline
+	inheritStale       bool       // its effective values are to be derived anew
+	propagatedPriority Priority   // what its upstream jobs have inherited from it
+	propagatedDeadline event.Time
 }
 
 // recordWrites is what a controller knows of the writes of a job's marks and of the
 // deletion of its records.
 type recordWrites struct {
-	recordWriteInFlight   bool  // a ready mark or a cancelled one is under way
-	terminalWriteInFlight bool  // a done mark is under way
-	deletionInFlight      bool  // the deletion of its records is under way
-	retryAt               int64 // no such write before this steady time, in ns
-	rejectedWrites        int   // writes in a row that the state service called malformed
+	recordWriteInFlight   bool       // a ready mark or a cancelled one is under way
+	terminalWriteInFlight bool       // a done mark is under way
+	deletionInFlight      bool       // the deletion of its records is under way
+	retryAt               event.Time // no such write before
+	rejectedWrites        int        // writes in a row that the state service called malformed
 }
 
 // leaderState is what the leader decides about a job; it is lost with the term.
@@ -233,13 +234,13 @@
 // differs from what is stored is dirty until a write has carried all changes.
 type segmentWrites struct {
 	dirty              bool
-	placing            bool  // a placement is not part of any write yet, or its write failed
-	progressQueued     bool  // a write with the priority of progress is queued or under way
-	placementQueued    bool  // a write with the priority of placements is queued or under way
-	changeCount        int   // counts the changes; a write has carried those counted when it was built
-	deferredPlacements int   // placements that did not fit in the last write
-	rejectedWrites     int   // writes in a row that the state service called malformed
-	retryAt            int64 // no write before this steady time, in ns
+	placing            bool       // a placement is not part of any write yet, or its write failed
+	progressQueued     bool       // a write with the priority of progress is queued or under way
+	placementQueued    bool       // a write with the priority of placements is queued or under way
+	changeCount        int        // counts the changes; a write has carried those counted when it was built
+	deferredPlacements int        // placements that did not fit in the last write
+	rejectedWrites     int        // writes in a row that the state service called malformed
+	retryAt            event.Time // no write before
 }
 
 // DoneCount counts tasks that are marked done.
@@ -329,7 +330,7 @@
 }
 
 // Schedulable reports whether an unfinished ready job has tasks to place.
-func (j *Job) Schedulable(now int64) bool {
+func (j *Job) Schedulable(now event.Time) bool {
 	return j.StartableCount() > 0 && !j.Terminating && !j.BackingOff(now)
 }
 
--- a/internal/pipeline/marks.go
+++ b/internal/pipeline/marks.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// maxRetryWait, in ns, bounds the pause after writes that the state service
+	// maxRetryWait bounds the pause after writes that the state service
 	// calls malformed.
-	maxRetryWait = int64(30 * time.Second)
+	maxRetryWait = 30 * time.Second
 	// maxRejectedWrites is the count of such writes in a row from which on the
 	// pause grows no further: its doublings exceed maxRetryWait by then.
 	maxRejectedWrites = 10
@@ -24,23 +24,23 @@
 // backOff delays the next mark of a job after a write about it. A write that the
 // state service calls malformed will be so again: it is retried ever less often.
 func (j *Job) backOff(r kv.Result) {
-	j.retryAt = int64(r.Now) + retryAfter(r, &j.rejectedWrites)
+	j.retryAt = r.Now + retryAfter(r, &j.rejectedWrites)
 }
 
 // retryAfter is how long to wait after a write, in ns; rejected counts those in a
 // row that were called malformed.
-func retryAfter(r kv.Result, rejected *int) int64 {
+func retryAfter(r kv.Result, rejected *int) time.Duration {
 	if !r.Malformed {
 		*rejected = 0
 		return retryWait
 	}
 	*rejected = min(*rejected+1, maxRejectedWrites)
-	return min(maxRetryWait, int64(time.Second)<<*rejected)
+	return min(maxRetryWait, time.Second<<*rejected)
 }
 
 // mayWriteRecord reports whether a mark of the job may be written now.
 func (j *Job) mayWriteRecord(now time.Duration) bool {
-	return !j.recordWriteInFlight && int64(now) >= j.retryAt
+	return !j.recordWriteInFlight && now >= j.retryAt
 }
 
 // WriteReadiness queues the ready marks of held jobs of ours: all that they need is done.
--- a/internal/pipeline/parts.go
+++ b/internal/pipeline/parts.go
@@ -8,15 +8,16 @@
 	"strings"
 	"time"
 
+	"lugward/internal/event"
 	"lugward/internal/kv"
 )
 
 const (
 	// maxPageDeletions bounds the deletions of parts in flight: nothing waits for them.
 	maxPageDeletions = 4
-	// orphanTimeout, in ns, is how long a list may show without its job's record
+	// orphanTimeout is how long a list may show without its job's record
 	// before it counts as left behind by an attempt that failed.
-	orphanTimeout = int64(time.Minute)
+	orphanTimeout = time.Minute
 	// SubmissionAttemptTimeout is how long a list that another attempt to submit the job began
 	// keeps others from beginning anew.
 	SubmissionAttemptTimeout = 6 * time.Second
@@ -41,7 +42,7 @@
 // upstreamPages are what is stored of a job's list.
 type upstreamPages struct {
 	byNumber   map[int]upstreamPage
-	shownSince int64 // steady time in ns at which part 0 showed, or any if it has none
+	shownSince event.Time // when page 0 showed, or any if it has none
 }
 
 // idPrefix begins the IDs of all jobs; stored lists leave it out.
@@ -98,11 +99,11 @@
 		ids = nil // damaged: it counts as a part, so that it is deleted with the others
 	}
 	if p == nil {
-		p = &upstreamPages{byNumber: map[int]upstreamPage{}, shownSince: t.Now}
+		p = &upstreamPages{byNumber: map[int]upstreamPage{}, shownSince: t.now}
 		t.graph.pages[id] = p
 	}
 	if n == 0 {
-		p.shownSince = t.Now
+		p.shownSince = t.now
 	}
 	p.byNumber[n] = upstreamPage{version, ids}
 	if j := t.byID[id]; j != nil {
@@ -174,7 +175,7 @@
 	if t.accepted(id) {
 		return !t.byID[id].Ready
 	}
-	return int64(now)-t.graph.pages[id].shownSince < orphanTimeout
+	return now-t.graph.pages[id].shownSince < orphanTimeout
 }
 
 // deletable returns the parts that may be deleted now: part 0 first and alone, so
--- a/internal/pipeline/pending.go
+++ b/internal/pipeline/pending.go
@@ -1,8 +1,10 @@
 package pipeline
 
+import "lugward/internal/event"
+
 // Assign records the pending write to start a task on a machine. The start may be sent
 // once the entry is durable. Attempt 0 stands for the next one of the chunk.
-func (t *Table) Assign(j *Job, task, machine int, attempt uint64, now int64) *Assignment {
+func (t *Table) Assign(j *Job, task, machine int, attempt uint64, now event.Time) *Assignment {
 	ch := t.segment(j, task/t.segmentLen)
 	if attempt == 0 {
 		attempt = ch.Attempt + 1
@@ -37,7 +39,7 @@
 		if ch.Assignments[e.Task] == e {
 			delete(ch.Assignments, e.Task)
 			t.removeAssignment(e)
-			t.Changed = true
+			t.RequestRound()
 		}
 		return
 	}
@@ -97,7 +99,7 @@
 			t.terminated[j] = true
 		}
 	}
-	t.Changed = true
+	t.RequestRound()
 }
 
 // resetJob drops what only a leader knows of a job.
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -8,6 +8,7 @@
 	"slices"
 	"time"
 
+	"lugward/internal/event"
 	"lugward/internal/kv"
 )
 
@@ -52,15 +53,15 @@
 // retryState is what a job's failures so far mean for its next attempt. Failures
 // and notBefore are stored; the rest is the leader's and ends with its term.
 type retryState struct {
-	failures  int   // failed attempts in a row of a job that is at fault itself
-	notBefore int64 // steady time in ns
-
-	failedOn     map[int]bool  // machines on which it has failed since it last succeeded
-	avoid        map[int]int64 // by machine where it failed: steady time until which it stays away
-	probe        *Assignment   // the one task that tries again
-	dirty        bool          // differs from what is stored
-	queued       bool          // a write of it is queued or under way
-	retryWriteAt int64         // no write before this steady time, in ns
+	failures  int // failed attempts in a row of a job that is at fault itself
+	notBefore event.Time
+
+	failedOn     map[int]bool       // machines on which it has failed since it last succeeded
+	avoid        map[int]event.Time // by machine where it failed: until when it stays away
+	probe        *Assignment        // the one task that tries again
+	dirty        bool               // differs from what is stored
+	queued       bool               // a write of it is queued or under way
+	retryWriteAt event.Time         // no write before
 }
 
 // retryRecords is what is stored of all jobs' retry states, and their writes.
@@ -87,11 +88,11 @@
 func (j *Job) Failures() int { return j.retry.failures }
 
 // BackingOff reports whether the pause after a failed attempt goes on.
-func (j *Job) BackingOff(now int64) bool { return j.retry.notBefore > now }
+func (j *Job) BackingOff(now event.Time) bool { return j.retry.notBefore > now }
 
 // AvoidsMachine reports whether the job stays away from a machine because a task of it
 // failed there less than avoidTime before.
-func (j *Job) AvoidsMachine(machine int, now int64) bool { return j.retry.avoid[machine] > now }
+func (j *Job) AvoidsMachine(machine int, now event.Time) bool { return j.retry.avoid[machine] > now }
 
 // probing reports whether the task that tries again is being started or running.
 func (j *Job) probing() bool {
@@ -118,11 +119,11 @@
 // that is not known to be faulty. It reports whether the job is at fault itself.
 func (t *Table) RecordFailure(e *Assignment, now time.Duration) (atFault bool) {
 	j := e.Job
-	avoided := j.AvoidsMachine(e.Machine, int64(now))
+	avoided := j.AvoidsMachine(e.Machine, now)
 	if j.retry.avoid == nil {
-		j.retry.avoid = map[int]int64{}
+		j.retry.avoid = map[int]event.Time{}
 	}
-	j.retry.avoid[e.Machine] = int64(now + avoidTime)
+	j.retry.avoid[e.Machine] = now + avoidTime
 	switch {
 	case j.AtFault():
 		// Tasks that ran beside the probe, and the rest of a gang, belong to an
@@ -137,7 +138,7 @@
 		// The machines are not to blame, and a probe that found all of them
 		// avoided would have another one provisioned: it only goes elsewhere
 		// than the last one did.
-		j.retry.avoid = map[int]int64{e.Machine: int64(now + avoidTime)}
+		j.retry.avoid = map[int]event.Time{e.Machine: now + avoidTime}
 	}
 	return j.AtFault()
 }
@@ -174,7 +175,7 @@
 func (t *Table) BackOff(j *Job, now time.Duration) {
 	j.retry.failures++
 	j.retry.probe = nil
-	j.retry.notBefore = int64(now + retryPause(j.ID, j.retry.failures))
+	j.retry.notBefore = now + retryPause(j.ID, j.retry.failures)
 	t.noteRetryChanged(j)
 }
 
@@ -212,7 +213,7 @@
 	j.retry.failures = 0
 	j.retry.notBefore = 0
 	j.retry.probe = nil
-	t.Changed = true
+	t.RequestRound()
 	t.noteRetryChanged(j)
 }
 
@@ -248,7 +249,7 @@
 	j.retry.failures = stored.Failures
 	j.retry.notBefore = 0
 	if stored.NotBefore != 0 && t.clockOffset != 0 {
-		j.retry.notBefore = min(stored.NotBefore*int64(time.Millisecond)-t.clockOffset, t.Now+int64(retryCap))
+		j.retry.notBefore = min(event.Time(stored.NotBefore*int64(time.Millisecond)-t.clockOffset), t.now+retryCap)
 	}
 }
 
@@ -269,7 +270,7 @@
 			delete(t.dirtyRetries, j)
 			continue
 		}
-		if !j.retry.queued && int64(now) >= j.retry.retryWriteAt {
+		if !j.retry.queued && now >= j.retry.retryWriteAt {
 			t.writeRetry(j, now, term, s)
 		}
 	}
@@ -302,7 +303,7 @@
 		if result.Outcome == kv.Committed && j.retry.failures == written {
 			j.retry.dirty = false
 		}
-		j.retry.retryWriteAt = int64(result.Now) + retryWait
+		j.retry.retryWriteAt = result.Now + retryWait
 	}
 	s.Submit(intent, now+writeTimeout)
 }
@@ -315,7 +316,7 @@
 	}
 	data, err := json.Marshal(retryRecord{
 		Failures:  j.retry.failures,
-		NotBefore: t.UnixMS(time.Duration(j.retry.notBefore)),
+		NotBefore: t.UnixMS(j.retry.notBefore),
 	})
 	if err != nil {
 		panic(err) // two integers
--- a/internal/pipeline/retry_test.go
+++ b/internal/pipeline/retry_test.go
@@ -24,20 +24,20 @@
 		}
 		tb.RecordTermination(entries[i])
 	}
-	if !j.BackingOff(int64(time.Second)) || j.Schedulable(int64(time.Second)) {
+	if !j.BackingOff(time.Second) || j.Schedulable(time.Second) {
 		t.Error("the job is tried again at once")
 	}
 	later := 10 * time.Second
-	if !j.Schedulable(int64(later)) || j.StartableCount() != 1 {
+	if !j.Schedulable(later) || j.StartableCount() != 1 {
 		t.Errorf("after the pause %d tasks are to be tried", j.StartableCount())
 	}
-	probe := tb.Assign(j, 6, 9, 0, int64(later))
-	if j.StartableCount() != 0 || j.Schedulable(int64(later)) {
+	probe := tb.Assign(j, 6, 9, 0, later)
+	if j.StartableCount() != 0 || j.Schedulable(later) {
 		t.Error("a second probe is sent")
 	}
 	tb.RecordFailure(probe, later)
 	tb.RecordTermination(probe)
-	if j.Failures() != 2 || !j.AvoidsMachine(9, int64(later)) || j.AvoidsMachine(0, int64(later)) {
+	if j.Failures() != 2 || !j.AvoidsMachine(9, later) || j.AvoidsMachine(0, later) {
 		t.Errorf("%d failures; the next probe goes elsewhere than the last one", j.Failures())
 	}
 	tb.ClearFailures(j)
@@ -51,15 +51,15 @@
 func TestOnlyMachine(t *testing.T) {
 	tb, j := newJob(t, 1)
 	first := tb.Assign(j, 0, 3, 0, 1)
-	if tb.RecordFailure(first, time.Second) || !j.AvoidsMachine(3, int64(time.Second)) {
+	if tb.RecordFailure(first, time.Second) || !j.AvoidsMachine(3, time.Second) {
 		t.Error("one failure is no proof")
 	}
 	tb.RecordTermination(first)
 	later := time.Second + avoidTime
-	if j.AvoidsMachine(3, int64(later)) {
+	if j.AvoidsMachine(3, later) {
 		t.Error("the only machine is avoided for ever")
 	}
-	if !tb.RecordFailure(tb.Assign(j, 0, 3, 0, int64(later)), later) {
+	if !tb.RecordFailure(tb.Assign(j, 0, 3, 0, later), later) {
 		t.Error("the second failure does not count")
 	}
 }
@@ -72,7 +72,7 @@
 		attempt := j.MaxAttempt() + 1
 		var entries []*Assignment
 		for task := range 3 {
-			entries = append(entries, tb.Assign(j, task, task, attempt, int64(now)))
+			entries = append(entries, tb.Assign(j, task, task, attempt, now))
 		}
 		for _, entry := range entries {
 			tb.RecordFailure(entry, now)
@@ -130,23 +130,23 @@
 	tb.FlushRetries(time.Second, term, q)
 	carryOut(tb, q.next(t), 7)
 	tb.Reset()
-	if j.Failures() != 1 || !j.BackingOff(int64(2*time.Second)) || j.StartableCount() != 1 {
+	if j.Failures() != 1 || !j.BackingOff(2*time.Second) || j.StartableCount() != 1 {
 		t.Errorf("the new leader finds %d failures, %d tasks to try", j.Failures(), j.StartableCount())
 	}
 
-	// Another process has another steady clock.
+	// Another process has another monotonic clock.
 	other := NewTable(&Names{}, 4096, 12)
 	other.SetClock(time.Hour, time.UnixMilli(1_002_000))
-	other.Now = int64(time.Hour)
+	other.SetNow(time.Hour)
 	other.HandleChange(RetryKey, j.ID, []byte(`{"n":3,"u":1010000}`), 7)
 	other.HandleChange(JobKey, j.ID, Encode(tb.Names, j), 1)
 	o := other.Job(j.ID)
-	if o.Failures() != 3 || !o.BackingOff(int64(time.Hour+7*time.Second)) || o.BackingOff(int64(time.Hour+9*time.Second)) {
+	if o.Failures() != 3 || !o.BackingOff(time.Hour+7*time.Second) || o.BackingOff(time.Hour+9*time.Second) {
 		t.Errorf("another controller reads %d failures", o.Failures())
 	}
 	// A clock that is far ahead can't put the job off for long.
 	other.HandleChange(RetryKey, j.ID, []byte(`{"n":4,"u":9999999999}`), 8)
-	if o.BackingOff(int64(time.Hour + retryCap)) {
+	if o.BackingOff(time.Hour + retryCap) {
 		t.Error("a clock that is ahead holds the job up")
 	}
 
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -5,6 +5,8 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"lugward/internal/event"
 )
 
 // Table is the replica of the graph with the leader's pending writes.
@@ -12,16 +14,15 @@
 	Names    *Names
 	Jobs     []*Job // by index; nil: the index is free
 	Terminal TerminalRecords
-	// Now is the steady time of the input that is being handled, in ns.
-	Now int64
-	// Changed is set whenever something that placement depends on has changed.
-	Changed bool
 	// ValueLimit bounds the values that are written, in bytes. It may be smaller
 	// than what the chunks were laid out for, which all versions must agree on.
 	ValueLimit int
 	// ControllerLabels are those of all controllers.
 	ControllerLabels []string
 
+	now            event.Time // of the input that is being handled
+	roundRequested bool       // something that placement depends on has changed
+
 	byID        map[string]*Job
 	freeIndexes []int // of Jobs
 	graph       graph
@@ -34,7 +35,7 @@
 	segmentLen  int             // tasks per run record
 	txnOps      int             // the state service's limit on writes in a transaction
 	upgraded    map[string]bool // by label, the controllers that have shown this version
-	clockOffset int64           // Unix time in ns at steady time 0; 0: not known yet
+	clockOffset int64           // Unix time in ns at monotonic time 0; 0: not known yet
 }
 
 // The number of tasks per run record follows from the state service's limit on
@@ -65,6 +66,22 @@
 	}
 }
 
+// SetNow sets the time of the input that is being handled.
+func (t *Table) SetNow(now event.Time) { t.now = now }
+
+// Now returns the time of the input that is being handled.
+func (t *Table) Now() event.Time { return t.now }
+
+// RequestRound notes that something that placement depends on has changed, so that the
+// scheduler looks at all jobs again soon.
+func (t *Table) RequestRound() { t.roundRequested = true }
+
+// RoundRequested reports whether something has changed since the last round began.
+func (t *Table) RoundRequested() bool { return t.roundRequested }
+
+// ClearRoundRequest notes that a round begins.
+func (t *Table) ClearRoundRequest() { t.roundRequested = false }
+
 // Job returns an unfinished job, or one that is finished but not cleaned up.
 func (t *Table) Job(id string) *Job { return t.byID[id] }
 
@@ -92,7 +109,7 @@
 	default:
 		return
 	}
-	t.Changed = true
+	t.RequestRound()
 }
 
 // splitNumbered splits what follows the kind in a key <kind>/<id>/<n>; not ok: the
@@ -174,7 +191,7 @@
 	j.ModRevision = version
 	if j.Ready && !wasReady {
 		j.ReadyRevision = version
-		j.ReadySince = max(t.Now, 1)
+		j.ReadySince = max(t.now, 1)
 		if j.ReadyAt != 0 && t.clockOffset != 0 {
 			j.ReadySince = t.monotonicTime(j.ReadyAt)
 		}
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -64,7 +64,7 @@
 }
 
 // accepts tells whether a task of a job may be placed on a machine that is up.
-func (c *Capacity) accepts(job *pipeline.Job, now int64) bool {
+func (c *Capacity) accepts(job *pipeline.Job, now event.Time) bool {
 	return c.Matches(&job.Spec) && !job.AvoidsMachine(c.Machine.Index, now)
 }
 
--- a/internal/scheduler/chain_test.go
+++ b/internal/scheduler/chain_test.go
@@ -23,7 +23,7 @@
 	jobs := pipeline.NewTable(names, 4096, 12)
 	workers := worker.New(names, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	s := &site{Scheduler: &Scheduler{Jobs: jobs, Workers: workers, MachineTypes: &MachineTypes{{CPUs: 8, Memory: 32}}, HeartbeatTimeout: time.Minute}, now: 100 * time.Second}
-	jobs.Now = int64(s.now)
+	jobs.SetNow(s.now)
 	addMachine(workers, "i-1", s.now)
 	return s
 }
--- a/internal/scheduler/choose.go
+++ b/internal/scheduler/choose.go
@@ -103,5 +103,5 @@
 	if capacity.Machine.Draining || !capacity.fitsEmpty(&job.Spec) {
 		return false
 	}
-	return capacity.accepts(job, int64(now))
+	return capacity.accepts(job, now)
 }
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -35,8 +35,8 @@
 // of its tasks waits, any other job until its first task is placed; a job that is
 // at fault is not, as it never begins.
 func precedenceOf(job *pipeline.Job, now event.Time) precedence {
-	waited := int64(now) - job.ReadySince
-	overdue := waited > int64(maxStartDelay) && !job.AtFault()
+	waited := now - job.ReadySince
+	overdue := waited > maxStartDelay && !job.AtFault()
 	switch {
 	case job.WithinQuota:
 		return withinGuarantee
@@ -77,7 +77,7 @@
 	if !job.Chained || job.EffectiveDeadline == pipeline.NoDeadline {
 		return false
 	}
-	left := job.EffectiveDeadline - int64(now)
-	needed := int64(riskMargin) + int64(riskFactor*job.EstimatedRuntime*nanosecondsPerSecond)
+	left := job.EffectiveDeadline - now
+	needed := riskMargin + time.Duration(riskFactor*job.EstimatedRuntime*nanosecondsPerSecond)
 	return left < needed
 }
--- a/internal/scheduler/order_test.go
+++ b/internal/scheduler/order_test.go
@@ -44,7 +44,7 @@
 		second := s.job("req-2", func(j *pipeline.Job) { j.Shape, j.TaskCount, j.CPUs = c.second, 2, 4 })
 		s.now = time.Hour
 		s.Workers.Add("i-1", s.now).LastHeartbeat = s.now
-		first.ReadySince, second.ReadySince = int64(s.now-longAgo), int64(s.now-c.waited)
+		first.ReadySince, second.ReadySince = s.now-longAgo, s.now-c.waited
 		if c.record != "" {
 			s.Jobs.HandleChange(pipeline.RunKey, "req-1/0", []byte(c.record), 9)
 		}
--- a/internal/scheduler/pack.go
+++ b/internal/scheduler/pack.go
@@ -69,7 +69,7 @@
 				continue
 			}
 			i := slices.IndexFunc(receivers, func(receiver *Capacity) bool {
-				return receiver.Fits(&entry.Job.Spec) > 0 && receiver.accepts(entry.Job, s.Jobs.Now)
+				return receiver.Fits(&entry.Job.Spec) > 0 && receiver.accepts(entry.Job, s.Jobs.Now())
 			})
 			if i < 0 {
 				blocked = append(blocked, entry.Job)
@@ -138,7 +138,7 @@
 	if job.CheckpointInterval == 0 || job.IsGang() {
 		return false
 	}
-	return int64(now)-entry.StartedAt >= int64(startCountsAfter)
+	return now-entry.StartedAt >= startCountsAfter
 }
 
 // fitsElsewhere tells whether the tasks of a machine fit on others. If all do, what
@@ -177,7 +177,7 @@
 	if receiver.Machine == donor.Machine || receiver.Machine.Draining {
 		return false
 	}
-	if receiver.Fits(&job.Spec) == 0 || !receiver.accepts(job, s.Jobs.Now) {
+	if receiver.Fits(&job.Spec) == 0 || !receiver.accepts(job, s.Jobs.Now()) {
 		return false
 	}
 	boundToZone := job.SpreadZones || (job.SameZone && job.TaskCount > 1)
--- a/internal/scheduler/pack_test.go
+++ b/internal/scheduler/pack_test.go
@@ -16,7 +16,7 @@
 func TestPackCountsWhatMoves(t *testing.T) {
 	const machines = 6
 	s := newSite()
-	s.Jobs.Now = int64(s.now)
+	s.Jobs.SetNow(s.now)
 	for i := range machines {
 		name := fmt.Sprintf("i-%d", i+1)
 		addMachine(s.Workers, name, s.now)
@@ -28,7 +28,7 @@
 		s.Jobs.HandleChange(pipeline.RunKey, id+"/0", []byte(record), 100)
 		entry := job.Assignment(0)
 		entry.Phase = pipeline.TaskRunning
-		entry.StartedAt = int64(s.now - time.Minute)
+		entry.StartedAt = s.now - time.Minute
 	}
 	first := s.Consolidate(s.now, s.Capacities(s.now), nil)
 	if len(first) != machines/2 {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -60,7 +60,7 @@
 	var list []scored
 	s.Visited += len(s.round.roomy)
 	for _, capacity := range s.round.roomy {
-		if capacity.Fits(&job.Spec) > 0 && capacity.accepts(job, int64(now)) {
+		if capacity.Fits(&job.Spec) > 0 && capacity.accepts(job, now) {
 			list = append(list, scored{capacity, s.score(job, capacity, now)})
 		}
 	}
@@ -108,7 +108,7 @@
 func (s *Scheduler) placeTasks(job *pipeline.Job, placement placement, attempt uint64, now event.Time) {
 	placement.capacity.Allocate(&job.Spec, placement.tasks)
 	for range placement.tasks {
-		s.Jobs.Assign(job, nextTask(job), placement.capacity.Machine.Index, attempt, int64(now))
+		s.Jobs.Assign(job, nextTask(job), placement.capacity.Machine.Index, attempt, now)
 	}
 }
 
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -203,7 +203,7 @@
 	if entry.Job.CheckpointInterval == 0 {
 		cost += secondsSince(entry.StartedAt, now) // all of it is lost
 	}
-	if int64(now)-entry.StartedAt < int64(startCountsAfter) {
+	if now-entry.StartedAt < startCountsAfter {
 		cost += uncountedStartCost
 	}
 	return cost
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -18,7 +18,7 @@
 	asks := s.job("req-1", nil)
 	borrower := func(j *pipeline.Job) { j.Team, j.CPUs = other, 4 }
 	within, beyond := s.job("req-2", borrower), s.job("req-3", borrower)
-	fresh := s.Jobs.Assign(beyond, 0, 0, 1, int64(s.now))
+	fresh := s.Jobs.Assign(beyond, 0, 0, 1, s.now)
 	s.Jobs.HandleChange(pipeline.RunKey, "req-2/0", []byte(`{"t":1,"a":[[0,1,"i-1"]]}`), 9)
 	s.updateQuotas(s.Jobs.ReadyJobs())
 	if !asks.WithinQuota || !within.WithinQuota || beyond.WithinQuota {
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -23,7 +23,7 @@
 	capacities = s.Capacities(now)
 	unfinished := s.Jobs.ReadyJobs()
 	s.updateQuotas(unfinished)
-	jobs := slices.DeleteFunc(unfinished, func(job *pipeline.Job) bool { return !job.Schedulable(int64(now)) })
+	jobs := slices.DeleteFunc(unfinished, func(job *pipeline.Job) bool { return !job.Schedulable(now) })
 	order(jobs, now)
 	start := s.startRound(jobs, capacities)
 	s.round.roomy = capacitiesWithRoom(jobs, capacities)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -58,7 +58,7 @@
 
 const nanosecondsPerSecond = 1e9
 
-// secondsSince is how long ago a steady time in nanoseconds was, in seconds.
-func secondsSince(at int64, now event.Time) float64 {
-	return float64(int64(now)-at) / nanosecondsPerSecond
+// secondsSince is how long ago a point in time was, in seconds.
+func secondsSince(at, now event.Time) float64 {
+	return float64(now-at) / nanosecondsPerSecond
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -32,7 +32,7 @@
 	if a, b := left(); a != 8 || b != 8 || s.Recounted != 2 {
 		t.Fatalf("empty machines have %v and %v CPUs, %d recounted", a, b, s.Recounted)
 	}
-	e := jobs.Assign(jobs.Job("req-1"), 0, 1, 1, int64(now))
+	e := jobs.Assign(jobs.Job("req-1"), 0, 1, 1, now)
 	if a, b := left(); a != 8 || b != 5 || s.Recounted != 3 {
 		t.Errorf("with a task on the second: %v and %v, %d counted", a, b, s.Recounted)
 	}
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -27,7 +27,7 @@
 		s.Jobs.HandleChange(pipeline.RunKey, id+"/0", []byte(record), uint64(10_000_000+i))
 		s.Jobs.Job(id).Assignments(func(e *pipeline.Assignment) {
 			e.Phase = pipeline.TaskRunning
-			e.StartedAt = int64(s.now - time.Duration(i%90)*time.Second)
+			e.StartedAt = s.now - time.Duration(i%90)*time.Second
 		})
 	}
 	for i := range jobs {
--- a/internal/scheduler/starving.go
+++ b/internal/scheduler/starving.go
@@ -23,8 +23,8 @@
 // starving tells whether a job has not begun for so long that its first task goes
 // before any other work. Gangs are left to their order: they have no first task.
 func starving(job *pipeline.Job, now event.Time) bool {
-	waited := int64(now) - job.ReadySince
-	return waited > int64(startLimit) && !job.HasStarted() && !job.IsGang() && !job.AtFault()
+	waited := now - job.ReadySince
+	return waited > startLimit && !job.HasStarted() && !job.IsGang() && !job.AtFault()
 }
 
 // forcedStart tells whether a task was placed a moment ago as the first one of a
@@ -32,8 +32,8 @@
 func forcedStart(entry *pipeline.Assignment, now event.Time) bool {
 	job := entry.Job
 	first := job.ActiveCount() == 1 && job.DoneCount() == 0
-	late := entry.PlacedAt-job.ReadySince > int64(startLimit)
-	return first && late && int64(now)-entry.PlacedAt < int64(forcedStartTime)
+	late := entry.PlacedAt-job.ReadySince > startLimit
+	return first && late && now-entry.PlacedAt < forcedStartTime
 }
 
 // startStarving places one task of each starving job, or reserves the capacity that
--- a/internal/scheduler/starving_test.go
+++ b/internal/scheduler/starving_test.go
@@ -34,7 +34,7 @@
 		s.job("req-2", func(j *pipeline.Job) { j.TaskCount, j.CPUs, j.Priority = 9, 2, pipeline.High })
 		s.now = time.Hour
 		s.Workers.Add("i-1", s.now).LastHeartbeat = s.now
-		starving.ReadySince = int64(s.now - c.waited)
+		starving.ReadySince = s.now - c.waited
 		if c.record != "" {
 			s.Jobs.HandleChange(pipeline.RunKey, "req-1/0", []byte(c.record), 9)
 		}
--- a/internal/worker/failures_test.go
+++ b/internal/worker/failures_test.go
@@ -34,7 +34,7 @@
 // start puts a task on a machine as a stored placement.
 func (c *cluster) start(j *pipeline.Job, task int, machine string) {
 	placedOn := c.Add(machine, c.now)
-	entry := c.Jobs.Assign(j, task, placedOn.Index, j.MaxAttempt()+1, int64(c.now))
+	entry := c.Jobs.Assign(j, task, placedOn.Index, j.MaxAttempt()+1, c.now)
 	entry.Durable = true
 }
 
@@ -51,7 +51,7 @@
 
 func (c *cluster) wait(d time.Duration) {
 	c.now += d
-	c.Jobs.Now = int64(c.now)
+	c.Jobs.SetNow(c.now)
 	c.Tick(c.now, term{}, &event.Effects{})
 }
 
@@ -89,7 +89,7 @@
 		j := c.submit(fmt.Sprint("req-", n), pipeline.Array, 1)
 		c.start(j, 0, "i-1")
 		c.report("i-1", j, 0, "exited", "error")
-		if j.BackingOff(int64(c.now)) || !j.AvoidsMachine(c.Add("i-1", c.now).Index, int64(c.now)) {
+		if j.BackingOff(c.now) || !j.AvoidsMachine(c.Add("i-1", c.now).Index, c.now) {
 			t.Errorf("%s does not move at once", j.ID)
 		}
 		c.Jobs.HandleChange(pipeline.RunKey, j.ID+"/0", []byte(`{"t":1}`), 5)
--- a/internal/worker/reachability.go
+++ b/internal/worker/reachability.go
@@ -38,7 +38,7 @@
 	case report.FencingToken == term.FencingToken():
 		machine.TokenConfirmed = true
 		machine.UnreachableSince = 0
-		r.Jobs.Changed = true
+		r.Jobs.RequestRound()
 	case machine.UnreachableSince != 0 || machine.LastAnswer == 0:
 	case machine.unconfirmedHeartbeats < maxMissedStarts:
 		// What we answered first may have been a copy, while the machine itself
@@ -59,7 +59,7 @@
 	}
 	r.log.Info("machine is reachable again", "machine", machine.Name)
 	machine.UnreachableSince = 0
-	r.Jobs.Changed = true
+	r.Jobs.RequestRound()
 }
 
 // checkStarts looks whether the tasks that a machine was ordered to start show up in
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -133,7 +133,7 @@
 func (r *Registry) checkStopped(job *pipeline.Job) {
 	if job.Terminating && job.ActiveCount() == 0 {
 		job.Terminating = false
-		r.Jobs.Changed = true
+		r.Jobs.RequestRound()
 	}
 }
 
@@ -149,7 +149,7 @@
 		r.Jobs.RecordTermination(entry)
 	}
 	machine.LastHeartbeat = 0
-	r.Jobs.Changed = true
+	r.Jobs.RequestRound()
 }
 
 // sortedAssignments lists the entries of a machine by job, in the order of readiness,
--- a/internal/worker/reports.go
+++ b/internal/worker/reports.go
@@ -106,7 +106,7 @@
 	if machine.LastHeartbeat == 0 {
 		machine.IdleSince = now // it was not idle while it booted
 		machine.firstHeartbeat = now
-		r.Jobs.Changed = true
+		r.Jobs.RequestRound()
 	}
 	machine.Addr = report.Addr
 	machine.Incarnation = report.Incarnation
@@ -118,7 +118,7 @@
 		machine.ReclaimAt = 0
 	case machine.ReclaimAt == 0:
 		machine.ReclaimAt = now + time.Duration(*report.ReclaimIn*float64(time.Second))
-		r.Jobs.Changed = true
+		r.Jobs.RequestRound()
 	}
 }
 
@@ -175,7 +175,7 @@
 	phase := phases[report.Phase]
 	started := phase >= pipeline.TaskWaitingForGang && phase < pipeline.TaskExited
 	if started && entry.StartedAt == 0 {
-		entry.StartedAt = int64(now)
+		entry.StartedAt = now
 		r.logStart(machine, entry, now)
 	}
 	entry.Phase = phase
@@ -195,15 +195,15 @@
 		"task", entry.Task,
 		"attempt", entry.Attempt,
 		"machine", machine.Name,
-		"since_placed", now-time.Duration(entry.PlacedAt),
-		"since_ready", now-time.Duration(job.ReadySince))
+		"since_placed", now-entry.PlacedAt,
+		"since_ready", now-job.ReadySince)
 }
 
 // taskExited takes in that a task has terminated. It is done, or its entry is
 // cleared so that it can run again.
 func (r *Registry) taskExited(machine *Machine, entry *pipeline.Assignment, cause string, now event.Time) {
 	job := entry.Job
-	r.Jobs.Changed = true
+	r.Jobs.RequestRound()
 	r.Jobs.NoteMachineChanged(machine.Index) // what the task used is free again
 	if job.TerminalPhase != pipeline.Queued || job.IsDone(entry.Task) {
 		// Nothing of it is to be recorded any more. A new leader finds such entries
@@ -224,7 +224,7 @@
 		machine.UnavailableUntil = now + refusedPause
 	case causeUnknown:
 		// Another attempt would fail as well until its user has uploaded the image.
-		if !job.BackingOff(int64(now)) {
+		if !job.BackingOff(now) {
 			r.Jobs.BackOff(job, now)
 		}
 	}
--- a/internal/worker/runtime.go
+++ b/internal/worker/runtime.go
@@ -1,8 +1,6 @@
 package worker
 
 import (
-	"time"
-
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
 )
@@ -25,7 +23,7 @@
 	if job.EstimatedRuntime <= 0 || entry.StartedAt == 0 {
 		return
 	}
-	took := time.Duration(int64(now) - entry.StartedAt).Seconds()
+	took := (now - entry.StartedAt).Seconds()
 	ratio := took / job.EstimatedRuntime
 	usual, known := r.runtimeRatio[job.Class]
 	if !known {
--- a/internal/worker/stops.go
+++ b/internal/worker/stops.go
@@ -29,7 +29,7 @@
 	if entry.Evicting {
 		return
 	}
-	r.Jobs.Changed = true
+	r.Jobs.RequestRound()
 	if entry.Job.IsGang() {
 		r.terminateGang(entry.Job)
 		return
