--- a/internal/controller/node.go
+++ b/internal/controller/controller.go
@@ -63,51 +63,51 @@
 
 // New builds a controller. clock bounds decision rounds and may be nil.
 func New(cfg *config.Platform, log *slog.Logger, clock func() time.Duration) *Controller {
-	n := &Controller{
+	c := &Controller{
 		cfg:    cfg,
 		log:    log,
 		names:  &pipeline.Names{},
 		clock:  clock,
 		relays: newRelays(),
 	}
-	teams := n.indexTeams()
+	teams := c.indexTeams()
 	// The layout of run records follows from the present limit, which is all
 	// that the version in production knows; sizes and rates keep within the
 	// limits to come as well.
 	limits := cfg.Settings.State.Lasting()
-	n.jobs = pipeline.NewTable(n.names, int(cfg.Settings.State.ValueKB*bytesPerKB), limits.TxnOps)
-	n.jobs.ValueLimit = int(limits.ValueKB * bytesPerKB)
-	n.peers = newPeers(cfg)
-	n.jobs.ControllerLabels = sortedLabels(cfg)
-	n.connectState(limits)
-	n.connectSite(teams)
-	n.api = api.New(api.Config{
+	c.jobs = pipeline.NewTable(c.names, int(cfg.Settings.State.ValueKB*bytesPerKB), limits.TxnOps)
+	c.jobs.ValueLimit = int(limits.ValueKB * bytesPerKB)
+	c.peers = newPeers(cfg)
+	c.jobs.ControllerLabels = sortedLabels(cfg)
+	c.connectState(limits)
+	c.connectSite(teams)
+	c.api = api.New(api.Config{
 		Label:      cfg.Label,
 		Teams:      cfg.Settings.Teams,
 		Answer:     time.Duration(cfg.Operator.API.Answer),
-		ValueBytes: n.jobs.ValueLimit,
+		ValueBytes: c.jobs.ValueLimit,
 		TxnOps:     limits.TxnOps,
-	}, n.names, n.jobs, n.store, &n.autoscaler.MachineTypes)
-	n.shareRates(0)
-	return n
+	}, c.names, c.jobs, c.store, &c.autoscaler.MachineTypes)
+	c.shareRates(0)
+	return c
 }
 
 // indexTeams returns the settings of the teams by their index.
-func (n *Controller) indexTeams() map[int]config.Team {
+func (c *Controller) indexTeams() map[int]config.Team {
 	teams := map[int]config.Team{}
-	for _, team := range n.cfg.Settings.Teams {
-		teams[n.names.Teams.Index(team.Name)] = team
+	for _, team := range c.cfg.Settings.Teams {
+		teams[c.names.Teams.Index(team.Name)] = team
 	}
 	return teams
 }
 
 // connectState builds the client of the state service and, on it, the election.
-func (n *Controller) connectState(limits config.StateLimits) {
-	state := &n.cfg.Settings.State
-	workers := &n.cfg.Settings.Workers
+func (c *Controller) connectState(limits config.StateLimits) {
+	state := &c.cfg.Settings.State
+	workers := &c.cfg.Settings.Workers
 	workerLease := config.Seconds(workers.LeaseS)
 	grace := election.GracePeriod(config.Seconds(workers.CancelS), workerLease)
-	n.store = kv.New(n.cfg.Services.State, kv.Limits{
+	c.store = kv.New(c.cfg.Services.State, kv.Limits{
 		TxnOps:          limits.TxnOps,
 		RPS:             state.RPS,
 		WriteRPS:        state.WriteRPS,
@@ -115,57 +115,57 @@
 		NextWriteRPS:    limits.WriteRPS,
 		StaleAfter:      min(staleAfter, grace/refreshesPerGrace),
 		ImmutablePrefix: pipeline.TerminalKey + "/",
-	}, n.onChange)
-	n.store.Log = n.log
-	n.election = election.New(election.Config{
-		Label:       n.cfg.Label,
-		Position:    sort.SearchStrings(n.jobs.ControllerLabels, n.cfg.Label),
-		TermLease:   time.Duration(n.cfg.Operator.Term.Life),
+	}, c.onChange)
+	c.store.Log = c.log
+	c.election = election.New(election.Config{
+		Label:       c.cfg.Label,
+		Position:    sort.SearchStrings(c.jobs.ControllerLabels, c.cfg.Label),
+		TermLease:   time.Duration(c.cfg.Operator.Term.Life),
 		WorkerLease: workerLease,
 		Grace:       grace,
-	}, n.store, n.log)
+	}, c.store, c.log)
 }
 
 // connectSite builds the parts that deal with machines: the registry of
 // workers, the autoscaler and the scheduler.
-func (n *Controller) connectSite(teams map[int]config.Team) {
-	settings := &n.cfg.Settings
-	n.workers = worker.New(n.names, n.jobs, n.log)
-	n.workers.HeartbeatTimeout = n.workerHeartbeatTimeout()
-	n.autoscaler = autoscaler.New(autoscaler.Config{
-		ValueBytes:     n.jobs.ValueLimit,
-		Addr:           n.cfg.Services.Cloud,
+func (c *Controller) connectSite(teams map[int]config.Team) {
+	settings := &c.cfg.Settings
+	c.workers = worker.New(c.names, c.jobs, c.log)
+	c.workers.HeartbeatTimeout = c.workerHeartbeatTimeout()
+	c.autoscaler = autoscaler.New(autoscaler.Config{
+		ValueBytes:     c.jobs.ValueLimit,
+		Addr:           c.cfg.Services.Cloud,
 		RPS:            settings.Cloud.RPS,
 		ListLag:        config.Seconds(settings.Cloud.ListLagS),
 		MaxConnections: settings.Resources.MaxConnections,
-		IdleKeep:       time.Duration(n.cfg.Operator.Autoscaler.IdleKeep),
-		Settle:         time.Duration(n.cfg.Operator.Autoscaler.Settle),
-	}, n.names, n.jobs, n.workers, n.store, n.log)
-	n.scheduler = &scheduler.Scheduler{
-		Jobs:              n.jobs,
-		Workers:           n.workers,
-		MachineTypes:      &n.autoscaler.MachineTypes,
+		IdleKeep:       time.Duration(c.cfg.Operator.Autoscaler.IdleKeep),
+		Settle:         time.Duration(c.cfg.Operator.Autoscaler.Settle),
+	}, c.names, c.jobs, c.workers, c.store, c.log)
+	c.scheduler = &scheduler.Scheduler{
+		Jobs:              c.jobs,
+		Workers:           c.workers,
+		MachineTypes:      &c.autoscaler.MachineTypes,
 		Teams:             teams,
 		HeartbeatInterval: config.Seconds(settings.Workers.ReportS),
-		HeartbeatTimeout:  n.workerHeartbeatTimeout(),
+		HeartbeatTimeout:  c.workerHeartbeatTimeout(),
 	}
 }
 
 // workerHeartbeatTimeout is how long a worker may send no report before nothing more is
 // placed on its machine.
-func (n *Controller) workerHeartbeatTimeout() time.Duration {
-	return config.Seconds(heartbeatTimeoutIntervals*n.cfg.Settings.Workers.ReportS) + heartbeatTimeoutMargin
+func (c *Controller) workerHeartbeatTimeout() time.Duration {
+	return config.Seconds(heartbeatTimeoutIntervals*c.cfg.Settings.Workers.ReportS) + heartbeatTimeoutMargin
 }
 
 // onChange routes a change of the replica to the part that owns the key.
-func (n *Controller) onChange(key string, data []byte, version uint64) {
+func (c *Controller) onChange(key string, data []byte, version uint64) {
 	kind, rest := kv.SplitKey(key)
 	switch kind {
 	case election.KeyPrefix:
-		n.election.HandleChange(key, data, version)
+		c.election.HandleChange(key, data, version)
 	case autoscaler.TypesKeyPrefix, autoscaler.DecommissionKeyPrefix:
-		n.autoscaler.HandleChange(kind, rest, data, version)
+		c.autoscaler.HandleChange(kind, rest, data, version)
 	default:
-		n.jobs.HandleChange(kind, rest, data, version)
+		c.jobs.HandleChange(kind, rest, data, version)
 	}
 }
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -11,8 +11,8 @@
 const isolatedAfter = 5 * time.Second
 
 // handleHealth answers a health probe.
-func (n *Controller) handleHealth(now event.Time, r event.Request, out *event.Effects) {
-	if n.healthy(now) {
+func (c *Controller) handleHealth(now event.Time, r event.Request, out *event.Effects) {
+	if c.healthy(now) {
 		out.Reply(r.Conn, event.StatusOK, nil)
 	} else {
 		out.Unavailable(r.Conn, retryAfterSeconds)
@@ -24,17 +24,17 @@
 // one that is cut off: users' connections stay where they are while a node is
 // healthy, so they would learn nothing about their jobs. In an outage that all
 // controllers share they stay healthy, and service resumes at once after it.
-func (n *Controller) healthy(now event.Time) bool {
-	if !n.store.Synced() {
+func (c *Controller) healthy(now event.Time) bool {
+	if !c.store.Synced() {
 		return false
 	}
-	withoutState := now - n.store.LastContact()
-	if !n.store.Unavailable() || withoutState <= peerHeartbeatTimeout {
+	withoutState := now - c.store.LastContact()
+	if !c.store.Unavailable() || withoutState <= peerHeartbeatTimeout {
 		return true
 	}
 	anyAlive := false
-	for _, p := range n.peers {
-		if !n.isAlive(p) {
+	for _, p := range c.peers {
+		if !c.isAlive(p) {
 			continue
 		}
 		anyAlive = true
@@ -42,6 +42,6 @@
 			return false
 		}
 	}
-	isolated := len(n.peers) > 0 && !anyAlive && withoutState > isolatedAfter
+	isolated := len(c.peers) > 0 && !anyAlive && withoutState > isolatedAfter
 	return !isolated
 }
--- a/internal/controller/reports.go
+++ b/internal/controller/heartbeats.go
@@ -122,95 +122,95 @@
 // answerHeartbeats answers the reports whose consequences are stored: what
 // completed can then be dropped by its worker, and what takes its place
 // started, with the same answer.
-func (n *Controller) answerHeartbeats(now event.Time, out *event.Effects) {
-	waiting := &n.pending
-	recheck := append(waiting.recheck, n.jobs.TakeChangedMachines()...)
+func (c *Controller) answerHeartbeats(now event.Time, out *event.Effects) {
+	waiting := &c.pending
+	recheck := append(waiting.recheck, c.jobs.TakeChangedMachines()...)
 	waiting.recheck = nil
 	if len(waiting.byMachine) == 0 {
 		return
 	}
-	if !n.leadership.active || !n.election.MayAct(now) {
+	if !c.leadership.active || !c.election.MayAct(now) {
 		// No term, or only its grace: nothing can be stored, so nothing is waited for.
-		n.answerAll(now, out)
+		c.answerAll(now, out)
 		return
 	}
-	roundOver := waiting.roundPending && !n.jobs.RoundRequested()
-	waiting.roundPending = n.jobs.RoundRequested()
+	roundOver := waiting.roundPending && !c.jobs.RoundRequested()
+	waiting.roundPending = c.jobs.RoundRequested()
 	if roundOver {
 		recheck = waiting.appendPending(recheck)
 	}
 	for _, machine := range recheck {
 		if report := waiting.byMachine[machine]; report != nil {
-			n.reviewHeartbeat(report, now, out)
+			c.reviewHeartbeat(report, now, out)
 		}
 	}
-	n.answerOverdue(now, out)
+	c.answerOverdue(now, out)
 }
 
 // answerAll answers every report that waits.
-func (n *Controller) answerAll(now event.Time, out *event.Effects) {
-	for _, queue := range [][]*pendingHeartbeat{n.pending.pending, n.pending.idle} {
+func (c *Controller) answerAll(now event.Time, out *event.Effects) {
+	for _, queue := range [][]*pendingHeartbeat{c.pending.pending, c.pending.idle} {
 		for _, report := range queue {
 			if !report.answered {
-				n.answerHeartbeat(report, now, out)
+				c.answerHeartbeat(report, now, out)
 			}
 		}
 	}
-	n.pending.pending = nil
-	n.pending.idle = nil
+	c.pending.pending = nil
+	c.pending.idle = nil
 }
 
 // answerOverdue answers the reports whose time has come, and the oldest of idle
 // machines beyond the sockets that these may take.
-func (n *Controller) answerOverdue(now event.Time, out *event.Effects) {
-	waiting := &n.pending
+func (c *Controller) answerOverdue(now event.Time, out *event.Effects) {
+	waiting := &c.pending
 	for {
 		report := waiting.oldestPending()
 		if report == nil || now-report.since < heartbeatAnswerTimeout {
 			break
 		}
-		n.reviewHeartbeat(report, now, out)
+		c.reviewHeartbeat(report, now, out)
 	}
-	idleLimit := n.cfg.Settings.Resources.MaxConnections / idleSocketDivisor
+	idleLimit := c.cfg.Settings.Resources.MaxConnections / idleSocketDivisor
 	for {
 		report := waiting.oldestIdle()
 		if report == nil || (now-report.since < idleHeartbeatAnswerTimeout && waiting.idleCount <= idleLimit) {
 			break
 		}
-		n.answerHeartbeat(report, now, out)
+		c.answerHeartbeat(report, now, out)
 	}
 }
 
 // reviewHeartbeat answers a report unless its answer may soon say more.
-func (n *Controller) reviewHeartbeat(report *pendingHeartbeat, now event.Time, out *event.Effects) {
+func (c *Controller) reviewHeartbeat(report *pendingHeartbeat, now event.Time, out *event.Effects) {
 	waited := now - report.since
-	if !report.idle && waited < heartbeatAnswerTimeout && n.jobs.RoundRequested() {
+	if !report.idle && waited < heartbeatAnswerTimeout && c.jobs.RoundRequested() {
 		return // the next round may place something on the machine
 	}
-	if waited < idleHeartbeatAnswerTimeout && n.workers.Idle(report.heartbeat) {
-		n.pending.noteIdle(report)
+	if waited < idleHeartbeatAnswerTimeout && c.workers.Idle(report.heartbeat) {
+		c.pending.noteIdle(report)
 		return
 	}
-	if waited < heartbeatAnswerTimeout && !n.workers.AllStored(report.machine) {
+	if waited < heartbeatAnswerTimeout && !c.workers.AllStored(report.machine) {
 		return // changes of the machine's entries are not stored yet
 	}
-	n.answerHeartbeat(report, now, out)
+	c.answerHeartbeat(report, now, out)
 }
 
 // answerHeartbeat answers a report with the orders for its machine, or refuses it
 // if we may not answer as leader any more.
-func (n *Controller) answerHeartbeat(report *pendingHeartbeat, now event.Time, out *event.Effects) {
-	n.pending.noteAnswered(report)
-	if !n.mayAnswerHeartbeats(now) || n.autoscaler.Released(report.heartbeat.Machine) {
-		n.respond(report.from, event.StatusServiceUnavailable, nil, out)
+func (c *Controller) answerHeartbeat(report *pendingHeartbeat, now event.Time, out *event.Effects) {
+	c.pending.noteAnswered(report)
+	if !c.mayAnswerHeartbeats(now) || c.autoscaler.Released(report.heartbeat.Machine) {
+		c.respond(report.from, event.StatusServiceUnavailable, nil, out)
 		return
 	}
-	orders := n.workers.Commands(report.heartbeat, now, n.election)
+	orders := c.workers.Commands(report.heartbeat, now, c.election)
 	if orders == nil {
 		orders = []worker.Command{} // the protocol has a list, never null
 	}
-	body, _ := json.Marshal(heartbeatResponse{FencingToken: n.election.FencingToken(), Commands: orders})
-	n.respond(report.from, event.StatusOK, body, out)
+	body, _ := json.Marshal(heartbeatResponse{FencingToken: c.election.FencingToken(), Commands: orders})
+	c.respond(report.from, event.StatusOK, body, out)
 }
 
 // heartbeatResponse is the body of the answer to a report.
--- a/internal/controller/marks.go
+++ b/internal/controller/job_records.go
@@ -30,26 +30,26 @@
 // below a cancelled one: of jobs that we own and, as leader, of those whose
 // owner cannot. Each write requires the record as it was, so two controllers
 // that mark the same job do no harm.
-func (n *Controller) writeReadinessAndCancellations(now event.Time) {
-	if !n.store.Synced() {
+func (c *Controller) writeReadinessAndCancellations(now event.Time) {
+	if !c.store.Synced() {
 		return
 	}
 	responsible := func(job *pipeline.Job) bool {
-		if job.Owner == n.cfg.Label {
+		if job.Owner == c.cfg.Label {
 			return true
 		}
-		return n.leadership.active && !n.ownerCanWrite(job.Owner)
+		return c.leadership.active && !c.ownerCanWrite(job.Owner)
 	}
-	n.jobs.WriteReadiness(now, n.store, responsible)
-	n.jobs.WriteCancellations(now, n.store, responsible)
+	c.jobs.WriteReadiness(now, c.store, responsible)
+	c.jobs.WriteCancellations(now, c.store, responsible)
 }
 
 // ownerCanWrite tells whether a peer can mark the jobs that it owns: its
 // heartbeats arrive and say that it reaches the state service.
-func (n *Controller) ownerCanWrite(label string) bool {
-	for _, p := range n.peers {
+func (c *Controller) ownerCanWrite(label string) bool {
+	for _, p := range c.peers {
 		if p.label == label {
-			return n.isAlive(p) && p.heartbeat.StateOK
+			return c.isAlive(p) && p.heartbeat.StateOK
 		}
 	}
 	return false
@@ -57,27 +57,27 @@
 
 // publishVersion stores, once, that this controller runs this version. It is
 // not urgent: after a start of all controllers, terms and users go first.
-func (n *Controller) publishVersion(now event.Time) {
-	key := pipeline.VersionKey + "/" + n.cfg.Label
-	stored := n.store.ModRevision(key) != 0
-	if n.version.inFlight || stored || !n.store.Synced() || n.election.Leader() == "" {
+func (c *Controller) publishVersion(now event.Time) {
+	key := pipeline.VersionKey + "/" + c.cfg.Label
+	stored := c.store.ModRevision(key) != 0
+	if c.version.inFlight || stored || !c.store.Synced() || c.election.Leader() == "" {
 		return
 	}
-	if n.version.nextAt == 0 {
-		position := slices.Index(n.jobs.ControllerLabels, n.cfg.Label)
-		n.version.nextAt = now + versionRetryInterval + versionStagger*event.Time(position)
+	if c.version.nextAt == 0 {
+		position := slices.Index(c.jobs.ControllerLabels, c.cfg.Label)
+		c.version.nextAt = now + versionRetryInterval + versionStagger*event.Time(position)
 	}
-	if now < n.version.nextAt {
+	if now < c.version.nextAt {
 		return
 	}
-	n.version.inFlight = true
-	n.store.Submit(&kv.Txn{
+	c.version.inFlight = true
+	c.store.Submit(&kv.Txn{
 		Priority: kv.PriorityProgress,
 		Compares: []kv.Compare{{Key: key}},
 		Writes:   []kv.Write{{Key: key, Data: pipeline.Version}},
 		Done: func(result kv.Result) {
-			n.version.inFlight = false
-			n.version.nextAt = result.Now + versionRetryInterval
+			c.version.inFlight = false
+			c.version.nextAt = result.Now + versionRetryInterval
 		},
 	}, now+versionWriteTimeout)
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leadership.go
@@ -64,40 +64,40 @@
 
 // updateLeadership takes up a term that has begun and lays down one that has
 // ended. A leader that gets no reports resigns.
-func (n *Controller) updateLeadership(now event.Time, out *event.Effects) {
-	if n.election.TakeAcquired() {
-		n.beginTerm(now)
+func (c *Controller) updateLeadership(now event.Time, out *event.Effects) {
+	if c.election.TakeAcquired() {
+		c.beginTerm(now)
 	}
-	if n.leadership.active && !n.election.HoldsTerm() {
-		n.endTerm(now)
+	if c.leadership.active && !c.election.HoldsTerm() {
+		c.endTerm(now)
 	}
-	if n.leadership.active && now >= n.heartbeatDeadline() && n.expectsHeartbeats() {
-		n.leadership.resignedWithoutHeartbeat = true
-		n.election.Resign(now, out, "no worker reports")
-		n.updateLeadership(now, out)
+	if c.leadership.active && now >= c.heartbeatDeadline() && c.expectsHeartbeats() {
+		c.leadership.resignedWithoutHeartbeat = true
+		c.election.Resign(now, out, "no worker reports")
+		c.updateLeadership(now, out)
 	}
 }
 
-func (n *Controller) beginTerm(now event.Time) {
-	n.leadership.active = true
-	n.resetTermState()
-	n.autoscaler.BeginTerm(now, n.election.FencingToken())
-	n.leadership.lastHeartbeat = now
-	n.shareRates(now)
+func (c *Controller) beginTerm(now event.Time) {
+	c.leadership.active = true
+	c.resetTermState()
+	c.autoscaler.BeginTerm(now, c.election.FencingToken())
+	c.leadership.lastHeartbeat = now
+	c.shareRates(now)
 }
 
-func (n *Controller) endTerm(now event.Time) {
-	n.leadership.active = false
-	n.resetTermState()
-	n.autoscaler.Reset()
-	n.shareRates(now)
+func (c *Controller) endTerm(now event.Time) {
+	c.leadership.active = false
+	c.resetTermState()
+	c.autoscaler.Reset()
+	c.shareRates(now)
 }
 
 // resetTermState drops what is known or planned in one term only.
-func (n *Controller) resetTermState() {
-	n.jobs.Reset()
-	n.workers.Reset()
-	n.leadership.placement = placement{}
+func (c *Controller) resetTermState() {
+	c.jobs.Reset()
+	c.workers.Reset()
+	c.leadership.placement = placement{}
 }
 
 // heartbeatDeadline is until when a leader waits for a worker's report. A leader
@@ -105,18 +105,18 @@
 // until the leases of silent workers have expired: the workers may all be gone,
 // and further resignations would put off the proof that their tasks have
 // terminated for ever.
-func (n *Controller) heartbeatDeadline() event.Time {
-	if n.leadership.resignedWithoutHeartbeat {
-		return n.election.TasksExpireAt(n.leadership.lastHeartbeat) + noHeartbeatTimeout
+func (c *Controller) heartbeatDeadline() event.Time {
+	if c.leadership.resignedWithoutHeartbeat {
+		return c.election.TasksExpireAt(c.leadership.lastHeartbeat) + noHeartbeatTimeout
 	}
-	return n.leadership.lastHeartbeat + noHeartbeatTimeout
+	return c.leadership.lastHeartbeat + noHeartbeatTimeout
 }
 
 // expectsHeartbeats tells whether there are workers that should report.
-func (n *Controller) expectsHeartbeats() bool {
-	expected := n.autoscaler.HasUnregisteredMachines()
-	n.jobs.MachinesInUse(func(int) { expected = true })
-	for _, machine := range n.workers.Machines {
+func (c *Controller) expectsHeartbeats() bool {
+	expected := c.autoscaler.HasUnregisteredMachines()
+	c.jobs.MachinesInUse(func(int) { expected = true })
+	for _, machine := range c.workers.Machines {
 		expected = expected || (machine != nil && machine.LastHeartbeat > 0)
 	}
 	return expected
@@ -124,38 +124,38 @@
 
 // actAsLeader does what is due of the leader's work. The caller checks that
 // the election allows tasks to be started.
-func (n *Controller) actAsLeader(now event.Time, out *event.Effects) {
-	schedule := &n.leadership.schedule
+func (c *Controller) actAsLeader(now event.Time, out *event.Effects) {
+	schedule := &c.leadership.schedule
 	if now-schedule.workersAt >= workersInterval {
 		schedule.workersAt = now
-		n.workers.Tick(now, n.election, out)
-		n.evictBeforeReclaim(now)
+		c.workers.Tick(now, c.election, out)
+		c.evictBeforeReclaim(now)
 	}
-	n.autoscaler.Tick(now, n.election, n.election.Fence(), n.workerHeartbeatTimeout(), out)
-	if n.autoscaler.Replan {
-		n.jobs.RequestRound()
+	c.autoscaler.Tick(now, c.election, c.election.Fence(), c.workerHeartbeatTimeout(), out)
+	if c.autoscaler.Replan {
+		c.jobs.RequestRound()
 	}
-	if n.roundDue(now) {
-		n.runRound(now, out)
+	if c.roundDue(now) {
+		c.runRound(now, out)
 	}
-	if now-schedule.consolidateAt >= consolidationInterval && n.leadership.placement.capacities != nil {
+	if now-schedule.consolidateAt >= consolidationInterval && c.leadership.placement.capacities != nil {
 		schedule.consolidateAt = now
-		n.consolidate(now)
+		c.consolidate(now)
 	}
-	n.logLoad(now)
-	n.jobs.Flush(now, n.election.Fence(), n.store)
-	n.jobs.FlushRetries(now, n.election.Fence(), n.store)
+	c.logLoad(now)
+	c.jobs.Flush(now, c.election.Fence(), c.store)
+	c.jobs.FlushRetries(now, c.election.Fence(), c.store)
 	if now-schedule.garbageCollectAt >= garbageCollectionInterval {
 		schedule.garbageCollectAt = now
-		n.collectGarbage(now)
+		c.collectGarbage(now)
 	}
 }
 
 // roundDue tells whether it is time for a scheduling round: soon after a
 // change, rarely without one.
-func (n *Controller) roundDue(now event.Time) bool {
-	elapsed := now - n.leadership.schedule.roundAt
-	if n.jobs.RoundRequested() && elapsed >= time.Duration(n.cfg.Operator.Scheduler.Round) {
+func (c *Controller) roundDue(now event.Time) bool {
+	elapsed := now - c.leadership.schedule.roundAt
+	if c.jobs.RoundRequested() && elapsed >= time.Duration(c.cfg.Operator.Scheduler.Round) {
 		return true
 	}
 	return elapsed >= idleRoundInterval
@@ -163,61 +163,61 @@
 
 // runRound decides what runs where and, when that is due, what to provision
 // for the jobs that did not fit.
-func (n *Controller) runRound(now event.Time, out *event.Effects) {
-	schedule := &n.leadership.schedule
+func (c *Controller) runRound(now event.Time, out *event.Effects) {
+	schedule := &c.leadership.schedule
 	schedule.roundAt = now
-	n.jobs.ClearRoundRequest()
-	n.startBudget()
-	n.work.Rounds++
-	blocked, capacities := n.scheduler.Round(now)
-	n.leadership.placement = placement{blocked: blocked, capacities: capacities}
-	if now-schedule.planAt >= planInterval || n.autoscaler.Replan {
+	c.jobs.ClearRoundRequest()
+	c.startBudget()
+	c.work.Rounds++
+	blocked, capacities := c.scheduler.Round(now)
+	c.leadership.placement = placement{blocked: blocked, capacities: capacities}
+	if now-schedule.planAt >= planInterval || c.autoscaler.Replan {
 		schedule.planAt = now
-		n.autoscaler.Replan = false
-		n.autoscaler.Plan(now, blocked, n.scheduler, n.election.FencingToken(), out)
+		c.autoscaler.Replan = false
+		c.autoscaler.Plan(now, blocked, c.scheduler, c.election.FencingToken(), out)
 	}
 }
 
 // consolidate moves tasks off machines that can be released then.
-func (n *Controller) consolidate(now event.Time) {
-	n.startBudget()
-	last := &n.leadership.placement
-	for _, machine := range n.scheduler.Consolidate(now, last.capacities, last.blocked) {
-		n.log.Info("draining machine", "machine", machine.Name)
+func (c *Controller) consolidate(now event.Time) {
+	c.startBudget()
+	last := &c.leadership.placement
+	for _, machine := range c.scheduler.Consolidate(now, last.capacities, last.blocked) {
+		c.log.Info("draining machine", "machine", machine.Name)
 	}
 }
 
 // collectGarbage deletes or rewrites a few records that are no longer needed as
 // they are.
-func (n *Controller) collectGarbage(now event.Time) {
-	term := n.election.Fence()
-	n.jobs.CollectGarbage(now, term, n.store, garbageCollectedJobs)
-	n.jobs.ExpandRecords(garbageCollectedJobs)
-	n.jobs.DeleteStaleUpstreamPages(now, term, n.store)
+func (c *Controller) collectGarbage(now event.Time) {
+	term := c.election.Fence()
+	c.jobs.CollectGarbage(now, term, c.store, garbageCollectedJobs)
+	c.jobs.ExpandRecords(garbageCollectedJobs)
+	c.jobs.DeleteStaleUpstreamPages(now, term, c.store)
 }
 
 // startBudget starts the time that the scheduler has for one round.
-func (n *Controller) startBudget() {
-	if n.clock == nil {
+func (c *Controller) startBudget() {
+	if c.clock == nil {
 		return
 	}
-	begin := n.clock()
-	budget := time.Duration(n.cfg.Operator.Scheduler.Budget)
-	n.scheduler.OverBudget = func() bool { return n.clock()-begin > budget }
+	begin := c.clock()
+	budget := time.Duration(c.cfg.Operator.Scheduler.Budget)
+	c.scheduler.OverBudget = func() bool { return c.clock()-begin > budget }
 }
 
 // evictBeforeReclaim stops tasks that save checkpoints on machines that the
 // cloud is about to reclaim, while there is still time for the last save.
-func (n *Controller) evictBeforeReclaim(now event.Time) {
-	for _, machine := range n.workers.Machines {
+func (c *Controller) evictBeforeReclaim(now event.Time) {
+	for _, machine := range c.workers.Machines {
 		if machine == nil || machine.ReclaimAt == 0 {
 			continue
 		}
-		for _, entry := range n.jobs.OnMachine(machine.Index) {
+		for _, entry := range c.jobs.OnMachine(machine.Index) {
 			job := entry.Job
 			needed := config.Seconds(job.CheckpointDuration) + evictionMargin
 			if job.CheckpointInterval > 0 && machine.ReclaimAt-now < needed {
-				n.workers.Evict(entry, worker.GracePeriod(job))
+				c.workers.Evict(entry, worker.GracePeriod(job))
 			}
 		}
 	}
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -21,12 +21,12 @@
 }
 
 // WorkCounters returns the counts since the process began.
-func (n *Controller) WorkCounters() WorkCounters {
-	work := n.work
-	work.Decoded = n.parser.Decoded
-	work.Unchanged = n.parser.Unchanged
-	work.CapacitiesRecomputed = n.scheduler.Recounted
-	work.MachineIndices = n.names.Machines.Len()
+func (c *Controller) WorkCounters() WorkCounters {
+	work := c.work
+	work.Decoded = c.parser.Decoded
+	work.Unchanged = c.parser.Unchanged
+	work.CapacitiesRecomputed = c.scheduler.Recounted
+	work.MachineIndices = c.names.Machines.Len()
 	return work
 }
 
@@ -46,9 +46,9 @@
 	freeGPUs float64
 }
 
-func (n *Controller) taskLoad() taskLoad {
+func (c *Controller) taskLoad() taskLoad {
 	var load taskLoad
-	for _, job := range n.jobs.Jobs {
+	for _, job := range c.jobs.Jobs {
 		if job == nil || job.TerminalPhase != pipeline.Queued {
 			continue
 		}
@@ -71,9 +71,9 @@
 	}
 }
 
-func (n *Controller) machineLoad() machineLoad {
+func (c *Controller) machineLoad() machineLoad {
 	var load machineLoad
-	for _, capacity := range n.leadership.placement.capacities {
+	for _, capacity := range c.leadership.placement.capacities {
 		load.up++
 		if !capacity.InUse {
 			load.idle++
@@ -84,15 +84,15 @@
 }
 
 // logLoad logs now and then how much work there is and what is done about it.
-func (n *Controller) logLoad(now event.Time) {
-	if now-n.leadership.schedule.loadAt < loadLogInterval {
+func (c *Controller) logLoad(now event.Time) {
+	if now-c.leadership.schedule.loadAt < loadLogInterval {
 		return
 	}
-	n.leadership.schedule.loadAt = now
-	tasks := n.taskLoad()
-	machines := n.machineLoad()
-	_, writes := n.store.Demand(now)
-	n.log.Info("load",
+	c.leadership.schedule.loadAt = now
+	tasks := c.taskLoad()
+	machines := c.machineLoad()
+	_, writes := c.store.Demand(now)
+	c.log.Info("load",
 		"jobs_waiting", tasks.jobsWaiting,
 		"tasks_waiting", tasks.tasksWaiting,
 		"unstored", tasks.unstored,
@@ -104,9 +104,9 @@
 		"machines", machines.up,
 		"idle", machines.idle,
 		"gpus_free", machines.freeGPUs,
-		"reserved", n.scheduler.Reserved(),
-		"cut_short", n.scheduler.Interrupted,
-		"compact", n.jobs.CompactCount(),
+		"reserved", c.scheduler.Reserved(),
+		"cut_short", c.scheduler.Interrupted,
+		"compact", c.jobs.CompactCount(),
 		"writes", int(writes))
-	n.scheduler.Interrupted = 0
+	c.scheduler.Interrupted = 0
 }
--- a/internal/controller/machines.go
+++ b/internal/controller/machine_sweep.go
@@ -13,22 +13,22 @@
 
 // forgetGoneMachines drops what is kept of machines that nothing refers to any more,
 // so that their indices serve others.
-func (n *Controller) forgetGoneMachines(now event.Time) {
-	if now-n.machinesSweptAt < machineSweepInterval {
+func (c *Controller) forgetGoneMachines(now event.Time) {
+	if now-c.machinesSweptAt < machineSweepInterval {
 		return
 	}
-	n.machinesSweptAt = now
-	n.parser.Retain(func(name string) bool { return n.workers.Lookup(name) != nil })
-	for index := range n.names.Machines.Len() {
-		if n.names.Machines.Used(index) && !n.refersToMachine(index) {
-			n.jobs.ForgetMachine(index)
-			n.names.Machines.Release(index)
+	c.machinesSweptAt = now
+	c.parser.Retain(func(name string) bool { return c.workers.Lookup(name) != nil })
+	for index := range c.names.Machines.Len() {
+		if c.names.Machines.Used(index) && !c.refersToMachine(index) {
+			c.jobs.ForgetMachine(index)
+			c.names.Machines.Release(index)
 		}
 	}
 }
 
 // refersToMachine tells whether a machine's index is in use.
-func (n *Controller) refersToMachine(index int) bool {
-	known := n.workers.MachineAt(index) != nil || n.autoscaler.IsBooting(index)
-	return known || len(n.jobs.OnMachine(index)) > 0 || n.pending.byMachine[index] != nil
+func (c *Controller) refersToMachine(index int) bool {
+	known := c.workers.MachineAt(index) != nil || c.autoscaler.IsBooting(index)
+	return known || len(c.jobs.OnMachine(index)) > 0 || c.pending.byMachine[index] != nil
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -46,30 +46,30 @@
 
 // isAlive tells whether a peer's heartbeats arrive. Judged as of our last own
 // heartbeat, it does not change because we stood still.
-func (n *Controller) isAlive(p *peerState) bool {
-	return n.peerHeartbeatAt-p.heartbeatAt < peerHeartbeatTimeout
+func (c *Controller) isAlive(p *peerState) bool {
+	return c.peerHeartbeatAt-p.heartbeatAt < peerHeartbeatTimeout
 }
 
 // sendPeerHeartbeat sends, when it is due, our view of the cluster to all peers.
-func (n *Controller) sendPeerHeartbeat(now event.Time, out *event.Effects) {
-	if now-n.peerHeartbeatAt < peerHeartbeatInterval {
+func (c *Controller) sendPeerHeartbeat(now event.Time, out *event.Effects) {
+	if now-c.peerHeartbeatAt < peerHeartbeatInterval {
 		return
 	}
-	n.peerHeartbeatAt = now
-	own := n.shareRates(now)
+	c.peerHeartbeatAt = now
+	own := c.shareRates(now)
 	heartbeat := peer.Frame{
 		Kind:     peer.Heartbeat,
-		Label:    n.cfg.Label,
-		StateOK:  n.store.Synced() && !n.store.Unavailable(),
-		IsLeader: n.leadership.active,
+		Label:    c.cfg.Label,
+		StateOK:  c.store.Synced() && !c.store.Unavailable(),
+		IsLeader: c.leadership.active,
 		Requests: saturate(own.requests),
 		Writes:   saturate(own.writes),
 	}
-	if n.leadership.active {
-		heartbeat.FencingToken = n.election.FencingToken()
+	if c.leadership.active {
+		heartbeat.FencingToken = c.election.FencingToken()
 	}
 	data := peer.Append(nil, &heartbeat)
-	for i := range n.peers {
+	for i := range c.peers {
 		out.Send(i, data)
 	}
 }
@@ -79,31 +79,31 @@
 
 // HandleFrame takes a frame from another controller. Frames of unknown controllers
 // are ignored.
-func (n *Controller) HandleFrame(now event.Time, in event.PeerFrame, out *event.Effects) {
+func (c *Controller) HandleFrame(now event.Time, in event.PeerFrame, out *event.Effects) {
 	frame, err := peer.Decode(in.Data)
 	if err != nil {
-		n.log.Debug("bad frame", "err", err)
+		c.log.Debug("bad frame", "err", err)
 		return
 	}
-	for i, p := range n.peers {
+	for i, p := range c.peers {
 		if p.label == frame.Label {
-			n.handleFrame(now, i, &frame, out)
+			c.handleFrame(now, i, &frame, out)
 		}
 	}
 }
 
-func (n *Controller) handleFrame(now event.Time, from int, frame *peer.Frame, out *event.Effects) {
+func (c *Controller) handleFrame(now event.Time, from int, frame *peer.Frame, out *event.Effects) {
 	switch frame.Kind {
 	case peer.Heartbeat:
-		p := n.peers[from]
+		p := c.peers[from]
 		p.heartbeatAt = now
 		p.heartbeat = *frame
 		if frame.IsLeader {
-			n.election.ObserveToken(frame.FencingToken)
+			c.election.ObserveToken(frame.FencingToken)
 		}
 	case peer.Relay:
-		n.handleRelayedHeartbeat(now, from, frame, out)
+		c.handleRelayedHeartbeat(now, from, frame, out)
 	case peer.RelayAck:
-		n.handleRelayAck(frame, out)
+		c.handleRelayAck(frame, out)
 	}
 }
--- a/internal/controller/share.go
+++ b/internal/controller/rate_share.go
@@ -32,27 +32,27 @@
 
 // shareRates sets our part of the state service's rates by what each controller
 // could use. It returns what we could use ourselves.
-func (n *Controller) shareRates(now event.Time) demand {
+func (c *Controller) shareRates(now event.Time) demand {
 	var own demand
-	own.requests, own.writes = n.store.Demand(now)
-	requestRate, writeRate := n.store.Rates()
-	requests := n.split(requestsShare*requestRate, own.requests, func(f *peer.Frame) uint16 { return f.Requests })
-	writes := n.split(writeRate, own.writes, func(f *peer.Frame) uint16 { return f.Writes })
-	n.store.SetRateShare(requests, writes)
+	own.requests, own.writes = c.store.Demand(now)
+	requestRate, writeRate := c.store.Rates()
+	requests := c.split(requestsShare*requestRate, own.requests, func(f *peer.Frame) uint16 { return f.Requests })
+	writes := c.split(writeRate, own.writes, func(f *peer.Frame) uint16 { return f.Writes })
+	c.store.SetRateShare(requests, writes)
 	return own
 }
 
 // split returns our part of a rate. A peer that is not alive counts with its
 // guaranteed part, as it may use that without our knowing.
-func (n *Controller) split(rate, own float64, demandOf func(*peer.Frame) uint16) float64 {
-	guaranteed := guaranteedShare * rate / float64(len(n.peers)+1)
+func (c *Controller) split(rate, own float64, demandOf func(*peer.Frame) uint16) float64 {
+	guaranteed := guaranteedShare * rate / float64(len(c.peers)+1)
 	claims := []kv.Claim{{
 		Want:   max(guaranteed, demandMargin*own),
-		Weight: claimWeight(n.leadership.active),
+		Weight: claimWeight(c.leadership.active),
 	}}
-	for _, p := range n.peers {
+	for _, p := range c.peers {
 		claim := kv.Claim{Want: guaranteed, Weight: followerWeight}
-		if n.isAlive(p) {
+		if c.isAlive(p) {
 			claim.Want = max(guaranteed, demandMargin*float64(demandOf(&p.heartbeat)))
 			claim.Weight = claimWeight(p.heartbeat.IsLeader)
 		}
--- a/internal/controller/divert.go
+++ b/internal/controller/redirect.go
@@ -13,18 +13,18 @@
 // dial the leader anew for each report. One that is back soon is served here, as that
 // controller does not reach us or has ended. It tells whether the worker was sent away;
 // what its report says comes again with the next one.
-func (n *Controller) redirectToRelay(now event.Time, r event.Request, report *worker.Heartbeat, out *event.Effects) bool {
-	if !r.ConnectionLimitReached || report.FencingToken != n.election.FencingToken() {
+func (c *Controller) redirectToRelay(now event.Time, r event.Request, report *worker.Heartbeat, out *event.Effects) bool {
+	if !r.ConnectionLimitReached || report.FencingToken != c.election.FencingToken() {
 		return false
 	}
-	machine := n.workers.Lookup(report.Machine)
+	machine := c.workers.Lookup(report.Machine)
 	if machine == nil {
 		return false
 	}
 	if machine.RedirectedAt != 0 && now-machine.RedirectedAt < redirectWindow {
 		return false
 	}
-	label := n.relayingPeer(report.Machine)
+	label := c.relayingPeer(report.Machine)
 	if label == "" {
 		return false
 	}
@@ -35,10 +35,10 @@
 
 // relayingPeer picks, among the controllers that are alive, the one that relays for a
 // machine, so that machines are spread evenly; "" if none is alive.
-func (n *Controller) relayingPeer(machine string) string {
+func (c *Controller) relayingPeer(machine string) string {
 	var labels []string
-	for _, p := range n.peers {
-		if n.isAlive(p) {
+	for _, p := range c.peers {
+		if c.isAlive(p) {
 			labels = append(labels, p.label)
 		}
 	}
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -84,16 +84,16 @@
 // leader, and its reports are relayed over the peer link. So a partition between two
 // zones costs no worker its lease as long as one controller reaches both sides. The
 // leader treats relayed reports like any other; a late one is merely old.
-func (n *Controller) relayOrRedirect(now event.Time, r event.Request, report *worker.Heartbeat, out *event.Effects) {
-	leader := n.liveLeader()
+func (c *Controller) relayOrRedirect(now event.Time, r event.Request, report *worker.Heartbeat, out *event.Effects) {
+	leader := c.liveLeader()
 	reachable := leader >= 0
-	n.relays.beginTerm(n.election.LeaderToken())
-	route := n.relays.route(report.Machine)
+	c.relays.beginTerm(c.election.LeaderToken())
+	route := c.relays.route(report.Machine)
 	cameBack := now-route.servedAt < redirectWindow
 	// A worker that shows the leader's fencing token was served by it and has left
 	// it for want of an answer: to send it back first would cost it seconds in which
 	// nothing starts there.
-	leftLeader := report.FencingToken != 0 && report.FencingToken == n.election.LeaderToken()
+	leftLeader := report.FencingToken != 0 && report.FencingToken == c.election.LeaderToken()
 	relayedLongEnough := route.relayingSince != 0 && now-route.relayingSince > relayDuration
 	switch {
 	case (cameBack || leftLeader) && !reachable:
@@ -103,23 +103,23 @@
 	case (!cameBack && !leftLeader) || relayedLongEnough:
 		route.servedAt = now
 		route.relayingSince = 0
-		n.redirect(r.Conn, out)
+		c.redirect(r.Conn, out)
 	default:
 		if route.relayingSince == 0 {
 			route.relayingSince = now
-			n.log.Info("relaying reports", "machine", report.Machine, "to", n.peers[leader].label)
+			c.log.Info("relaying reports", "machine", report.Machine, "to", c.peers[leader].label)
 		}
 		route.servedAt = now
-		n.relay(now, r, leader, out)
+		c.relay(now, r, leader, out)
 	}
 }
 
 // liveLeader returns the index of the peer that leads, -1 if none that is
 // alive does.
-func (n *Controller) liveLeader() int {
+func (c *Controller) liveLeader() int {
 	leader := -1
-	for i, p := range n.peers {
-		if p.label == n.election.Leader() && n.isAlive(p) {
+	for i, p := range c.peers {
+		if p.label == c.election.Leader() && c.isAlive(p) {
 			leader = i
 		}
 	}
@@ -127,52 +127,52 @@
 }
 
 // relay sends a report to the leader over the peer link.
-func (n *Controller) relay(now event.Time, r event.Request, leader int, out *event.Effects) {
+func (c *Controller) relay(now event.Time, r event.Request, leader int, out *event.Effects) {
 	out.Send(leader, peer.Append(nil, &peer.Frame{
 		Kind:  peer.Relay,
-		Label: n.cfg.Label,
-		ID:    n.relays.add(r.Conn, now),
+		Label: c.cfg.Label,
+		ID:    c.relays.add(r.Conn, now),
 		Body:  r.Body,
 	}))
 }
 
 // handleRelayedHeartbeat takes, as leader, a report that a peer has relayed.
-func (n *Controller) handleRelayedHeartbeat(now event.Time, from int, frame *peer.Frame, out *event.Effects) {
+func (c *Controller) handleRelayedHeartbeat(now event.Time, from int, frame *peer.Frame, out *event.Effects) {
 	to := replyTo{peer: from, relayID: frame.ID}
-	report, err := n.parser.Parse(frame.Body)
-	if err != nil || !n.mayAnswerHeartbeats(now) {
-		n.respond(to, event.StatusServiceUnavailable, nil, out)
+	report, err := c.parser.Parse(frame.Body)
+	if err != nil || !c.mayAnswerHeartbeats(now) {
+		c.respond(to, event.StatusServiceUnavailable, nil, out)
 		return
 	}
-	n.acceptHeartbeat(now, to, report, out)
+	c.acceptHeartbeat(now, to, report, out)
 }
 
 // handleRelayAck passes the leader's answer to a relayed report on to its
 // worker. An answer that comes after the relay has expired is ignored.
-func (n *Controller) handleRelayAck(frame *peer.Frame, out *event.Effects) {
-	relay, ok := n.relays.pending[frame.ID]
+func (c *Controller) handleRelayAck(frame *peer.Frame, out *event.Effects) {
+	relay, ok := c.relays.pending[frame.ID]
 	if !ok {
 		return
 	}
-	delete(n.relays.pending, frame.ID)
-	n.respond(replyTo{conn: relay.conn}, int(frame.Status), frame.Body, out)
+	delete(c.relays.pending, frame.ID)
+	c.respond(replyTo{conn: relay.conn}, int(frame.Status), frame.Body, out)
 }
 
 // expireRelays answers the workers whose relayed report got no answer in time.
-func (n *Controller) expireRelays(now event.Time, out *event.Effects) {
-	for _, id := range slices.Sorted(maps.Keys(n.relays.pending)) {
-		relay := n.relays.pending[id]
+func (c *Controller) expireRelays(now event.Time, out *event.Effects) {
+	for _, id := range slices.Sorted(maps.Keys(c.relays.pending)) {
+		relay := c.relays.pending[id]
 		if now-relay.since > relayTimeout {
-			delete(n.relays.pending, id)
+			delete(c.relays.pending, id)
 			out.Unavailable(relay.conn, retryAfterSeconds)
 		}
 	}
 }
 
 // redirect tells a worker which controller leads, if that is known.
-func (n *Controller) redirect(conn uint64, out *event.Effects) {
-	leader := n.election.Leader()
-	if leader == "" || leader == n.cfg.Label {
+func (c *Controller) redirect(conn uint64, out *event.Effects) {
+	leader := c.election.Leader()
+	if leader == "" || leader == c.cfg.Label {
 		out.Reply(conn, event.StatusMisdirected, nil)
 		return
 	}
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -9,49 +9,49 @@
 // SetWallClock sets the time of day that belongs to a time of the monotonic clock.
 // Stored times are times of day, since monotonic clocks of other processes have
 // other starts.
-func (n *Controller) SetWallClock(now event.Time, wall time.Time) { n.jobs.SetClock(now, wall) }
+func (c *Controller) SetWallClock(now event.Time, wall time.Time) { c.jobs.SetClock(now, wall) }
 
 // Tick does what is due at the given time.
-func (n *Controller) Tick(now event.Time, out *event.Effects) {
-	n.jobs.SetNow(now)
-	n.store.Tick(now, out)
-	n.election.Tick(now, out)
-	n.updateLeadership(now, out)
-	n.sendPeerHeartbeat(now, out)
-	n.expireRelays(now, out)
-	n.forgetGoneMachines(now)
-	n.publishVersion(now)
-	n.writeReadinessAndCancellations(now)
-	n.api.Tick(now, out)
-	if n.election.MayAct(now) {
-		n.actAsLeader(now, out)
-		n.store.Tick(now, out)
-	} else if !n.leadership.active {
-		n.autoscaler.RefreshMachineTypes(now, nil, out)
+func (c *Controller) Tick(now event.Time, out *event.Effects) {
+	c.jobs.SetNow(now)
+	c.store.Tick(now, out)
+	c.election.Tick(now, out)
+	c.updateLeadership(now, out)
+	c.sendPeerHeartbeat(now, out)
+	c.expireRelays(now, out)
+	c.forgetGoneMachines(now)
+	c.publishVersion(now)
+	c.writeReadinessAndCancellations(now)
+	c.api.Tick(now, out)
+	if c.election.MayAct(now) {
+		c.actAsLeader(now, out)
+		c.store.Tick(now, out)
+	} else if !c.leadership.active {
+		c.autoscaler.RefreshMachineTypes(now, nil, out)
 	}
-	n.answerHeartbeats(now, out)
+	c.answerHeartbeats(now, out)
 }
 
 // HandleCallResult takes the outcome of a call of ours.
-func (n *Controller) HandleCallResult(now event.Time, done event.CallResult, out *event.Effects) {
-	n.jobs.SetNow(now)
-	if n.store.HandleCallResult(now, done, out) {
-		n.onStoreAnswer(now, out)
+func (c *Controller) HandleCallResult(now event.Time, done event.CallResult, out *event.Effects) {
+	c.jobs.SetNow(now)
+	if c.store.HandleCallResult(now, done, out) {
+		c.onStoreAnswer(now, out)
 		return
 	}
-	if n.autoscaler.HandleCallResult(now, done, out) {
+	if c.autoscaler.HandleCallResult(now, done, out) {
 		return
 	}
-	n.workers.HandleCallResult(done, n.election, out)
+	c.workers.HandleCallResult(done, c.election, out)
 }
 
 // onStoreAnswer acts on what an answer of the state service has changed: the
 // term may have begun or ended, and writes that reports wait for may be stored.
-func (n *Controller) onStoreAnswer(now event.Time, out *event.Effects) {
-	n.updateLeadership(now, out)
-	if n.leadership.active && n.election.MayAct(now) {
-		n.actAsLeader(now, out)
-		n.store.Tick(now, out)
+func (c *Controller) onStoreAnswer(now event.Time, out *event.Effects) {
+	c.updateLeadership(now, out)
+	if c.leadership.active && c.election.MayAct(now) {
+		c.actAsLeader(now, out)
+		c.store.Tick(now, out)
 	}
-	n.answerHeartbeats(now, out)
+	c.answerHeartbeats(now, out)
 }
