--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -26,7 +26,7 @@
 		return
 	}
 	if s.unavailable(now) || c.retries >= maxCancelRetries {
-		out.Unavailable(c.conn, retryAfter)
+		out.ReplyUnavailable(c.conn, retryAfter)
 		return
 	}
 	j := s.accepted(c.id)
@@ -49,12 +49,12 @@
 	switch r.Outcome {
 	case kv.Committed:
 		s.cancel(r.Now, c, r.Out) // answers from the mark
-	case kv.Aborted:
-		r.Out.Unavailable(c.conn, retryAfter)
+	case kv.Aborted, kv.Rejected:
+		r.Out.ReplyUnavailable(c.conn, retryAfter)
 	default:
 		s.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
 			if !ok {
-				out.Unavailable(c.conn, retryAfter)
+				out.ReplyUnavailable(c.conn, retryAfter)
 				return
 			}
 			s.retryCancel(now, c, out)
@@ -68,7 +68,7 @@
 	s.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
 		switch {
 		case !ok:
-			out.Unavailable(c.conn, retryAfter)
+			out.ReplyUnavailable(c.conn, retryAfter)
 		case s.state(c.id) == nil:
 			out.Reply(c.conn, httpwire.StatusNotFound, nil)
 		default:
--- a/internal/api/node_test.go
+++ b/internal/api/node_test.go
@@ -32,11 +32,12 @@
 	names := &pipeline.Names{}
 	names.Zones.Index("a")
 	n.jobs = pipeline.NewTable(names, valueBytes, txnOps)
-	limits := kv.Limits{TxnOps: txnOps, RPS: 1000, WriteRPS: 1000, StaleAfter: time.Hour}
-	n.store = kv.New("s", limits, func(key string, data []byte, version uint64) {
+	limits := kv.Limits{TxnOps: txnOps, Rates: kv.Rates{Requests: 1000, Writes: 1000}, StaleAfter: time.Hour}
+	onChange := func(key string, data []byte, version uint64) {
 		kind, rest := kv.SplitKey(key)
 		n.jobs.HandleChange(kind, rest, data, version)
-	})
+	}
+	n.store = kv.New(kv.Config{Addr: "s", Limits: limits, OnChange: onChange})
 	machineTypes := &scheduler.MachineTypes{{Index: names.MachineTypes.Index("m"), CPUs: 8, Memory: 32, Zones: []int{0}}}
 	cfg := Config{
 		Label:      label,
--- a/internal/api/pending.go
+++ b/internal/api/pending.go
@@ -47,7 +47,7 @@
 func (s *Server) beginPartsWrite(now event.Time, conn uint64, j *pipeline.Job, parts [][]byte, out *event.Effects) {
 	version, seenFor := s.jobs.SubmissionAttempt(j.ID, now)
 	if s.pending[j.ID] != nil || (version != 0 && seenFor < pipeline.SubmissionAttemptTimeout) {
-		out.Unavailable(conn, retryAfter)
+		out.ReplyUnavailable(conn, retryAfter)
 		return
 	}
 	p := &pendingSubmission{id: j.ID, job: j, conn: conn, began: now, parts: parts, next: 1}
@@ -63,7 +63,7 @@
 		p.version = r.Revision
 		p.job.SubmissionRevision = r.Revision
 		s.writeNextParts(r.Now, p)
-	case kv.Aborted:
+	case kv.Aborted, kv.Rejected:
 		s.abandon(p, r)
 	default:
 		// The part 0 that is stored may be ours or a rival's: its value does not
@@ -121,7 +121,7 @@
 		case r.Outcome == kv.Unknown && p.retries < maxWriteRetries:
 			p.retries++
 			s.writePart(r.Now, p, write, written)
-		case r.Outcome == kv.Aborted:
+		case r.Outcome == kv.Aborted || r.Outcome == kv.Rejected:
 			s.abandon(p, r)
 		default:
 			s.concede(p)
@@ -156,7 +156,7 @@
 		p := s.pending[id]
 		age := now - p.began
 		if !p.answered && age > s.cfg.Answer {
-			out.Unavailable(p.conn, retryAfter)
+			out.ReplyUnavailable(p.conn, retryAfter)
 			p.answered = true
 		}
 		if age > submissionTimeout {
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -40,7 +40,7 @@
 		return
 	}
 	if s.unavailable(now) {
-		out.Unavailable(conn, retryAfter)
+		out.ReplyUnavailable(conn, retryAfter)
 		return
 	}
 	s.answerAfterBarrier(conn, id, func(_ event.Time, out *event.Effects) {
@@ -54,7 +54,7 @@
 func (s *Server) answerAfterBarrier(conn uint64, id string, unknown func(now event.Time, out *event.Effects)) {
 	s.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
 		if !ok {
-			out.Unavailable(conn, retryAfter)
+			out.ReplyUnavailable(conn, retryAfter)
 		} else if b := s.state(id); b != nil {
 			out.Reply(conn, httpwire.StatusOK, b)
 		} else {
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -25,7 +25,7 @@
 		return
 	}
 	if s.unavailable(now) {
-		out.Unavailable(r.Conn, retryAfter)
+		out.ReplyUnavailable(r.Conn, retryAfter)
 		return
 	}
 	if s.accepted(id) != nil {
@@ -40,7 +40,7 @@
 	j, err := s.newJob(sub)
 	switch {
 	case errors.Is(err, errMachineTypesUnknown):
-		out.Unavailable(r.Conn, retryAfter)
+		out.ReplyUnavailable(r.Conn, retryAfter)
 	case err != nil:
 		s.reject(r.Conn, id, httpwire.StatusUnprocessableContent)
 	case !s.validUpstream(upstream):
@@ -108,7 +108,7 @@
 		out.Reply(conn, httpwire.StatusBadRequest, nil)
 		return
 	}
-	if best, _ := s.store.Backlog(kv.PrioritySubmission); best > s.cfg.Answer.Seconds() {
+	if delay := s.store.QueueDelay(kv.PrioritySubmission); delay.AtTotalRate > s.cfg.Answer.Seconds() {
 		// The write would wait for longer than the user does. Refusing it now
 		// leaves the rate to those that wait already.
 		s.refuseForBacklog(conn, out)
@@ -131,7 +131,7 @@
 			switch r.Outcome {
 			case kv.Committed:
 				r.Out.Reply(conn, httpwire.StatusCreated, s.stateOfNew(id))
-			case kv.Aborted:
+			case kv.Aborted, kv.Rejected:
 				s.refuseForBacklog(conn, r.Out)
 			default:
 				s.answerFromStore(conn, id)
@@ -151,9 +151,9 @@
 
 // refuseForBacklog answers 503 with the time that the writes before this one take.
 func (s *Server) refuseForBacklog(conn uint64, out *event.Effects) {
-	_, wait := s.store.Backlog(kv.PrioritySubmission)
+	wait := s.store.QueueDelay(kv.PrioritySubmission).AtOwnShare
 	seconds := min(max(wait, retryAfter), maxRetryAfter)
-	out.Unavailable(conn, int(math.Ceil(seconds)))
+	out.ReplyUnavailable(conn, int(math.Ceil(seconds)))
 }
 
 // answerFromStore answers a submission whose write conflicted or whose outcome
@@ -161,6 +161,6 @@
 // job, which the user's retry finds.
 func (s *Server) answerFromStore(conn uint64, id string) {
 	s.answerAfterBarrier(conn, id, func(_ event.Time, out *event.Effects) {
-		out.Unavailable(conn, retryAfter)
+		out.ReplyUnavailable(conn, retryAfter)
 	})
 }
--- a/internal/autoscaler/announce_test.go
+++ b/internal/autoscaler/announce_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/httpwire"
 	"lugward/internal/kv"
 	"lugward/internal/pipeline"
 	"lugward/internal/worker"
@@ -17,9 +18,9 @@
 type leading struct{}
 
 func (leading) FencingToken() uint64                     { return 5 }
-func (leading) MayAct(event.Time) bool                   { return true }
-func (leading) ObserveToken(uint64)                      {}
-func (leading) WorkerLease() time.Duration               { return 30 * time.Second }
+func (leading) IsLeader(event.Time) bool                 { return true }
+func (leading) ObserveFencingToken(uint64)               {}
+func (leading) MaxWorkerLease() time.Duration            { return 30 * time.Second }
 func (leading) TasksExpireAt(last event.Time) event.Time { return last + 32*time.Second }
 
 // Four thousand machines that answer an isolated leader hear of the next one within
@@ -31,7 +32,7 @@
 	jobs := pipeline.NewTable(names, 4096, 12)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	workers := worker.New(names, jobs, log)
-	client := kv.New("state", kv.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60}, func(string, []byte, uint64) {})
+	client := kv.New(kv.Config{Addr: "state", Limits: kv.Limits{TxnOps: 12, Rates: kv.Rates{Requests: 100, Writes: 60}}, OnChange: func(string, []byte, uint64) {}})
 	a := New(Config{Addr: "cloud", RPS: 100, MaxConnections: sockets, IdleKeep: time.Hour, Settle: time.Hour}, names, jobs, workers, client, log)
 	now := time.Second
 	for i := range machines {
@@ -51,7 +52,7 @@
 		for _, call := range out.Calls {
 			if call.Path == "/do" {
 				told[call.Addr]++
-				workers.HandleCallResult(event.CallResult{ID: call.ID, Status: event.StatusOK, Body: []byte("{}")}, leading{}, &out)
+				workers.HandleCallResult(event.CallResult{ID: call.ID, Status: httpwire.StatusOK, Body: []byte("{}")}, leading{}, &out)
 			}
 		}
 		now += 50 * time.Millisecond
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -26,7 +26,7 @@
 		jobs := pipeline.NewTable(names, 4096, 12)
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
 		workers := worker.New(names, jobs, log)
-		client := kv.New("state", kv.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60}, func(string, []byte, uint64) {})
+		client := kv.New(kv.Config{Addr: "state", Limits: kv.Limits{TxnOps: 12, Rates: kv.Rates{Requests: 100, Writes: 60}}, OnChange: func(string, []byte, uint64) {}})
 		a := New(Config{Addr: "cloud", RPS: 100, IdleKeep: time.Minute}, names, jobs, workers, client, log)
 		a.list.current = true
 		if !a.takeTypes([]byte(`{"flavors":[{"name":"small","cores":4,"ram_gb":16,"price":1,"low_price":1,"ready_s":10,"yards":["a"]}]}`)) {
--- a/internal/autoscaler/types.go
+++ b/internal/autoscaler/types.go
@@ -127,7 +127,7 @@
 		Writes:   []kv.Write{{Key: TypesKey, Data: data}},
 		Done: func(result kv.Result) {
 			// What is refused as malformed would be refused again.
-			if result.Outcome == kv.Committed || result.Malformed {
+			if result.Outcome == kv.Committed || result.Outcome == kv.Rejected {
 				a.types.stored = true
 			}
 		},
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -107,23 +107,27 @@
 	workers := &c.cfg.Settings.Workers
 	workerLease := config.Seconds(workers.LeaseS)
 	grace := election.GracePeriod(config.Seconds(workers.CancelS), workerLease)
-	c.store = kv.New(c.cfg.Services.State, kv.Limits{
-		TxnOps:          limits.TxnOps,
-		RPS:             state.RPS,
-		WriteRPS:        state.WriteRPS,
-		NextRPS:         limits.RPS,
-		NextWriteRPS:    limits.WriteRPS,
-		StaleAfter:      min(staleAfter, grace/refreshesPerGrace),
-		ImmutablePrefix: pipeline.TerminalKey + "/",
-	}, c.onChange)
-	c.store.Log = c.log
+	c.store = kv.New(kv.Config{
+		Addr: c.cfg.Services.State,
+		Limits: kv.Limits{
+			TxnOps:          limits.TxnOps,
+			Rates:           kv.Rates{Requests: state.RPS, Writes: state.WriteRPS},
+			NextRates:       kv.Rates{Requests: limits.RPS, Writes: limits.WriteRPS},
+			StaleAfter:      min(staleAfter, grace/refreshesPerGrace),
+			ImmutablePrefix: pipeline.TerminalKey + "/",
+		},
+		OnChange: c.onChange,
+		Logger:   c.log,
+	})
 	c.election = election.New(election.Config{
 		Label:       c.cfg.Label,
 		Position:    sort.SearchStrings(c.jobs.ControllerLabels, c.cfg.Label),
 		TermLease:   time.Duration(c.cfg.Operator.Term.Life),
 		WorkerLease: workerLease,
 		Grace:       grace,
-	}, c.store, c.log)
+		Store:       c.store,
+		Logger:      c.log,
+	})
 }
 
 // connectSite builds the parts that deal with machines: the registry of
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/httpwire"
 )
 
 // isolatedAfter: a controller that has reached neither the state service nor a
@@ -13,9 +14,9 @@
 // handleHealth answers a health probe.
 func (c *Controller) handleHealth(now event.Time, r event.Request, out *event.Effects) {
 	if c.healthy(now) {
-		out.Reply(r.Conn, event.StatusOK, nil)
+		out.Reply(r.Conn, httpwire.StatusOK, nil)
 	} else {
-		out.Unavailable(r.Conn, retryAfterSeconds)
+		out.ReplyUnavailable(r.Conn, retryAfterSeconds)
 	}
 }
 
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/httpwire"
 	"lugward/internal/worker"
 )
 
@@ -129,7 +130,7 @@
 	if len(waiting.byMachine) == 0 {
 		return
 	}
-	if !c.leadership.active || !c.election.MayAct(now) {
+	if !c.leadership.active || !c.election.IsLeader(now) {
 		// No term, or only its grace: nothing can be stored, so nothing is waited for.
 		c.answerAll(now, out)
 		return
@@ -202,7 +203,7 @@
 func (c *Controller) answerHeartbeat(report *pendingHeartbeat, now event.Time, out *event.Effects) {
 	c.pending.noteAnswered(report)
 	if !c.mayAnswerHeartbeats(now) || c.autoscaler.Released(report.heartbeat.Machine) {
-		c.respond(report.from, event.StatusServiceUnavailable, nil, out)
+		c.respond(report.from, httpwire.StatusServiceUnavailable, nil, out)
 		return
 	}
 	orders := c.workers.Commands(report.heartbeat, now, c.election)
@@ -210,7 +211,7 @@
 		orders = []worker.Command{} // the protocol has a list, never null
 	}
 	body, _ := json.Marshal(heartbeatResponse{FencingToken: c.election.FencingToken(), Commands: orders})
-	c.respond(report.from, event.StatusOK, body, out)
+	c.respond(report.from, httpwire.StatusOK, body, out)
 }
 
 // heartbeatResponse is the body of the answer to a report.
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"lugward/internal/config"
+	"lugward/internal/election"
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
 	"lugward/internal/scheduler"
@@ -65,7 +66,7 @@
 // updateLeadership takes up a term that has begun and lays down one that has
 // ended. A leader that gets no reports resigns.
 func (c *Controller) updateLeadership(now event.Time, out *event.Effects) {
-	if c.election.TakeAcquired() {
+	if c.election.TakeTermStart() {
 		c.beginTerm(now)
 	}
 	if c.leadership.active && !c.election.HoldsTerm() {
@@ -73,7 +74,7 @@
 	}
 	if c.leadership.active && now >= c.heartbeatDeadline() && c.expectsHeartbeats() {
 		c.leadership.resignedWithoutHeartbeat = true
-		c.election.Resign(now, out, "no worker reports")
+		c.election.Resign(now, election.ReasonNoHeartbeats, out)
 		c.updateLeadership(now, out)
 	}
 }
@@ -131,7 +132,7 @@
 		c.workers.Tick(now, c.election, out)
 		c.evictBeforeReclaim(now)
 	}
-	c.autoscaler.Tick(now, c.election, c.election.Fence(), c.workerHeartbeatTimeout(), out)
+	c.autoscaler.Tick(now, c.election, c.election.TermCompare(), c.workerHeartbeatTimeout(), out)
 	if c.autoscaler.Replan {
 		c.jobs.RequestRound()
 	}
@@ -143,8 +144,8 @@
 		c.consolidate(now)
 	}
 	c.logLoad(now)
-	c.jobs.Flush(now, c.election.Fence(), c.store)
-	c.jobs.FlushRetries(now, c.election.Fence(), c.store)
+	c.jobs.Flush(now, c.election.TermCompare(), c.store)
+	c.jobs.FlushRetries(now, c.election.TermCompare(), c.store)
 	if now-schedule.garbageCollectAt >= garbageCollectionInterval {
 		schedule.garbageCollectAt = now
 		c.collectGarbage(now)
@@ -190,7 +191,7 @@
 // collectGarbage deletes or rewrites a few records that are no longer needed as
 // they are.
 func (c *Controller) collectGarbage(now event.Time) {
-	term := c.election.Fence()
+	term := c.election.TermCompare()
 	c.jobs.CollectGarbage(now, term, c.store, garbageCollectedJobs)
 	c.jobs.ExpandRecords(garbageCollectedJobs)
 	c.jobs.DeleteStaleUpstreamPages(now, term, c.store)
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -91,7 +91,7 @@
 	c.leadership.schedule.loadAt = now
 	tasks := c.taskLoad()
 	machines := c.machineLoad()
-	_, writes := c.store.Demand(now)
+	demand := c.store.Demand(now)
 	c.log.Info("load",
 		"jobs_waiting", tasks.jobsWaiting,
 		"tasks_waiting", tasks.tasksWaiting,
@@ -107,6 +107,6 @@
 		"reserved", c.scheduler.Reserved(),
 		"cut_short", c.scheduler.Interrupted,
 		"compact", c.jobs.CompactCount(),
-		"writes", int(writes))
+		"writes", int(demand.Writes))
 	c.scheduler.Interrupted = 0
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -62,15 +62,15 @@
 		Label:    c.cfg.Label,
 		StateOK:  c.store.Synced() && !c.store.Unavailable(),
 		IsLeader: c.leadership.active,
-		Requests: saturate(own.requests),
-		Writes:   saturate(own.writes),
+		Requests: saturate(own.Requests),
+		Writes:   saturate(own.Writes),
 	}
 	if c.leadership.active {
 		heartbeat.FencingToken = c.election.FencingToken()
 	}
 	data := peer.Append(nil, &heartbeat)
 	for i := range c.peers {
-		out.Send(i, data)
+		out.SendFrame(i, data)
 	}
 }
 
@@ -99,7 +99,7 @@
 		p.heartbeatAt = now
 		p.heartbeat = *frame
 		if frame.IsLeader {
-			c.election.ObserveToken(frame.FencingToken)
+			c.election.ObserveFencingToken(frame.FencingToken)
 		}
 	case peer.Relay:
 		c.handleRelayedHeartbeat(now, from, frame, out)
--- a/internal/controller/rate_share.go
+++ b/internal/controller/rate_share.go
@@ -24,21 +24,14 @@
 	followerWeight = 1
 )
 
-// demand is what a controller could use of the state service's rates, per second.
-type demand struct {
-	requests float64
-	writes   float64
-}
-
 // shareRates sets our part of the state service's rates by what each controller
 // could use. It returns what we could use ourselves.
-func (c *Controller) shareRates(now event.Time) demand {
-	var own demand
-	own.requests, own.writes = c.store.Demand(now)
-	requestRate, writeRate := c.store.Rates()
-	requests := c.split(requestsShare*requestRate, own.requests, func(f *peer.Frame) uint16 { return f.Requests })
-	writes := c.split(writeRate, own.writes, func(f *peer.Frame) uint16 { return f.Writes })
-	c.store.SetRateShare(requests, writes)
+func (c *Controller) shareRates(now event.Time) kv.Rates {
+	own := c.store.Demand(now)
+	total := c.store.TotalRates()
+	requests := c.split(requestsShare*total.Requests, own.Requests, func(f *peer.Frame) uint16 { return f.Requests })
+	writes := c.split(total.Writes, own.Writes, func(f *peer.Frame) uint16 { return f.Writes })
+	c.store.SetRateShare(kv.Rates{Requests: requests, Writes: writes})
 	return own
 }
 
@@ -47,18 +40,18 @@
 func (c *Controller) split(rate, own float64, demandOf func(*peer.Frame) uint16) float64 {
 	guaranteed := guaranteedShare * rate / float64(len(c.peers)+1)
 	claims := []kv.Claim{{
-		Want:   max(guaranteed, demandMargin*own),
+		Demand: max(guaranteed, demandMargin*own),
 		Weight: claimWeight(c.leadership.active),
 	}}
 	for _, p := range c.peers {
-		claim := kv.Claim{Want: guaranteed, Weight: followerWeight}
+		claim := kv.Claim{Demand: guaranteed, Weight: followerWeight}
 		if c.isAlive(p) {
-			claim.Want = max(guaranteed, demandMargin*float64(demandOf(&p.heartbeat)))
+			claim.Demand = max(guaranteed, demandMargin*float64(demandOf(&p.heartbeat)))
 			claim.Weight = claimWeight(p.heartbeat.IsLeader)
 		}
 		claims = append(claims, claim)
 	}
-	return kv.Split(rate, claims)[0]
+	return kv.FairShares(rate, claims)[0]
 }
 
 func claimWeight(leads bool) float64 {
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/httpwire"
 	"lugward/internal/peer"
 	"lugward/internal/worker"
 )
@@ -87,19 +88,19 @@
 func (c *Controller) relayOrRedirect(now event.Time, r event.Request, report *worker.Heartbeat, out *event.Effects) {
 	leader := c.liveLeader()
 	reachable := leader >= 0
-	c.relays.beginTerm(c.election.LeaderToken())
+	c.relays.beginTerm(c.election.LeaderFencingToken())
 	route := c.relays.route(report.Machine)
 	cameBack := now-route.servedAt < redirectWindow
 	// A worker that shows the leader's fencing token was served by it and has left
 	// it for want of an answer: to send it back first would cost it seconds in which
 	// nothing starts there.
-	leftLeader := report.FencingToken != 0 && report.FencingToken == c.election.LeaderToken()
+	leftLeader := report.FencingToken != 0 && report.FencingToken == c.election.LeaderFencingToken()
 	relayedLongEnough := route.relayingSince != 0 && now-route.relayingSince > relayDuration
 	switch {
 	case (cameBack || leftLeader) && !reachable:
 		// Neither the worker nor we reach the leader: name none, so that the
 		// worker tries another controller.
-		out.Reply(r.Conn, event.StatusMisdirected, nil)
+		out.Reply(r.Conn, httpwire.StatusMisdirectedRequest, nil)
 	case (!cameBack && !leftLeader) || relayedLongEnough:
 		route.servedAt = now
 		route.relayingSince = 0
@@ -128,7 +129,7 @@
 
 // relay sends a report to the leader over the peer link.
 func (c *Controller) relay(now event.Time, r event.Request, leader int, out *event.Effects) {
-	out.Send(leader, peer.Append(nil, &peer.Frame{
+	out.SendFrame(leader, peer.Append(nil, &peer.Frame{
 		Kind:  peer.Relay,
 		Label: c.cfg.Label,
 		ID:    c.relays.add(r.Conn, now),
@@ -141,7 +142,7 @@
 	to := replyTo{peer: from, relayID: frame.ID}
 	report, err := c.parser.Parse(frame.Body)
 	if err != nil || !c.mayAnswerHeartbeats(now) {
-		c.respond(to, event.StatusServiceUnavailable, nil, out)
+		c.respond(to, httpwire.StatusServiceUnavailable, nil, out)
 		return
 	}
 	c.acceptHeartbeat(now, to, report, out)
@@ -164,7 +165,7 @@
 		relay := c.relays.pending[id]
 		if now-relay.since > relayTimeout {
 			delete(c.relays.pending, id)
-			out.Unavailable(relay.conn, retryAfterSeconds)
+			out.ReplyUnavailable(relay.conn, retryAfterSeconds)
 		}
 	}
 }
@@ -173,7 +174,7 @@
 func (c *Controller) redirect(conn uint64, out *event.Effects) {
 	leader := c.election.Leader()
 	if leader == "" || leader == c.cfg.Label {
-		out.Reply(conn, event.StatusMisdirected, nil)
+		out.Reply(conn, httpwire.StatusMisdirectedRequest, nil)
 		return
 	}
 	redirectTo(leader, conn, out)
@@ -182,5 +183,5 @@
 // redirectTo tells a worker to report to a controller.
 func redirectTo(label string, conn uint64, out *event.Effects) {
 	body, _ := json.Marshal(redirectAnswer{Leader: label})
-	out.Reply(conn, event.StatusMisdirected, body)
+	out.Reply(conn, httpwire.StatusMisdirectedRequest, body)
 }
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -2,6 +2,7 @@
 
 import (
 	"lugward/internal/event"
+	"lugward/internal/httpwire"
 	"lugward/internal/peer"
 	"lugward/internal/worker"
 )
@@ -30,14 +31,14 @@
 		c.handleHealth(now, r, out)
 	case r.Path == pathHeartbeat:
 		if r.Method != methodPost {
-			out.Reply(r.Conn, event.StatusMethodNotAllowed, nil)
+			out.Reply(r.Conn, httpwire.StatusMethodNotAllowed, nil)
 			return
 		}
 		c.handleHeartbeat(now, r, out)
 	case c.api.Handle(now, r, out):
 		c.store.Tick(now, out)
 	default:
-		out.Reply(r.Conn, event.StatusNotFound, nil)
+		out.Reply(r.Conn, httpwire.StatusNotFound, nil)
 	}
 }
 
@@ -46,12 +47,12 @@
 	c.work.Heartbeats++
 	report, err := c.parser.Parse(r.Body)
 	if err != nil {
-		out.Reply(r.Conn, event.StatusBadRequest, nil)
+		out.Reply(r.Conn, httpwire.StatusBadRequest, nil)
 		return
 	}
 	c.leadership.resignedWithoutHeartbeat = false
 	if !c.mayAnswerHeartbeats(now) {
-		c.election.ObserveToken(report.FencingToken)
+		c.election.ObserveFencingToken(report.FencingToken)
 		c.relayOrRedirect(now, r, report, out)
 		return
 	}
@@ -63,14 +64,14 @@
 
 // mayAnswerHeartbeats tells whether we may take and answer reports as leader.
 func (c *Controller) mayAnswerHeartbeats(now event.Time) bool {
-	return c.leadership.active && c.election.MayRenewWorkers(now)
+	return c.leadership.active && c.election.MayRenewWorkerLeases(now)
 }
 
 // acceptHeartbeat takes a report as leader, from a worker or through a peer. Its
 // answer follows when its consequences are stored.
 func (c *Controller) acceptHeartbeat(now event.Time, from replyTo, report *worker.Heartbeat, out *event.Effects) {
 	if c.autoscaler.Released(report.Machine) || !c.workers.HandleHeartbeat(report, now, c.election) {
-		c.respond(from, event.StatusServiceUnavailable, nil, out)
+		c.respond(from, httpwire.StatusServiceUnavailable, nil, out)
 		return
 	}
 	if from.relayID != 0 {
@@ -87,9 +88,9 @@
 	// The worker has sent a newer report, so it no longer waits for the answer
 	// to the older one, whose list of tasks proves nothing any more.
 	if replaced := c.pending.add(waiting); replaced != nil {
-		c.respond(replaced.from, event.StatusServiceUnavailable, nil, out)
+		c.respond(replaced.from, httpwire.StatusServiceUnavailable, nil, out)
 	}
-	if c.election.MayAct(now) {
+	if c.election.IsLeader(now) {
 		c.actAsLeader(now, out)
 	}
 	c.store.Tick(now, out)
@@ -100,15 +101,15 @@
 func (c *Controller) respond(to replyTo, status int, body []byte, out *event.Effects) {
 	switch {
 	case to.relayID != 0:
-		out.Send(to.peer, peer.Append(nil, &peer.Frame{
+		out.SendFrame(to.peer, peer.Append(nil, &peer.Frame{
 			Kind:   peer.RelayAck,
 			Label:  c.cfg.Label,
 			ID:     to.relayID,
 			Status: uint16(status),
 			Body:   body,
 		}))
-	case status == event.StatusServiceUnavailable:
-		out.Unavailable(to.conn, retryAfterSeconds)
+	case status == httpwire.StatusServiceUnavailable:
+		out.ReplyUnavailable(to.conn, retryAfterSeconds)
 	default:
 		out.Reply(to.conn, status, body)
 	}
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -23,7 +23,7 @@
 	c.publishVersion(now)
 	c.writeReadinessAndCancellations(now)
 	c.api.Tick(now, out)
-	if c.election.MayAct(now) {
+	if c.election.IsLeader(now) {
 		c.actAsLeader(now, out)
 		c.store.Tick(now, out)
 	} else if !c.leadership.active {
@@ -49,7 +49,7 @@
 // term may have begun or ended, and writes that reports wait for may be stored.
 func (c *Controller) onStoreAnswer(now event.Time, out *event.Effects) {
 	c.updateLeadership(now, out)
-	if c.leadership.active && c.election.MayAct(now) {
+	if c.leadership.active && c.election.IsLeader(now) {
 		c.actAsLeader(now, out)
 		c.store.Tick(now, out)
 	}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -62,9 +62,12 @@
 	TermLease   time.Duration // lease of the term key
 	WorkerLease time.Duration // for which a worker goes on after an answered report
 	// Grace is how long a leader without the state service goes on answering
-	// reports. Together with WorkerLease it must stay below the time within
+	// reports. Together with MaxWorkerLease it must stay below the time within
 	// which the tasks of a cancelled job have to stop.
 	Grace time.Duration
+
+	Store  *kv.Client // client of the state service
+	Logger *slog.Logger
 }
 
 // GracePeriod derives the grace from the time for a cancellation and from the
@@ -96,8 +99,8 @@
 }
 
 // New returns an election that has seen nothing yet.
-func New(cfg Config, s *kv.Client, log *slog.Logger) *Election {
-	return &Election{cfg: cfg, store: s, log: log, candidacy: candidacy{campaignAt: notScheduled}}
+func New(cfg Config) *Election {
+	return &Election{cfg: cfg, store: cfg.Store, log: cfg.Logger, candidacy: candidacy{campaignAt: notScheduled}}
 }
 
 // HandleChange takes a change of the replica; data is nil when the key was deleted.
@@ -116,7 +119,7 @@
 		l.observed.termModRevision = version
 		l.candidacy.campaignAt = notScheduled
 		if l.HoldsTerm() && version != l.term.modRevision {
-			l.stepDown("the term key changed")
+			l.stepDown(ReasonTermKeyChanged)
 		}
 	case countKey:
 		l.observed.count = record.FencingToken
@@ -127,11 +130,11 @@
 // shows none.
 func (l *Election) Leader() string { return l.observed.leader }
 
-// LeaderToken is the fencing token of the term that the replica shows.
-func (l *Election) LeaderToken() uint64 { return l.observed.leaderToken }
+// LeaderFencingToken is the fencing token of the term that the replica shows.
+func (l *Election) LeaderFencingToken() uint64 { return l.observed.leaderToken }
 
-// ObserveToken notes a fencing token in a message of a worker or controller.
-func (l *Election) ObserveToken(token uint64) {
+// ObserveFencingToken notes a fencing token in a message of a worker or controller.
+func (l *Election) ObserveFencingToken(token uint64) {
 	l.observed.highestToken = max(l.observed.highestToken, token)
 }
 
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -2,13 +2,13 @@
 
 import (
 	"fmt"
-	"io"
 	"log/slog"
 	"strings"
 	"testing"
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/httpwire"
 	"lugward/internal/kv"
 )
 
@@ -23,16 +23,17 @@
 
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{t: t}
-	limits := kv.Limits{TxnOps: 12, RPS: 100, WriteRPS: 60, StaleAfter: time.Hour}
-	f.store = kv.New("state", limits, func(key string, data []byte, version uint64) {
-		f.election.HandleChange(key, data, version)
-	})
+	limits := kv.Limits{TxnOps: 12, Rates: kv.Rates{Requests: 100, Writes: 60}, StaleAfter: time.Hour}
+	onChange := func(key string, data []byte, modRevision uint64) { f.election.HandleChange(key, data, modRevision) }
+	f.store = kv.New(kv.Config{Addr: "state", Limits: limits, OnChange: onChange})
 	f.election = New(Config{
 		Label:       "n0",
 		TermLease:   4 * time.Second,
 		WorkerLease: 10 * time.Second,
 		Grace:       10 * time.Second,
-	}, f.store, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		Store:       f.store,
+		Logger:      slog.New(slog.DiscardHandler),
+	})
 	return f
 }
 
@@ -42,7 +43,7 @@
 	for i, call := range f.out.Calls {
 		if strings.HasPrefix(call.Path, path) {
 			f.out.Calls = append(f.out.Calls[:i:i], f.out.Calls[i+1:]...)
-			done := event.CallResult{ID: call.ID, Status: event.StatusOK, Body: []byte(body)}
+			done := event.CallResult{ID: call.ID, Status: httpwire.StatusOK, Body: []byte(body)}
 			f.store.HandleCallResult(now, done, &f.out)
 			return
 		}
@@ -76,7 +77,7 @@
 	if !l.HoldsTerm() {
 		t.Fatal("the term was not taken")
 	}
-	if l.MayAct(now) || l.MayRenewWorkers(now) || l.TakeAcquired() {
+	if l.IsLeader(now) || l.MayRenewWorkerLeases(now) || l.TakeTermStart() {
 		t.Error("acts on a replica that lacks what was written before its term")
 	}
 	f.tick(now)
@@ -86,13 +87,13 @@
 	now += time.Millisecond
 	f.answer(now, "/follow", `{"epoch":7,"log":[{"write":"r/req-1/0","data":{},"stamp":6},`+
 		`{"write":"t/lead","data":{"l":"n0","f":2},"stamp":7},{"write":"t/count","data":{"l":"n0","f":2},"stamp":7}]}`)
-	if !l.MayAct(now) || !l.MayRenewWorkers(now) {
+	if !l.IsLeader(now) || !l.MayRenewWorkerLeases(now) {
 		t.Error("does not act, though the replica is complete")
 	}
-	if !l.TakeAcquired() {
+	if !l.TakeTermStart() {
 		t.Error("the term does not begin, though the replica is complete")
 	}
-	if l.TakeAcquired() {
+	if l.TakeTermStart() {
 		t.Error("the term begins twice")
 	}
 }
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/httpwire"
 	"lugward/internal/kv"
 )
 
@@ -27,19 +28,19 @@
 // FencingToken is the number of our term.
 func (l *Election) FencingToken() uint64 { return l.term.token }
 
-// Fence is the condition that every write of a leader carries.
-func (l *Election) Fence() kv.Compare {
+// TermCompare is the condition that every write of a leader carries.
+func (l *Election) TermCompare() kv.Compare {
 	return kv.Compare{Key: TermKey, ModRevision: l.term.modRevision}
 }
 
-// MayAct tells whether tasks may be started: the lease is alive for certain.
-func (l *Election) MayAct(now event.Time) bool {
+// IsLeader tells whether tasks may be started: the lease is alive for certain.
+func (l *Election) IsLeader(now event.Time) bool {
 	return l.cacheShowsTerm() && now < l.term.validUntil
 }
 
-// MayRenewWorkers tells whether reports may be answered with 200: within the lease
+// MayRenewWorkerLeases tells whether reports may be answered with 200: within the lease
 // and, with nothing started, for the grace after it.
-func (l *Election) MayRenewWorkers(now event.Time) bool {
+func (l *Election) MayRenewWorkerLeases(now event.Time) bool {
 	return l.cacheShowsTerm() && l.termLasts(now)
 }
 
@@ -71,41 +72,53 @@
 // from our last answer or from the end of the grace of any leader before us.
 func (l *Election) TasksExpireAt(lastAnswer event.Time) event.Time {
 	earlierGraceEnd := l.term.leasedAt + max(0, l.cfg.Grace-l.cfg.TermLease)
-	return max(lastAnswer, earlierGraceEnd) + l.WorkerLease() + expiryMargin
+	return max(lastAnswer, earlierGraceEnd) + l.MaxWorkerLease() + expiryMargin
 }
 
-// WorkerLease is how long a worker's lease can last by our clock.
-func (l *Election) WorkerLease() time.Duration {
+// MaxWorkerLease is how long a worker's lease can last by our clock.
+func (l *Election) MaxWorkerLease() time.Duration {
 	return l.cfg.WorkerLease + l.cfg.WorkerLease/clockDriftDivisor
 }
 
-// TakeAcquired tells, once for each term, that a term has begun and the replica
+// TakeTermStart tells, once for each term, that a term has begun and the replica
 // has caught up with it.
-func (l *Election) TakeAcquired() bool {
+func (l *Election) TakeTermStart() bool {
 	if !l.term.acquisitionPending || (l.HoldsTerm() && !l.cacheShowsTerm()) {
 		return false
 	}
 	l.term.acquisitionPending = false
 	if l.HoldsTerm() {
-		l.log.Info("term begun", "token", l.term.token)
+		l.log.Info("became leader", "token", l.term.token)
 	}
 	return l.HoldsTerm()
 }
 
 // Resign ends our term early, for another controller to take: this one does
 // not stand for a while. The reason goes to the log.
-func (l *Election) Resign(now event.Time, out *event.Effects, why string) {
+func (l *Election) Resign(now event.Time, reason StepDownReason, out *event.Effects) {
 	if !l.HoldsTerm() {
 		return
 	}
 	l.store.RevokeLease(l.term.leaseID, now, out)
 	l.candidacy.notBefore = now + abstainDuration
-	l.stepDown(why)
+	l.stepDown(reason)
 }
 
+// StepDownReason says in the log why a leader has stepped down.
+type StepDownReason string
+
+// The reasons for stepping down.
+const (
+	ReasonGraceOver      StepDownReason = "grace period over"
+	ReasonLeaseExpired   StepDownReason = "lease expired"
+	ReasonTermKeyChanged StepDownReason = "term key changed"
+	// ReasonNoHeartbeats means that no worker reaches this leader.
+	ReasonNoHeartbeats StepDownReason = "no worker heartbeats"
+)
+
 // stepDown notes that we do not hold a term any more.
-func (l *Election) stepDown(why string) {
-	l.log.Info("term lost", "token", l.term.token, "why", why)
+func (l *Election) stepDown(reason StepDownReason) {
+	l.log.Info("stepped down as leader", "token", l.term.token, "reason", string(reason))
 	l.term.leaseID = 0
 	l.term.modRevision = 0
 }
@@ -114,7 +127,7 @@
 // is due.
 func (l *Election) maintain(now event.Time, out *event.Effects) {
 	if !l.termLasts(now) {
-		l.stepDown("grace is over")
+		l.stepDown(ReasonGraceOver)
 		return
 	}
 	if !l.term.renewing && now >= l.term.renewAt {
@@ -146,11 +159,11 @@
 		return
 	}
 	switch status {
-	case event.StatusOK:
+	case httpwire.StatusOK:
 		l.term.validUntil = max(l.term.validUntil, r.sentAt+l.reliableLease())
 		l.term.renewAt = r.sentAt + l.cfg.TermLease/renewalsPerLease
-	case event.StatusNotFound:
-		l.stepDown("the lease ended")
+	case httpwire.StatusNotFound:
+		l.stepDown(ReasonLeaseExpired)
 	default:
 		l.term.renewAt = max(now, r.sentAt+l.cfg.TermLease/renewalRetriesPerLease)
 	}
--- a/internal/engine/calls_test.go
+++ b/internal/engine/calls_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/httpwire"
 )
 
 // serveRaw runs a server that answers every request with the given text, and
@@ -55,7 +56,7 @@
 		status int
 		body   string
 	}{
-		{serveRaw(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"), event.StatusOK, "{}"},
+		{serveRaw(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"), httpwire.StatusOK, "{}"},
 		{serveRaw(t, "HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n{"), event.ResponseTooLarge, ""},
 		{serveRaw(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n900000\r\n{"), event.ResponseTooLarge, ""},
 		{serveRaw(t, "not http at all\r\n\r\n"), event.NoResponse, ""},
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -40,7 +40,7 @@
 		c.crowded[r.Path]++
 		c.mu.Unlock()
 	}
-	out.Reply(r.Conn, event.StatusOK, []byte(r.Method+" "+r.Path+" "+string(r.Body)))
+	out.Reply(r.Conn, httpwire.StatusOK, []byte(r.Method+" "+r.Path+" "+string(r.Body)))
 }
 
 func (c *echoCore) HandleCallResult(_ event.Time, d event.CallResult, _ *event.Effects) { c.done <- d }
--- a/internal/engine/http.go
+++ b/internal/engine/http.go
@@ -40,7 +40,7 @@
 	}
 	if err != nil {
 		// To a user, a body over the limit is a malformed submission as well.
-		_, _ = c.socket.Write(httpwire.AppendResponse(nil, httpwire.Response{Status: event.StatusBadRequest, Close: true}))
+		_, _ = c.socket.Write(httpwire.AppendResponse(nil, httpwire.Response{Status: httpwire.StatusBadRequest, Close: true}))
 		e.drop(c)
 		return
 	}
--- a/internal/engine/sockets_test.go
+++ b/internal/engine/sockets_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lugward/internal/event"
+	"lugward/internal/httpwire"
 )
 
 // Paths by which the engine tells who is connected.
@@ -111,7 +111,7 @@
 		core.call(serveRaw(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 	}
 	for range sockets / 2 {
-		if d := <-core.done; d.Status != event.StatusOK {
+		if d := <-core.done; d.Status != httpwire.StatusOK {
 			t.Fatalf("a call ended with %d", d.Status)
 		}
 	}
@@ -158,7 +158,7 @@
 		c.conn.Close()
 		c.conn = nil
 	}
-	return response.StatusCode == event.StatusOK
+	return response.StatusCode == httpwire.StatusOK
 }
 
 // requestOn sends a request on an open connection and tells whether the answer
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -3,7 +3,11 @@
 // itself has no clock, goroutine, socket or global randomness.
 package event
 
-import "time"
+import (
+	"time"
+
+	"lugward/internal/httpwire"
+)
 
 // Time is a point on the process's monotonic clock, counted from its start.
 type Time = time.Duration
@@ -67,10 +71,10 @@
 	o.Replies = append(o.Replies, Reply{Conn: conn, Status: status, Body: body})
 }
 
-// Unavailable refuses a request for now with 503; the client may come back after the
+// ReplyUnavailable refuses a request for now with 503; the client may come back after the
 // given number of seconds.
-func (o *Effects) Unavailable(conn uint64, retryAfter int) {
-	o.Replies = append(o.Replies, Reply{Conn: conn, Status: StatusServiceUnavailable, RetryAfter: retryAfter})
+func (o *Effects) ReplyUnavailable(conn uint64, retryAfter int) {
+	o.Replies = append(o.Replies, Reply{Conn: conn, Status: httpwire.StatusServiceUnavailable, RetryAfter: retryAfter})
 }
 
 // Call adds an outgoing request and returns its ID.
@@ -87,8 +91,8 @@
 	return o.lastCall
 }
 
-// Send adds a frame to a peer.
-func (o *Effects) Send(peer int, data []byte) {
+// SendFrame adds a frame to a peer.
+func (o *Effects) SendFrame(peer int, data []byte) {
 	o.Frames = append(o.Frames, PeerFrame{Peer: peer, Data: data})
 }
 
--- a/internal/httpwire/status.go
+++ b/internal/httpwire/status.go
@@ -1,6 +1,7 @@
 package httpwire
 
-// The status codes that lugward sends or acts on.
+// The HTTP status codes that lugward sends or acts on. The constants of net/http
+// would link its whole stack into the program.
 const (
 	StatusOK                   = 200
 	StatusCreated              = 201
--- a/internal/kv/bucket.go
+++ b/internal/kv/bucket.go
@@ -49,22 +49,22 @@
 	b.level -= n
 }
 
-// rates is this node's part of the service's rates, and what it used of them.
-type rates struct {
+// rateLimiter is this node's part of the service's rates, and what it used of them.
+type rateLimiter struct {
 	requests, writes         bucket
 	requestMeter, writeMeter meter
 }
 
-func newRates(limits Limits) rates {
-	return rates{requests: newBucket(limits.RPS), writes: newBucket(limits.WriteRPS)}
+func newRateLimiter(total Rates) rateLimiter {
+	return rateLimiter{requests: newBucket(total.Requests), writes: newBucket(total.Writes)}
 }
 
-func (r *rates) takeRequest(now event.Time) {
+func (r *rateLimiter) takeRequest(now event.Time) {
 	r.requests.take(now, 1)
 	r.requestMeter.add(now, 1)
 }
 
-func (r *rates) takeWrites(now event.Time, n int) {
+func (r *rateLimiter) takeWrites(now event.Time, n int) {
 	r.writes.take(now, float64(n))
 	r.writeMeter.add(now, float64(n))
 }
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -19,13 +19,11 @@
 type Limits struct {
 	// TxnOps is the largest number of writes in one transaction.
 	TxnOps int
-	// RPS and WriteRPS are the requests and writes per second that the service
-	// takes of all controllers together.
-	RPS      float64
-	WriteRPS float64
-	// NextRPS and NextWriteRPS are the rates in force from the first 429 on;
-	// 0 means unchanged. The service may lower its rates without notice.
-	NextRPS, NextWriteRPS float64
+	// Rates are what the service takes of all controllers together.
+	Rates Rates
+	// NextRates are the rates in force from the first 429 on; 0 means unchanged.
+	// The service may lower its rates without notice.
+	NextRates Rates
 	// StaleAfter is the age at which the replica is refreshed although nobody
 	// waits for a read barrier.
 	StaleAfter time.Duration
@@ -35,6 +33,12 @@
 	ImmutablePrefix string
 }
 
+// Rates are numbers of requests and of writes per second.
+type Rates struct {
+	Requests float64
+	Writes   float64
+}
+
 // ChangeFunc receives every change of the replica. data is nil when the key
 // has been dropped.
 type ChangeFunc func(key string, data []byte, version uint64)
@@ -58,12 +62,10 @@
 // Client is the state service as one controller sees it. It is not safe for
 // concurrent use.
 type Client struct {
-	// Log, if set, receives the writes that the service calls malformed.
-	Log *slog.Logger
-
 	addr    string
 	limits  Limits
-	rates   rates
+	log     *slog.Logger
+	rates   rateLimiter
 	pending map[uint64]pendingCall // by the ID of the event.Call
 	health  health
 
@@ -77,16 +79,33 @@
 	txns txnQueue
 }
 
-// New returns a client for the service at addr. listen is called for every
-// change of the replica, from within Tick and CallDone.
-func New(addr string, limits Limits, listen ChangeFunc) *Client {
+// Config are the settings of a Client.
+type Config struct {
+	// Addr is the host and port of the service.
+	Addr   string
+	Limits Limits
+	// OnChange is called for every change of a key, from within Tick and
+	// HandleCallResult.
+	OnChange ChangeFunc
+	// Logger receives the writes that the service refuses as malformed; nil
+	// discards them.
+	Logger *slog.Logger
+}
+
+// New returns a client that has read nothing yet.
+func New(cfg Config) *Client {
+	log := cfg.Logger
+	if log == nil {
+		log = slog.New(slog.DiscardHandler)
+	}
 	return &Client{
-		addr:    addr,
-		limits:  limits,
-		rates:   newRates(limits),
+		addr:    cfg.Addr,
+		limits:  cfg.Limits,
+		log:     log,
+		rates:   newRateLimiter(cfg.Limits.Rates),
 		pending: map[uint64]pendingCall{},
 		health:  newHealth(),
-		cache:   newWatchCache(listen, limits.ImmutablePrefix),
+		cache:   newWatchCache(cfg.OnChange, cfg.Limits.ImmutablePrefix),
 		watch:   poll{interval: minPollInterval},
 		barrier: poll{interval: minPollInterval},
 		txns:    newTxnQueue(),
@@ -115,26 +134,26 @@
 
 // SetRateShare changes this node's part of the rates. Watches and barriers are
 // paced so that they leave requests for transactions and leases.
-func (c *Client) SetRateShare(rps, writeRPS float64) {
-	c.rates.requests.rate = rps
-	c.rates.writes.rate = writeRPS
-	interval := time.Duration(pollKinds / (pollShare * rps) * float64(time.Second))
+func (c *Client) SetRateShare(share Rates) {
+	c.rates.requests.rate = share.Requests
+	c.rates.writes.rate = share.Writes
+	interval := time.Duration(pollKinds / (pollShare * share.Requests) * float64(time.Second))
 	c.watch.interval = max(minPollInterval, interval)
 	c.barrier.interval = c.watch.interval
 }
 
-// Rates returns the requests and writes per second that the service is known
-// to take of all controllers together.
-func (c *Client) Rates() (rps, writeRPS float64) { return c.limits.RPS, c.limits.WriteRPS }
+// TotalRates returns the rates that the service is known to take of all
+// controllers together.
+func (c *Client) TotalRates() Rates { return c.limits.Rates }
 
 // lowerRates puts the announced rates into force. A 429 is the first sign of
 // them; if it came of a burst instead, the lower rates cost little.
 func (c *Client) lowerRates() {
-	if next := c.limits.NextRPS; next > 0 {
-		c.limits.RPS = min(c.limits.RPS, next)
+	if next := c.limits.NextRates.Requests; next > 0 {
+		c.limits.Rates.Requests = min(c.limits.Rates.Requests, next)
 	}
-	if next := c.limits.NextWriteRPS; next > 0 {
-		c.limits.WriteRPS = min(c.limits.WriteRPS, next)
+	if next := c.limits.NextRates.Writes; next > 0 {
+		c.limits.Rates.Writes = min(c.limits.Rates.Writes, next)
 	}
 }
 
--- a/internal/kv/client_test.go
+++ b/internal/kv/client_test.go
@@ -20,7 +20,8 @@
 
 func newHarness(limits Limits, items ...string) *harness {
 	h := &harness{now: time.Second, values: map[string]string{}}
-	h.Client = New("s", limits, func(key string, data []byte, _ uint64) { h.values[key] = string(data) })
+	onChange := func(key string, data []byte, _ uint64) { h.values[key] = string(data) }
+	h.Client = New(Config{Addr: "s", Limits: limits, OnChange: onChange})
 	h.Tick(h.now, &h.out)
 	h.answer(h.take("/keys")[0], 200, `{"items":[`+strings.Join(items, ",")+`],"has_next":false,"epoch":5}`)
 	return h
@@ -60,7 +61,7 @@
 // TestMalformed: a 400 is reported for the one write that it is about, which is
 // not sent again.
 func TestMalformed(t *testing.T) {
-	h := newHarness(Limits{TxnOps: 4, RPS: 100, WriteRPS: 100})
+	h := newHarness(Limits{TxnOps: 4, Rates: Rates{Requests: 100, Writes: 100}})
 	good, goodResults := newWrite("a")
 	bad, badResults := newWrite("b")
 	h.Submit(good, h.now+time.Minute)
@@ -81,10 +82,10 @@
 		}
 		h.wait(time.Second)
 	}
-	if len(*goodResults) != 1 || (*goodResults)[0].Outcome != Committed || (*goodResults)[0].Malformed {
+	if len(*goodResults) != 1 || (*goodResults)[0].Outcome != Committed {
 		t.Errorf("its neighbour: %+v", *goodResults)
 	}
-	if len(*badResults) != 1 || (*badResults)[0].Outcome != Aborted || !(*badResults)[0].Malformed {
+	if len(*badResults) != 1 || (*badResults)[0].Outcome != Rejected {
 		t.Errorf("%+v", *badResults)
 	}
 }
@@ -92,8 +93,8 @@
 // TestSmallShare: where a node's share of the rate holds fewer writes than one
 // intent has, the intent is sent once the bucket is full, and the rest is owed.
 func TestSmallShare(t *testing.T) {
-	h := newHarness(Limits{TxnOps: 4, RPS: 100, WriteRPS: 100})
-	h.SetRateShare(100, 0.5)
+	h := newHarness(Limits{TxnOps: 4, Rates: Rates{Requests: 100, Writes: 100}})
+	h.SetRateShare(Rates{Requests: 100, Writes: 0.5})
 	h.wait(0)
 	h.take("")
 	sent := 0
@@ -123,7 +124,7 @@
 
 // TestTransactionLimits: no transaction goes beyond the limits on changes and conditions.
 func TestTransactionLimits(t *testing.T) {
-	h := newHarness(Limits{TxnOps: 4, RPS: 100, WriteRPS: 100})
+	h := newHarness(Limits{TxnOps: 4, Rates: Rates{Requests: 100, Writes: 100}})
 	done := 0
 	for i := range 12 {
 		k := string(rune('a' + i))
@@ -150,7 +151,7 @@
 }
 
 // ampleLimits are beyond anything that the tests that use them need.
-var ampleLimits = Limits{TxnOps: 12, RPS: 100, WriteRPS: 60, StaleAfter: time.Hour}
+var ampleLimits = Limits{TxnOps: 12, Rates: Rates{Requests: 100, Writes: 60}, StaleAfter: time.Hour}
 
 // TestOvertakenAnswer: the answer to a watch is delayed until after a barrier's
 // and lists a key that was dropped since. The key must not come back.
@@ -205,17 +206,17 @@
 		next, want float64
 	}{{10, 10}, {200, 60}, {0, 60}} {
 		limits := ampleLimits
-		limits.NextWriteRPS = c.next
+		limits.NextRates.Writes = c.next
 		h := newHarness(limits)
 		in, results := newWrite("a")
 		h.Submit(in, h.now+time.Minute)
 		h.wait(0)
-		if _, before := h.Rates(); before != 60 {
+		if before := h.TotalRates().Writes; before != 60 {
 			t.Fatalf("%v writes a second from the start", before)
 		}
 		h.answer(h.take("/commit")[0], 429, `{}`)
-		if rps, after := h.Rates(); after != c.want || rps != 100 {
-			t.Errorf("announced %v: %v writes and %v requests a second", c.next, after, rps)
+		if after := h.TotalRates(); after.Writes != c.want || after.Requests != 100 {
+			t.Errorf("announced %v: %v writes and %v requests a second", c.next, after.Writes, after.Requests)
 		}
 		h.wait(time.Second)
 		h.answer(h.take("/commit")[0], 200, `{"epoch":9}`)
--- a/internal/kv/demand.go
+++ b/internal/kv/demand.go
@@ -46,23 +46,34 @@
 
 // Demand is how many requests and writes per second this node could use: its
 // recent use and the writes that wait.
-func (c *Client) Demand(now event.Time) (requests, writes float64) {
+func (c *Client) Demand(now event.Time) Rates {
 	waiting := 0.0
 	for _, list := range c.txns.queue {
 		for _, intent := range list {
 			waiting += float64(intent.ops())
 		}
 	}
-	return c.rates.requestMeter.rate(now), c.rates.writeMeter.rate(now) + waiting
+	return Rates{
+		Requests: c.rates.requestMeter.rate(now),
+		Writes:   c.rates.writeMeter.rate(now) + waiting,
+	}
+}
+
+// QueueDelay estimates how long a new transaction waits for its turn, in seconds.
+type QueueDelay struct {
+	AtTotalRate float64 // at best: if all of the service's rate were this node's
+	AtOwnShare  float64 // at this node's present share of the rate
 }
 
-// Backlog estimates how many seconds a new intent of a priority waits for its
-// turn, by the intents before it: at best, if all of the service's rate were
-// this node's, and at the node's present part of it.
-func (c *Client) Backlog(priority Priority) (best, now float64) {
+// QueueDelay estimates the delay of a new transaction of a priority by the
+// transactions that are queued before it.
+func (c *Client) QueueDelay(priority Priority) QueueDelay {
 	before := 0
 	for _, list := range c.txns.queue[:priority+1] {
 		before += len(list)
 	}
-	return float64(before) / c.limits.WriteRPS, float64(before) / c.rates.writes.rate
+	return QueueDelay{
+		AtTotalRate: float64(before) / c.limits.Rates.Writes,
+		AtOwnShare:  float64(before) / c.rates.writes.rate,
+	}
 }
--- a/internal/kv/intent.go
+++ b/internal/kv/intent.go
@@ -44,8 +44,13 @@
 	Committed Outcome = iota
 	// Conflict means that a condition of this intent did not hold: nothing was executed.
 	Conflict
-	// Aborted means that nothing was executed.
+	// Aborted means that nothing was executed: the transaction expired in the
+	// queue, or Build had nothing to write.
 	Aborted
+	// Rejected means that the service called the transaction malformed (400);
+	// nothing was executed. The same writes would be rejected again (their size
+	// is the likely reason), so the caller retries them ever less often.
+	Rejected
 	// Unknown means that no response came: the writes may have been executed or
 	// may yet be. All our writes carry the versions they build on, so a late one
 	// either fails or arrives as an ordinary change.
@@ -56,10 +61,7 @@
 type Result struct {
 	Outcome  Outcome
 	Revision uint64 // of the transaction when Committed
-	// Malformed means refused with 400. The same write would be refused again
-	// (its size is the likely reason), so the caller retries it ever less often.
-	Malformed bool
-	Now       event.Time
+	Now      event.Time
 	// Out takes the effects of handling the result. It is nil when Build has
 	// just said that there is nothing to write.
 	Out *event.Effects
--- a/internal/kv/rank_test.go
+++ b/internal/kv/rank_test.go
@@ -9,7 +9,7 @@
 // Of one priority the greater rank goes first, equal ones in their order; what
 // nobody waits for goes last.
 func TestOrderOfIntents(t *testing.T) {
-	h := newHarness(Limits{TxnOps: 1, RPS: 100, WriteRPS: 100})
+	h := newHarness(Limits{TxnOps: 1, Rates: Rates{Requests: 100, Writes: 100}})
 	for _, intent := range []struct {
 		key      string
 		priority Priority
--- a/internal/kv/share.go
+++ b/internal/kv/share.go
@@ -1,13 +1,13 @@
 package kv
 
 // Claim is one node's claim on a rate that several nodes share.
-type Claim struct{ Want, Weight float64 }
+type Claim struct{ Demand, Weight float64 }
 
-// Split divides a rate among the claims by weighted max-min fairness: no node
+// FairShares divides a rate among the claims by weighted max-min fairness: no node
 // gets more than it wants while another wants more, and among those that want
 // more the weights decide. What nobody wants is divided by weight as well, so
 // that a sudden need is met. It returns the parts in the order of the claims.
-func Split(rate float64, claims []Claim) []float64 {
+func FairShares(rate float64, claims []Claim) []float64 {
 	parts := make([]float64, len(claims))
 	unmet := make([]int, len(claims)) // indices of claims that are not met yet
 	for i := range claims {
@@ -18,9 +18,9 @@
 		unit := left / weightOf(claims, unmet)
 		var still []int
 		for _, i := range unmet {
-			if claims[i].Want <= unit*claims[i].Weight {
-				parts[i] = claims[i].Want
-				left -= claims[i].Want
+			if claims[i].Demand <= unit*claims[i].Weight {
+				parts[i] = claims[i].Demand
+				left -= claims[i].Demand
 			} else {
 				still = append(still, i)
 			}
--- a/internal/kv/share_test.go
+++ b/internal/kv/share_test.go
@@ -16,7 +16,7 @@
 		"weights decide among the greedy":            {20, []Claim{{100, 3}, {100, 1}}, []float64{15, 5}},
 		"alone":                                      {20, []Claim{{0, 1}}, []float64{20}},
 	} {
-		for i, got := range Split(c.rate, c.claims) {
+		for i, got := range FairShares(c.rate, c.claims) {
 			if math.Abs(got-c.want[i]) > 1e-9 {
 				t.Errorf("%s: claim %d gets %v, want %v", name, i, got, c.want[i])
 			}
--- a/internal/kv/transactions.go
+++ b/internal/kv/transactions.go
@@ -176,19 +176,16 @@
 	}
 	in := r.txns[0]
 	c.logMalformed(in, body)
-	in.Done(Result{Outcome: Aborted, Now: now, Out: out, Malformed: true})
+	in.Done(Result{Outcome: Rejected, Now: now, Out: out})
 }
 
 // maxLoggedAnswer is how many bytes of a refusal's body go into the log.
 const maxLoggedAnswer = 200
 
 func (c *Client) logMalformed(in *Txn, body []byte) {
-	if c.Log == nil {
-		return
-	}
 	writes := make([]string, 0, len(in.Writes))
 	for _, write := range in.Writes {
 		writes = append(writes, fmt.Sprintf("%s (%d bytes)", write.Key, len(write.Data)))
 	}
-	c.Log.Error("write refused as malformed", "writes", writes, "answer", string(body[:min(len(body), maxLoggedAnswer)]))
+	c.log.Error("write refused as malformed", "writes", writes, "answer", string(body[:min(len(body), maxLoggedAnswer)]))
 }
--- a/internal/pipeline/marks.go
+++ b/internal/pipeline/marks.go
@@ -30,7 +30,7 @@
 // retryAfter is how long to wait after a write, in ns; rejected counts those in a
 // row that were called malformed.
 func retryAfter(r kv.Result, rejected *int) time.Duration {
-	if !r.Malformed {
+	if r.Outcome != kv.Rejected {
 		*rejected = 0
 		return retryWait
 	}
--- a/internal/pipeline/size_test.go
+++ b/internal/pipeline/size_test.go
@@ -228,7 +228,7 @@
 				q.list = q.list[1:]
 				if in.Build == nil || in.Build(in) {
 					attempts++
-					in.Done(kv.Result{Outcome: kv.Aborted, Malformed: true, Now: now})
+					in.Done(kv.Result{Outcome: kv.Rejected, Now: now})
 				} else {
 					in.Done(kv.Result{Outcome: kv.Aborted, Now: now})
 				}
--- a/internal/worker/orders.go
+++ b/internal/worker/orders.go
@@ -49,7 +49,7 @@
 		machine:   r.Add(report.Machine, now),
 		report:    report,
 		confirmed: report.FencingToken == term.FencingToken(),
-		mayStart:  term.MayAct(now),
+		mayStart:  term.IsLeader(now),
 		listed:    map[*pipeline.Assignment]bool{},
 	}
 	answer.machine.UnknownTasks = 0
--- a/internal/worker/reachability.go
+++ b/internal/worker/reachability.go
@@ -52,7 +52,7 @@
 // checkReconnected looks whether the session of an unreachable machine has outlived
 // its lease: an answer has renewed it.
 func (r *Registry) checkReconnected(machine *Machine, now event.Time, term Leadership) {
-	outlived := now-machine.UnreachableSince > term.WorkerLease()+unreachableMargin
+	outlived := now-machine.UnreachableSince > term.MaxWorkerLease()+unreachableMargin
 	if machine.Incarnation != machine.unreachableIncarnation || !outlived {
 		r.evictUnstarted(machine)
 		return
@@ -112,5 +112,5 @@
 	if machine.UnreachableSince == 0 {
 		return false
 	}
-	return now-machine.UnreachableSince > term.WorkerLease()+2*unreachableMargin
+	return now-machine.UnreachableSince > term.MaxWorkerLease()+2*unreachableMargin
 }
--- a/internal/worker/reports.go
+++ b/internal/worker/reports.go
@@ -58,7 +58,7 @@
 	if machine.isStale(report) || machine.incarnationExpired(report, now, term) {
 		return false
 	}
-	term.ObserveToken(report.FencingToken)
+	term.ObserveFencingToken(report.FencingToken)
 	r.updateMachine(machine, report, now)
 	for i := range report.Tasks {
 		r.handleTaskStatus(machine, &report.Tasks[i], now)
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -12,13 +12,13 @@
 type Leadership interface {
 	// FencingToken is the token of our term.
 	FencingToken() uint64
-	// MayAct tells whether tasks may be started now.
-	MayAct(now event.Time) bool
-	// ObserveToken takes in a token that a worker has shown.
-	ObserveToken(token uint64)
+	// IsLeader tells whether tasks may be started now.
+	IsLeader(now event.Time) bool
+	// ObserveFencingToken takes in a token that a worker has shown.
+	ObserveFencingToken(token uint64)
 	// TasksExpireAt is when the tasks of a machine have terminated at the latest,
 	// given when a report of it was last answered.
 	TasksExpireAt(lastAnswer event.Time) event.Time
-	// WorkerLease is the lease that an answered report gives a worker.
-	WorkerLease() time.Duration
+	// MaxWorkerLease is the lease that an answered report gives a worker.
+	MaxWorkerLease() time.Duration
 }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -16,9 +16,9 @@
 type term struct{}
 
 func (term) FencingToken() uint64                     { return 5 }
-func (term) MayAct(event.Time) bool                   { return true }
-func (term) ObserveToken(uint64)                      {}
-func (term) WorkerLease() time.Duration               { return 30 * time.Second }
+func (term) IsLeader(event.Time) bool                 { return true }
+func (term) ObserveFencingToken(uint64)               {}
+func (term) MaxWorkerLease() time.Duration            { return 30 * time.Second }
 func (term) TasksExpireAt(last event.Time) event.Time { return last + 32*time.Second }
 
 // TestReports: which reports are believed, in the order in which they arrive.
