--- a/internal/autoscaler/announce_test.go
+++ b/internal/autoscaler/announce_test.go
@@ -33,7 +33,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	workers := worker.New(names, jobs, log)
 	client := kv.New(kv.Config{Addr: "state", Limits: kv.Limits{TxnOps: 12, Rates: kv.Rates{Requests: 100, Writes: 60}}, OnChange: func(string, []byte, uint64) {}})
-	a := New(Config{Addr: "cloud", RPS: 100, MaxConnections: sockets, IdleKeep: time.Hour, Settle: time.Hour}, names, jobs, workers, client, log)
+	a := New(Config{Names: names, Jobs: jobs, Workers: workers, Store: client, Log: log, CloudAddr: "cloud", CloudRPS: 100, MaxConnections: sockets, HeartbeatTimeout: time.Hour, IdleTimeout: time.Hour, SettleTime: time.Hour})
 	now := time.Second
 	for i := range machines {
 		machine := workers.Add(fmt.Sprintf("i-%d", i), now)
@@ -45,7 +45,7 @@
 	told := map[string]int{}
 	for range 100 {
 		var out event.Effects
-		a.Tick(now, leading{}, kv.Compare{}, time.Hour, &out)
+		a.Tick(now, leading{}, kv.Compare{}, &out)
 		if workers.Announcing() > limit {
 			t.Fatalf("%d announcements at a time", workers.Announcing())
 		}
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -21,15 +21,22 @@
 	DecommissionKeyPrefix = "h"       // h/<machine>: retired, to be released
 )
 
-// Config are the settings of the autoscaler.
+// Config holds the dependencies and the settings of an Autoscaler.
 type Config struct {
-	ValueBytes     int           // the largest value that the state service accepts
-	Addr           string        // of the cloud
-	RPS            float64       // requests that the cloud accepts per second
-	ListLag        time.Duration // by which the cloud's machine list may be out of date
-	MaxConnections int           // sockets of this controller
-	IdleKeep       time.Duration // an idle machine is kept for this long
-	Settle         time.Duration // after a term begins nothing is released for this long
+	Names   *pipeline.Names
+	Jobs    *pipeline.Table
+	Workers *worker.Registry
+	Store   *kv.Client
+	Log     *slog.Logger
+
+	MaxValueBytes    int           // size of the largest value that the state service accepts
+	CloudAddr        string        // host and port of the cloud's API
+	CloudRPS         float64       // requests per second that the cloud accepts
+	ListLag          time.Duration // by which the cloud's machine list may be out of date
+	MaxConnections   int           // sockets that this controller may have open
+	HeartbeatTimeout time.Duration // a machine without a heartbeat for longer is unresponsive
+	IdleTimeout      time.Duration // an idle machine is released after this time
+	SettleTime       time.Duration // after a term begins no machine is released for this long
 }
 
 // Autoscaler provisions and releases the machines of the cloud. All nodes follow
@@ -42,10 +49,8 @@
 	store   *kv.Client
 	log     *slog.Logger
 
-	// MachineTypes are the machine types of the cloud as last seen.
-	MachineTypes scheduler.MachineTypes
-	// Replan is set when a response calls for another plan at once.
-	Replan bool
+	machineTypes    scheduler.MachineTypes // of the cloud, as last seen
+	replanRequested bool                   // a response calls for another plan at once
 
 	types             typeRefresh
 	cloud             cloudClient
@@ -61,14 +66,14 @@
 }
 
 // New returns an autoscaler that knows no machine types yet.
-func New(cfg Config, names *pipeline.Names, jobs *pipeline.Table, workers *worker.Registry, client *kv.Client, log *slog.Logger) *Autoscaler {
+func New(cfg Config) *Autoscaler {
 	a := &Autoscaler{
 		cfg:           cfg,
-		names:         names,
-		jobs:          jobs,
-		workers:       workers,
-		store:         client,
-		log:           log,
+		names:         cfg.Names,
+		jobs:          cfg.Jobs,
+		workers:       cfg.Workers,
+		store:         cfg.Store,
+		log:           cfg.Log,
 		boots:         map[int]*bootHistory{},
 		decommissions: decommissions{stored: map[string]uint64{}},
 	}
@@ -76,6 +81,22 @@
 	return a
 }
 
+// MachineTypes returns the machine types of the cloud as last seen. The list that the
+// pointer refers to is updated in place.
+func (a *Autoscaler) MachineTypes() *scheduler.MachineTypes { return &a.machineTypes }
+
+// ReplanRequested tells whether a response of the cloud calls for another plan at
+// once.
+func (a *Autoscaler) ReplanRequested() bool { return a.replanRequested }
+
+// TakeReplanRequest is like ReplanRequested and clears the request: the caller makes
+// the plan.
+func (a *Autoscaler) TakeReplanRequest() bool {
+	requested := a.replanRequested
+	a.replanRequested = false
+	return requested
+}
+
 // Reset drops what only a leader knows.
 func (a *Autoscaler) Reset() {
 	a.types.requestedAt = -typesInterval
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -27,14 +27,14 @@
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
 		workers := worker.New(names, jobs, log)
 		client := kv.New(kv.Config{Addr: "state", Limits: kv.Limits{TxnOps: 12, Rates: kv.Rates{Requests: 100, Writes: 60}}, OnChange: func(string, []byte, uint64) {}})
-		a := New(Config{Addr: "cloud", RPS: 100, IdleKeep: time.Minute}, names, jobs, workers, client, log)
+		a := New(Config{Names: names, Jobs: jobs, Workers: workers, Store: client, Log: log, CloudAddr: "cloud", CloudRPS: 100, IdleTimeout: time.Minute})
 		a.list.current = true
 		if !a.takeTypes([]byte(`{"flavors":[{"name":"small","cores":4,"ram_gb":16,"price":1,"low_price":1,"ready_s":10,"yards":["a"]}]}`)) {
 			t.Fatal("the types are not taken")
 		}
 		names.Classes.Index("c")
 		names.Images.Index("b")
-		s := &scheduler.Scheduler{Jobs: jobs, Workers: workers, MachineTypes: &a.MachineTypes, Teams: map[int]config.Team{names.Teams.Index("t"): {CPUsMax: c.limit}}, HeartbeatTimeout: time.Minute}
+		s := &scheduler.Scheduler{Jobs: jobs, Workers: workers, MachineTypes: a.MachineTypes(), Teams: map[int]config.Team{names.Teams.Index("t"): {CPUsMax: c.limit}}, HeartbeatTimeout: time.Minute}
 		var blocked []*pipeline.Job
 		for i, id := range []string{"req-1", "req-2", "req-3"} {
 			j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{TaskCount: 4, CPUs: 1, Memory: 1, Zone: -1}}
--- a/internal/autoscaler/boots.go
+++ b/internal/autoscaler/boots.go
@@ -59,7 +59,7 @@
 // recordBootTime notes how long a machine took to come up. Since a term may begin
 // while it boots, only those that we provisioned ourselves count.
 func (a *Autoscaler) recordBootTime(booting *bootingMachine, now event.Time) {
-	machineType := a.MachineTypes.Get(booting.machineType)
+	machineType := a.machineTypes.Get(booting.machineType)
 	if !booting.ours || machineType == nil || machineType.BootTime <= 0 {
 		return
 	}
@@ -86,7 +86,7 @@
 
 // isOverdue tells whether a booting machine is not to be counted on any more.
 func (a *Autoscaler) isOverdue(booting *bootingMachine, now event.Time) bool {
-	machineType := a.MachineTypes.Get(booting.machineType)
+	machineType := a.machineTypes.Get(booting.machineType)
 	return machineType != nil && !booting.up && now-booting.since > a.bootTimeout(machineType, overdueFactor)
 }
 
--- a/internal/autoscaler/boots_test.go
+++ b/internal/autoscaler/boots_test.go
@@ -19,8 +19,8 @@
 	names := &pipeline.Names{}
 	jobs := pipeline.NewTable(names, 4096, 12)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	a := New(Config{}, names, jobs, worker.New(names, jobs, log), nil, log)
-	a.MachineTypes = scheduler.MachineTypes{{BootTime: statedBoot.Seconds()}}
+	a := New(Config{Names: names, Jobs: jobs, Workers: worker.New(names, jobs, log), Log: log})
+	a.machineTypes = scheduler.MachineTypes{{BootTime: statedBoot.Seconds()}}
 	return a
 }
 
@@ -52,7 +52,7 @@
 	} {
 		a := newBooting()
 		a.boot(200, c.took)
-		machineType := a.MachineTypes[0]
+		machineType := a.machineTypes[0]
 		usual := time.Duration(a.expectedBoot(machineType) * float64(time.Second))
 		if usual < c.least || usual > c.most {
 			t.Errorf("%s: the usual boot takes %s", c.what, usual)
@@ -81,7 +81,7 @@
 		{"it is overdue and the other is dear", time.Second, 4, here},
 	} {
 		a := newBooting()
-		a.MachineTypes = scheduler.MachineTypes{
+		a.machineTypes = scheduler.MachineTypes{
 			{Index: here, CPUs: 4, Price: 1, SpotPrice: 1, BootTime: statedBoot.Seconds(), Zones: []int{0}},
 			{Index: there, CPUs: 4, Price: c.price, SpotPrice: c.price, BootTime: statedBoot.Seconds(), Zones: []int{0}},
 		}
--- a/internal/autoscaler/calls.go
+++ b/internal/autoscaler/calls.go
@@ -63,8 +63,8 @@
 	if now < cloud.pausedUntil {
 		return false
 	}
-	refill := a.cfg.RPS * rateShare * (now - cloud.refilledAt).Seconds()
-	cloud.tokens = math.Min(burstSeconds*a.cfg.RPS, cloud.tokens+refill)
+	refill := a.cfg.CloudRPS * rateShare * (now - cloud.refilledAt).Seconds()
+	cloud.tokens = math.Min(burstSeconds*a.cfg.CloudRPS, cloud.tokens+refill)
 	cloud.refilledAt = now
 	return cloud.tokens >= 1
 }
@@ -72,7 +72,7 @@
 // call sends a request to the cloud. The caller has checked that it is allowed.
 func (a *Autoscaler) call(method, path string, body []byte, request request, out *event.Effects) {
 	a.cloud.tokens--
-	id := out.Call(a.cfg.Addr, method, path, body, callTimeout)
+	id := out.Call(a.cfg.CloudAddr, method, path, body, callTimeout)
 	a.cloud.pending[id] = pendingCall{method, request}
 }
 
--- a/internal/autoscaler/offers.go
+++ b/internal/autoscaler/offers.go
@@ -54,7 +54,7 @@
 
 // capacity is an empty machine of an offer, nil where its type is not known.
 func (a *Autoscaler) capacity(o offer) *scheduler.Capacity {
-	machineType := a.MachineTypes.Get(o.machineType)
+	machineType := a.machineTypes.Get(o.machineType)
 	if machineType == nil {
 		return nil
 	}
@@ -70,7 +70,7 @@
 
 // price is what a machine of an offer costs per hour.
 func (a *Autoscaler) price(o offer) float64 {
-	machineType := a.MachineTypes.Get(o.machineType)
+	machineType := a.machineTypes.Get(o.machineType)
 	if o.spot {
 		return machineType.SpotPrice
 	}
@@ -97,7 +97,7 @@
 // cheapestOffer finds the offer at which the tasks cost least.
 func (a *Autoscaler) cheapestOffer(query offerQuery) (best quote, ok bool) {
 	least := math.Inf(1)
-	for _, machineType := range a.MachineTypes {
+	for _, machineType := range a.machineTypes {
 		if !scheduler.Allows(&query.job.Spec, machineType) {
 			continue
 		}
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -33,7 +33,7 @@
 func (a *Autoscaler) Plan(now event.Time, blocked []*pipeline.Job, s *scheduler.Scheduler, term uint64, out *event.Effects) {
 	if !a.list.current {
 		if now >= a.list.planFrom {
-			a.list.expedite(now, a.cfg.RPS)
+			a.list.expedite(now, a.cfg.CloudRPS)
 		}
 		return
 	}
@@ -127,7 +127,7 @@
 	}
 	left += p.preempted[job]
 	boot := p.bootTime(job)
-	left = p.sequences.places(job, left, boot+p.cfg.IdleKeep.Seconds(), p.workers.ExpectedRuntime(job))
+	left = p.sequences.places(job, left, boot+p.cfg.IdleTimeout.Seconds(), p.workers.ExpectedRuntime(job))
 	p.releaseEnding(boot)
 	inZone := p.scheduler.Zones(job)
 	zone, ok := p.onlyZone(job, inZone, left)
@@ -227,7 +227,7 @@
 			booting.idle = 0
 		case booting.idle == 0:
 			booting.idle = p.now
-		case p.now-booting.idle > 2*p.cfg.IdleKeep && !p.hasTasks(machine):
+		case p.now-booting.idle > 2*p.cfg.IdleTimeout && !p.hasTasks(machine):
 			machine.Decommissioning = true // the next tick stores that and releases it
 		}
 	}
@@ -245,7 +245,7 @@
 // boot of the quickest type.
 func (a *Autoscaler) bootTime(job *pipeline.Job) float64 {
 	least := math.Inf(1)
-	for _, machineType := range a.MachineTypes {
+	for _, machineType := range a.machineTypes {
 		if scheduler.Allows(&job.Spec, machineType) {
 			least = min(least, a.expectedBoot(machineType))
 		}
--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -118,7 +118,7 @@
 		a.cloud.retries = append(a.cloud.retries, provisionRetry{now + errorPause, r})
 		return
 	}
-	a.Replan = true
+	a.replanRequested = true
 	a.provisioning.finished(r.offer, r.count)
 }
 
--- a/internal/autoscaler/tick.go
+++ b/internal/autoscaler/tick.go
@@ -38,14 +38,14 @@
 
 // Tick does what is due of the leader's work: it reads the machine list, releases
 // machines and finds those that are lost.
-func (a *Autoscaler) Tick(now event.Time, leadership worker.Leadership, term kv.Compare, silentAfter time.Duration, out *event.Effects) {
-	a.RefreshMachineTypes(now, &term, out)
+func (a *Autoscaler) Tick(now event.Time, leadership worker.Leadership, term kv.Compare, out *event.Effects) {
+	a.refreshMachineTypes(now, &term, out)
 	a.sendRetries(now, out)
 	a.releaseDecommissioned(now, term, out)
-	if a.list.due(now, a.cfg.RPS) && a.allowed(now) {
+	if a.list.due(now, a.cfg.CloudRPS) && a.allowed(now) {
 		a.readList(now, out)
 	}
-	scan := &scan{now: now, leadership: leadership, term: term, silentAfter: silentAfter}
+	scan := &scan{now: now, leadership: leadership, term: term, silentAfter: a.cfg.HeartbeatTimeout}
 	if a.announcementsLeft {
 		a.announceToken(scan, out)
 	}
@@ -58,7 +58,7 @@
 	a.findPartitioned(scan)
 	a.announceToken(scan, out)
 	a.checkBooting(scan)
-	if now-a.termBeganAt < a.cfg.Settle {
+	if now-a.termBeganAt < a.cfg.SettleTime {
 		return
 	}
 	a.releaseUnresponsive(scan)
@@ -140,7 +140,7 @@
 // registrationTimeout is within which time a booting machine must report. known is false
 // where its type is not known.
 func (a *Autoscaler) registrationTimeout(booting *bootingMachine, machine *worker.Machine) (timeout event.Time, known bool) {
-	machineType := a.MachineTypes.Get(booting.machineType)
+	machineType := a.machineTypes.Get(booting.machineType)
 	switch {
 	case machineType == nil:
 		return 0, false
@@ -188,5 +188,5 @@
 	}
 	leaving := machine.Draining || machine.ReclaimAt != 0
 	usedAt := max(machine.IdleSince, machine.ReservedAt)
-	return leaving || now-usedAt > a.cfg.IdleKeep
+	return leaving || now-usedAt > a.cfg.IdleTimeout
 }
--- a/internal/autoscaler/types.go
+++ b/internal/autoscaler/types.go
@@ -78,17 +78,23 @@
 	for _, zone := range wire.Zones {
 		machineType.Zones = append(machineType.Zones, a.names.Zones.Index(zone))
 	}
-	for len(a.MachineTypes) <= machineType.Index {
-		a.MachineTypes = append(a.MachineTypes, nil)
+	for len(a.machineTypes) <= machineType.Index {
+		a.machineTypes = append(a.machineTypes, nil)
 	}
-	a.MachineTypes[machineType.Index] = machineType
+	a.machineTypes[machineType.Index] = machineType
 }
 
-// RefreshMachineTypes refreshes the machine types; any node may, until they are known. A leader
-// gives its term, under which they are stored.
-func (a *Autoscaler) RefreshMachineTypes(now event.Time, term *kv.Compare, out *event.Effects) {
+// RefreshMachineTypes asks the cloud for its machine types if that is due. Any
+// controller may do so, until they are known.
+func (a *Autoscaler) RefreshMachineTypes(now event.Time, out *event.Effects) {
+	a.refreshMachineTypes(now, nil, out)
+}
+
+// refreshMachineTypes asks the cloud for its machine types if that is due. A leader
+// gives the condition on its term, under which they are stored.
+func (a *Autoscaler) refreshMachineTypes(now event.Time, term *kv.Compare, out *event.Effects) {
 	interval := typesInterval
-	if len(a.MachineTypes) == 0 {
+	if len(a.machineTypes) == 0 {
 		interval = errorPause
 	}
 	if now-a.types.requestedAt < interval || !a.allowed(now) {
@@ -118,7 +124,7 @@
 	var list wireTypes
 	_ = json.Unmarshal(body, &list) // takeTypes has decoded it before
 	data, err := json.Marshal(list)
-	if err != nil || len(data) > a.cfg.ValueBytes {
+	if err != nil || len(data) > a.cfg.MaxValueBytes {
 		return // each controller still learns them from the cloud
 	}
 	a.store.Submit(&kv.Txn{
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -87,7 +87,7 @@
 		Answer:     time.Duration(cfg.Operator.API.Answer),
 		ValueBytes: c.jobs.ValueLimit,
 		TxnOps:     limits.TxnOps,
-	}, c.names, c.jobs, c.store, &c.autoscaler.MachineTypes)
+	}, c.names, c.jobs, c.store, c.autoscaler.MachineTypes())
 	c.shareRates(0)
 	return c
 }
@@ -137,18 +137,24 @@
 	c.workers = worker.New(c.names, c.jobs, c.log)
 	c.workers.HeartbeatTimeout = c.workerHeartbeatTimeout()
 	c.autoscaler = autoscaler.New(autoscaler.Config{
-		ValueBytes:     c.jobs.ValueLimit,
-		Addr:           c.cfg.Services.Cloud,
-		RPS:            settings.Cloud.RPS,
-		ListLag:        config.Seconds(settings.Cloud.ListLagS),
-		MaxConnections: settings.Resources.MaxConnections,
-		IdleKeep:       time.Duration(c.cfg.Operator.Autoscaler.IdleKeep),
-		Settle:         time.Duration(c.cfg.Operator.Autoscaler.Settle),
-	}, c.names, c.jobs, c.workers, c.store, c.log)
+		Names:            c.names,
+		Jobs:             c.jobs,
+		Workers:          c.workers,
+		Store:            c.store,
+		Log:              c.log,
+		MaxValueBytes:    c.jobs.ValueLimit,
+		CloudAddr:        c.cfg.Services.Cloud,
+		CloudRPS:         settings.Cloud.RPS,
+		ListLag:          config.Seconds(settings.Cloud.ListLagS),
+		MaxConnections:   settings.Resources.MaxConnections,
+		HeartbeatTimeout: c.workerHeartbeatTimeout(),
+		IdleTimeout:      time.Duration(c.cfg.Operator.Autoscaler.IdleKeep),
+		SettleTime:       time.Duration(c.cfg.Operator.Autoscaler.Settle),
+	})
 	c.scheduler = &scheduler.Scheduler{
 		Jobs:              c.jobs,
 		Workers:           c.workers,
-		MachineTypes:      &c.autoscaler.MachineTypes,
+		MachineTypes:      c.autoscaler.MachineTypes(),
 		Teams:             teams,
 		HeartbeatInterval: config.Seconds(settings.Workers.ReportS),
 		HeartbeatTimeout:  c.workerHeartbeatTimeout(),
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -132,8 +132,8 @@
 		c.workers.Tick(now, c.election, out)
 		c.evictBeforeReclaim(now)
 	}
-	c.autoscaler.Tick(now, c.election, c.election.TermCompare(), c.workerHeartbeatTimeout(), out)
-	if c.autoscaler.Replan {
+	c.autoscaler.Tick(now, c.election, c.election.TermCompare(), out)
+	if c.autoscaler.ReplanRequested() {
 		c.jobs.RequestRound()
 	}
 	if c.roundDue(now) {
@@ -172,9 +172,8 @@
 	c.work.Rounds++
 	blocked, capacities := c.scheduler.Round(now)
 	c.leadership.placement = placement{blocked: blocked, capacities: capacities}
-	if now-schedule.planAt >= planInterval || c.autoscaler.Replan {
+	if replan := c.autoscaler.TakeReplanRequest(); replan || now-schedule.planAt >= planInterval {
 		schedule.planAt = now
-		c.autoscaler.Replan = false
 		c.autoscaler.Plan(now, blocked, c.scheduler, c.election.FencingToken(), out)
 	}
 }
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -27,7 +27,7 @@
 		c.actAsLeader(now, out)
 		c.store.Tick(now, out)
 	} else if !c.leadership.active {
-		c.autoscaler.RefreshMachineTypes(now, nil, out)
+		c.autoscaler.RefreshMachineTypes(now, out)
 	}
 	c.answerHeartbeats(now, out)
 }
