--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -19,42 +19,42 @@
 }
 
 // cancel answers once the job has ended, by this cancellation or otherwise. The
-// write requires that there is no final mark, so a job ends exactly once.
+// write requires that there is no terminal record, so a job ends exactly once.
 func (s *Server) cancel(now event.Time, c cancellation, out *event.Effects) {
-	if b := s.finalState(c.id); b != nil {
-		out.Reply(c.conn, httpwire.StatusOK, b)
+	if status := s.terminalStatus(c.id); status != nil {
+		out.Reply(c.conn, httpwire.StatusOK, status)
 		return
 	}
 	if s.unavailable(now) || c.retries >= maxCancelRetries {
-		out.ReplyUnavailable(c.conn, retryAfter)
+		out.ReplyUnavailable(c.conn, minRetryAfter)
 		return
 	}
 	j := s.accepted(c.id)
 	if j == nil {
-		s.cancelUnseen(c)
+		s.cancelAfterBarrier(c)
 		return
 	}
-	jobKey, finalKey := pipeline.JobKeyOf(c.id), pipeline.TerminalKeyOf(c.id)
+	jobKey, terminalKey := pipeline.JobKeyOf(c.id), pipeline.TerminalKeyOf(c.id)
 	s.store.Submit(&kv.Txn{
 		Priority: kv.PriorityCancellation,
-		Compares: []kv.Compare{{Key: jobKey, ModRevision: j.ModRevision}, {Key: finalKey}},
-		Writes:   []kv.Write{{Key: finalKey, Data: pipeline.EncodeTerminal(pipeline.Cancelled, j)}},
-		Done:     func(r kv.Result) { s.cancelWritten(c, r) },
-	}, now+s.cfg.Answer)
+		Compares: []kv.Compare{{Key: jobKey, ModRevision: j.ModRevision}, {Key: terminalKey}},
+		Writes:   []kv.Write{{Key: terminalKey, Data: pipeline.EncodeTerminal(pipeline.Cancelled, j)}},
+		Done:     func(r kv.Result) { s.handleCancelResult(c, r) },
+	}, now+s.cfg.AnswerTimeout)
 }
 
-// cancelWritten handles the result of the write. After a conflict or without an
-// answer the mark may be there, ours or another's: what is stored decides.
-func (s *Server) cancelWritten(c cancellation, r kv.Result) {
+// handleCancelResult handles the result of the write. After a conflict or without an
+// answer the terminal record may be there, ours or another's: what is stored decides.
+func (s *Server) handleCancelResult(c cancellation, r kv.Result) {
 	switch r.Outcome {
 	case kv.Committed:
-		s.cancel(r.Now, c, r.Out) // answers from the mark
+		s.cancel(r.Now, c, r.Out) // answers from the terminal record
 	case kv.Aborted, kv.Rejected:
-		r.Out.ReplyUnavailable(c.conn, retryAfter)
+		r.Out.ReplyUnavailable(c.conn, minRetryAfter)
 	default:
 		s.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
 			if !ok {
-				out.ReplyUnavailable(c.conn, retryAfter)
+				out.ReplyUnavailable(c.conn, minRetryAfter)
 				return
 			}
 			s.retryCancel(now, c, out)
@@ -62,14 +62,14 @@
 	}
 }
 
-// cancelUnseen cancels a job that the replica does not show: another controller
-// may have accepted it a moment ago, which only a barrier tells.
-func (s *Server) cancelUnseen(c cancellation) {
+// cancelAfterBarrier cancels a job that the local replica does not show: another
+// controller may have accepted it a moment ago, which only a read barrier tells.
+func (s *Server) cancelAfterBarrier(c cancellation) {
 	s.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
 		switch {
 		case !ok:
-			out.ReplyUnavailable(c.conn, retryAfter)
-		case s.state(c.id) == nil:
+			out.ReplyUnavailable(c.conn, minRetryAfter)
+		case s.status(c.id) == nil:
 			out.Reply(c.conn, httpwire.StatusNotFound, nil)
 		default:
 			s.retryCancel(now, c, out)
@@ -77,6 +77,7 @@
 	})
 }
 
+// retryCancel tries again, with a local replica that is newer by a read barrier.
 func (s *Server) retryCancel(now event.Time, c cancellation, out *event.Effects) {
 	c.retries++
 	s.cancel(now, c, out)
--- a/internal/api/feasibility.go
+++ b/internal/api/feasibility.go
@@ -1,7 +1,6 @@
 package api
 
 import (
-	"errors"
 	"fmt"
 
 	"lugward/internal/config"
@@ -9,24 +8,16 @@
 	"lugward/internal/scheduler"
 )
 
-var (
-	// errInfeasible means that no machine, zone or team's limit would ever let
-	// the job run.
-	errInfeasible = errors.New("job can never run")
-	// errMachineTypesUnknown means that the cloud has not been asked yet, so
-	// nothing can be said.
-	errMachineTypesUnknown = errors.New("machine types are not known yet")
-)
-
-// newJob turns a submission into a job. Its errors wrap errInfeasible or are
-// errMachineTypesUnknown.
+// newJob turns a submission into a job. Its errors are *infeasibleError if the job
+// could never run, and *unavailableError while the cloud has not been asked for its
+// machine types, so that nothing can be said.
 func (s *Server) newJob(sub *submission) (*pipeline.Job, error) {
-	team, ok := s.teams[*sub.Owner]
+	team, ok := s.teams[*sub.Team]
 	if !ok {
-		return nil, fmt.Errorf("%w: team %q is not known", errInfeasible, *sub.Owner)
+		return nil, infeasible(fieldTeam, *sub.Team, "a team of the settings")
 	}
 	if len(*s.machineTypes) == 0 {
-		return nil, errMachineTypesUnknown
+		return nil, &unavailableError{Reason: "machine types are not known yet", RetryAfter: minRetryAfter}
 	}
 	j := &pipeline.Job{ID: *sub.ID, Owner: s.cfg.Label, Ready: true, Spec: sub.spec()}
 	if err := s.resolvePlacement(&j.Spec, sub); err != nil {
@@ -37,33 +28,13 @@
 	}
 	// Only an accepted job's names get indices, which are never freed.
 	j.Class = s.names.Classes.Index(*sub.Class)
-	j.Team = s.names.Teams.Index(*sub.Owner)
+	j.Team = s.names.Teams.Index(*sub.Team)
 	j.Image = s.names.Images.Index(*sub.Image)
 	return j, nil
 }
 
-// spec returns what the submission says without the names that depend on the site.
-func (sub *submission) spec() pipeline.Spec {
-	spec := pipeline.Spec{
-		Shape:              shapes[*sub.Shape],
-		Priority:           priorities[*sub.Priority],
-		TaskCount:          *sub.Tasks,
-		CPUs:               *sub.CPUs,
-		GPUs:               *sub.GPUs,
-		Memory:             *sub.Memory,
-		ImageGB:            *sub.ImageGB,
-		Zone:               anyZone,
-		SameZone:           *sub.SamePlace,
-		SpreadZones:        *sub.Scatter,
-		AllowSpot:          *sub.AllowSpot,
-		EstimatedRuntime:   *sub.EstimatedRuntime,
-		CheckpointInterval: *sub.CheckpointInterval,
-		CheckpointDuration: *sub.CheckpointDuration,
-	}
-	if sub.Deadline != nil {
-		spec.Deadline = *sub.Deadline
-	}
-	return spec
+func infeasible(field string, value any, expected string) error {
+	return &infeasibleError{badField{Field: field, Value: value, Expected: expected}}
 }
 
 // anyZone is the zone of a job that does not name one.
@@ -75,7 +46,7 @@
 	if sub.Zone != nil {
 		zone, ok := s.names.Zones.Lookup(*sub.Zone)
 		if !ok {
-			return fmt.Errorf("%w: zone %q is not known", errInfeasible, *sub.Zone)
+			return infeasible(fieldZone, *sub.Zone, "a zone of the site")
 		}
 		spec.Zone = zone
 	}
@@ -85,7 +56,7 @@
 		}
 	}
 	if sub.MachineTypes != nil && spec.MachineTypes == nil {
-		return fmt.Errorf("%w: none of its machine types is known", errInfeasible)
+		return infeasible(fieldMachineTypes, fmt.Sprintf("%d unknown names", len(sub.MachineTypes)), "a machine type that the cloud offers")
 	}
 	return nil
 }
@@ -94,15 +65,15 @@
 func (s *Server) checkFeasible(spec *pipeline.Spec, team config.Team) error {
 	fits, zones := s.usableZones(spec)
 	if !fits {
-		return fmt.Errorf("%w: a task fits no machine type", errInfeasible)
+		return infeasible("", fmt.Sprintf("a task of %v CPUs, %v GPUs and %v GB", spec.CPUs, spec.GPUs, spec.Memory), "a task that fits a machine type")
 	}
-	if exceedsLimit(spec, team) {
-		return fmt.Errorf("%w: it exceeds the limit of team %q", errInfeasible, team.Name)
+	if err := checkTeamLimit(spec, team); err != nil {
+		return err
 	}
-	// Scattered means at most half in one zone, which one zone can't give.
-	scattered := spec.SpreadZones && spec.TaskCount > 1 && spec.CountsAllTasks()
-	if scattered && (spec.SameZone || zones < 2) {
-		return fmt.Errorf("%w: its tasks cannot be scattered", errInfeasible)
+	// Spread means at most half of the tasks in one zone, which one zone can't give.
+	spread := spec.SpreadZones && spec.TaskCount > 1 && spec.CountsAllTasks()
+	if spread && (spec.SameZone || zones < 2) {
+		return infeasible(fieldSpreadZones, true, "two usable zones at least, and tasks that may run in both")
 	}
 	return nil
 }
@@ -128,14 +99,20 @@
 // limitTolerance absorbs rounding in sums of fractional CPUs and GPUs.
 const limitTolerance = 1e-6
 
-// exceedsLimit reports whether what must run at the same time is more than the
+// checkTeamLimit refuses a job of which more must run at the same time than the
 // team may ever use: all tasks of a gang or a daemon, one task of an array.
-func exceedsLimit(spec *pipeline.Spec, team config.Team) bool {
+func checkTeamLimit(spec *pipeline.Spec, team config.Team) error {
 	tasks := 1.0
 	if spec.CountsAllTasks() {
 		tasks = float64(spec.TaskCount)
 	}
-	return exceeds(tasks*spec.CPUs, team.CPUsMax) || exceeds(tasks*spec.GPUs, team.GPUsMax)
+	if cpus := tasks * spec.CPUs; exceeds(cpus, team.CPUsMax) {
+		return infeasible(fieldCPUs, cpus, fmt.Sprintf("at most the %v CPUs of team %q", team.CPUsMax, team.Name))
+	}
+	if gpus := tasks * spec.GPUs; exceeds(gpus, team.GPUsMax) {
+		return infeasible(fieldGPUs, gpus, fmt.Sprintf("at most the %v GPUs of team %q", team.GPUsMax, team.Name))
+	}
+	return nil
 }
 
 // exceeds compares an amount with a limit, where 0 means no limit.
--- a/internal/api/node_test.go
+++ b/internal/api/fixture_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"strings"
 	"testing"
 	"time"
 
@@ -17,48 +18,53 @@
 // what others have stored only after a read barrier.
 type node struct {
 	t       *testing.T
-	service *service
+	service *fakeStore
 	server  *Server
 	jobs    *pipeline.Table
-	store   *kv.Client
+	client  *kv.Client
 	out     event.Effects
 	now     event.Time
 	conn    uint64
 	replies map[uint64]event.Reply
 }
 
-func newNode(t *testing.T, s *service, label string) *node {
+func newNode(t *testing.T, s *fakeStore, label string) *node {
+	t.Helper()
 	n := &node{t: t, service: s, replies: map[uint64]event.Reply{}, now: time.Second}
 	names := &pipeline.Names{}
 	names.Zones.Index("a")
 	n.jobs = pipeline.NewTable(names, valueBytes, txnOps)
 	limits := kv.Limits{TxnOps: txnOps, Rates: kv.Rates{Requests: 1000, Writes: 1000}, StaleAfter: time.Hour}
-	onChange := func(key string, data []byte, version uint64) {
+	onChange := func(key string, data []byte, modRevision uint64) {
 		kind, rest := kv.SplitKey(key)
-		n.jobs.HandleChange(kind, rest, data, version)
+		n.jobs.HandleChange(kind, rest, data, modRevision)
 	}
-	n.store = kv.New(kv.Config{Addr: "s", Limits: limits, OnChange: onChange})
+	n.client = kv.New(kv.Config{Addr: "s", Limits: limits, OnChange: onChange})
 	machineTypes := &scheduler.MachineTypes{{Index: names.MachineTypes.Index("m"), CPUs: 8, Memory: 32, Zones: []int{0}}}
-	cfg := Config{
-		Label:      label,
-		Teams:      []config.Team{{Name: "red"}},
-		Answer:     1500 * time.Millisecond,
-		ValueBytes: valueBytes,
-		TxnOps:     txnOps,
-	}
-	n.server = New(cfg, names, n.jobs, n.store, machineTypes)
+	n.server = New(Config{
+		Label:         label,
+		Teams:         []config.Team{{Name: "red"}, {Name: "small", CPUsMax: 2, GPUsMax: 1}},
+		AnswerTimeout: 1500 * time.Millisecond,
+		ValueBytes:    valueBytes,
+		TxnOps:        txnOps,
+		Names:         names,
+		Jobs:          n.jobs,
+		Store:         n.client,
+		MachineTypes:  machineTypes,
+	})
 	n.run(time.Second)
-	n.server.store.Barrier(func(event.Time, bool, *event.Effects) {})
+	n.client.Barrier(func(event.Time, bool, *event.Effects) {})
 	n.run(time.Second)
 	return n
 }
 
 // run lets time pass.
 func (n *node) run(d time.Duration) {
+	n.t.Helper()
 	for end := n.now + d; n.now < end; n.now += 10 * time.Millisecond {
 		n.jobs.SetNow(n.now)
 		n.jobs.SetClock(n.now, time.Unix(1_700_000_000, 0).Add(n.now))
-		n.store.Tick(n.now, &n.out)
+		n.client.Tick(n.now, &n.out)
 		n.server.Tick(n.now, &n.out)
 		n.perform()
 	}
@@ -66,6 +72,7 @@
 
 // perform carries out the effects until there are none.
 func (n *node) perform() {
+	n.t.Helper()
 	for len(n.out.Calls)+len(n.out.Replies) > 0 {
 		calls, replies := n.out.Calls, n.out.Replies
 		n.out.Calls, n.out.Replies = nil, nil
@@ -77,24 +84,26 @@
 		}
 		for _, c := range calls {
 			if status, body, ok := n.service.serve(c); ok {
-				n.store.HandleCallResult(n.now, event.CallResult{ID: c.ID, Status: status, Body: []byte(body)}, &n.out)
+				n.client.HandleCallResult(n.now, event.CallResult{ID: c.ID, Status: status, Body: []byte(body)}, &n.out)
 			}
 		}
 	}
 }
 
-// ask sends a request and returns the connection that its answer will come on.
-func (n *node) ask(method, path, body string) uint64 {
+// start sends a request and returns the connection that its answer will come on.
+func (n *node) start(method, path, body string) uint64 {
+	n.t.Helper()
 	n.conn++
 	n.server.Handle(n.now, event.Request{Conn: n.conn, Method: method, Path: path, Body: []byte(body)}, &n.out)
-	n.store.Tick(n.now, &n.out)
+	n.client.Tick(n.now, &n.out)
 	n.perform()
 	return n.conn
 }
 
 // send sends a request and returns its answer, or none if none came in time.
 func (n *node) send(method, path, body string) event.Reply {
-	conn := n.ask(method, path, body)
+	n.t.Helper()
+	conn := n.start(method, path, body)
 	n.run(2 * time.Second)
 	return n.replies[conn]
 }
@@ -106,37 +115,59 @@
 }
 
 func (n *node) submit(id int, more string) event.Reply {
+	n.t.Helper()
 	return n.send("POST", "/submissions", body(id, more))
 }
 
+func (n *node) poll(id int) event.Reply {
+	n.t.Helper()
+	return n.send("GET", fmt.Sprintf("/submissions/req-%d", id), "")
+}
+
+func (n *node) cancel(id int) event.Reply {
+	n.t.Helper()
+	return n.send("POST", fmt.Sprintf("/submissions/req-%d/cancel", id), "")
+}
+
 // expect checks a reply; phase may be empty.
 func (n *node) expect(what string, r event.Reply, status int, phase string) {
 	n.t.Helper()
-	var a answer
-	_ = json.Unmarshal(r.Body, &a)
-	if r.Status != status || (phase != "" && a.Phase != phase) || (status == 503) != (r.RetryAfter > 0) {
+	var job jobStatus
+	if len(r.Body) > 0 {
+		if err := json.Unmarshal(r.Body, &job); err != nil {
+			n.t.Errorf("%s: %q: %v", what, r.Body, err)
+		}
+	}
+	if r.Status != status || (phase != "" && job.Phase != phase) || (status == 503) != (r.RetryAfter > 0) {
 		n.t.Errorf("%s: %d %s (%d), want %d %s", what, r.Status, r.Body, r.RetryAfter, status, phase)
 	}
 }
 
-func final(p pipeline.Phase, shape pipeline.Shape) []byte {
-	return pipeline.EncodeTerminal(p, &pipeline.Job{Spec: pipeline.Spec{TaskCount: 1, Shape: shape}})
+// terminalRecord is the terminal record of an array of one task.
+func terminalRecord(p pipeline.Phase) []byte {
+	return pipeline.EncodeTerminal(p, &pipeline.Job{Spec: pipeline.Spec{TaskCount: 1, Shape: pipeline.Array}})
 }
 
+// writes reports whether a transaction writes a key.
+func writes(txn, key string) bool { return strings.Contains(txn, `"write":"`+key+`"`) }
+
 // upstreamList stores so many jobs, shows them to the node and returns the field
 // of a submission that names them all as upstream jobs.
 func (n *node) upstreamList(first, count int) string {
-	var list []string
-	job := &pipeline.Job{ID: "", Ready: true, Spec: pipeline.Spec{TaskCount: 1, CPUs: 1, Zone: -1}}
+	n.t.Helper()
+	job := &pipeline.Job{ID: "", Ready: true, Spec: pipeline.Spec{TaskCount: 1, CPUs: 1, Zone: anyZone}}
 	names := &pipeline.Names{}
 	job.Class, job.Team, job.Image = names.Classes.Index("c"), names.Teams.Index("red"), names.Images.Index("b")
-	data := pipeline.Encode(names, job)
-	for i := range count {
-		id := fmt.Sprintf("req-%d", first+i)
-		n.service.put("j/"+id, data)
-		list = append(list, id)
+	record := pipeline.Encode(names, job)
+	list := make([]string, count)
+	for i := range list {
+		list[i] = fmt.Sprintf("req-%d", first+i)
+		n.service.put("j/"+list[i], record)
+	}
+	b, err := json.Marshal(list)
+	if err != nil {
+		n.t.Fatal(err)
 	}
-	b, _ := json.Marshal(list)
-	n.send("GET", "/submissions/"+list[0], "")
+	n.poll(first)
 	return `,"awaits":` + string(b)
 }
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -3,148 +3,142 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"math"
-	"regexp"
 
 	"lugward/internal/pipeline"
 )
 
-// maxTasks is the largest number of tasks of a job, as the protocol has it.
-const maxTasks = 100_000
-
-// submission is the body of a submission. Pointers tell what is missing from
-// what is zero.
-type submission struct {
-	ID                 *string   `json:"name_id"`
-	Class              *string   `json:"jobclass"`
-	Owner              *string   `json:"owner"`
-	Shape              *string   `json:"shape"`
-	Priority           *string   `json:"rank"`
-	Tasks              *int      `json:"shards"`
-	CPUs               *float64  `json:"cores"`
-	GPUs               *float64  `json:"cards"`
-	Memory             *float64  `json:"ram_gb"`
-	Image              *string   `json:"bundle"`
-	ImageGB            *float64  `json:"image_gb"`
-	MachineTypes       []*string `json:"flavors"`
-	Zone               *string   `json:"yard"`
-	SamePlace          *bool     `json:"same_place"`
-	Scatter            *bool     `json:"scatter"`
-	AllowSpot          *bool     `json:"loaners"`
-	EstimatedRuntime   *float64  `json:"expect_s"`
-	CheckpointInterval *float64  `json:"snapshot_every_s"`
-	CheckpointDuration *float64  `json:"snapshot_s"`
-	Deadline           *float64  `json:"due_s"`
-	// Upstream is decoded by upstreamJobs, not with the rest: a repeat of an
-	// accepted submission is recognized by its ID, whatever its list says.
-	Upstream json.RawMessage `json:"awaits"`
-}
-
-var (
-	idPattern = regexp.MustCompile(`^req-[0-9]{1,19}$`)
-
-	shapes = map[string]pipeline.Shape{
-		"array":  pipeline.Array,
-		"gang":   pipeline.Gang,
-		"daemon": pipeline.Daemon,
-	}
-	priorities = map[string]pipeline.Priority{
-		"production": pipeline.Production,
-		"high":       pipeline.High,
-		"normal":     pipeline.Normal,
-		"idle":       pipeline.Idle,
-	}
-
-	// errMalformed means that the body is not a submission.
-	errMalformed = errors.New("malformed submission")
-	// errUpstreamList means that the list of upstream jobs is not one of job IDs.
-	errUpstreamList = errors.New("malformed list of upstream jobs")
-)
-
 // parseSubmission decodes a body and checks all but the list of upstream jobs.
-// Its errors wrap errMalformed.
+// Its errors are *malformedError.
 func parseSubmission(body []byte) (*submission, error) {
 	trimmed := bytes.TrimSpace(body)
 	if len(trimmed) == 0 || trimmed[0] != '{' {
-		return nil, fmt.Errorf("%w: not a JSON object", errMalformed)
+		return nil, malformed("", nil, "a JSON object")
 	}
 	sub := &submission{}
 	if err := json.Unmarshal(body, sub); err != nil {
-		return nil, fmt.Errorf("%w: %w", errMalformed, err)
+		return nil, &malformedError{badField: badField{Value: err, Expected: "JSON with values of the right types"}, Err: err}
 	}
-	if !sub.valid() {
-		return nil, fmt.Errorf("%w: a field is missing or out of range", errMalformed)
+	for _, check := range []func() error{sub.identity.check, sub.amounts.check, sub.placement.check} {
+		if err := check(); err != nil {
+			return nil, err
+		}
 	}
 	return sub, nil
 }
 
-func (sub *submission) valid() bool {
-	return sub.validNames() && sub.validAmounts() && sub.validPlacement()
+func malformed(field string, value any, expected string) error {
+	return &malformedError{badField: badField{Field: field, Value: value, Expected: expected}}
 }
 
-func (sub *submission) validNames() bool {
-	for _, name := range []*string{sub.ID, sub.Class, sub.Owner, sub.Shape, sub.Priority, sub.Image} {
-		if name == nil || *name == "" {
-			return false
+func (id *identity) check() error {
+	for _, name := range []struct {
+		field string
+		value *string
+	}{
+		{fieldID, id.ID},
+		{fieldClass, id.Class},
+		{fieldTeam, id.Team},
+		{fieldShape, id.Shape},
+		{fieldPriority, id.Priority},
+		{fieldImage, id.Image},
+	} {
+		if name.value == nil || *name.value == "" {
+			return malformed(name.field, nil, "a name")
 		}
 	}
-	_, knownShape := shapes[*sub.Shape]
-	_, knownPriority := priorities[*sub.Priority]
-	return knownShape && knownPriority && idPattern.MatchString(*sub.ID)
+	if _, known := shapes[*id.Shape]; !known {
+		return malformed(fieldShape, *id.Shape, "array, gang or daemon")
+	}
+	if _, known := priorities[*id.Priority]; !known {
+		return malformed(fieldPriority, *id.Priority, "production, high, normal or idle")
+	}
+	if !jobIDPattern.MatchString(*id.ID) {
+		return malformed(fieldID, *id.ID, jobIDPattern.String())
+	}
+	return nil
 }
 
-func (sub *submission) validAmounts() bool {
-	for _, amount := range []*float64{
-		sub.CPUs, sub.GPUs, sub.Memory, sub.ImageGB,
-		sub.EstimatedRuntime, sub.CheckpointInterval, sub.CheckpointDuration,
+func (a *amounts) check() error {
+	for _, amount := range []struct {
+		field string
+		value *float64
+	}{
+		{fieldCPUs, a.CPUs},
+		{fieldGPUs, a.GPUs},
+		{fieldMemory, a.MemoryGB},
+		{fieldImageSize, a.ImageGB},
+		{fieldEstimatedRuntime, a.EstimatedRuntime},
+		{fieldCheckpointInterval, a.CheckpointInterval},
+		{fieldCheckpointDuration, a.CheckpointDuration},
 	} {
-		if amount == nil || !(*amount >= 0) || math.IsInf(*amount, 0) {
-			return false
+		const expected = "a finite number, not negative"
+		if amount.value == nil {
+			return malformed(amount.field, nil, expected)
 		}
+		if !(*amount.value >= 0) || math.IsInf(*amount.value, 0) {
+			return malformed(amount.field, *amount.value, expected)
+		}
+	}
+	if a.Deadline != nil && !(*a.Deadline >= 0) {
+		return malformed(fieldDeadline, *a.Deadline, "a number, not negative")
+	}
+	if a.Tasks == nil {
+		return malformed(fieldTasks, nil, "a number of tasks")
 	}
-	if sub.Deadline != nil && !(*sub.Deadline >= 0) {
-		return false
+	if *a.Tasks < 1 || *a.Tasks > maxTasks {
+		return malformed(fieldTasks, *a.Tasks, fmt.Sprintf("1 to %d tasks", maxTasks))
 	}
-	return sub.Tasks != nil && *sub.Tasks >= 1 && *sub.Tasks <= maxTasks
+	return nil
 }
 
-func (sub *submission) validPlacement() bool {
-	for _, flag := range []*bool{sub.SamePlace, sub.Scatter, sub.AllowSpot} {
-		if flag == nil {
-			return false
+func (p *placement) check() error {
+	for _, flag := range []struct {
+		field string
+		value *bool
+	}{
+		{fieldSameZone, p.SameZone},
+		{fieldSpreadZones, p.SpreadZones},
+		{fieldAllowSpot, p.AllowSpot},
+	} {
+		if flag.value == nil {
+			return malformed(flag.field, nil, "true or false")
 		}
 	}
-	if sub.Zone != nil && *sub.Zone == "" {
-		return false
+	if p.Zone != nil && *p.Zone == "" {
+		return malformed(fieldZone, `""`, "the name of a zone")
 	}
-	if sub.MachineTypes != nil && len(sub.MachineTypes) == 0 {
-		return false
+	if p.MachineTypes != nil && len(p.MachineTypes) == 0 {
+		return malformed(fieldMachineTypes, "an empty list", "names of machine types")
 	}
-	for _, name := range sub.MachineTypes {
+	for _, name := range p.MachineTypes {
 		if name == nil || *name == "" {
-			return false
+			return malformed(fieldMachineTypes, nil, "names of machine types")
 		}
 	}
-	return true
+	return nil
 }
 
-// upstreamJobs decodes the list of upstream jobs, each ID once. Its error is
-// errUpstreamList.
+// upstreamJobs decodes the list of upstream jobs, each ID once. Its error is a
+// *malformedError.
 func (sub *submission) upstreamJobs() ([]string, error) {
 	if len(sub.Upstream) == 0 {
 		return nil, nil
 	}
+	const expected = "a list of job IDs"
 	var list []*string
-	if json.Unmarshal(sub.Upstream, &list) != nil {
-		return nil, errUpstreamList
+	if err := json.Unmarshal(sub.Upstream, &list); err != nil {
+		return nil, &malformedError{badField: badField{Field: fieldUpstream, Value: err, Expected: expected}, Err: err}
 	}
 	var upstream []string
 	seen := map[string]bool{}
 	for _, id := range list {
-		if id == nil || !idPattern.MatchString(*id) {
-			return nil, errUpstreamList
+		if id == nil {
+			return nil, malformed(fieldUpstream, "null", expected)
+		}
+		if !jobIDPattern.MatchString(*id) {
+			return nil, malformed(fieldUpstream, *id, expected)
 		}
 		if !seen[*id] {
 			seen[*id] = true
@@ -153,3 +147,27 @@
 	}
 	return upstream, nil
 }
+
+// spec returns what the submission says without the names that depend on the site.
+func (sub *submission) spec() pipeline.Spec {
+	spec := pipeline.Spec{
+		Shape:              shapes[*sub.Shape],
+		Priority:           priorities[*sub.Priority],
+		TaskCount:          *sub.Tasks,
+		CPUs:               *sub.CPUs,
+		GPUs:               *sub.GPUs,
+		Memory:             *sub.MemoryGB,
+		ImageGB:            *sub.ImageGB,
+		Zone:               anyZone,
+		SameZone:           *sub.SameZone,
+		SpreadZones:        *sub.SpreadZones,
+		AllowSpot:          *sub.AllowSpot,
+		EstimatedRuntime:   *sub.EstimatedRuntime,
+		CheckpointInterval: *sub.CheckpointInterval,
+		CheckpointDuration: *sub.CheckpointDuration,
+	}
+	if sub.Deadline != nil {
+		spec.Deadline = *sub.Deadline
+	}
+	return spec
+}
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -1,7 +1,6 @@
 package api
 
 import (
-	"errors"
 	"math"
 
 	"lugward/internal/event"
@@ -10,157 +9,159 @@
 	"lugward/internal/pipeline"
 )
 
-// submit accepts a job once its record is stored. A repeat of an accepted
-// submission is answered with the job's state before anything else of it is
-// judged, so it never gets 400 or 422.
+// submit accepts a job once its record is stored.
+//
+// Submissions are idempotent by the job's ID. A repeat of an accepted one is
+// answered with the job's status before anything else of it is judged, so it never
+// gets 400 or 422 for its other fields.
 func (s *Server) submit(now event.Time, r event.Request, out *event.Effects) {
 	sub, err := parseSubmission(r.Body)
 	if err != nil {
-		out.Reply(r.Conn, httpwire.StatusBadRequest, nil)
+		refuse(r.Conn, err, out)
 		return
 	}
-	id := *sub.ID
-	if b := s.finalState(id); b != nil {
-		out.Reply(r.Conn, httpwire.StatusOK, b)
+	if s.answerRepeat(now, r.Conn, *sub.ID, out) {
 		return
 	}
+	j, upstream, err := s.decide(sub)
+	switch {
+	case isUnavailable(err):
+		refuse(r.Conn, err, out)
+	case err != nil:
+		s.refuseAfterBarrier(r.Conn, *sub.ID, err)
+	case s.checkUpstream(upstream) != nil:
+		s.acceptAfterBarrier(r.Conn, j, upstream)
+	default:
+		s.accept(now, r.Conn, j, upstream, out)
+	}
+}
+
+// answerRepeat answers a submission that repeats an accepted one, or any while the
+// key-value store is unavailable. It reports whether it did.
+func (s *Server) answerRepeat(now event.Time, conn uint64, id string, out *event.Effects) bool {
+	if status := s.terminalStatus(id); status != nil {
+		out.Reply(conn, httpwire.StatusOK, status)
+		return true
+	}
 	if s.unavailable(now) {
-		out.ReplyUnavailable(r.Conn, retryAfter)
-		return
+		out.ReplyUnavailable(conn, minRetryAfter)
+		return true
 	}
 	if s.accepted(id) != nil {
-		s.poll(now, r.Conn, id, out)
-		return
+		s.poll(now, conn, id, out)
+		return true
 	}
+	return false
+}
+
+// decide returns the submitted job and the IDs of its upstream jobs, or why it is
+// refused. Whether the upstream jobs exist is not checked.
+func (s *Server) decide(sub *submission) (*pipeline.Job, []string, error) {
 	upstream, err := sub.upstreamJobs()
 	if err != nil {
-		s.reject(r.Conn, id, httpwire.StatusBadRequest)
-		return
+		return nil, nil, err
 	}
 	j, err := s.newJob(sub)
-	switch {
-	case errors.Is(err, errMachineTypesUnknown):
-		out.ReplyUnavailable(r.Conn, retryAfter)
-	case err != nil:
-		s.reject(r.Conn, id, httpwire.StatusUnprocessableContent)
-	case !s.validUpstream(upstream):
-		s.acceptAfterBarrier(r.Conn, j, upstream)
-	default:
-		s.accept(now, r.Conn, j, upstream, out)
+	if err != nil {
+		return nil, nil, err
 	}
+	return j, upstream, nil
 }
 
-// reject answers a submission with a final refusal, after a read barrier:
-// another controller that knew more may have accepted the job a moment ago.
-func (s *Server) reject(conn uint64, id string, status int) {
+// refuseAfterBarrier refuses a submission for good, after a read barrier: another
+// controller that knew more may have accepted the job a moment ago.
+func (s *Server) refuseAfterBarrier(conn uint64, id string, err error) {
 	s.answerAfterBarrier(conn, id, func(_ event.Time, out *event.Effects) {
-		out.Reply(conn, status, nil)
+		refuse(conn, err, out)
 	})
 }
 
 // acceptAfterBarrier accepts a job if a read barrier shows all of its upstream
-// jobs: the replica may lag behind the controllers that accepted them.
+// jobs: the local replica may lag behind the controllers that accepted them.
 func (s *Server) acceptAfterBarrier(conn uint64, j *pipeline.Job, upstream []string) {
 	s.answerAfterBarrier(conn, j.ID, func(now event.Time, out *event.Effects) {
-		if !s.validUpstream(upstream) {
-			out.Reply(conn, httpwire.StatusUnprocessableContent, nil)
+		if err := s.checkUpstream(upstream); err != nil {
+			refuse(conn, err, out)
 			return
 		}
 		s.accept(now, conn, j, upstream, out)
 	})
 }
 
-// validUpstream reports whether the replica shows that a new job may depend on
-// all of a list: jobs that have been accepted, and that end (not daemons). The
-// new job itself is not accepted, so it cannot be among them.
-func (s *Server) validUpstream(upstream []string) bool {
-	for _, id := range upstream {
-		if final, ok := s.jobs.Terminal.Get(id); ok {
-			if final.Daemon {
-				return false
-			}
-			continue
-		}
-		if j := s.accepted(id); j == nil || j.Shape == pipeline.Daemon {
-			return false
-		}
-	}
-	return true
-}
-
 // accept stores the record of a job that can run.
 func (s *Server) accept(now event.Time, conn uint64, j *pipeline.Job, upstream []string, out *event.Effects) {
 	j.SubmittedAt = s.jobs.UnixMS(now)
-	for _, id := range upstream {
-		final, _ := s.jobs.Terminal.Get(id)
-		j.Ready = j.Ready && final.Phase == pipeline.Done
-	}
+	j.Ready = s.allDone(upstream)
 	if j.Ready {
 		j.ReadyAt = j.SubmittedAt
 	}
-	parts := s.layOutUpstream(j, upstream)
-	data := pipeline.Encode(s.names, j)
-	capacity := s.cfg.ValueBytes
-	if parts != nil {
-		capacity -= partsVersionBytes
-	}
-	if len(data) > capacity {
-		out.Reply(conn, httpwire.StatusBadRequest, nil)
+	pages := s.layOutUpstream(j, upstream)
+	record, err := s.encodeRecord(j, len(pages) > 0)
+	if err != nil {
+		refuse(conn, err, out)
 		return
 	}
-	if delay := s.store.QueueDelay(kv.PrioritySubmission); delay.AtTotalRate > s.cfg.Answer.Seconds() {
+	if delay := s.store.QueueDelay(kv.PrioritySubmission); delay.AtTotalRate > s.cfg.AnswerTimeout.Seconds() {
 		// The write would wait for longer than the user does. Refusing it now
 		// leaves the rate to those that wait already.
-		s.refuseForBacklog(conn, out)
+		refuse(conn, s.backlogError(), out)
 		return
 	}
-	if parts != nil {
-		s.beginPartsWrite(now, conn, j, parts, out)
+	if len(pages) > 0 {
+		s.startPagedSubmission(now, conn, j, pages, out)
 		return
 	}
-	s.storeRecord(now, conn, j.ID, data)
+	s.storeRecord(now, conn, j.ID, record)
 }
 
+// encodeRecord returns a new job's record. Its error is a *malformedError if the
+// record is larger than a value may be: the user's names are too long.
+func (s *Server) encodeRecord(j *pipeline.Job, paged bool) ([]byte, error) {
+	limit := s.cfg.ValueBytes
+	if paged {
+		limit -= pagesRevisionBytes
+	}
+	record := pipeline.Encode(s.names, j)
+	if len(record) > limit {
+		return nil, &malformedError{badField: badField{Value: len(record), Expected: "a shorter record"}}
+	}
+	return record, nil
+}
+
+// storeRecord stores a new job's record unless the job has one or has ended, and
+// answers the submission.
 func (s *Server) storeRecord(now event.Time, conn uint64, id string, record []byte) {
-	jobKey, finalKey := pipeline.JobKeyOf(id), pipeline.TerminalKeyOf(id)
+	jobKey, terminalKey := pipeline.JobKeyOf(id), pipeline.TerminalKeyOf(id)
 	s.store.Submit(&kv.Txn{
 		Priority: kv.PrioritySubmission,
-		Compares: []kv.Compare{{Key: jobKey}, {Key: finalKey}},
+		Compares: []kv.Compare{{Key: jobKey}, {Key: terminalKey}},
 		Writes:   []kv.Write{{Key: jobKey, Data: record}},
 		Done: func(r kv.Result) {
 			switch r.Outcome {
 			case kv.Committed:
-				r.Out.Reply(conn, httpwire.StatusCreated, s.stateOfNew(id))
+				r.Out.Reply(conn, httpwire.StatusCreated, s.statusOfNew(id))
 			case kv.Aborted, kv.Rejected:
-				s.refuseForBacklog(conn, r.Out)
+				refuse(conn, s.backlogError(), r.Out)
 			default:
-				s.answerFromStore(conn, id)
+				s.answerAsStored(conn, id)
 			}
 		},
-	}, now+s.cfg.Answer)
-}
-
-// stateOfNew returns the encoded state of a job that has just been accepted: it
-// is cancelled at once if it needs a cancelled job.
-func (s *Server) stateOfNew(id string) []byte {
-	if b := s.finalState(id); b != nil {
-		return b
-	}
-	return answer{ID: id, Phase: phaseNames[pipeline.Queued]}.encode()
+	}, now+s.cfg.AnswerTimeout)
 }
 
-// refuseForBacklog answers 503 with the time that the writes before this one take.
-func (s *Server) refuseForBacklog(conn uint64, out *event.Effects) {
+// backlogError asks a client to come back when the writes that wait now are done.
+func (s *Server) backlogError() error {
 	wait := s.store.QueueDelay(kv.PrioritySubmission).AtOwnShare
-	seconds := min(max(wait, retryAfter), maxRetryAfter)
-	out.ReplyUnavailable(conn, int(math.Ceil(seconds)))
+	seconds := min(max(wait, minRetryAfter), maxRetryAfter)
+	return &unavailableError{Reason: "too many writes wait", RetryAfter: int(math.Ceil(seconds))}
 }
 
-// answerFromStore answers a submission whose write conflicted or whose outcome
-// is unknown. A write that is carried out after the barrier leaves an accepted
-// job, which the user's retry finds.
-func (s *Server) answerFromStore(conn uint64, id string) {
+// answerAsStored answers a submission whose write conflicted or whose outcome is
+// unknown: with the job's status if a read barrier shows it as accepted, else with
+// 503. A write that is carried out after the barrier leaves an accepted job, which
+// the user's retry finds.
+func (s *Server) answerAsStored(conn uint64, id string) {
 	s.answerAfterBarrier(conn, id, func(_ event.Time, out *event.Effects) {
-		out.ReplyUnavailable(conn, retryAfter)
+		out.ReplyUnavailable(conn, minRetryAfter)
 	})
 }
--- a/internal/api/upstream_test.go
+++ b/internal/api/upstream_test.go
@@ -7,11 +7,11 @@
 	"lugward/internal/pipeline"
 )
 
-// TestAwaits: lists of upstream jobs, well-formed and not, and repeats.
-func TestAwaits(t *testing.T) {
-	s := newService(t)
+// TestUpstreamLists: lists of upstream jobs, well-formed and not, and repeats.
+func TestUpstreamLists(t *testing.T) {
+	s := newFakeStore(t)
 	n := newNode(t, s, "n0")
-	n.expect("plain", n.submit(1, ``), 201, "queued")
+	n.expect("no list", n.submit(1, ``), 201, "queued")
 	n.expect("null", n.submit(2, `,"awaits":null`), 201, "queued")
 	n.expect("empty", n.submit(3, `,"awaits":[]`), 201, "queued")
 	for _, id := range []string{"req-1", "req-2", "req-3"} {
@@ -35,32 +35,32 @@
 	// So it is on another node, and when the job is over.
 	m := newNode(t, s, "n1")
 	n.expect("retry elsewhere", m.submit(4, `,"awaits":["req-99"]`), 200, "queued")
-	s.put("f/req-4", final(pipeline.Cancelled, pipeline.Array))
+	s.put("f/req-4", terminalRecord(pipeline.Cancelled))
 	n.expect("retry when over", newNode(t, s, "n2").submit(4, `,"awaits":7`), 200, "cancelled")
 }
 
-// TestAwaitsService: a daemon never ends, so no job may depend on it.
-func TestAwaitsService(t *testing.T) {
-	s := newService(t)
+// TestUpstreamDaemon: a daemon never ends, so no job may depend on it.
+func TestUpstreamDaemon(t *testing.T) {
+	s := newFakeStore(t)
 	n := newNode(t, s, "n0")
 	daemon := strings.Replace(body(1, ""), "array", "daemon", 1)
-	n.expect("service", n.send("POST", "/submissions", daemon), 201, "queued")
+	n.expect("daemon", n.send("POST", "/submissions", daemon), 201, "queued")
 	n.expect("downstream of it", n.submit(2, `,"awaits":["req-1"]`), 422, "")
-	n.expect("cancel", n.send("POST", "/submissions/req-1/cancel", ""), 200, "cancelled")
+	n.expect("cancel", n.cancel(1), 200, "cancelled")
 	s.put("j/req-1", nil)
 	n.expect("downstream of one that has ended", n.submit(2, `,"awaits":["req-1"]`), 422, "")
 }
 
-// TestAwaitsBehind: what the replica does not show may have been accepted
+// TestUpstreamNotSeenYet: what the local replica does not show may have been accepted
 // elsewhere a moment ago. Only a barrier tells; without one there is no 400 or 422.
-func TestAwaitsBehind(t *testing.T) {
-	s := newService(t)
+func TestUpstreamNotSeenYet(t *testing.T) {
+	s := newFakeStore(t)
 	n, m := newNode(t, s, "n0"), newNode(t, s, "n1")
 	n.expect("upstream", n.submit(1, ""), 201, "queued")
 	s.down = true
-	n.expect("in an outage", m.submit(2, `,"awaits":["req-1"]`), 503, "")
-	n.expect("in an outage", m.submit(2, `,"awaits":["req-9"]`), 503, "")
-	n.expect("in an outage", m.submit(2, `,"awaits":["x"]`), 503, "")
+	n.expect("accepted, in an outage", m.submit(2, `,"awaits":["req-1"]`), 503, "")
+	n.expect("unknown, in an outage", m.submit(2, `,"awaits":["req-9"]`), 503, "")
+	n.expect("malformed, in an outage", m.submit(2, `,"awaits":["x"]`), 503, "")
 	s.down = false
 	o := newNode(t, s, "n2")
 	n.submit(3, "") // o has not seen its record
@@ -71,16 +71,16 @@
 	n.expect("not there", o.submit(4, `,"awaits":["req-5"]`), 422, "")
 }
 
-// TestAwaitsOver: upstream jobs that have ended, done or cancelled.
-func TestAwaitsOver(t *testing.T) {
-	s := newService(t)
+// TestUpstreamEnded: upstream jobs that have ended, done or cancelled.
+func TestUpstreamEnded(t *testing.T) {
+	s := newFakeStore(t)
 	n := newNode(t, s, "n0")
 	for id := range 3 {
 		n.expect("upstream", n.submit(1+id, ""), 201, "queued")
 	}
-	s.put("f/req-1", final(pipeline.Done, pipeline.Array))
+	s.put("f/req-1", terminalRecord(pipeline.Done))
 	s.put("j/req-1", nil)
-	n.expect("poll", n.send("GET", "/submissions/req-1", ""), 200, "done")
+	n.expect("poll", n.poll(1), 200, "done")
 	n.expect("all done", n.submit(4, `,"awaits":["req-1"]`), 201, "queued")
 	if j := n.jobs.Job("req-4"); !j.Ready || j.ReadyAt != j.SubmittedAt {
 		t.Errorf("ready %v", j.Ready)
@@ -88,27 +88,27 @@
 	n.expect("waiting for others", n.submit(5, `,"awaits":["req-2"]`), 201, "queued")
 	n.expect("downstream", n.submit(6, `,"awaits":["req-5"]`), 201, "queued")
 	n.expect("beside", n.submit(7, `,"awaits":["req-3"]`), 201, "queued")
-	n.expect("cancel", n.send("POST", "/submissions/req-2/cancel", ""), 200, "cancelled")
-	// Judged by its ancestors on every node, before any mark of its own.
+	n.expect("cancel", n.cancel(2), 200, "cancelled")
+	// Judged by its ancestors on every node, before any terminal record of its own.
 	for _, m := range []*node{n, newNode(t, s, "n1")} {
-		n.expect("downstream of a cancelled one", m.send("GET", "/submissions/req-6", ""), 200, "cancelled")
-		n.expect("cancelled by its user, too", m.send("POST", "/submissions/req-6/cancel", ""), 200, "cancelled")
-		n.expect("beside it", m.send("GET", "/submissions/req-7", ""), 200, "queued")
+		n.expect("downstream of a cancelled one", m.poll(6), 200, "cancelled")
+		n.expect("cancelled by its user, too", m.cancel(6), 200, "cancelled")
+		n.expect("beside it", m.poll(7), 200, "queued")
 	}
 	n.expect("names a cancelled one", n.submit(8, `,"awaits":["req-1","req-6"]`), 201, "cancelled")
-	n.expect("poll", n.send("GET", "/submissions/req-8", ""), 200, "cancelled")
+	n.expect("poll", n.poll(8), 200, "cancelled")
 }
 
 // TestCancelLosesToDone: a cancellation that comes after done does not cancel the
 // downstream jobs.
 func TestCancelLosesToDone(t *testing.T) {
-	s := newService(t)
+	s := newFakeStore(t)
 	n := newNode(t, s, "n0")
 	n.submit(1, "")
 	n.submit(2, `,"awaits":["req-1"]`)
-	s.put("f/req-1", final(pipeline.Done, pipeline.Array))
-	n.expect("cancel", n.send("POST", "/submissions/req-1/cancel", ""), 200, "done")
-	n.expect("downstream", n.send("GET", "/submissions/req-2", ""), 200, "queued")
+	s.put("f/req-1", terminalRecord(pipeline.Done))
+	n.expect("cancel", n.cancel(1), 200, "done")
+	n.expect("downstream", n.poll(2), 200, "queued")
 	if waiting := n.jobs.Releasable(); len(waiting) != 1 || waiting[0].ID != "req-2" {
 		t.Errorf("%d to be marked ready", len(waiting))
 	}
@@ -117,14 +117,14 @@
 // TestSubmissionMeetsCancellation: a submission and the cancellation of its
 // upstream job go through two nodes that do not see each other's writes yet.
 func TestSubmissionMeetsCancellation(t *testing.T) {
-	s := newService(t)
+	s := newFakeStore(t)
 	n, m := newNode(t, s, "n0"), newNode(t, s, "n1")
 	n.submit(1, "")
-	m.send("GET", "/submissions/req-1", "")
-	n.expect("cancel", n.send("POST", "/submissions/req-1/cancel", ""), 200, "cancelled")
+	m.poll(1)
+	n.expect("cancel", n.cancel(1), 200, "cancelled")
 	if r := m.submit(2, `,"awaits":["req-1"]`); r.Status != 201 {
 		t.Fatalf("%d", r.Status)
 	}
-	n.expect("after", m.send("GET", "/submissions/req-2", ""), 200, "cancelled")
-	n.expect("after", n.send("GET", "/submissions/req-2", ""), 200, "cancelled")
+	n.expect("on the node of the submission", m.poll(2), 200, "cancelled")
+	n.expect("on the node of the cancellation", n.poll(2), 200, "cancelled")
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -82,12 +82,16 @@
 	c.connectState(limits)
 	c.connectSite(teams)
 	c.api = api.New(api.Config{
-		Label:      cfg.Label,
-		Teams:      cfg.Settings.Teams,
-		Answer:     time.Duration(cfg.Operator.API.Answer),
-		ValueBytes: c.jobs.ValueLimit,
-		TxnOps:     limits.TxnOps,
-	}, c.names, c.jobs, c.store, c.autoscaler.MachineTypes())
+		Label:         cfg.Label,
+		Teams:         cfg.Settings.Teams,
+		AnswerTimeout: time.Duration(cfg.Operator.API.Answer),
+		ValueBytes:    c.jobs.ValueLimit,
+		TxnOps:        limits.TxnOps,
+		Names:         c.names,
+		Jobs:          c.jobs,
+		Store:         c.store,
+		MachineTypes:  c.autoscaler.MachineTypes(),
+	})
 	c.shareRates(0)
 	return c
 }
