--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -34,7 +34,13 @@
 		}
 		names.Classes.Index("c")
 		names.Images.Index("b")
-		s := &scheduler.Scheduler{Jobs: jobs, Workers: workers, MachineTypes: a.MachineTypes(), Teams: map[int]config.Team{names.Teams.Index("t"): {CPUsMax: c.limit}}, HeartbeatTimeout: time.Minute}
+		s := scheduler.New(scheduler.Config{
+			Jobs:             jobs,
+			Workers:          workers,
+			MachineTypes:     a.MachineTypes(),
+			Teams:            map[int]config.Team{names.Teams.Index("t"): {CPUsMax: c.limit}},
+			HeartbeatTimeout: time.Minute,
+		})
 		var blocked []*pipeline.Job
 		for i, id := range []string{"req-1", "req-2", "req-3"} {
 			j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{TaskCount: 4, CPUs: 1, Memory: 1, Zone: -1}}
--- a/internal/autoscaler/offers.go
+++ b/internal/autoscaler/offers.go
@@ -62,9 +62,9 @@
 		MachineType: machineType,
 		Zone:        o.zone,
 		Spot:        o.spot,
-		CPUs:        machineType.CPUs,
-		GPUs:        machineType.GPUs,
-		Memory:      machineType.Memory,
+		FreeCPUs:    machineType.CPUs,
+		FreeGPUs:    machineType.GPUs,
+		FreeMemory:  machineType.Memory,
 	}
 }
 
@@ -126,7 +126,7 @@
 	if !capacity.Matches(&query.job.Spec) {
 		return quote{}, false
 	}
-	tasks := min(capacity.Fits(&query.job.Spec), scheduler.ZoneCapacity(query.job, query.inZone, o.zone))
+	tasks := min(capacity.Fits(&query.job.Spec), scheduler.TasksAllowedInZone(query.job, query.inZone, o.zone))
 	if tasks <= 0 {
 		return quote{}, false
 	}
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -53,7 +53,7 @@
 
 // newPlan returns a plan with the capacity of all machines that are or will be up.
 func (a *Autoscaler) newPlan(now event.Time, s *scheduler.Scheduler) *plan {
-	capacities, preempting := s.FutureCapacities(now)
+	capacities, preempting := s.ProjectedCapacities(now)
 	p := &plan{
 		Autoscaler: a,
 		now:        now,
@@ -129,7 +129,7 @@
 	boot := p.bootTime(job)
 	left = p.sequences.places(job, left, boot+p.cfg.IdleTimeout.Seconds(), p.workers.ExpectedRuntime(job))
 	p.releaseEnding(boot)
-	inZone := p.scheduler.Zones(job)
+	inZone := p.scheduler.TasksByZone(job)
 	zone, ok := p.onlyZone(job, inZone, left)
 	if !ok {
 		return
@@ -146,7 +146,7 @@
 	p.released = within
 	for _, capacity := range p.capacities {
 		if capacity != nil {
-			capacity.ReleaseEnding(within)
+			capacity.ReleaseWithin(within)
 		}
 	}
 }
@@ -156,7 +156,7 @@
 // is false where the job is to get nothing.
 func (p *plan) tasksWithinQuota(job *pipeline.Job) (tasks int, ok bool) {
 	committed := p.committed[job.Team]
-	tasks = min(job.StartableCount(), p.scheduler.RemainingLimitBeside(job, committed))
+	tasks = min(job.StartableCount(), p.scheduler.TasksWithinLimitBeside(job, committed))
 	if job.Shape == pipeline.Gang && tasks < job.StartableCount() {
 		return 0, false // whole or not at all
 	}
@@ -178,7 +178,7 @@
 		if !p.usable(job, capacity, zone) {
 			continue
 		}
-		count := min(left, capacity.Fits(&job.Spec), scheduler.ZoneCapacity(job, inZone, capacity.Zone))
+		count := min(left, capacity.Fits(&job.Spec), scheduler.TasksAllowedInZone(job, inZone, capacity.Zone))
 		if count > 0 {
 			capacity.Allocate(&job.Spec, count)
 			inZone[capacity.Zone] += count
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -155,14 +155,14 @@
 		IdleTimeout:      time.Duration(c.cfg.Operator.Autoscaler.IdleKeep),
 		SettleTime:       time.Duration(c.cfg.Operator.Autoscaler.Settle),
 	})
-	c.scheduler = &scheduler.Scheduler{
+	c.scheduler = scheduler.New(scheduler.Config{
 		Jobs:              c.jobs,
 		Workers:           c.workers,
 		MachineTypes:      c.autoscaler.MachineTypes(),
 		Teams:             teams,
 		HeartbeatInterval: config.Seconds(settings.Workers.ReportS),
 		HeartbeatTimeout:  c.workerHeartbeatTimeout(),
-	}
+	})
 }
 
 // workerHeartbeatTimeout is how long a worker may send no report before nothing more is
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -6,7 +6,6 @@
 	"lugward/internal/config"
 	"lugward/internal/election"
 	"lugward/internal/event"
-	"lugward/internal/pipeline"
 	"lugward/internal/scheduler"
 	"lugward/internal/worker"
 )
@@ -43,7 +42,7 @@
 	// no worker has reported to us since.
 	resignedWithoutHeartbeat bool
 	schedule                 leaderSchedule
-	placement                placement
+	lastRound                scheduler.RoundResult // of this term, empty before its first round
 }
 
 // leaderSchedule holds when each part of the leader's periodic work was last
@@ -57,12 +56,6 @@
 	loadAt           event.Time
 }
 
-// placement is the result of the last scheduling round of this term.
-type placement struct {
-	blocked    []*pipeline.Job       // jobs that did not fit
-	capacities []*scheduler.Capacity // of the machines; nil before the first round
-}
-
 // updateLeadership takes up a term that has begun and lays down one that has
 // ended. A leader that gets no reports resigns.
 func (c *Controller) updateLeadership(now event.Time, out *event.Effects) {
@@ -98,7 +91,7 @@
 func (c *Controller) resetTermState() {
 	c.jobs.Reset()
 	c.workers.Reset()
-	c.leadership.placement = placement{}
+	c.leadership.lastRound = scheduler.RoundResult{}
 }
 
 // heartbeatDeadline is until when a leader waits for a worker's report. A leader
@@ -139,7 +132,7 @@
 	if c.roundDue(now) {
 		c.runRound(now, out)
 	}
-	if now-schedule.consolidateAt >= consolidationInterval && c.leadership.placement.capacities != nil {
+	if now-schedule.consolidateAt >= consolidationInterval && c.leadership.lastRound.Capacities != nil {
 		schedule.consolidateAt = now
 		c.consolidate(now)
 	}
@@ -168,21 +161,19 @@
 	schedule := &c.leadership.schedule
 	schedule.roundAt = now
 	c.jobs.ClearRoundRequest()
-	c.startBudget()
+	budget := c.newBudget()
 	c.work.Rounds++
-	blocked, capacities := c.scheduler.Round(now)
-	c.leadership.placement = placement{blocked: blocked, capacities: capacities}
+	result := c.scheduler.Round(now, budget)
+	c.leadership.lastRound = result
 	if replan := c.autoscaler.TakeReplanRequest(); replan || now-schedule.planAt >= planInterval {
 		schedule.planAt = now
-		c.autoscaler.Plan(now, blocked, c.scheduler, c.election.FencingToken(), out)
+		c.autoscaler.Plan(now, result.Blocked, c.scheduler, c.election.FencingToken(), out)
 	}
 }
 
 // consolidate moves tasks off machines that can be released then.
 func (c *Controller) consolidate(now event.Time) {
-	c.startBudget()
-	last := &c.leadership.placement
-	for _, machine := range c.scheduler.Consolidate(now, last.capacities, last.blocked) {
+	for _, machine := range c.scheduler.Consolidate(now, c.leadership.lastRound, c.newBudget()) {
 		c.log.Info("draining machine", "machine", machine.Name)
 	}
 }
@@ -196,14 +187,15 @@
 	c.jobs.DeleteStaleUpstreamPages(now, term, c.store)
 }
 
-// startBudget starts the time that the scheduler has for one round.
-func (c *Controller) startBudget() {
+// newBudget starts the processor time that the scheduler has for one round. It is
+// unlimited without a clock.
+func (c *Controller) newBudget() scheduler.Budget {
 	if c.clock == nil {
-		return
+		return nil
 	}
 	begin := c.clock()
-	budget := time.Duration(c.cfg.Operator.Scheduler.Budget)
-	c.scheduler.OverBudget = func() bool { return c.clock()-begin > budget }
+	limit := time.Duration(c.cfg.Operator.Scheduler.Budget)
+	return func() bool { return c.clock()-begin > limit }
 }
 
 // evictBeforeReclaim stops tasks that save checkpoints on machines that the
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -25,7 +25,7 @@
 	work := c.work
 	work.Decoded = c.parser.Decoded
 	work.Unchanged = c.parser.Unchanged
-	work.CapacitiesRecomputed = c.scheduler.Recounted
+	work.CapacitiesRecomputed = c.scheduler.CapacitiesRecomputed()
 	work.MachineIndices = c.names.Machines.Len()
 	return work
 }
@@ -73,12 +73,12 @@
 
 func (c *Controller) machineLoad() machineLoad {
 	var load machineLoad
-	for _, capacity := range c.leadership.placement.capacities {
+	for _, capacity := range c.leadership.lastRound.Capacities {
 		load.up++
 		if !capacity.InUse {
 			load.idle++
 		}
-		load.freeGPUs += capacity.GPUs
+		load.freeGPUs += capacity.FreeGPUs
 	}
 	return load
 }
@@ -104,9 +104,8 @@
 		"machines", machines.up,
 		"idle", machines.idle,
 		"gpus_free", machines.freeGPUs,
-		"reserved", c.scheduler.Reserved(),
-		"cut_short", c.scheduler.Interrupted,
+		"reserved", c.scheduler.ReservationCount(),
+		"cut_short", c.scheduler.TakeInterruptedRounds(),
 		"compact", c.jobs.CompactCount(),
 		"writes", int(demand.Writes))
-	c.scheduler.Interrupted = 0
 }
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -18,11 +18,11 @@
 	MachineType *MachineType
 	Zone        int
 	Spot        bool
-	CPUs        float64
-	GPUs        float64
-	Memory      float64
+	FreeCPUs    float64
+	FreeGPUs    float64
+	FreeMemory  float64
 	InUse       bool                   // tasks are on it
-	Preempting  []*pipeline.Assignment // its tasks that are being stopped
+	Evicting    []*pipeline.Assignment // its tasks that are being stopped
 
 	endings       []ending // of its tasks, soonest first
 	endingsListed bool     // endings are filled in
@@ -33,13 +33,13 @@
 func (c *Capacity) Fits(spec *pipeline.Spec) int {
 	count := math.MaxInt32
 	if spec.CPUs > 0 {
-		count = int((c.CPUs + tolerance) / spec.CPUs)
+		count = int((c.FreeCPUs + tolerance) / spec.CPUs)
 	}
 	if spec.GPUs > 0 {
-		count = min(count, int((c.GPUs+tolerance)/spec.GPUs))
+		count = min(count, int((c.FreeGPUs+tolerance)/spec.GPUs))
 	}
 	if spec.Memory > 0 {
-		count = min(count, int((c.Memory+tolerance)/spec.Memory))
+		count = min(count, int((c.FreeMemory+tolerance)/spec.Memory))
 	}
 	return max(count, 0)
 }
@@ -71,17 +71,17 @@
 // Allocate uses capacity for a number of tasks.
 func (c *Capacity) Allocate(spec *pipeline.Spec, count int) {
 	tasks := float64(count)
-	c.CPUs -= tasks * spec.CPUs
-	c.GPUs -= tasks * spec.GPUs
-	c.Memory -= tasks * spec.Memory
+	c.FreeCPUs -= tasks * spec.CPUs
+	c.FreeGPUs -= tasks * spec.GPUs
+	c.FreeMemory -= tasks * spec.Memory
 	c.InUse = true
 }
 
 // release gives back what a task used.
 func (c *Capacity) release(spec *pipeline.Spec) {
-	c.CPUs += spec.CPUs
-	c.GPUs += spec.GPUs
-	c.Memory += spec.Memory
+	c.FreeCPUs += spec.CPUs
+	c.FreeGPUs += spec.GPUs
+	c.FreeMemory += spec.Memory
 }
 
 // price is what the machine costs per hour.
@@ -98,41 +98,41 @@
 		s.cached = append(s.cached, Capacity{})
 	}
 	capacity := &s.cached[machine.Index]
-	changes := s.Jobs.Changes(machine.Index)
+	changes := s.jobs.Changes(machine.Index)
 	if capacity.Machine == machine && capacity.MachineType == machineType && capacity.changes == changes {
 		return capacity
 	}
-	s.Recounted++
+	s.counters.capacitiesRecomputed++
 	*capacity = Capacity{
 		Machine:     machine,
 		MachineType: machineType,
-		CPUs:        machineType.CPUs,
-		GPUs:        machineType.GPUs,
-		Memory:      machineType.Memory,
+		FreeCPUs:    machineType.CPUs,
+		FreeGPUs:    machineType.GPUs,
+		FreeMemory:  machineType.Memory,
 		changes:     changes,
 	}
-	for _, entry := range s.Jobs.OnMachine(machine.Index) {
+	for _, entry := range s.jobs.OnMachine(machine.Index) {
 		if entry.Phase == pipeline.TaskExited {
 			continue // it uses nothing any more; only its record is still to change
 		}
 		capacity.Allocate(&entry.Job.Spec, 1)
 		if entry.Evicting {
-			capacity.Preempting = append(capacity.Preempting, entry)
+			capacity.Evicting = append(capacity.Evicting, entry)
 		}
 	}
 	// A round appends to its copy: that must not reach the cached one.
-	capacity.Preempting = slices.Clip(capacity.Preempting)
+	capacity.Evicting = slices.Clip(capacity.Evicting)
 	return capacity
 }
 
 // Capacities lists what is left of the machines that are up.
 func (s *Scheduler) Capacities(now event.Time) []*Capacity {
-	all := make([]Capacity, 0, len(s.Workers.Machines))
-	for _, machine := range s.Workers.Machines {
-		if machine == nil || !machine.Schedulable(now, s.HeartbeatTimeout) {
+	all := make([]Capacity, 0, len(s.workers.Machines))
+	for _, machine := range s.workers.Machines {
+		if machine == nil || !machine.Schedulable(now, s.cfg.HeartbeatTimeout) {
 			continue
 		}
-		machineType := s.MachineTypes.Get(machine.MachineType)
+		machineType := s.machineTypes.Get(machine.MachineType)
 		if machineType == nil {
 			continue
 		}
--- a/internal/scheduler/chain_test.go
+++ b/internal/scheduler/chain_test.go
@@ -22,7 +22,7 @@
 	names := names(&pipeline.Names{})
 	jobs := pipeline.NewTable(names, 4096, 12)
 	workers := worker.New(names, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	s := &site{Scheduler: &Scheduler{Jobs: jobs, Workers: workers, MachineTypes: &MachineTypes{{CPUs: 8, Memory: 32}}, HeartbeatTimeout: time.Minute}, now: 100 * time.Second}
+	s := &site{Scheduler: New(Config{Jobs: jobs, Workers: workers, MachineTypes: &MachineTypes{{CPUs: 8, Memory: 32}}, HeartbeatTimeout: time.Minute}), now: 100 * time.Second}
 	jobs.SetNow(s.now)
 	addMachine(workers, "i-1", s.now)
 	return s
@@ -42,8 +42,8 @@
 		set(j)
 	}
 	s.revision++
-	s.Jobs.HandleChange(pipeline.JobKey, id, pipeline.Encode(s.Jobs.Names, j), s.revision)
-	return s.Jobs.Job(id)
+	s.jobs.HandleChange(pipeline.JobKey, id, pipeline.Encode(s.jobs.Names, j), s.revision)
+	return s.jobs.Job(id)
 }
 
 func below(up string, priority pipeline.Priority, deadline float64) func(*pipeline.Job) {
@@ -53,7 +53,7 @@
 }
 
 func (s *site) order() string {
-	list := s.Jobs.ReadyJobs()
+	list := s.jobs.ReadyJobs()
 	order(list, s.now)
 	var names []string
 	for _, j := range list {
@@ -77,7 +77,7 @@
 		t.Errorf("with the last: %s", got)
 	}
 	s.revision++
-	s.Jobs.HandleChange(pipeline.TerminalKey, "req-4", pipeline.EncodeTerminal(pipeline.Cancelled, s.Jobs.Job("req-4")), s.revision)
+	s.jobs.HandleChange(pipeline.TerminalKey, "req-4", pipeline.EncodeTerminal(pipeline.Cancelled, s.jobs.Job("req-4")), s.revision)
 	if got := s.order(); got != "req-1 req-2" {
 		t.Errorf("without it: %s", got)
 	}
@@ -88,17 +88,17 @@
 func TestPreemptInherits(t *testing.T) {
 	s := newSite()
 	other := s.job("req-1", nil)
-	s.Round(s.now)
+	s.Round(s.now, nil)
 	if other.ActiveCount() != 1 {
 		t.Fatal("the machine is not taken")
 	}
 	s.job("req-2", func(j *pipeline.Job) { j.Priority = pipeline.Idle })
-	s.Round(s.now)
+	s.Round(s.now, nil)
 	if e := other.Assignment(0); e == nil || e.Evicting {
 		t.Fatal("stopped for less important work")
 	}
 	s.job("req-3", below("req-2", pipeline.High, 0))
-	s.Round(s.now)
+	s.Round(s.now, nil)
 	if e := other.Assignment(0); e != nil && !e.Evicting { // one that is not stored yet is taken back at once
 		t.Error("not stopped for what an important job needs")
 	}
@@ -106,9 +106,9 @@
 	s = newSite()
 	low := s.job("req-2", func(j *pipeline.Job) { j.Priority = pipeline.Idle })
 	s.job("req-3", below("req-2", pipeline.High, 0))
-	s.Round(s.now)
+	s.Round(s.now, nil)
 	s.job("req-1", nil)
-	s.Round(s.now)
+	s.Round(s.now, nil)
 	if e := low.Assignment(0); e == nil || e.Evicting {
 		t.Error("what an important job needs is stopped for a lesser one")
 	}
--- a/internal/scheduler/choose.go
+++ b/internal/scheduler/choose.go
@@ -62,7 +62,7 @@
 func (s *Scheduler) choose(job *pipeline.Job, capacities []*Capacity, zone, count int, price pricing, now event.Time) []pick {
 	taken := taken{}
 	list := s.scratch.offers[:0]
-	s.Visited += len(capacities)
+	s.counters.machinesVisited += len(capacities)
 	for i, capacity := range capacities {
 		if !mayChoose(job, capacity, zone, now) {
 			continue
@@ -73,11 +73,11 @@
 	}
 	s.scratch.offers = list
 	heap.Init(&list)
-	inZone := s.Zones(job)
+	inZone := s.TasksByZone(job)
 	var picks []pick
 	for len(picks) < count && len(list) > 0 {
 		cheapest := &list[0]
-		if ZoneCapacity(job, inZone, cheapest.capacity.Zone) <= 0 {
+		if TasksAllowedInZone(job, inZone, cheapest.capacity.Zone) <= 0 {
 			heap.Pop(&list)
 			continue
 		}
--- a/internal/scheduler/future.go
+++ b/internal/scheduler/future.go
@@ -31,25 +31,25 @@
 	return cmp.Or(cmp.Compare(a.Job.ReadyRevision, b.Job.ReadyRevision), cmp.Compare(a.Task, b.Task))
 }
 
-// Remaining estimates how long a task still runs, in seconds.
-func (s *Scheduler) Remaining(entry *pipeline.Assignment, now event.Time) float64 {
+// RemainingRuntime estimates how long a task still runs, in seconds.
+func (s *Scheduler) RemainingRuntime(entry *pipeline.Assignment, now event.Time) float64 {
 	if entry.Job.Shape == pipeline.Daemon {
 		return math.Inf(1) // until it is cancelled
 	}
-	usual := s.Workers.ExpectedRuntime(entry.Job)
+	usual := s.workers.ExpectedRuntime(entry.Job)
 	if entry.StartedAt == 0 {
 		return usual
 	}
 	return max(usual-secondsSince(entry.StartedAt, now), minRemainingShare*usual)
 }
 
-// FutureCapacities lists what is left of the machines that are up once the tasks
+// ProjectedCapacities lists what is left of the machines that are up once the tasks
 // that are being stopped have terminated; those that are to run again are returned.
-// ReleaseEnding then adds what ends later.
-func (s *Scheduler) FutureCapacities(now event.Time) (capacities []*Capacity, preempting []*pipeline.Assignment) {
+// ReleaseWithin then adds what ends later.
+func (s *Scheduler) ProjectedCapacities(now event.Time) (capacities []*Capacity, preempting []*pipeline.Assignment) {
 	capacities = s.Capacities(now)
 	for _, capacity := range capacities {
-		for _, entry := range s.Jobs.OnMachine(capacity.Machine.Index) {
+		for _, entry := range s.jobs.OnMachine(capacity.Machine.Index) {
 			ended := entry.Job.TerminalPhase != pipeline.Queued
 			if entry.Evicting && !ended {
 				preempting = append(preempting, entry)
@@ -59,7 +59,7 @@
 			case entry.Evicting || ended || entry.Pending != pipeline.NoPendingWrite:
 				capacity.release(&entry.Job.Spec)
 			default:
-				capacity.endings = append(capacity.endings, ending{entry, s.Remaining(entry, now)})
+				capacity.endings = append(capacity.endings, ending{entry, s.RemainingRuntime(entry, now)})
 			}
 		}
 		sortEndings(capacity.endings)
@@ -68,8 +68,8 @@
 	return capacities, preempting
 }
 
-// ReleaseEnding frees the capacity of tasks that end within so many seconds.
-func (c *Capacity) ReleaseEnding(within float64) {
+// ReleaseWithin frees the capacity of tasks that end within so many seconds.
+func (c *Capacity) ReleaseWithin(within float64) {
 	for len(c.endings) > 0 && c.endings[0].after <= within {
 		c.release(&c.endings[0].entry.Job.Spec)
 		c.endings = c.endings[1:]
--- a/internal/scheduler/order_test.go
+++ b/internal/scheduler/order_test.go
@@ -43,13 +43,13 @@
 		first := s.job("req-1", func(j *pipeline.Job) { j.Shape, j.TaskCount, j.CPUs, j.Priority = c.first, 2, 4, c.priority })
 		second := s.job("req-2", func(j *pipeline.Job) { j.Shape, j.TaskCount, j.CPUs = c.second, 2, 4 })
 		s.now = time.Hour
-		s.Workers.Add("i-1", s.now).LastHeartbeat = s.now
+		s.workers.Add("i-1", s.now).LastHeartbeat = s.now
 		first.ReadySince, second.ReadySince = s.now-longAgo, s.now-c.waited
 		if c.record != "" {
-			s.Jobs.HandleChange(pipeline.RunKey, "req-1/0", []byte(c.record), 9)
+			s.jobs.HandleChange(pipeline.RunKey, "req-1/0", []byte(c.record), 9)
 		}
 		if c.retry != "" {
-			s.Jobs.HandleChange(pipeline.RetryKey, "req-2", []byte(c.retry), 9)
+			s.jobs.HandleChange(pipeline.RetryKey, "req-2", []byte(c.retry), 9)
 		}
 		want := "req-1 req-2"
 		if c.secondIsNext {
@@ -58,7 +58,7 @@
 		if got := s.order(); got != want {
 			t.Errorf("%s: order %s, not %s", c.what, got, want)
 		}
-		s.Round(s.now)
+		s.Round(s.now, nil)
 		if got := second.ActiveCount() == second.TaskCount; got != c.secondIsNext {
 			t.Errorf("%s: all of the second is placed: %v", c.what, got)
 		}
--- a/internal/scheduler/pack.go
+++ b/internal/scheduler/pack.go
@@ -19,17 +19,17 @@
 
 // Consolidate finds machines whose tasks all fit on other busy ones, stops those with time
 // to save, and marks the machines as draining so that they are released once empty.
-// capacities is what the last round left. The budget of a round bounds it.
-func (s *Scheduler) Consolidate(now event.Time, capacities []*Capacity, blocked []*pipeline.Job) (drained []*worker.Machine) {
-	receivers := listReceivers(capacities)
-	blocked = append(slices.Clone(blocked), s.reserveForMoving(receivers)...)
-	donors := s.drainable(now, capacities, blocked)
+// last is the result of the last round. The budget bounds the work.
+func (s *Scheduler) Consolidate(now event.Time, last RoundResult, budget Budget) (drained []*worker.Machine) {
+	receivers := listReceivers(last.Capacities)
+	blocked := append(slices.Clone(last.Blocked), s.reserveForMoving(receivers)...)
+	donors := s.drainable(now, last.Capacities, blocked)
 	// The dearest are drained first, then the emptiest; the others are filled from
 	// the other end.
 	slices.SortStableFunc(donors, compareForDraining)
 	receives := map[*worker.Machine]bool{}
 	for i, donor := range donors {
-		if i > 0 && s.overBudget() {
+		if i > 0 && budget.exhausted() {
 			break
 		}
 		if receives[donor.Machine] || !s.fitsElsewhere(donor, receivers, receives) {
@@ -60,16 +60,16 @@
 // every pass would count the same free capacity anew and drain machines whose tasks
 // fit nowhere. It returns the jobs of those that find no capacity.
 func (s *Scheduler) reserveForMoving(receivers []*Capacity) (blocked []*pipeline.Job) {
-	for _, machine := range s.Workers.Machines {
+	for _, machine := range s.workers.Machines {
 		if machine == nil {
 			continue
 		}
-		for _, entry := range s.Jobs.OnMachine(machine.Index) {
+		for _, entry := range s.jobs.OnMachine(machine.Index) {
 			if !entry.Evicting || entry.Job.TerminalPhase != pipeline.Queued {
 				continue
 			}
 			i := slices.IndexFunc(receivers, func(receiver *Capacity) bool {
-				return receiver.Fits(&entry.Job.Spec) > 0 && receiver.accepts(entry.Job, s.Jobs.Now())
+				return receiver.Fits(&entry.Job.Spec) > 0 && receiver.accepts(entry.Job, s.jobs.Now())
 			})
 			if i < 0 {
 				blocked = append(blocked, entry.Job)
@@ -83,16 +83,16 @@
 
 // drain moves the tasks of a machine and keeps new ones off it.
 func (s *Scheduler) drain(machine *worker.Machine) {
-	for _, entry := range s.Jobs.OnMachine(machine.Index) {
-		s.Workers.Evict(entry, worker.GracePeriod(entry.Job))
+	for _, entry := range s.jobs.OnMachine(machine.Index) {
+		s.workers.Evict(entry, worker.GracePeriod(entry.Job))
 	}
 	machine.Draining = true
 }
 
 // compareForDraining puts the dearest machines first, of equal ones the emptiest.
 func compareForDraining(a, b *Capacity) int {
-	free := a.CPUs / a.MachineType.CPUs
-	otherFree := b.CPUs / b.MachineType.CPUs
+	free := a.FreeCPUs / a.MachineType.CPUs
+	otherFree := b.FreeCPUs / b.MachineType.CPUs
 	return cmp.Or(cmp.Compare(b.price(), a.price()), cmp.Compare(otherFree, free))
 }
 
@@ -118,11 +118,11 @@
 		return false
 	}
 	longest := 0.0
-	for _, entry := range s.Jobs.OnMachine(capacity.Machine.Index) {
+	for _, entry := range s.jobs.OnMachine(capacity.Machine.Index) {
 		if !canMove(entry, now) {
 			return false
 		}
-		longest = max(longest, s.Remaining(entry, now))
+		longest = max(longest, s.RemainingRuntime(entry, now))
 	}
 	return longest > minMoveGain
 }
@@ -144,7 +144,7 @@
 // fitsElsewhere tells whether the tasks of a machine fit on others. If all do, what
 // they use there stays allocated.
 func (s *Scheduler) fitsElsewhere(donor *Capacity, receivers []*Capacity, receives map[*worker.Machine]bool) bool {
-	entries := slices.Clone(s.Jobs.OnMachine(donor.Machine.Index))
+	entries := slices.Clone(s.jobs.OnMachine(donor.Machine.Index))
 	slices.SortFunc(entries, func(a, b *pipeline.Assignment) int {
 		return cmp.Or(cmp.Compare(b.Job.CPUs, a.Job.CPUs), compareAssignments(a, b))
 	})
@@ -177,7 +177,7 @@
 	if receiver.Machine == donor.Machine || receiver.Machine.Draining {
 		return false
 	}
-	if receiver.Fits(&job.Spec) == 0 || !receiver.accepts(job, s.Jobs.Now()) {
+	if receiver.Fits(&job.Spec) == 0 || !receiver.accepts(job, s.jobs.Now()) {
 		return false
 	}
 	boundToZone := job.SpreadZones || (job.SameZone && job.TaskCount > 1)
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -25,7 +25,7 @@
 	if len(candidates) == 0 {
 		return
 	}
-	inZone := s.Zones(job)
+	inZone := s.TasksByZone(job)
 	if job.SameZone {
 		candidates = singleZone(job, candidates, inZone, wanted)
 	}
@@ -44,7 +44,7 @@
 // their places; of an older attempt there are none, or the gang would be stopping.
 func (s *Scheduler) wantedTasks(job *pipeline.Job) int {
 	startable := job.StartableCount()
-	quota := s.RemainingLimit(job)
+	quota := s.TasksWithinLimit(job)
 	if job.Shape == pipeline.Gang && quota < startable {
 		return 0
 	}
@@ -58,7 +58,7 @@
 		score    float64
 	}
 	var list []scored
-	s.Visited += len(s.round.roomy)
+	s.counters.machinesVisited += len(s.round.roomy)
 	for _, capacity := range s.round.roomy {
 		if capacity.Fits(&job.Spec) > 0 && capacity.accepts(job, now) {
 			list = append(list, scored{capacity, s.score(job, capacity, now)})
@@ -77,7 +77,7 @@
 func fillCapacities(job *pipeline.Job, candidates []*Capacity, inZone map[int]int, wanted int) (placements []placement, left int) {
 	left = wanted
 	for _, capacity := range candidates {
-		tasks := min(left, capacity.Fits(&job.Spec), ZoneCapacity(job, inZone, capacity.Zone))
+		tasks := min(left, capacity.Fits(&job.Spec), TasksAllowedInZone(job, inZone, capacity.Zone))
 		if tasks <= 0 {
 			continue
 		}
@@ -108,7 +108,7 @@
 func (s *Scheduler) placeTasks(job *pipeline.Job, placement placement, attempt uint64, now event.Time) {
 	placement.capacity.Allocate(&job.Spec, placement.tasks)
 	for range placement.tasks {
-		s.Jobs.Assign(job, nextTask(job), placement.capacity.Machine.Index, attempt, now)
+		s.jobs.Assign(job, nextTask(job), placement.capacity.Machine.Index, attempt, now)
 	}
 }
 
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -28,7 +28,7 @@
 // freed is counted first, so that a job does not stop more than it needs. It
 // returns how many tasks are left without a reservation.
 func (s *Scheduler) preempt(job *pipeline.Job, capacities []*Capacity, now event.Time) (left int) {
-	left = min(job.StartableCount(), s.RemainingLimitBeside(job, s.round.committed[job.Team]))
+	left = min(job.StartableCount(), s.TasksWithinLimitBeside(job, s.round.committed[job.Team]))
 	if job.Shape == pipeline.Gang && left < job.StartableCount() {
 		return 0 // whole or not at all
 	}
@@ -86,8 +86,8 @@
 // tasks fetch their image while capacity is freed for the others.
 func (s *Scheduler) usePick(job *pipeline.Job, pick pick, attempt uint64, now event.Time) {
 	for _, victim := range pick.victims {
-		s.Workers.Evict(victim, worker.GracePeriod(victim.Job))
-		pick.capacity.Preempting = append(pick.capacity.Preempting, victim)
+		s.workers.Evict(victim, worker.GracePeriod(victim.Job))
+		pick.capacity.Evicting = append(pick.capacity.Evicting, victim)
 		s.notePreempted(victim)
 	}
 	if pick.victims == nil && pick.capacity.Fits(&job.Spec) > 0 {
@@ -101,7 +101,7 @@
 // terminated.
 func (c *Capacity) afterPreemption() Capacity {
 	free := *c
-	for _, entry := range c.Preempting {
+	for _, entry := range c.Evicting {
 		free.release(&entry.Job.Spec)
 	}
 	return free
@@ -129,14 +129,14 @@
 	if other.WithinQuota || !entry.Durable {
 		return false
 	}
-	return s.borrows(other, s.Teams[job.Team], &job.Spec)
+	return s.borrows(other, s.cfg.Teams[job.Team], &job.Spec)
 }
 
 // borrows tells whether a job uses, beyond its own team's guarantee, the very thing
 // that is guaranteed to the team of the asking job.
 func (s *Scheduler) borrows(job *pipeline.Job, askingTeam config.Team, asking *pipeline.Spec) bool {
-	guarantee := s.Teams[job.Team]
-	usage := s.Jobs.TeamUsage(job.Team)
+	guarantee := s.cfg.Teams[job.Team]
+	usage := s.jobs.TeamUsage(job.Team)
 	stopped := s.round.preempting[job.Team]
 	if askingTeam.CPUs > 0 && asking.CPUs > 0 && job.CPUs > 0 {
 		if usage.CPUs-stopped.CPUs > guarantee.CPUs+tolerance {
@@ -165,7 +165,7 @@
 // the tasks that are already being stopped have terminated.
 func (s *Scheduler) victims(job *pipeline.Job, capacity *Capacity, free Capacity, taken taken, now event.Time) (victims []*pipeline.Assignment, cost float64) {
 	candidates := s.scratch.candidates[:0]
-	for _, entry := range s.Jobs.OnMachine(capacity.Machine.Index) {
+	for _, entry := range s.jobs.OnMachine(capacity.Machine.Index) {
 		if !taken[entry] && mayBeVictim(entry) && !forcedStart(entry, now) && s.mayPreempt(job, entry) {
 			candidates = append(candidates, candidate{entry, evictionCost(entry, now)})
 		}
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -13,14 +13,14 @@
 // both idle for minutes.
 func TestStoppedForGuarantee(t *testing.T) {
 	s := newSite()
-	mine, other := s.Jobs.Names.Teams.Index("t"), s.Jobs.Names.Teams.Index("u")
-	s.Teams = map[int]config.Team{mine: {CPUs: 8}, other: {CPUs: 4}}
+	mine, other := s.jobs.Names.Teams.Index("t"), s.jobs.Names.Teams.Index("u")
+	s.cfg.Teams = map[int]config.Team{mine: {CPUs: 8}, other: {CPUs: 4}}
 	asks := s.job("req-1", nil)
 	borrower := func(j *pipeline.Job) { j.Team, j.CPUs = other, 4 }
 	within, beyond := s.job("req-2", borrower), s.job("req-3", borrower)
-	fresh := s.Jobs.Assign(beyond, 0, 0, 1, s.now)
-	s.Jobs.HandleChange(pipeline.RunKey, "req-2/0", []byte(`{"t":1,"a":[[0,1,"i-1"]]}`), 9)
-	s.updateQuotas(s.Jobs.ReadyJobs())
+	fresh := s.jobs.Assign(beyond, 0, 0, 1, s.now)
+	s.jobs.HandleChange(pipeline.RunKey, "req-2/0", []byte(`{"t":1,"a":[[0,1,"i-1"]]}`), 9)
+	s.updateQuotas(s.jobs.ReadyJobs())
 	if !asks.WithinQuota || !within.WithinQuota || beyond.WithinQuota {
 		t.Fatalf("within the guarantee: %v %v %v", asks.WithinQuota, within.WithinQuota, beyond.WithinQuota)
 	}
@@ -30,7 +30,7 @@
 	if s.mayPreempt(asks, fresh) {
 		t.Error("a task is stopped before it is stored")
 	}
-	s.Jobs.HandleChange(pipeline.RunKey, "req-3/0", []byte(`{"t":1,"a":[[0,1,"i-1"]]}`), 10)
+	s.jobs.HandleChange(pipeline.RunKey, "req-3/0", []byte(`{"t":1,"a":[[0,1,"i-1"]]}`), 10)
 	if e := beyond.Assignment(0); !e.Durable || !s.mayPreempt(asks, e) {
 		t.Error("what a team borrows does not give way")
 	}
@@ -50,15 +50,15 @@
 		want  int
 	}{{pipeline.Array, 4, 4, 4}, {pipeline.Array, 4, 6, 6}, {pipeline.Array, 4, 0, 8}, {pipeline.Gang, 6, 4, 0}} {
 		s := newSite()
-		other := s.Jobs.Names.Teams.Index("u")
-		s.Teams = map[int]config.Team{s.Jobs.Names.Teams.Index("t"): {CPUsMax: c.limit}}
+		other := s.jobs.Names.Teams.Index("u")
+		s.cfg.Teams = map[int]config.Team{s.jobs.Names.Teams.Index("t"): {CPUsMax: c.limit}}
 		s.job("req-1", func(j *pipeline.Job) { j.Team = other })
-		s.Jobs.HandleChange(pipeline.RunKey, "req-1/0", []byte(`{"t":1,"a":[[0,1,"i-1"]]}`), 9)
+		s.jobs.HandleChange(pipeline.RunKey, "req-1/0", []byte(`{"t":1,"a":[[0,1,"i-1"]]}`), 9)
 		for _, id := range []string{"req-2", "req-3"} {
 			s.job(id, func(j *pipeline.Job) { j.Shape, j.TaskCount, j.CPUs = c.shape, c.n, 1 })
 		}
-		s.Round(s.now)
-		if got := s.Reserved(); got != c.want {
+		s.Round(s.now, nil)
+		if got := s.ReservationCount(); got != c.want {
 			t.Errorf("%d tasks, limit %v: %d reserved, not %d", c.n, c.limit, got, c.want)
 		}
 	}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -16,7 +16,7 @@
 		usage := byTeam[job.Team]
 		usage.Add(&job.Spec, float64(job.TaskCount-job.DoneCount()))
 		byTeam[job.Team] = usage
-		job.WithinQuota = isWithinQuota(job, s.Teams[job.Team], usage)
+		job.WithinQuota = isWithinQuota(job, s.cfg.Teams[job.Team], usage)
 		if job.ActiveCount() > 0 {
 			s.round.lowestPriority = min(s.round.lowestPriority, job.EffectivePriority)
 		}
@@ -38,16 +38,16 @@
 	return usesCPUs || usesGPUs
 }
 
-// RemainingLimit returns how many more tasks of the job its team's limit allows.
-func (s *Scheduler) RemainingLimit(job *pipeline.Job) int {
-	return s.RemainingLimitBeside(job, pipeline.Usage{})
+// TasksWithinLimit returns how many more tasks of the job its team's limit allows.
+func (s *Scheduler) TasksWithinLimit(job *pipeline.Job) int {
+	return s.TasksWithinLimitBeside(job, pipeline.Usage{})
 }
 
-// RemainingLimitBeside is the quota once the team also uses what is committed to other jobs
+// TasksWithinLimitBeside is the quota once the team also uses what is committed to other jobs
 // of it: else each of many jobs would be given all that the limit leaves.
-func (s *Scheduler) RemainingLimitBeside(job *pipeline.Job, committed pipeline.Usage) int {
-	team := s.Teams[job.Team]
-	usage := s.Jobs.TeamUsage(job.Team)
+func (s *Scheduler) TasksWithinLimitBeside(job *pipeline.Job, committed pipeline.Usage) int {
+	team := s.cfg.Teams[job.Team]
+	usage := s.jobs.TeamUsage(job.Team)
 	usage.CPUs += committed.CPUs
 	usage.GPUs += committed.GPUs
 	count := math.MaxInt32
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -111,15 +111,15 @@
 	if s.round.bySoonest == nil {
 		s.round.bySoonest = s.listByRelease(capacities, now)
 	}
-	inZone := s.Zones(job)
+	inZone := s.TasksByZone(job)
 	var best capacityRelease
 	for _, candidate := range s.round.bySoonest {
 		if best.capacity != nil && candidate.compare(best) > 0 {
 			break
 		}
-		s.Visited++
+		s.counters.machinesVisited++
 		capacity := candidate.capacity
-		if !mayChoose(job, capacity, zone, now) || ZoneCapacity(job, inZone, capacity.Zone) <= 0 {
+		if !mayChoose(job, capacity, zone, now) || TasksAllowedInZone(job, inZone, capacity.Zone) <= 0 {
 			continue
 		}
 		found := capacityRelease{capacity, s.fitsAfter(job, capacity, now), candidate.index}
@@ -163,11 +163,11 @@
 // listEndings lists when the tasks of a machine are expected to end.
 func (s *Scheduler) listEndings(capacity *Capacity, now event.Time) {
 	capacity.endingsListed = true
-	for _, entry := range s.Jobs.OnMachine(capacity.Machine.Index) {
+	for _, entry := range s.jobs.OnMachine(capacity.Machine.Index) {
 		if entry.Phase == pipeline.TaskExited {
 			continue // it was not counted
 		}
-		after := s.Remaining(entry, now)
+		after := s.RemainingRuntime(entry, now)
 		if entry.Evicting {
 			after = entry.Job.CheckpointDuration
 		}
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -15,29 +15,37 @@
 	machine *worker.Machine
 }
 
+// RoundResult is what a round leaves.
+type RoundResult struct {
+	Blocked    []*pipeline.Job // jobs with tasks that could not be placed, in the order of the round
+	Capacities []*Capacity     // what is free on the machines that are up, without what is reserved
+}
+
 // Round places what it can and returns the jobs that still have tasks open, with
 // what is left of the machines. A round that runs out of its budget goes on where
 // it stopped, and then still keeps the reservations of the jobs before that point:
 // else less important jobs behind them would take that capacity.
-func (s *Scheduler) Round(now event.Time) (blocked []*pipeline.Job, capacities []*Capacity) {
-	capacities = s.Capacities(now)
-	unfinished := s.Jobs.ReadyJobs()
+func (s *Scheduler) Round(now event.Time, budget Budget) RoundResult {
+	capacities := s.Capacities(now)
+	unfinished := s.jobs.ReadyJobs()
 	s.updateQuotas(unfinished)
 	jobs := slices.DeleteFunc(unfinished, func(job *pipeline.Job) bool { return !job.Schedulable(now) })
 	order(jobs, now)
 	start := s.startRound(jobs, capacities)
 	s.round.roomy = capacitiesWithRoom(jobs, capacities)
 	s.round.bySoonest = nil
+	s.round.budget = budget
 	if start == 0 {
 		s.startStarving(jobs, capacities, now)
 	}
 	s.scheduleJobs(jobs[start:], capacities, now)
+	result := RoundResult{Capacities: capacities}
 	for _, job := range jobs {
 		if job.StartableCount() > 0 {
-			blocked = append(blocked, job)
+			result.Blocked = append(result.Blocked, job)
 		}
 	}
-	return blocked, capacities
+	return result
 }
 
 // startRound resets the state of a round and returns the job to begin with.
@@ -100,9 +108,9 @@
 // up. The first job is looked at in any case, so that rounds get on.
 func (s *Scheduler) scheduleJobs(jobs []*pipeline.Job, capacities []*Capacity, now event.Time) {
 	for i, job := range jobs {
-		if i > 0 && s.overBudget() {
+		if i > 0 && s.round.budget.exhausted() {
 			s.round.resume = job
-			s.Interrupted++
+			s.counters.interruptedRounds++
 			return
 		}
 		s.place(job, now)
@@ -113,9 +121,6 @@
 	}
 }
 
-// Reserved is how many tasks got a reservation in the last round.
-func (s *Scheduler) Reserved() int { return s.round.reserved }
-
 // reserveTask reserves capacity that is not free yet for a task that waits for it.
 func (s *Scheduler) reserveTask(job *pipeline.Job, capacity *Capacity, now event.Time) {
 	capacity.Allocate(&job.Spec, 1)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,5 +1,7 @@
-// Package scheduler decides which task goes to which machine. A round has a
-// budget of time; what it could not look at, the next one starts with.
+// Package scheduler decides which task runs on which machine. It works in rounds:
+// each orders the jobs, places tasks by bin packing, preempts less important work
+// and reserves capacity for what still waits. Between rounds, consolidation moves
+// tasks off machines that can then be released.
 package scheduler
 
 import (
@@ -9,32 +11,47 @@
 	"lugward/internal/worker"
 )
 
-// Scheduler makes the rounds.
-type Scheduler struct {
+// Config holds the settings of a scheduler and the parts that it works on.
+type Config struct {
 	Jobs              *pipeline.Table
 	Workers           *worker.Registry
-	MachineTypes      *MachineTypes
-	Teams             map[int]config.Team
-	HeartbeatInterval event.Time // between two reports of a machine
-	HeartbeatTimeout  event.Time // a machine without a report for this long gets no new task
+	MachineTypes      *MachineTypes       // may change between rounds
+	Teams             map[int]config.Team // quotas and limits, by index of the team's name
+	HeartbeatInterval event.Time          // between two heartbeats of a worker
+	HeartbeatTimeout  event.Time          // a machine without a heartbeat for this long gets no new task
+}
+
+// Budget reports whether the processor time for a round is used up. A nil Budget
+// never ends.
+type Budget func() bool
 
-	// Interrupted counts the rounds that ran out of their budget.
-	Interrupted int
-	// Recounted counts the machines whose capacity was counted anew.
-	Recounted int
-	// Visited counts the machines that were looked at for a job.
-	Visited int
-	// OverBudget tells whether the budget of a round is used up; nil: no limit.
-	OverBudget func() bool
+// exhausted reports whether nothing is left of the budget.
+func (b Budget) exhausted() bool { return b != nil && b() }
 
-	cached  []Capacity // by machine, as its entries leave it
-	round   roundState
-	scratch scratch
+// Scheduler places the tasks of a table of jobs on the registered machines.
+type Scheduler struct {
+	cfg          Config
+	jobs         *pipeline.Table
+	workers      *worker.Registry
+	machineTypes *MachineTypes
+
+	cached   []Capacity // by machine, as its entries leave it
+	round    roundState
+	scratch  scratch
+	counters counters
+}
+
+// counters count the work of all rounds.
+type counters struct {
+	interruptedRounds    int // that ran out of budget, since they were last taken
+	capacitiesRecomputed int
+	machinesVisited      int // looked at for a job
 }
 
 // roundState is what a round knows beyond the table. Only resume, reservations and
 // reserved outlive it.
 type roundState struct {
+	budget         Budget
 	resume         *pipeline.Job          // where the last round ran out of time
 	reservations   []reservation          // by the jobs before resume
 	roomy          []*Capacity            // on which a task of some job fits; capacity only shrinks in a round
@@ -51,9 +68,24 @@
 	candidates []candidate // of victims
 }
 
-// overBudget tells whether the round has used up its time.
-func (s *Scheduler) overBudget() bool {
-	return s.OverBudget != nil && s.OverBudget()
+// New returns a scheduler.
+func New(cfg Config) *Scheduler {
+	return &Scheduler{cfg: cfg, jobs: cfg.Jobs, workers: cfg.Workers, machineTypes: cfg.MachineTypes}
+}
+
+// ReservationCount returns how many tasks got a reservation in the last round.
+func (s *Scheduler) ReservationCount() int { return s.round.reserved }
+
+// CapacitiesRecomputed returns how often the free capacity of a machine was computed
+// since the scheduler was made, as something had changed there.
+func (s *Scheduler) CapacitiesRecomputed() int { return s.counters.capacitiesRecomputed }
+
+// TakeInterruptedRounds returns how many rounds ran out of their budget since the
+// last call.
+func (s *Scheduler) TakeInterruptedRounds() int {
+	interrupted := s.counters.interruptedRounds
+	s.counters.interruptedRounds = 0
+	return interrupted
 }
 
 const nanosecondsPerSecond = 1e9
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -18,7 +18,7 @@
 	jobs := pipeline.NewTable(n, 4096, 12)
 	workers := worker.New(n, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	machineTypes := MachineTypes{{CPUs: 8, Memory: 32}}
-	s := &Scheduler{Jobs: jobs, Workers: workers, MachineTypes: &machineTypes, HeartbeatTimeout: time.Minute}
+	s := New(Config{Jobs: jobs, Workers: workers, MachineTypes: &machineTypes, HeartbeatTimeout: time.Minute})
 	now := time.Second
 	for _, name := range []string{"i-1", "i-2"} {
 		addMachine(workers, name, now)
@@ -27,18 +27,18 @@
 	jobs.HandleChange(pipeline.JobKey, j.ID, pipeline.Encode(names(n), j), 1)
 	left := func() (a, b float64) {
 		capacities := s.Capacities(now)
-		return capacities[0].CPUs, capacities[1].CPUs
+		return capacities[0].FreeCPUs, capacities[1].FreeCPUs
 	}
-	if a, b := left(); a != 8 || b != 8 || s.Recounted != 2 {
-		t.Fatalf("empty machines have %v and %v CPUs, %d recounted", a, b, s.Recounted)
+	if a, b := left(); a != 8 || b != 8 || s.CapacitiesRecomputed() != 2 {
+		t.Fatalf("empty machines have %v and %v CPUs, %d recounted", a, b, s.CapacitiesRecomputed())
 	}
 	e := jobs.Assign(jobs.Job("req-1"), 0, 1, 1, now)
-	if a, b := left(); a != 8 || b != 5 || s.Recounted != 3 {
-		t.Errorf("with a task on the second: %v and %v, %d counted", a, b, s.Recounted)
+	if a, b := left(); a != 8 || b != 5 || s.CapacitiesRecomputed() != 3 {
+		t.Errorf("with a task on the second: %v and %v, %d counted", a, b, s.CapacitiesRecomputed())
 	}
 	jobs.RecordTermination(e)
-	if a, b := left(); a != 8 || b != 8 || s.Recounted != 4 {
-		t.Errorf("without it again: %v and %v, %d counted", a, b, s.Recounted)
+	if a, b := left(); a != 8 || b != 8 || s.CapacitiesRecomputed() != 4 {
+		t.Errorf("without it again: %v and %v, %d counted", a, b, s.CapacitiesRecomputed())
 	}
 }
 
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -33,13 +33,13 @@
 	score += fetchWeight * capacity.FetchTime(job)
 	// The start travels in the answer to the machine's next report.
 	sinceReport := now - capacity.Machine.LastHeartbeat
-	score += reportWaitWeight * max(0, (s.HeartbeatInterval-sinceReport).Seconds())
+	score += reportWaitWeight * max(0, (s.cfg.HeartbeatInterval-sinceReport).Seconds())
 	if !capacity.InUse {
 		score += emptyScore
 	}
 	// Best fit: the least left over.
-	cpusLeft := (capacity.CPUs - job.CPUs) / capacity.MachineType.CPUs
-	gpusLeft := capacity.GPUs / math.Max(capacity.MachineType.GPUs, 1)
+	cpusLeft := (capacity.FreeCPUs - job.CPUs) / capacity.MachineType.CPUs
+	gpusLeft := capacity.FreeGPUs / math.Max(capacity.MachineType.GPUs, 1)
 	score += cpusLeft + gpusLeft
 	return score
 }
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -15,17 +15,17 @@
 // jobs that wait, each of so many tasks.
 func fullSite(machines, jobs, tasks int) *site {
 	s := newSite()
-	s.Workers.Reset() // without the machine of the site
+	s.workers.Reset() // without the machine of the site
 	for i := range machines {
 		name := fmt.Sprintf("i-%05d", i)
-		addMachine(s.Workers, name, s.now)
+		addMachine(s.workers, name, s.now)
 		id := fmt.Sprintf("req-%d", 100_000+i)
 		s.job(id, func(j *pipeline.Job) {
 			j.CPUs, j.TaskCount, j.EstimatedRuntime = 4, 2, 100
 		})
 		record := fmt.Sprintf(`{"t":1,"a":[[0,1,%q],[1,1,%q]]}`, name, name)
-		s.Jobs.HandleChange(pipeline.RunKey, id+"/0", []byte(record), uint64(10_000_000+i))
-		s.Jobs.Job(id).Assignments(func(e *pipeline.Assignment) {
+		s.jobs.HandleChange(pipeline.RunKey, id+"/0", []byte(record), uint64(10_000_000+i))
+		s.jobs.Job(id).Assignments(func(e *pipeline.Assignment) {
 			e.Phase = pipeline.TaskRunning
 			e.StartedAt = s.now - time.Duration(i%90)*time.Second
 		})
@@ -45,20 +45,20 @@
 	type work struct{ recounted, visited, placed int }
 	measure := func(machines int) work {
 		s := fullSite(machines, 50, 1)
-		s.Round(s.now)
+		s.Round(s.now, nil)
 		id := fmt.Sprintf("req-%d", 100_000)
-		s.Jobs.HandleChange(pipeline.RunKey, id+"/0", []byte(`{"t":1,"d":"AQ","a":[[1,1,"i-00000"]]}`), 90_000_000)
-		before := work{s.Recounted, s.Visited, 0}
-		s.Round(s.now)
+		s.jobs.HandleChange(pipeline.RunKey, id+"/0", []byte(`{"t":1,"d":"AQ","a":[[1,1,"i-00000"]]}`), 90_000_000)
+		before := work{s.CapacitiesRecomputed(), s.counters.machinesVisited, 0}
+		s.Round(s.now, nil)
 		placed := 0
-		for _, job := range s.Jobs.ReadyJobs() {
+		for _, job := range s.jobs.ReadyJobs() {
 			job.Assignments(func(e *pipeline.Assignment) {
 				if !e.Durable {
 					placed++
 				}
 			})
 		}
-		return work{s.Recounted - before.recounted, s.Visited - before.visited, placed}
+		return work{s.CapacitiesRecomputed() - before.recounted, s.counters.machinesVisited - before.visited, placed}
 	}
 	small, large := measure(500), measure(4000)
 	if small.recounted != 1 || small.placed != 1 || large.recounted != 1 || large.placed != 1 {
@@ -83,7 +83,7 @@
 		capacities := s.Capacities(s.now)
 		for _, capacity := range capacities {
 			if rapid.Bool().Draw(rt, "free") {
-				capacity.CPUs += float64(rapid.IntRange(0, 4).Draw(rt, "CPUs free"))
+				capacity.FreeCPUs += float64(rapid.IntRange(0, 4).Draw(rt, "CPUs free"))
 			}
 		}
 		s.startRound(nil, capacities)
@@ -109,9 +109,9 @@
 	for _, c := range []struct{ machines, jobs, tasks int }{{4000, 0, 0}, {500, 1000, 1}, {4000, 1000, 1}, {4000, 1000, 30}} {
 		b.Run(fmt.Sprintf("machines=%d/jobs=%d/tasks=%d", c.machines, c.jobs, c.tasks), func(b *testing.B) {
 			s := fullSite(c.machines, c.jobs, c.tasks)
-			s.Round(s.now)
+			s.Round(s.now, nil)
 			for b.Loop() {
-				s.Round(s.now)
+				s.Round(s.now, nil)
 			}
 		})
 	}
--- a/internal/scheduler/starving.go
+++ b/internal/scheduler/starving.go
@@ -42,7 +42,7 @@
 func (s *Scheduler) startStarving(jobs []*pipeline.Job, capacities []*Capacity, now event.Time) {
 	begun := 0
 	for _, job := range jobs {
-		if begun == maxForcedStarts || s.overBudget() {
+		if begun == maxForcedStarts || s.round.budget.exhausted() {
 			return
 		}
 		if !starving(job, now) || s.wantedTasks(job) == 0 {
@@ -58,9 +58,9 @@
 // placeOne places a single task of a job that is no gang. It tells whether there
 // was capacity for it.
 func (s *Scheduler) placeOne(job *pipeline.Job, now event.Time) bool {
-	inZone := s.Zones(job)
+	inZone := s.TasksByZone(job)
 	for _, capacity := range s.rankCapacities(job, now) {
-		if ZoneCapacity(job, inZone, capacity.Zone) > 0 {
+		if TasksAllowedInZone(job, inZone, capacity.Zone) > 0 {
 			s.placeTasks(job, placement{capacity, 1}, nextAttempt(job), now)
 			return true
 		}
--- a/internal/scheduler/starving_test.go
+++ b/internal/scheduler/starving_test.go
@@ -33,20 +33,20 @@
 		starving := s.job("req-1", func(j *pipeline.Job) { j.Shape, j.TaskCount, j.CPUs = c.shape, 3, 2 })
 		s.job("req-2", func(j *pipeline.Job) { j.TaskCount, j.CPUs, j.Priority = 9, 2, pipeline.High })
 		s.now = time.Hour
-		s.Workers.Add("i-1", s.now).LastHeartbeat = s.now
+		s.workers.Add("i-1", s.now).LastHeartbeat = s.now
 		starving.ReadySince = s.now - c.waited
 		if c.record != "" {
-			s.Jobs.HandleChange(pipeline.RunKey, "req-1/0", []byte(c.record), 9)
+			s.jobs.HandleChange(pipeline.RunKey, "req-1/0", []byte(c.record), 9)
 		}
 		if c.retry != "" {
-			s.Jobs.HandleChange(pipeline.RetryKey, "req-1", []byte(c.retry), 9)
+			s.jobs.HandleChange(pipeline.RetryKey, "req-1", []byte(c.retry), 9)
 		}
 		before := starving.ActiveCount()
-		s.Round(s.now)
+		s.Round(s.now, nil)
 		if got := starving.ActiveCount() - before; got != c.want {
 			t.Errorf("%s: %d tasks are placed, not %d", c.what, got, c.want)
 		}
-		s.Round(s.now)
+		s.Round(s.now, nil)
 		if got := starving.ActiveCount() - before; got != c.want {
 			t.Errorf("%s: %d tasks after the next round", c.what, got)
 		}
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -11,12 +11,12 @@
 	unknownZone = -1 // of a machine that is not known
 )
 
-// Zones counts, per zone, the tasks of a job that may be on machines there.
-func (s *Scheduler) Zones(job *pipeline.Job) map[int]int {
+// TasksByZone counts, per zone, the tasks of a job that may be on machines there.
+func (s *Scheduler) TasksByZone(job *pipeline.Job) map[int]int {
 	inZone := map[int]int{}
 	job.Assignments(func(entry *pipeline.Assignment) {
 		zone := unknownZone
-		if machine := s.Workers.MachineAt(entry.Machine); machine != nil {
+		if machine := s.workers.MachineAt(entry.Machine); machine != nil {
 			zone = machine.Zone
 		}
 		inZone[zone]++
@@ -24,10 +24,10 @@
 	return inZone
 }
 
-// ZoneCapacity is how many more tasks of a job a zone may take: half of a job that
+// TasksAllowedInZone is how many more tasks of a job a zone may take: half of a job that
 // is to be scattered. A new leader does not know yet where a silent machine stands:
 // its tasks count in every zone.
-func ZoneCapacity(job *pipeline.Job, inZone map[int]int, zone int) int {
+func TasksAllowedInZone(job *pipeline.Job, inZone map[int]int, zone int) int {
 	if !job.SpreadZones {
 		return math.MaxInt32
 	}
@@ -91,7 +91,7 @@
 	if !job.SameZone || job.TaskCount == 1 {
 		return []int{anyZone}
 	}
-	inZone := s.Zones(job)
+	inZone := s.TasksByZone(job)
 	if len(inZone) > 0 {
 		// Tasks of it may still be there.
 		if zone, known := currentZone(inZone); known {
