--- a/internal/simtest/cloud.go
+++ b/internal/simtest/cloud.go
@@ -20,8 +20,8 @@
 // that called it so.
 const recordedGPUType = "card"
 
-// offeredNames are the machine types that the cloud offers.
-var offeredNames = []string{"small", "big", "gpu"}
+// offeredTypeNames are the machine types that the cloud offers.
+var offeredTypeNames = []string{"small", "big", "gpu"}
 
 // machineTypes are the machine types of the simulated deployments, also those of
 // recordings.
@@ -33,128 +33,128 @@
 	recordedGPUType: {8, 4, 64, 10, 5 * time.Second},
 }
 
-// cloud is a stand-in of the cloud.
-type cloud struct {
-	w            *World
-	offeredNames []string
-	machines     map[string]*cloudMachine
-	provisioned  map[string][]string
-	last         int
-	down         bool
-	available    map[string]int // per type, zone and kind; absent: plenty
-	requests     budget
-	never        int // so many of the next machines never boot
-	returned     int
+// fakeCloud is a stand-in of the cloud.
+type fakeCloud struct {
+	world                *World
+	offeredNames         []string
+	machines             map[string]*provisionedMachine
+	provisionedByRequest map[string][]string
+	lastMachine          int
+	down                 bool
+	available            map[string]int // per type, zone and kind; absent: plenty
+	requests             leakyBucket
+	bootFailures         int // so many of the next machines never boot
+	releasedMachines     int
 }
 
-// cloudMachine is a machine that the cloud has provisioned.
-type cloudMachine struct {
+// provisionedMachine is a machine that the cloud has provisioned.
+type provisionedMachine struct {
 	name, addr, machineType, zone string
 	spot                          bool
-	since                         time.Duration
-	worker                        *worker
+	provisionedAt                 time.Duration
+	worker                        *fakeWorker
 	terminated                    bool
 }
 
-func newCloud(w *World) *cloud {
-	return &cloud{w: w, offeredNames: slices.Clone(offeredNames), machines: map[string]*cloudMachine{}, provisioned: map[string][]string{}, available: map[string]int{}}
+func newCloud(world *World) *fakeCloud {
+	return &fakeCloud{world: world, offeredNames: slices.Clone(offeredTypeNames), machines: map[string]*provisionedMachine{}, provisionedByRequest: map[string][]string{}, available: map[string]int{}}
 }
 
 func capacityKey(machineType, zone string, spot bool) string {
 	return fmt.Sprintf("%s/%s/%v", machineType, zone, spot)
 }
 
-func (c *cloud) add(machineType, zone string, spot bool, boot time.Duration) string {
-	c.last++
-	h := &cloudMachine{name: fmt.Sprintf("i-%06d", c.last), addr: fmt.Sprintf("10.1.%d.%d:9000", c.last/250, c.last%250+1), machineType: machineType,
-		zone: zone, spot: spot, since: c.w.now}
-	c.machines[h.name] = h
-	if c.never > 0 {
-		c.never--
-		return h.name
-	}
-	c.w.after(boot, func() {
-		if !h.terminated {
-			h.worker = newWorker(c.w, h.name, h.addr, machineType, zone, spot)
+func (cloud *fakeCloud) addMachine(machineType, zone string, spot bool, boot time.Duration) string {
+	cloud.lastMachine++
+	machine := &provisionedMachine{name: fmt.Sprintf("i-%06d", cloud.lastMachine), addr: fmt.Sprintf("10.1.%d.%d:9000", cloud.lastMachine/250, cloud.lastMachine%250+1), machineType: machineType,
+		zone: zone, spot: spot, provisionedAt: cloud.world.now}
+	cloud.machines[machine.name] = machine
+	if cloud.bootFailures > 0 {
+		cloud.bootFailures--
+		return machine.name
+	}
+	cloud.world.schedule(boot, func() {
+		if !machine.terminated {
+			machine.worker = newWorker(cloud.world, machine.name, machine.addr, machineType, zone, spot)
 		}
 	})
-	return h.name
+	return machine.name
 }
 
-func (c *cloud) remove(name string) {
-	if h := c.machines[name]; h != nil {
-		h.terminated = true
-		if h.worker != nil {
-			h.worker.die()
+func (cloud *fakeCloud) terminate(name string) {
+	if machine := cloud.machines[name]; machine != nil {
+		machine.terminated = true
+		if machine.worker != nil {
+			machine.worker.crash()
 		}
-		delete(c.machines, name)
+		delete(cloud.machines, name)
 	}
 }
 
 // serve answers a request.
-func (c *cloud) serve(method, target string, body []byte, answer func(int, any)) {
-	if c.down {
+func (cloud *fakeCloud) serve(method, target string, body []byte, answer func(int, any)) {
+	if cloud.down {
 		answer(503, unavailable)
 		return
 	}
-	if !c.requests.take(c.w.now, c.w.cfg.Settings.Cloud.RPS, cloudBurst, 1) {
+	if !cloud.requests.take(cloud.world.now, cloud.world.config.Settings.Cloud.RPS, cloudBurst, 1) {
 		answer(429, nil)
 		return
 	}
-	u, err := url.Parse(target)
+	parsed, err := url.Parse(target)
 	switch {
 	case err != nil:
 		answer(400, nil)
-	case u.Path == "/machine_types":
-		answer(200, c.offered())
-	case u.Path == "/rentals" && method == "GET":
-		answer(200, c.list(u.Query()))
-	case u.Path == "/rentals":
-		answer(c.provision(body))
-	case u.Path == "/rentals/return":
-		answer(c.release(body))
+	case parsed.Path == "/machine_types":
+		answer(200, cloud.offered())
+	case parsed.Path == "/rentals" && method == "GET":
+		answer(200, cloud.list(parsed.Query()))
+	case parsed.Path == "/rentals":
+		answer(cloud.provision(body))
+	case parsed.Path == "/rentals/return":
+		answer(cloud.release(body))
 	default:
 		answer(404, nil)
 	}
 }
 
-func (c *cloud) offered() offeredTypes {
+func (cloud *fakeCloud) offered() offeredTypes {
 	var list []offeredType
-	for _, name := range c.offeredNames {
-		f := machineTypes[name]
-		list = append(list, offeredType{Name: name, CPUs: f.cpus, GPUs: f.gpus, Memory: f.memory, LocalGB: 50, FetchRate: 1,
-			Price: f.price, SpotPrice: f.price / 2, BootTime: f.boot.Seconds(), Zones: []string{"a", "b"}})
+	for _, name := range cloud.offeredNames {
+		kind := machineTypes[name]
+		list = append(list, offeredType{Name: name, CPUs: kind.cpus, GPUs: kind.gpus, Memory: kind.memory, LocalGB: 50, FetchRate: 1,
+			Price: kind.price, SpotPrice: kind.price / 2, BootTime: kind.boot.Seconds(), Zones: []string{"a", "b"}})
 	}
 	return offeredTypes{list}
 }
 
 // list shows a page of the machines after a name, the youngest not yet.
-func (c *cloud) list(q url.Values) machineList {
+func (cloud *fakeCloud) list(query url.Values) machinePage {
 	list := []listedMachine{}
-	after := q.Get("from")
-	limit, _ := strconv.Atoi(q.Get("limit"))
+	after := query.Get("from")
+	limit, _ := strconv.Atoi(query.Get("limit"))
 	if limit <= 0 || limit > maxListed {
 		limit = maxListed
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.machines)) {
-		m := c.machines[name]
-		if name <= after || c.w.now-m.since < seconds(c.w.cfg.Settings.Cloud.ListLagS) {
+	for _, name := range slices.Sorted(maps.Keys(cloud.machines)) {
+		machine := cloud.machines[name]
+		if name <= after || cloud.world.now-machine.provisionedAt < seconds(cloud.world.config.Settings.Cloud.ListLagS) {
 			continue
 		}
 		if len(list) == limit {
-			return machineList{Machines: list, HasNext: true}
+			return machinePage{Machines: list, HasNext: true}
 		}
-		list = append(list, listedMachine{Name: name, Addr: m.addr, MachineType: m.machineType, Zone: m.zone, Spot: m.spot,
-			Phase: m.phase(), Age: (c.w.now - m.since).Seconds()})
+		list = append(list, listedMachine{Name: name, Addr: machine.addr, MachineType: machine.machineType, Zone: machine.zone, Spot: machine.spot,
+			Phase: machine.phase(), Age: (cloud.world.now - machine.provisionedAt).Seconds()})
 	}
-	return machineList{Machines: list}
+	return machinePage{Machines: list}
 }
 
-func (m *cloudMachine) phase() string {
+func (machine *provisionedMachine) phase() string {
 	switch {
-	case m.worker == nil:
+	case machine.worker == nil:
 		return "booting"
-	case !m.worker.up:
+	case !machine.worker.up:
 		return "failed"
 	}
 	return "running"
@@ -170,43 +170,43 @@
 	maxReleased    = 100
 )
 
-func (c *cloud) provision(body []byte) (int, any) {
-	var v provisionRequest
-	if json.Unmarshal(body, &v) != nil || machineTypes[v.MachineType].cpus == 0 || v.Number < 1 || v.Number > maxProvisioned || v.ID == "" {
-		c.w.fault("bad request for machines %s", body)
+func (cloud *fakeCloud) provision(body []byte) (int, any) {
+	var request provisionRequest
+	if json.Unmarshal(body, &request) != nil || machineTypes[request.MachineType].cpus == 0 || request.Number < 1 || request.Number > maxProvisioned || request.ID == "" {
+		cloud.world.reportMisuse("bad request for machines %s", body)
 		return 400, nil
 	}
-	if got, ok := c.provisioned[v.ID]; ok {
+	if got, ok := cloud.provisionedByRequest[request.ID]; ok {
 		return 200, machineNames{got}
 	}
-	n := v.Number
-	key := capacityKey(v.MachineType, v.Zone, v.Spot)
-	if most, ok := c.available[key]; ok {
-		n = min(n, most)
-		c.available[key] -= n
+	count := request.Number
+	key := capacityKey(request.MachineType, request.Zone, request.Spot)
+	if most, ok := cloud.available[key]; ok {
+		count = min(count, most)
+		cloud.available[key] -= count
 	}
-	if n == 0 {
-		return 503, failure{"no capacity"}
+	if count == 0 {
+		return 503, errorResponse{"no capacity"}
 	}
 	var got []string
-	for range n {
-		got = append(got, c.add(v.MachineType, v.Zone, v.Spot, machineTypes[v.MachineType].boot))
+	for range count {
+		got = append(got, cloud.addMachine(request.MachineType, request.Zone, request.Spot, machineTypes[request.MachineType].boot))
 	}
-	c.provisioned[v.ID] = got
+	cloud.provisionedByRequest[request.ID] = got
 	return 200, machineNames{got}
 }
 
-func (c *cloud) release(body []byte) (int, any) {
-	var v machineNames
-	if json.Unmarshal(body, &v) != nil || len(v.Machines) > maxReleased {
-		c.w.fault("bad return %s", body)
+func (cloud *fakeCloud) release(body []byte) (int, any) {
+	var names machineNames
+	if json.Unmarshal(body, &names) != nil || len(names.Machines) > maxReleased {
+		cloud.world.reportMisuse("bad return %s", body)
 		return 400, nil
 	}
-	for _, name := range v.Machines {
-		if c.machines[name] != nil {
-			c.returned++
+	for _, name := range names.Machines {
+		if cloud.machines[name] != nil {
+			cloud.releasedMachines++
 		}
-		c.remove(name)
+		cloud.terminate(name)
 	}
 	return 200, nil
 }
--- a/internal/simtest/commands.go
+++ b/internal/simtest/commands.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// runner carries out a command and returns its output.
-type runner func(w *World, a Args, input string) (string, error)
+// commandFunc carries out a command and returns its output.
+type commandFunc func(world *World, arguments Arguments, input string) (string, error)
 
 // command is what a scenario may ask for: usage and arguments document it.
 type command struct {
-	usage     string
-	arguments []argument
-	run       runner
+	usage      string
+	parameters []parameter
+	run        commandFunc
 }
 
 // commands are all that scenarios may use but "world", which begins each of them.
-var commands = mergeCommands(siteCommands, jobCommands, pipelineCommands, controllerCommands, machineCommands, networkCommands, raceCommands, inspectionCommands)
+var commands = mergeCommands(serviceCommands, jobCommands, pipelineCommands, controllerCommands, machineCommands, networkCommands, raceCommands, inspectionCommands)
 
 func mergeCommands(groups ...map[string]command) map[string]command {
 	all := map[string]command{}
@@ -27,48 +27,48 @@
 	return all
 }
 
-// Do checks and carries out one command of a scenario and returns its output.
-func (w *World) Do(name string, a Args, input string) (string, error) {
-	c, ok := commands[name]
+// RunCommand checks and carries out one command of a scenario and returns its output.
+func (world *World) RunCommand(name string, arguments Arguments, input string) (string, error) {
+	command, ok := commands[name]
 	if !ok {
 		return "", fmt.Errorf("unknown command %s", name)
 	}
-	if err := a.check(w, c.arguments); err != nil {
+	if err := arguments.check(world, command.parameters); err != nil {
 		return "", err
 	}
-	return c.run(w, a, input)
+	return command.run(world, arguments, input)
 }
 
-// act makes a runner of what prints nothing but "ok".
-func act(do func(w *World, a Args)) runner {
-	return func(w *World, a Args, _ string) (string, error) {
-		do(w, a)
+// acting makes a runner of what prints nothing but "ok".
+func acting(action func(world *World, arguments Arguments)) commandFunc {
+	return func(world *World, arguments Arguments, _ string) (string, error) {
+		action(world, arguments)
 		return "ok", nil
 	}
 }
 
-// show makes a runner of what prints something and cannot fail.
-func show(print func(w *World, a Args) string) runner {
-	return func(w *World, a Args, _ string) (string, error) { return print(w, a), nil }
+// printing makes a runner of what prints something and cannot fail.
+func printing(print func(world *World, arguments Arguments) string) commandFunc {
+	return func(world *World, arguments Arguments, _ string) (string, error) { return print(world, arguments), nil }
 }
 
-// withArguments is a list of arguments and more of them.
-func withArguments(list []argument, more ...argument) []argument {
+// withParameters is a list of arguments and more of them.
+func withParameters(list []parameter, more ...parameter) []parameter {
 	return append(slices.Clone(list), more...)
 }
 
-var worldArguments = []argument{
-	number("nodes", "controllers"),
-	number("seed", "of all random draws"),
-	number("report", "seconds between a worker's reports"),
-	number("lease", "seconds that a worker's lease lasts"),
-	number("cancel", "seconds that a cancellation may take"),
-	number("cloudrps", "the cloud's limit of requests per second"),
-	number("maxgpus", "the first team's limit of GPUs"),
-	number("rps", "the state service's limit of requests per second"),
-	number("writes", "the state service's limit of writes per second"),
-	number("nextrps", "announced limit of requests per second"),
-	number("nextwrites", "announced limit of writes per second"),
-	number("nextvalue", "announced limit of a value's size in KiB"),
-	number("nextops", "announced limit of writes per transaction"),
+var worldParameters = []parameter{
+	numberParameter("nodes", "controllers"),
+	numberParameter("seed", "of all random draws"),
+	numberParameter("report", "seconds between a worker's reports"),
+	numberParameter("lease", "seconds that a worker's lease lasts"),
+	numberParameter("cancel", "seconds that a cancellation may take"),
+	numberParameter("cloudrps", "the cloud's limit of requests per second"),
+	numberParameter("maxgpus", "the first team's limit of GPUs"),
+	numberParameter("rps", "the state service's limit of requests per second"),
+	numberParameter("writes", "the state service's limit of writes per second"),
+	numberParameter("nextrps", "announced limit of requests per second"),
+	numberParameter("nextwrites", "announced limit of writes per second"),
+	numberParameter("nextvalue", "announced limit of a value's size in KiB"),
+	numberParameter("nextops", "announced limit of writes per transaction"),
 }
--- a/internal/simtest/commands_faults.go
+++ b/internal/simtest/commands_faults.go
@@ -7,122 +7,130 @@
 )
 
 var (
-	onlyNode      = []argument{need(controllers("which controllers"))}
-	onlyShare     = []argument{number("share", "of all, 0 ends it")}
-	machineChoice = []argument{text("machine", "name of a machine"), text("zone", "all machines of a zone"), text("task", "the machine that this task is on")}
+	controllerParameters = []parameter{required(controllerParameter("which controllers"))}
+	shareParameters      = []parameter{numberParameter("share", "of all, 0 ends it")}
+	workerParameters     = []parameter{textParameter("machine", "name of a machine"), textParameter("zone", "all machines of a zone"), textParameter("task", "the machine that this task is on")}
 )
 
 // controllerCommands bring faults to controllers.
 var controllerCommands = map[string]command{
-	"kill":  {"ends controllers", onlyNode, onNodes((*node).kill)},
-	"boot":  {"starts controllers that are down", onlyNode, onNodes((*node).bootIfDown)},
-	"deny":  {"lets the state service refuse controllers", onlyNode, onNodes(func(n *node) { n.denied = true })},
-	"allow": {"ends deny", onlyNode, onNodes(func(n *node) { n.denied = false })},
-	"block_watch": {"leaves controllers' requests for changes unanswered, their other requests are answered", onlyNode,
-		onNodes(func(n *node) { n.watchBlocked = true })},
-	"unblock_watch": {"ends block_watch", onlyNode, onNodes(func(n *node) { n.watchBlocked = false })},
-	"isolate": {"cuts controllers off from the state service and each other, not from workers", onlyNode,
-		onNodes(func(n *node) { n.w.isolate(n, true) })},
-	"join": {"ends isolate", onlyNode, onNodes(func(n *node) { n.w.isolate(n, false) })},
-	"pause": {"pauses controllers while their clocks run on", withArguments(onlyNode, duration("for", "2s if absent"),
-		boolean("mid_step", "from when the next decision is made and not carried out")), act(pauseControllers)},
-	"churn": {"changes the leader repeatedly", []argument{number("times", "10 if absent"), duration("over", "in that time, 120s if absent"),
-		oneOf("how", "drawn each time if absent", "kill", "deny", "isolate", "pause")},
-		act(func(w *World, a Args) { w.churn(int(a.num("times", "10")), a.dur("over", "120s"), a["how"]) })},
+	"kill":  {"ends controllers", controllerParameters, onControllers((*controllerProcess).kill)},
+	"boot":  {"starts controllers that are down", controllerParameters, onControllers((*controllerProcess).bootIfDown)},
+	"deny":  {"lets the state service refuse controllers", controllerParameters, onControllers(func(process *controllerProcess) { process.denied = true })},
+	"allow": {"ends deny", controllerParameters, onControllers(func(process *controllerProcess) { process.denied = false })},
+	"block_watch": {"leaves controllers' requests for changes unanswered, their other requests are answered", controllerParameters,
+		onControllers(func(process *controllerProcess) { process.watchBlocked = true })},
+	"unblock_watch": {"ends block_watch", controllerParameters, onControllers(func(process *controllerProcess) { process.watchBlocked = false })},
+	"isolate": {"cuts controllers off from the state service and each other, not from workers", controllerParameters,
+		onControllers(func(process *controllerProcess) { process.world.setIsolated(process, true) })},
+	"join": {"ends isolate", controllerParameters, onControllers(func(process *controllerProcess) { process.world.setIsolated(process, false) })},
+	"pause": {"pauses controllers while their clocks run on", withParameters(controllerParameters, durationParameter("for", "2s if absent"),
+		flagParameter("mid_step", "from when the next decision is made and not carried out")), acting(pauseControllers)},
+	"churn": {"changes the leader repeatedly", []parameter{numberParameter("times", "10 if absent"), durationParameter("over", "in that time, 120s if absent"),
+		choiceParameter("how", "drawn each time if absent", "kill", "deny", "isolate", "pause")},
+		acting(func(world *World, arguments Arguments) {
+			world.churn(int(arguments.number("times", "10")), arguments.duration("over", "120s"), arguments["how"])
+		})},
 }
 
 // machineCommands bring faults to machines.
 var machineCommands = map[string]command{
-	"die":       {"ends machines without notice", machineChoice, onMachines(func(k *worker, _ Args) { k.die() })},
-	"hang":      {"lets machines hang", withArguments(machineChoice, duration("for", "5s if absent")), onMachines(func(k *worker, a Args) { k.hang(a.dur("for", "5s")) })},
-	"slow":      {"multiplies the run times of tasks that start on machines", withArguments(machineChoice, number("times", "4 if absent")), onMachines(func(k *worker, a Args) { k.slow = a.num("times", "4") })},
-	"terminate": {"lets the cloud take machines without notice", machineChoice, onMachines(func(k *worker, _ Args) { k.w.cloud.remove(k.name) })},
-	"reclaim":   {"lets the cloud take machines after a reclaim notice", withArguments(machineChoice, duration("in", "8s if absent")), onMachines(reclaimMachine)},
+	"die":       {"ends machines without notice", workerParameters, onMachines(func(worker *fakeWorker, _ Arguments) { worker.crash() })},
+	"hang":      {"lets machines hang", withParameters(workerParameters, durationParameter("for", "5s if absent")), onMachines(func(worker *fakeWorker, arguments Arguments) { worker.hang(arguments.duration("for", "5s")) })},
+	"slow":      {"multiplies the run times of tasks that start on machines", withParameters(workerParameters, numberParameter("times", "4 if absent")), onMachines(func(worker *fakeWorker, arguments Arguments) { worker.slowdown = arguments.number("times", "4") })},
+	"terminate": {"lets the cloud take machines without notice", workerParameters, onMachines(func(worker *fakeWorker, _ Arguments) { worker.world.cloud.terminate(worker.name) })},
+	"reclaim":   {"lets the cloud take machines after a reclaim notice", withParameters(workerParameters, durationParameter("in", "8s if absent")), onMachines(reclaimMachine)},
 	"faulty": {`lets every task that starts on machines exit with cause "error" soon after it began to run; in a gang that task exits with "error",` +
-		` the others with "peers"; tasks that run already go on`, machineChoice, onMachines(func(k *worker, _ Args) { k.faulty = true })},
-	"repair":           {"ends faulty", machineChoice, onMachines(func(k *worker, _ Args) { k.faulty = false })},
-	"block_inbound_of": {"lets nothing reach the machine of a task", []argument{need(text("task", "task")), duration("for", "for good if absent")}, onMachines(blockInboundOf)},
-	"block_inbound":    {"lets nothing reach machines", []argument{text("zone", "all zones if absent"), duration("for", "5s if absent")}, act(blockInbound)},
-	"block_reports":    {"lets machines reach no controller, direct commands reach them", []argument{text("zone", "all zones if absent"), duration("for", "5s if absent")}, act(blockReports)},
-	"unreachable_next": {"lets nothing reach the machines that come up next", []argument{number("count", "1 if absent")},
-		act(func(w *World, a Args) { w.unreachableNext += int(a.num("count", "1")) })},
+		` the others with "peers"; tasks that run already go on`, workerParameters, onMachines(func(worker *fakeWorker, _ Arguments) { worker.faulty = true })},
+	"repair":           {"ends faulty", workerParameters, onMachines(func(worker *fakeWorker, _ Arguments) { worker.faulty = false })},
+	"block_inbound_of": {"lets nothing reach the machine of a task", []parameter{required(textParameter("task", "task")), durationParameter("for", "for good if absent")}, onMachines(blockInboundOf)},
+	"block_inbound":    {"lets nothing reach machines", []parameter{textParameter("zone", "all zones if absent"), durationParameter("for", "5s if absent")}, acting(blockInbound)},
+	"block_reports":    {"lets machines reach no controller, direct commands reach them", []parameter{textParameter("zone", "all zones if absent"), durationParameter("for", "5s if absent")}, acting(blockReports)},
+	"unreachable_next": {"lets nothing reach the machines that come up next", []parameter{numberParameter("count", "1 if absent")},
+		acting(func(world *World, arguments Arguments) {
+			world.unreachableMachines += int(arguments.number("count", "1"))
+		})},
 }
 
 // networkCommands bring faults to the network.
 var networkCommands = map[string]command{
-	"cut": {"stops packets between controllers and another party", withArguments(onlyNode, need(text("from", "workers, state, cloud, user or a controller")), text("zone", "only the workers of a zone"),
-		number("refused", "share of requests to controllers over cut links that fail at once, 0 if absent: the others hang")), act(func(w *World, a Args) { cutLinks(w, a, true) })},
-	"heal":     {"ends cut", withArguments(onlyNode, need(text("from", "workers, state, cloud, user or a controller")), text("zone", "only the workers of a zone")), act(func(w *World, a Args) { cutLinks(w, a, false) })},
-	"cut_zone": {"cuts a zone's workers and a controller off from everything else", withArguments(onlyNode, need(text("zone", "zone")), duration("for", "20s if absent")), cutOffZone},
-	"network":  {"lets links lose packets and repeat requests late", []argument{number("loss", "share of packets that are lost"), number("late", "share of requests that are carried out once more, late")}, act(func(w *World, a Args) { w.loss, w.late = a.num("loss", "0"), a.num("late", "0") })},
-	"worker_sockets": {"limits the workers that a controller has sockets for", []argument{need(number("count", "workers, 0 for no limit"))},
-		act(func(w *World, a Args) { w.workerSockets = int(a.num("count", "0")) })},
-	"copies":         {"lets copies of reports arrive late, at any controller", withArguments(onlyShare, duration("within", "30s if absent")), act(func(w *World, a Args) { w.copies, w.copyLate = a.num("share", "0"), a.dur("within", "30s") })},
-	"delay_reports":  {"lets reports arrive seconds late, maybe elsewhere", onlyShare, act(func(w *World, a Args) { w.delayedReports = a.num("share", "0") })},
-	"delay_commands": {"lets direct commands or their answers arrive seconds late", onlyShare, act(func(w *World, a Args) { w.delayedCommands = a.num("share", "0") })},
+	"cut": {"stops packets between controllers and another party", withParameters(controllerParameters, required(textParameter("from", "workers, state, cloud, user or a controller")), textParameter("zone", "only the workers of a zone"),
+		numberParameter("refused", "share of requests to controllers over cut links that fail at once, 0 if absent: the others hang")), acting(func(world *World, arguments Arguments) { cutLinks(world, arguments, true) })},
+	"heal":     {"ends cut", withParameters(controllerParameters, required(textParameter("from", "workers, state, cloud, user or a controller")), textParameter("zone", "only the workers of a zone")), acting(func(world *World, arguments Arguments) { cutLinks(world, arguments, false) })},
+	"cut_zone": {"cuts a zone's workers and a controller off from everything else", withParameters(controllerParameters, required(textParameter("zone", "zone")), durationParameter("for", "20s if absent")), cutOffZone},
+	"network": {"lets links lose packets and repeat requests late", []parameter{numberParameter("loss", "share of packets that are lost"), numberParameter("late", "share of requests that are carried out once more, late")}, acting(func(world *World, arguments Arguments) {
+		world.lossShare, world.lateRepeatShare = arguments.number("loss", "0"), arguments.number("late", "0")
+	})},
+	"worker_sockets": {"limits the workers that a controller has sockets for", []parameter{required(numberParameter("count", "workers, 0 for no limit"))},
+		acting(func(world *World, arguments Arguments) { world.workerSockets = int(arguments.number("count", "0")) })},
+	"copies": {"lets copies of reports arrive late, at any controller", withParameters(shareParameters, durationParameter("within", "30s if absent")), acting(func(world *World, arguments Arguments) {
+		world.duplicateShare, world.duplicateDelay = arguments.number("share", "0"), arguments.duration("within", "30s")
+	})},
+	"delay_reports":  {"lets reports arrive seconds late, maybe elsewhere", shareParameters, acting(func(world *World, arguments Arguments) { world.delayedHeartbeats = arguments.number("share", "0") })},
+	"delay_commands": {"lets direct commands or their answers arrive seconds late", shareParameters, acting(func(world *World, arguments Arguments) { world.delayedCommands = arguments.number("share", "0") })},
 }
 
 // raceCommands let requests of users meet other events.
 var raceCommands = map[string]command{
-	"cancel_at_end": {"cancels jobs at the moment when they end", onlyShare, act(func(w *World, a Args) { w.cancelEnds = a.num("share", "0") })},
-	"cancel_now": {"cancels running jobs and prints how many", []argument{number("count", "1 if absent"), duration("hang", "their machines hang for that long")}, show(func(w *World, a Args) string {
-		return strconv.Itoa(len(w.cancelNow(int(a.num("count", "1")), a.dur("hang", "0s"))))
+	"cancel_at_end": {"cancels jobs at the moment when they end", shareParameters, acting(func(world *World, arguments Arguments) { world.cancelAtEnd = arguments.number("share", "0") })},
+	"cancel_now": {"cancels running jobs and prints how many", []parameter{numberParameter("count", "1 if absent"), durationParameter("hang", "their machines hang for that long")}, printing(func(world *World, arguments Arguments) string {
+		return strconv.Itoa(len(world.cancelNow(int(arguments.number("count", "1")), arguments.duration("hang", "0s"))))
 	})},
-	"invalid_requests": {"lets users send invalid requests", []argument{duration("for", "10s if absent")}, act(sendInvalidFor)},
-	"race": {"lets pairs of jobs meet, each at another moment, and tells whether each pair ended alike", withArguments(manyArguments,
-		oneOf("with", "what the cancellation of an upstream job meets, submit if absent", "submit", "done"), duration("step", "10ms if absent"),
-		duration("within", "120s if absent"), boolean("both", "both ends must occur")), show((*World).race)},
+	"invalid_requests": {"lets users send invalid requests", []parameter{durationParameter("for", "10s if absent")}, acting(sendInvalidFor)},
+	"race": {"lets pairs of jobs meet, each at another moment, and tells whether each pair ended alike", withParameters(jobRangeParameters,
+		choiceParameter("with", "what the cancellation of an upstream job meets, submit if absent", "submit", "done"), durationParameter("step", "10ms if absent"),
+		durationParameter("within", "120s if absent"), flagParameter("both", "both ends must occur")), printing((*World).race)},
 }
 
-// onNodes makes a runner of what is done to each controller that is named.
-func onNodes(do func(n *node)) runner {
-	return act(func(w *World, a Args) {
-		for _, n := range w.pick(a["node"]) {
-			do(n)
+// onControllers makes a runner of what is done to each controller that is named.
+func onControllers(action func(process *controllerProcess)) commandFunc {
+	return acting(func(world *World, arguments Arguments) {
+		for _, process := range world.selectControllers(arguments["node"]) {
+			action(process)
 		}
 	})
 }
 
-func (n *node) bootIfDown() {
-	if !n.up {
-		n.boot()
+func (process *controllerProcess) bootIfDown() {
+	if !process.up {
+		process.boot()
 	}
 }
 
-func pauseControllers(w *World, a Args) {
-	for _, n := range w.pick(a["node"]) {
-		n.pause(a.dur("for", "2s"), a.flag("mid_step"))
+func pauseControllers(world *World, arguments Arguments) {
+	for _, process := range world.selectControllers(arguments["node"]) {
+		process.pause(arguments.duration("for", "2s"), arguments.has("mid_step"))
 	}
 }
 
 // controller finds a controller by its name.
-func (w *World) controller(name string) *node {
-	for _, n := range w.nodes {
-		if n.name == name {
-			return n
+func (world *World) controller(name string) *controllerProcess {
+	for _, process := range world.controllers {
+		if process.name == name {
+			return process
 		}
 	}
 	return nil
 }
 
-// pick finds the controllers that a command names: none if nobody leads.
-func (w *World) pick(name string) []*node {
-	n := w.controller(name)
+// selectControllers finds the controllers that a command names: none if nobody leads.
+func (world *World) selectControllers(name string) []*controllerProcess {
+	process := world.controller(name)
 	switch name {
 	case "all":
-		return w.nodes
+		return world.controllers
 	case "leader":
-		n = w.Leader()
+		process = world.leader()
 	}
-	if n == nil {
+	if process == nil {
 		return nil
 	}
-	return []*node{n}
+	return []*controllerProcess{process}
 }
 
-// one finds the controller that a command names.
-func (w *World) one(a Args) (*node, error) {
-	list := w.pick(a["node"])
+// selectController finds the controller that a command names.
+func (world *World) selectController(arguments Arguments) (*controllerProcess, error) {
+	list := world.selectControllers(arguments["node"])
 	if len(list) != 1 {
 		return nil, errors.New("node: one controller is needed, there is none or more")
 	}
@@ -130,17 +138,17 @@
 }
 
 // onMachines makes a runner of what is done to each machine that is named.
-func onMachines(do func(k *worker, a Args)) runner {
-	return func(w *World, a Args, _ string) (string, error) {
-		machines, err := w.chosenMachines(a)
+func onMachines(action func(worker *fakeWorker, arguments Arguments)) commandFunc {
+	return func(world *World, arguments Arguments, _ string) (string, error) {
+		machines, err := world.selectWorkers(arguments)
 		if errors.Is(err, errNotOnMachine) {
 			return err.Error(), nil
 		}
 		if err != nil {
 			return "", err
 		}
-		for _, k := range machines {
-			do(k, a)
+		for _, worker := range machines {
+			action(worker, arguments)
 		}
 		return "ok", nil
 	}
@@ -148,110 +156,110 @@
 
 var errNotOnMachine = errors.New("not on a machine")
 
-// chosenMachines finds the machines that a command names: machine=NAME, all that
+// selectWorkers finds the machines that a command names: machine=NAME, all that
 // are up in zone=ZONE, or the one that task=REQ/N is on.
-func (w *World) chosenMachines(a Args) (machines []*worker, err error) {
-	if zone, ok := a["zone"]; ok {
-		for _, k := range w.Workers() {
-			if k.up && k.zone == zone {
-				machines = append(machines, k)
+func (world *World) selectWorkers(arguments Arguments) (machines []*fakeWorker, err error) {
+	if zone, ok := arguments["zone"]; ok {
+		for _, worker := range world.sortedWorkers() {
+			if worker.up && worker.zone == zone {
+				machines = append(machines, worker)
 			}
 		}
 		return machines, nil
 	}
-	if name, ok := a["machine"]; ok {
-		for _, k := range w.workers {
-			if k.up && k.name == name {
-				return []*worker{k}, nil
+	if name, ok := arguments["machine"]; ok {
+		for _, worker := range world.workers {
+			if worker.up && worker.name == name {
+				return []*fakeWorker{worker}, nil
 			}
 		}
 		return nil, errors.New("machine " + name + " is not up")
 	}
-	if k := w.machineOf(a["task"]); k != nil {
-		return []*worker{k}, nil
+	if worker := world.workerOf(arguments["task"]); worker != nil {
+		return []*fakeWorker{worker}, nil
 	}
 	return nil, errNotOnMachine
 }
 
-// machineOf finds the machine that a task is on.
-func (w *World) machineOf(task string) *worker {
-	for _, t := range w.check.onMachines() {
-		if t.name == task {
-			return t.on
+// workerOf finds the machine that a task is on.
+func (world *World) workerOf(task string) *fakeWorker {
+	for _, assignment := range world.checker.onMachines() {
+		if assignment.name == task {
+			return assignment.worker
 		}
 	}
 	return nil
 }
 
-func reclaimMachine(k *worker, a Args) {
-	notice := a.dur("in", "8s")
-	k.reclaimAt, k.changed = k.w.now+notice, true
-	k.w.after(notice, func() { k.w.cloud.remove(k.name) })
+func reclaimMachine(worker *fakeWorker, arguments Arguments) {
+	notice := arguments.duration("in", "8s")
+	worker.reclaimAt, worker.changed = worker.world.now+notice, true
+	worker.world.schedule(notice, func() { worker.world.cloud.terminate(worker.name) })
 }
 
-func blockInboundOf(k *worker, a Args) {
-	k.w.BlockInbound(k, true)
-	if a.flag("for") {
-		k.w.after(a.dur("for", "5s"), func() { k.w.BlockInbound(k, false) })
+func blockInboundOf(worker *fakeWorker, arguments Arguments) {
+	worker.world.blockInbound(worker, true)
+	if arguments.has("for") {
+		worker.world.schedule(arguments.duration("for", "5s"), func() { worker.world.blockInbound(worker, false) })
 	}
 }
 
-// upIn lists the machines that are up in the zone that is named, or in all.
-func (w *World) upIn(a Args) (machines []*worker) {
-	for _, k := range w.Workers() {
-		if zone, ok := a["zone"]; k.up && (!ok || zone == k.zone) {
-			machines = append(machines, k)
+// runningWorkers lists the machines that are up in the zone that is named, or in all.
+func (world *World) runningWorkers(arguments Arguments) (machines []*fakeWorker) {
+	for _, worker := range world.sortedWorkers() {
+		if zone, ok := arguments["zone"]; worker.up && (!ok || zone == worker.zone) {
+			machines = append(machines, worker)
 		}
 	}
 	return machines
 }
 
-func blockInbound(w *World, a Args) {
-	for _, k := range w.upIn(a) {
-		w.blockInboundFor(k, a.dur("for", "5s"))
+func blockInbound(world *World, arguments Arguments) {
+	for _, worker := range world.runningWorkers(arguments) {
+		world.blockInboundFor(worker, arguments.duration("for", "5s"))
 	}
 }
 
-func (w *World) blockInboundFor(k *worker, d time.Duration) {
-	w.BlockInbound(k, true)
-	w.after(d, func() { w.BlockInbound(k, false) })
+func (world *World) blockInboundFor(worker *fakeWorker, duration time.Duration) {
+	world.blockInbound(worker, true)
+	world.schedule(duration, func() { world.blockInbound(worker, false) })
 }
 
-func blockReports(w *World, a Args) {
-	for _, k := range w.upIn(a) {
-		w.blockReportsFor(k, a.dur("for", "5s"))
+func blockReports(world *World, arguments Arguments) {
+	for _, worker := range world.runningWorkers(arguments) {
+		world.blockHeartbeatsFor(worker, arguments.duration("for", "5s"))
 	}
 }
 
-func cutLinks(w *World, a Args, on bool) {
-	w.refusedWhenCut = a.num("refused", "0")
-	for _, n := range w.pick(a["node"]) {
-		if a["from"] != "workers" {
-			w.Cut(n.name, a["from"], on)
+func cutLinks(world *World, arguments Arguments, enabled bool) {
+	world.refusedWhenCut = arguments.number("refused", "0")
+	for _, process := range world.selectControllers(arguments["node"]) {
+		if arguments["from"] != "workers" {
+			world.setLinkCut(process.name, arguments["from"], enabled)
 			continue
 		}
-		for _, k := range w.Workers() {
-			if zone, ok := a["zone"]; !ok || zone == k.zone {
-				w.setCut(n.name, k.name, on)
+		for _, worker := range world.sortedWorkers() {
+			if zone, ok := arguments["zone"]; !ok || zone == worker.zone {
+				world.markLinkCut(process.name, worker.name, enabled)
 			}
 		}
 	}
-	if !on {
-		w.releaseHeld() // once: it goes through all that are held
+	if !enabled {
+		world.releaseHeldPackets() // once: it goes through all that are held
 	}
 }
 
-func cutOffZone(w *World, a Args, _ string) (string, error) {
-	n, err := w.one(a)
+func cutOffZone(world *World, arguments Arguments, _ string) (string, error) {
+	process, err := world.selectController(arguments)
 	if err != nil {
 		return "", err
 	}
-	w.cutZone(n, a["zone"], a.dur("for", "20s"))
+	world.cutZone(process, arguments["zone"], arguments.duration("for", "20s"))
 	return "ok", nil
 }
 
-func sendInvalidFor(w *World, a Args) {
-	w.invalidRequests = true
-	w.sendInvalidRequests()
-	w.after(a.dur("for", "10s"), func() { w.invalidRequests = false })
+func sendInvalidFor(world *World, arguments Arguments) {
+	world.invalidRequests = true
+	world.sendInvalidRequests()
+	world.schedule(arguments.duration("for", "10s"), func() { world.invalidRequests = false })
 }
--- a/internal/simtest/commands_jobs.go
+++ b/internal/simtest/commands_jobs.go
@@ -9,104 +9,106 @@
 	"time"
 )
 
-// sharedJobArguments describe a job, whatever its ID.
-var sharedJobArguments = []argument{
-	text("team", "red if absent"),
-	text("class", "class of jobs, c if absent"),
-	oneOf("shape", "array if absent", "array", "gang", "daemon"),
-	text("priority", "normal if absent"),
-	number("tasks", "number of tasks, 1 if absent"),
-	number("cpus", "of each task, 1 if absent"),
-	number("gpus", "of each task, 0 if absent"),
-	number("memory", "GB of each task, 1 if absent"),
-	text("types", "machine types that fit, joined by +"),
-	text("zone", "the zone to run in"),
-	boolean("same_zone", "all tasks run in one zone"),
-	boolean("scatter", "at most half of the tasks run in one zone"),
-	boolean("spot", "may run on spot machines"),
-	boolean("broken", "every task fails on every machine; any shape may be broken"),
-	number("broken_task", "number of the only task that fails on every machine"),
-	duration("run", "what each task takes, 5s if absent"),
-	text("image_name", "name of the image"),
-	duration("image", "time to fetch the image, 1s if absent"),
-	duration("checkpoint", "interval of checkpoints, none if absent"),
-	duration("checkpoint_cost", "duration of a checkpoint, 1s if absent"),
-	jobIDs("awaits", "upstream jobs joined by +; req-000100*3000 stands for so many, counted up"),
+// commonJobParameters describe a job, whatever its ID.
+var commonJobParameters = []parameter{
+	textParameter("team", "red if absent"),
+	textParameter("class", "class of jobs, c if absent"),
+	choiceParameter("shape", "array if absent", "array", "gang", "daemon"),
+	textParameter("priority", "normal if absent"),
+	numberParameter("tasks", "number of tasks, 1 if absent"),
+	numberParameter("cpus", "of each task, 1 if absent"),
+	numberParameter("gpus", "of each task, 0 if absent"),
+	numberParameter("memory", "GB of each task, 1 if absent"),
+	textParameter("types", "machine types that fit, joined by +"),
+	textParameter("zone", "the zone to run in"),
+	flagParameter("same_zone", "all tasks run in one zone"),
+	flagParameter("scatter", "at most half of the tasks run in one zone"),
+	flagParameter("spot", "may run on spot machines"),
+	flagParameter("broken", "every task fails on every machine; any shape may be broken"),
+	numberParameter("broken_task", "number of the only task that fails on every machine"),
+	durationParameter("run", "what each task takes, 5s if absent"),
+	textParameter("image_name", "name of the image"),
+	durationParameter("image", "time to fetch the image, 1s if absent"),
+	durationParameter("checkpoint", "interval of checkpoints, none if absent"),
+	durationParameter("checkpoint_cost", "duration of a checkpoint, 1s if absent"),
+	jobIDsParameter("awaits", "upstream jobs joined by +; req-000100*3000 stands for so many, counted up"),
 }
 
 var (
-	jobArguments   = withArguments(sharedJobArguments, need(text("id", "job ID")))
-	onlyID         = []argument{need(text("id", "job ID"))}
-	manyArguments  = withArguments(sharedJobArguments, number("from", "number of the first ID, 1 if absent"), number("count", "jobs"))
-	requestMethods = oneOf("method", "POST if absent", "GET", "POST", "PUT", "DELETE")
+	jobParameters      = withParameters(commonJobParameters, required(textParameter("id", "job ID")))
+	jobIDParameters    = []parameter{required(textParameter("id", "job ID"))}
+	jobRangeParameters = withParameters(commonJobParameters, numberParameter("from", "number of the first ID, 1 if absent"), numberParameter("count", "jobs"))
+	requestMethods     = choiceParameter("method", "POST if absent", "GET", "POST", "PUT", "DELETE")
 )
 
 // jobCommands are requests of users.
 var jobCommands = map[string]command{
-	"submit": {"submits a job and repeats that as users do; prints status and phase", jobArguments, show(func(w *World, a Args) string {
-		return statusAndPhase(w.Submit(a))
+	"submit": {"submits a job and repeats that as users do; prints status and phase", jobParameters, printing(func(world *World, arguments Arguments) string {
+		return statusAndPhase(world.Submit(arguments))
 	})},
-	"accept": {"submits a job that is to be accepted, at the first attempt or later", jobArguments, show(acceptJob)},
-	"burst":  {"submits many jobs alike", withArguments(manyArguments, boolean("once", "all at the same moment"), duration("within", "with once: time in which all must be answered")), show(burst)},
-	"job":    {"registers a job with the workers without submitting it", jobArguments, act(registerJob)},
-	"send": {"sends one submission whose upstream list is the input", withArguments(jobArguments,
-		controllers("the controller to ask, any if absent")), sendSubmission},
-	"raw":    {"sends the input as one request to n0 and prints the status", []argument{requestMethods, need(text("path", "path"))}, show2(rawRequest)},
-	"begin":  {"submits a job without waiting for the answer", withArguments(jobArguments, boolean("cancel", "cancels instead"), boolean("once", "the user does not repeat it")), act(beginRequest)},
-	"answer": {"prints the answer to what begin sent", withArguments(onlyID, need(oneOf("of", "request", "submit", "cancel")), boolean("accepted", "prints accepted for 200 and 201"), duration("within", "70s if absent")), show(answerOf)},
-	"poll":   {"asks for a job's state once", onlyID, show(func(w *World, a Args) string { return statusAndPhase(w.Poll(a["id"])) })},
+	"accept": {"submits a job that is to be accepted, at the first attempt or later", jobParameters, printing(acceptJob)},
+	"burst":  {"submits many jobs alike", withParameters(jobRangeParameters, flagParameter("once", "all at the same moment"), durationParameter("within", "with once: time in which all must be answered")), printing(burst)},
+	"job":    {"registers a job with the workers without submitting it", jobParameters, acting(registerUnsubmittedJob)},
+	"send": {"sends one submission whose upstream list is the input", withParameters(jobParameters,
+		controllerParameter("the controller to ask, any if absent")), sendSubmission},
+	"request": {"sends the input as one request to n0 and prints the status", []parameter{requestMethods, required(textParameter("path", "path"))}, printingWithInput(rawRequest)},
+	"begin":   {"submits a job without waiting for the answer", withParameters(jobParameters, flagParameter("cancel", "cancels instead"), flagParameter("once", "the user does not repeat it")), acting(beginRequest)},
+	"answer":  {"prints the answer to what begin sent", withParameters(jobIDParameters, required(choiceParameter("of", "request", "submit", "cancel")), flagParameter("accepted", "prints accepted for 200 and 201"), durationParameter("within", "70s if absent")), printing(answerOf)},
+	"poll":    {"asks for a job's state once", jobIDParameters, printing(func(world *World, arguments Arguments) string { return statusAndPhase(world.Poll(arguments["id"])) })},
 	"storm": {"lets users ask about accepted jobs, drawn at random, and prints how many were answered while they waited",
-		[]argument{need(number("count", "questions")), duration("over", "in that time, 5s if absent")}, show(pollStorm)},
-	"cancel": {"cancels a job; prints status and phase", onlyID, show(func(w *World, a Args) string { return statusAndPhase(w.Cancel(a["id"])) })},
-	"cancel_soon": {"cancels a job without waiting for the answer", onlyID,
-		act(func(w *World, a Args) { w.cancelSoon(a["id"]) })},
-	"until": {"polls a job until it has a phase", withArguments(onlyID, need(text("phase", "phase")), duration("within", "60s if absent")), show(untilPhase)},
-	"all":   {"polls all accepted jobs until they are done", []argument{duration("within", "60s if absent")}, show(untilAllDone)},
+		[]parameter{required(numberParameter("count", "questions")), durationParameter("over", "in that time, 5s if absent")}, printing(pollStorm)},
+	"cancel": {"cancels a job; prints status and phase", jobIDParameters, printing(func(world *World, arguments Arguments) string { return statusAndPhase(world.Cancel(arguments["id"])) })},
+	"cancel_soon": {"cancels a job without waiting for the answer", jobIDParameters,
+		acting(func(world *World, arguments Arguments) { world.cancelInBackground(arguments["id"]) })},
+	"until": {"polls a job until it has a phase", withParameters(jobIDParameters, required(textParameter("phase", "phase")), durationParameter("within", "60s if absent")), printing(untilPhase)},
+	"all":   {"polls all accepted jobs until they are done", []parameter{durationParameter("within", "60s if absent")}, printing(untilAllDone)},
 	"users": {"sends users from here on to one controller: the named one, or without arguments one that does not lead",
-		[]argument{controllers("the controller"), boolean("any", "to any controller again")}, chooseEntry},
+		[]parameter{controllerParameter("the controller"), flagParameter("any", "to any controller again")}, chooseEntry},
 }
 
-func show2(print func(w *World, a Args, input string) string) runner {
-	return func(w *World, a Args, input string) (string, error) { return print(w, a, input), nil }
+func printingWithInput(print func(world *World, arguments Arguments, input string) string) commandFunc {
+	return func(world *World, arguments Arguments, input string) (string, error) {
+		return print(world, arguments, input), nil
+	}
 }
 
 func statusAndPhase(status int, phase string) string { return fmt.Sprintf("%d %s", status, phase) }
 
-func accepted(status int) bool { return status == 200 || status == 201 }
+func isAccepted(status int) bool { return status == 200 || status == 201 }
 
 func jobID(number int) string { return fmt.Sprintf("req-%06d", number) }
 
 // acceptJob is a submission that is accepted at the first attempt or later.
-func acceptJob(w *World, a Args) string {
-	if status, phase := w.Submit(a); !accepted(status) {
+func acceptJob(world *World, arguments Arguments) string {
+	if status, phase := world.Submit(arguments); !isAccepted(status) {
 		return statusAndPhase(status, phase)
 	}
 	return "accepted"
 }
 
-func burst(w *World, a Args) string {
-	if a.flag("once") {
-		return w.crowd(a)
+func burst(world *World, arguments Arguments) string {
+	if arguments.has("once") {
+		return world.submitAtOnce(arguments)
 	}
 	count := 0
-	for i := range int(a.num("count", "1")) {
-		one := maps.Clone(a)
-		one["id"] = jobID(int(a.num("from", "1")) + i)
-		if status, _ := w.Submit(one); accepted(status) {
+	for i := range int(arguments.number("count", "1")) {
+		one := maps.Clone(arguments)
+		one["id"] = jobID(int(arguments.number("from", "1")) + i)
+		if status, _ := world.Submit(one); isAccepted(status) {
 			count++
 		}
 	}
 	return fmt.Sprintf("%d accepted", count)
 }
 
-func registerJob(w *World, a Args) {
-	w.Body(a)
-	w.jobs[a["id"]].submitted = true
+func registerUnsubmittedJob(world *World, arguments Arguments) {
+	world.registerJob(arguments)
+	world.jobs[arguments["id"]].submitted = true
 }
 
-func sendSubmission(w *World, a Args, input string) (string, error) {
+func sendSubmission(world *World, arguments Arguments, input string) (string, error) {
 	var fields map[string]json.RawMessage
-	if err := json.Unmarshal(w.Body(a), &fields); err != nil {
+	if err := json.Unmarshal(world.registerJob(arguments), &fields); err != nil {
 		return "", err
 	}
 	fields["awaits"] = json.RawMessage(strings.TrimSpace(input))
@@ -114,44 +116,44 @@
 	if err != nil {
 		return "", err
 	}
-	n := w.entryNode()
-	if a.flag("node") {
-		if n, err = w.one(a); err != nil {
+	process := world.chooseEntryController()
+	if arguments.has("node") {
+		if process, err = world.selectController(arguments); err != nil {
 			return "", err
 		}
 	}
-	asked := w.now
-	status, phase := w.ask(n, "POST", "/submissions", body)
-	if accepted(status) {
-		w.jobs[a["id"]].submitted = true
+	asked := world.now
+	status, phase := world.requestAndWait(process, "POST", "/submissions", body)
+	if isAccepted(status) {
+		world.jobs[arguments["id"]].submitted = true
 	}
-	w.check.answered(asked, a["id"], status, phase)
+	world.checker.checkAnswer(asked, arguments["id"], status, phase)
 	return strings.TrimSpace(statusAndPhase(status, phase)), nil
 }
 
-func rawRequest(w *World, a Args, input string) string {
-	status, _ := w.ask(w.nodes[0], a.or("method", "POST"), a["path"], []byte(input))
+func rawRequest(world *World, arguments Arguments, input string) string {
+	status, _ := world.requestAndWait(world.controllers[0], arguments.text("method", "POST"), arguments["path"], []byte(input))
 	return strconv.Itoa(status)
 }
 
-func beginRequest(w *World, a Args) {
+func beginRequest(world *World, arguments Arguments) {
 	switch {
-	case a.flag("cancel"):
-		w.cancelOn(a["id"])
-	case a.flag("once"):
+	case arguments.has("cancel"):
+		world.cancelRecorded(arguments["id"])
+	case arguments.has("once"):
 		// Its user gives up.
-		body := w.Body(a)
-		w.jobs[a["id"]].submitted = true
-		w.request("user", w.entryNode(), "POST", "/submissions", body, userCallTimeout, func(int, []byte) {})
+		body := world.registerJob(arguments)
+		world.jobs[arguments["id"]].submitted = true
+		world.request("user", world.chooseEntryController(), "POST", "/submissions", body, userCallTimeout, func(int, []byte) {})
 	default:
-		w.submitOn(a)
+		world.submitRecorded(arguments)
 	}
 }
 
-func answerOf(w *World, a Args) string {
-	w.settled(a.dur("within", "70s"))
-	got := w.answers[a["of"]+" "+a["id"]]
-	if status, _, _ := strings.Cut(got, " "); a.flag("accepted") && (status == "200" || status == "201") {
+func answerOf(world *World, arguments Arguments) string {
+	world.waitForRecordedAnswers(arguments.duration("within", "70s"))
+	got := world.recordedAnswers[arguments["of"]+" "+arguments["id"]]
+	if status, _, _ := strings.Cut(got, " "); arguments.has("accepted") && (status == "200" || status == "201") {
 		return "accepted"
 	}
 	return got
@@ -160,54 +162,54 @@
 // pollTimeout is how long users wait for the answer to a question.
 const pollTimeout = 2 * time.Second
 
-func pollStorm(w *World, a Args) string {
-	ids := w.accepted()
-	count, over := int(a.num("count", "1")), a.dur("over", "5s")
+func pollStorm(world *World, arguments Arguments) string {
+	ids := world.acceptedJobs()
+	count, over := int(arguments.number("count", "1")), arguments.duration("over", "5s")
 	answered := 0
 	for range count {
-		id := ids[w.rng.IntN(len(ids))]
-		w.after(w.between(0, over), func() {
-			n := w.entryNode()
-			for !n.up {
-				n = w.entryNode() // the load balancer passes over it
+		id := ids[world.random.IntN(len(ids))]
+		world.schedule(world.randomDuration(0, over), func() {
+			process := world.chooseEntryController()
+			for !process.up {
+				process = world.chooseEntryController() // the load balancer passes over it
 			}
-			asked := w.now
-			w.request("user", n, "GET", "/submissions/"+id, nil, pollTimeout, func(status int, body []byte) {
-				w.check.answered(asked, id, status, phaseIn(body))
-				w.check.polled(id, status)
+			asked := world.now
+			world.request("user", process, "GET", "/submissions/"+id, nil, pollTimeout, func(status int, body []byte) {
+				world.checker.checkAnswer(asked, id, status, phaseIn(body))
+				world.checker.checkPoll(id, status)
 				if status == 200 {
 					answered++
 				}
 			})
 		})
 	}
-	w.Run(over + pollTimeout)
+	world.Run(over + pollTimeout)
 	return fmt.Sprintf("%d of %d answered", answered, count)
 }
 
-func untilPhase(w *World, a Args) string {
+func untilPhase(world *World, arguments Arguments) string {
 	phase := ""
-	for end := w.now + a.dur("within", "60s"); w.now < end; w.Run(500 * time.Millisecond) {
-		if _, phase = w.Poll(a["id"]); phase == a["phase"] {
+	for end := world.now + arguments.duration("within", "60s"); world.now < end; world.Run(500 * time.Millisecond) {
+		if _, phase = world.Poll(arguments["id"]); phase == arguments["phase"] {
 			return phase
 		}
 	}
 	return "still " + phase
 }
 
-func untilAllDone(w *World, a Args) string {
+func untilAllDone(world *World, arguments Arguments) string {
 	done := 0
-	for end := w.now + a.dur("within", "60s"); w.now < end; w.Run(time.Second) {
+	for end := world.now + arguments.duration("within", "60s"); world.now < end; world.Run(time.Second) {
 		done = 0
-		for _, id := range w.accepted() {
-			if w.check.acknowledged[id] != "done" {
-				w.Poll(id)
+		for _, id := range world.acceptedJobs() {
+			if world.checker.acknowledgedPhase[id] != "done" {
+				world.Poll(id)
 			}
-			if w.check.acknowledged[id] == "done" {
+			if world.checker.acknowledgedPhase[id] == "done" {
 				done++
 			}
 		}
-		if done == len(w.accepted()) {
+		if done == len(world.acceptedJobs()) {
 			break
 		}
 	}
@@ -215,22 +217,22 @@
 }
 
 // chooseEntry chooses the controller that users ask.
-func chooseEntry(w *World, a Args, _ string) (string, error) {
-	if a.flag("any") {
-		w.users = nil
+func chooseEntry(world *World, arguments Arguments, _ string) (string, error) {
+	if arguments.has("any") {
+		world.entryController = nil
 		return "ok", nil
 	}
-	if a.flag("node") {
-		n, err := w.one(a)
+	if arguments.has("node") {
+		process, err := world.selectController(arguments)
 		if err != nil {
 			return "", err
 		}
-		w.users = n
+		world.entryController = process
 		return "ok", nil
 	}
-	for _, n := range w.nodes {
-		if n != w.Leader() {
-			w.users = n
+	for _, process := range world.controllers {
+		if process != world.leader() {
+			world.entryController = process
 		}
 	}
 	return "ok", nil
--- a/internal/simtest/schedule.go
+++ b/internal/simtest/events.go
@@ -30,18 +30,18 @@
 	return last
 }
 
-func (w *World) after(d time.Duration, f func()) {
-	w.seq++
-	heap.Push(&w.schedule, scheduled{w.now + d, w.seq, f})
+func (world *World) schedule(duration time.Duration, action func()) {
+	world.seq++
+	heap.Push(&world.events, scheduled{world.now + duration, world.seq, action})
 }
 
 // Run plays for d.
-func (w *World) Run(d time.Duration) {
-	end := w.now + d
-	for len(w.schedule) > 0 && w.schedule[0].at <= end {
-		e := heap.Pop(&w.schedule).(scheduled)
-		w.now = e.at
-		e.do()
+func (world *World) Run(duration time.Duration) {
+	end := world.now + duration
+	for len(world.events) > 0 && world.events[0].at <= end {
+		event := heap.Pop(&world.events).(scheduled)
+		world.now = event.at
+		event.do()
 	}
-	w.now = end
+	world.now = end
 }
--- a/internal/simtest/network.go
+++ b/internal/simtest/network.go
@@ -8,114 +8,114 @@
 
 // heldPacket is a packet that a cut link holds back.
 type heldPacket struct {
-	path [2]string
-	do   func()
+	link    [2]string
+	deliver func()
 }
 
 // send delivers a packet after the network's delay. A cut holds it back; lost
 // packets of a stream are resent, so a loss only ends the exchange.
-func (w *World) send(from, to string, do func()) {
-	path := [2]string{from, to}
-	if w.lost[path] {
+func (world *World) send(from, receiver string, action func()) {
+	path := [2]string{from, receiver}
+	if world.droppedLinks[path] {
 		return
 	}
-	if w.cut[path] {
-		w.held = append(w.held, heldPacket{path, do})
+	if world.cutLinks[path] {
+		world.heldPackets = append(world.heldPackets, heldPacket{path, action})
 		return
 	}
-	if w.rng.Float64() < w.loss {
+	if world.random.Float64() < world.lossShare {
 		return
 	}
-	w.after(time.Millisecond+time.Duration(w.rng.Int64N(int64(4*time.Millisecond))), do)
+	world.schedule(time.Millisecond+time.Duration(world.random.Int64N(int64(4*time.Millisecond))), action)
 }
 
 // sendDelayed sends a packet after a delay.
-func (w *World) sendDelayed(d time.Duration, from, to string, do func()) {
-	if d == 0 {
-		w.send(from, to, do)
+func (world *World) sendDelayed(duration time.Duration, from, receiver string, action func()) {
+	if duration == 0 {
+		world.send(from, receiver, action)
 		return
 	}
-	w.after(d, func() { w.send(from, to, do) })
+	world.schedule(duration, func() { world.send(from, receiver, action) })
 }
 
 // commandDelays draws the delays of a call and of its answer.
-func (w *World) commandDelays(to string) (there, back time.Duration) {
-	if to == "state" && w.slowState > 0 {
-		return 0, w.between(0, w.slowState)
+func (world *World) commandDelays(receiver string) (there, back time.Duration) {
+	if receiver == "state" && world.slowStateService > 0 {
+		return 0, world.randomDuration(0, world.slowStateService)
 	}
-	if to == "state" || to == "cloud" || !w.strikes(w.delayedCommands) {
+	if receiver == "state" || receiver == "cloud" || !world.chance(world.delayedCommands) {
 		return 0, 0
 	}
-	if w.rng.IntN(2) == 0 {
-		return w.between(time.Second, maxDelay), 0
+	if world.random.IntN(2) == 0 {
+		return world.randomDuration(time.Second, maxDelay), 0
 	}
-	return 0, w.between(time.Second, maxDelay)
+	return 0, world.randomDuration(time.Second, maxDelay)
 }
 
-// reportDelays draws where a report arrives, and the delays of the report and of
+// heartbeatDelays draws where a report arrives, and the delays of the report and of
 // its answer: the worker may have given it up by then.
-func (w *World) reportDelays(n *node, path string) (to *node, there, back time.Duration) {
-	if path != "/hello" || !w.strikes(w.delayedReports) {
-		return n, 0, 0
+func (world *World) heartbeatDelays(process *controllerProcess, path string) (other *controllerProcess, there, back time.Duration) {
+	if path != "/hello" || !world.chance(world.delayedHeartbeats) {
+		return process, 0, 0
 	}
-	switch w.rng.IntN(4) {
+	switch world.random.IntN(4) {
 	case 0:
-		return n, 0, w.between(time.Second, maxDelay/2)
+		return process, 0, world.randomDuration(time.Second, maxDelay/2)
 	case 1:
-		return n, w.between(500*time.Millisecond, answerTimeout), 0
+		return process, world.randomDuration(500*time.Millisecond, heartbeatTimeout), 0
 	case 2:
-		return n, w.between(minDelay, maxDelay), 0
+		return process, world.randomDuration(minDelay, maxDelay), 0
 	}
-	lease := seconds(w.cfg.Settings.Workers.LeaseS)
-	return w.nodes[w.rng.IntN(len(w.nodes))], w.between(minDelay, 2*lease), 0
+	lease := seconds(world.config.Settings.Workers.LeaseS)
+	return world.controllers[world.random.IntN(len(world.controllers))], world.randomDuration(minDelay, 2*lease), 0
 }
 
-// Cut stops packets between two machines in both directions.
-func (w *World) Cut(a, b string, on bool) {
-	w.setCut(a, b, on)
-	if !on {
-		w.releaseHeld()
+// setLinkCut stops packets between two machines in both directions.
+func (world *World) setLinkCut(a, b string, enabled bool) {
+	world.markLinkCut(a, b, enabled)
+	if !enabled {
+		world.releaseHeldPackets()
 	}
 }
 
-func (w *World) setCut(a, b string, on bool) {
-	for _, p := range [][2]string{{a, b}, {b, a}} {
-		w.cut[p] = on
+func (world *World) markLinkCut(a, b string, enabled bool) {
+	for _, link := range [][2]string{{a, b}, {b, a}} {
+		world.cutLinks[link] = enabled
 	}
 }
 
-// releaseHeld delivers the packets that were held back on links that are cut no more.
-func (w *World) releaseHeld() {
-	held := w.held
-	w.held = nil
-	for _, h := range held {
-		w.send(h.path[0], h.path[1], h.do)
+// releaseHeldPackets delivers the packets that were held back on links that are cut no more.
+func (world *World) releaseHeldPackets() {
+	held := world.heldPackets
+	world.heldPackets = nil
+	for _, packet := range held {
+		world.send(packet.link[0], packet.link[1], packet.deliver)
 	}
 }
 
-// isolate cuts a controller off from the state service and the other
+// setIsolated cuts a controller off from the state service and the other
 // controllers, but not from its workers.
-func (w *World) isolate(n *node, on bool) {
-	w.Cut(n.name, "state", on)
-	for _, o := range w.nodes {
-		if o != n {
-			w.Cut(n.name, o.name, on)
+func (world *World) setIsolated(process *controllerProcess, enabled bool) {
+	world.setLinkCut(process.name, "state", enabled)
+	for _, other := range world.controllers {
+		if other != process {
+			world.setLinkCut(process.name, other.name, enabled)
 		}
 	}
 }
 
-// BlockInbound lets a machine be heard while nothing reaches it, or ends that.
-func (w *World) BlockInbound(k *worker, on bool) {
-	for _, n := range w.nodes {
-		w.lost[[2]string{n.name, k.name}] = on
+// blockInbound lets a machine be heard while nothing reaches it, or ends that.
+func (world *World) blockInbound(worker *fakeWorker, enabled bool) {
+	for _, process := range world.controllers {
+		world.droppedLinks[[2]string{process.name, worker.name}] = enabled
 	}
 }
 
-// unreachable tells whether some controller and the machine can't talk.
-func (w *World) unreachable(k *worker) bool {
-	for _, n := range w.nodes {
-		for _, p := range [][2]string{{n.name, k.name}, {k.name, n.name}} {
-			if w.cut[p] || w.lost[p] {
+// isUnreachable tells whether some controller and the machine can't talk.
+func (world *World) isUnreachable(worker *fakeWorker) bool {
+	for _, process := range world.controllers {
+		for _, link := range [][2]string{{process.name, worker.name}, {worker.name, process.name}} {
+			if world.cutLinks[link] || world.droppedLinks[link] {
 				return true
 			}
 		}
@@ -125,7 +125,7 @@
 
 // request sends an HTTP request to a controller; answer is called once, with
 // status 0 for no response.
-func (w *World) request(from string, n *node, method, path string, body []byte, timeout time.Duration, answer func(status int, body []byte)) {
+func (world *World) request(from string, process *controllerProcess, method, path string, body []byte, timeout time.Duration, answer func(status int, body []byte)) {
 	answered := false
 	once := func(status int, body []byte) {
 		if !answered {
@@ -133,105 +133,105 @@
 			answer(status, body)
 		}
 	}
-	w.after(timeout, func() { once(0, nil) })
-	if w.cut[[2]string{from, n.name}] && w.strikes(w.refusedWhenCut) {
-		w.after(time.Millisecond, func() { once(0, nil) })
+	world.schedule(timeout, func() { once(0, nil) })
+	if world.cutLinks[[2]string{from, process.name}] && world.chance(world.refusedWhenCut) {
+		world.schedule(time.Millisecond, func() { once(0, nil) })
 		return
 	}
-	deliver := func(n *node, answer func(status int, body []byte)) {
-		if !n.up {
+	deliver := func(other *controllerProcess, answer func(status int, body []byte)) {
+		if !other.up {
 			answer(0, nil)
 			return
 		}
-		n.next++
-		id := n.next
-		n.conns[id] = answer
-		w.observe(Message{From: from, To: n.name, Method: method, Path: path, Body: body})
-		n.step(func(now event.Time) {
-			crowded := path == "/hello" && n.connect(from, id)
-			n.core.HandleRequest(now, event.Request{Conn: id, Method: method, Path: path, Body: body, ConnectionLimitReached: crowded}, &n.out)
+		other.lastRequest++
+		id := other.lastRequest
+		other.pendingRequests[id] = answer
+		world.observe(Message{From: from, To: other.name, Method: method, Path: path, Body: body})
+		other.step(func(now event.Time) {
+			crowded := path == "/hello" && other.connectWorker(from, id)
+			other.controller.HandleRequest(now, event.Request{Conn: id, Method: method, Path: path, Body: body, ConnectionLimitReached: crowded}, &other.effects)
 		})
 	}
-	to, there, back := w.reportDelays(n, path)
-	w.sendDelayed(there, from, to.name, func() {
-		deliver(to, func(status int, body []byte) {
+	receiver, there, back := world.heartbeatDelays(process, path)
+	world.sendDelayed(there, from, receiver.name, func() {
+		deliver(receiver, func(status int, body []byte) {
 			if status == 0 {
 				once(0, nil)
 				return
 			}
-			if to == n {
-				w.sendDelayed(back, n.name, from, func() { once(status, body) })
+			if receiver == process {
+				world.sendDelayed(back, process.name, from, func() { once(status, body) })
 			}
 		})
 	})
-	if path == "/hello" && w.rng.Float64() < w.copies {
+	if path == "/hello" && world.random.Float64() < world.duplicateShare {
 		// Nobody waits for what is answered to a copy.
-		to, late := w.nodes[w.rng.IntN(len(w.nodes))], time.Duration(w.rng.Int64N(int64(w.copyLate)))
-		w.after(late, func() { deliver(to, func(int, []byte) {}) })
+		other, late := world.controllers[world.random.IntN(len(world.controllers))], time.Duration(world.random.Int64N(int64(world.duplicateDelay)))
+		world.schedule(late, func() { deliver(other, func(int, []byte) {}) })
 	}
 }
 
-// connect notes that a worker is connected to a controller, and tells whether that is
+// connectWorker notes that a worker is connected to a controller, and tells whether that is
 // more than it has sockets for: the connection then ends with the answer, as it does
 // where the worker is sent elsewhere.
-func (n *node) connect(worker string, request uint64) (crowded bool) {
-	for _, o := range n.w.nodes {
-		delete(o.connected, worker)
-	}
-	n.connected[worker] = true
-	crowded = n.w.workerSockets > 0 && len(n.connected) > n.w.workerSockets
-	answer := n.conns[request]
-	n.conns[request] = func(status int, body []byte) {
+func (process *controllerProcess) connectWorker(worker string, request uint64) (crowded bool) {
+	for _, other := range process.world.controllers {
+		delete(other.connectedWorkers, worker)
+	}
+	process.connectedWorkers[worker] = true
+	crowded = process.world.workerSockets > 0 && len(process.connectedWorkers) > process.world.workerSockets
+	answer := process.pendingRequests[request]
+	process.pendingRequests[request] = func(status int, body []byte) {
 		if crowded || status == 421 {
-			delete(n.connected, worker)
+			delete(process.connectedWorkers, worker)
 		}
 		answer(status, body)
 	}
 	return crowded
 }
 
-func (w *World) isolateFor(n *node, d time.Duration) {
-	w.isolate(n, true)
-	w.after(d, func() { w.isolate(n, false) })
+func (world *World) isolateFor(process *controllerProcess, duration time.Duration) {
+	world.setIsolated(process, true)
+	world.schedule(duration, func() { world.setIsolated(process, false) })
 }
 
-// blockReportsFor lets a machine reach no controller.
-func (w *World) blockReportsFor(k *worker, d time.Duration) {
-	k.reportsBlocked = true
-	w.after(d, func() { k.reportsBlocked = false })
+// blockHeartbeatsFor lets a machine reach no controller.
+func (world *World) blockHeartbeatsFor(worker *fakeWorker, duration time.Duration) {
+	worker.heartbeatsBlocked = true
+	world.schedule(duration, func() { worker.heartbeatsBlocked = false })
 }
 
 // cutZone cuts the workers of a zone and a controller off from everything else.
-func (w *World) cutZone(n *node, zone string, d time.Duration) {
-	in := map[string]bool{n.name: true}
-	for _, k := range w.Workers() {
-		in[k.name] = k.zone == zone
+func (world *World) cutZone(process *controllerProcess, zone string, duration time.Duration) {
+	inside := map[string]bool{process.name: true}
+	for _, worker := range world.sortedWorkers() {
+		inside[worker.name] = worker.zone == zone
 	}
 	out := []string{"state", "cloud", "user"}
-	for _, o := range w.nodes {
-		if o != n {
-			out = append(out, o.name)
+	for _, other := range world.controllers {
+		if other != process {
+			out = append(out, other.name)
 		}
 	}
-	for _, k := range w.Workers() {
-		if !in[k.name] {
-			out = append(out, k.name)
+	for _, worker := range world.sortedWorkers() {
+		if !inside[worker.name] {
+			out = append(out, worker.name)
 		}
 	}
-	cut := func(on bool) {
-		for _, k := range w.Workers() {
-			if in[k.name] {
-				for _, o := range w.nodes {
-					if o != n {
-						w.Cut(k.name, o.name, on)
+	cut := func(enabled bool) {
+		for _, worker := range world.sortedWorkers() {
+			if inside[worker.name] {
+				for _, other := range world.controllers {
+					if other != process {
+						world.setLinkCut(worker.name, other.name, enabled)
 					}
 				}
 			}
 		}
 		for _, o := range out {
-			w.Cut(n.name, o, on)
+			world.setLinkCut(process.name, o, enabled)
 		}
 	}
 	cut(true)
-	w.after(d, func() { cut(false) })
+	world.schedule(duration, func() { cut(false) })
 }
--- a/internal/simtest/wire.go
+++ b/internal/simtest/observer.go
@@ -26,29 +26,29 @@
 type WireObserver func(Message)
 
 // observe tells the observer, if there is one, of a message.
-func (w *World) observe(m Message) {
-	if w.wire == nil {
+func (world *World) observe(message Message) {
+	if world.observer == nil {
 		return
 	}
-	m.Time = w.now
-	w.wire(m)
+	message.Time = world.now
+	world.observer(message)
 }
 
 // observeEffects tells the observer what a controller sends. Replies of one step go to
 // different connections and are told in the order of these, since a controller that
 // walks over a map may give them in any.
-func (n *node) observeEffects(replies []event.Reply, calls []event.Call, frames []event.PeerFrame) {
-	if n.w.wire == nil {
+func (process *controllerProcess) observeEffects(replies []event.Reply, calls []event.Call, frames []event.PeerFrame) {
+	if process.world.observer == nil {
 		return
 	}
-	byConnection := slices.SortedStableFunc(slices.Values(replies), func(a, b event.Reply) int { return cmp.Compare(a.Conn, b.Conn) })
-	for _, r := range byConnection {
-		n.w.observe(Message{From: n.name, Status: r.Status, RetryAfter: r.RetryAfter, Body: r.Body})
+	byConnection := slices.SortedStableFunc(slices.Values(replies), func(reply, b event.Reply) int { return cmp.Compare(reply.Conn, b.Conn) })
+	for _, reply := range byConnection {
+		process.world.observe(Message{From: process.name, Status: reply.Status, RetryAfter: reply.RetryAfter, Body: reply.Body})
 	}
-	for _, c := range calls {
-		n.w.observe(Message{From: n.name, To: c.Addr, Method: c.Method, Path: c.Path, Body: c.Body})
+	for _, call := range calls {
+		process.world.observe(Message{From: process.name, To: call.Addr, Method: call.Method, Path: call.Path, Body: call.Body})
 	}
-	for _, f := range frames {
-		n.w.observe(Message{From: n.name, To: n.peer(f.Peer).name, Body: f.Data})
+	for _, frame := range frames {
+		process.world.observe(Message{From: process.name, To: process.peer(frame.Peer).name, Body: frame.Data})
 	}
 }
--- a/internal/simtest/messages.go
+++ b/internal/simtest/protocol.go
@@ -5,13 +5,13 @@
 // The messages of the published protocols, as users, workers, the cloud and the
 // state service send them. Fields stand in the order of their names there.
 
-// failure is an answer that something went wrong.
-type failure struct {
+// errorResponse is an answer that something went wrong.
+type errorResponse struct {
 	Error string `json:"error"`
 }
 
 // unavailable is the answer of a service during an outage.
-var unavailable = failure{"trouble"}
+var unavailable = errorResponse{"trouble"}
 
 // submission is a job as its user submits it.
 type submission struct {
@@ -38,49 +38,49 @@
 	Zone               *string  `json:"yard"`
 }
 
-// report is what a worker sends to controllers.
-type report struct {
-	Addr        string       `json:"addr"`
-	Token       uint64       `json:"fence"`
-	MachineType string       `json:"flavor"`
-	Machine     string       `json:"host"`
-	Spot        bool         `json:"loaners"`
-	ReclaimIn   *float64     `json:"recall_s"`
-	Tasks       []taskReport `json:"shards"`
-	Session     uint64       `json:"tenure"`
-	Sequence    uint64       `json:"tick"`
-	Zone        string       `json:"yard"`
+// heartbeat is what a worker sends to controllers.
+type heartbeat struct {
+	Addr         string       `json:"addr"`
+	FencingToken uint64       `json:"fence"`
+	MachineType  string       `json:"flavor"`
+	Machine      string       `json:"host"`
+	Spot         bool         `json:"loaners"`
+	ReclaimIn    *float64     `json:"recall_s"`
+	Tasks        []taskStatus `json:"shards"`
+	Incarnation  uint64       `json:"tenure"`
+	Sequence     uint64       `json:"tick"`
+	Zone         string       `json:"yard"`
 }
 
-// taskReport is a task's part of a report.
-type taskReport struct {
-	Cause   string `json:"cause,omitempty"`
-	Phase   string `json:"phase"`
-	Task    string `json:"shard"`
-	Stored  bool   `json:"stored,omitempty"`
-	Attempt uint64 `json:"try"`
+// taskStatus is a task's part of a report.
+type taskStatus struct {
+	Cause            string `json:"cause,omitempty"`
+	Phase            string `json:"phase"`
+	Task             string `json:"shard"`
+	CheckpointStored bool   `json:"stored,omitempty"`
+	Attempt          uint64 `json:"try"`
 }
 
 // heartbeatResponse is a controller's answer to a report.
-type reportAnswer struct {
-	FencingToken uint64  `json:"fence"`
-	Leader       string  `json:"steward"`
-	Orders       []order `json:"orders"`
+type heartbeatResponse struct {
+	FencingToken uint64        `json:"fence"`
+	Leader       string        `json:"steward"`
+	Commands     []taskCommand `json:"orders"`
 }
 
-// directCommand is what a controller sends to a worker.
-type directCommand struct {
-	FencingToken *uint64 `json:"fence"`
-	Session      *uint64 `json:"tenure"`
-	Orders       []order `json:"orders"`
+// commandRequest is what a controller sends to a worker.
+type commandRequest struct {
+	FencingToken *uint64       `json:"fence"`
+	Incarnation  *uint64       `json:"tenure"`
+	Commands     []taskCommand `json:"orders"`
 }
 
-// order is what a worker is to do with a task.
-type order struct {
-	Verb    string  `json:"verb"`
-	Task    string  `json:"shard"`
-	Attempt uint64  `json:"try"`
-	Wind    float64 `json:"wind_down_s"`
+// taskCommand is what a worker is to do with a task.
+type taskCommand struct {
+	Verb        string  `json:"verb"`
+	Task        string  `json:"shard"`
+	Attempt     uint64  `json:"try"`
+	GracePeriod float64 `json:"wind_down_s"`
 }
 
 // offeredType is a machine type that the cloud offers.
@@ -113,8 +113,8 @@
 	Zone        string  `json:"yard"`
 }
 
-// machineList is a page of the cloud's list of machines.
-type machineList struct {
+// machinePage is a page of the cloud's list of machines.
+type machinePage struct {
 	HasNext  bool            `json:"has_next"`
 	Machines []listedMachine `json:"hosts"`
 }
@@ -134,52 +134,52 @@
 	Machines []string `json:"hosts"`
 }
 
-// leaseGranted is the state service's answer to a request for a lease.
-type leaseGranted struct {
+// leaseResponse is the state service's answer to a request for a lease.
+type leaseResponse struct {
 	LeaseID uint64 `json:"tether"`
 }
 
-// storedItem is a key of the state service with its value and version.
-type storedItem struct {
-	Data    json.RawMessage `json:"data"`
-	Key     string          `json:"key"`
-	Version uint64          `json:"stamp"`
+// keyEntry is a key of the state service with its value and version.
+type keyEntry struct {
+	Data        json.RawMessage `json:"data"`
+	Key         string          `json:"key"`
+	ModRevision uint64          `json:"stamp"`
 }
 
-// storedItems is a page of keys.
-type storedItems struct {
-	Revision uint64       `json:"epoch"`
-	HasNext  bool         `json:"has_next"`
-	Items    []storedItem `json:"items"`
+// keyPage is a page of keys.
+type keyPage struct {
+	Revision uint64     `json:"epoch"`
+	HasNext  bool       `json:"has_next"`
+	Items    []keyEntry `json:"items"`
 }
 
-// storedChanges are the changes after a revision.
-type storedChanges struct {
+// watchResponse are the changes after a revision.
+type watchResponse struct {
 	Revision uint64        `json:"epoch"`
-	Log      []stateChange `json:"log"`
+	Log      []changeEvent `json:"log"`
 }
 
-// committed is the answer to a transaction that was carried out.
-type committed struct {
+// committedResponse is the answer to a transaction that was carried out.
+type committedResponse struct {
 	Revision uint64 `json:"epoch"`
 }
 
-// conflict is the answer to a transaction with conditions that do not hold.
-type conflict struct {
+// conflictResponse is the answer to a transaction with conditions that do not hold.
+type conflictResponse struct {
 	Revision uint64   `json:"epoch"`
 	Failed   []string `json:"failed"`
 }
 
 // transaction is a request to write and drop keys under conditions.
 type transaction struct {
-	If   []condition `json:"if"`
-	Then []operation `json:"then"`
+	If   []precondition `json:"if"`
+	Then []operation    `json:"then"`
 }
 
-// condition requires that a key has a version, 0 for none.
-type condition struct {
-	Key     string `json:"key"`
-	Version uint64 `json:"stamp"`
+// precondition requires that a key has a version, 0 for none.
+type precondition struct {
+	Key         string `json:"key"`
+	ModRevision uint64 `json:"stamp"`
 }
 
 // operation writes or drops a key.
--- a/internal/simtest/random_faults_test.go
+++ b/internal/simtest/random_faults_test.go
@@ -6,236 +6,250 @@
 	"time"
 )
 
-// twoFaults causes two random faults that overlap.
-func (w *World) twoFaults() {
-	w.randomFault()
-	w.Run(seconds(w.rng.Float64() * 3))
-	w.randomFault()
+// causeTwoFaults causes two random faults that overlap.
+func (world *World) causeTwoFaults() {
+	world.causeRandomFault()
+	world.Run(seconds(world.random.Float64() * 3))
+	world.causeRandomFault()
 }
 
-// fault causes a fault of a controller, or another one, that ends after a while.
-type fault func(w *World, n *node, long time.Duration)
+// randomFault causes a fault of a controller, or another one, that ends after a while.
+type randomFault func(world *World, process *controllerProcess, long time.Duration)
 
 // randomFaults are drawn with equal probability; those that are there twice are
 // to be more frequent.
-var randomFaults = [...]fault{
+var randomFaults = [...]randomFault{
 	restart, restart, loseState, loseWorkers, stateOutage, loseMachine, cloudOutage, machinesNeverBoot,
 	noFault, restartSeveral, blockInboundOnce, isolateLeader, pauseOnce, lateWrites, delayReports, delayCommands,
 	blockReportsOfSome, gapOnce, gapOnce, cancelSome, cancelEnding, invalidRequests, churnLeaders, loseZone,
 	restartAllAfterLease, blockInboundOfSome, slowState, blockWatch,
 }
 
-// randomFault causes one random fault, which ends by itself.
-func (w *World) randomFault() {
-	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	long := seconds(0.1 + w.rng.Float64()*20)
-	w.lasting(long)
-	randomFaults[w.rng.IntN(len(randomFaults))](w, n, long)
+// causeRandomFault causes one random fault, which ends by itself.
+func (world *World) causeRandomFault() {
+	process := world.controllers[world.random.IntN(len(world.controllers))]
+	long := seconds(0.1 + world.random.Float64()*20)
+	world.extendFaults(long)
+	randomFaults[world.random.IntN(len(randomFaults))](world, process, long)
 }
 
-func noFault(*World, *node, time.Duration) {}
+func noFault(*World, *controllerProcess, time.Duration) {}
 
 // bootAfter restarts a controller after a while, if it is down then.
-func (w *World) bootAfter(n *node, d time.Duration) { w.after(d, n.bootIfDown) }
+func (world *World) bootAfter(process *controllerProcess, duration time.Duration) {
+	world.schedule(duration, process.bootIfDown)
+}
 
-func restart(w *World, n *node, long time.Duration) {
-	if n.up {
-		n.kill()
-		w.bootAfter(n, long/4)
+func restart(world *World, process *controllerProcess, long time.Duration) {
+	if process.up {
+		process.kill()
+		world.bootAfter(process, long/4)
 	}
 }
 
 // restartSeveral restarts several controllers within a fraction of a second.
-func restartSeveral(w *World, _ *node, _ time.Duration) {
-	for _, n := range w.nodes {
-		if n.up && w.rng.IntN(2) == 0 {
-			n.kill()
-			w.bootAfter(n, seconds(0.05+w.rng.Float64()/2))
+func restartSeveral(world *World, _ *controllerProcess, _ time.Duration) {
+	for _, process := range world.controllers {
+		if process.up && world.random.IntN(2) == 0 {
+			process.kill()
+			world.bootAfter(process, seconds(0.05+world.random.Float64()/2))
 		}
 	}
 }
 
 // restartAllAfterLease lets all controllers be down for longer than the lease.
-func restartAllAfterLease(w *World, _ *node, _ time.Duration) {
-	for _, n := range w.nodes {
-		n.kill()
-		w.bootAfter(n, seconds(10.5+w.rng.Float64()*5))
+func restartAllAfterLease(world *World, _ *controllerProcess, _ time.Duration) {
+	for _, process := range world.controllers {
+		process.kill()
+		world.bootAfter(process, seconds(10.5+world.random.Float64()*5))
 	}
 }
 
 // leaderOr is the leader or, as often, the controller.
-func (w *World) leaderOr(n *node) *node {
-	if l := w.Leader(); l != nil && w.rng.IntN(2) == 0 {
-		return l
+func (world *World) leaderOr(process *controllerProcess) *controllerProcess {
+	if other := world.leader(); other != nil && world.random.IntN(2) == 0 {
+		return other
 	}
-	return n
+	return process
 }
 
-func pauseOnce(w *World, n *node, long time.Duration) {
-	if n = w.leaderOr(n); n.up && !n.paused {
-		n.pause(long/2, w.rng.IntN(2) == 0)
+func pauseOnce(world *World, process *controllerProcess, long time.Duration) {
+	if process = world.leaderOr(process); process.up && !process.paused {
+		process.pause(long/2, world.random.IntN(2) == 0)
 	}
 }
 
-func isolateLeader(w *World, _ *node, long time.Duration) {
-	if l := w.Leader(); l != nil {
-		w.isolateFor(l, long)
+func isolateLeader(world *World, _ *controllerProcess, long time.Duration) {
+	if process := world.leader(); process != nil {
+		world.isolateFor(process, long)
 	}
 }
 
-func loseState(w *World, n *node, long time.Duration) {
-	w.Cut(n.name, "state", true)
-	w.after(long, func() { w.Cut(n.name, "state", false) })
+func loseState(world *World, process *controllerProcess, long time.Duration) {
+	world.setLinkCut(process.name, "state", true)
+	world.schedule(long, func() { world.setLinkCut(process.name, "state", false) })
 }
 
-func loseWorkers(w *World, n *node, long time.Duration) {
-	cut := func(on bool) {
-		for _, k := range w.Workers() {
-			w.Cut(n.name, k.name, on)
+func loseWorkers(world *World, process *controllerProcess, long time.Duration) {
+	cut := func(enabled bool) {
+		for _, worker := range world.sortedWorkers() {
+			world.setLinkCut(process.name, worker.name, enabled)
 		}
 	}
 	cut(true)
-	w.after(long, func() { cut(false) })
+	world.schedule(long, func() { cut(false) })
 }
 
 // loseZone cuts a zone with workers and a controller off for longer than the
 // lease.
-func loseZone(w *World, n *node, long time.Duration) {
+func loseZone(world *World, process *controllerProcess, long time.Duration) {
 	long += seconds(10)
-	w.lasting(long)
-	w.cutZone(n, []string{"a", "b"}[w.rng.IntN(2)], long)
+	world.extendFaults(long)
+	world.cutZone(process, []string{"a", "b"}[world.random.IntN(2)], long)
 }
 
-func stateOutage(w *World, _ *node, long time.Duration) {
-	w.state.outage(true)
-	w.after(long, func() { w.state.outage(false) })
+func stateOutage(world *World, _ *controllerProcess, long time.Duration) {
+	world.stateService.setOutage(true)
+	world.schedule(long, func() { world.stateService.setOutage(false) })
 }
 
-func slowState(w *World, _ *node, long time.Duration) {
-	w.slowState = seconds(w.rng.Float64() * 4)
-	w.after(long, func() { w.slowState = 0 })
+func slowState(world *World, _ *controllerProcess, long time.Duration) {
+	world.slowStateService = seconds(world.random.Float64() * 4)
+	world.schedule(long, func() { world.slowStateService = 0 })
 }
 
-func blockWatch(w *World, n *node, long time.Duration) {
-	n = w.leaderOr(n)
-	n.watchBlocked = true
-	w.after(long, func() { n.watchBlocked = false })
+func blockWatch(world *World, process *controllerProcess, long time.Duration) {
+	process = world.leaderOr(process)
+	process.watchBlocked = true
+	world.schedule(long, func() { process.watchBlocked = false })
 }
 
-func lateWrites(w *World, _ *node, long time.Duration) { w.forWhile(&w.lateWrites, 0.3, long) }
+func lateWrites(world *World, _ *controllerProcess, long time.Duration) {
+	world.setShareFor(&world.lateWrites, 0.3, long)
+}
 
-func delayReports(w *World, _ *node, long time.Duration) { w.forWhile(&w.delayedReports, 0.3, long) }
+func delayReports(world *World, _ *controllerProcess, long time.Duration) {
+	world.setShareFor(&world.delayedHeartbeats, 0.3, long)
+}
 
-func delayCommands(w *World, _ *node, long time.Duration) { w.forWhile(&w.delayedCommands, 0.5, long) }
+func delayCommands(world *World, _ *controllerProcess, long time.Duration) {
+	world.setShareFor(&world.delayedCommands, 0.5, long)
+}
 
 // loseMachine lets a machine with tasks crash, hang or be terminated.
-func loseMachine(w *World, _ *node, long time.Duration) {
-	on := w.check.onMachines()
-	if len(on) == 0 {
+func loseMachine(world *World, _ *controllerProcess, long time.Duration) {
+	assignments := world.checker.onMachines()
+	if len(assignments) == 0 {
 		return
 	}
-	k := on[w.rng.IntN(len(on))].on
-	switch w.rng.IntN(3) {
+	worker := assignments[world.random.IntN(len(assignments))].worker
+	switch world.random.IntN(3) {
 	case 0:
-		k.die()
+		worker.crash()
 	case 1:
-		k.hang(long)
+		worker.hang(long)
 	default:
-		w.cloud.remove(k.name)
+		world.cloud.terminate(worker.name)
 	}
 }
 
-func blockInboundOnce(w *World, _ *node, long time.Duration) {
-	if on := w.check.onMachines(); len(on) > 0 {
-		w.blockInboundFor(on[w.rng.IntN(len(on))].on, long)
+func blockInboundOnce(world *World, _ *controllerProcess, long time.Duration) {
+	if assignments := world.checker.onMachines(); len(assignments) > 0 {
+		world.blockInboundFor(assignments[world.random.IntN(len(assignments))].worker, long)
 	}
 }
 
-func blockInboundOfSome(w *World, _ *node, long time.Duration) {
-	w.someMachines(func(k *worker) { w.blockInboundFor(k, long) })
+func blockInboundOfSome(world *World, _ *controllerProcess, long time.Duration) {
+	world.forRandomMachines(func(worker *fakeWorker) { world.blockInboundFor(worker, long) })
 }
 
-func blockReportsOfSome(w *World, _ *node, long time.Duration) {
-	w.someMachines(func(k *worker) { w.blockReportsFor(k, long) })
+func blockReportsOfSome(world *World, _ *controllerProcess, long time.Duration) {
+	world.forRandomMachines(func(worker *fakeWorker) { world.blockHeartbeatsFor(worker, long) })
 }
 
-func cloudOutage(w *World, _ *node, long time.Duration) {
-	w.cloud.down = true
-	w.after(long, func() { w.cloud.down = false })
+func cloudOutage(world *World, _ *controllerProcess, long time.Duration) {
+	world.cloud.down = true
+	world.schedule(long, func() { world.cloud.down = false })
 }
 
-func machinesNeverBoot(w *World, _ *node, _ time.Duration) { w.cloud.never = 1 + w.rng.IntN(2) }
+func machinesNeverBoot(world *World, _ *controllerProcess, _ time.Duration) {
+	world.cloud.bootFailures = 1 + world.random.IntN(2)
+}
 
-func gapOnce(w *World, _ *node, _ time.Duration) { w.gap() }
+func gapOnce(world *World, _ *controllerProcess, _ time.Duration) { world.leaderLossDuringOutage() }
 
-func churnLeaders(w *World, _ *node, _ time.Duration) {
-	w.churn(10, 2*time.Minute, "")
-	w.lasting(2 * time.Minute)
+func churnLeaders(world *World, _ *controllerProcess, _ time.Duration) {
+	world.churn(10, 2*time.Minute, "")
+	world.extendFaults(2 * time.Minute)
 }
 
-func cancelSome(w *World, _ *node, _ time.Duration) {
-	hang := seconds(w.rng.Float64() * 12)
-	w.cancelNow(1+w.rng.IntN(4), hang)
-	w.lasting(hang)
+func cancelSome(world *World, _ *controllerProcess, _ time.Duration) {
+	hang := seconds(world.random.Float64() * 12)
+	world.cancelNow(1+world.random.IntN(4), hang)
+	world.extendFaults(hang)
 }
 
-func cancelEnding(w *World, _ *node, long time.Duration) { w.forWhile(&w.cancelEnds, 0.5, long) }
+func cancelEnding(world *World, _ *controllerProcess, long time.Duration) {
+	world.setShareFor(&world.cancelAtEnd, 0.5, long)
+}
 
-func invalidRequests(w *World, _ *node, long time.Duration) {
-	if !w.invalidRequests {
-		w.invalidRequests = true
-		w.sendInvalidRequests()
-		w.after(long, func() { w.invalidRequests = false })
+func invalidRequests(world *World, _ *controllerProcess, long time.Duration) {
+	if !world.invalidRequests {
+		world.invalidRequests = true
+		world.sendInvalidRequests()
+		world.schedule(long, func() { world.invalidRequests = false })
 	}
 }
 
-// lasting notes that a fault lasts for so long from now.
-func (w *World) lasting(d time.Duration) { w.faultsEnd = max(w.faultsEnd, w.now+d) }
+// extendFaults notes that a fault lasts for so long from now.
+func (world *World) extendFaults(duration time.Duration) {
+	world.faultsEndAt = max(world.faultsEndAt, world.now+duration)
+}
 
-func (w *World) forWhile(share *float64, value float64, d time.Duration) {
+func (world *World) setShareFor(share *float64, value float64, duration time.Duration) {
 	*share = value
-	w.after(d, func() { *share = 0 })
+	world.schedule(duration, func() { *share = 0 })
 }
 
-// someMachines does something to one machine or to all of a zone.
-func (w *World) someMachines(do func(k *worker)) {
-	list := w.Workers()
+// forRandomMachines does something to one machine or to all of a zone.
+func (world *World) forRandomMachines(action func(worker *fakeWorker)) {
+	list := world.sortedWorkers()
 	if len(list) == 0 {
 		return
 	}
-	one, zone := list[w.rng.IntN(len(list))], w.rng.IntN(3) == 0
-	for _, k := range list {
-		if k == one || (zone && k.zone == one.zone) {
-			do(k)
+	one, zone := list[world.random.IntN(len(list))], world.random.IntN(3) == 0
+	for _, worker := range list {
+		if worker == one || (zone && worker.zone == one.zone) {
+			action(worker)
 		}
 	}
 }
 
-// gap is the combination of faults that broke most: the state service refuses the leader
+// leaderLossDuringOutage is the combination of faults that broke most: the state service refuses the leader
 // alone, which may lose the other controllers too, others confirm cancellations,
 // some machines hang, and then the state service is out for all for longer than
 // a cancellation may take.
-func (w *World) gap() {
-	l := w.Leader()
-	if l == nil {
+func (world *World) leaderLossDuringOutage() {
+	process := world.leader()
+	if process == nil {
 		return
 	}
-	alone := seconds(0.5 + w.rng.Float64()*8)
-	out := seconds(w.cfg.Settings.Workers.CancelS + w.rng.Float64()*20)
-	w.lasting(alone + out + time.Second)
-	if w.rng.IntN(2) == 0 {
-		w.denyFor(l, alone+seconds(w.rng.Float64()))
+	alone := seconds(0.5 + world.random.Float64()*8)
+	out := seconds(world.config.Settings.Workers.CancelS + world.random.Float64()*20)
+	world.extendFaults(alone + out + time.Second)
+	if world.random.IntN(2) == 0 {
+		world.denyFor(process, alone+seconds(world.random.Float64()))
 	} else {
-		w.isolateFor(l, alone+out)
+		world.isolateFor(process, alone+out)
 	}
 	var hang time.Duration
-	if w.rng.IntN(2) == 0 {
-		hang = seconds(w.rng.Float64() * 10)
+	if world.random.IntN(2) == 0 {
+		hang = seconds(world.random.Float64() * 10)
 	}
-	w.after(seconds(w.rng.Float64()*alone.Seconds()), func() { w.cancelNow(1+w.rng.IntN(4), hang) })
-	w.after(alone, func() {
-		w.state.outage(true)
-		w.after(out, func() { w.state.outage(false) })
+	world.schedule(seconds(world.random.Float64()*alone.Seconds()), func() { world.cancelNow(1+world.random.IntN(4), hang) })
+	world.schedule(alone, func() {
+		world.stateService.setOutage(true)
+		world.schedule(out, func() { world.stateService.setOutage(false) })
 	})
 }
 
@@ -245,6 +259,6 @@
 		27732, // all machines terminated: every leader yields before its proof of silence
 		25980, // a term begins before the replica holds what was stored before it
 	} {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { play(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRandomJobs(t, seed) })
 	}
 }
--- /dev/null
+++ b/internal/simtest/recording.go
@@ -0,0 +1,226 @@
+package simtest
+
+import (
+	"encoding/json"
+	"os"
+	"slices"
+	"sort"
+	"strings"
+	"time"
+)
+
+// worldRecording is what a version left behind when all its controllers ended: what
+// the state service holds and what is on the machines. The files under
+// testdata/production were taken down by a run of the version in production
+// (TestRecord), so that a change of version is played without its code.
+type worldRecording struct {
+	Note     string            `json:"note"`
+	Revision uint64            `json:"epoch"`
+	Keys     []recordedKey     `json:"keys"`
+	Leases   map[uint64]int64  `json:"leases"` // life in milliseconds
+	Jobs     []recordedJob     `json:"jobs"`
+	Machines []recordedMachine `json:"machines"`
+	Hires    map[string][]string
+}
+
+type recordedKey struct {
+	Key         string          `json:"key"`
+	Data        json.RawMessage `json:"data"`
+	ModRevision uint64          `json:"stamp"`
+	LeaseID     uint64          `json:"tether,omitempty"`
+}
+
+type recordedJob struct {
+	Args              Arguments             `json:"args"`
+	AcknowledgedPhase string                `json:"told"`
+	Cancelled         bool                  `json:"cancelled,omitempty"`
+	Complete          []int                 `json:"complete,omitempty"`
+	Progress          map[int]time.Duration `json:"progress,omitempty"`
+}
+
+type recordedMachine struct {
+	Name, Addr, Flavor, Zone string
+	Spot, Up                 bool
+	Tenure, Tick, Fence      uint64
+	Answered                 time.Duration // since the last report that was answered
+	Tasks                    []recordedTask
+}
+
+type recordedTask struct {
+	Task             string        `json:"shard"`
+	Index            int           `json:"index"`
+	Attempt          uint64        `json:"try"`
+	Phase            string        `json:"phase"`
+	Cause            string        `json:"cause,omitempty"`
+	CheckpointStored bool          `json:"stored,omitempty"`
+	Ran              time.Duration `json:"ran,omitempty"`
+}
+
+// Record takes down what there is. jobs are the arguments of the submissions.
+func (world *World) Record(note string, jobs []Arguments) ([]byte, error) {
+	recording := worldRecording{Note: note, Revision: world.stateService.revision, Leases: map[uint64]int64{}, Hires: world.cloud.provisionedByRequest}
+	for key, stored := range world.stateService.keys {
+		recording.Keys = append(recording.Keys, recordedKey{key, stored.data, stored.modRevision, stored.leaseID})
+	}
+	sort.Slice(recording.Keys, func(a, b int) bool { return recording.Keys[a].Key < recording.Keys[b].Key })
+	for id, lease := range world.stateService.leases {
+		recording.Leases[id] = lease.duration.Milliseconds()
+	}
+	for _, arguments := range jobs {
+		job := world.jobs[arguments["id"]]
+		recorded := recordedJob{Args: arguments, AcknowledgedPhase: world.checker.acknowledgedPhase[job.id], Cancelled: world.checker.cancelRequests[job.id], Progress: job.progress}
+		for i := range job.completed {
+			recorded.Complete = append(recorded.Complete, i)
+		}
+		slices.Sort(recorded.Complete)
+		recording.Jobs = append(recording.Jobs, recorded)
+	}
+	for _, worker := range world.sortedWorkers() {
+		machine := recordedMachine{Name: worker.name, Addr: worker.addr, Flavor: worker.machineType, Zone: worker.zone, Spot: worker.spot, Up: worker.up, Tenure: worker.incarnation, Tick: worker.sequence,
+			Fence: worker.fencingToken, Answered: world.now - worker.leaseStart}
+		for _, assignment := range worker.sortedAssignments() {
+			recorded := recordedTask{Task: assignment.name, Index: assignment.index, Attempt: assignment.attempt, Phase: assignment.phase, Cause: assignment.cause, CheckpointStored: assignment.checkpointStored}
+			if assignment.phase == "running" {
+				recorded.Ran = world.now - assignment.startedAt
+			}
+			machine.Tasks = append(machine.Tasks, recorded)
+		}
+		recording.Machines = append(recording.Machines, machine)
+	}
+	return json.Marshal(recording)
+}
+
+// Load makes a world that has just begun go on from a recording. Its
+// controllers are those of the newer version and begin anew.
+func (world *World) Load(file string) error {
+	raw, err := os.ReadFile(file)
+	if err != nil {
+		return err
+	}
+	var recording worldRecording
+	if err := json.Unmarshal(raw, &recording); err != nil {
+		return err
+	}
+	for _, process := range world.controllers {
+		process.kill()
+	}
+	world.stateService.load(recording)
+	for _, recorded := range recording.Jobs {
+		world.loadJob(recorded)
+	}
+	world.cloud.load(recording)
+	for _, process := range world.controllers {
+		process.boot()
+	}
+	return nil
+}
+
+// load replaces what the state service holds.
+func (service *fakeStateService) load(recording worldRecording) {
+	service.revision, service.oldest, service.log = recording.Revision, recording.Revision, nil
+	service.leases = map[uint64]*grantedLease{}
+	for id, milliseconds := range recording.Leases {
+		life := time.Duration(milliseconds) * time.Millisecond
+		service.leases[id] = &grantedLease{life, service.world.now + life}
+		service.lastLease = max(service.lastLease, id)
+	}
+	service.keys = map[string]storedValue{}
+	for _, key := range recording.Keys {
+		service.keys[key.Key] = storedValue{data: key.Data, modRevision: key.ModRevision, leaseID: key.LeaseID}
+	}
+}
+
+func (world *World) loadJob(recorded recordedJob) {
+	world.registerJob(currentArgs(recorded.Args))
+	job := world.jobs[recorded.Args["id"]]
+	job.submitted, job.firstAnsweredAt, job.startedAt = true, 1, 1
+	for _, i := range recorded.Complete {
+		job.completed[i] = true
+	}
+	for i, p := range recorded.Progress {
+		job.progress[i] = p
+	}
+	world.checker.acknowledgedPhase[job.id] = recorded.AcknowledgedPhase
+	if recorded.Cancelled {
+		world.checker.cancelRequests[job.id], world.checker.cancelAcknowledgedAt[job.id] = true, world.now
+	}
+}
+
+// load replaces the cloud's machines and what runs on them.
+func (cloud *fakeCloud) load(recording worldRecording) {
+	cloud.provisionedByRequest = recording.Hires
+	cloud.machines = map[string]*provisionedMachine{}
+	if slices.ContainsFunc(recording.Machines, func(machine recordedMachine) bool { return machine.Flavor == recordedGPUType }) {
+		cloud.offeredNames = []string{"small", "big", recordedGPUType}
+	}
+	for i, machine := range recording.Machines {
+		cloud.lastMachine = max(cloud.lastMachine, i+1)
+		worker := newWorker(cloud.world, machine.Name, machine.Addr, machine.Flavor, machine.Zone, machine.Spot)
+		if !machine.Up {
+			worker.crash()
+			continue
+		}
+		cloud.machines[machine.Name] = &provisionedMachine{name: machine.Name, addr: machine.Addr, machineType: machine.Flavor, zone: machine.Zone, spot: machine.Spot,
+			provisionedAt: cloud.world.now - time.Minute, worker: worker}
+		worker.incarnation, worker.sequence, worker.fencingToken, worker.leaseStart = machine.Tenure, machine.Tick, machine.Fence, cloud.world.now-machine.Answered
+		for _, recorded := range machine.Tasks {
+			worker.restoreTask(recorded)
+		}
+	}
+}
+
+// restoreTask puts a task where it was recorded.
+func (worker *fakeWorker) restoreTask(recorded recordedTask) {
+	world := worker.world
+	job := world.jobs[recorded.Task[:strings.LastIndexByte(recorded.Task, '/')]]
+	other := &assignment{worker: worker, job: job, name: recorded.Task, index: recorded.Index, attempt: recorded.Attempt, phase: recorded.Phase, cause: recorded.Cause, checkpointStored: recorded.CheckpointStored, startedAt: world.now - recorded.Ran}
+	switch {
+	case recorded.Phase == "exited":
+		worker.assignments[recorded.Task] = other
+	case recorded.Phase != "running" || job.shape == "gang" && len(job.completed) > 0:
+		// Its image is fetched anew: the machine had it or nearly so.
+		worker.startTask(taskCommand{Verb: "start", Task: recorded.Task, Attempt: recorded.Attempt})
+	case job.shape == "gang":
+		worker.assignments[recorded.Task] = other
+		world.checker.addInstance(other)
+		worker.images[job.id] = true
+		gang := job.gangs[other.attempt]
+		if gang == nil {
+			gang = &gangRun{tasks: map[int]*assignment{}, stopped: map[int]bool{}}
+			job.gangs[other.attempt] = gang
+		}
+		gang.tasks[other.index] = other
+		if len(gang.tasks) == job.taskCount {
+			gang.started = true
+			world.finishGangAfter(job, gang, job.runTime-job.progress[0]-recorded.Ran)
+		}
+	default:
+		worker.assignments[recorded.Task] = other
+		world.checker.addInstance(other)
+		worker.images[job.id] = true
+		if job.shape == "array" {
+			world.scheduleFor(other, job.runTime-job.progress[other.index]-recorded.Ran, func() {
+				job.completed[other.index] = true
+				world.taskCompleted(job)
+				worker.exitTask(other, "done", false)
+			})
+		}
+	}
+}
+
+// recordedArgNames are the names of a submission's arguments in recordings,
+// where they differ from those of scenarios.
+var recordedArgNames = map[string]string{"shards": "tasks", "cores": "cpus", "cards": "gpus", "ram": "memory", "flavors": "types", "yard": "zone",
+	"same": "same_zone", "loaners": "spot", "snap": "checkpoint", "cost": "checkpoint_cost", "rank": "priority"}
+
+// currentArgs returns a recorded submission's arguments by their present names.
+func currentArgs(recorded Arguments) Arguments {
+	args := Arguments{}
+	for name, value := range recorded {
+		if current, ok := recordedArgNames[name]; ok {
+			name = current
+		}
+		args[name] = value
+	}
+	return args
+}
--- a/internal/simtest/scenario_test.go
+++ b/internal/simtest/scenario_test.go
@@ -27,75 +27,75 @@
 	return io.Discard
 }
 
-// args reads the arguments of a command, each with one value at most.
-func args(d *datadriven.TestData) (Args, error) {
-	a := Args{}
-	for _, c := range d.CmdArgs {
-		if _, twice := a[c.Key]; twice || len(c.Vals) > 1 {
+// parseArguments reads the arguments of a command, each with one value at most.
+func parseArguments(directive *datadriven.TestData) (Arguments, error) {
+	arguments := Arguments{}
+	for _, c := range directive.CmdArgs {
+		if _, twice := arguments[c.Key]; twice || len(c.Vals) > 1 {
 			return nil, fmt.Errorf("argument %s has more than one value", c.Key)
 		}
-		a[c.Key] = ""
+		arguments[c.Key] = ""
 		if len(c.Vals) > 0 {
-			a[c.Key] = c.Vals[0]
+			arguments[c.Key] = c.Vals[0]
 		}
 	}
-	return a, nil
+	return arguments, nil
 }
 
-// scenario is a world that commands of a file begin and change.
-type scenario struct {
-	world *World
-	wire  WireObserver // nil: none
+// scenarioPlayer is a world that commands of a file begin and change.
+type scenarioPlayer struct {
+	world    *World
+	observer WireObserver // nil: none
 }
 
 // play carries out one command of a file; an error tells its file and line.
-func (s *scenario) play(d *datadriven.TestData) (string, error) {
-	output, err := s.do(d)
+func (player *scenarioPlayer) play(directive *datadriven.TestData) (string, error) {
+	output, err := player.do(directive)
 	if err != nil {
-		return "", fmt.Errorf("%s: %s: %w", d.Pos, d.Cmd, err)
+		return "", fmt.Errorf("%s: %s: %w", directive.Pos, directive.Cmd, err)
 	}
 	return output, nil
 }
 
-func (s *scenario) do(d *datadriven.TestData) (string, error) {
-	a, err := args(d)
+func (player *scenarioPlayer) do(directive *datadriven.TestData) (string, error) {
+	arguments, err := parseArguments(directive)
 	if err != nil {
 		return "", err
 	}
-	if d.Cmd == "world" {
-		if err := a.check(nil, worldArguments); err != nil {
+	if directive.Cmd == "world" {
+		if err := arguments.check(nil, worldParameters); err != nil {
 			return "", err
 		}
-		s.world = newScenarioWorld(a, s.wire)
+		player.world = newScenarioWorld(arguments, player.observer)
 		return "ok", nil
 	}
-	if s.world == nil {
+	if player.world == nil {
 		return "", errors.New("a scenario begins with world")
 	}
-	return s.world.Do(d.Cmd, a, d.Input)
+	return player.world.RunCommand(directive.Cmd, arguments, directive.Input)
 }
 
-func newScenarioWorld(a Args, wire WireObserver) *World {
-	w := NewObserved(Announce(Settings, a), int(a.num("nodes", "3")), uint64(a.num("seed", "1")), logOut(), wire, func(p *config.Platform) {
-		p.Settings.Workers.ReportS = a.num("report", "1")
-		p.Settings.Workers.LeaseS = a.num("lease", "10")
-		p.Settings.Workers.CancelS = a.num("cancel", "25")
-		p.Settings.Cloud.RPS = a.num("cloudrps", "4")
-		if most := a.num("maxgpus", "0"); most > 0 {
-			p.Settings.Teams[0].GPUsMax = most
+func newScenarioWorld(arguments Arguments, wire WireObserver) *World {
+	world := NewObserved(Announce(Settings, arguments), int(arguments.number("nodes", "3")), uint64(arguments.number("seed", "1")), logOut(), wire, func(platform *config.Platform) {
+		platform.Settings.Workers.ReportS = arguments.number("report", "1")
+		platform.Settings.Workers.LeaseS = arguments.number("lease", "10")
+		platform.Settings.Workers.CancelS = arguments.number("cancel", "25")
+		platform.Settings.Cloud.RPS = arguments.number("cloudrps", "4")
+		if most := arguments.number("maxgpus", "0"); most > 0 {
+			platform.Settings.Teams[0].GPUsMax = most
 		}
-		p.Settings.State.RPS, p.Settings.State.WriteRPS = a.num("rps", "100"), a.num("writes", "60")
+		platform.Settings.State.RPS, platform.Settings.State.WriteRPS = arguments.number("rps", "100"), arguments.number("writes", "60")
 	})
-	w.watchRules()
-	return w
+	world.watchInvariants()
+	return world
 }
 
-// do carries out a command that cannot fail.
-func do(t *testing.T, w *World, name string, a Args) string {
+// runCommand carries out a command that cannot fail.
+func runCommand(t *testing.T, world *World, name string, arguments Arguments) string {
 	t.Helper()
-	output, err := w.Do(name, a, "")
+	output, err := world.RunCommand(name, arguments, "")
 	if err != nil {
-		t.Fatalf("%s %v: %v", name, a, err)
+		t.Fatalf("%s %v: %v", name, arguments, err)
 	}
 	return output
 }
@@ -110,15 +110,15 @@
 	for _, f := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".txt"), func(t *testing.T) {
 			t.Parallel()
-			s := &scenario{}
-			datadriven.RunTest(t, f, func(t *testing.T, d *datadriven.TestData) string {
-				output, err := s.play(d)
+			player := &scenarioPlayer{}
+			datadriven.RunTest(t, f, func(t *testing.T, directive *datadriven.TestData) string {
+				output, err := player.play(directive)
 				if err != nil {
 					t.Fatal(err)
 				}
 				return output
 			})
-			if v := s.world.Verdict(); v != "kept" {
+			if v := player.world.Verdict(); v != "kept" {
 				t.Errorf("rules broken:\n%s", v)
 			}
 		})
@@ -149,11 +149,11 @@
 		{"world seed=one", "world: seed=one: not a number"},
 		{"world sead=1", "world: unknown argument sead"},
 	} {
-		s := &scenario{world: New(3, 1, io.Discard)}
+		player := &scenarioPlayer{world: New(3, 1, io.Discard)}
 		var err error
-		datadriven.RunTestFromString(t, c.line+"\n----\n", func(_ *testing.T, d *datadriven.TestData) string {
-			d.Pos = "scenario.txt:7"
-			_, err = s.play(d)
+		datadriven.RunTestFromString(t, c.line+"\n----\n", func(_ *testing.T, directive *datadriven.TestData) string {
+			directive.Pos = "scenario.txt:7"
+			_, err = player.play(directive)
 			return ""
 		})
 		if want := "scenario.txt:7: " + c.want; err == nil || err.Error() != want {
@@ -165,11 +165,11 @@
 // TestRandomFaults plays random jobs under random faults; the rules must hold
 // and, once the faults are over, every job must end.
 func TestRandomFaults(t *testing.T) {
-	first, plays := drawn("SIM_FROM", 1), drawn("SIM_PLAYS", 60)
+	first, plays := environmentNumber("SIM_FROM", 1), environmentNumber("SIM_PLAYS", 60)
 	for seed := first; seed < first+plays; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, seed)
+			playRandomJobs(t, seed)
 		})
 	}
 }
@@ -187,121 +187,121 @@
 func TestDrawnFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64Range(1000, 1<<32).Draw(rt, "seed")
-		play(rt, seed)
+		playRandomJobs(rt, seed)
 	})
 }
 
-// drawn is a number from the environment, for longer trials.
-func drawn(name string, def uint64) uint64 {
+// environmentNumber is a number from the environment, for longer trials.
+func environmentNumber(name string, def uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv(name), 10, 64); err == nil {
 		return n
 	}
 	return def
 }
 
-type failer interface {
+type errorReporter interface {
 	Errorf(format string, args ...any)
 }
 
-func play(t failer, seed uint64) { playObserved(t, seed, nil) }
+func playRandomJobs(reporter errorReporter, seed uint64) { playRandomJobsObserved(reporter, seed, nil) }
 
-// playObserved is play with an observer of the wire.
-func playObserved(t failer, seed uint64, wire WireObserver) {
-	w := NewObserved(Settings, 3, seed, logOut(), wire)
-	w.watchRules()
-	w.loss, w.late = 0.01, 0.05
-	w.copies, w.copyLate = 0.05, 30*time.Second
+// playRandomJobsObserved is play with an observer of the wire.
+func playRandomJobsObserved(reporter errorReporter, seed uint64, wire WireObserver) {
+	world := NewObserved(Settings, 3, seed, logOut(), wire)
+	world.watchInvariants()
+	world.lossShare, world.lateRepeatShare = 0.01, 0.05
+	world.duplicateShare, world.duplicateDelay = 0.05, 30*time.Second
 	for range 3 {
-		w.cloud.add("small", []string{"a", "b"}[w.rng.IntN(2)], false, 0)
+		world.cloud.addMachine("small", []string{"a", "b"}[world.random.IntN(2)], false, 0)
 	}
 	var open []string
 	kinds := []string{"array", "array", "gang", "daemon"}
 	for i := range 8 {
-		a := Args{"id": fmt.Sprintf("req-%06d", i), "shape": kinds[w.rng.IntN(4)], "tasks": fmt.Sprint(1 + w.rng.IntN(5)),
-			"run": fmt.Sprintf("%ds", 2+w.rng.IntN(15)), "team": []string{"red", "blue"}[w.rng.IntN(2)]}
-		if w.rng.IntN(2) == 0 {
-			a["checkpoint"] = "3s"
+		arguments := Arguments{"id": fmt.Sprintf("req-%06d", i), "shape": kinds[world.random.IntN(4)], "tasks": fmt.Sprint(1 + world.random.IntN(5)),
+			"run": fmt.Sprintf("%ds", 2+world.random.IntN(15)), "team": []string{"red", "blue"}[world.random.IntN(2)]}
+		if world.random.IntN(2) == 0 {
+			arguments["checkpoint"] = "3s"
 		}
-		if w.rng.IntN(2) == 0 {
-			a["spot"] = ""
+		if world.random.IntN(2) == 0 {
+			arguments["spot"] = ""
 		}
-		if w.rng.IntN(3) == 0 {
-			a["same_zone"] = ""
-		} else if w.rng.IntN(3) == 0 {
-			a["scatter"] = ""
+		if world.random.IntN(3) == 0 {
+			arguments["same_zone"] = ""
+		} else if world.random.IntN(3) == 0 {
+			arguments["scatter"] = ""
 		}
-		status, _ := w.Submit(a)
+		status, _ := world.Submit(arguments)
 		if status == 200 || status == 201 {
-			open = append(open, a["id"])
+			open = append(open, arguments["id"])
 		}
-		w.twoFaults()
-		w.Run(seconds(w.rng.Float64() * 6))
-		if w.rng.IntN(3) == 0 && len(open) > 0 {
-			w.Poll(open[w.rng.IntN(len(open))])
+		world.causeTwoFaults()
+		world.Run(seconds(world.random.Float64() * 6))
+		if world.random.IntN(3) == 0 && len(open) > 0 {
+			world.Poll(open[world.random.IntN(len(open))])
 		}
-		if w.rng.IntN(4) == 0 && len(open) > 0 {
-			w.Cancel(open[w.rng.IntN(len(open))])
+		if world.random.IntN(4) == 0 && len(open) > 0 {
+			world.Cancel(open[world.random.IntN(len(open))])
 		}
 	}
-	w.endFaults()
+	world.endAllFaults()
 	for _, id := range open {
-		if w.jobs[id].shape == "daemon" {
-			w.Cancel(id)
+		if world.jobs[id].shape == "daemon" {
+			world.Cancel(id)
 		}
 	}
-	w.pollUntilOver(open)
+	world.pollUntilOver(open)
 	for _, id := range open {
-		if !w.check.isOver(id) {
-			t.Errorf("seed %d: %s is still %s: %+v\n%s", seed, id, w.check.acknowledged[id], *w.jobs[id], strings.Join(append(w.Keys("j/"+id), w.Keys("r/"+id)...), "\n"))
+		if !world.checker.isOver(id) {
+			reporter.Errorf("seed %d: %s is still %s: %+v\n%s", seed, id, world.checker.acknowledgedPhase[id], *world.jobs[id], strings.Join(append(world.listKeys("j/"+id), world.listKeys("r/"+id)...), "\n"))
 		}
 	}
-	if left := w.machinesLeft(); left != "" {
-		t.Errorf("seed %d: nothing runs, and these machines are kept: %s\n%s", seed, left, strings.Join(w.Keys("r/"), "\n"))
+	if left := world.waitForMachinesReleased(); left != "" {
+		reporter.Errorf("seed %d: nothing runs, and these machines are kept: %s\n%s", seed, left, strings.Join(world.listKeys("r/"), "\n"))
 	}
-	if v := w.Verdict(); v != "kept" {
-		t.Errorf("seed %d: %s", seed, v)
+	if v := world.Verdict(); v != "kept" {
+		reporter.Errorf("seed %d: %s", seed, v)
 	}
 }
 
-// machinesLeft plays until all machines are given back, for five minutes at most,
+// waitForMachinesReleased plays until all machines are given back, for five minutes at most,
 // and names those that are not.
-func (w *World) machinesLeft() string {
+func (world *World) waitForMachinesReleased() string {
 	for range 150 {
-		if len(w.cloud.machines) == 0 {
+		if len(world.cloud.machines) == 0 {
 			return ""
 		}
-		w.Run(seconds(2))
+		world.Run(seconds(2))
 	}
-	return strings.Join(slices.Sorted(maps.Keys(w.cloud.machines)), ", ")
+	return strings.Join(slices.Sorted(maps.Keys(world.cloud.machines)), ", ")
 }
 
 // pollUntilOver polls jobs until they are over, for four minutes at most.
-func (w *World) pollUntilOver(open []string) {
+func (world *World) pollUntilOver(open []string) {
 	for range 120 {
 		left := 0
 		for _, id := range open {
-			if !w.check.isOver(id) {
+			if !world.checker.isOver(id) {
 				left++
-				w.Poll(id)
+				world.Poll(id)
 			}
 		}
 		if left == 0 {
 			break
 		}
-		w.Run(seconds(2))
+		world.Run(seconds(2))
 	}
 }
 
-// endFaults ends all faults.
-func (w *World) endFaults() {
-	w.Run(max(seconds(25), w.faultsEnd-w.now))
-	w.loss, w.late, w.cloud.never, w.cloud.down, w.copies = 0, 0, 0, false, 0
-	w.lateWrites, w.delayedReports, w.delayedCommands, w.cancelEnds, w.invalidRequests = 0, 0, 0, 0, false
-	w.Run(maxDelay) // what was delayed arrives
-	w.check.faultsOverAt = w.now
-	for _, n := range w.nodes {
-		if !n.up {
-			n.boot()
+// endAllFaults ends all faults.
+func (world *World) endAllFaults() {
+	world.Run(max(seconds(25), world.faultsEndAt-world.now))
+	world.lossShare, world.lateRepeatShare, world.cloud.bootFailures, world.cloud.down, world.duplicateShare = 0, 0, 0, false, 0
+	world.lateWrites, world.delayedHeartbeats, world.delayedCommands, world.cancelAtEnd, world.invalidRequests = 0, 0, 0, 0, false
+	world.Run(maxDelay) // what was delayed arrives
+	world.checker.faultsOverAt = world.now
+	for _, process := range world.controllers {
+		if !process.up {
+			process.boot()
 		}
 	}
 }
--- /dev/null
+++ b/internal/simtest/state_limits.go
@@ -0,0 +1,113 @@
+package simtest
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"time"
+)
+
+// serviceLimits are what the state service allows.
+type serviceLimits struct {
+	requestsPerSecond, writesPerSecond, valueKB float64
+	txnOps                                      int
+}
+
+// limitOverride is what a state service's limits are lowered to, and what comes of
+// it.
+type limitOverride struct {
+	override         *serviceLimits // nil: as the settings have them
+	tooLarge         int            // 400s for size
+	tooLargeAttempts map[string][]time.Duration
+	endlessRetries   int // writes tried too often
+
+	delayedPrefix string // transactions that write such a key are carried out later
+	writeDelay    time.Duration
+	writesToDelay int
+}
+
+// currentLimits tells what is allowed now.
+func (service *fakeStateService) currentLimits() serviceLimits {
+	if service.override != nil {
+		return *service.override
+	}
+	set := &service.world.config.Settings.State
+	return serviceLimits{set.RPS, set.WriteRPS, set.ValueKB, set.TxnOps}
+}
+
+// setLimits changes the limits without notice. What is stored stays.
+func (service *fakeStateService) setLimits(arguments Arguments) {
+	limits := service.currentLimits()
+	limits.requestsPerSecond, limits.writesPerSecond = arguments.number("rps", fmt.Sprint(limits.requestsPerSecond)), arguments.number("writes", fmt.Sprint(limits.writesPerSecond))
+	limits.valueKB, limits.txnOps = arguments.number("value", fmt.Sprint(limits.valueKB)), int(arguments.number("ops", fmt.Sprint(limits.txnOps)))
+	service.override = &limits
+}
+
+// Many writes too large in a short time are one that is tried for ever. Only
+// the first ones are named.
+const (
+	maxNamed      = 5
+	maxRepeats    = 20
+	repeatsWithin = 10 * time.Second
+)
+
+// refuseTooLarge answers what is over the limits. It is the service's own fault
+// where the limits were announced; where they were not it may try, but not for ever.
+func (service *fakeStateService) refuseTooLarge(what, f string, values ...any) (int, any) {
+	service.tooLarge++
+	if (service.override == nil || service.world.limitsAnnounced) && service.tooLarge <= maxNamed {
+		service.world.reportMisuse("%.2fs state service got %s", service.world.now.Seconds(), fmt.Sprintf(f, values...))
+	}
+	if service.tooLargeAttempts == nil {
+		service.tooLargeAttempts = map[string][]time.Duration{}
+	}
+	list := append(service.tooLargeAttempts[what], service.world.now)
+	if len(list) > maxRepeats {
+		list = list[len(list)-maxRepeats:]
+		if service.world.now-list[0] < repeatsWithin {
+			service.endlessRetries++
+			if service.endlessRetries == 1 {
+				service.world.reportMisuse("%.2fs %s is tried again and again though it is too large", service.world.now.Seconds(), what)
+			}
+			list = nil
+		}
+	}
+	service.tooLargeAttempts[what] = list
+	return 400, nil
+}
+
+// delayMatchingWrite takes a transaction that is to be carried out later and not answered.
+func (service *fakeStateService) delayMatchingWrite(body []byte) bool {
+	if service.writesToDelay == 0 {
+		return false
+	}
+	var t struct {
+		Then []struct {
+			Write string `json:"write"`
+		} `json:"then"`
+	}
+	_ = json.Unmarshal(body, &t)
+	for _, op := range t.Then {
+		if strings.HasPrefix(op.Write, service.delayedPrefix) {
+			service.writesToDelay--
+			service.world.schedule(service.writeDelay, func() { service.commit(body) })
+			return true
+		}
+	}
+	return false
+}
+
+// Announce adds to the settings the limits that the state service will have.
+func Announce(settings string, arguments Arguments) string {
+	next := map[string]float64{}
+	for arg, name := range map[string]string{"nextrps": "rps", "nextwrites": "write_rps", "nextvalue": "value_kb", "nextops": "txn_ops"} {
+		if _, ok := arguments[arg]; ok {
+			next[name] = arguments.number(arg, "0")
+		}
+	}
+	if len(next) == 0 {
+		return settings
+	}
+	b, _ := json.Marshal(next)
+	return strings.Replace(settings, `"txn_ops":12}`, `"txn_ops":12,"next":`+string(b)+`}`, 1)
+}
--- a/internal/simtest/users.go
+++ b/internal/simtest/users.go
@@ -15,45 +15,45 @@
 // userCallTimeout is how long users wait for an answer.
 const userCallTimeout = 5 * time.Second
 
-// Body registers a job with the workers, as its user does, and returns the
+// registerJob registers a job with the workers, as its user does, and returns the
 // submission.
-func (w *World) Body(a Args) []byte {
-	id := a["id"]
-	j := w.jobs[id]
-	if j == nil {
-		j = &job{id: id, progress: map[int]time.Duration{}, complete: map[int]bool{}, gangs: map[uint64]*gang{}}
-		w.jobs[id] = j
+func (world *World) registerJob(arguments Arguments) []byte {
+	id := arguments["id"]
+	job := world.jobs[id]
+	if job == nil {
+		job = &jobRecord{id: id, progress: map[int]time.Duration{}, completed: map[int]bool{}, gangs: map[uint64]*gangRun{}}
+		world.jobs[id] = job
 	}
-	j.team, j.shape, j.class = a.or("team", "red"), a.or("shape", "array"), a.or("class", "c")
-	j.taskCount = int(a.num("tasks", "1"))
-	j.cpus, j.gpus, j.memory = a.num("cpus", "1"), a.num("gpus", "0"), a.num("memory", "1")
-	if f, ok := a["types"]; ok {
-		j.machineTypes = strings.Split(f, "+")
+	job.team, job.shape, job.class = arguments.text("team", "red"), arguments.text("shape", "array"), arguments.text("class", "c")
+	job.taskCount = int(arguments.number("tasks", "1"))
+	job.cpus, job.gpus, job.memory = arguments.number("cpus", "1"), arguments.number("gpus", "0"), arguments.number("memory", "1")
+	if f, ok := arguments["types"]; ok {
+		job.machineTypes = strings.Split(f, "+")
 	}
-	j.zone = a["zone"]
-	j.sameZone, j.scatter, j.allowSpot, j.broken = a.flag("same_zone"), a.flag("scatter"), a.flag("spot"), a.flag("broken")
-	j.brokenTask = 1 + int(a.num("broken_task", "-1"))
-	j.run, j.image = a.dur("run", "5s"), a.dur("image", "1s")
-	j.checkpointInterval, j.checkpointDuration = a.dur("checkpoint", "0s"), a.dur("checkpoint_cost", "1s")
-	request := submission{ID: id, Class: j.class, Team: j.team, Shape: j.shape, Priority: a.or("priority", "normal"), TaskCount: j.taskCount,
-		CPUs: j.cpus, GPUs: j.gpus, Memory: j.memory, Image: a.or("image_name", "img"), ImageGB: 1, MachineTypes: j.machineTypes,
-		SameZone: j.sameZone, Scatter: j.scatter, AllowSpot: j.allowSpot, EstimatedRuntime: j.run.Seconds(),
-		CheckpointInterval: j.checkpointInterval.Seconds(), CheckpointDuration: j.checkpointDuration.Seconds(), Upstream: w.await(j, a)}
-	if j.zone != "" {
-		request.Zone = &j.zone
+	job.zone = arguments["zone"]
+	job.sameZone, job.scatter, job.allowSpot, job.broken = arguments.has("same_zone"), arguments.has("scatter"), arguments.has("spot"), arguments.has("broken")
+	job.brokenTask = 1 + int(arguments.number("broken_task", "-1"))
+	job.runTime, job.imageFetchTime = arguments.duration("run", "5s"), arguments.duration("image", "1s")
+	job.checkpointInterval, job.checkpointDuration = arguments.duration("checkpoint", "0s"), arguments.duration("checkpoint_cost", "1s")
+	request := submission{ID: id, Class: job.class, Team: job.team, Shape: job.shape, Priority: arguments.text("priority", "normal"), TaskCount: job.taskCount,
+		CPUs: job.cpus, GPUs: job.gpus, Memory: job.memory, Image: arguments.text("image_name", "img"), ImageGB: 1, MachineTypes: job.machineTypes,
+		SameZone: job.sameZone, Scatter: job.scatter, AllowSpot: job.allowSpot, EstimatedRuntime: job.runTime.Seconds(),
+		CheckpointInterval: job.checkpointInterval.Seconds(), CheckpointDuration: job.checkpointDuration.Seconds(), Upstream: world.recordUpstream(job, arguments)}
+	if job.zone != "" {
+		request.Zone = &job.zone
 	}
-	j.body, _ = json.Marshal(request)
-	return j.body
+	job.body, _ = json.Marshal(request)
+	return job.body
 }
 
-// ask sends one user request to a node and plays until the answer is there.
-func (w *World) ask(n *node, method, path string, body []byte) (status int, phase string) {
+// requestAndWait sends one user request to a node and plays until the answer is there.
+func (world *World) requestAndWait(process *controllerProcess, method, path string, body []byte) (status int, phase string) {
 	done := false
-	w.request("user", n, method, path, body, userCallTimeout, func(s int, b []byte) {
-		status, phase, done = s, phaseIn(b), true
+	world.request("user", process, method, path, body, userCallTimeout, func(code int, b []byte) {
+		status, phase, done = code, phaseIn(b), true
 	})
-	for end := w.now + 6*time.Second; !done && w.now < end; {
-		w.Run(20 * time.Millisecond)
+	for end := world.now + 6*time.Second; !done && world.now < end; {
+		world.Run(20 * time.Millisecond)
 	}
 	return status, phase
 }
@@ -67,87 +67,87 @@
 	return v.Phase
 }
 
-// entryNode is the controller that the next request of a user goes to.
-func (w *World) entryNode() *node {
-	if w.users != nil {
-		return w.users
+// chooseEntryController is the controller that the next request of a user goes to.
+func (world *World) chooseEntryController() *controllerProcess {
+	if world.entryController != nil {
+		return world.entryController
 	}
-	return w.nodes[w.rng.IntN(len(w.nodes))]
+	return world.controllers[world.random.IntN(len(world.controllers))]
 }
 
-// user repeats a request as users do until an answer counts.
-func (w *World) user(id, method, path string, body []byte) (int, string) {
-	for end := w.now + userRetry; ; w.Run(time.Second) {
-		asked := w.now
-		status, phase := w.ask(w.entryNode(), method, path, body)
-		w.check.answered(asked, id, status, phase)
-		if j := w.jobs[id]; j != nil && j.asked == 0 {
-			j.asked = max(w.now, 1)
+// requestUntilAnswered repeats a request as users do until an answer counts.
+func (world *World) requestUntilAnswered(id, method, path string, body []byte) (int, string) {
+	for end := world.now + userRetry; ; world.Run(time.Second) {
+		asked := world.now
+		status, phase := world.requestAndWait(world.chooseEntryController(), method, path, body)
+		world.checker.checkAnswer(asked, id, status, phase)
+		if job := world.jobs[id]; job != nil && job.firstAnsweredAt == 0 {
+			job.firstAnsweredAt = max(world.now, 1)
 		}
 		switch status {
 		case 200, 201, 400, 404, 422:
 			return status, phase
 		}
-		if w.now >= end {
+		if world.now >= end {
 			return status, "gave up"
 		}
 	}
 }
 
 // Submit submits a job.
-func (w *World) Submit(a Args) (int, string) {
-	body := w.Body(a)
-	w.jobs[a["id"]].submitted = true
-	return w.user(a["id"], "POST", "/submissions", body)
+func (world *World) Submit(arguments Arguments) (int, string) {
+	body := world.registerJob(arguments)
+	world.jobs[arguments["id"]].submitted = true
+	return world.requestUntilAnswered(arguments["id"], "POST", "/submissions", body)
 }
 
-// crowd is what came of jobs that were submitted at the same moment.
-type crowd struct {
-	accepted, open int
-	slowest        time.Duration // time to the slowest answer
-	refused        int           // answers 503
-	refusedTime    time.Duration // until these answers came, all together
+// crowdResult is what came of jobs that were submitted at the same moment.
+type crowdResult struct {
+	accepted, pending int
+	slowest           time.Duration // time to the slowest answer
+	refused           int           // answers 503
+	refusedTime       time.Duration // until these answers came, all together
 }
 
-// crowd submits many jobs at the same moment, each user repeating as users do,
+// submitAtOnce submits many jobs at the same moment, each user repeating as users do,
 // and tells how many were accepted, within how many seconds the slowest request
 // was answered at all, and whether refusals come at once on average.
-func (w *World) crowd(a Args) string {
-	c := &crowd{open: int(a.num("count", "1"))}
-	end := w.now + userRetry
-	for i := range c.open {
-		one := maps.Clone(a)
-		one["id"] = jobID(int(a.num("from", "1")) + i)
-		body := w.Body(one)
-		j := w.jobs[one["id"]]
-		j.submitted = true
-		w.submitInCrowd(c, j, body, end)
+func (world *World) submitAtOnce(arguments Arguments) string {
+	result := &crowdResult{pending: int(arguments.number("count", "1"))}
+	end := world.now + userRetry
+	for i := range result.pending {
+		one := maps.Clone(arguments)
+		one["id"] = jobID(int(arguments.number("from", "1")) + i)
+		body := world.registerJob(one)
+		job := world.jobs[one["id"]]
+		job.submitted = true
+		world.submitOneOfCrowd(result, job, body, end)
 	}
-	for c.open > 0 {
-		w.Run(100 * time.Millisecond)
+	for result.pending > 0 {
+		world.Run(100 * time.Millisecond)
 	}
-	return c.outcome(a.dur("within", "0s"))
+	return result.outcome(arguments.duration("within", "0s"))
 }
 
-// submitInCrowd submits one job of a crowd until it is accepted or the end has
+// submitOneOfCrowd submits one job of a crowd until it is accepted or the end has
 // come.
-func (w *World) submitInCrowd(c *crowd, j *job, body []byte, end time.Duration) {
-	asked := w.now
-	w.request("user", w.entryNode(), "POST", "/submissions", body, userCallTimeout, func(status int, b []byte) {
-		w.check.answered(asked, j.id, status, phaseIn(b))
-		c.slowest = max(c.slowest, w.now-asked)
+func (world *World) submitOneOfCrowd(result *crowdResult, job *jobRecord, body []byte, end time.Duration) {
+	asked := world.now
+	world.request("user", world.chooseEntryController(), "POST", "/submissions", body, userCallTimeout, func(status int, b []byte) {
+		world.checker.checkAnswer(asked, job.id, status, phaseIn(b))
+		result.slowest = max(result.slowest, world.now-asked)
 		if status == 503 {
-			c.refused++
-			c.refusedTime += w.now - asked
+			result.refused++
+			result.refusedTime += world.now - asked
 		}
 		switch {
-		case accepted(status):
-			j.asked = asked
-			c.accepted, c.open = c.accepted+1, c.open-1
-		case w.now >= end:
-			c.open--
+		case isAccepted(status):
+			job.firstAnsweredAt = asked
+			result.accepted, result.pending = result.accepted+1, result.pending-1
+		case world.now >= end:
+			result.pending--
 		default:
-			w.after(time.Second, func() { w.submitInCrowd(c, j, body, end) })
+			world.schedule(time.Second, func() { world.submitOneOfCrowd(result, job, body, end) })
 		}
 	})
 }
@@ -157,119 +157,119 @@
 
 // outcome tells what came of a crowd; most is the longest that an answer may
 // take, 0 where it is not to be judged.
-func (c *crowd) outcome(most time.Duration) string {
-	if most > 0 && c.slowest <= most {
+func (result *crowdResult) outcome(most time.Duration) string {
+	if most > 0 && result.slowest <= most {
 		// Where links lose packets, a call of ours may take its time.
-		return fmt.Sprintf("%d accepted, answered in time", c.accepted)
+		return fmt.Sprintf("%d accepted, answered in time", result.accepted)
 	}
 	when := "at once"
-	if mean := c.refusedTime / time.Duration(max(1, c.refused)); mean > promptRefusal {
+	if mean := result.refusedTime / time.Duration(max(1, result.refused)); mean > promptRefusal {
 		when = "after " + mean.String()
 	}
-	return fmt.Sprintf("%d accepted, answered within %.0fs, refused %s", c.accepted, math.Ceil(c.slowest.Seconds()), when)
+	return fmt.Sprintf("%d accepted, answered within %.0fs, refused %s", result.accepted, math.Ceil(result.slowest.Seconds()), when)
 }
 
 // Poll asks for a job's state once, without insisting.
-func (w *World) Poll(id string) (int, string) {
-	asked := w.now
-	status, phase := w.ask(w.entryNode(), "GET", "/submissions/"+id, nil)
-	w.check.answered(asked, id, status, phase)
-	w.check.polled(id, status)
+func (world *World) Poll(id string) (int, string) {
+	asked := world.now
+	status, phase := world.requestAndWait(world.chooseEntryController(), "GET", "/submissions/"+id, nil)
+	world.checker.checkAnswer(asked, id, status, phase)
+	world.checker.checkPoll(id, status)
 	return status, phase
 }
 
 // Cancel cancels a job.
-func (w *World) Cancel(id string) (int, string) {
-	w.check.asked[id] = true
-	return w.user(id, "POST", "/submissions/"+id+"/cancel", nil)
+func (world *World) Cancel(id string) (int, string) {
+	world.checker.cancelRequests[id] = true
+	return world.requestUntilAnswered(id, "POST", "/submissions/"+id+"/cancel", nil)
 }
 
-// insist sends a user's request again until its answer counts, while the world
+// retryRequest sends a user's request again until its answer counts, while the world
 // goes on.
-func (w *World) insist(method, path string, body []byte, take func(asked time.Duration, status int, phase string) bool) {
-	end := w.now + userRetry
+func (world *World) retryRequest(method, path string, body []byte, take func(asked time.Duration, status int, phase string) bool) {
+	end := world.now + userRetry
 	var attempt func()
 	attempt = func() {
-		asked := w.now
-		w.request("user", w.entryNode(), method, path, body, userCallTimeout, func(status int, b []byte) {
-			if !take(asked, status, phaseIn(b)) && w.now < end {
-				w.after(time.Second, attempt)
+		asked := world.now
+		world.request("user", world.chooseEntryController(), method, path, body, userCallTimeout, func(status int, b []byte) {
+			if !take(asked, status, phaseIn(b)) && world.now < end {
+				world.schedule(time.Second, attempt)
 			}
 		})
 	}
 	attempt()
 }
 
-// cancelSoon cancels a job while the world goes on.
-func (w *World) cancelSoon(id string) {
-	w.check.asked[id] = true
-	w.insist("POST", "/submissions/"+id+"/cancel", nil, func(asked time.Duration, status int, phase string) bool {
-		w.check.answered(asked, id, status, phase)
+// cancelInBackground cancels a job while the world goes on.
+func (world *World) cancelInBackground(id string) {
+	world.checker.cancelRequests[id] = true
+	world.retryRequest("POST", "/submissions/"+id+"/cancel", nil, func(asked time.Duration, status int, phase string) bool {
+		world.checker.checkAnswer(asked, id, status, phase)
 		return status == 200 || status == 404
 	})
 }
 
-func (w *World) askOnce(id string) {
-	w.insist("GET", "/submissions/"+id, nil, func(asked time.Duration, status int, phase string) bool {
-		w.check.answered(asked, id, status, phase)
+func (world *World) pollInBackground(id string) {
+	world.retryRequest("GET", "/submissions/"+id, nil, func(asked time.Duration, status int, phase string) bool {
+		world.checker.checkAnswer(asked, id, status, phase)
 		return true
 	})
 }
 
-// repeat submits a known job again: it is never accepted anew.
-func (w *World) repeat(id string) {
-	j := w.jobs[id]
-	if j.body == nil || w.check.acknowledged[id] == "" {
+// resubmitInBackground submits a known job again: it is never accepted anew.
+func (world *World) resubmitInBackground(id string) {
+	job := world.jobs[id]
+	if job.body == nil || world.checker.acknowledgedPhase[id] == "" {
 		return
 	}
-	w.insist("POST", "/submissions", j.body, func(asked time.Duration, status int, phase string) bool {
+	world.retryRequest("POST", "/submissions", job.body, func(asked time.Duration, status int, phase string) bool {
 		if status == 201 {
-			w.check.broken("accepted: %s once more, it was %s", id, w.check.acknowledged[id])
+			world.checker.reportViolation("accepted: %s once more, it was %s", id, world.checker.acknowledgedPhase[id])
 		}
-		w.check.answered(asked, id, status, phase)
+		world.checker.checkAnswer(asked, id, status, phase)
 		return status == 200
 	})
 }
 
-// askOn repeats a request as users do, without anybody waiting for it; the last
+// requestRecorded repeats a request as users do, without anybody waiting for it; the last
 // answer goes to w.answers.
-func (w *World) askOn(id, key, method, path string, body []byte) {
-	w.answers[key] = "none yet"
-	end := w.now + userRetry
-	w.insist(method, path, body, func(asked time.Duration, status int, phase string) bool {
-		w.check.answered(asked, id, status, phase)
-		if j := w.jobs[id]; j != nil && j.asked == 0 {
-			j.asked = max(w.now, 1)
+func (world *World) requestRecorded(id, key, method, path string, body []byte) {
+	world.recordedAnswers[key] = "none yet"
+	end := world.now + userRetry
+	world.retryRequest(method, path, body, func(asked time.Duration, status int, phase string) bool {
+		world.checker.checkAnswer(asked, id, status, phase)
+		if job := world.jobs[id]; job != nil && job.firstAnsweredAt == 0 {
+			job.firstAnsweredAt = max(world.now, 1)
 		}
 		switch status {
 		case 200, 201, 400, 404, 422:
-			w.answers[key] = fmt.Sprintf("%d %s", status, phase)
+			world.recordedAnswers[key] = fmt.Sprintf("%d %s", status, phase)
 			return true
 		}
-		if w.now >= end {
-			w.answers[key] = fmt.Sprintf("%d gave up", status)
+		if world.now >= end {
+			world.recordedAnswers[key] = fmt.Sprintf("%d gave up", status)
 		}
 		return false
 	})
 }
 
-// submitOn and cancelOn ask without waiting for the answer.
-func (w *World) submitOn(a Args) {
-	body := w.Body(a)
-	w.jobs[a["id"]].submitted = true
-	w.askOn(a["id"], "submit "+a["id"], "POST", "/submissions", body)
+// submitRecorded and cancelRecorded ask without waiting for the answer.
+func (world *World) submitRecorded(arguments Arguments) {
+	body := world.registerJob(arguments)
+	world.jobs[arguments["id"]].submitted = true
+	world.requestRecorded(arguments["id"], "submit "+arguments["id"], "POST", "/submissions", body)
 }
 
-func (w *World) cancelOn(id string) {
-	w.check.asked[id] = true
-	w.askOn(id, "cancel "+id, "POST", "/submissions/"+id+"/cancel", nil)
+func (world *World) cancelRecorded(id string) {
+	world.checker.cancelRequests[id] = true
+	world.requestRecorded(id, "cancel "+id, "POST", "/submissions/"+id+"/cancel", nil)
 }
 
-// settled waits until every request that was not waited for is answered.
-func (w *World) settled(within time.Duration) bool {
-	for end := w.now + within; w.now < end; w.Run(100 * time.Millisecond) {
+// waitForRecordedAnswers waits until every request that was not waited for is answered.
+func (world *World) waitForRecordedAnswers(within time.Duration) bool {
+	for end := world.now + within; world.now < end; world.Run(100 * time.Millisecond) {
 		open := false
-		for _, v := range w.answers {
+		for _, v := range world.recordedAnswers {
 			open = open || v == "none yet"
 		}
 		if !open {
--- a/internal/simtest/record_test.go
+++ b/internal/simtest/wire_record_test.go
@@ -26,47 +26,47 @@
 // recordedPlays is the number of random plays that are recorded, from seed 1 on.
 const recordedPlays = 60
 
-// recorder hashes messages and, if file is not nil, writes them.
-type recorder struct {
+// wireRecorder hashes messages and, if file is not nil, writes them.
+type wireRecorder struct {
 	hash  hash.Hash
 	file  *os.File
 	text  *bufio.Writer
 	count int
 }
 
-func newRecorder(t *testing.T, name string) *recorder {
+func newRecorder(t *testing.T, name string) *wireRecorder {
 	t.Helper()
-	r := &recorder{hash: sha256.New()}
-	var to io.Writer = r.hash
+	recorder := &wireRecorder{hash: sha256.New()}
+	var to io.Writer = recorder.hash
 	if *recordMessages {
 		file, err := os.Create(filepath.Join(*recordDirectory, name+".messages"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.file = file
-		to = io.MultiWriter(r.hash, file)
+		recorder.file = file
+		to = io.MultiWriter(recorder.hash, file)
 	}
-	r.text = bufio.NewWriter(to)
-	return r
+	recorder.text = bufio.NewWriter(to)
+	return recorder
 }
 
-func (r *recorder) observe(m Message) {
-	r.count++
-	fmt.Fprintf(r.text, "%d %s>%s %s %s %d %d %q\n", m.Time, m.From, m.To, m.Method, m.Path, m.Status, m.RetryAfter, m.Body)
+func (recorder *wireRecorder) observe(message Message) {
+	recorder.count++
+	fmt.Fprintf(recorder.text, "%d %s>%s %s %s %d %d %q\n", message.Time, message.From, message.To, message.Method, message.Path, message.Status, message.RetryAfter, message.Body)
 }
 
 // close writes the record's hash to a file of its own.
-func (r *recorder) close(t *testing.T, name string) {
+func (recorder *wireRecorder) close(t *testing.T, name string) {
 	t.Helper()
-	if err := r.text.Flush(); err != nil {
+	if err := recorder.text.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	if r.file != nil {
-		if err := r.file.Close(); err != nil {
+	if recorder.file != nil {
+		if err := recorder.file.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	sum := fmt.Sprintf("%s %d messages\n", hex.EncodeToString(r.hash.Sum(nil)), r.count)
+	sum := fmt.Sprintf("%s %d messages\n", hex.EncodeToString(recorder.hash.Sum(nil)), recorder.count)
 	if err := os.WriteFile(filepath.Join(*recordDirectory, name+".sha256"), []byte(sum), 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -95,24 +95,24 @@
 		name := fmt.Sprintf("play_%d", seed)
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRecorder(t, name)
-			playObserved(t, seed, r.observe)
-			r.close(t, name)
+			recorder := newRecorder(t, name)
+			playRandomJobsObserved(t, seed, recorder.observe)
+			recorder.close(t, name)
 		})
 	}
 }
 
 func recordScenario(t *testing.T, file, name string) {
 	t.Helper()
-	r := newRecorder(t, name)
-	s := &scenario{wire: r.observe}
-	datadriven.RunTest(t, file, func(t *testing.T, d *datadriven.TestData) string {
+	recorder := newRecorder(t, name)
+	player := &scenarioPlayer{observer: recorder.observe}
+	datadriven.RunTest(t, file, func(t *testing.T, directive *datadriven.TestData) string {
 		t.Helper()
-		output, err := s.play(d)
+		output, err := player.play(directive)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return output
 	})
-	r.close(t, name)
+	recorder.close(t, name)
 }
--- a/internal/simtest/worker.go
+++ b/internal/simtest/worker.go
@@ -6,222 +6,222 @@
 	"time"
 )
 
-// worker is a stand-in of a machine's worker.
-type worker struct {
-	w                  *World
-	name, addr         string
-	machineType, zone  string
-	spot               bool
-	up                 bool
-	slow               float64 // run times are multiplied by this, 0: by 1
-	session, sequence  uint64
-	token              uint64
-	reclaimAt          time.Duration
-	tasks              map[string]*task
-	images             map[string]bool
-	target             int
-	inflight           bool
-	changed            bool
-	lastSent, nextTime time.Duration
-	leaseFrom          time.Duration
-	tokenSeen          time.Duration
-	reportsBlocked     bool // it reaches no controller, direct commands reach it
-	faulty             bool // every task that starts on it fails
+// fakeWorker is a stand-in of a machine's worker.
+type fakeWorker struct {
+	world                        *World
+	name, addr                   string
+	machineType, zone            string
+	spot                         bool
+	up                           bool
+	slowdown                     float64 // run times are multiplied by this, 0: by 1
+	incarnation, sequence        uint64
+	fencingToken                 uint64
+	reclaimAt                    time.Duration
+	assignments                  map[string]*assignment
+	images                       map[string]bool
+	target                       int
+	heartbeatInFlight            bool
+	changed                      bool
+	lastHeartbeat, nextHeartbeat time.Duration
+	leaseStart                   time.Duration
+	fencingTokenSeenAt           time.Duration
+	heartbeatsBlocked            bool // it reaches no controller, direct commands reach it
+	faulty                       bool // every task that starts on it fails
 	hangState
 }
 
-func newWorker(w *World, name, addr, machineType, zone string, spot bool) *worker {
-	k := &worker{w: w, name: name, addr: addr, machineType: machineType, zone: zone, spot: spot, up: true, session: 1, tasks: map[string]*task{},
-		images: map[string]bool{}, leaseFrom: w.now, target: w.rng.IntN(len(w.nodes)), changed: true}
-	w.workers[addr] = k
-	if w.unreachableNext > 0 {
-		w.unreachableNext--
-		w.BlockInbound(k, true)
-	}
-	k.loop()
-	return k
+func newWorker(world *World, name, addr, machineType, zone string, spot bool) *fakeWorker {
+	worker := &fakeWorker{world: world, name: name, addr: addr, machineType: machineType, zone: zone, spot: spot, up: true, incarnation: 1, assignments: map[string]*assignment{},
+		images: map[string]bool{}, leaseStart: world.now, target: world.random.IntN(len(world.controllers)), changed: true}
+	world.workers[addr] = worker
+	if world.unreachableMachines > 0 {
+		world.unreachableMachines--
+		world.blockInbound(worker, true)
+	}
+	worker.tick()
+	return worker
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func seconds(amount float64) time.Duration { return time.Duration(amount * float64(time.Second)) }
 
-func (k *worker) loop() {
-	if !k.up {
+func (worker *fakeWorker) tick() {
+	if !worker.up {
 		return
 	}
-	k.w.after(100*time.Millisecond, k.loop)
-	if k.hung {
+	worker.world.schedule(100*time.Millisecond, worker.tick)
+	if worker.hung {
 		return
 	}
-	k.endLease()
-	if !k.inflight && (k.w.now >= k.nextTime || (k.changed && k.w.now-k.lastSent >= 500*time.Millisecond)) {
-		k.report()
+	worker.expireLease()
+	if !worker.heartbeatInFlight && (worker.world.now >= worker.nextHeartbeat || (worker.changed && worker.world.now-worker.lastHeartbeat >= 500*time.Millisecond)) {
+		worker.sendHeartbeat()
 	}
 }
 
-func (k *worker) killAll() {
-	for _, t := range k.sorted() {
-		k.vanish(t)
+func (worker *fakeWorker) killTasks() {
+	for _, other := range worker.sortedAssignments() {
+		worker.removeTask(other)
 	}
-	k.tasks = map[string]*task{}
-	k.images = map[string]bool{}
+	worker.assignments = map[string]*assignment{}
+	worker.images = map[string]bool{}
 }
 
-func (k *worker) sorted() []*task {
-	var list []*task
-	for _, t := range k.tasks {
-		list = append(list, t)
+func (worker *fakeWorker) sortedAssignments() []*assignment {
+	var list []*assignment
+	for _, other := range worker.assignments {
+		list = append(list, other)
 	}
 	sort.Slice(list, func(a, b int) bool { return list[a].name < list[b].name })
 	return list
 }
 
-// nextReport is the report that the worker sends next.
-func (k *worker) nextReport() report {
-	k.sequence++
-	r := report{Machine: k.name, Addr: k.addr, MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Session: k.session,
-		Sequence: k.sequence, Token: k.token, Tasks: []taskReport{}}
-	if k.reclaimAt != 0 {
-		left := (k.reclaimAt - k.w.now).Seconds()
-		r.ReclaimIn = &left
-	}
-	for _, t := range k.sorted() {
-		line := taskReport{Task: t.name, Attempt: t.attempt, Phase: t.phase}
-		if t.phase == "exited" {
-			line.Cause, line.Stored = t.cause, t.stored
+// buildHeartbeat is the report that the worker sends next.
+func (worker *fakeWorker) buildHeartbeat() heartbeat {
+	worker.sequence++
+	message := heartbeat{Machine: worker.name, Addr: worker.addr, MachineType: worker.machineType, Zone: worker.zone, Spot: worker.spot, Incarnation: worker.incarnation,
+		Sequence: worker.sequence, FencingToken: worker.fencingToken, Tasks: []taskStatus{}}
+	if worker.reclaimAt != 0 {
+		left := (worker.reclaimAt - worker.world.now).Seconds()
+		message.ReclaimIn = &left
+	}
+	for _, assignment := range worker.sortedAssignments() {
+		line := taskStatus{Task: assignment.name, Attempt: assignment.attempt, Phase: assignment.phase}
+		if assignment.phase == "exited" {
+			line.Cause, line.CheckpointStored = assignment.cause, assignment.checkpointStored
 		}
-		r.Tasks = append(r.Tasks, line)
+		message.Tasks = append(message.Tasks, line)
 	}
-	return r
+	return message
 }
 
-// report sends a report and takes its answer.
-func (k *worker) report() {
-	k.inflight, k.changed = true, false
-	k.lastSent = k.w.now
-	every := seconds(k.w.cfg.Settings.Workers.ReportS)
-	k.nextTime = k.w.now + every*3/4 + time.Duration(k.w.rng.Int64N(int64(every/2)))
-	body, _ := json.Marshal(k.nextReport())
-	sent, session := k.w.now, k.session
-	if k.reportsBlocked {
+// sendHeartbeat sends a report and takes its answer.
+func (worker *fakeWorker) sendHeartbeat() {
+	worker.heartbeatInFlight, worker.changed = true, false
+	worker.lastHeartbeat = worker.world.now
+	every := seconds(worker.world.config.Settings.Workers.ReportS)
+	worker.nextHeartbeat = worker.world.now + every*3/4 + time.Duration(worker.world.random.Int64N(int64(every/2)))
+	body, _ := json.Marshal(worker.buildHeartbeat())
+	sent, session := worker.world.now, worker.incarnation
+	if worker.heartbeatsBlocked {
 		// No connection comes about, at once or after a while.
-		k.w.after(time.Duration(k.w.rng.Int64N(int64(answerTimeout))), func() { k.whenAwake(func() { k.reported(sent, session, 0, nil) }) })
+		worker.world.schedule(time.Duration(worker.world.random.Int64N(int64(heartbeatTimeout))), func() { worker.whenResumed(func() { worker.handleHeartbeatResponse(sent, session, 0, nil) }) })
 		return
 	}
-	k.w.request(k.name, k.w.nodes[k.target], "POST", "/hello", body, answerTimeout, func(status int, body []byte) {
-		k.whenAwake(func() {
-			if k.w.now-sent >= answerTimeout {
+	worker.world.request(worker.name, worker.world.controllers[worker.target], "POST", "/hello", body, heartbeatTimeout, func(status int, body []byte) {
+		worker.whenResumed(func() {
+			if worker.world.now-sent >= heartbeatTimeout {
 				status, body = 0, nil // it came while the machine hung
 			}
-			k.reported(sent, session, status, body)
+			worker.handleHeartbeatResponse(sent, session, status, body)
 		})
 	})
 }
 
-// reported takes the answer to a report that was sent then in that session,
+// handleHeartbeatResponse takes the answer to a report that was sent then in that session,
 // status 0 for none.
-func (k *worker) reported(sent time.Duration, session uint64, status int, body []byte) {
-	k.inflight = false
-	if !k.up {
+func (worker *fakeWorker) handleHeartbeatResponse(sent time.Duration, session uint64, status int, body []byte) {
+	worker.heartbeatInFlight = false
+	if !worker.up {
 		return
 	}
 	if status == 0 {
-		k.w.check.unanswered++
+		worker.world.checker.unansweredHeartbeats++
 	}
-	var answer reportAnswer
+	var answer heartbeatResponse
 	_ = json.Unmarshal(body, &answer)
-	if status == 421 && k.redirect(answer.Leader) {
+	if status == 421 && worker.redirect(answer.Leader) {
 		return
 	}
 	if status != 200 {
-		k.target = (k.target + 1) % len(k.w.nodes)
-		k.nextTime = k.w.now + time.Second
+		worker.target = (worker.target + 1) % len(worker.world.controllers)
+		worker.nextHeartbeat = worker.world.now + time.Second
 		return
 	}
-	if answer.FencingToken < k.token || answer.FencingToken == 0 || session != k.session {
+	if answer.FencingToken < worker.fencingToken || answer.FencingToken == 0 || session != worker.incarnation {
 		return
 	}
-	k.see(answer.FencingToken)
-	k.leaseFrom = max(k.leaseFrom, sent)
-	k.execute(answer.Orders)
+	worker.learnFencingToken(answer.FencingToken)
+	worker.leaseStart = max(worker.leaseStart, sent)
+	worker.executeCommands(answer.Commands)
 }
 
 // redirect lets the next report go to the leader, soon. It tells whether that is
 // another controller.
-func (k *worker) redirect(leader string) bool {
-	for i, n := range k.w.nodes {
-		if leader != "" && n.name == leader && i != k.target {
-			k.target = i
-			k.changed = true
-			k.lastSent = k.w.now - 400*time.Millisecond
+func (worker *fakeWorker) redirect(leader string) bool {
+	for i, process := range worker.world.controllers {
+		if leader != "" && process.name == leader && i != worker.target {
+			worker.target = i
+			worker.changed = true
+			worker.lastHeartbeat = worker.world.now - 400*time.Millisecond
 			return true
 		}
 	}
 	return false
 }
 
-func (k *worker) see(token uint64) {
-	if token > k.token {
-		k.token = token
-		if k.w.now-k.tokenSeen > seconds(k.w.cfg.Settings.Workers.LeaseS/2) || k.tokenSeen == 0 {
-			k.changed, k.tokenSeen = true, k.w.now
+func (worker *fakeWorker) learnFencingToken(token uint64) {
+	if token > worker.fencingToken {
+		worker.fencingToken = token
+		if worker.world.now-worker.fencingTokenSeenAt > seconds(worker.world.config.Settings.Workers.LeaseS/2) || worker.fencingTokenSeenAt == 0 {
+			worker.changed, worker.fencingTokenSeenAt = true, worker.world.now
 		}
 	}
 }
 
 // serve answers a direct command.
-func (k *worker) serve(path string, body []byte, answer func(int, any)) {
-	if !k.up {
+func (worker *fakeWorker) serve(path string, body []byte, answer func(int, any)) {
+	if !worker.up {
 		return
 	}
-	if k.hung {
+	if worker.hung {
 		// It waits until the machine resumes, then is executed like any other.
-		k.whenAwake(func() { k.serve(path, body, answer) })
+		worker.whenResumed(func() { worker.serve(path, body, answer) })
 		return
 	}
 	if path == "/do" {
-		var v directCommand
-		if json.Unmarshal(body, &v) != nil || v.FencingToken == nil || v.Session == nil {
-			k.w.fault("bad direct command %s", body)
+		var request commandRequest
+		if json.Unmarshal(body, &request) != nil || request.FencingToken == nil || request.Incarnation == nil {
+			worker.world.reportMisuse("bad direct command %s", body)
 			answer(400, nil)
 			return
 		}
-		if *v.FencingToken < k.token || *v.Session != k.session {
-			answer(409, k.nextReport())
+		if *request.FencingToken < worker.fencingToken || *request.Incarnation != worker.incarnation {
+			answer(409, worker.buildHeartbeat())
 			return
 		}
-		k.see(*v.FencingToken)
-		k.execute(v.Orders)
+		worker.learnFencingToken(*request.FencingToken)
+		worker.executeCommands(request.Commands)
 	}
-	answer(200, k.nextReport())
+	answer(200, worker.buildHeartbeat())
 }
 
-func (k *worker) execute(orders []order) {
-	for _, o := range orders {
-		t := k.tasks[o.Task]
-		switch o.Verb {
+func (worker *fakeWorker) executeCommands(orders []taskCommand) {
+	for _, command := range orders {
+		assignment := worker.assignments[command.Task]
+		switch command.Verb {
 		case "start":
-			if t != nil && t.attempt == o.Attempt {
+			if assignment != nil && assignment.attempt == command.Attempt {
 				continue
 			}
-			k.start(o)
+			worker.startTask(command)
 		case "stop":
-			if t != nil && t.attempt == o.Attempt && t.phase != "exited" {
-				k.w.check.stopped(t)
-				k.stop(t, seconds(o.Wind))
+			if assignment != nil && assignment.attempt == command.Attempt && assignment.phase != "exited" {
+				worker.world.checker.countStop(assignment)
+				worker.stopTask(assignment, seconds(command.GracePeriod))
 			}
 		case "reap":
-			if t != nil && t.attempt == o.Attempt && t.phase == "exited" {
-				delete(k.tasks, o.Task)
-				k.changed = true
+			if assignment != nil && assignment.attempt == command.Attempt && assignment.phase == "exited" {
+				delete(worker.assignments, command.Task)
+				worker.changed = true
 			}
 		default:
-			k.w.fault("unknown order %q", o.Verb)
+			worker.world.reportMisuse("unknown order %q", command.Verb)
 		}
 	}
 }
 
-// die ends the machine.
-func (k *worker) die() {
-	k.killAll()
-	k.up = false
+// crash ends the machine.
+func (worker *fakeWorker) crash() {
+	worker.killTasks()
+	worker.up = false
 }
--- /dev/null
+++ b/internal/simtest/worker_hang.go
@@ -0,0 +1,127 @@
+package simtest
+
+import "time"
+
+// hangState is what a machine's hangs have done to it. While it hangs nothing
+// on it executes, but its lease runs on: if it goes on later than that, it kills
+// its tasks before anything else.
+type hangState struct {
+	hung      bool
+	hungSince time.Duration
+	hungUntil time.Duration
+	totalHung time.Duration // of the hangs that are over
+	onResume  []func()      // what happens once it goes on, in order
+}
+
+// heartbeatAnswerTimeout is how long a worker waits for the answer to a report.
+const heartbeatTimeout = 4 * time.Second
+
+// hang lets the machine be paused for that long.
+func (worker *fakeWorker) hang(duration time.Duration) {
+	worker.hungUntil = max(worker.hungUntil, worker.world.now+duration)
+	if worker.hung || !worker.up {
+		return
+	}
+	worker.hung, worker.hungSince = true, worker.world.now
+	worker.world.schedule(duration, worker.resumeAfterHang)
+	// The rest of a running gang notices, unless the machine is back by then or
+	// there is no rest that executes.
+	since := worker.hungSince
+	for _, assignment := range worker.sortedAssignments() {
+		gang := assignment.job.gangOf(assignment)
+		if gang == nil {
+			continue
+		}
+		worker.world.schedule(seconds(worker.world.config.Settings.Workers.GangPeerS), func() {
+			if worker.hung && worker.hungSince == since && gang.started && !gang.over && gang.tasks[assignment.index] == assignment && gang.anyResponsive() {
+				gang.over = true
+				worker.world.abortGang(assignment.job, gang)
+			}
+		})
+	}
+}
+
+func (worker *fakeWorker) resumeAfterHang() {
+	if !worker.up || !worker.hung {
+		return
+	}
+	if worker.world.now < worker.hungUntil {
+		worker.world.schedule(worker.hungUntil-worker.world.now, worker.resumeAfterHang)
+		return
+	}
+	worker.hung = false
+	worker.totalHung += worker.world.now - worker.hungSince
+	worker.expireLease()
+	worker.world.checker.checkResumed(worker)
+	list := worker.onResume
+	worker.onResume = nil
+	for _, action := range list {
+		if worker.up {
+			action()
+		}
+	}
+}
+
+// expireLease kills the tasks and begins a session if the lease has run out.
+func (worker *fakeWorker) expireLease() {
+	if !worker.leaseExpired() {
+		return
+	}
+	worker.killTasks()
+	worker.incarnation++
+	worker.leaseStart = worker.world.now
+	worker.changed = true
+}
+
+// leaseExpired tells whether the last answered report was sent too long ago.
+func (worker *fakeWorker) leaseExpired() bool {
+	return worker.world.now-worker.leaseStart > seconds(worker.world.config.Settings.Workers.LeaseS)
+}
+
+// certainlyLost tells whether the tasks are certain not to go on: the machine hangs
+// and has outlived its lease.
+func (worker *fakeWorker) certainlyLost() bool { return worker.hung && worker.leaseExpired() }
+
+// whenResumed runs f at once, or when the machine goes on.
+func (worker *fakeWorker) whenResumed(action func()) {
+	if worker.hung {
+		worker.onResume = append(worker.onResume, action)
+		return
+	}
+	action()
+}
+
+// executionTime is for how long the machine has not hung.
+func (worker *fakeWorker) executionTime() time.Duration {
+	if worker.hung {
+		return worker.hungSince - worker.totalHung
+	}
+	return worker.world.now - worker.totalHung
+}
+
+// afterExecuting runs f once the machine has executed for d.
+func (worker *fakeWorker) afterExecuting(duration time.Duration, action func()) {
+	target := worker.executionTime() + duration
+	var check func()
+	check = func() {
+		switch left := target - worker.executionTime(); {
+		case worker.hung:
+			worker.whenResumed(check)
+		case left > 0:
+			worker.world.schedule(left, check)
+		default:
+			action()
+		}
+	}
+	worker.world.schedule(duration, check)
+}
+
+// checkResumed checks the tasks of a machine that resumes: one whose cancellation is
+// overdue breaks the rules, however soon it is stopped after that.
+func (checker *Checker) checkResumed(worker *fakeWorker) {
+	for _, assignment := range worker.sortedAssignments() {
+		if since, ok := checker.cancelledSince(assignment.job.idOrEmpty()); ok && assignment.onMachine() && checker.overdue(since) {
+			checker.reportViolation("ran_cancelled: %s goes on on %s", assignment.name, worker.name)
+		}
+	}
+}
--- a/internal/simtest/world.go
+++ b/internal/simtest/world.go
@@ -17,44 +17,44 @@
 )
 
 const (
-	stateAddr = "10.2.0.1:2379"
-	cloudAddr = "10.2.0.2:8443"
-	tickEvery = 50 * time.Millisecond
+	stateAddr    = "10.2.0.1:2379"
+	cloudAddr    = "10.2.0.2:8443"
+	tickInterval = 50 * time.Millisecond
 )
 
-// dayBegin is the time of day at which every world begins.
-var dayBegin = time.Unix(1_700_000_000, 0)
+// worldStartTime is the time of day at which every world begins.
+var worldStartTime = time.Unix(1_700_000_000, 0)
 
 // World is one simulated deployment.
 type World struct {
-	now      time.Duration
-	schedule schedule
-	seq      int
-	rng      *rand.Rand
-	cfg      *config.Platform
+	now    time.Duration
+	events schedule
+	seq    int
+	random *rand.Rand
+	config *config.Platform
 
-	nodes   []*node
-	state   *state
-	cloud   *cloud
-	workers map[string]*worker // by address
-	jobs    map[string]*job
-	check   *Checker
+	controllers  []*controllerProcess
+	stateService *fakeStateService
+	cloud        *fakeCloud
+	workers      map[string]*fakeWorker // by address
+	jobs         map[string]*jobRecord
+	checker      *Checker
 
-	cut             map[[2]string]bool
-	lost            map[[2]string]bool // packets that way vanish
-	copies          float64            // share of reports of which a copy comes later, to any node
-	copyLate        time.Duration      // by at most this
-	unreachableNext int                // so many of the next machines are unreachable
-	users           *node              // whom users ask, nil: any
-	held            []heldPacket
-	loss            float64 // share of packets between machines that are lost
-	late            float64 // share of calls to the state service and cloud executed late as well
-	pageLimit       int
-	announced       bool              // the settings tell of lower limits of the state service
-	answers         map[string]string // to requests that nobody waits for, by what was asked
-	faults          []string          // errors of the service against its own limits
-	log             *slog.Logger
-	wire            WireObserver // nil: none
+	cutLinks            map[[2]string]bool
+	droppedLinks        map[[2]string]bool // packets that way vanish
+	duplicateShare      float64            // share of reports of which a copy comes later, to any node
+	duplicateDelay      time.Duration      // by at most this
+	unreachableMachines int                // so many of the next machines are unreachable
+	entryController     *controllerProcess // whom users ask, nil: any
+	heldPackets         []heldPacket
+	lossShare           float64 // share of packets between machines that are lost
+	lateRepeatShare     float64 // share of calls to the state service and cloud executed late as well
+	pageLimit           int
+	limitsAnnounced     bool              // the settings tell of lower limits of the state service
+	recordedAnswers     map[string]string // to requests that nobody waits for, by what was asked
+	serviceMisuses      []string          // errors of the service against its own limits
+	log                 *slog.Logger
+	observer            WireObserver // nil: none
 	activeFaults
 }
 
@@ -84,43 +84,45 @@
 	if err != nil {
 		panic(err)
 	}
-	for _, f := range tune {
-		f(cfg)
+	for _, change := range tune {
+		change(cfg)
 	}
-	w := &World{rng: rand.New(rand.NewPCG(seed, 1)), wire: wire, cfg: cfg, workers: map[string]*worker{}, jobs: map[string]*job{},
-		cut: map[[2]string]bool{}, lost: map[[2]string]bool{}, pageLimit: 1000, answers: map[string]string{},
-		announced: strings.Contains(settings, `"next":`), log: slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelInfo}))}
-	w.state, w.cloud, w.check = newState(w), newCloud(w), newChecker(w)
+	world := &World{random: rand.New(rand.NewPCG(seed, 1)), observer: wire, config: cfg, workers: map[string]*fakeWorker{}, jobs: map[string]*jobRecord{},
+		cutLinks: map[[2]string]bool{}, droppedLinks: map[[2]string]bool{}, pageLimit: 1000, recordedAnswers: map[string]string{},
+		limitsAnnounced: strings.Contains(settings, `"next":`), log: slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelInfo}))}
+	world.stateService, world.cloud, world.checker = newState(world), newCloud(world), newChecker(world)
 	for i := range nodes {
-		w.nodes = append(w.nodes, &node{w: w, index: i, name: fmt.Sprintf("n%d", i)})
+		world.controllers = append(world.controllers, &controllerProcess{world: world, index: i, name: fmt.Sprintf("n%d", i)})
 	}
-	for _, n := range w.nodes {
-		n.boot()
+	for _, process := range world.controllers {
+		process.boot()
 	}
-	return w
+	return world
 }
 
-func (w *World) fault(f string, a ...any) { w.faults = append(w.faults, fmt.Sprintf(f, a...)) }
+func (world *World) reportMisuse(f string, values ...any) {
+	world.serviceMisuses = append(world.serviceMisuses, fmt.Sprintf(f, values...))
+}
 
-// Workers lists the workers in an order that does not change from run to run.
-func (w *World) Workers() []*worker {
-	var list []*worker
-	for _, k := range w.workers {
-		list = append(list, k)
+// sortedWorkers lists the workers in an order that does not change from run to run.
+func (world *World) sortedWorkers() []*fakeWorker {
+	var list []*fakeWorker
+	for _, worker := range world.workers {
+		list = append(list, worker)
 	}
 	sort.Slice(list, func(a, b int) bool { return list[a].name < list[b].name })
 	return list
 }
 
-// Leader is the name of the controller that the state service shows as leader.
-func (w *World) Leader() *node {
+// leader is the name of the controller that the state service shows as leader.
+func (world *World) leader() *controllerProcess {
 	var r struct {
 		Label string `json:"l"`
 	}
-	_ = json.Unmarshal(w.state.keys["t/lead"].data, &r)
-	for _, n := range w.nodes {
-		if n.name == r.Label {
-			return n
+	_ = json.Unmarshal(world.stateService.keys["t/lead"].data, &r)
+	for _, process := range world.controllers {
+		if process.name == r.Label {
+			return process
 		}
 	}
 	return nil
