--- a/internal/autoscaler/announce_test.go
+++ b/internal/autoscaler/announce_test.go
@@ -12,17 +12,9 @@
 	"lugward/internal/kv"
 	"lugward/internal/pipeline"
 	"lugward/internal/worker"
+	"lugward/internal/worker/workertest"
 )
 
-// leading is a leader that has always led.
-type leading struct{}
-
-func (leading) FencingToken() uint64                     { return 5 }
-func (leading) IsLeader(event.Time) bool                 { return true }
-func (leading) ObserveFencingToken(uint64)               {}
-func (leading) MaxWorkerLease() time.Duration            { return 30 * time.Second }
-func (leading) TasksExpireAt(last event.Time) event.Time { return last + 32*time.Second }
-
 // Four thousand machines that answer an isolated leader hear of the next one within
 // seconds, and at most a small part of all sockets is used for it at a time: those
 // that answer free theirs at once. Twenty every half second took 100 s.
@@ -31,28 +23,29 @@
 	names := &pipeline.Names{}
 	jobs := pipeline.NewTable(names, 4096, 12)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	workers := worker.New(names, jobs, log)
+	workers := worker.New(worker.Config{Names: names, Jobs: jobs, Log: log})
 	client := kv.New(kv.Config{Addr: "state", Limits: kv.Limits{TxnOps: 12, Rates: kv.Rates{Requests: 100, Writes: 60}}, OnChange: func(string, []byte, uint64) {}})
 	a := New(Config{Names: names, Jobs: jobs, Workers: workers, Store: client, Log: log, CloudAddr: "cloud", CloudRPS: 100, MaxConnections: sockets, HeartbeatTimeout: time.Hour, IdleTimeout: time.Hour, SettleTime: time.Hour})
 	now := time.Second
 	for i := range machines {
-		machine := workers.Add(fmt.Sprintf("i-%d", i), now)
-		machine.Addr = fmt.Sprintf("10.1.0.1:%d", i)
-		machine.LastHeartbeat = now
-		machine.Describe(0, i%3, false)
+		heartbeat := workertest.Heartbeat(fmt.Sprintf("i-%d", i), now)
+		heartbeat.Addr = fmt.Sprintf("10.1.0.1:%d", i)
+		heartbeat.Zone = fmt.Sprintf("zone-%d", i%3)
+		heartbeat.FencingToken = workertest.FencingToken - 1
+		workers.HandleHeartbeat(heartbeat, now, workertest.Leader{})
 	}
 	now += 3 * time.Second
 	told := map[string]int{}
 	for range 100 {
 		var out event.Effects
-		a.Tick(now, leading{}, kv.Compare{}, &out)
+		a.Tick(now, workertest.Leader{}, kv.Compare{}, &out)
 		if workers.Announcing() > limit {
 			t.Fatalf("%d announcements at a time", workers.Announcing())
 		}
 		for _, call := range out.Calls {
 			if call.Path == "/do" {
 				told[call.Addr]++
-				workers.HandleCallResult(event.CallResult{ID: call.ID, Status: httpwire.StatusOK, Body: []byte("{}")}, leading{}, &out)
+				workers.HandleCallResult(event.CallResult{ID: call.ID, Status: httpwire.StatusOK, Body: []byte("{}")}, workertest.Leader{}, &out)
 			}
 		}
 		now += 50 * time.Millisecond
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -25,7 +25,7 @@
 		names := &pipeline.Names{}
 		jobs := pipeline.NewTable(names, 4096, 12)
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		workers := worker.New(names, jobs, log)
+		workers := worker.New(worker.Config{Names: names, Jobs: jobs, Log: log})
 		client := kv.New(kv.Config{Addr: "state", Limits: kv.Limits{TxnOps: 12, Rates: kv.Rates{Requests: 100, Writes: 60}}, OnChange: func(string, []byte, uint64) {}})
 		a := New(Config{Names: names, Jobs: jobs, Workers: workers, Store: client, Log: log, CloudAddr: "cloud", CloudRPS: 100, IdleTimeout: time.Minute})
 		a.list.current = true
--- a/internal/autoscaler/boots_test.go
+++ b/internal/autoscaler/boots_test.go
@@ -19,7 +19,7 @@
 	names := &pipeline.Names{}
 	jobs := pipeline.NewTable(names, 4096, 12)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	a := New(Config{Names: names, Jobs: jobs, Workers: worker.New(names, jobs, log), Log: log})
+	a := New(Config{Names: names, Jobs: jobs, Workers: worker.New(worker.Config{Names: names, Jobs: jobs, Log: log}), Log: log})
 	a.machineTypes = scheduler.MachineTypes{{BootTime: statedBoot.Seconds()}}
 	return a
 }
--- a/internal/autoscaler/list.go
+++ b/internal/autoscaler/list.go
@@ -143,17 +143,15 @@
 		return // the list is older than the release
 	}
 	machine := a.workers.Add(listed.Name, now)
-	if machine.Addr == "" {
-		machine.Addr = listed.Addr
-	}
-	if !machine.Known {
+	machine.NoteListedAddr(listed.Addr)
+	if !machine.Known() {
 		machine.Describe(a.names.MachineTypes.Index(listed.Type), a.names.Zones.Index(listed.Zone), listed.Spot)
 	}
 	if listed.Phase == phaseFailed {
-		machine.Decommissioning = true // the next tick stores that and releases it
+		machine.StartDecommission() // the next tick stores that and releases it
 		return
 	}
-	if machine.LastHeartbeat == 0 {
+	if machine.LastHeartbeat() == 0 {
 		a.observeUnreported(machine, listed, now)
 	}
 }
--- a/internal/autoscaler/offers.go
+++ b/internal/autoscaler/offers.go
@@ -28,7 +28,7 @@
 
 // offerOf returns the offer under which a machine was provisioned.
 func offerOf(machine *worker.Machine) offer {
-	return offer{machine.MachineType, machine.Zone, machine.Spot}
+	return offer{machine.MachineType(), machine.Zone(), machine.Spot()}
 }
 
 // compare orders offers by type and zone, spot machines first.
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -79,10 +79,10 @@
 	for _, index := range slices.Sorted(maps.Keys(p.booting)) {
 		booting := p.booting[index]
 		machine := p.workers.MachineAt(index)
-		if machine == nil || machine.Decommissioning || machine.LastHeartbeat != 0 {
+		if machine == nil || machine.Decommissioning() || machine.LastHeartbeat() != 0 {
 			continue
 		}
-		unreachable := booting.up && p.partitioned[machine.Zone]
+		unreachable := booting.up && p.partitioned[machine.Zone()]
 		if unreachable || p.isOverdue(booting, p.now) {
 			continue
 		}
@@ -228,7 +228,7 @@
 		case booting.idle == 0:
 			booting.idle = p.now
 		case p.now-booting.idle > 2*p.cfg.IdleTimeout && !p.hasTasks(machine):
-			machine.Decommissioning = true // the next tick stores that and releases it
+			machine.StartDecommission() // the next tick stores that and releases it
 		}
 	}
 }
--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -129,7 +129,7 @@
 		"spot", offer.spot, "asked", request.count, "got", len(machines))
 	for _, name := range machines {
 		machine := a.workers.Add(name, now)
-		if machine.LastHeartbeat != 0 {
+		if machine.LastHeartbeat() != 0 {
 			continue // it reported before the response arrived
 		}
 		machine.Describe(offer.machineType, offer.zone, offer.spot)
--- a/internal/autoscaler/release.go
+++ b/internal/autoscaler/release.go
@@ -50,7 +50,7 @@
 // Decommission stores that a machine gets no more tasks; it is released once that is
 // stored.
 func (a *Autoscaler) Decommission(machine *worker.Machine, now event.Time, term kv.Compare) {
-	machine.Decommissioning = true
+	machine.StartDecommission()
 	name := machine.Name
 	if a.decommissions.storing[name] || a.decommissions.stored[name] != 0 || len(a.decommissions.storing) >= maxRetiring {
 		return // a later scan repeats it where it is not stored yet
@@ -81,7 +81,7 @@
 	}
 	slices.Sort(machines)
 	for _, name := range machines {
-		a.workers.Add(name, now).Decommissioning = true
+		a.workers.Add(name, now).StartDecommission()
 	}
 	if len(machines) == 0 || !a.allowed(now) {
 		return
@@ -120,7 +120,7 @@
 	a.workers.RecordTermination(machine)
 	delete(a.booting, machine.Index)
 	delete(a.provisioning.refused, offerOf(machine)) // the cloud has one again
-	a.workers.Machines[machine.Index] = nil
+	a.workers.Remove(machine)
 	a.decommissions.released[name] = now
 	a.decommissions.releasing[name] = true // no second request while the stored retirement is deleted
 	a.store.Submit(&kv.Txn{
--- a/internal/autoscaler/tick.go
+++ b/internal/autoscaler/tick.go
@@ -68,14 +68,11 @@
 // updateUse notes which machines are in use, and repeats the write of a retirement
 // that was refused.
 func (a *Autoscaler) updateUse(scan *scan) {
-	for _, machine := range a.workers.Machines {
-		if machine == nil {
-			continue
-		}
+	for machine := range a.workers.All() {
 		if a.hasTasks(machine) {
-			machine.IdleSince = scan.now
+			machine.NoteInUse(scan.now)
 		}
-		if machine.Decommissioning && a.decommissions.stored[machine.Name] == 0 && !a.decommissions.releasing[machine.Name] {
+		if machine.Decommissioning() && a.decommissions.stored[machine.Name] == 0 && !a.decommissions.releasing[machine.Name] {
 			a.Decommission(machine, scan.now, scan.term)
 		}
 	}
@@ -93,8 +90,8 @@
 func (a *Autoscaler) announceToken(scan *scan, out *event.Effects) {
 	a.announcementsLeft = false
 	limit := max(minAnnouncements, a.cfg.MaxConnections/announcementDivisor)
-	for _, machine := range a.workers.Machines {
-		if machine == nil || !a.awaitsToken(machine, scan.now) {
+	for machine := range a.workers.All() {
+		if !a.awaitsToken(machine, scan.now) {
 			continue
 		}
 		if a.workers.Announcing() >= limit {
@@ -108,8 +105,8 @@
 // awaitsToken tells whether a machine that is up has not shown our fencing token
 // though it has had time to.
 func (a *Autoscaler) awaitsToken(machine *worker.Machine, now event.Time) bool {
-	if machine.LastHeartbeat != 0 {
-		return !machine.TokenConfirmed && now-machine.LastHeartbeat > announceAfter
+	if machine.LastHeartbeat() != 0 {
+		return !machine.TokenConfirmed() && now-machine.LastHeartbeat() > announceAfter
 	}
 	booting := a.booting[machine.Index]
 	return booting != nil && booting.up && now-booting.since > announceAfter
@@ -121,7 +118,7 @@
 	for _, index := range slices.Sorted(maps.Keys(a.booting)) {
 		booting := a.booting[index]
 		machine := a.workers.MachineAt(index)
-		if machine == nil || machine.LastHeartbeat > 0 {
+		if machine == nil || machine.LastHeartbeat() > 0 {
 			a.recordBootTime(booting, scan.now)
 			delete(a.booting, index)
 			a.jobs.RequestRound()
@@ -157,24 +154,24 @@
 
 // releaseUnused retires machines that are unreachable, lost or of no more use.
 func (a *Autoscaler) releaseUnused(scan *scan) {
-	for _, machine := range a.workers.Machines {
-		if machine == nil || !machine.Known || machine.Decommissioning {
+	for machine := range a.workers.All() {
+		if !machine.Known() || machine.Decommissioning() {
 			continue
 		}
-		partitioned := a.partitioned[machine.Zone]
+		partitioned := a.partitioned[machine.Zone()]
 		if a.workers.UnreachableBeyondLease(machine, scan.now, scan.leadership) && !partitioned {
 			a.log.Info("unreachable machine released", "machine", machine.Name)
 			a.Decommission(machine, scan.now, scan.term)
 			continue
 		}
-		if a.hasTasks(machine) || machine.LastHeartbeat <= 0 {
+		if a.hasTasks(machine) || machine.LastHeartbeat() <= 0 {
 			continue
 		}
 		timeout := heartbeatLossTimeout
 		if partitioned {
 			timeout = partitionedTimeout
 		}
-		lost := scan.now-machine.LastHeartbeat > timeout
+		lost := scan.now-machine.LastHeartbeat() > timeout
 		if lost || a.isUnused(machine, scan.now) {
 			a.Decommission(machine, scan.now, scan.term)
 		}
@@ -183,10 +180,10 @@
 
 // isUnused tells whether a machine without tasks is of no more use.
 func (a *Autoscaler) isUnused(machine *worker.Machine, now event.Time) bool {
-	if machine.UnknownTasks > 0 {
+	if machine.UnknownTasks() > 0 {
 		return false // they have not been stopped yet
 	}
-	leaving := machine.Draining || machine.ReclaimAt != 0
-	usedAt := max(machine.IdleSince, machine.ReservedAt)
+	leaving := machine.Draining() || machine.ReclaimAt() != 0
+	usedAt := max(machine.IdleSince(), machine.ReservedAt())
 	return leaving || now-usedAt > a.cfg.IdleTimeout
 }
--- a/internal/autoscaler/zones.go
+++ b/internal/autoscaler/zones.go
@@ -21,13 +21,13 @@
 // zones lists the machines of each zone that are up, silent ones included.
 func (a *Autoscaler) zones() map[int][]*worker.Machine {
 	zones := map[int][]*worker.Machine{}
-	for _, machine := range a.workers.Machines {
-		if machine == nil || machine.Decommissioning {
+	for machine := range a.workers.All() {
+		if machine.Decommissioning() {
 			continue
 		}
 		booting := a.booting[machine.Index]
-		if machine.LastHeartbeat != 0 || (booting != nil && booting.up) {
-			zones[machine.Zone] = append(zones[machine.Zone], machine)
+		if machine.LastHeartbeat() != 0 || (booting != nil && booting.up) {
+			zones[machine.Zone()] = append(zones[machine.Zone()], machine)
 		}
 	}
 	return zones
@@ -40,7 +40,7 @@
 	for zone, machines := range scan.zones {
 		lost := 0
 		for _, machine := range machines {
-			if scan.now-a.lastSign(machine) > scan.silentAfter || machine.UnreachableSince != 0 {
+			if scan.now-a.lastSign(machine) > scan.silentAfter || machine.UnreachableSince() != 0 {
 				lost++
 			}
 		}
@@ -59,10 +59,10 @@
 // lastSign is when a machine last reported, or was first listed as running where
 // it has not reported.
 func (a *Autoscaler) lastSign(machine *worker.Machine) event.Time {
-	if booting := a.booting[machine.Index]; machine.LastHeartbeat == 0 && booting != nil {
+	if booting := a.booting[machine.Index]; machine.LastHeartbeat() == 0 && booting != nil {
 		return booting.since
 	}
-	return machine.LastHeartbeat
+	return machine.LastHeartbeat()
 }
 
 // releaseUnresponsive releases a machine that alone in its zone went silent: the cloud's
@@ -75,7 +75,7 @@
 		var silent []*worker.Machine
 		for _, machine := range machines {
 			// One that never reported counts as booting.
-			if machine.LastHeartbeat != 0 && scan.now-machine.LastHeartbeat > scan.silentAfter {
+			if machine.LastHeartbeat() != 0 && scan.now-machine.LastHeartbeat() > scan.silentAfter {
 				silent = append(silent, machine)
 			}
 		}
@@ -84,7 +84,7 @@
 		}
 		reports := connectedHeartbeats(machines, scan)
 		for _, machine := range silent {
-			if countAfter(reports, machine.LastHeartbeat+scan.silentAfter*3/4) < reportingPerSilent*len(silent) {
+			if countAfter(reports, machine.LastHeartbeat()+scan.silentAfter*3/4) < reportingPerSilent*len(silent) {
 				continue
 			}
 			a.log.Info("silent machine released", "machine", machine.Name, "tasks", len(a.jobs.OnMachine(machine.Index)))
@@ -101,8 +101,8 @@
 	recent := func(at event.Time) bool { return at != 0 && scan.now-at <= partitionMemory }
 	var reports []event.Time
 	for _, machine := range machines {
-		if !recent(machine.ReconnectedAt) && !recent(machine.RelayedAt) {
-			reports = append(reports, machine.LastHeartbeat)
+		if !recent(machine.ReconnectedAt()) && !recent(machine.RelayedAt()) {
+			reports = append(reports, machine.LastHeartbeat())
 		}
 	}
 	slices.Sort(reports)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -138,8 +138,12 @@
 // workers, the autoscaler and the scheduler.
 func (c *Controller) connectSite(teams map[int]config.Team) {
 	settings := &c.cfg.Settings
-	c.workers = worker.New(c.names, c.jobs, c.log)
-	c.workers.HeartbeatTimeout = c.workerHeartbeatTimeout()
+	c.workers = worker.New(worker.Config{
+		Names:            c.names,
+		Jobs:             c.jobs,
+		HeartbeatTimeout: c.workerHeartbeatTimeout(),
+		Log:              c.log,
+	})
 	c.autoscaler = autoscaler.New(autoscaler.Config{
 		Names:            c.names,
 		Jobs:             c.jobs,
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -110,8 +110,8 @@
 func (c *Controller) expectsHeartbeats() bool {
 	expected := c.autoscaler.HasUnregisteredMachines()
 	c.jobs.MachinesInUse(func(int) { expected = true })
-	for _, machine := range c.workers.Machines {
-		expected = expected || (machine != nil && machine.LastHeartbeat > 0)
+	for machine := range c.workers.All() {
+		expected = expected || machine.LastHeartbeat() > 0
 	}
 	return expected
 }
@@ -201,14 +201,14 @@
 // evictBeforeReclaim stops tasks that save checkpoints on machines that the
 // cloud is about to reclaim, while there is still time for the last save.
 func (c *Controller) evictBeforeReclaim(now event.Time) {
-	for _, machine := range c.workers.Machines {
-		if machine == nil || machine.ReclaimAt == 0 {
+	for machine := range c.workers.All() {
+		if machine.ReclaimAt() == 0 {
 			continue
 		}
 		for _, entry := range c.jobs.OnMachine(machine.Index) {
 			job := entry.Job
 			needed := config.Seconds(job.CheckpointDuration) + evictionMargin
-			if job.CheckpointInterval > 0 && machine.ReclaimAt-now < needed {
+			if job.CheckpointInterval > 0 && machine.ReclaimAt()-now < needed {
 				c.workers.Evict(entry, worker.GracePeriod(job))
 			}
 		}
--- a/internal/controller/redirect.go
+++ b/internal/controller/redirect.go
@@ -21,14 +21,14 @@
 	if machine == nil {
 		return false
 	}
-	if machine.RedirectedAt != 0 && now-machine.RedirectedAt < redirectWindow {
+	if machine.RedirectedAt() != 0 && now-machine.RedirectedAt() < redirectWindow {
 		return false
 	}
 	label := c.relayingPeer(report.Machine)
 	if label == "" {
 		return false
 	}
-	machine.RedirectedAt = now
+	machine.NoteRedirect(now)
 	redirectTo(label, r.Conn, out)
 	return true
 }
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -127,18 +127,18 @@
 
 // Capacities lists what is left of the machines that are up.
 func (s *Scheduler) Capacities(now event.Time) []*Capacity {
-	all := make([]Capacity, 0, len(s.workers.Machines))
-	for _, machine := range s.workers.Machines {
-		if machine == nil || !machine.Schedulable(now, s.cfg.HeartbeatTimeout) {
+	all := make([]Capacity, 0, s.workers.Len())
+	for machine := range s.workers.All() {
+		if !machine.Schedulable(now, s.cfg.HeartbeatTimeout) {
 			continue
 		}
-		machineType := s.machineTypes.Get(machine.MachineType)
+		machineType := s.machineTypes.Get(machine.MachineType())
 		if machineType == nil {
 			continue
 		}
 		capacity := *s.capacity(machine, machineType)
-		capacity.Zone = machine.Zone
-		capacity.Spot = machine.Spot
+		capacity.Zone = machine.Zone()
+		capacity.Spot = machine.Spot()
 		all = append(all, capacity)
 	}
 	capacities := make([]*Capacity, len(all))
--- a/internal/scheduler/chain_test.go
+++ b/internal/scheduler/chain_test.go
@@ -9,6 +9,7 @@
 
 	"lugward/internal/pipeline"
 	"lugward/internal/worker"
+	"lugward/internal/worker/workertest"
 )
 
 // site is a table with one machine of eight CPUs.
@@ -21,19 +22,17 @@
 func newSite() *site {
 	names := names(&pipeline.Names{})
 	jobs := pipeline.NewTable(names, 4096, 12)
-	workers := worker.New(names, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	workers := worker.New(worker.Config{Names: names, Jobs: jobs, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	s := &site{Scheduler: New(Config{Jobs: jobs, Workers: workers, MachineTypes: &MachineTypes{{CPUs: 8, Memory: 32}}, HeartbeatTimeout: time.Minute}), now: 100 * time.Second}
 	jobs.SetNow(s.now)
-	addMachine(workers, "i-1", s.now)
+	heartbeat(workers, "i-1", s.now)
 	return s
 }
 
-// addMachine adds a machine of the first type that has just reported.
-func addMachine(workers *worker.Registry, name string, now time.Duration) {
-	machine := workers.Add(name, now)
-	machine.Describe(0, 0, false)
-	machine.TokenConfirmed = true
-	machine.LastHeartbeat = now
+// heartbeat lets a machine of the first type report that it runs no tasks. One that is
+// new is added.
+func heartbeat(workers *worker.Registry, machine string, now time.Duration) {
+	workers.HandleHeartbeat(workertest.Heartbeat(machine, now), now, workertest.Leader{})
 }
 
 func (s *site) job(id string, set func(*pipeline.Job)) *pipeline.Job {
--- a/internal/scheduler/choose.go
+++ b/internal/scheduler/choose.go
@@ -100,7 +100,7 @@
 	if zone != anyZone && capacity.Zone != zone {
 		return false
 	}
-	if capacity.Machine.Draining || !capacity.fitsEmpty(&job.Spec) {
+	if capacity.Machine.Draining() || !capacity.fitsEmpty(&job.Spec) {
 		return false
 	}
 	return capacity.accepts(job, now)
--- a/internal/scheduler/order_test.go
+++ b/internal/scheduler/order_test.go
@@ -43,7 +43,7 @@
 		first := s.job("req-1", func(j *pipeline.Job) { j.Shape, j.TaskCount, j.CPUs, j.Priority = c.first, 2, 4, c.priority })
 		second := s.job("req-2", func(j *pipeline.Job) { j.Shape, j.TaskCount, j.CPUs = c.second, 2, 4 })
 		s.now = time.Hour
-		s.workers.Add("i-1", s.now).LastHeartbeat = s.now
+		heartbeat(s.workers, "i-1", s.now)
 		first.ReadySince, second.ReadySince = s.now-longAgo, s.now-c.waited
 		if c.record != "" {
 			s.jobs.HandleChange(pipeline.RunKey, "req-1/0", []byte(c.record), 9)
--- a/internal/scheduler/pack.go
+++ b/internal/scheduler/pack.go
@@ -46,7 +46,7 @@
 func listReceivers(capacities []*Capacity) []*Capacity {
 	var receivers []*Capacity
 	for _, capacity := range capacities {
-		if capacity.InUse && capacity.Machine != nil && !capacity.Machine.Draining {
+		if capacity.InUse && capacity.Machine != nil && !capacity.Machine.Draining() {
 			receiver := *capacity
 			receivers = append(receivers, &receiver)
 		}
@@ -60,10 +60,7 @@
 // every pass would count the same free capacity anew and drain machines whose tasks
 // fit nowhere. It returns the jobs of those that find no capacity.
 func (s *Scheduler) reserveForMoving(receivers []*Capacity) (blocked []*pipeline.Job) {
-	for _, machine := range s.workers.Machines {
-		if machine == nil {
-			continue
-		}
+	for machine := range s.workers.All() {
 		for _, entry := range s.jobs.OnMachine(machine.Index) {
 			if !entry.Evicting || entry.Job.TerminalPhase != pipeline.Queued {
 				continue
@@ -86,7 +83,7 @@
 	for _, entry := range s.jobs.OnMachine(machine.Index) {
 		s.workers.Evict(entry, worker.GracePeriod(entry.Job))
 	}
-	machine.Draining = true
+	machine.StartDraining()
 }
 
 // compareForDraining puts the dearest machines first, of equal ones the emptiest.
@@ -114,7 +111,7 @@
 // mayDrain tells whether every task of a machine can be saved and moved, and
 // whether that is worth it.
 func (s *Scheduler) mayDrain(capacity *Capacity, now event.Time) bool {
-	if !capacity.InUse || capacity.Machine == nil || capacity.Machine.Draining {
+	if !capacity.InUse || capacity.Machine == nil || capacity.Machine.Draining() {
 		return false
 	}
 	longest := 0.0
@@ -174,7 +171,7 @@
 
 // mayReceive tells whether a machine can take a task from another.
 func (s *Scheduler) mayReceive(receiver *Capacity, job *pipeline.Job, donor *Capacity) bool {
-	if receiver.Machine == donor.Machine || receiver.Machine.Draining {
+	if receiver.Machine == donor.Machine || receiver.Machine.Draining() {
 		return false
 	}
 	if receiver.Fits(&job.Spec) == 0 || !receiver.accepts(job, s.jobs.Now()) {
--- a/internal/scheduler/pack_test.go
+++ b/internal/scheduler/pack_test.go
@@ -19,7 +19,7 @@
 	s.jobs.SetNow(s.now)
 	for i := range machines {
 		name := fmt.Sprintf("i-%d", i+1)
-		addMachine(s.workers, name, s.now)
+		heartbeat(s.workers, name, s.now)
 		id := fmt.Sprintf("req-%d", i+1)
 		job := s.job(id, func(j *pipeline.Job) {
 			j.CPUs, j.EstimatedRuntime, j.CheckpointInterval = 4, 600, 5
@@ -42,7 +42,9 @@
 		for _, entry := range s.jobs.OnMachine(machine.Index) {
 			entry.Evicting = false
 		}
-		machine.Draining = false
+		// As a machine that is drained never takes tasks again, another takes its place.
+		s.workers.Remove(machine)
+		heartbeat(s.workers, machine.Name, s.now)
 	}
 	if third := s.Consolidate(s.now, RoundResult{Blocked: []*pipeline.Job{waiting}, Capacities: s.Capacities(s.now)}, nil); len(third) != 0 {
 		t.Errorf("%d machines drained of a type on which a job waits", len(third))
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -125,7 +125,7 @@
 func (s *Scheduler) reserveTask(job *pipeline.Job, capacity *Capacity, now event.Time) {
 	capacity.Allocate(&job.Spec, 1)
 	s.commitUsage(job)
-	capacity.Machine.ReservedAt = now
+	capacity.Machine.Reserve(now)
 	s.round.reservations = append(s.round.reservations, reservation{job, capacity.Machine})
 }
 
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -16,12 +16,12 @@
 func TestCapacitiesFollow(t *testing.T) {
 	n := &pipeline.Names{}
 	jobs := pipeline.NewTable(n, 4096, 12)
-	workers := worker.New(n, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	workers := worker.New(worker.Config{Names: n, Jobs: jobs, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	machineTypes := MachineTypes{{CPUs: 8, Memory: 32}}
 	s := New(Config{Jobs: jobs, Workers: workers, MachineTypes: &machineTypes, HeartbeatTimeout: time.Minute})
 	now := time.Second
 	for _, name := range []string{"i-1", "i-2"} {
-		addMachine(workers, name, now)
+		heartbeat(workers, name, now)
 	}
 	j := &pipeline.Job{ID: "req-1", Spec: pipeline.Spec{TaskCount: 2, CPUs: 3, Memory: 1, Zone: -1}}
 	jobs.HandleChange(pipeline.JobKey, j.ID, pipeline.Encode(names(n), j), 1)
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -18,7 +18,7 @@
 
 // FetchTime is how long a machine fetches a job's image, in seconds.
 func (c *Capacity) FetchTime(job *pipeline.Job) float64 {
-	if c.Machine == nil || c.Machine.Images[job.Image] || c.MachineType.FetchRate <= 0 {
+	if c.Machine == nil || c.Machine.HasImage(job.Image) || c.MachineType.FetchRate <= 0 {
 		return 0
 	}
 	return job.ImageGB / c.MachineType.FetchRate
@@ -32,7 +32,7 @@
 	}
 	score += fetchWeight * capacity.FetchTime(job)
 	// The start travels in the answer to the machine's next report.
-	sinceReport := now - capacity.Machine.LastHeartbeat
+	sinceReport := now - capacity.Machine.LastHeartbeat()
 	score += reportWaitWeight * max(0, (s.cfg.HeartbeatInterval-sinceReport).Seconds())
 	if !capacity.InUse {
 		score += emptyScore
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -18,7 +18,7 @@
 	s.workers.Reset() // without the machine of the site
 	for i := range machines {
 		name := fmt.Sprintf("i-%05d", i)
-		addMachine(s.workers, name, s.now)
+		heartbeat(s.workers, name, s.now)
 		id := fmt.Sprintf("req-%d", 100_000+i)
 		s.job(id, func(j *pipeline.Job) {
 			j.CPUs, j.TaskCount, j.EstimatedRuntime = 4, 2, 100
--- a/internal/scheduler/starving_test.go
+++ b/internal/scheduler/starving_test.go
@@ -33,7 +33,7 @@
 		starving := s.job("req-1", func(j *pipeline.Job) { j.Shape, j.TaskCount, j.CPUs = c.shape, 3, 2 })
 		s.job("req-2", func(j *pipeline.Job) { j.TaskCount, j.CPUs, j.Priority = 9, 2, pipeline.High })
 		s.now = time.Hour
-		s.workers.Add("i-1", s.now).LastHeartbeat = s.now
+		heartbeat(s.workers, "i-1", s.now)
 		starving.ReadySince = s.now - c.waited
 		if c.record != "" {
 			s.jobs.HandleChange(pipeline.RunKey, "req-1/0", []byte(c.record), 9)
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -17,7 +17,7 @@
 	job.Assignments(func(entry *pipeline.Assignment) {
 		zone := unknownZone
 		if machine := s.workers.MachineAt(entry.Machine); machine != nil {
-			zone = machine.Zone
+			zone = machine.Zone()
 		}
 		inZone[zone]++
 	})
--- a/internal/worker/direct.go
+++ b/internal/worker/direct.go
@@ -33,7 +33,7 @@
 // sendCommand sends a direct command.
 func (r *Registry) sendCommand(machine *Machine, command directCommand, call directCall, out *event.Effects) {
 	body, _ := json.Marshal(command)
-	r.calls[out.Call(machine.Addr, http.MethodPost, "/do", body, directTimeout)] = call
+	r.calls[out.Call(machine.addr, http.MethodPost, "/do", body, directTimeout)] = call
 }
 
 // AnnounceToken tells a machine our fencing token by a command without orders. A
@@ -41,14 +41,14 @@
 // workers, may answer them for its whole grace. Workers that know a higher fencing token
 // show it in their next report, which ends that, and report to us. The proof of silence does not rest on it.
 func (r *Registry) AnnounceToken(machine *Machine, now event.Time, term Leadership, out *event.Effects) {
-	if machine.Addr == "" {
+	if machine.addr == "" {
 		return
 	}
 	if machine.lastAnnouncement != 0 && now-machine.lastAnnouncement < announceInterval {
 		return
 	}
 	machine.lastAnnouncement = now
-	session := max(machine.Incarnation, firstIncarnation)
+	session := max(machine.incarnation, firstIncarnation)
 	command := directCommand{term.FencingToken(), session, []Command{}}
 	r.announcing++
 	r.sendCommand(machine, command, directCall{announcedTo: machine}, out)
--- a/internal/worker/failures.go
+++ b/internal/worker/failures.go
@@ -45,7 +45,7 @@
 	machine.failedJobs[job.ID] = runTime(entry, now)
 	r.suspects[machine.Index] = true
 	failures := job.Failures()
-	r.Jobs.RecordFailure(entry, now)
+	r.jobs.RecordFailure(entry, now)
 	if job.Failures() > failures {
 		r.log.Info("job backing off", "job", job.ID, "failures", job.Failures())
 	}
@@ -56,7 +56,7 @@
 func (r *Registry) taskSucceeded(machine *Machine, job *pipeline.Job) {
 	clear(machine.failedJobs)
 	delete(r.suspects, machine.Index)
-	r.Jobs.ClearFailures(job)
+	r.jobs.ClearFailures(job)
 }
 
 // runTime is for how long a task has been seen running.
@@ -81,7 +81,7 @@
 	r.faultScanAt = now
 	for _, index := range slices.Sorted(maps.Keys(r.suspects)) {
 		machine := r.MachineAt(index)
-		if machine == nil || machine.Quarantined {
+		if machine == nil || machine.quarantined {
 			delete(r.suspects, index)
 			continue
 		}
@@ -96,7 +96,7 @@
 // elsewhere.
 func (r *Registry) provenFailures(machine *Machine, now event.Time) (count int) {
 	for id, ran := range machine.failedJobs {
-		job := r.Jobs.Job(id)
+		job := r.jobs.Job(id)
 		if job != nil && !job.AtFault() && r.worksElsewhere(job, machine, ran, now) {
 			count++
 		}
@@ -111,7 +111,7 @@
 		return 0
 	}
 	for id := range machine.failedJobs {
-		if job := r.Jobs.Job(id); job != nil && job.FailedOnlyOn(machine.Index) {
+		if job := r.jobs.Job(id); job != nil && job.FailedOnlyOn(machine.Index) {
 			count++
 		}
 	}
@@ -136,11 +136,11 @@
 // the machine is released when it is empty.
 func (r *Registry) quarantine(machine *Machine) {
 	r.log.Info("machine is faulty", "machine", machine.Name, "failed_jobs", len(machine.failedJobs))
-	machine.Quarantined = true
-	machine.Draining = true
+	machine.quarantined = true
+	machine.draining = true
 	for _, id := range slices.Sorted(maps.Keys(machine.failedJobs)) {
-		if job := r.Jobs.Job(id); job != nil && job.FailedOnlyOn(machine.Index) {
-			r.Jobs.ClearFailures(job)
+		if job := r.jobs.Job(id); job != nil && job.FailedOnlyOn(machine.Index) {
+			r.jobs.ClearFailures(job)
 		}
 	}
 	for _, entry := range r.sortedAssignments(machine) {
@@ -158,6 +158,6 @@
 		works = works || runsFor(entry, serviceWorkingTime, now)
 	})
 	if works {
-		r.Jobs.ClearFailures(job)
+		r.jobs.ClearFailures(job)
 	}
 }
--- a/internal/worker/failures_test.go
+++ b/internal/worker/failures_test.go
@@ -21,20 +21,20 @@
 func newCluster() *cluster {
 	names := &pipeline.Names{}
 	table := pipeline.NewTable(names, 4096, 12)
-	return &cluster{Registry: New(names, table, slog.New(slog.NewTextHandler(io.Discard, nil))), now: time.Second}
+	return &cluster{Registry: New(Config{Names: names, Jobs: table, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}), now: time.Second}
 }
 
 func (c *cluster) submit(id string, shape pipeline.Shape, tasks int) *pipeline.Job {
 	j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{Shape: shape, TaskCount: tasks, Zone: -1}}
-	j.Class, j.Team, j.Image = c.Names.Classes.Index("c"), c.Names.Teams.Index("t"), c.Names.Images.Index("b")
-	c.Jobs.HandleChange(pipeline.JobKey, id, pipeline.Encode(c.Names, j), 1)
-	return c.Jobs.Job(id)
+	j.Class, j.Team, j.Image = c.names.Classes.Index("c"), c.names.Teams.Index("t"), c.names.Images.Index("b")
+	c.jobs.HandleChange(pipeline.JobKey, id, pipeline.Encode(c.names, j), 1)
+	return c.jobs.Job(id)
 }
 
 // start puts a task on a machine as a stored placement.
 func (c *cluster) start(j *pipeline.Job, task int, machine string) {
 	placedOn := c.Add(machine, c.now)
-	entry := c.Jobs.Assign(j, task, placedOn.Index, j.MaxAttempt()+1, c.now)
+	entry := c.jobs.Assign(j, task, placedOn.Index, j.MaxAttempt()+1, c.now)
 	entry.Durable = true
 }
 
@@ -51,7 +51,7 @@
 
 func (c *cluster) wait(d time.Duration) {
 	c.now += d
-	c.Jobs.SetNow(c.now)
+	c.jobs.SetNow(c.now)
 	c.Tick(c.now, term{}, &event.Effects{})
 }
 
@@ -72,7 +72,7 @@
 	}
 	c.wait(time.Minute)
 	for _, name := range []string{"i-1", "i-2"} {
-		if m := c.Add(name, c.now); m.Quarantined || m.Draining || m.Decommissioning {
+		if m := c.Add(name, c.now); m.quarantined || m.draining || m.decommissioning {
 			t.Errorf("%s is blamed", name)
 		}
 	}
@@ -92,23 +92,23 @@
 		if j.BackingOff(c.now) || !j.AvoidsMachine(c.Add("i-1", c.now).Index, c.now) {
 			t.Errorf("%s does not move at once", j.ID)
 		}
-		c.Jobs.HandleChange(pipeline.RunKey, j.ID+"/0", []byte(`{"t":1}`), 5)
+		c.jobs.HandleChange(pipeline.RunKey, j.ID+"/0", []byte(`{"t":1}`), 5)
 		c.start(j, 0, "i-2")
 		c.report("i-2", j, 0, "running", "")
 	}
 	c.wait(time.Second)
-	if c.Add("i-1", c.now).Quarantined {
+	if c.Add("i-1", c.now).quarantined {
 		t.Error("two failures are no proof yet")
 	}
 	c.wait(minWorkingTime)
 	faulty := c.Add("i-1", c.now)
-	if !faulty.Quarantined || !faulty.Draining {
+	if !faulty.quarantined || !faulty.draining {
 		t.Error("the machine is not taken out of use")
 	}
 	if entry := other.Assignment(0); entry == nil || !entry.Evicting {
 		t.Error("what runs there does not move")
 	}
-	if c.Add("i-2", c.now).Quarantined {
+	if c.Add("i-2", c.now).quarantined {
 		t.Error("the healthy machine is blamed")
 	}
 }
@@ -122,7 +122,7 @@
 		c.start(j, task, machine)
 		c.report(machine, j, task, "exited", "error")
 	}
-	c.Jobs.HandleChange(pipeline.RunKey, j.ID+"/0", []byte(`{"t":2}`), 5)
+	c.jobs.HandleChange(pipeline.RunKey, j.ID+"/0", []byte(`{"t":2}`), 5)
 	c.wait(time.Minute)
 	if !j.AtFault() || j.StartableCount() != 1 {
 		t.Fatalf("%d failures, %d to try", j.Failures(), j.StartableCount())
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -9,12 +9,13 @@
 // unknown stands for a machine type or zone that is not known yet.
 const unknown = -1
 
-// Machine is a machine of the cloud with its worker.
+// Machine is a machine of the cloud with its worker. Its state changes only by the
+// methods of this package; other packages read it.
 type Machine struct {
 	Index int
 	Name  string
-	Addr  string
 
+	addr string
 	description
 	contact
 	reachability
@@ -25,53 +26,53 @@
 
 // description is what the machine is.
 type description struct {
-	MachineType int
-	Zone        int
-	Spot        bool
-	Known       bool // machine type and zone are known
+	machineType int
+	zone        int
+	spot        bool
+	known       bool // machine type and zone are known
 }
 
 // contact is how far the exchange of reports and answers has come in this term.
 // Reports are ordered by session and sequence.
 type contact struct {
-	Incarnation    uint64
-	Sequence       uint64
-	LastHeartbeat  event.Time // 0: none in this term
-	LastAnswer     event.Time // 0: none in this term
-	ReconnectedAt  event.Time // when it last reported again after it had been silent
-	RedirectedAt   event.Time // when it was last sent to another controller for want of sockets, 0: never
-	RelayedAt      event.Time // when a report of it last came through another controller, 0: never
+	incarnation    uint64
+	sequence       uint64
+	lastHeartbeat  event.Time // 0: none in this term
+	lastAnswer     event.Time // 0: none in this term
+	reconnectedAt  event.Time // when it last reported again after it had been silent
+	redirectedAt   event.Time // when it was last sent to another controller for want of sockets, 0: never
+	relayedAt      event.Time // when a report of it last came through another controller, 0: never
 	firstHeartbeat event.Time
 }
 
 // reachability is whether our answers reach the worker. Its reports may go on
 // arriving where they do not.
 type reachability struct {
-	// TokenConfirmed tells whether a report carried our fencing token.
-	TokenConfirmed bool
-	// UnreachableSince is since when our answers seem not to arrive, 0: they do.
-	UnreachableSince       event.Time
+	// tokenConfirmed tells whether a report carried our fencing token.
+	tokenConfirmed bool
+	// unreachableSince is since when our answers seem not to arrive, 0: they do.
+	unreachableSince       event.Time
 	unreachableIncarnation uint64 // the session of that time
 	unconfirmedHeartbeats  int    // without our fencing token since we first answered one
 }
 
 // use is what the machine is used for.
 type use struct {
-	Decommissioning bool         // to be released, or released: no task may be placed
-	Draining        bool         // its tasks are being moved: to be released when empty
-	ReclaimAt       event.Time   // when the cloud takes it back, 0: no notice
-	IdleSince       event.Time   // when it last had tasks
-	ReservedAt      event.Time   // when capacity was last reserved for a job that waits
-	UnknownTasks    int          // tasks on it that no entry explains
-	Images          map[int]bool // that it has fetched
+	decommissioning bool         // to be released, or released: no task may be placed
+	draining        bool         // its tasks are being moved: to be released when empty
+	reclaimAt       event.Time   // when the cloud takes it back, 0: no notice
+	idleSince       event.Time   // when it last had tasks
+	reservedAt      event.Time   // when capacity was last reserved for a job that waits
+	unknownTasks    int          // tasks on it that no entry explains
+	images          map[int]bool // that it has fetched
 }
 
 // health is what its tasks show of the machine. Jobs go by name, as an index serves
 // another job once one is forgotten.
 type health struct {
-	Quarantined      bool                  // several jobs that work elsewhere fail here
-	SlowJobs         map[string]bool       // jobs in a row that ran far longer here than their class does
-	UnavailableUntil event.Time            // the worker has refused a task: not to be used before
+	quarantined      bool                  // several jobs that work elsewhere fail here
+	slowJobs         map[string]bool       // jobs in a row that ran far longer here than their class does
+	unavailableUntil event.Time            // the worker has refused a task: not to be used before
 	failedJobs       map[string]event.Time // failed here since a task last completed: how long they had run
 	failingSince     event.Time            // the first of these failures
 }
@@ -84,38 +85,116 @@
 
 // Schedulable tells whether a machine can take tasks now.
 func (m *Machine) Schedulable(now event.Time, silentAfter time.Duration) bool {
-	reporting := m.LastHeartbeat > 0 && now-m.LastHeartbeat < silentAfter
-	return reporting && m.Known && m.reachable() && m.accepting(now) && m.healthy()
+	reporting := m.lastHeartbeat > 0 && now-m.lastHeartbeat < silentAfter
+	return reporting && m.known && m.reachable() && m.accepting(now) && m.healthy()
 }
 
 // reachable tells whether our answers reach the worker.
 func (c *reachability) reachable() bool {
-	return c.TokenConfirmed && c.UnreachableSince == 0
+	return c.tokenConfirmed && c.unreachableSince == 0
 }
 
 // leaving tells whether the machine is to be released or reclaimed.
 func (u *use) leaving() bool {
-	return u.Decommissioning || u.ReclaimAt != 0
+	return u.decommissioning || u.reclaimAt != 0
 }
 
 // accepting tells whether nothing forbids another task.
 func (m *Machine) accepting(now event.Time) bool {
-	if m.leaving() || m.Draining {
+	if m.leaving() || m.draining {
 		return false
 	}
-	return m.UnknownTasks == 0 && now >= m.UnavailableUntil
+	return m.unknownTasks == 0 && now >= m.unavailableUntil
 }
 
 // healthy tells whether tasks run on the machine as they do elsewhere.
 func (h *health) healthy() bool {
-	return !h.Quarantined && len(h.SlowJobs) < maxSlowJobs
+	return !h.quarantined && len(h.slowJobs) < maxSlowJobs
 }
 
 // Describe records what the machine is: its type, its zone and whether the cloud
 // may reclaim it.
 func (d *description) Describe(machineType, zone int, spot bool) {
-	d.MachineType = machineType
-	d.Zone = zone
-	d.Spot = spot
-	d.Known = true
+	d.machineType = machineType
+	d.zone = zone
+	d.spot = spot
+	d.known = true
 }
+
+// NoteListedAddr records the worker's address by the cloud's list, where no heartbeat
+// has told it.
+func (m *Machine) NoteListedAddr(addr string) {
+	if m.addr == "" {
+		m.addr = addr
+	}
+}
+
+// NoteRedirect records that the worker was sent to another controller for want of
+// sockets.
+func (m *Machine) NoteRedirect(now event.Time) { m.redirectedAt = now }
+
+// NoteInUse records that tasks may be on the machine.
+func (m *Machine) NoteInUse(now event.Time) { m.idleSince = now }
+
+// Reserve records that capacity of the machine is reserved for a job that waits.
+func (m *Machine) Reserve(now event.Time) { m.reservedAt = now }
+
+// StartDraining begins to drain the machine: it takes no more tasks and is released
+// once it is empty.
+func (m *Machine) StartDraining() { m.draining = true }
+
+// StartDecommission begins to decommission the machine: it takes no more tasks and is
+// released.
+func (m *Machine) StartDecommission() { m.decommissioning = true }
+
+// MachineType is the index of the machine's type, -1 if it is not known.
+func (m *Machine) MachineType() int { return m.machineType }
+
+// Zone is the index of the machine's zone, -1 if it is not known.
+func (m *Machine) Zone() int { return m.zone }
+
+// Spot tells whether the cloud may reclaim the machine.
+func (m *Machine) Spot() bool { return m.spot }
+
+// Known tells whether the machine's type and zone are known.
+func (m *Machine) Known() bool { return m.known }
+
+// LastHeartbeat is when the last heartbeat was taken in this term, 0 if none was.
+func (m *Machine) LastHeartbeat() event.Time { return m.lastHeartbeat }
+
+// ReconnectedAt is when heartbeats last came again after some were missed, 0: never.
+func (m *Machine) ReconnectedAt() event.Time { return m.reconnectedAt }
+
+// RedirectedAt is when the worker was last sent to another controller for want of
+// sockets, 0: never.
+func (m *Machine) RedirectedAt() event.Time { return m.redirectedAt }
+
+// RelayedAt is when a heartbeat last came through another controller, 0: never.
+func (m *Machine) RelayedAt() event.Time { return m.relayedAt }
+
+// TokenConfirmed tells whether a heartbeat has carried the fencing token of this term.
+func (m *Machine) TokenConfirmed() bool { return m.tokenConfirmed }
+
+// UnreachableSince is since when answers seem not to reach the worker, 0: they do.
+func (m *Machine) UnreachableSince() event.Time { return m.unreachableSince }
+
+// Decommissioning tells whether the machine is to be released, or is released.
+func (m *Machine) Decommissioning() bool { return m.decommissioning }
+
+// Draining tells whether the machine is to be released once it is empty.
+func (m *Machine) Draining() bool { return m.draining }
+
+// ReclaimAt is when the cloud reclaims the machine, 0: it has given no notice.
+func (m *Machine) ReclaimAt() event.Time { return m.reclaimAt }
+
+// IdleSince is when tasks were last on the machine, or when it came up.
+func (m *Machine) IdleSince() event.Time { return m.idleSince }
+
+// ReservedAt is when capacity was last reserved for a job that waits, 0: never.
+func (m *Machine) ReservedAt() event.Time { return m.reservedAt }
+
+// UnknownTasks is how many tasks are on the machine that no assignment explains.
+func (m *Machine) UnknownTasks() int { return m.unknownTasks }
+
+// HasImage tells whether the machine has fetched an image, by the image's index.
+func (m *Machine) HasImage(image int) bool { return m.images[image] }
--- a/internal/worker/orders.go
+++ b/internal/worker/orders.go
@@ -52,7 +52,7 @@
 		mayStart:  term.IsLeader(now),
 		listed:    map[*pipeline.Assignment]bool{},
 	}
-	answer.machine.UnknownTasks = 0
+	answer.machine.unknownTasks = 0
 	for i := range report.Tasks {
 		r.answerTask(answer, r.find(answer.machine, &report.Tasks[i]))
 	}
@@ -61,7 +61,7 @@
 			r.answerUnlisted(answer, entry)
 		}
 	}
-	answer.machine.LastAnswer = now
+	answer.machine.lastAnswer = now
 	return answer.orders()
 }
 
@@ -93,7 +93,7 @@
 	case task.exited():
 		answer.reaps = append(answer.reaps, reapCommand(task.TaskStatus))
 	default:
-		answer.machine.UnknownTasks++
+		answer.machine.unknownTasks++
 		answer.stops = append(answer.stops, terminateCommand(task.Task, task.Attempt, 0))
 	}
 }
@@ -106,18 +106,18 @@
 	case !stop && lost && entry.Job.IsGang():
 		// The worker lost it: the rest of the gang cannot go on.
 		r.terminateGang(entry.Job)
-		r.Jobs.RecordTermination(entry)
+		r.jobs.RecordTermination(entry)
 	case !stop && answer.mayStart:
 		answer.starts = append(answer.starts, startCommand(entry))
 		// If it was there before it was lost with the worker's session.
 		entry.OrderedSequence = answer.report.Sequence
 		entry.Phase = pipeline.TaskUnseen
 		entry.StartedAt = 0
-		answer.machine.Images[entry.Job.Image] = true
+		answer.machine.images[entry.Job.Image] = true
 	case stop && answer.confirmed:
 		// A worker has one report in flight and carries out no late answer: a
 		// start that this report does not show will not happen.
-		r.Jobs.RecordTermination(entry)
+		r.jobs.RecordTermination(entry)
 	}
 }
 
--- a/internal/worker/reachability.go
+++ b/internal/worker/reachability.go
@@ -23,9 +23,9 @@
 // more once it does not do what it was ordered.
 func (r *Registry) checkReachable(machine *Machine, report *Heartbeat, now event.Time, term Leadership) {
 	switch {
-	case !machine.TokenConfirmed:
+	case !machine.tokenConfirmed:
 		r.checkToken(machine, report, now, term)
-	case machine.UnreachableSince != 0:
+	case machine.unreachableSince != 0:
 		r.checkReconnected(machine, now, term)
 	default:
 		r.checkStarts(machine, report, now)
@@ -36,15 +36,15 @@
 func (r *Registry) checkToken(machine *Machine, report *Heartbeat, now event.Time, term Leadership) {
 	switch {
 	case report.FencingToken == term.FencingToken():
-		machine.TokenConfirmed = true
-		machine.UnreachableSince = 0
-		r.Jobs.RequestRound()
-	case machine.UnreachableSince != 0 || machine.LastAnswer == 0:
+		machine.tokenConfirmed = true
+		machine.unreachableSince = 0
+		r.jobs.RequestRound()
+	case machine.unreachableSince != 0 || machine.lastAnswer == 0:
 	case machine.unconfirmedHeartbeats < maxMissedStarts:
 		// What we answered first may have been a copy, while the machine itself
 		// was still answered by the leader before us.
 		machine.unconfirmedHeartbeats++
-	case now-machine.firstHeartbeat > r.HeartbeatTimeout:
+	case now-machine.firstHeartbeat > r.heartbeatTimeout:
 		r.markUnreachable(machine, now)
 	}
 }
@@ -52,20 +52,20 @@
 // checkReconnected looks whether the session of an unreachable machine has outlived
 // its lease: an answer has renewed it.
 func (r *Registry) checkReconnected(machine *Machine, now event.Time, term Leadership) {
-	outlived := now-machine.UnreachableSince > term.MaxWorkerLease()+unreachableMargin
-	if machine.Incarnation != machine.unreachableIncarnation || !outlived {
+	outlived := now-machine.unreachableSince > term.MaxWorkerLease()+unreachableMargin
+	if machine.incarnation != machine.unreachableIncarnation || !outlived {
 		r.evictUnstarted(machine)
 		return
 	}
 	r.log.Info("machine is reachable again", "machine", machine.Name)
-	machine.UnreachableSince = 0
-	r.Jobs.RequestRound()
+	machine.unreachableSince = 0
+	r.jobs.RequestRound()
 }
 
 // checkStarts looks whether the tasks that a machine was ordered to start show up in
 // its reports.
 func (r *Registry) checkStarts(machine *Machine, report *Heartbeat, now event.Time) {
-	for _, entry := range r.Jobs.OnMachine(machine.Index) {
+	for _, entry := range r.jobs.OnMachine(machine.Index) {
 		ordered := entry.OrderedSequence != 0 && entry.OrderedSequence < report.Sequence
 		if !ordered || entry.Phase != pipeline.TaskUnseen {
 			continue
@@ -91,9 +91,9 @@
 // started is moved, once a report proves that it will not start. What runs goes on:
 // it may complete before its lease ends, and we may be wrong.
 func (r *Registry) markUnreachable(machine *Machine, now event.Time) {
-	r.log.Info("machine is unreachable: it does not receive our answers", "machine", machine.Name, "tasks", len(r.Jobs.OnMachine(machine.Index)))
-	machine.UnreachableSince = now
-	machine.unreachableIncarnation = machine.Incarnation
+	r.log.Info("machine is unreachable: it does not receive our answers", "machine", machine.Name, "tasks", len(r.jobs.OnMachine(machine.Index)))
+	machine.unreachableSince = now
+	machine.unreachableIncarnation = machine.incarnation
 	r.evictUnstarted(machine)
 }
 
@@ -109,8 +109,8 @@
 // UnreachableBeyondLease tells whether a machine has been unreachable for so long
 // that its tasks have ended with its lease.
 func (r *Registry) UnreachableBeyondLease(machine *Machine, now event.Time, term Leadership) bool {
-	if machine.UnreachableSince == 0 {
+	if machine.unreachableSince == 0 {
 		return false
 	}
-	return now-machine.UnreachableSince > term.MaxWorkerLease()+2*unreachableMargin
+	return now-machine.unreachableSince > term.MaxWorkerLease()+2*unreachableMargin
 }
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"iter"
 	"log/slog"
 	"maps"
 	"slices"
@@ -14,16 +15,25 @@
 // scanInterval is the time between two scans of all machines in use.
 const scanInterval = 250 * time.Millisecond
 
+// Config is what a registry is built from.
+type Config struct {
+	Names *pipeline.Names
+	Jobs  *pipeline.Table
+	// HeartbeatTimeout is how long a machine may send no heartbeat before it counts as
+	// unresponsive.
+	HeartbeatTimeout time.Duration
+	Log              *slog.Logger
+}
+
 // Registry is the table of machines.
 type Registry struct {
-	Names    *pipeline.Names
-	Jobs     *pipeline.Table
-	Machines []*Machine // by index, nil if released
-	// HeartbeatTimeout is how long a machine may send no report before that tells
-	// something.
-	HeartbeatTimeout event.Time
-
-	log          *slog.Logger
+	names            *pipeline.Names
+	jobs             *pipeline.Table
+	heartbeatTimeout time.Duration
+	log              *slog.Logger
+
+	machines     []*Machine            // by index, nil if there is none
+	count        int                   // of the machines
 	calls        map[uint64]directCall // in flight, by call
 	announcing   int                   // of these, the announcements
 	terminating  map[int]bool          // machines on which a task is to be stopped
@@ -34,38 +44,62 @@
 }
 
 // New returns an empty registry.
-func New(names *pipeline.Names, jobs *pipeline.Table, log *slog.Logger) *Registry {
+func New(cfg Config) *Registry {
 	return &Registry{
-		Names:        names,
-		Jobs:         jobs,
-		log:          log,
-		calls:        map[uint64]directCall{},
-		terminating:  map[int]bool{},
-		suspects:     map[int]bool{},
-		runtimeRatio: map[int]float64{},
+		names:            cfg.Names,
+		jobs:             cfg.Jobs,
+		heartbeatTimeout: cfg.HeartbeatTimeout,
+		log:              cfg.Log,
+		calls:            map[uint64]directCall{},
+		terminating:      map[int]bool{},
+		suspects:         map[int]bool{},
+		runtimeRatio:     map[int]float64{},
 	}
 }
 
+// All iterates over the machines in the order of their indices.
+func (r *Registry) All() iter.Seq[*Machine] {
+	return func(yield func(*Machine) bool) {
+		for _, machine := range r.machines {
+			if machine != nil && !yield(machine) {
+				return
+			}
+		}
+	}
+}
+
+// Len is the number of machines.
+func (r *Registry) Len() int { return r.count }
+
 // Add returns a machine by name, adding it when new.
 func (r *Registry) Add(name string, now event.Time) *Machine {
-	index := r.Names.Machines.Index(name)
-	for len(r.Machines) <= index {
-		r.Machines = append(r.Machines, nil)
+	index := r.names.Machines.Index(name)
+	for len(r.machines) <= index {
+		r.machines = append(r.machines, nil)
 	}
-	if r.Machines[index] == nil {
-		r.Machines[index] = &Machine{
+	if r.machines[index] == nil {
+		r.machines[index] = &Machine{
 			Index:       index,
 			Name:        name,
-			description: description{MachineType: unknown, Zone: unknown},
-			use:         use{IdleSince: now, Images: map[int]bool{}},
+			description: description{machineType: unknown, zone: unknown},
+			use:         use{idleSince: now, images: map[int]bool{}},
 		}
+		r.count++
+	}
+	return r.machines[index]
+}
+
+// Remove forgets a machine that the cloud has taken back.
+func (r *Registry) Remove(machine *Machine) {
+	if r.MachineAt(machine.Index) == machine {
+		r.machines[machine.Index] = nil
+		r.count--
 	}
-	return r.Machines[index]
 }
 
-// Lookup returns a machine by name, or nil; unlike Machine it adds none.
+// Lookup returns a machine by name, or nil; unlike Add it adds none.
 func (r *Registry) Lookup(name string) *Machine {
-	index, ok := r.Names.Machines.Lookup(name)
+	index, ok := r.names.Machines.Lookup(name)
 	if !ok {
 		return nil
 	}
@@ -74,15 +108,16 @@
 
 // MachineAt returns a machine by index, or nil.
 func (r *Registry) MachineAt(index int) *Machine {
-	if index < 0 || index >= len(r.Machines) {
+	if index < 0 || index >= len(r.machines) {
 		return nil
 	}
-	return r.Machines[index]
+	return r.machines[index]
 }
 
 // Reset drops what only a leader knows.
 func (r *Registry) Reset() {
-	r.Machines = nil
+	r.machines = nil
+	r.count = 0
 	clear(r.terminating)
 	clear(r.suspects)
 }
@@ -91,7 +126,7 @@
 // terminated and lets gangs start again whose old attempt has ended. Machines on
 // which nothing is to be stopped cost nothing.
 func (r *Registry) Tick(now event.Time, term Leadership, out *event.Effects) {
-	for _, job := range r.Jobs.TakeTerminatedJobs() {
+	for _, job := range r.jobs.TakeTerminatedJobs() {
 		job.Assignments(r.terminateSoon)
 	}
 	for _, index := range slices.Sorted(maps.Keys(r.terminating)) {
@@ -105,8 +140,8 @@
 	}
 	r.scannedAt = now
 	r.scanFaults(now)
-	r.Jobs.MachinesInUse(func(index int) { r.checkExpired(index, now, term) })
-	for _, job := range r.Jobs.Jobs {
+	r.jobs.MachinesInUse(func(index int) { r.checkExpired(index, now, term) })
+	for _, job := range r.jobs.Jobs {
 		if job != nil {
 			r.checkService(job, now)
 			r.checkStopped(job)
@@ -119,11 +154,11 @@
 func (r *Registry) checkExpired(index int, now event.Time, term Leadership) {
 	machine := r.MachineAt(index)
 	if machine == nil {
-		machine = r.Add(r.Names.Machines.Name(index), now)
+		machine = r.Add(r.names.Machines.Name(index), now)
 	}
 	// A report that is taken and not answered yet counts, too: what is placed on
 	// the machine meanwhile is not lost with its old session.
-	lastContact := max(machine.LastAnswer, machine.LastHeartbeat)
+	lastContact := max(machine.lastAnswer, machine.lastHeartbeat)
 	if now >= term.TasksExpireAt(lastContact) {
 		r.RecordTermination(machine)
 	}
@@ -133,29 +168,29 @@
 func (r *Registry) checkStopped(job *pipeline.Job) {
 	if job.Terminating && job.ActiveCount() == 0 {
 		job.Terminating = false
-		r.Jobs.RequestRound()
+		r.jobs.RequestRound()
 	}
 }
 
 // RecordTermination clears everything on a machine that is proven to run nothing.
 func (r *Registry) RecordTermination(machine *Machine) {
-	if machine.LastHeartbeat != 0 {
-		r.log.Info("machine terminated", "machine", machine.Name, "tasks", len(r.Jobs.OnMachine(machine.Index)))
+	if machine.lastHeartbeat != 0 {
+		r.log.Info("machine terminated", "machine", machine.Name, "tasks", len(r.jobs.OnMachine(machine.Index)))
 	}
 	for _, entry := range r.sortedAssignments(machine) {
 		if entry.Job.IsGang() {
 			r.terminateGang(entry.Job)
 		}
-		r.Jobs.RecordTermination(entry)
+		r.jobs.RecordTermination(entry)
 	}
-	machine.LastHeartbeat = 0
-	r.Jobs.RequestRound()
+	machine.lastHeartbeat = 0
+	r.jobs.RequestRound()
 }
 
 // sortedAssignments lists the entries of a machine by job, in the order of readiness,
 // and task.
 func (r *Registry) sortedAssignments(machine *Machine) []*pipeline.Assignment {
-	entries := r.Jobs.OnMachine(machine.Index)
+	entries := r.jobs.OnMachine(machine.Index)
 	if len(entries) == 0 {
 		return nil
 	}
@@ -169,7 +204,7 @@
 // AllStored tells whether nothing that concerns the machine is being stored: an
 // answer given now would not be followed by another in a moment.
 func (r *Registry) AllStored(machine int) bool {
-	for _, entry := range r.Jobs.OnMachine(machine) {
+	for _, entry := range r.jobs.OnMachine(machine) {
 		if !entry.Stored() {
 			return false
 		}
@@ -186,7 +221,7 @@
 	if machine == nil || !machine.reachable() || machine.leaving() {
 		return false
 	}
-	for _, entry := range r.Jobs.OnMachine(machine.Index) {
+	for _, entry := range r.jobs.OnMachine(machine.Index) {
 		if entry.Durable {
 			return false
 		}
--- a/internal/worker/reports.go
+++ b/internal/worker/reports.go
@@ -72,53 +72,53 @@
 // RecordRelay records that the last report of a machine came through another
 // controller: the machine does not reach us itself.
 func (r *Registry) RecordRelay(name string, now event.Time) {
-	r.Add(name, now).RelayedAt = now
+	r.Add(name, now).relayedAt = now
 }
 
 // isStale tells whether a report is not newer than the last one: it was delayed by
 // the network, or is a copy. Its list of tasks is out of date, and its sender waits
 // for no answer.
 func (c *contact) isStale(report *Heartbeat) bool {
-	if report.Incarnation != c.Incarnation {
-		return report.Incarnation < c.Incarnation
+	if report.Incarnation != c.incarnation {
+		return report.Incarnation < c.incarnation
 	}
-	return report.Sequence <= c.Sequence
+	return report.Sequence <= c.sequence
 }
 
 // incarnationExpired tells whether the session of a report has ended since it was last
 // answered: the report was delayed from before then, and its machine may be released.
 func (c *contact) incarnationExpired(report *Heartbeat, now event.Time, term Leadership) bool {
-	if report.Incarnation != c.Incarnation || c.LastAnswer <= 0 {
+	if report.Incarnation != c.incarnation || c.lastAnswer <= 0 {
 		return false
 	}
-	return now >= term.TasksExpireAt(max(c.LastAnswer, c.LastHeartbeat))
+	return now >= term.TasksExpireAt(max(c.lastAnswer, c.lastHeartbeat))
 }
 
 // updateMachine takes in what a report says of its machine.
 func (r *Registry) updateMachine(machine *Machine, report *Heartbeat, now event.Time) {
-	if report.Incarnation != machine.Incarnation && machine.Incarnation != 0 {
-		machine.Images = map[int]bool{}
+	if report.Incarnation != machine.incarnation && machine.incarnation != 0 {
+		machine.images = map[int]bool{}
 		r.log.Info("worker lost its lease", "machine", report.Machine, "session", report.Incarnation)
 	}
-	if machine.LastHeartbeat != 0 && now-machine.LastHeartbeat > r.HeartbeatTimeout {
-		machine.ReconnectedAt = now
+	if machine.lastHeartbeat != 0 && now-machine.lastHeartbeat > r.heartbeatTimeout {
+		machine.reconnectedAt = now
 	}
-	if machine.LastHeartbeat == 0 {
-		machine.IdleSince = now // it was not idle while it booted
+	if machine.lastHeartbeat == 0 {
+		machine.idleSince = now // it was not idle while it booted
 		machine.firstHeartbeat = now
-		r.Jobs.RequestRound()
+		r.jobs.RequestRound()
 	}
-	machine.Addr = report.Addr
-	machine.Incarnation = report.Incarnation
-	machine.Sequence = report.Sequence
-	machine.LastHeartbeat = now
-	machine.Describe(r.Names.MachineTypes.Index(report.MachineType), r.Names.Zones.Index(report.Zone), report.Spot)
+	machine.addr = report.Addr
+	machine.incarnation = report.Incarnation
+	machine.sequence = report.Sequence
+	machine.lastHeartbeat = now
+	machine.Describe(r.names.MachineTypes.Index(report.MachineType), r.names.Zones.Index(report.Zone), report.Spot)
 	switch {
 	case report.ReclaimIn == nil:
-		machine.ReclaimAt = 0
-	case machine.ReclaimAt == 0:
-		machine.ReclaimAt = now + time.Duration(*report.ReclaimIn*float64(time.Second))
-		r.Jobs.RequestRound()
+		machine.reclaimAt = 0
+	case machine.reclaimAt == 0:
+		machine.reclaimAt = now + time.Duration(*report.ReclaimIn*float64(time.Second))
+		r.jobs.RequestRound()
 	}
 }
 
@@ -137,7 +137,7 @@
 	if !ok {
 		return found
 	}
-	job := r.Jobs.Job(id)
+	job := r.jobs.Job(id)
 	if job == nil || number >= job.TaskCount {
 		return found
 	}
@@ -166,7 +166,7 @@
 	case task.entry != nil:
 		r.updateAssignment(machine, task.entry, report, now)
 	case task.newResult():
-		r.Jobs.RecordCompletion(task.job, task.number) // reaped once it is stored
+		r.jobs.RecordCompletion(task.job, task.number) // reaped once it is stored
 	}
 }
 
@@ -180,7 +180,7 @@
 	}
 	entry.Phase = phase
 	if phase >= pipeline.TaskWaitingForGang {
-		machine.Images[entry.Job.Image] = true
+		machine.images[entry.Job.Image] = true
 	}
 	if phase == pipeline.TaskExited {
 		r.taskExited(machine, entry, report.Cause, now)
@@ -191,7 +191,7 @@
 	job := entry.Job
 	r.log.Debug("started",
 		"job", job.ID,
-		"class", r.Names.Classes.Name(job.Class),
+		"class", r.names.Classes.Name(job.Class),
 		"task", entry.Task,
 		"attempt", entry.Attempt,
 		"machine", machine.Name,
@@ -203,13 +203,13 @@
 // cleared so that it can run again.
 func (r *Registry) taskExited(machine *Machine, entry *pipeline.Assignment, cause string, now event.Time) {
 	job := entry.Job
-	r.Jobs.RequestRound()
-	r.Jobs.NoteMachineChanged(machine.Index) // what the task used is free again
+	r.jobs.RequestRound()
+	r.jobs.NoteMachineChanged(machine.Index) // what the task used is free again
 	if job.TerminalPhase != pipeline.Queued || job.IsDone(entry.Task) {
 		// Nothing of it is to be recorded any more. A new leader finds such entries
 		// where the one before it wrote the job's mark and did not get to drop the
 		// job's records: left as it is, the entry would keep its machine for ever.
-		r.Jobs.RecordTermination(entry)
+		r.jobs.RecordTermination(entry)
 		return
 	}
 	switch cause {
@@ -221,17 +221,17 @@
 			r.taskFailed(machine, entry, now)
 		}
 	case causeFull, causeInUse:
-		machine.UnavailableUntil = now + refusedPause
+		machine.unavailableUntil = now + refusedPause
 	case causeUnknown:
 		// Another attempt would fail as well until its user has uploaded the image.
 		if !job.BackingOff(now) {
-			r.Jobs.BackOff(job, now)
+			r.jobs.BackOff(job, now)
 		}
 	}
 	if job.IsGang() {
 		r.terminateGang(job)
 	}
-	r.Jobs.RecordTermination(entry)
+	r.jobs.RecordTermination(entry)
 }
 
 // taskDone takes in that a task has completed. The tasks of a gang complete
@@ -243,10 +243,10 @@
 		r.recordRuntime(machine, entry, now)
 	}
 	if job.Shape != pipeline.Gang {
-		r.Jobs.RecordCompletion(job, entry.Task)
+		r.jobs.RecordCompletion(job, entry.Task)
 		return
 	}
 	for task := range job.TaskCount {
-		r.Jobs.RecordCompletion(job, task)
+		r.jobs.RecordCompletion(job, task)
 	}
 }
--- a/internal/worker/runtime.go
+++ b/internal/worker/runtime.go
@@ -32,18 +32,18 @@
 	if ratio > slowFactor*usual {
 		r.recordSlowJob(machine, job)
 	} else {
-		clear(machine.SlowJobs)
+		clear(machine.slowJobs)
 	}
 	r.runtimeRatio[job.Class] = usual + ratioWeight*(ratio-usual)
 }
 
 // recordSlowJob counts a job that took far longer on a machine than its class does.
 func (r *Registry) recordSlowJob(machine *Machine, job *pipeline.Job) {
-	if machine.SlowJobs == nil {
-		machine.SlowJobs = map[string]bool{}
+	if machine.slowJobs == nil {
+		machine.slowJobs = map[string]bool{}
 	}
-	machine.SlowJobs[job.ID] = true
-	if len(machine.SlowJobs) == maxSlowJobs {
+	machine.slowJobs[job.ID] = true
+	if len(machine.slowJobs) == maxSlowJobs {
 		r.log.Info("machine is slow", "machine", machine.Name)
 	}
 }
--- a/internal/worker/stops.go
+++ b/internal/worker/stops.go
@@ -29,7 +29,7 @@
 	if entry.Evicting {
 		return
 	}
-	r.Jobs.RequestRound()
+	r.jobs.RequestRound()
 	if entry.Job.IsGang() {
 		r.terminateGang(entry.Job)
 		return
@@ -49,11 +49,11 @@
 	if !entry.Evicting {
 		entry.Evicting = true
 		entry.GracePeriod = gracePeriod
-		r.Jobs.NoteMachineChanged(entry.Machine)
+		r.jobs.NoteMachineChanged(entry.Machine)
 	}
 	r.terminateSoon(entry)
 	if !entry.Durable {
-		r.Jobs.RecordTermination(entry)
+		r.jobs.RecordTermination(entry)
 	}
 }
 
@@ -67,9 +67,9 @@
 // task on the machine is still to be stopped.
 func (r *Registry) sendTerminations(machine *Machine, now event.Time, term Leadership, out *event.Effects) (more bool) {
 	due := now-machine.lastTerminations >= terminationInterval
-	ready := due && machine.LastHeartbeat != 0 && machine.Addr != ""
+	ready := due && machine.lastHeartbeat != 0 && machine.addr != ""
 	var orders []Command
-	for _, entry := range r.Jobs.OnMachine(machine.Index) {
+	for _, entry := range r.jobs.OnMachine(machine.Index) {
 		stop, gracePeriod := mustTerminate(entry)
 		more = more || stop
 		if ready && stop && entry.Stored() && notTerminating(entry) {
@@ -81,7 +81,7 @@
 	}
 	slices.SortFunc(orders, func(a, b Command) int { return cmp.Compare(a.Task, b.Task) })
 	machine.lastTerminations = now
-	r.sendCommand(machine, directCommand{term.FencingToken(), machine.Incarnation, orders}, directCall{}, out)
+	r.sendCommand(machine, directCommand{term.FencingToken(), machine.incarnation, orders}, directCall{}, out)
 	return more
 }
 
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -24,8 +24,12 @@
 // TestReports: which reports are believed, in the order in which they arrive.
 func TestReports(t *testing.T) {
 	names := &pipeline.Names{}
-	registry := New(names, pipeline.NewTable(names, 4096, 12), slog.New(slog.NewTextHandler(io.Discard, nil)))
-	registry.HeartbeatTimeout = 13 * time.Second
+	registry := New(Config{
+		Names:            names,
+		Jobs:             pipeline.NewTable(names, 4096, 12),
+		HeartbeatTimeout: 13 * time.Second,
+		Log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
+	})
 	for _, c := range []struct {
 		at                time.Duration
 		session, sequence uint64
@@ -48,7 +52,7 @@
 		if taken {
 			registry.Commands(report, now, term{})
 		}
-		if up := registry.Add("i-1", now).Schedulable(now, registry.HeartbeatTimeout); taken != c.taken || up != c.up {
+		if up := registry.Add("i-1", now).Schedulable(now, registry.heartbeatTimeout); taken != c.taken || up != c.up {
 			t.Errorf("%s: taken %v, usable %v", c.what, taken, up)
 		}
 	}
@@ -113,7 +117,7 @@
 			jobs.RecordCompletion(entry.Job, 0)
 		}
 		jobs.HandleChange(pipeline.TerminalKey, "req-1", pipeline.EncodeTerminal(pipeline.Cancelled, j), 3)
-		registry := New(names, jobs, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		registry := New(Config{Names: names, Jobs: jobs, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		report := &Heartbeat{Machine: "i-1", Addr: "10.1.0.1:9000", MachineType: "f", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: 5,
 			Tasks: []TaskStatus{{Task: "req-1/0", Attempt: 3, Phase: "running"}}}
 		registry.HandleHeartbeat(report, time.Second, term{})
