--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -52,8 +52,8 @@
 	case kv.Aborted, kv.Rejected:
 		r.Out.ReplyUnavailable(c.conn, minRetryAfter)
 	default:
-		s.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
-			if !ok {
+		s.store.Barrier(func(now event.Time, err error, out *event.Effects) {
+			if err != nil {
 				out.ReplyUnavailable(c.conn, minRetryAfter)
 				return
 			}
@@ -65,9 +65,9 @@
 // cancelAfterBarrier cancels a job that the local replica does not show: another
 // controller may have accepted it a moment ago, which only a read barrier tells.
 func (s *Server) cancelAfterBarrier(c cancellation) {
-	s.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
+	s.store.Barrier(func(now event.Time, err error, out *event.Effects) {
 		switch {
-		case !ok:
+		case err != nil:
 			out.ReplyUnavailable(c.conn, minRetryAfter)
 		case s.status(c.id) == nil:
 			out.Reply(c.conn, httpwire.StatusNotFound, nil)
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -34,12 +34,12 @@
 	names := &pipeline.Names{}
 	names.Zones.Index("a")
 	n.jobs = pipeline.NewTable(names, valueBytes, txnOps)
-	limits := kv.Limits{TxnOps: txnOps, Rates: kv.Rates{Requests: 1000, Writes: 1000}, StaleAfter: time.Hour}
+	limits := kv.Limits{TxnOps: txnOps, Rates: kv.Rates{Requests: 1000, Writes: 1000}}
 	onChange := func(key string, data []byte, modRevision uint64) {
 		kind, rest := kv.SplitKey(key)
 		n.jobs.HandleChange(kind, rest, data, modRevision)
 	}
-	n.client = kv.New(kv.Config{Addr: "s", Limits: limits, OnChange: onChange})
+	n.client = kv.New(kv.Config{Addr: "s", Limits: limits, StaleAfter: time.Hour, OnChange: onChange})
 	machineTypes := &scheduler.MachineTypes{{Index: names.MachineTypes.Index("m"), CPUs: 8, Memory: 32, Zones: []int{0}}}
 	n.server = New(Config{
 		Label:         label,
@@ -53,7 +53,7 @@
 		MachineTypes:  machineTypes,
 	})
 	n.run(time.Second)
-	n.client.Barrier(func(event.Time, bool, *event.Effects) {})
+	n.client.Barrier(func(event.Time, error, *event.Effects) {})
 	n.run(time.Second)
 	return n
 }
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -26,8 +26,8 @@
 // if the key-value store does not answer. If no such job has been accepted it
 // calls unknown, which has to answer.
 func (s *Server) answerAfterBarrier(conn uint64, id string, unknown func(now event.Time, out *event.Effects)) {
-	s.store.Barrier(func(now event.Time, ok bool, out *event.Effects) {
-		if !ok {
+	s.store.Barrier(func(now event.Time, err error, out *event.Effects) {
+		if err != nil {
 			out.ReplyUnavailable(conn, minRetryAfter)
 		} else if status := s.status(id); status != nil {
 			out.Reply(conn, httpwire.StatusOK, status)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -114,14 +114,14 @@
 	c.store = kv.New(kv.Config{
 		Addr: c.cfg.Services.State,
 		Limits: kv.Limits{
-			TxnOps:          limits.TxnOps,
-			Rates:           kv.Rates{Requests: state.RPS, Writes: state.WriteRPS},
-			NextRates:       kv.Rates{Requests: limits.RPS, Writes: limits.WriteRPS},
-			StaleAfter:      min(staleAfter, grace/refreshesPerGrace),
-			ImmutablePrefix: pipeline.TerminalKey + "/",
+			TxnOps:    limits.TxnOps,
+			Rates:     kv.Rates{Requests: state.RPS, Writes: state.WriteRPS},
+			NextRates: kv.Rates{Requests: limits.RPS, Writes: limits.WriteRPS},
 		},
-		OnChange: c.onChange,
-		Logger:   c.log,
+		StaleAfter:      min(staleAfter, grace/refreshesPerGrace),
+		ImmutablePrefix: pipeline.TerminalKey + "/",
+		OnChange:        c.onChange,
+		Logger:          c.log,
 	})
 	c.election = election.New(election.Config{
 		Label:       c.cfg.Label,
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,12 +1,19 @@
-// Package election decides which controller leads. The term is a key held by a
-// lease, written together with a raised counter by compare-and-set; the counter
-// is the fencing token that workers compare. Every write of a leader requires
-// the version of the term key, so the writes of a deposed leader fail, however
-// late they arrive.
+// Package election decides which controller leads.
+//
+// A term is the time for which one controller is leader. It holds the term key,
+// which is bound to a lease in the key-value store, and its number, the fencing
+// token, is written to a second key in the same transaction. Workers obey the
+// highest token that they have seen. Every write of a leader compares the mod
+// revision of the term key (TermCompare), so the writes of a deposed leader fail,
+// however late they are executed.
+//
+// A controller that holds a term (HoldsTerm) is leader (IsLeader) while its lease
+// is alive for certain and its cache shows everything that was written before the
+// term. After that it goes on renewing the leases of workers for a grace period
+// (MayRenewWorkerLeases) before it steps down.
 package election
 
 import (
-	"encoding/json"
 	"log/slog"
 	"time"
 
@@ -14,71 +21,22 @@
 	"lugward/internal/kv"
 )
 
-// Keys of the term in the state service.
-const (
-	KeyPrefix = "t" // of all keys of this package
-	TermKey   = "t/lead"
-	countKey  = "t/count"
-)
-
-const (
-	// candidacyStagger is the time between the candidacies of two controllers
-	// that see the term free at once.
-	candidacyStagger = 120 * time.Millisecond
-	// abstainDuration is how long a leader that has resigned does not stand.
-	abstainDuration = 10 * time.Second
-	// retryInterval is the time between two campaigns at least.
-	retryInterval = 300 * time.Millisecond
-
-	// Requests within the lease of a term: a renewal is sent four times, one
-	// that has failed is repeated after an eighth, and the write of a campaign
-	// is not sent after half of it.
-	renewalsPerLease       = 4
-	renewalRetriesPerLease = 8
-	campaignsPerLease      = 2
-
-	// leaseMarginPercent is the part of our lease that we do not rely on, for
-	// the drift between our clock and the state service's.
-	leaseMarginPercent = 5
-	// clockDriftDivisor: a worker's clock may be slow by 1/1000 against ours.
-	clockDriftDivisor = 1000
-	// expiryMargin is added before tasks count as terminated.
-	expiryMargin = 2 * time.Second
-	// graceMargin is left of the time for a cancellation, for a report's round
-	// trip, clock drift and a step that is late.
-	graceMargin = 4 * time.Second
-)
-
-// termRecord is the value of the term key and of the counter.
-type termRecord struct {
-	Label        string `json:"l"`
-	FencingToken uint64 `json:"f"`
-}
-
-// Config are the settings of the election.
+// Config are the settings of an Election.
 type Config struct {
-	Label       string
-	Position    int           // our place among the controllers, to stagger candidacies
+	Label       string        // of this controller
+	Position    int           // our place among the controllers, to stagger campaigns
 	TermLease   time.Duration // lease of the term key
-	WorkerLease time.Duration // for which a worker goes on after an answered report
-	// Grace is how long a leader without the state service goes on answering
-	// reports. Together with MaxWorkerLease it must stay below the time within
-	// which the tasks of a cancelled job have to stop.
+	WorkerLease time.Duration // for which a worker goes on after an answered heartbeat
+	// Grace is how long after the last renewal of the term's lease a leader goes on
+	// answering heartbeats; see GracePeriod.
 	Grace time.Duration
 
-	Store  *kv.Client // client of the state service
+	Store  *kv.Client
 	Logger *slog.Logger
 }
 
-// GracePeriod derives the grace from the time for a cancellation and from the
-// lease of a worker.
-func GracePeriod(cancel, lease time.Duration) time.Duration {
-	rest := cancel - lease - lease/clockDriftDivisor
-	return max(0, rest-min(graceMargin, rest/2))
-}
-
-// Election is one controller's view of the term. It is driven by Tick and by
-// the answers of the state service; the store calls Listen for the keys of Kind.
+// Election is one controller's view of the term. It is driven by Tick and by the
+// responses of the store. It is not safe for concurrent use.
 type Election struct {
 	cfg   Config
 	store *kv.Client
@@ -89,60 +47,72 @@
 	term      term
 }
 
-// observed is what the replica and the messages of others say about the term.
+// observed is what the cache and the messages of others say about the term.
 type observed struct {
-	leader          string // label in the replica's term key, "" if there is none
-	leaderToken     uint64
-	termModRevision uint64 // of the term key
-	count           uint64 // the counter
-	highestToken    uint64 // highest fencing token of any worker's or peer's message
+	leader          string // label in the term key, "" if the key does not exist
+	leaderToken     uint64 // fencing token in the term key
+	termModRevision uint64 // of the term key, 0 if it does not exist
+	latestToken     uint64 // value of the token key
+	highestToken    uint64 // of the messages of workers and peers
 }
 
 // New returns an election that has seen nothing yet.
 func New(cfg Config) *Election {
-	return &Election{cfg: cfg, store: cfg.Store, log: cfg.Logger, candidacy: candidacy{campaignAt: notScheduled}}
+	return &Election{
+		cfg:       cfg,
+		store:     cfg.Store,
+		log:       cfg.Logger,
+		candidacy: candidacy{campaignAt: notScheduled},
+	}
 }
 
-// HandleChange takes a change of the replica; data is nil when the key was deleted.
-func (l *Election) HandleChange(key string, data []byte, version uint64) {
-	var record termRecord
-	if data != nil && json.Unmarshal(data, &record) != nil {
+// HandleChange takes a change of a key of KeyPrefix; data is nil when the key was
+// deleted.
+func (e *Election) HandleChange(key string, data []byte, modRevision uint64) {
+	record, err := decodeTermRecord(data)
+	if err != nil {
+		e.log.Debug("term record ignored", "key", key, "error", err)
 		return
 	}
 	switch key {
 	case TermKey:
 		if data == nil {
-			version = 0
-		}
-		l.observed.leader = record.Label
-		l.observed.leaderToken = record.FencingToken
-		l.observed.termModRevision = version
-		l.candidacy.campaignAt = notScheduled
-		if l.HoldsTerm() && version != l.term.modRevision {
-			l.stepDown(ReasonTermKeyChanged)
+			modRevision = 0
 		}
-	case countKey:
-		l.observed.count = record.FencingToken
+		e.termKeyChanged(record, modRevision)
+	case tokenKey:
+		e.observed.latestToken = record.FencingToken
+	}
+}
+
+func (e *Election) termKeyChanged(record termRecord, modRevision uint64) {
+	e.observed.leader = record.Label
+	e.observed.leaderToken = record.FencingToken
+	e.observed.termModRevision = modRevision
+	e.candidacy.campaignAt = notScheduled
+	if e.HoldsTerm() && modRevision != e.term.modRevision {
+		e.stepDown(ReasonTermKeyChanged)
 	}
 }
 
-// Leader is the label of the controller that holds the term, "" if the replica
+// Leader returns the label of the controller that holds the term, "" if the cache
 // shows none.
-func (l *Election) Leader() string { return l.observed.leader }
+func (e *Election) Leader() string { return e.observed.leader }
 
-// LeaderFencingToken is the fencing token of the term that the replica shows.
-func (l *Election) LeaderFencingToken() uint64 { return l.observed.leaderToken }
+// LeaderFencingToken returns the fencing token of the term that the cache shows.
+func (e *Election) LeaderFencingToken() uint64 { return e.observed.leaderToken }
 
-// ObserveFencingToken notes a fencing token in a message of a worker or controller.
-func (l *Election) ObserveFencingToken(token uint64) {
-	l.observed.highestToken = max(l.observed.highestToken, token)
+// ObserveFencingToken notes a fencing token in a message of a worker or
+// controller.
+func (e *Election) ObserveFencingToken(token uint64) {
+	e.observed.highestToken = max(e.observed.highestToken, token)
 }
 
-// Tick keeps our term, or stands for the next one.
-func (l *Election) Tick(now event.Time, out *event.Effects) {
-	if l.HoldsTerm() {
-		l.maintain(now, out)
+// Tick keeps our term, or campaigns for the next one.
+func (e *Election) Tick(now event.Time, out *event.Effects) {
+	if e.HoldsTerm() {
+		e.keepTerm(now, out)
 	} else {
-		l.stand(now, out)
+		e.campaignIfDue(now, out)
 	}
 }
--- a/internal/kv/call.go
+++ b/internal/kv/call.go
@@ -1,71 +1,96 @@
 package kv
 
 import (
+	"fmt"
 	"time"
 
 	"lugward/internal/event"
 	"lugward/internal/httpwire"
 )
 
-// noResponse is the status of a request that got no answer: it may have been
-// executed, or may yet be.
-const noResponse = 0
+// request is an HTTP request to the store.
+type request struct {
+	method, path string
+	body         []byte
+	timeout      time.Duration
+}
 
-// request is the part of a sent request that handles its answer.
-type request interface {
-	answered(c *Client, now event.Time, r response, out *event.Effects)
+// responseHandler handles the response to a request.
+type responseHandler interface {
+	handle(now event.Time, c *Client, r response, out *event.Effects)
 }
 
-// pendingCall is a request that was sent and is not answered yet.
+// pendingCall is a request that was sent and has no response yet.
 type pendingCall struct {
-	sent    event.Time
-	request request
+	method, path string
+	sentAt       event.Time
+	handler      responseHandler
 }
 
-// response is the answer to a request. A status of noResponse means that none
-// came.
+// response is the response to a request, or with the status event.NoResponse or
+// event.ResponseTooLarge the lack of one.
 type response struct {
-	sent   event.Time // when the request was sent
+	call   pendingCall
 	status int
 	body   []byte
 }
 
-// call describes an HTTP request to the service.
-type call struct {
-	method, path string
-	body         []byte
-	timeout      time.Duration
+// err returns nil if the store has executed the request, else a *StatusError.
+func (r *response) err() error {
+	if r.status == httpwire.StatusOK {
+		return nil
+	}
+	return &StatusError{Method: r.call.method, Path: r.call.path, Status: r.status}
+}
+
+// A StatusError tells that the store did not execute a request.
+type StatusError struct {
+	Method, Path string
+	// Status is the HTTP status, or event.NoResponse or event.ResponseTooLarge.
+	Status int
+}
+
+// Error returns the request and its status.
+func (e *StatusError) Error() string {
+	switch e.Status {
+	case event.NoResponse:
+		return fmt.Sprintf("%s %s: no response", e.Method, e.Path)
+	case event.ResponseTooLarge:
+		return fmt.Sprintf("%s %s: response too large", e.Method, e.Path)
+	default:
+		return fmt.Sprintf("%s %s: status %d", e.Method, e.Path, e.Status)
+	}
 }
 
-// send sends a request and keeps its handler until the answer comes. It counts
+// send sends a request and keeps its handler until the response comes. It counts
 // against the request rate whether or not the rate allows it; the caller judges
 // that first where the request can wait.
-func (c *Client) send(what call, handler request, now event.Time, out *event.Effects) {
+func (c *Client) send(now event.Time, r request, handler responseHandler, out *event.Effects) {
 	c.rates.takeRequest(now)
-	id := out.Call(c.addr, what.method, what.path, what.body, what.timeout)
-	c.pending[id] = pendingCall{sent: now, request: handler}
+	id := out.Call(c.addr, r.method, r.path, r.body, r.timeout)
+	c.pending[id] = pendingCall{method: r.method, path: r.path, sentAt: now, handler: handler}
 }
 
-// HandleCallResult takes the outcome of a call. It reports whether the call was one of
-// this client's.
-func (c *Client) HandleCallResult(now event.Time, done event.CallResult, out *event.Effects) bool {
-	pending, ok := c.pending[done.ID]
+// HandleCallResult takes the result of a call. It reports whether the call was
+// one of this client's.
+func (c *Client) HandleCallResult(now event.Time, result event.CallResult, out *event.Effects) bool {
+	call, ok := c.pending[result.ID]
 	if !ok {
 		return false
 	}
-	delete(c.pending, done.ID)
-	c.health.observe(done.Status, pending.sent)
-	if done.Status == httpwire.StatusTooManyRequests {
+	delete(c.pending, result.ID)
+	c.health.observe(result.Status, call.sentAt)
+	if result.Status == httpwire.StatusTooManyRequests {
 		c.lowerRates()
 	}
-	pending.request.answered(c, now, response{sent: pending.sent, status: done.Status, body: done.Body}, out)
+	call.handler.handle(now, c, response{call: call, status: result.Status, body: result.Body}, out)
 	return true
 }
 
-// health is what the answers say about the service's availability.
+// health is what the responses say about the availability of the store.
 type health struct {
 	lastContact event.Time // when the last request that was executed was sent
-	unavailable bool       // the last answer, 429 apart, was 503 or missing
+	unavailable bool       // the last response, 429 apart, was 503 or missing
 }
 
 // neverInContact lies before any time at which a request can have been sent, so
@@ -74,14 +99,15 @@
 
 func newHealth() health { return health{lastContact: neverInContact} }
 
-func (h *health) observe(status int, sent event.Time) {
+// observe takes the status of the response to a request.
+func (h *health) observe(status int, sentAt event.Time) {
 	switch status {
-	case noResponse, httpwire.StatusServiceUnavailable:
+	case event.NoResponse, httpwire.StatusServiceUnavailable:
 		h.unavailable = true
 	case httpwire.StatusTooManyRequests:
 		// Neither executed nor unavailable.
 	default:
-		h.lastContact = max(h.lastContact, sent)
+		h.lastContact = max(h.lastContact, sentAt)
 		h.unavailable = false
 	}
 }
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -1,11 +1,38 @@
-// Package kv is the client of the state service. It keeps a replica of all
-// keys by following the service's changes, batches writes into transactions
-// under the rates that the controllers share, manages leases, and offers the
-// read barrier that every answer to a user rests on.
+// Package kv is the client of the consensus-backed key-value store in which the
+// controllers keep everything that must outlive them.
 //
-// Nothing here blocks or reads a clock: requests leave as effects, their
-// answers and the passing of time come in through Client.CallDone and
-// Client.Tick.
+// # Revisions
+//
+// The store has one revision, which every executed transaction raises. The mod
+// revision of a key is the revision of the transaction that wrote its present
+// value; it is 0 for a key that does not exist. A Compare requires a key to have
+// a given mod revision, so a Txn is a compare-and-swap over several keys.
+//
+// # Group commit
+//
+// Requests and writes to the store are rate limited, for all controllers
+// together. Client.Submit therefore queues a Txn, and several of them go to the
+// store in one request, most urgent first (group commit). The store executes a
+// request as a whole or not at all; where a compare of one Txn fails, the client
+// sends the others again, so that each Txn still ends by its own merits.
+//
+// # Watch cache and read barrier
+//
+// The client reads every key at the start and follows the store's log from then
+// on with a long poll (the watch). Each change goes to Config.OnChange; the
+// client itself keeps the mod revisions only. The cache lags behind the store: an
+// answer that must not be stale waits for a read barrier (Client.Barrier).
+//
+// # Leases
+//
+// A key may be bound to a lease. When the lease expires or is revoked, the store
+// deletes the key.
+//
+// # No input or output
+//
+// Nothing here blocks, reads a clock or opens a connection. Requests leave as
+// event.Effects; their results and the passing of time come in through
+// Client.HandleCallResult and Client.Tick.
 package kv
 
 import (
@@ -15,42 +42,51 @@
 	"lugward/internal/event"
 )
 
-// Limits are the service's published limits and this node's settings for it.
+// Config are the settings of a Client.
+type Config struct {
+	// Addr is the host and port of the store.
+	Addr   string
+	Limits Limits
+	// StaleAfter is the age at which the cache is refreshed although nobody waits
+	// for a read barrier.
+	StaleAfter time.Duration
+	// ImmutablePrefix is the prefix of keys that are written once and never
+	// changed or deleted. There may be very many of them: the cache keeps no mod
+	// revisions of them, and OnChange may be called for one more than once. Empty
+	// if there are none.
+	ImmutablePrefix string
+	// OnChange is called for every change of a key, from within Tick and
+	// HandleCallResult.
+	OnChange ChangeFunc
+	// Logger receives the writes that the store rejects as malformed, and at debug
+	// level the requests that failed; nil discards them.
+	Logger *slog.Logger
+}
+
+// Limits are the limits that the store publishes.
 type Limits struct {
-	// TxnOps is the largest number of writes in one transaction.
+	// TxnOps is the largest number of writes in one request.
 	TxnOps int
-	// Rates are what the service takes of all controllers together.
+	// Rates are what the store takes of all controllers together.
 	Rates Rates
 	// NextRates are the rates in force from the first 429 on; 0 means unchanged.
-	// The service may lower its rates without notice.
+	// The store may lower its rates without notice.
 	NextRates Rates
-	// StaleAfter is the age at which the replica is refreshed although nobody
-	// waits for a read barrier.
-	StaleAfter time.Duration
-	// ImmutablePrefix is the beginning of keys that are written once and never change or
-	// go. There may be very many; the replica keeps nothing of them, and the listener
-	// may receive one more than once. "": there are none.
-	ImmutablePrefix string
 }
 
-// Rates are numbers of requests and of writes per second.
-type Rates struct {
-	Requests float64
-	Writes   float64
-}
-
-// ChangeFunc receives every change of the replica. data is nil when the key
-// has been dropped.
-type ChangeFunc func(key string, data []byte, version uint64)
+// ChangeFunc receives a change of a key. data is the new value as JSON, or nil
+// if the key has been deleted; it must not be modified. modRevision is the
+// revision of the store at which the key was written or deleted.
+type ChangeFunc func(key string, data []byte, modRevision uint64)
 
 const (
-	// callTimeout bounds every request that is answered without waiting.
+	// callTimeout bounds every request that the store answers at once.
 	callTimeout = 1500 * time.Millisecond
-	// retryPause is the pause before a retry after 429, 503 or no answer.
+	// retryPause is the pause before a retry after 429, 503 or no response.
 	retryPause = 100 * time.Millisecond
 	// minPollInterval is the least time between two watches, and between two
-	// barriers: answers come one round trip after each, so more would not make
-	// the replica any fresher.
+	// barriers: a response takes one round trip, so more of them would not make
+	// the cache any fresher.
 	minPollInterval = 150 * time.Millisecond
 	// pollShare is the part of the request rate that watches and barriers use
 	// together; the rest is for transactions and leases.
@@ -59,39 +95,27 @@
 	pollKinds = 2
 )
 
-// Client is the state service as one controller sees it. It is not safe for
-// concurrent use.
+// Client is a controller's client of the store. It is not safe for concurrent
+// use.
 type Client struct {
-	addr    string
-	limits  Limits
-	log     *slog.Logger
-	rates   rateLimiter
-	pending map[uint64]pendingCall // by the ID of the event.Call
-	health  health
+	addr       string
+	limits     Limits
+	staleAfter time.Duration
+	log        *slog.Logger
+	rates      rateLimiter
+	pending    map[uint64]pendingCall // by the ID of the event.Call
+	health     health
 
 	cache   watchCache
 	scan    scan
-	watch   poll
-	barrier poll
-	// barrierQueue are the callers that wait for the next barrier to be sent.
-	barrierQueue []BarrierFunc
+	watch   pollPacer
+	barrier pollPacer
+	// barrierWaiters wait for the next barrier to be sent.
+	barrierWaiters []BarrierFunc
 
 	txns txnQueue
 }
 
-// Config are the settings of a Client.
-type Config struct {
-	// Addr is the host and port of the service.
-	Addr   string
-	Limits Limits
-	// OnChange is called for every change of a key, from within Tick and
-	// HandleCallResult.
-	OnChange ChangeFunc
-	// Logger receives the writes that the service refuses as malformed; nil
-	// discards them.
-	Logger *slog.Logger
-}
-
 // New returns a client that has read nothing yet.
 func New(cfg Config) *Client {
 	log := cfg.Logger
@@ -99,66 +123,45 @@
 		log = slog.New(slog.DiscardHandler)
 	}
 	return &Client{
-		addr:    cfg.Addr,
-		limits:  cfg.Limits,
-		log:     log,
-		rates:   newRateLimiter(cfg.Limits.Rates),
-		pending: map[uint64]pendingCall{},
-		health:  newHealth(),
-		cache:   newWatchCache(cfg.OnChange, cfg.Limits.ImmutablePrefix),
-		watch:   poll{interval: minPollInterval},
-		barrier: poll{interval: minPollInterval},
-		txns:    newTxnQueue(),
+		addr:       cfg.Addr,
+		limits:     cfg.Limits,
+		staleAfter: cfg.StaleAfter,
+		log:        log,
+		rates:      newRateLimiter(cfg.Limits.Rates),
+		pending:    map[uint64]pendingCall{},
+		health:     newHealth(),
+		cache:      newWatchCache(cfg.OnChange, cfg.ImmutablePrefix),
+		watch:      pollPacer{interval: minPollInterval},
+		barrier:    pollPacer{interval: minPollInterval},
+		txns:       newTxnQueue(),
 	}
 }
 
-// Synced reports whether the replica is complete: every key has been read, and
-// the changes since then can be followed.
+// Synced reports whether the cache is complete: every key has been read, and the
+// changes since then can be followed.
 func (c *Client) Synced() bool { return c.cache.synced }
 
-// LastContact is when the last request that the service executed was sent.
-func (c *Client) LastContact() event.Time { return c.health.lastContact }
-
-// FreshUntil is a time up to which the replica holds every change. It shows a
-// replica that has become stale because the answer to a watch was lost.
-func (c *Client) FreshUntil() event.Time { return c.cache.fresh }
+// FreshUntil returns a time up to which the cache holds every change. It lags
+// behind when the responses to watches and barriers are lost.
+func (c *Client) FreshUntil() event.Time { return c.cache.freshUntil }
 
-// Revision is the revision of the service up to which the replica is complete.
+// Revision returns the revision of the store up to which the cache is complete.
 func (c *Client) Revision() uint64 { return c.cache.revision }
 
-// Unavailable reports whether the last request found the service unavailable.
-func (c *Client) Unavailable() bool { return c.health.unavailable }
-
-// ModRevision returns the version of a key in the replica, 0 if absent.
+// ModRevision returns the mod revision of a key in the cache, 0 if the key does
+// not exist or has the immutable prefix.
 func (c *Client) ModRevision(key string) uint64 { return c.cache.modRevisions[key] }
 
-// SetRateShare changes this node's part of the rates. Watches and barriers are
-// paced so that they leave requests for transactions and leases.
-func (c *Client) SetRateShare(share Rates) {
-	c.rates.requests.rate = share.Requests
-	c.rates.writes.rate = share.Writes
-	interval := time.Duration(pollKinds / (pollShare * share.Requests) * float64(time.Second))
-	c.watch.interval = max(minPollInterval, interval)
-	c.barrier.interval = c.watch.interval
-}
-
-// TotalRates returns the rates that the service is known to take of all
-// controllers together.
-func (c *Client) TotalRates() Rates { return c.limits.Rates }
+// LastContact returns when the last request that the store has executed was
+// sent.
+func (c *Client) LastContact() event.Time { return c.health.lastContact }
 
-// lowerRates puts the announced rates into force. A 429 is the first sign of
-// them; if it came of a burst instead, the lower rates cost little.
-func (c *Client) lowerRates() {
-	if next := c.limits.NextRates.Requests; next > 0 {
-		c.limits.Rates.Requests = min(c.limits.Rates.Requests, next)
-	}
-	if next := c.limits.NextRates.Writes; next > 0 {
-		c.limits.Rates.Writes = min(c.limits.Rates.Writes, next)
-	}
-}
+// Unavailable reports whether the last request, apart from those answered with
+// 429, got a 503 or no response.
+func (c *Client) Unavailable() bool { return c.health.unavailable }
 
-// Tick ends what has expired and sends what is due. It is called at least as
-// often as the shortest interval above.
+// Tick ends the transactions that have expired and sends what is due. It is to be
+// called at least as often as the shortest interval above.
 func (c *Client) Tick(now event.Time, out *event.Effects) {
 	c.expireTxns(now, out)
 	if !c.cache.synced {
@@ -168,7 +171,7 @@
 		}
 		return
 	}
-	c.sendTransactions(now, out)
+	c.sendTxns(now, out)
 	c.sendBarrier(now, out)
 	c.sendWatch(now, out)
 }
--- a/internal/kv/lease.go
+++ b/internal/kv/lease.go
@@ -1,65 +1,69 @@
 package kv
 
 import (
-	"encoding/json"
-	"fmt"
-	"strconv"
+	"errors"
 	"time"
 
 	"lugward/internal/event"
 	"lugward/internal/httpwire"
 )
 
-const leasesPath = "/leases"
+// ErrLeaseNotFound means that a lease has expired or was revoked.
+var ErrLeaseNotFound = errors.New("lease not found")
 
-// LeaseGrantFunc receives the ID of a granted lease, or 0 if none was granted.
-type LeaseGrantFunc func(now event.Time, leaseID uint64, out *event.Effects)
+// LeaseGrantFunc receives the ID of a granted lease. If err is not nil (a
+// *StatusError or a *DecodeError) there is none; a lease that was granted all the
+// same expires by itself.
+type LeaseGrantFunc func(now event.Time, leaseID uint64, err error, out *event.Effects)
 
-// LeaseRenewalFunc receives the HTTP status of a lease's renewal; 0 means no answer.
-type LeaseRenewalFunc func(now event.Time, status int, out *event.Effects)
+// LeaseRenewalFunc receives the result of a lease's renewal: nil if it was
+// renewed, ErrLeaseNotFound if it has ended, or a *StatusError if the store did
+// not answer the request.
+type LeaseRenewalFunc func(now event.Time, err error, out *event.Effects)
 
-// GrantLease asks for a new lease of the given duration.
-func (c *Client) GrantLease(duration time.Duration, now event.Time, out *event.Effects, done LeaseGrantFunc) {
-	body := fmt.Appendf(nil, `{"life_ms":%d}`, duration.Milliseconds())
-	c.send(call{method: "POST", path: leasesPath, body: body, timeout: callTimeout}, leaseGrant{done}, now, out)
+// GrantLease asks for a new lease with the given time to live.
+func (c *Client) GrantLease(now event.Time, ttl time.Duration, out *event.Effects, done LeaseGrantFunc) {
+	c.send(now, grantRequest(ttl), pendingGrant{done}, out)
 }
 
-// RenewLease renews a lease.
-func (c *Client) RenewLease(leaseID uint64, timeout time.Duration, now event.Time, out *event.Effects, done LeaseRenewalFunc) {
-	path := leasePath(leaseID) + "/extend"
-	c.send(call{method: "POST", path: path, timeout: timeout}, leaseExtension{done}, now, out)
+// RenewLease asks for the renewal of a lease. The request counts as lost after
+// the timeout.
+func (c *Client) RenewLease(now event.Time, leaseID uint64, timeout time.Duration, out *event.Effects, done LeaseRenewalFunc) {
+	c.send(now, renewRequest(leaseID, timeout), pendingRenewal{done}, out)
 }
 
-// RevokeLease ends a lease at once. A lease whose Drop gets lost ends by itself.
-func (c *Client) RevokeLease(leaseID uint64, now event.Time, out *event.Effects) {
-	c.send(call{method: "DELETE", path: leasePath(leaseID), timeout: callTimeout}, leaseDrop{}, now, out)
+// RevokeLease ends a lease at once. It is not retried: if the request is lost,
+// the lease expires by itself.
+func (c *Client) RevokeLease(now event.Time, leaseID uint64, out *event.Effects) {
+	c.send(now, revokeRequest(leaseID), pendingRevocation{}, out)
 }
 
-func leasePath(leaseID uint64) string {
-	return leasesPath + "/" + strconv.FormatUint(leaseID, 10)
-}
-
-// leaseGrant is a pending request for a new lease.
-type leaseGrant struct{ done LeaseGrantFunc }
+// pendingGrant is a request for a new lease in flight.
+type pendingGrant struct{ done LeaseGrantFunc }
 
-func (g leaseGrant) answered(_ *Client, now event.Time, r response, out *event.Effects) {
-	var granted struct {
-		LeaseID uint64 `json:"tether"`
-	}
-	if r.status != httpwire.StatusOK || json.Unmarshal(r.body, &granted) != nil {
-		granted.LeaseID = 0
+func (p pendingGrant) handle(now event.Time, _ *Client, r response, out *event.Effects) {
+	if err := r.err(); err != nil {
+		p.done(now, 0, err, out)
+		return
 	}
-	g.done(now, granted.LeaseID, out)
+	leaseID, err := decodeGrant(r.body)
+	p.done(now, leaseID, err, out)
 }
 
-// leaseExtension is a pending renewal of a lease.
-type leaseExtension struct{ done LeaseRenewalFunc }
+// pendingRenewal is the renewal of a lease in flight.
+type pendingRenewal struct{ done LeaseRenewalFunc }
 
-func (e leaseExtension) answered(_ *Client, now event.Time, r response, out *event.Effects) {
-	e.done(now, r.status, out)
+func (p pendingRenewal) handle(now event.Time, _ *Client, r response, out *event.Effects) {
+	err := r.err()
+	if r.status == httpwire.StatusNotFound {
+		err = ErrLeaseNotFound
+	}
+	p.done(now, err, out)
 }
 
-// leaseDrop is a pending end of a lease. Its answer changes nothing.
-type leaseDrop struct{}
+// pendingRevocation is the revocation of a lease in flight.
+type pendingRevocation struct{}
 
-func (leaseDrop) answered(*Client, event.Time, response, *event.Effects) {}
+func (pendingRevocation) handle(event.Time, *Client, response, *event.Effects) {
+	// Nothing rests on the response.
+}
--- a/internal/pipeline/finish.go
+++ b/internal/pipeline/finish.go
@@ -103,7 +103,7 @@
 	s.Submit(&kv.Txn{
 		Priority: kv.PriorityProgress,
 		Rank:     j.writeRank(),
-		Key:      TerminalKeyOf(j.ID),
+		BuildKey: TerminalKeyOf(j.ID),
 		Build:    func(in *kv.Txn) bool { return j.buildTerminalWrite(in, term) },
 		Done:     j.terminalWritten,
 	}, now+writeTimeout)
--- a/internal/pipeline/flush.go
+++ b/internal/pipeline/flush.go
@@ -91,7 +91,7 @@
 	s.Submit(&kv.Txn{
 		Priority: priority,
 		Rank:     j.writeRank(),
-		Key:      runKey(j.ID, index),
+		BuildKey: runKey(j.ID, index),
 		Build:    w.build,
 		Done:     w.done,
 	}, now+writeTimeout)
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -281,7 +281,7 @@
 func (t *Table) writeRetry(j *Job, now time.Duration, term kv.Compare, s TxnSubmitter) {
 	j.retry.queued = true
 	written := 0
-	intent := &kv.Txn{Priority: kv.PriorityProgress, Rank: j.writeRank(), Key: RetryKeyOf(j.ID)}
+	intent := &kv.Txn{Priority: kv.PriorityProgress, Rank: j.writeRank(), BuildKey: RetryKeyOf(j.ID)}
 	intent.Build = func(intent *kv.Txn) bool {
 		stored := t.storedRetries[j.ID]
 		if !j.retry.dirty || j.TerminalPhase != Queued || (j.retry.failures == 0 && stored.version == 0) {
