--- a/internal/httpwire/head.go
+++ b/internal/httpwire/head.go
@@ -11,6 +11,13 @@
 	headEnd = []byte("\r\n\r\n")
 )
 
+// The headers that the parser acts on, in lower case.
+const (
+	headerContentLength    = "content-length"
+	headerTransferEncoding = "transfer-encoding"
+	headerConnection       = "connection"
+)
+
 // lengthUnknown is the length in a head without Content-Length.
 const lengthUnknown = -1
 
@@ -27,12 +34,14 @@
 	size    int // bytes of the head with its empty line
 }
 
+// parseHead parses the head at the start of in. Its errors are ErrIncomplete or
+// *ParseError.
 func parseHead(in []byte) (head, error) {
 	h := head{length: lengthUnknown}
 	end := bytes.Index(in[:min(len(in), MaxHead)], headEnd)
 	if end < 0 {
 		if len(in) >= MaxHead {
-			return h, ErrTooLarge
+			return h, errHeadTooLarge
 		}
 		return h, ErrIncomplete
 	}
@@ -49,7 +58,7 @@
 	// Receivers that disagree on which of the two counts see different requests
 	// (request smuggling).
 	if h.chunked && h.length != lengthUnknown {
-		return h, ErrMalformed
+		return h, errTwoLengths
 	}
 	return h, nil
 }
@@ -58,22 +67,22 @@
 func (h *head) parseHeader(line []byte) error {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t") {
-		return ErrMalformed
+		return errHeaderLine
 	}
 	value = bytes.TrimSpace(value)
 	switch {
-	case equalFold(name, "content-length"):
-		n, err := strconv.ParseUint(string(value), 10, maxLengthBits)
-		if err != nil || (h.length != lengthUnknown && h.length != int(n)) {
-			return ErrMalformed
+	case equalFold(name, headerContentLength):
+		length, err := strconv.ParseUint(string(value), 10, maxLengthBits)
+		if err != nil || (h.length != lengthUnknown && h.length != int(length)) {
+			return errContentLength
 		}
-		h.length = int(n)
-	case equalFold(name, "transfer-encoding"):
+		h.length = int(length)
+	case equalFold(name, headerTransferEncoding):
 		if !equalFold(value, "chunked") {
-			return ErrMalformed
+			return errTransferEncoding
 		}
 		h.chunked = true
-	case equalFold(name, "connection"):
+	case equalFold(name, headerConnection):
 		h.close = h.close || equalFold(value, "close")
 	}
 	return nil
@@ -83,7 +92,7 @@
 // size of the whole message.
 func (h *head) body(in []byte, maxBody int) (body []byte, size int, err error) {
 	if h.length > maxBody {
-		return nil, 0, ErrTooLarge
+		return nil, 0, errBodyTooLarge
 	}
 	size = h.size + max(h.length, 0)
 	if len(in) < size {
@@ -95,51 +104,3 @@
 func equalFold(b []byte, s string) bool {
 	return len(b) == len(s) && bytes.EqualFold(b, []byte(s))
 }
-
-// maxChunkLine is the longest line that gives a chunk's size.
-const maxChunkLine = 32
-
-// parseChunks returns the body in the chunks at the start of in, and their size
-// with all framing. Trailers are not supported.
-func parseChunks(in []byte, maxBody int) (body []byte, size int, err error) {
-	for {
-		chunk, n, err := parseChunk(in[size:], maxBody-len(body))
-		if err != nil {
-			return nil, 0, err
-		}
-		body = append(body, chunk...)
-		size += n
-		if len(chunk) == 0 {
-			return body, size, nil
-		}
-	}
-}
-
-// parseChunk returns the data of the chunk at the start of in, and its size with
-// its framing. The last chunk of a body is empty.
-func parseChunk(in []byte, maxData int) (data []byte, size int, err error) {
-	line, _, ok := bytes.Cut(in, lineEnd)
-	if !ok {
-		if len(in) > maxChunkLine {
-			return nil, 0, ErrMalformed
-		}
-		return nil, 0, ErrIncomplete
-	}
-	length, err := strconv.ParseUint(string(line), 16, maxLengthBits)
-	if err != nil {
-		return nil, 0, ErrMalformed
-	}
-	if int(length) > maxData {
-		return nil, 0, ErrTooLarge
-	}
-	begin := len(line) + len(lineEnd)
-	end := begin + int(length)
-	size = end + len(lineEnd)
-	if len(in) < size {
-		return nil, 0, ErrIncomplete
-	}
-	if !bytes.Equal(in[end:size], lineEnd) {
-		return nil, 0, ErrMalformed
-	}
-	return in[begin:end], size, nil
-}
