--- a/cmd/lugward/main.go
+++ b/cmd/lugward/main.go
@@ -2,6 +2,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -128,7 +129,7 @@
 	start := time.Now()
 	node := controller.New(cfg, log, func() time.Duration { return time.Since(start) })
 	log.Info("starting", "label", cfg.Label, "bind", cfg.Bind)
-	return engine.Run(engineConfig(cfg), node, log)
+	return engine.Run(context.Background(), engineConfig(cfg), node, log)
 }
 
 func engineConfig(cfg *config.Platform) engine.Config {
--- a/internal/engine/calls_test.go
+++ b/internal/engine/calls_test.go
@@ -17,11 +17,12 @@
 // returns its address. It closes the connection then or, if the text is a
 // response with status 200, when the other side has closed it.
 func serveRaw(t *testing.T, answer string) string {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { closeAll(t, l) })
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -49,32 +50,33 @@
 
 // TestCalls checks that a call ends exactly once, whatever the other side does.
 func TestCalls(t *testing.T) {
-	core, _ := start(t, 100)
+	machine, _ := start(t, 100)
 	refusing := freeAddr(t)
 	for _, c := range []struct {
+		name   string
 		addr   string
 		status int
 		body   string
 	}{
-		{serveRaw(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"), httpwire.StatusOK, "{}"},
-		{serveRaw(t, "HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n{"), event.ResponseTooLarge, ""},
-		{serveRaw(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n900000\r\n{"), event.ResponseTooLarge, ""},
-		{serveRaw(t, "not http at all\r\n\r\n"), event.NoResponse, ""},
-		{serveRaw(t, "HTTP/1.1 2"), event.NoResponse, ""},
-		{serveRaw(t, ""), event.NoResponse, ""},
-		{refusing, event.NoResponse, ""},
+		{"response", serveRaw(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"), httpwire.StatusOK, "{}"},
+		{"too large", serveRaw(t, "HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n{"), event.ResponseTooLarge, ""},
+		{"too large, chunked", serveRaw(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n900000\r\n{"), event.ResponseTooLarge, ""},
+		{"malformed", serveRaw(t, "not http at all\r\n\r\n"), event.NoResponse, ""},
+		{"cut short", serveRaw(t, "HTTP/1.1 2"), event.NoResponse, ""},
+		{"closed without a response", serveRaw(t, ""), event.NoResponse, ""},
+		{"connection refused", refusing, event.NoResponse, ""},
 	} {
-		core.call(c.addr)
+		machine.call(c.addr)
 		select {
-		case d := <-core.done:
-			if d.Status != c.status || string(d.Body) != c.body {
-				t.Errorf("%d %q, not %d %q", d.Status, d.Body, c.status, c.body)
+		case r := <-machine.results:
+			if r.Status != c.status || string(r.Body) != c.body {
+				t.Errorf("%s: %d %q, not %d %q", c.name, r.Status, r.Body, c.status, c.body)
 			}
 		case <-time.After(20 * time.Second):
-			t.Error("a call never ended")
+			t.Errorf("%s: the call never ended", c.name)
 		}
 	}
-	if len(core.done) != 0 {
+	if len(machine.results) != 0 {
 		t.Error("a call ended twice")
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,9 +1,28 @@
-// Package engine is the only place with sockets, clocks and timers. It runs
-// the core on one gnet event loop: every input becomes a step of the core,
-// every effect of the step becomes output.
+// Package engine is the only place with sockets, clocks and timers. It drives a
+// StateMachine on one gnet event loop: every input becomes a step of the state
+// machine, and every effect of the step becomes output.
+//
+// # Goroutines
+//
+// The event loop owns all state of the engine, the state machine included. Three
+// kinds of other goroutines exist. They touch nothing but the fields of engine that
+// are marked for them, and hand their results to the loop (onLoop):
+//
+//   - gnet's ticker, which ends with the loop;
+//   - one goroutine for each connection that is being dialled, which ends when gnet
+//     has taken the connection, after dialTimeout, or with Run's context;
+//   - gnet's own workers, which register the dialled connections.
+//
+// # Sockets
+//
+// A socket belongs to its connection from OnOpen on. It is closed by drop, or by the
+// action that a handler of gnet's events returns; OnClose follows in either case and
+// is the one place that forgets the connection. A dialled socket that gnet has not
+// taken is closed where it was dialled.
 package engine
 
 import (
+	"context"
 	"log/slog"
 	"sync/atomic"
 	"time"
@@ -14,11 +33,13 @@
 	"lugward/internal/event"
 )
 
-// readBufferBytes is how much gnet reads from a socket at once.
+// readBufferBytes is how much gnet reads from a socket at once: gnet's own default,
+// set here so that another version of gnet does not change the memory in use.
 const readBufferBytes = 64 << 10
 
-// Core is the state machine that the engine drives, one input at a time.
-type Core interface {
+// StateMachine is what the engine drives, one input at a time. Points in time are of
+// the process's monotonic clock; effects are added to out.
+type StateMachine interface {
 	// SetWallClock sets the time of day before each Tick.
 	SetWallClock(now event.Time, wall time.Time)
 	// Tick does what is due.
@@ -26,7 +47,7 @@
 	// HandleRequest takes an HTTP request, which needs exactly one reply.
 	HandleRequest(now event.Time, r event.Request, out *event.Effects)
 	// HandleCallResult takes the outcome of a call.
-	HandleCallResult(now event.Time, d event.CallResult, out *event.Effects)
+	HandleCallResult(now event.Time, r event.CallResult, out *event.Effects)
 	// HandleFrame takes a frame of another controller.
 	HandleFrame(now event.Time, f event.PeerFrame, out *event.Effects)
 }
@@ -34,19 +55,20 @@
 // Config says where to listen and how many connections to have.
 type Config struct {
 	Bind, PeerBind string   // addresses to listen on, for HTTP and for peers
-	Peers          []string // endpoints, in the order of the core's peer indices
+	Peers          []string // endpoints, in the order of the state machine's peer indices
 	MaxConnections int      // open sockets, incoming and outgoing
 }
 
-// engine owns the sockets. Only the event loop uses it; other goroutines read
-// cfg, log and loop alone, and hand their results to the loop (onLoop).
+// engine owns the sockets. Only the event loop uses it; other goroutines read ctx,
+// cfg, log and loop alone.
 type engine struct {
 	gnet.BuiltinEventEngine
-	cfg   Config
-	core  Core
-	log   *slog.Logger
-	start time.Time    // of the monotonic clock
-	loop  atomic.Value // loopRef
+	ctx          context.Context // of Run
+	cfg          Config
+	stateMachine StateMachine
+	log          *slog.Logger
+	start        time.Time    // of the monotonic clock
+	loop         atomic.Value // loopRef
 
 	steps    stepQueue
 	timers   timers
@@ -61,15 +83,17 @@
 	sweptAt  event.Time
 }
 
-// Run serves until the process is killed or listening fails.
-func Run(cfg Config, core Core, log *slog.Logger) error {
+// Run serves until the context is cancelled, or listening fails. Its error is that
+// of the listener.
+func Run(ctx context.Context, cfg Config, stateMachine StateMachine, log *slog.Logger) error {
 	e := &engine{
-		cfg:      cfg,
-		core:     core,
-		log:      log,
-		start:    time.Now(),
-		sockets:  sockets{connections: map[uint64]*connection{}},
-		outgoing: outgoing{calls: map[uint64]*pendingCall{}, spareByAddr: map[string][]*connection{}},
+		ctx:          ctx,
+		cfg:          cfg,
+		stateMachine: stateMachine,
+		log:          log,
+		start:        time.Now(),
+		sockets:      sockets{connections: map[uint64]*connection{}},
+		outgoing:     outgoing{calls: map[uint64]*pendingCall{}, idleByAddr: map[string][]*connection{}},
 	}
 	for range cfg.Peers {
 		e.peers = append(e.peers, &peerLink{dialedAt: -redialInterval})
@@ -80,7 +104,18 @@
 		gnet.WithReuseAddr(true),
 		gnet.WithReadBufferCap(readBufferBytes),
 		gnet.WithLogLevel(logging.ErrorLevel),
-		gnet.WithLogger(gnetLog{}))
+		gnet.WithLogger(gnetLogger{log}))
+}
+
+// OnBoot lets the end of Run's context stop gnet.
+func (e *engine) OnBoot(g gnet.Engine) gnet.Action {
+	context.AfterFunc(e.ctx, func() {
+		// The context of Stop bounds how long it waits; Run waits anyhow.
+		if err := g.Stop(context.Background()); err != nil {
+			e.log.Error("the event loop does not stop", "err", err)
+		}
+	})
+	return gnet.None
 }
 
 // now returns the time of the monotonic clock.
--- a/internal/engine/gnetlogger.go
+++ b/internal/engine/gnetlogger.go
@@ -5,25 +5,25 @@
 	"log/slog"
 )
 
-// gnetLog takes gnet's own messages: errors become debug messages, as broken
+// gnetLogger takes gnet's own messages: errors become debug messages, as broken
 // connections are ordinary; what is less is dropped.
-type gnetLog struct{}
+type gnetLogger struct{ log *slog.Logger }
 
 // Debugf drops a message.
-func (gnetLog) Debugf(string, ...any) {}
+func (gnetLogger) Debugf(string, ...any) {}
 
 // Infof drops a message.
-func (gnetLog) Infof(string, ...any) {}
+func (gnetLogger) Infof(string, ...any) {}
 
 // Warnf drops a message.
-func (gnetLog) Warnf(string, ...any) {}
+func (gnetLogger) Warnf(string, ...any) {}
 
 // Errorf logs an error of gnet.
-func (gnetLog) Errorf(format string, args ...any) {
-	slog.Debug("gnet", "msg", fmt.Sprintf(format, args...))
+func (l gnetLogger) Errorf(format string, args ...any) {
+	l.log.Debug("error of gnet", "err", fmt.Sprintf(format, args...))
 }
 
 // Fatalf logs an error that ends gnet.
-func (gnetLog) Fatalf(format string, args ...any) {
-	slog.Error("gnet", "msg", fmt.Sprintf(format, args...))
+func (l gnetLogger) Fatalf(format string, args ...any) {
+	l.log.Error("fatal error of gnet", "err", fmt.Sprintf(format, args...))
 }
--- a/internal/engine/http.go
+++ b/internal/engine/http.go
@@ -12,7 +12,7 @@
 // readRequests reads from a client. A request that arrives before the last one
 // is answered stays buffered until then.
 func (e *engine) readRequests(c *connection) gnet.Action {
-	if !c.busy {
+	if !c.inUse {
 		e.step(requestInput{c})
 		return gnet.None
 	}
@@ -25,10 +25,10 @@
 // readRequest takes one request, if a whole one has arrived. It runs within a
 // step.
 func (e *engine) readRequest(c *connection) {
-	if e.sockets.connections[c.id] != c || c.busy {
+	if e.sockets.connections[c.id] != c || c.inUse {
 		return
 	}
-	in, _ := c.socket.Peek(-1)
+	in := c.received()
 	if len(in) == 0 {
 		return
 	}
@@ -39,25 +39,35 @@
 		return
 	}
 	if err != nil {
-		// To a user, a body over the limit is a malformed submission as well.
-		_, _ = c.socket.Write(httpwire.AppendResponse(nil, httpwire.Response{Status: httpwire.StatusBadRequest, Close: true}))
-		e.drop(c)
+		e.refuseRequest(c, err)
 		return
 	}
-	c.busy = true
+	c.inUse = true
 	c.closeAfter = message.Close
-	e.setParty(c, partyOf(message.Target))
-	// The buffers of the parser are reused once the input is discarded.
+	e.setClient(c, clientOf(message.Target))
+	// The buffer that the body is in is reused once the input is consumed.
 	request := event.Request{
 		Conn:   c.id,
 		Method: message.Method,
 		Path:   message.Target,
 		Body:   append([]byte(nil), message.Body...),
 
-		ConnectionLimitReached: e.isCrowded(c),
+		ConnectionLimitReached: e.beyondWorkerLimit(c),
+	}
+	c.consume(size)
+	e.stateMachine.HandleRequest(e.now(), request, &e.steps.effects)
+}
+
+// refuseRequest answers input that is no request, and ends the connection: where the
+// next request would begin is not known.
+func (e *engine) refuseRequest(c *connection, err error) {
+	status := httpwire.StatusBadRequest
+	var parseError *httpwire.ParseError
+	if errors.As(err, &parseError) {
+		status = parseError.Status()
 	}
-	_, _ = c.socket.Discard(size)
-	e.core.HandleRequest(e.now(), request, &e.steps.effects)
+	c.send(httpwire.AppendResponse(nil, httpwire.Response{Status: status, Close: true}))
+	e.drop(c)
 }
 
 // reply answers a request and lets the next one on its connection be read.
@@ -66,18 +76,18 @@
 	if c == nil {
 		return
 	}
-	c.busy = false
+	c.inUse = false
 	c.lastActive = e.now()
-	if e.isCrowded(c) {
+	if e.beyondWorkerLimit(c) {
 		c.closeAfter = true
 	}
 	response := httpwire.Response{Status: r.Status, Body: r.Body, RetryAfter: r.RetryAfter, Close: c.closeAfter}
-	_, _ = c.socket.Write(httpwire.AppendResponse(nil, response))
+	c.send(httpwire.AppendResponse(nil, response))
 	if c.closeAfter {
 		e.drop(c)
 		return
 	}
-	c.idleEntry = e.sockets.idle[c.party].PushBack(c)
+	c.idleElement = e.sockets.idle[c.client].PushBack(c)
 	if c.socket.InboundBuffered() > 0 {
 		e.step(requestInput{c})
 	}
--- a/internal/engine/peers.go
+++ b/internal/engine/peers.go
@@ -12,9 +12,12 @@
 const (
 	// redialInterval is the time between two attempts to connect to a peer.
 	redialInterval = time.Second
-	// Frames follow each other, each behind its length as a 32-bit number.
+	// frameHeaderBytes: frames follow each other, each behind its length as a 32-bit
+	// big-endian number.
 	frameHeaderBytes = 4
-	maxFrameBytes    = 128 << 10
+	// maxFrameBytes holds a relayed heartbeat of httpwire.MaxBody bytes with what
+	// package peer puts around it.
+	maxFrameBytes = 128 << 10
 	// unknownPeer: the sender of an incoming frame is known by its content only.
 	unknownPeer = -1
 )
@@ -22,15 +25,15 @@
 // peerLink is our connection for frames to another controller. Frames of that
 // controller come on a connection that it makes.
 type peerLink struct {
-	c        *connection // nil while there is none
-	dialing  bool
-	dialedAt event.Time // when the last attempt began
+	connection *connection // nil while there is none
+	dialing    bool
+	dialedAt   event.Time // when the last attempt began
 }
 
 // dialPeers connects to the peers that we have no connection to.
 func (e *engine) dialPeers(now event.Time) {
 	for i, link := range e.peers {
-		if link.c != nil || link.dialing || now-link.dialedAt < redialInterval {
+		if link.connection != nil || link.dialing || now-link.dialedAt < redialInterval {
 			continue
 		}
 		link.dialing = true
@@ -42,7 +45,7 @@
 // readFrames takes the whole frames that have arrived.
 func (e *engine) readFrames(c *connection) gnet.Action {
 	for {
-		in, _ := c.socket.Peek(-1)
+		in := c.received()
 		c.partial = len(in) > 0
 		if len(in) < frameHeaderBytes {
 			return gnet.None
@@ -56,20 +59,20 @@
 			return gnet.None
 		}
 		data := append([]byte(nil), in[frameHeaderBytes:end]...)
-		_, _ = c.socket.Discard(end)
+		c.consume(end)
 		e.step(frameInput{event.PeerFrame{Peer: unknownPeer, Data: data}})
 	}
 }
 
-// sendFrame sends a frame, or drops it while there is no connection: frames
-// are hints, and the next one follows soon.
+// sendFrame sends a frame, or drops it while there is no connection: nothing depends
+// on a frame, and the next one follows soon.
 func (e *engine) sendFrame(frame event.PeerFrame) {
-	c := e.peers[frame.Peer].c
+	c := e.peers[frame.Peer].connection
 	if c == nil {
 		return
 	}
 	out := make([]byte, 0, frameHeaderBytes+len(frame.Data))
 	out = binary.BigEndian.AppendUint32(out, uint32(len(frame.Data)))
 	out = append(out, frame.Data...)
-	_, _ = c.socket.Write(out)
+	c.send(out)
 }
--- a/internal/engine/steps.go
+++ b/internal/engine/steps.go
@@ -2,14 +2,15 @@
 
 import "lugward/internal/event"
 
-// input is one input of the core, with what is needed to deliver it.
+// input is one input of the state machine, with what is needed to deliver it.
 type input interface {
-	// deliver hands the input to the core, which puts its effects into e.steps.effects.
+	// deliver hands the input to the state machine, which adds its effects to
+	// e.steps.effects.
 	deliver(e *engine)
 }
 
-// stepQueue runs inputs through the core one after the other. Carrying out the
-// effects of one input may raise others, which wait until that is finished.
+// stepQueue runs inputs through the state machine one after the other. Carrying out
+// the effects of one input may raise others, which wait until that is finished.
 type stepQueue struct {
 	effects event.Effects
 	running bool
@@ -19,26 +20,28 @@
 // tickInput lets time pass.
 type tickInput struct{ now event.Time }
 
-func (in tickInput) deliver(e *engine) { e.core.Tick(in.now, &e.steps.effects) }
+func (in tickInput) deliver(e *engine) { e.stateMachine.Tick(in.now, &e.steps.effects) }
 
-// callDoneInput is the outcome of a call.
-type callDoneInput struct{ done event.CallResult }
+// callResultInput is the outcome of a call.
+type callResultInput struct{ result event.CallResult }
 
-func (in callDoneInput) deliver(e *engine) {
-	e.core.HandleCallResult(e.now(), in.done, &e.steps.effects)
+func (in callResultInput) deliver(e *engine) {
+	e.stateMachine.HandleCallResult(e.now(), in.result, &e.steps.effects)
 }
 
 // frameInput is a frame of another controller.
 type frameInput struct{ frame event.PeerFrame }
 
-func (in frameInput) deliver(e *engine) { e.core.HandleFrame(e.now(), in.frame, &e.steps.effects) }
+func (in frameInput) deliver(e *engine) {
+	e.stateMachine.HandleFrame(e.now(), in.frame, &e.steps.effects)
+}
 
 // requestInput is a connection on which a request may have arrived.
-type requestInput struct{ c *connection }
+type requestInput struct{ connection *connection }
 
-func (in requestInput) deliver(e *engine) { e.readRequest(in.c) }
+func (in requestInput) deliver(e *engine) { e.readRequest(in.connection) }
 
-// step runs one input through the core and carries out the effects; inputs
+// step runs one input through the state machine and carries out the effects; inputs
 // raised meanwhile follow in order. Within a step the input waits for its turn.
 func (e *engine) step(in input) {
 	if e.steps.running {
--- a/internal/engine/ticker.go
+++ b/internal/engine/ticker.go
@@ -1,8 +1,6 @@
 package engine
 
 import (
-	"context"
-	"net"
 	"runtime"
 	"time"
 
@@ -12,50 +10,29 @@
 )
 
 const (
-	tickInterval  = 50 * time.Millisecond
+	// tickInterval is the longest time between two ticks while the loop keeps up:
+	// what is due is done that late at most.
+	tickInterval = 50 * time.Millisecond
+	// minTickInterval is the least time from any tick to one of the ticker: one that
+	// follows on a tick between inputs is left out.
+	minTickInterval = tickInterval / 2
+	// sweepInterval is the time between two searches for connections to close.
 	sweepInterval = time.Second
-	// firstTickRetry is the time between two attempts to reach gnet's loop.
-	firstTickRetry = 4 * tickInterval
 )
 
-// loopRef wraps the event loop, since atomic.Value needs one concrete type.
-// The loop stores it once, with the first connection; any goroutine may read it.
-type loopRef struct{ gnet.EventLoop }
-
-func (e *engine) eventLoop() gnet.EventLoop { return e.loop.Load().(loopRef) }
-
-// onLoop runs a function on the event loop.
-func (e *engine) onLoop(f func()) {
-	_ = e.eventLoop().Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		f()
-		return nil
-	}))
-}
-
 // OnTick runs on gnet's ticker goroutine: it only hands the work to the loop.
 func (e *engine) OnTick() (time.Duration, gnet.Action) {
 	if e.loop.Load() == nil {
-		e.openFirstConnection()
-		return firstTickRetry, gnet.None
+		e.connectToSelf()
+		return loopRetryInterval, gnet.None
 	}
-	e.onLoop(func() { e.tick(tickInterval / 2) })
+	e.onLoop(func() { e.tick(minTickInterval) })
 	return tickInterval, gnet.None
 }
 
-// openFirstConnection connects to ourselves: gnet makes its loop known only
-// through a connection.
-func (e *engine) openFirstConnection() {
-	c, err := net.DialTimeout("tcp", e.cfg.Bind, dialTimeout)
-	if err != nil {
-		e.log.Error("no event loop", "err", err)
-		return
-	}
-	_ = c.Close()
-}
-
 // tick lets time pass, unless the last tick is less than minInterval ago. It
 // is called by the ticker and between inputs: while inputs keep the loop busy
-// the ticker's goroutine does not run, and a leader that answers reports all
+// the ticker's goroutine does not run, and a leader that answers heartbeats all
 // the time would lose its term, as its renewals are due by time.
 func (e *engine) tick(minInterval time.Duration) {
 	now := e.now()
@@ -72,7 +49,7 @@
 		e.timers.sweptAt = now
 		e.sweep(now)
 	}
-	e.core.SetWallClock(now, time.Now())
+	e.stateMachine.SetWallClock(now, time.Now())
 	e.step(tickInput{now})
 }
 
