--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -12,7 +12,6 @@
 	"lugward/internal/autoscaler"
 	"lugward/internal/config"
 	"lugward/internal/election"
-	"lugward/internal/event"
 	"lugward/internal/kv"
 	"lugward/internal/pipeline"
 	"lugward/internal/scheduler"
@@ -22,10 +21,10 @@
 const (
 	// staleAfter is how old the replica may become before it is read again.
 	staleAfter = 3 * time.Second
-	// refreshesPerGrace: a leader answers reports only while its replica is
+	// refreshesPerGrace: a leader answers heartbeats only while its replica is
 	// fresher than the grace, so the replica is read again after a quarter of it.
 	refreshesPerGrace = 4
-	// A machine is silent after this many report intervals and this margin.
+	// A machine is unresponsive after this many heartbeat intervals and this margin.
 	heartbeatTimeoutIntervals = 2.5
 	heartbeatTimeoutMargin    = time.Second
 
@@ -38,8 +37,9 @@
 	cfg   *config.Platform
 	log   *slog.Logger
 	names *pipeline.Names
-	clock func() time.Duration // bounds decision rounds; nil: they are not bounded
+	clock func() time.Duration // bounds scheduling rounds; nil: they are not bounded
 
+	// The parts that inputs are routed to.
 	store      *kv.Client
 	election   *election.Election
 	jobs       *pipeline.Table
@@ -48,27 +48,30 @@
 	autoscaler *autoscaler.Autoscaler
 	api        *api.Server
 
-	peers           []*peerState
-	peerHeartbeatAt event.Time // of our last heartbeat
-
-	machinesSweptAt event.Time // when machines that are gone were last forgotten
-
-	leadership leadership
-	version    versionPublication
-	pending    pendingHeartbeats
-	relays     relays
-	parser     worker.HeartbeatParser
-	work       WorkCounters
+	leadership   leadership
+	peers        peerTable
+	parser       worker.HeartbeatParser
+	heartbeats   pendingHeartbeats
+	routes       workerRoutes
+	relays       pendingRelays
+	version      versionPublication
+	machineSweep periodic
+	counters     counters
 }
 
 // New builds a controller. clock bounds decision rounds and may be nil.
 func New(cfg *config.Platform, log *slog.Logger, clock func() time.Duration) *Controller {
 	c := &Controller{
-		cfg:    cfg,
-		log:    log,
-		names:  &pipeline.Names{},
-		clock:  clock,
-		relays: newRelays(),
+		cfg:          cfg,
+		log:          log,
+		names:        &pipeline.Names{},
+		clock:        clock,
+		leadership:   leadership{schedule: newLeaderSchedule()},
+		peers:        newPeerTable(cfg.Seeds),
+		heartbeats:   newPendingHeartbeats(),
+		relays:       newPendingRelays(),
+		version:      newVersionPublication(cfg.Label, sortedLabels(cfg)),
+		machineSweep: periodic{interval: machineSweepInterval},
 	}
 	teams := c.indexTeams()
 	// The layout of run records follows from the present limit, which is all
@@ -77,7 +80,6 @@
 	limits := cfg.Settings.State.Lasting()
 	c.jobs = pipeline.NewTable(c.names, int(cfg.Settings.State.ValueKB*bytesPerKB), limits.TxnOps)
 	c.jobs.ValueLimit = int(limits.ValueKB * bytesPerKB)
-	c.peers = newPeers(cfg)
 	c.jobs.ControllerLabels = sortedLabels(cfg)
 	c.connectState(limits)
 	c.connectSite(teams)
@@ -120,7 +122,7 @@
 		},
 		StaleAfter:      min(staleAfter, grace/refreshesPerGrace),
 		ImmutablePrefix: pipeline.TerminalKey + "/",
-		OnChange:        c.onChange,
+		OnChange:        c.handleChange,
 		Logger:          c.log,
 	})
 	c.election = election.New(election.Config{
@@ -169,14 +171,14 @@
 	})
 }
 
-// workerHeartbeatTimeout is how long a worker may send no report before nothing more is
-// placed on its machine.
+// workerHeartbeatTimeout is how long a worker may send no heartbeat before nothing more
+// is placed on its machine.
 func (c *Controller) workerHeartbeatTimeout() time.Duration {
 	return config.Seconds(heartbeatTimeoutIntervals*c.cfg.Settings.Workers.ReportS) + heartbeatTimeoutMargin
 }
 
-// onChange routes a change of the replica to the part that owns the key.
-func (c *Controller) onChange(key string, data []byte, version uint64) {
+// handleChange routes a change of the replica to the part that owns the key.
+func (c *Controller) handleChange(key string, data []byte, version uint64) {
 	kind, rest := kv.SplitKey(key)
 	switch kind {
 	case election.KeyPrefix:
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -11,31 +11,41 @@
 // peer for this long takes itself to be cut off from the network.
 const isolatedAfter = 5 * time.Second
 
+// stateService is what the verdict on our health needs to know of the state service.
+type stateService interface {
+	// Synced tells whether the replica is complete.
+	Synced() bool
+	// Unavailable tells whether the last request found the service unavailable.
+	Unavailable() bool
+	// LastContact is when the last request that the service executed was sent.
+	LastContact() event.Time
+}
+
 // handleHealth answers a health probe.
-func (c *Controller) handleHealth(now event.Time, r event.Request, out *event.Effects) {
-	if c.healthy(now) {
-		out.Reply(r.Conn, httpwire.StatusOK, nil)
+func (c *Controller) handleHealth(now event.Time, request event.Request, out *event.Effects) {
+	if isHealthy(now, c.store, &c.peers) {
+		out.Reply(request.Conn, httpwire.StatusOK, nil)
 	} else {
-		out.ReplyUnavailable(r.Conn, retryAfterSeconds)
+		out.ReplyUnavailable(request.Conn, retryAfterSeconds)
 	}
 }
 
-// healthy tells whether users should be sent to this controller. One that is
-// refused by the state service while a peer is served is not healthy, nor is
-// one that is cut off: users' connections stay where they are while a node is
-// healthy, so they would learn nothing about their jobs. In an outage that all
-// controllers share they stay healthy, and service resumes at once after it.
-func (c *Controller) healthy(now event.Time) bool {
-	if !c.store.Synced() {
+// isHealthy tells whether users should be sent to this controller. One that is
+// refused by the state service while a peer is served is not healthy, nor is one that
+// is cut off: users' connections stay where they are while a controller is healthy, so
+// they would learn nothing about their jobs. In an outage that all controllers share
+// they stay healthy, and service resumes at once after it.
+func isHealthy(now event.Time, state stateService, peers *peerTable) bool {
+	if !state.Synced() {
 		return false
 	}
-	withoutState := now - c.store.LastContact()
-	if !c.store.Unavailable() || withoutState <= peerHeartbeatTimeout {
+	withoutState := now - state.LastContact()
+	if !state.Unavailable() || withoutState <= peerHeartbeatTimeout {
 		return true
 	}
 	anyAlive := false
-	for _, p := range c.peers {
-		if !c.isAlive(p) {
+	for _, p := range peers.list {
+		if !peers.isAlive(p) {
 			continue
 		}
 		anyAlive = true
@@ -43,6 +53,6 @@
 			return false
 		}
 	}
-	isolated := len(c.peers) > 0 && !anyAlive && withoutState > isolatedAfter
+	isolated := len(peers.list) > 0 && !anyAlive && withoutState > isolatedAfter
 	return !isolated
 }
--- a/internal/controller/machine_sweep.go
+++ b/internal/controller/machine_sweep.go
@@ -11,13 +11,12 @@
 // whatever is kept of each would add up.
 const machineSweepInterval = time.Minute
 
-// forgetGoneMachines drops what is kept of machines that nothing refers to any more,
-// so that their indices serve others.
+// forgetGoneMachines drops, when that is due, what is kept of machines that nothing
+// refers to any more, so that their indices serve others.
 func (c *Controller) forgetGoneMachines(now event.Time) {
-	if now-c.machinesSweptAt < machineSweepInterval {
+	if !c.machineSweep.takeDue(now) {
 		return
 	}
-	c.machinesSweptAt = now
 	c.parser.Retain(func(name string) bool { return c.workers.Lookup(name) != nil })
 	for index := range c.names.Machines.Len() {
 		if c.names.Machines.Used(index) && !c.refersToMachine(index) {
@@ -30,5 +29,5 @@
 // refersToMachine tells whether a machine's index is in use.
 func (c *Controller) refersToMachine(index int) bool {
 	known := c.workers.MachineAt(index) != nil || c.autoscaler.IsBooting(index)
-	return known || len(c.jobs.OnMachine(index)) > 0 || c.pending.byMachine[index] != nil
+	return known || len(c.jobs.OnMachine(index)) > 0 || c.heartbeats.get(index) != nil
 }
--- a/internal/simtest/commands_inspect.go
+++ b/internal/simtest/commands_inspect.go
@@ -54,13 +54,13 @@
 	var sum controller.WorkCounters
 	for _, process := range world.controllers {
 		one := process.controller.WorkCounters()
-		sum.Heartbeats += one.Heartbeats
-		sum.Decoded += one.Decoded
-		sum.Unchanged += one.Unchanged
+		sum.WorkerHeartbeats += one.WorkerHeartbeats
+		sum.BytesDecoded += one.BytesDecoded
+		sum.BytesUnchanged += one.BytesUnchanged
 		sum.Rounds += one.Rounds
 		sum.CapacitiesRecomputed += one.CapacitiesRecomputed
 	}
-	if float64(sum.Decoded) <= arguments.number("decoded", "0")/100*float64(sum.Decoded+sum.Unchanged) &&
+	if float64(sum.BytesDecoded) <= arguments.number("decoded", "0")/100*float64(sum.BytesDecoded+sum.BytesUnchanged) &&
 		float64(sum.CapacitiesRecomputed) <= arguments.number("counted", "0") &&
 		world.stateService.writtenKeys <= int(arguments.number("writes", "0")) {
 		return "within"
