--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -21,8 +21,8 @@
 func (c *Controller) WorkCounters() WorkCounters {
 	return WorkCounters{
 		WorkerHeartbeats:     c.counters.workerHeartbeats,
-		BytesDecoded:         c.parser.Decoded,
-		BytesUnchanged:       c.parser.Unchanged,
+		BytesDecoded:         c.parser.DecodedBytes,
+		BytesUnchanged:       c.parser.UnchangedBytes,
 		Rounds:               c.counters.rounds,
 		CapacitiesRecomputed: c.scheduler.CapacitiesRecomputed(),
 		MachineIndices:       c.names.Machines.Len(),
--- a/internal/worker/failures.go
+++ b/internal/worker/failure_detector.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// So many different jobs that fail on a machine and work elsewhere make the
-	// machine faulty: with one, chance or the job's own fault is as likely.
+	// So many different jobs that fail on a machine and work elsewhere show that the
+	// machine is at fault: with one, chance or the job's own fault is as likely.
 	minFailedJobs = 2
 	// Where nothing else is free the jobs that failed there can't show that they
-	// work elsewhere, and a faulty machine, always empty, draws all of them. So many
-	// that failed nowhere else, for so long without a task that completed, make the
-	// machine faulty as well.
+	// work elsewhere, and a machine at fault, always empty, draws all of them. So many
+	// that failed nowhere else, for so long without a task that completed, show that
+	// the machine is at fault as well.
 	minUnprovenJobs = 3
 	unprovenTime    = 15 * time.Second
 	// A task that runs on another machine for this long, and for so many times as
 	// long as it ran on the one where it failed, works there.
 	minWorkingTime    = 15 * time.Second
 	workingTimeFactor = 2
-	// A replica runs until its service is cancelled: after this long the job that
-	// it belongs to is no more at fault.
-	serviceWorkingTime = time.Minute
-	faultScanInterval  = time.Second
+	// A replica runs until its service is cancelled: after this long the service is
+	// no more at fault.
+	serviceWorkingTime  = time.Minute
+	failureScanInterval = time.Second
 )
 
-// taskFailed takes in a task that ended with an error. Either the machine is
-// faulty or the job is: the job is if it also fails elsewhere, the machine if
-// several jobs fail there that work elsewhere. Until one of these is proven, the
-// job tries another machine at once and the machine is used as before.
-func (r *Registry) taskFailed(machine *Machine, entry *pipeline.Assignment, now event.Time) {
-	job := entry.Job
+// taskFailed takes in a task that ended with an error. Either the machine or the job
+// is at fault: the job is if it also fails elsewhere, the machine if several jobs fail
+// there that work elsewhere. Until one of these is proven, the job tries another
+// machine at once and the machine is used as before.
+func (r *Registry) taskFailed(machine *Machine, assignment *pipeline.Assignment, now event.Time) {
+	job := assignment.Job
 	r.log.Info("task failed", "job", job.ID, "machine", machine.Name)
 	if machine.failedJobs == nil {
 		machine.failedJobs = map[string]event.Time{}
@@ -42,10 +42,10 @@
 	if len(machine.failedJobs) == 0 {
 		machine.failingSince = now
 	}
-	machine.failedJobs[job.ID] = runTime(entry, now)
+	machine.failedJobs[job.ID] = runTime(assignment, now)
 	r.suspects[machine.Index] = true
 	failures := job.Failures()
-	r.jobs.RecordFailure(entry, now)
+	r.jobs.RecordFailure(assignment, now)
 	if job.Failures() > failures {
 		r.log.Info("job backing off", "job", job.ID, "failures", job.Failures())
 	}
@@ -60,25 +60,25 @@
 }
 
 // runTime is for how long a task has been seen running.
-func runTime(entry *pipeline.Assignment, now event.Time) event.Time {
-	if entry.StartedAt == 0 {
+func runTime(assignment *pipeline.Assignment, now event.Time) event.Time {
+	if assignment.StartedAt == 0 {
 		return 0
 	}
-	return now - event.Time(entry.StartedAt)
+	return now - event.Time(assignment.StartedAt)
 }
 
 // runsFor tells whether a task is running and has been for a time.
-func runsFor(entry *pipeline.Assignment, needed, now event.Time) bool {
-	return entry.Phase == pipeline.TaskRunning && runTime(entry, now) >= needed
+func runsFor(assignment *pipeline.Assignment, needed, now event.Time) bool {
+	return assignment.Phase == pipeline.TaskRunning && runTime(assignment, now) >= needed
 }
 
-// scanFaults looks at the machines on which tasks have failed. Without any it
+// scanFailures looks at the machines on which tasks have failed. Without any it
 // costs nothing.
-func (r *Registry) scanFaults(now event.Time) {
-	if now-r.faultScanAt < faultScanInterval {
+func (r *Registry) scanFailures(now event.Time) {
+	if now-r.failureScanAt < failureScanInterval {
 		return
 	}
-	r.faultScanAt = now
+	r.failureScanAt = now
 	for _, index := range slices.Sorted(maps.Keys(r.suspects)) {
 		machine := r.MachineAt(index)
 		if machine == nil || machine.quarantined {
@@ -126,14 +126,14 @@
 	}
 	needed := max(minWorkingTime, workingTimeFactor*ran)
 	works := false
-	job.Assignments(func(entry *pipeline.Assignment) {
-		works = works || (entry.Machine != machine.Index && runsFor(entry, needed, now))
+	job.Assignments(func(assignment *pipeline.Assignment) {
+		works = works || (assignment.Machine != machine.Index && runsFor(assignment, needed, now))
 	})
 	return works
 }
 
-// quarantine takes a faulty machine out of use: what runs there moves at once, and
-// the machine is released when it is empty.
+// quarantine takes a machine at fault out of use: what runs there is evicted, and the
+// machine is released when it is empty.
 func (r *Registry) quarantine(machine *Machine) {
 	r.log.Info("machine is faulty", "machine", machine.Name, "failed_jobs", len(machine.failedJobs))
 	machine.quarantined = true
@@ -143,8 +143,8 @@
 			r.jobs.ClearFailures(job)
 		}
 	}
-	for _, entry := range r.sortedAssignments(machine) {
-		r.Evict(entry, GracePeriod(entry.Job))
+	for _, assignment := range r.sortedAssignments(machine) {
+		r.Evict(assignment, GracePeriod(assignment.Job))
 	}
 }
 
@@ -154,8 +154,8 @@
 		return
 	}
 	works := false
-	job.Assignments(func(entry *pipeline.Assignment) {
-		works = works || runsFor(entry, serviceWorkingTime, now)
+	job.Assignments(func(assignment *pipeline.Assignment) {
+		works = works || runsFor(assignment, serviceWorkingTime, now)
 	})
 	if works {
 		r.jobs.ClearFailures(job)
--- /dev/null
+++ b/internal/worker/heartbeat_handling.go
@@ -0,0 +1,224 @@
+package worker
+
+import (
+	"time"
+
+	"lugward/internal/event"
+	"lugward/internal/pipeline"
+)
+
+// refusedPause is how long nothing is placed on a machine whose worker refused a task.
+const refusedPause = 4 * time.Second
+
+// HandleHeartbeat takes a heartbeat in. ok is false for one that is older than one
+// taken before.
+func (r *Registry) HandleHeartbeat(heartbeat *Heartbeat, now event.Time, leadership Leadership) (ok bool) {
+	machine := r.Add(heartbeat.Machine, now)
+	if machine.isStale(heartbeat) || machine.incarnationExpired(heartbeat, now, leadership) {
+		return false
+	}
+	leadership.ObserveFencingToken(heartbeat.FencingToken)
+	r.updateMachine(machine, heartbeat, now)
+	for i := range heartbeat.Tasks {
+		r.handleTaskStatus(machine, &heartbeat.Tasks[i], now)
+	}
+	// The tasks come before the question whether our responses arrive: what the
+	// heartbeat shows is there, whatever a copy that came before did not show.
+	r.checkReachable(machine, heartbeat, now, leadership)
+	return true
+}
+
+// RecordRelay records that the last heartbeat of a machine came through another
+// controller: the machine does not reach us itself.
+func (r *Registry) RecordRelay(name string, now event.Time) {
+	r.Add(name, now).relayedAt = now
+}
+
+// isStale tells whether a heartbeat is not newer than the last one: it was delayed by
+// the network, or is a copy. Its list of tasks is out of date, and its sender waits
+// for no response.
+func (c *contact) isStale(heartbeat *Heartbeat) bool {
+	if heartbeat.Incarnation != c.incarnation {
+		return heartbeat.Incarnation < c.incarnation
+	}
+	return heartbeat.Sequence <= c.sequence
+}
+
+// incarnationExpired tells whether the lease of a heartbeat's incarnation has expired
+// since the last response to it: the heartbeat was delayed from before then, and its
+// machine may be released.
+func (c *contact) incarnationExpired(heartbeat *Heartbeat, now event.Time, leadership Leadership) bool {
+	if heartbeat.Incarnation != c.incarnation || c.lastResponse <= 0 {
+		return false
+	}
+	return now >= leadership.TasksExpireAt(max(c.lastResponse, c.lastHeartbeat))
+}
+
+// updateMachine takes in what a heartbeat says of its machine.
+func (r *Registry) updateMachine(machine *Machine, heartbeat *Heartbeat, now event.Time) {
+	if heartbeat.Incarnation != machine.incarnation && machine.incarnation != 0 {
+		machine.images = map[int]bool{}
+		r.log.Info("worker lost its lease", "machine", heartbeat.Machine, "session", heartbeat.Incarnation)
+	}
+	if machine.lastHeartbeat != 0 && now-machine.lastHeartbeat > r.heartbeatTimeout {
+		machine.reconnectedAt = now
+	}
+	if machine.lastHeartbeat == 0 {
+		machine.idleSince = now // it was not idle while it booted
+		machine.firstHeartbeat = now
+		r.jobs.RequestRound()
+	}
+	machine.addr = heartbeat.Addr
+	machine.incarnation = heartbeat.Incarnation
+	machine.sequence = heartbeat.Sequence
+	machine.lastHeartbeat = now
+	machine.Describe(r.names.MachineTypes.Index(heartbeat.MachineType), r.names.Zones.Index(heartbeat.Zone), heartbeat.Spot)
+	r.updateReclaim(machine, heartbeat, now)
+}
+
+// updateReclaim takes in whether the cloud is about to reclaim a machine.
+func (r *Registry) updateReclaim(machine *Machine, heartbeat *Heartbeat, now event.Time) {
+	switch {
+	case heartbeat.ReclaimIn == nil:
+		machine.reclaimAt = 0
+	case machine.reclaimAt == 0:
+		machine.reclaimAt = now + time.Duration(*heartbeat.ReclaimIn*float64(time.Second))
+		r.jobs.RequestRound()
+	}
+}
+
+// reportedTask is a task of a heartbeat with the job and assignment that it belongs to.
+type reportedTask struct {
+	*TaskStatus
+	job        *pipeline.Job        // nil: not known
+	assignment *pipeline.Assignment // nil: none for this attempt on this machine
+	number     int
+}
+
+// find finds what a reported task belongs to.
+func (r *Registry) find(machine *Machine, status *TaskStatus) reportedTask {
+	found := reportedTask{TaskStatus: status}
+	id, number, ok := ParseTaskName(status.Task)
+	if !ok {
+		return found
+	}
+	job := r.jobs.Job(id)
+	if job == nil || number >= job.TaskCount {
+		return found
+	}
+	found.job = job
+	found.number = number
+	assignment := job.Assignment(number)
+	if assignment != nil && assignment.Machine == machine.Index && assignment.Attempt == status.Attempt {
+		found.assignment = assignment
+	}
+	return found
+}
+
+// newCompletion tells whether a task without an assignment has completed though its
+// job does not know that yet. The result counts, whichever attempt it came from.
+func (t *reportedTask) newCompletion() bool {
+	if !t.exited() || t.Cause != causeCompleted || t.job == nil {
+		return false
+	}
+	return t.job.TerminalPhase == pipeline.Queued && !t.job.IsDone(t.number)
+}
+
+// handleTaskStatus takes in what a heartbeat says of a task.
+func (r *Registry) handleTaskStatus(machine *Machine, status *TaskStatus, now event.Time) {
+	task := r.find(machine, status)
+	switch {
+	case task.assignment != nil:
+		r.updateAssignment(machine, task.assignment, status, now)
+	case task.newCompletion():
+		r.jobs.RecordCompletion(task.job, task.number) // reaped once it is stored
+	}
+}
+
+// updateAssignment takes in what a heartbeat says of a task with an assignment.
+func (r *Registry) updateAssignment(machine *Machine, assignment *pipeline.Assignment, status *TaskStatus, now event.Time) {
+	phase := phases[status.Phase]
+	started := phase >= pipeline.TaskWaitingForGang && phase < pipeline.TaskExited
+	if started && assignment.StartedAt == 0 {
+		assignment.StartedAt = now
+		r.logStart(machine, assignment, now)
+	}
+	assignment.Phase = phase
+	if phase >= pipeline.TaskWaitingForGang {
+		machine.images[assignment.Job.Image] = true
+	}
+	if phase == pipeline.TaskExited {
+		r.taskExited(machine, assignment, status.Cause, now)
+	}
+}
+
+func (r *Registry) logStart(machine *Machine, assignment *pipeline.Assignment, now event.Time) {
+	job := assignment.Job
+	r.log.Debug("started",
+		"job", job.ID,
+		"class", r.names.Classes.Name(job.Class),
+		"task", assignment.Task,
+		"attempt", assignment.Attempt,
+		"machine", machine.Name,
+		"since_placed", now-assignment.PlacedAt,
+		"since_ready", now-job.ReadySince)
+}
+
+// taskExited takes in that a task has exited. It has completed, or its assignment is
+// cleared so that it can run again.
+func (r *Registry) taskExited(machine *Machine, assignment *pipeline.Assignment, cause string, now event.Time) {
+	job := assignment.Job
+	r.jobs.RequestRound()
+	r.jobs.NoteMachineChanged(machine.Index) // what the task used is free again
+	if job.TerminalPhase != pipeline.Queued || job.IsDone(assignment.Task) {
+		// Nothing of it is to be recorded any more. A new leader finds such
+		// assignments where the one before it wrote the job's terminal record and did
+		// not get to drop the job's other records: left as it is, the assignment would
+		// keep its machine for ever.
+		r.jobs.RecordTermination(assignment)
+		return
+	}
+	if cause == causeCompleted {
+		r.taskCompleted(machine, assignment, now)
+		return
+	}
+	r.handleExitCause(machine, assignment, cause, now)
+	if job.IsGang() {
+		r.terminateGang(job)
+	}
+	r.jobs.RecordTermination(assignment)
+}
+
+// handleExitCause takes in why a task has not completed.
+func (r *Registry) handleExitCause(machine *Machine, assignment *pipeline.Assignment, cause string, now event.Time) {
+	switch cause {
+	case causeFailed:
+		if assignment.Pending == pipeline.NoPendingWrite {
+			r.taskFailed(machine, assignment, now)
+		}
+	case causeNoCapacity, causeTaskConflict:
+		machine.unavailableUntil = now + refusedPause
+	case causeUnknownImage:
+		// Another attempt would fail as well until its user has uploaded the image.
+		if !assignment.Job.BackingOff(now) {
+			r.jobs.BackOff(assignment.Job, now)
+		}
+	}
+}
+
+// taskCompleted takes in that a task has completed. The tasks of a gang complete
+// together: when one has, all have.
+func (r *Registry) taskCompleted(machine *Machine, assignment *pipeline.Assignment, now event.Time) {
+	job := assignment.Job
+	r.taskSucceeded(machine, job)
+	if assignment.Pending == pipeline.NoPendingWrite {
+		r.recordRuntime(machine, assignment, now)
+	}
+	if job.Shape != pipeline.Gang {
+		r.jobs.RecordCompletion(job, assignment.Task)
+		return
+	}
+	for task := range job.TaskCount {
+		r.jobs.RecordCompletion(job, task)
+	}
+}
--- a/internal/worker/parser.go
+++ b/internal/worker/heartbeat_parser.go
@@ -5,64 +5,65 @@
 	"strconv"
 )
 
-// maxCachedHeartbeats bounds what malformed reports can make a parser keep.
+// maxCachedHeartbeats bounds what malformed heartbeats can make a parser keep.
 const maxCachedHeartbeats = 1 << 14
 
-// HeartbeatParser reads reports. Most say what the last one of their machine said, but for
-// the sequence: their text is compared, not decoded again.
+// HeartbeatParser parses heartbeats. Most say what the last one of their machine said,
+// but for the sequence: their text is compared, not decoded again. The zero value is
+// ready for use.
 type HeartbeatParser struct {
 	last map[string]*cachedHeartbeat // by the text before the sequence's digits
 	keys map[string]string           // in last, by machine
 
-	// Decoded counts the bytes that were decoded.
-	Decoded int
-	// Unchanged counts the bytes that were only compared.
-	Unchanged int
+	// DecodedBytes counts the bytes that were decoded.
+	DecodedBytes int
+	// UnchangedBytes counts the bytes that were only compared.
+	UnchangedBytes int
 }
 
-// cachedHeartbeat is the last report of a machine.
+// cachedHeartbeat is the last heartbeat of a machine.
 type cachedHeartbeat struct {
-	report Heartbeat
-	after  []byte // the text after the sequence's digits
+	heartbeat Heartbeat
+	after     []byte // the text after the sequence's digits
 }
 
-// Parse reads and checks a report. What it returns shares its list of tasks with
-// other reports that say the same.
+// Parse parses and checks a heartbeat. What it returns shares its list of tasks with
+// other heartbeats that say the same.
 func (p *HeartbeatParser) Parse(body []byte) (*Heartbeat, error) {
 	text, ok := splitSequence(body)
 	if ok {
 		last := p.last[string(text.before)]
 		if last != nil && bytes.Equal(last.after, text.after) {
-			p.Unchanged += len(body)
-			report := last.report
-			report.Sequence = text.sequence
-			return &report, nil
+			p.UnchangedBytes += len(body)
+			heartbeat := last.heartbeat
+			heartbeat.Sequence = text.sequence
+			return &heartbeat, nil
 		}
 	}
-	p.Decoded += len(body)
-	report, err := parseHeartbeat(body)
+	p.DecodedBytes += len(body)
+	heartbeat, err := parseHeartbeat(body)
 	if err != nil {
 		return nil, err
 	}
-	if ok && report.Sequence == text.sequence {
-		p.remember(report, text)
+	if ok && heartbeat.Sequence == text.sequence {
+		p.remember(heartbeat, text)
 	}
-	return report, nil
+	return heartbeat, nil
 }
 
-// remember keeps a report in place of the last one of its machine.
-func (p *HeartbeatParser) remember(report *Heartbeat, text heartbeatText) {
+// remember keeps a heartbeat in place of the last one of its machine.
+func (p *HeartbeatParser) remember(heartbeat *Heartbeat, text heartbeatText) {
 	if p.last == nil || len(p.last) >= maxCachedHeartbeats {
 		p.last = map[string]*cachedHeartbeat{}
 		p.keys = map[string]string{}
 	}
-	delete(p.last, p.keys[report.Machine])
+	delete(p.last, p.keys[heartbeat.Machine])
 	key := string(text.before)
-	p.keys[report.Machine] = key
-	p.last[key] = &cachedHeartbeat{*report, bytes.Clone(text.after)}
+	p.keys[heartbeat.Machine] = key
+	p.last[key] = &cachedHeartbeat{*heartbeat, bytes.Clone(text.after)}
 }
 
-// Retain forgets the last reports of all machines but those that keep names.
+// Retain forgets the last heartbeats of all machines but those that keep names.
 func (p *HeartbeatParser) Retain(keep func(machine string) bool) {
 	for machine, key := range p.keys {
 		if !keep(machine) {
@@ -72,23 +73,23 @@
 	}
 }
 
-// heartbeatText is a report's text around the digits of its sequence.
+// heartbeatText is the text of a heartbeat around the digits of its sequence.
 type heartbeatText struct {
 	before   []byte
 	sequence uint64
 	after    []byte
 }
 
-var sequenceName = []byte(`"tick":`)
+var sequenceFieldBytes = []byte(sequenceField)
 
-// splitSequence splits a report's text. ok is false where the sequence can't be
+// splitSequence splits the text of a heartbeat. ok is false where the sequence can't be
 // found without decoding the text.
 func splitSequence(body []byte) (text heartbeatText, ok bool) {
-	name := bytes.Index(body, sequenceName)
-	if name < 0 || bytes.Contains(body[name+1:], sequenceName) {
+	field := bytes.Index(body, sequenceFieldBytes)
+	if field < 0 || bytes.Contains(body[field+1:], sequenceFieldBytes) {
 		return heartbeatText{}, false
 	}
-	from := name + len(sequenceName)
+	from := field + len(sequenceFieldBytes)
 	for from < len(body) && body[from] == ' ' {
 		from++
 	}
@@ -106,7 +107,7 @@
 func isDigit(char byte) bool { return char >= '0' && char <= '9' }
 
 // endsNumber tells whether a number in an object may end before a character. A
-// fraction or an exponent goes on.
+// fraction or an exponent continues it.
 func endsNumber(char byte) bool { return char == ',' || char == '}' }
 
 // hasLeadingZero tells whether digits are no number in JSON.
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -12,16 +12,17 @@
 // Machine is a machine of the cloud with its worker. Its state changes only by the
 // methods of this package; other packages read it.
 type Machine struct {
-	Index int
-	Name  string
+	Index int    // in pipeline.Names.Machines
+	Name  string // in the cloud
 
-	addr string
+	addr string // of the worker, "" if not known
 	description
 	contact
 	reachability
-	use
+	lifecycle
+	usage
 	health
-	commands
+	directContact
 }
 
 // description is what the machine is.
@@ -32,42 +33,46 @@
 	known       bool // machine type and zone are known
 }
 
-// contact is how far the exchange of reports and answers has come in this term.
-// Reports are ordered by session and sequence.
+// contact is how far the exchange of heartbeats and responses has come in this term.
+// Heartbeats are ordered by incarnation and sequence.
 type contact struct {
 	incarnation    uint64
 	sequence       uint64
+	firstHeartbeat event.Time // 0: none in this term
 	lastHeartbeat  event.Time // 0: none in this term
-	lastAnswer     event.Time // 0: none in this term
-	reconnectedAt  event.Time // when it last reported again after it had been silent
+	lastResponse   event.Time // 0: none in this term
+	reconnectedAt  event.Time // when heartbeats last came again after some were missed
 	redirectedAt   event.Time // when it was last sent to another controller for want of sockets, 0: never
-	relayedAt      event.Time // when a report of it last came through another controller, 0: never
-	firstHeartbeat event.Time
+	relayedAt      event.Time // when a heartbeat last came through another controller, 0: never
 }
 
-// reachability is whether our answers reach the worker. Its reports may go on
+// reachability is whether our responses reach the worker. Its heartbeats may go on
 // arriving where they do not.
 type reachability struct {
-	// tokenConfirmed tells whether a report carried our fencing token.
+	// tokenConfirmed tells whether a heartbeat carried our fencing token.
 	tokenConfirmed bool
-	// unreachableSince is since when our answers seem not to arrive, 0: they do.
+	// unreachableSince is since when our responses seem not to arrive, 0: they do.
 	unreachableSince       event.Time
-	unreachableIncarnation uint64 // the session of that time
-	unconfirmedHeartbeats  int    // without our fencing token since we first answered one
+	unreachableIncarnation uint64 // the incarnation of that time
+	unconfirmedHeartbeats  int    // without our fencing token since our first response
 }
 
-// use is what the machine is used for.
-type use struct {
-	decommissioning bool         // to be released, or released: no task may be placed
-	draining        bool         // its tasks are being moved: to be released when empty
-	reclaimAt       event.Time   // when the cloud takes it back, 0: no notice
-	idleSince       event.Time   // when it last had tasks
-	reservedAt      event.Time   // when capacity was last reserved for a job that waits
-	unknownTasks    int          // tasks on it that no entry explains
-	images          map[int]bool // that it has fetched
+// lifecycle is whether the machine is on its way out.
+type lifecycle struct {
+	decommissioning bool       // to be released, or released: no task may be placed
+	draining        bool       // its tasks are being evicted: to be released when empty
+	reclaimAt       event.Time // when the cloud reclaims it, 0: no notice
 }
 
-// health is what its tasks show of the machine. Jobs go by name, as an index serves
+// usage is what the machine is used for.
+type usage struct {
+	idleSince    event.Time   // when it last had tasks
+	reservedAt   event.Time   // when capacity was last reserved for a job that waits
+	unknownTasks int          // tasks on it that no assignment explains
+	images       map[int]bool // that it has fetched
+}
+
+// health is what its tasks show of the machine. Jobs go by ID, as an index serves
 // another job once one is forgotten.
 type health struct {
 	quarantined      bool                  // several jobs that work elsewhere fail here
@@ -77,26 +82,27 @@
 	failingSince     event.Time            // the first of these failures
 }
 
-// commands is when the worker was last called directly.
-type commands struct {
+// directContact is when the worker was last sent direct commands.
+type directContact struct {
 	lastTerminations event.Time
 	lastAnnouncement event.Time
 }
 
-// Schedulable tells whether a machine can take tasks now.
-func (m *Machine) Schedulable(now event.Time, silentAfter time.Duration) bool {
-	reporting := m.lastHeartbeat > 0 && now-m.lastHeartbeat < silentAfter
-	return reporting && m.known && m.reachable() && m.accepting(now) && m.healthy()
+// Schedulable tells whether a machine can take tasks now. A machine that has sent no
+// heartbeat for heartbeatTimeout cannot.
+func (m *Machine) Schedulable(now event.Time, heartbeatTimeout time.Duration) bool {
+	responsive := m.lastHeartbeat > 0 && now-m.lastHeartbeat < heartbeatTimeout
+	return responsive && m.known && m.reachable() && m.accepting(now) && m.healthy()
 }
 
-// reachable tells whether our answers reach the worker.
-func (c *reachability) reachable() bool {
-	return c.tokenConfirmed && c.unreachableSince == 0
+// reachable tells whether our responses reach the worker.
+func (r *reachability) reachable() bool {
+	return r.tokenConfirmed && r.unreachableSince == 0
 }
 
 // leaving tells whether the machine is to be released or reclaimed.
-func (u *use) leaving() bool {
-	return u.decommissioning || u.reclaimAt != 0
+func (l *lifecycle) leaving() bool {
+	return l.decommissioning || l.reclaimAt != 0
 }
 
 // accepting tells whether nothing forbids another task.
@@ -112,13 +118,13 @@
 	return !h.quarantined && len(h.slowJobs) < maxSlowJobs
 }
 
-// Describe records what the machine is: its type, its zone and whether the cloud
-// may reclaim it.
-func (d *description) Describe(machineType, zone int, spot bool) {
-	d.machineType = machineType
-	d.zone = zone
-	d.spot = spot
-	d.known = true
+// Describe records what the machine is: the indices of its type and its zone, and
+// whether the cloud may reclaim it.
+func (m *Machine) Describe(machineType, zone int, spot bool) {
+	m.machineType = machineType
+	m.zone = zone
+	m.spot = spot
+	m.known = true
 }
 
 // NoteListedAddr records the worker's address by the cloud's list, where no heartbeat
@@ -175,7 +181,7 @@
 // TokenConfirmed tells whether a heartbeat has carried the fencing token of this term.
 func (m *Machine) TokenConfirmed() bool { return m.tokenConfirmed }
 
-// UnreachableSince is since when answers seem not to reach the worker, 0: they do.
+// UnreachableSince is since when responses seem not to reach the worker, 0: they do.
 func (m *Machine) UnreachableSince() event.Time { return m.unreachableSince }
 
 // Decommissioning tells whether the machine is to be released, or is released.
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"iter"
 	"log/slog"
-	"maps"
 	"slices"
 	"time"
 
@@ -12,9 +11,6 @@
 	"lugward/internal/pipeline"
 )
 
-// scanInterval is the time between two scans of all machines in use.
-const scanInterval = 250 * time.Millisecond
-
 // Config is what a registry is built from.
 type Config struct {
 	Names *pipeline.Names
@@ -32,15 +28,15 @@
 	heartbeatTimeout time.Duration
 	log              *slog.Logger
 
-	machines     []*Machine            // by index, nil if there is none
-	count        int                   // of the machines
-	calls        map[uint64]directCall // in flight, by call
-	announcing   int                   // of these, the announcements
-	terminating  map[int]bool          // machines on which a task is to be stopped
-	suspects     map[int]bool          // machines with failed jobs
-	runtimeRatio map[int]float64       // runtime against estimate, by class
-	scannedAt    event.Time
-	faultScanAt  event.Time
+	machines      []*Machine            // by index, nil if there is none
+	count         int                   // of the machines
+	calls         map[uint64]directCall // in flight, by call
+	announcing    int                   // of these, the announcements
+	terminating   map[int]bool          // machines on which a task is to be terminated
+	suspects      map[int]bool          // machines with failed jobs
+	runtimeRatio  map[int]float64       // runtime against estimate, by class
+	scannedAt     event.Time
+	failureScanAt event.Time
 }
 
 // New returns an empty registry.
@@ -82,7 +78,7 @@
 			Index:       index,
 			Name:        name,
 			description: description{machineType: unknown, zone: unknown},
-			use:         use{idleSince: now, images: map[int]bool{}},
+			usage:       usage{idleSince: now, images: map[int]bool{}},
 		}
 		r.count++
 	}
@@ -122,90 +118,25 @@
 	clear(r.suspects)
 }
 
-// Tick sends stops straight to workers, finds machines whose tasks have surely
-// terminated and lets gangs start again whose old attempt has ended. Machines on
-// which nothing is to be stopped cost nothing.
-func (r *Registry) Tick(now event.Time, term Leadership, out *event.Effects) {
-	for _, job := range r.jobs.TakeTerminatedJobs() {
-		job.Assignments(r.terminateSoon)
-	}
-	for _, index := range slices.Sorted(maps.Keys(r.terminating)) {
-		machine := r.MachineAt(index)
-		if machine == nil || !r.sendTerminations(machine, now, term, out) {
-			delete(r.terminating, index)
-		}
-	}
-	if now-r.scannedAt < scanInterval {
-		return
-	}
-	r.scannedAt = now
-	r.scanFaults(now)
-	r.jobs.MachinesInUse(func(index int) { r.checkExpired(index, now, term) })
-	for _, job := range r.jobs.Jobs {
-		if job != nil {
-			r.checkService(job, now)
-			r.checkStopped(job)
-		}
-	}
-}
-
-// checkExpired clears a machine whose tasks have terminated because its lease has
-// ended.
-func (r *Registry) checkExpired(index int, now event.Time, term Leadership) {
-	machine := r.MachineAt(index)
-	if machine == nil {
-		machine = r.Add(r.names.Machines.Name(index), now)
-	}
-	// A report that is taken and not answered yet counts, too: what is placed on
-	// the machine meanwhile is not lost with its old session.
-	lastContact := max(machine.lastAnswer, machine.lastHeartbeat)
-	if now >= term.TasksExpireAt(lastContact) {
-		r.RecordTermination(machine)
-	}
-}
-
-// checkStopped lets a gang start again once all of its old attempt has terminated.
-func (r *Registry) checkStopped(job *pipeline.Job) {
-	if job.Terminating && job.ActiveCount() == 0 {
-		job.Terminating = false
-		r.jobs.RequestRound()
-	}
-}
-
-// RecordTermination clears everything on a machine that is proven to run nothing.
-func (r *Registry) RecordTermination(machine *Machine) {
-	if machine.lastHeartbeat != 0 {
-		r.log.Info("machine terminated", "machine", machine.Name, "tasks", len(r.jobs.OnMachine(machine.Index)))
-	}
-	for _, entry := range r.sortedAssignments(machine) {
-		if entry.Job.IsGang() {
-			r.terminateGang(entry.Job)
-		}
-		r.jobs.RecordTermination(entry)
-	}
-	machine.lastHeartbeat = 0
-	r.jobs.RequestRound()
-}
-
-// sortedAssignments lists the entries of a machine by job, in the order of readiness,
-// and task.
+// sortedAssignments lists the assignments of a machine by job, in the order of
+// readiness, and task.
 func (r *Registry) sortedAssignments(machine *Machine) []*pipeline.Assignment {
-	entries := r.jobs.OnMachine(machine.Index)
-	if len(entries) == 0 {
+	assignments := r.jobs.OnMachine(machine.Index)
+	if len(assignments) == 0 {
 		return nil
 	}
-	sorted := slices.Clone(entries)
+	sorted := slices.Clone(assignments)
 	slices.SortFunc(sorted, func(a, b *pipeline.Assignment) int {
 		return cmp.Or(cmp.Compare(a.Job.ReadyRevision, b.Job.ReadyRevision), cmp.Compare(a.Task, b.Task))
 	})
 	return sorted
 }
 
-// AllStored tells whether nothing that concerns the machine is being stored: an
-// answer given now would not be followed by another in a moment.
+// AllStored tells whether nothing that concerns the machine is being stored: a
+// response given now would not be followed by another in a moment.
 func (r *Registry) AllStored(machine int) bool {
-	for _, entry := range r.jobs.OnMachine(machine) {
-		if !entry.Stored() {
+	for _, assignment := range r.jobs.OnMachine(machine) {
+		if !assignment.Stored() {
 			return false
 		}
 	}
@@ -213,16 +144,16 @@
 }
 
 // Idle tells whether a usable machine reports no task and has none to start yet.
-func (r *Registry) Idle(report *Heartbeat) bool {
-	if len(report.Tasks) > 0 {
+func (r *Registry) Idle(heartbeat *Heartbeat) bool {
+	if len(heartbeat.Tasks) > 0 {
 		return false
 	}
-	machine := r.Lookup(report.Machine)
+	machine := r.Lookup(heartbeat.Machine)
 	if machine == nil || !machine.reachable() || machine.leaving() {
 		return false
 	}
-	for _, entry := range r.jobs.OnMachine(machine.Index) {
-		if entry.Durable {
+	for _, assignment := range r.jobs.OnMachine(machine.Index) {
+		if assignment.Durable {
 			return false
 		}
 	}
--- a/internal/worker/runtime.go
+++ b/internal/worker/runtime_estimate.go
@@ -18,12 +18,12 @@
 
 // recordRuntime learns from a completion how long a class runs, measured in its
 // owners' estimates, and whether a machine is slow.
-func (r *Registry) recordRuntime(machine *Machine, entry *pipeline.Assignment, now event.Time) {
-	job := entry.Job
-	if job.EstimatedRuntime <= 0 || entry.StartedAt == 0 {
+func (r *Registry) recordRuntime(machine *Machine, assignment *pipeline.Assignment, now event.Time) {
+	job := assignment.Job
+	if job.EstimatedRuntime <= 0 || assignment.StartedAt == 0 {
 		return
 	}
-	took := (now - entry.StartedAt).Seconds()
+	took := (now - assignment.StartedAt).Seconds()
 	ratio := took / job.EstimatedRuntime
 	usual, known := r.runtimeRatio[job.Class]
 	if !known {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,5 +1,6 @@
-// Package worker knows the machines: what their workers report, which orders they
-// are to get, and when the tasks on a silent machine have surely terminated.
+// Package worker is the registry of machines: it takes the heartbeats of their workers,
+// decides which commands these get, tells faults of machines from faults of jobs, and
+// proves that tasks have terminated on machines whose heartbeats are missed.
 package worker
 
 import (
@@ -17,8 +18,8 @@
 	// ObserveFencingToken takes in a token that a worker has shown.
 	ObserveFencingToken(token uint64)
 	// TasksExpireAt is when the tasks of a machine have terminated at the latest,
-	// given when a report of it was last answered.
-	TasksExpireAt(lastAnswer event.Time) event.Time
-	// MaxWorkerLease is the lease that an answered report gives a worker.
+	// given when a heartbeat of it last got a response.
+	TasksExpireAt(lastResponse event.Time) event.Time
+	// MaxWorkerLease is the longest lease that a response gives a worker.
 	MaxWorkerLease() time.Duration
 }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -84,9 +84,9 @@
 		{body("8.5", ""), 0, true, "not a whole number"},
 		{body("18446744073709551616", ""), 0, true, "too large a number"},
 	} {
-		before := p.Decoded
+		before := p.DecodedBytes
 		got, err := p.Parse(c.body)
-		if decoded := p.Decoded > before; decoded != c.decoded {
+		if decoded := p.DecodedBytes > before; decoded != c.decoded {
 			t.Errorf("%s: decoded %v", c.what, decoded)
 		}
 		want, wantErr := parseHeartbeat(c.body)
--- a/internal/worker/workertest/workertest.go
+++ b/internal/worker/workertest/workertest.go
@@ -34,9 +34,9 @@
 // MaxWorkerLease is the lease of a worker.
 func (Leader) MaxWorkerLease() time.Duration { return WorkerLease }
 
-// TasksExpireAt is a little after the end of the lease that an answer renewed.
-func (Leader) TasksExpireAt(lastAnswer event.Time) event.Time {
-	return lastAnswer + WorkerLease + expiryMargin
+// TasksExpireAt is a little after the end of the lease that a response renewed.
+func (Leader) TasksExpireAt(lastResponse event.Time) event.Time {
+	return lastResponse + WorkerLease + expiryMargin
 }
 
 // Heartbeat returns a heartbeat of a worker without tasks that has confirmed the token
