--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -214,7 +214,7 @@
 type leaderState struct {
 	Terminating    bool         // gang: its attempt is being ended
 	WithinQuota    bool         // it fits in its team's guarantee
-	ReservedZone   int          // 1 + the zone where capacity is gathered for it, 0: none
+	ReservedZone   ZoneSelector // the zone chosen for its reservations, any: none is chosen
 	unplacedFrom   int          // no task below it waits to be placed
 	doneUnassigned map[int]bool // completed tasks that have no entry to mark as done
 }
--- /dev/null
+++ b/internal/pipeline/zone_selector.go
@@ -0,0 +1,16 @@
+package pipeline
+
+// ZoneSelector allows a single zone or, as its zero value, any zone.
+type ZoneSelector struct {
+	zone   int32
+	single bool
+}
+
+// OnlyZone returns a selector that allows a single zone.
+func OnlyZone(zone int) ZoneSelector { return ZoneSelector{zone: int32(zone), single: true} }
+
+// IsSingle reports whether the selector allows a single zone.
+func (z ZoneSelector) IsSingle() bool { return z.single }
+
+// Allows reports whether a zone is allowed.
+func (z ZoneSelector) Allows(zone int) bool { return !z.single || int(z.zone) == zone }
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -12,7 +12,7 @@
 // tolerance is allowed in comparisons of amounts, which are decimal numbers.
 const tolerance = 1e-6
 
-// Capacity is what is left of a machine.
+// Capacity is what is free on a machine.
 type Capacity struct {
 	Machine     *worker.Machine // nil: not up yet
 	MachineType *MachineType
@@ -20,13 +20,13 @@
 	Spot        bool
 	FreeCPUs    float64
 	FreeGPUs    float64
-	FreeMemory  float64
+	FreeMemory  float64                // GB
 	InUse       bool                   // tasks are on it
-	Evicting    []*pipeline.Assignment // its tasks that are being stopped
+	Evicting    []*pipeline.Assignment // its tasks that are being evicted
 
-	endings       []ending // of its tasks, soonest first
-	endingsListed bool     // endings are filled in
-	changes       uint32   // of the machine's entries when it was counted
+	releases       []expectedRelease // by its tasks, the earliest first
+	releasesListed bool              // releases are filled in
+	changes        uint32            // of the machine's assignments when it was computed
 }
 
 // Fits returns how many tasks of a job fit.
@@ -44,7 +44,7 @@
 	return max(count, 0)
 }
 
-// fitsEmpty tells whether a task would fit if nothing else were there.
+// fitsEmpty reports whether a task would fit if nothing else ran on the machine.
 func (c *Capacity) fitsEmpty(spec *pipeline.Spec) bool {
 	machineType := c.MachineType
 	return spec.CPUs <= machineType.CPUs+tolerance &&
@@ -52,18 +52,18 @@
 		spec.Memory <= machineType.Memory+tolerance
 }
 
-// Matches tells whether the machine is of a kind, type and zone that the job
-// allows.
+// Matches reports whether the machine is of a type and in a zone that the job allows,
+// and no spot machine unless the job allows those.
 func (c *Capacity) Matches(spec *pipeline.Spec) bool {
 	if c.MachineType == nil || !spec.Allows(c.MachineType.Index) {
 		return false
 	}
 	zoneAllowed := spec.Zone < 0 || spec.Zone == c.Zone
-	kindAllowed := spec.AllowSpot || !c.Spot
-	return zoneAllowed && kindAllowed
+	spotAllowed := spec.AllowSpot || !c.Spot
+	return zoneAllowed && spotAllowed
 }
 
-// accepts tells whether a task of a job may be placed on a machine that is up.
+// accepts reports whether a task of a job may be placed on a machine that is up.
 func (c *Capacity) accepts(job *pipeline.Job, now event.Time) bool {
 	return c.Matches(&job.Spec) && !job.AvoidsMachine(c.Machine.Index, now)
 }
@@ -92,32 +92,39 @@
 	return c.MachineType.Price
 }
 
-// capacity counts what is left of a machine, unless nothing has changed there.
-func (s *Scheduler) capacity(machine *worker.Machine, machineType *MachineType) *Capacity {
-	for len(s.cached) <= machine.Index {
-		s.cached = append(s.cached, Capacity{})
+// cachedCapacity returns what is free on a machine, computed anew only if something
+// has changed there: most machines are unchanged from one round to the next.
+func (s *Scheduler) cachedCapacity(machine *worker.Machine, machineType *MachineType) *Capacity {
+	for len(s.capacityCache) <= machine.Index {
+		s.capacityCache = append(s.capacityCache, Capacity{})
 	}
-	capacity := &s.cached[machine.Index]
+	cached := &s.capacityCache[machine.Index]
 	changes := s.jobs.Changes(machine.Index)
-	if capacity.Machine == machine && capacity.MachineType == machineType && capacity.changes == changes {
-		return capacity
+	current := cached.Machine == machine && cached.MachineType == machineType && cached.changes == changes
+	if !current {
+		s.counters.capacitiesRecomputed++
+		*cached = s.computeCapacity(machine, machineType)
+		cached.changes = changes
 	}
-	s.counters.capacitiesRecomputed++
-	*capacity = Capacity{
+	return cached
+}
+
+// computeCapacity subtracts what the tasks on a machine use.
+func (s *Scheduler) computeCapacity(machine *worker.Machine, machineType *MachineType) Capacity {
+	capacity := Capacity{
 		Machine:     machine,
 		MachineType: machineType,
 		FreeCPUs:    machineType.CPUs,
 		FreeGPUs:    machineType.GPUs,
 		FreeMemory:  machineType.Memory,
-		changes:     changes,
 	}
-	for _, entry := range s.jobs.OnMachine(machine.Index) {
-		if entry.Phase == pipeline.TaskExited {
+	for _, task := range s.jobs.OnMachine(machine.Index) {
+		if task.Phase == pipeline.TaskExited {
 			continue // it uses nothing any more; only its record is still to change
 		}
-		capacity.Allocate(&entry.Job.Spec, 1)
-		if entry.Evicting {
-			capacity.Evicting = append(capacity.Evicting, entry)
+		capacity.Allocate(&task.Job.Spec, 1)
+		if task.Evicting {
+			capacity.Evicting = append(capacity.Evicting, task)
 		}
 	}
 	// A round appends to its copy: that must not reach the cached one.
@@ -125,7 +132,7 @@
 	return capacity
 }
 
-// Capacities lists what is left of the machines that are up.
+// Capacities lists what is free on the machines that are up.
 func (s *Scheduler) Capacities(now event.Time) []*Capacity {
 	all := make([]Capacity, 0, s.workers.Len())
 	for machine := range s.workers.All() {
@@ -136,7 +143,7 @@
 		if machineType == nil {
 			continue
 		}
-		capacity := *s.capacity(machine, machineType)
+		capacity := *s.cachedCapacity(machine, machineType)
 		capacity.Zone = machine.Zone()
 		capacity.Spot = machine.Spot()
 		all = append(all, capacity)
--- a/internal/scheduler/machinetype.go
+++ b/internal/scheduler/machine_type.go
@@ -8,15 +8,15 @@
 
 // MachineType is a machine type as the cloud describes it.
 type MachineType struct {
-	Index     int
+	Index     int // of its name
 	CPUs      float64
 	GPUs      float64
 	Memory    float64 // GB
 	Price     float64 // per hour
 	SpotPrice float64 // per hour, of a spot machine
-	BootTime  float64 // seconds
-	FetchRate float64 // GB per second
-	Zones     []int
+	BootTime  float64 // seconds from the request until the worker is up
+	FetchRate float64 // of images, GB per second
+	Zones     []int   // where it is available
 }
 
 // MachineTypes holds the machine types by index, nil where unknown.
@@ -30,7 +30,7 @@
 	return t[index]
 }
 
-// Allows tells whether a type can hold a task of the job at all.
+// Allows reports whether a type can hold a task of the job at all.
 func Allows(spec *pipeline.Spec, machineType *MachineType) bool {
 	if machineType == nil || !spec.Allows(machineType.Index) {
 		return false
--- /dev/null
+++ b/internal/scheduler/placement_score.go
@@ -0,0 +1,45 @@
+package scheduler
+
+import (
+	"math"
+
+	"lugward/internal/event"
+	"lugward/internal/pipeline"
+)
+
+// Weights of a machine's score for a job. Of the rest of the score, how well the
+// tasks fill the machine, each part is at most one.
+const (
+	fetchWeight         = 0.2   // per second of fetching the image
+	heartbeatWaitWeight = 0.1   // per second until the machine's next heartbeat is due
+	idleGPUsScore       = 100.0 // a machine with GPUs for a job without: they would be idle
+	idleMachineScore    = 2.0   // a machine without tasks, which could be released
+)
+
+// FetchTime is how long a machine fetches a job's image, in seconds.
+func (c *Capacity) FetchTime(job *pipeline.Job) float64 {
+	if c.Machine == nil || c.Machine.HasImage(job.Image) || c.MachineType.FetchRate <= 0 {
+		return 0
+	}
+	return job.ImageGB / c.MachineType.FetchRate
+}
+
+// placementScore tells how suitable a machine is for a job: less is better.
+func (s *Scheduler) placementScore(job *pipeline.Job, capacity *Capacity, now event.Time) float64 {
+	score := 0.0
+	if job.GPUs == 0 && capacity.MachineType.GPUs > 0 {
+		score += idleGPUsScore
+	}
+	score += fetchWeight * capacity.FetchTime(job)
+	// The start is sent in the answer to the machine's next heartbeat.
+	sinceHeartbeat := now - capacity.Machine.LastHeartbeat()
+	score += heartbeatWaitWeight * max(0, (s.cfg.HeartbeatInterval-sinceHeartbeat).Seconds())
+	if !capacity.InUse {
+		score += idleMachineScore
+	}
+	// Best fit: the least left over.
+	cpusLeft := (capacity.FreeCPUs - job.CPUs) / capacity.MachineType.CPUs
+	gpusLeft := capacity.FreeGPUs / math.Max(capacity.MachineType.GPUs, 1)
+	score += cpusLeft + gpusLeft
+	return score
+}
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -6,132 +6,150 @@
 
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
-	"lugward/internal/worker"
 )
 
-// reservation is capacity on a machine that one task of a job waits for.
-type reservation struct {
-	job     *pipeline.Job
-	machine *worker.Machine
-}
-
 // RoundResult is what a round leaves.
 type RoundResult struct {
 	Blocked    []*pipeline.Job // jobs with tasks that could not be placed, in the order of the round
 	Capacities []*Capacity     // what is free on the machines that are up, without what is reserved
 }
 
-// Round places what it can and returns the jobs that still have tasks open, with
-// what is left of the machines. A round that runs out of its budget goes on where
-// it stopped, and then still keeps the reservations of the jobs before that point:
-// else less important jobs behind them would take that capacity.
+// round is the state of one scheduling round. It lasts no longer than the round.
+type round struct {
+	*Scheduler
+	now        event.Time
+	budget     Budget
+	queue      []*pipeline.Job // to be scheduled, in their order
+	capacities []*Capacity     // of the machines that are up
+	// withRoom are the machines on which a task of some job fits. Free capacity only
+	// shrinks during a round.
+	withRoom []*Capacity
+	// byFirstRelease are the machines in the order in which capacity comes free
+	// there; nil: not listed yet.
+	byFirstRelease        []machineRelease
+	lowestRunningPriority pipeline.Priority
+	preempted             usageByTeam // what this round stops
+	reserved              usageByTeam // what this round reserves
+}
+
+// usageByTeam sums up what tasks use, by index of the team's name.
+type usageByTeam map[int]pipeline.Usage
+
+// add counts one task of a job.
+func (u usageByTeam) add(job *pipeline.Job) {
+	usage := u[job.Team]
+	usage.Add(&job.Spec, 1)
+	u[job.Team] = usage
+}
+
+// interruption is where a round ran out of its budget. The next round goes on there
+// and keeps the reservations of the jobs before that point: else less important jobs
+// behind them would take that capacity.
+type interruption struct {
+	next         *pipeline.Job // the first job that was not looked at, nil: the round was completed
+	reservations []reservation // of the jobs before it
+}
+
+// Round places, preempts and reserves what it can within the budget. A round that
+// runs out of it is continued by the next one.
 func (s *Scheduler) Round(now event.Time, budget Budget) RoundResult {
-	capacities := s.Capacities(now)
-	unfinished := s.jobs.ReadyJobs()
-	s.updateQuotas(unfinished)
-	jobs := slices.DeleteFunc(unfinished, func(job *pipeline.Job) bool { return !job.Schedulable(now) })
-	order(jobs, now)
-	start := s.startRound(jobs, capacities)
-	s.round.roomy = capacitiesWithRoom(jobs, capacities)
-	s.round.bySoonest = nil
-	s.round.budget = budget
-	if start == 0 {
-		s.startStarving(jobs, capacities, now)
+	r := s.newRound(now, budget)
+	r.orderJobs()
+	first := r.resumeInterrupted()
+	r.findMachinesWithRoom()
+	if first == 0 {
+		r.startStarvedJobs()
 	}
-	s.scheduleJobs(jobs[start:], capacities, now)
-	result := RoundResult{Capacities: capacities}
-	for _, job := range jobs {
-		if job.StartableCount() > 0 {
-			result.Blocked = append(result.Blocked, job)
-		}
-	}
-	return result
+	r.scheduleJobs(first)
+	return RoundResult{Blocked: r.blockedJobs(), Capacities: r.capacities}
 }
 
-// startRound resets the state of a round and returns the job to begin with.
-func (s *Scheduler) startRound(jobs []*pipeline.Job, capacities []*Capacity) (start int) {
-	round := &s.round
-	round.preempting = map[int]pipeline.Usage{}
-	round.committed = map[int]pipeline.Usage{}
-	start = slices.Index(jobs, round.resume)
-	if start < 0 {
-		start = 0
-		round.reservations = round.reservations[:0]
+// newRound returns a round that has not looked at any job yet.
+func (s *Scheduler) newRound(now event.Time, budget Budget) *round {
+	return &round{
+		Scheduler:  s,
+		now:        now,
+		budget:     budget,
+		capacities: s.Capacities(now),
+		preempted:  usageByTeam{},
+		reserved:   usageByTeam{},
 	}
-	if len(round.reservations) > 0 {
-		s.keepReservations(capacities)
+}
+
+// orderJobs lists the jobs to be scheduled in their order.
+func (r *round) orderJobs() {
+	unfinished := r.jobs.ReadyJobs()
+	r.updateQuotas(unfinished)
+	r.queue = slices.DeleteFunc(unfinished, func(job *pipeline.Job) bool { return !job.Schedulable(r.now) })
+	sortJobs(r.queue, r.now)
+}
+
+// resumeInterrupted returns the position of the job to begin with: the first one
+// unless the last round was interrupted before a job that still waits.
+func (r *round) resumeInterrupted() (first int) {
+	last := &r.interruption
+	first = slices.Index(r.queue, last.next)
+	last.next = nil
+	r.reservationCount = 0
+	if first < 0 {
+		last.reservations = last.reservations[:0]
+		return 0
 	}
-	round.resume = nil
-	round.reserved = 0
-	return start
+	r.restoreReservations(last.reservations)
+	return first
 }
 
-// capacitiesWithRoom lists the machines with capacity for the least that any of the jobs
-// asks for of each resource: in a full site these are few, and only they are looked at
-// to place a task.
-func capacitiesWithRoom(jobs []*pipeline.Job, capacities []*Capacity) []*Capacity {
-	if len(jobs) == 0 {
-		return nil
+// findMachinesWithRoom lists the machines with free capacity for the least that any
+// job asks for of each resource. In a full site these are few, and only they are
+// looked at to place a task.
+func (r *round) findMachinesWithRoom() {
+	if len(r.queue) == 0 {
+		return
 	}
 	least := pipeline.Spec{CPUs: math.Inf(1), GPUs: math.Inf(1), Memory: math.Inf(1)}
-	for _, job := range jobs {
+	for _, job := range r.queue {
 		least.CPUs = min(least.CPUs, job.CPUs)
 		least.GPUs = min(least.GPUs, job.GPUs)
 		least.Memory = min(least.Memory, job.Memory)
 	}
-	var roomy []*Capacity
-	for _, capacity := range capacities {
+	for _, capacity := range r.capacities {
 		if capacity.Fits(&least) > 0 {
-			roomy = append(roomy, capacity)
-		}
-	}
-	return roomy
-}
-
-// keepReservations allocates what an interrupted round reserved.
-func (s *Scheduler) keepReservations(capacities []*Capacity) {
-	byMachine := make(map[*worker.Machine]*Capacity, len(capacities))
-	for _, capacity := range capacities {
-		byMachine[capacity.Machine] = capacity
-	}
-	for _, reservation := range s.round.reservations {
-		capacity := byMachine[reservation.machine]
-		job := reservation.job
-		if capacity != nil && job.StartableCount() > 0 && job.TerminalPhase == pipeline.Queued {
-			capacity.Allocate(&job.Spec, 1)
-			s.commitUsage(job)
+			r.withRoom = append(r.withRoom, capacity)
 		}
 	}
 }
 
-// scheduleJobs places tasks of the jobs, in their order, until the budget is used
-// up. The first job is looked at in any case, so that rounds get on.
-func (s *Scheduler) scheduleJobs(jobs []*pipeline.Job, capacities []*Capacity, now event.Time) {
-	for i, job := range jobs {
-		if i > 0 && s.round.budget.exhausted() {
-			s.round.resume = job
-			s.counters.interruptedRounds++
+// scheduleJobs schedules the jobs from a position on until the budget is used up.
+// The first of them is looked at in any case, so that every round makes progress.
+func (r *round) scheduleJobs(first int) {
+	for i, job := range r.queue[first:] {
+		if i > 0 && r.budget.exhausted() {
+			r.interruption.next = job
+			r.counters.interruptedRounds++
 			return
 		}
-		s.place(job, now)
-		if job.StartableCount() > 0 {
-			left := s.preempt(job, capacities, now)
-			s.reserve(job, left, capacities, now)
-		}
+		r.scheduleJob(job)
 	}
 }
 
-// reserveTask reserves capacity that is not free yet for a task that waits for it.
-func (s *Scheduler) reserveTask(job *pipeline.Job, capacity *Capacity, now event.Time) {
-	capacity.Allocate(&job.Spec, 1)
-	s.commitUsage(job)
-	capacity.Machine.Reserve(now)
-	s.round.reservations = append(s.round.reservations, reservation{job, capacity.Machine})
+// scheduleJob places the tasks of a job that fit, preempts other work for the rest
+// and reserves capacity for what is then left.
+func (r *round) scheduleJob(job *pipeline.Job) {
+	r.place(job)
+	if job.StartableCount() == 0 {
+		return
+	}
+	left := r.preempt(job)
+	r.reserve(job, left)
 }
 
-// commitUsage counts a task's reservation for its team's limit.
-func (s *Scheduler) commitUsage(job *pipeline.Job) {
-	usage := s.round.committed[job.Team]
-	usage.Add(&job.Spec, 1)
-	s.round.committed[job.Team] = usage
+// blockedJobs lists the jobs with tasks that still wait.
+func (r *round) blockedJobs() []*pipeline.Job {
+	var blocked []*pipeline.Job
+	for _, job := range r.queue {
+		if job.StartableCount() > 0 {
+			blocked = append(blocked, job)
+		}
+	}
+	return blocked
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -28,17 +28,19 @@
 // exhausted reports whether nothing is left of the budget.
 func (b Budget) exhausted() bool { return b != nil && b() }
 
-// Scheduler places the tasks of a table of jobs on the registered machines.
+// Scheduler places the tasks of a table of jobs on the registered machines. It must
+// not be used concurrently.
 type Scheduler struct {
 	cfg          Config
 	jobs         *pipeline.Table
 	workers      *worker.Registry
 	machineTypes *MachineTypes
 
-	cached   []Capacity // by machine, as its entries leave it
-	round    roundState
-	scratch  scratch
-	counters counters
+	capacityCache    []Capacity // by machine, as its assignments leave it
+	interruption     interruption
+	reservationCount int // of the last round
+	counters         counters
+	scratch          scratch
 }
 
 // counters count the work of all rounds.
@@ -48,24 +50,10 @@
 	machinesVisited      int // looked at for a job
 }
 
-// roundState is what a round knows beyond the table. Only resume, reservations and
-// reserved outlive it.
-type roundState struct {
-	budget         Budget
-	resume         *pipeline.Job          // where the last round ran out of time
-	reservations   []reservation          // by the jobs before resume
-	roomy          []*Capacity            // on which a task of some job fits; capacity only shrinks in a round
-	bySoonest      []capacityRelease      // the machines by when capacity comes free first, nil: not listed yet
-	reserved       int                    // tasks with a reservation in this round
-	lowestPriority pipeline.Priority      // of what runs
-	preempting     map[int]pipeline.Usage // by team: what this round stops
-	committed      map[int]pipeline.Usage // by team: what this round reserves for it
-}
-
 // scratch is memory that calls reuse.
 type scratch struct {
-	offers     offers      // of choose
-	candidates []candidate // of victims
+	slots   slotHeap          // of cheapestSlots
+	victims []victimCandidate // of cheapestVictims
 }
 
 // New returns a scheduler.
@@ -74,7 +62,7 @@
 }
 
 // ReservationCount returns how many tasks got a reservation in the last round.
-func (s *Scheduler) ReservationCount() int { return s.round.reserved }
+func (s *Scheduler) ReservationCount() int { return s.reservationCount }
 
 // CapacitiesRecomputed returns how often the free capacity of a machine was computed
 // since the scheduler was made, as something had changed there.
