--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -77,11 +77,11 @@
 	e.store.Submit(&kv.Txn{
 		Priority: kv.PriorityTerm,
 		Compares: []kv.Compare{
-			{Key: TermKey, ModRevision: e.observed.termModRevision},
+			{Key: termKey, ModRevision: e.observed.termModRevision},
 			{Key: tokenKey, ModRevision: e.store.ModRevision(tokenKey)},
 		},
 		Writes: []kv.Write{
-			{Key: TermKey, Data: data, LeaseID: c.leaseID},
+			{Key: termKey, Data: data, LeaseID: c.leaseID},
 			{Key: tokenKey, Data: data},
 		},
 		Done: func(result kv.Result) {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -75,7 +75,7 @@
 		return
 	}
 	switch key {
-	case TermKey:
+	case termKey:
 		if data == nil {
 			modRevision = 0
 		}
--- a/internal/election/protocol.go
+++ b/internal/election/protocol.go
@@ -6,9 +6,9 @@
 const (
 	// KeyPrefix is the first segment of all keys of this package.
 	KeyPrefix = "t"
-	// TermKey exists while a controller holds a term; it is bound to the lease of
+	// termKey exists while a controller holds a term; it is bound to the lease of
 	// that term.
-	TermKey = "t/lead"
+	termKey = "t/lead"
 	// tokenKey holds the fencing token of the latest term and outlives it.
 	tokenKey = "t/count"
 )
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -44,7 +44,7 @@
 
 // TermCompare returns the compare that every write of a leader carries.
 func (e *Election) TermCompare() kv.Compare {
-	return kv.Compare{Key: TermKey, ModRevision: e.term.modRevision}
+	return kv.Compare{Key: termKey, ModRevision: e.term.modRevision}
 }
 
 // IsLeader reports whether this controller may act as leader, and so start tasks:
--- a/internal/election/term_test.go
+++ b/internal/election/term_test.go
@@ -59,10 +59,10 @@
 		want StepDownReason
 	}{
 		{"another controller has the term key", func(h *harness) {
-			h.HandleChange(TermKey, []byte(`{"l":"n1","f":2}`), 8)
+			h.HandleChange(termKey, []byte(`{"l":"n1","f":2}`), 8)
 		}, ReasonTermKeyChanged},
 		{"the term key was deleted", func(h *harness) {
-			h.HandleChange(TermKey, nil, 8)
+			h.HandleChange(termKey, nil, 8)
 		}, ReasonTermKeyChanged},
 		{"the lease is gone", func(h *harness) {
 			h.tick(start)
--- a/internal/engine/peers.go
+++ b/internal/engine/peers.go
@@ -18,8 +18,6 @@
 	// maxFrameBytes holds a relayed heartbeat of httpwire.MaxBody bytes with what
 	// package peer puts around it.
 	maxFrameBytes = 128 << 10
-	// unknownPeer: the sender of an incoming frame is known by its content only.
-	unknownPeer = -1
 )
 
 // peerLink is our connection for frames to another controller. Frames of that
@@ -60,7 +58,7 @@
 		}
 		data := append([]byte(nil), in[frameHeaderBytes:end]...)
 		c.consume(end)
-		e.step(frameInput{event.PeerFrame{Peer: unknownPeer, Data: data}})
+		e.step(frameInput{event.PeerFrame{Peer: event.UnknownPeer, Data: data}})
 	}
 }
 
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -59,9 +59,12 @@
 	Body   []byte
 }
 
+// UnknownPeer is the Peer of an incoming frame: its content names the sender.
+const UnknownPeer = -1
+
 // PeerFrame is one frame to or from another controller.
 type PeerFrame struct {
-	Peer int // index in the list of peers; -1 for an incoming frame, whose sender its content names
+	Peer int // index in the list of peers, or UnknownPeer
 	Data []byte
 }
 
--- a/internal/kv/batch.go
+++ b/internal/kv/batch.go
@@ -54,39 +54,47 @@
 	blocked                   // it does not fit; nothing of its priority goes first
 )
 
+// batchBuilder puts one batch together at one time.
+type batchBuilder struct {
+	*batch
+	client *Client
+	now    event.Time
+	out    *event.Effects
+}
+
 // pickBatch takes what fits into one request off the queue, most urgent first.
 func (c *Client) pickBatch(now event.Time, out *event.Effects) *batch {
-	b := &batch{keys: map[string]bool{}}
+	b := &batchBuilder{batch: &batch{keys: map[string]bool{}}, client: c, now: now, out: out}
 	mayRequest := c.rates.requests.canTake(now, 1)
 	writes := c.rates.writes.available(now)
 	for p := range c.txns.waiting {
 		priority := Priority(p)
-		capacity := c.limits.TxnOps
+		maxOps := c.limits.TxnOps
 		if !priority.exceedsShare() {
 			if !mayRequest {
 				break
 			}
-			capacity = min(capacity, writes)
+			maxOps = min(maxOps, writes)
 		}
-		if full := c.pickPriority(now, priority, capacity, b, out); full && len(b.txns) > 0 {
+		if full := b.pick(priority, maxOps); full && len(b.txns) > 0 {
 			break
 		}
 	}
-	return b
+	return b.batch
 }
 
-// pickPriority adds what fits of one priority. It reports whether the batch
-// takes no more. Within a priority the order is kept, lest small transactions
-// starve a large one.
-func (c *Client) pickPriority(now event.Time, priority Priority, capacity int, b *batch, out *event.Effects) (full bool) {
-	waiting := c.txns.waiting[priority]
+// pick adds what fits of one priority, as long as the batch has no more than
+// maxOps writes. It reports whether the batch takes no more. Within a priority the
+// order is kept, lest small transactions starve a large one.
+func (b *batchBuilder) pick(priority Priority, maxOps int) (full bool) {
+	waiting := b.client.txns.waiting[priority]
 	kept := waiting[:0]
 	for _, txn := range waiting {
 		if full {
 			kept = append(kept, txn)
 			continue
 		}
-		switch c.admit(now, txn, capacity, b, out) {
+		switch b.admit(txn, maxOps) {
 		case admitted:
 			full = txn.mustGoAlone()
 		case ended:
@@ -97,31 +105,31 @@
 			full = true
 		}
 	}
-	c.txns.waiting[priority] = kept
+	b.client.txns.waiting[priority] = kept
 	return full
 }
 
 // admit builds a transaction and adds it to the batch if it fits.
-func (c *Client) admit(now event.Time, txn *Txn, capacity int, b *batch, out *event.Effects) admission {
+func (b *batchBuilder) admit(txn *Txn, maxOps int) admission {
 	if txn.mustGoAlone() && len(b.txns) > 0 {
 		return blocked
 	}
-	if b.ops+txn.ops() > max(capacity, c.borrowable(txn, b)) {
+	if b.ops+txn.ops() > max(maxOps, b.borrowableOps(txn)) {
 		return blocked
 	}
 	if txn.Build != nil {
-		if c.txns.keysInFlight[txn.BuildKey] {
+		if b.client.txns.keysInFlight[txn.BuildKey] {
 			return deferred
 		}
 		if !txn.Build(txn) {
-			txn.end(Aborted, now, out)
+			txn.end(Aborted, b.now, b.out)
 			return ended
 		}
 	}
-	if c.overlapsOtherWrites(txn, b) {
+	if b.overlapsOtherWrites(txn) {
 		return deferred
 	}
-	if !c.fits(txn, capacity, b) {
+	if !b.fits(txn, maxOps) {
 		return blocked
 	}
 	b.add(txn)
@@ -129,31 +137,31 @@
 }
 
 // fits reports whether the batch takes the transaction within the limits.
-func (c *Client) fits(txn *Txn, capacity int, b *batch) bool {
-	return b.ops+len(txn.Writes) <= max(capacity, c.borrowable(txn, b)) &&
+func (b *batchBuilder) fits(txn *Txn, maxOps int) bool {
+	return b.ops+len(txn.Writes) <= max(maxOps, b.borrowableOps(txn)) &&
 		b.bytes+txn.size() <= maxTxnBytes &&
-		b.compares+len(txn.Compares) <= comparesPerOp*c.limits.TxnOps
+		b.compares+len(txn.Compares) <= comparesPerOp*b.client.limits.TxnOps
 }
 
-// overlapsOtherWrites reports whether a key of the transaction is written by the batch
-// or by a request in flight.
-func (c *Client) overlapsOtherWrites(txn *Txn, b *batch) bool {
+// overlapsOtherWrites reports whether a key of the transaction is written by the
+// batch or by a request in flight.
+func (b *batchBuilder) overlapsOtherWrites(txn *Txn) bool {
 	for _, write := range txn.Writes {
-		if c.txns.keysInFlight[write.Key] || b.keys[write.Key] {
+		if b.client.txns.keysInFlight[write.Key] || b.keys[write.Key] {
 			return true
 		}
 	}
 	return false
 }
 
-// borrowable returns the capacity for a transaction that has more writes than
-// this node's share of the rate ever holds: once the bucket is full and nothing
-// is before the transaction, it goes and the rest is owed. Otherwise it would
-// wait for ever.
-func (c *Client) borrowable(txn *Txn, b *batch) int {
+// borrowableOps returns the limit on writes for a transaction that has more of
+// them than this node's share of the rate ever holds: once the bucket is full and
+// nothing is before the transaction, it goes and the rest is owed. Otherwise it
+// would wait for ever.
+func (b *batchBuilder) borrowableOps(txn *Txn) int {
 	ops := txn.ops()
-	bucket := &c.rates.writes
-	if b.ops == 0 && ops <= c.limits.TxnOps && ops > int(bucket.capacity()) && bucket.full() {
+	bucket := &b.client.rates.writes
+	if b.ops == 0 && ops <= b.client.limits.TxnOps && ops > int(bucket.capacity()) && bucket.full() {
 		return ops
 	}
 	return 0
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -161,7 +161,8 @@
 func (c *Client) Unavailable() bool { return c.health.unavailable }
 
 // Tick ends the transactions that have expired and sends what is due. It is to be
-// called at least as often as the shortest interval above.
+// called several times a second: every pause and interval of the client lasts
+// until the next call after it.
 func (c *Client) Tick(now event.Time, out *event.Effects) {
 	c.expireTxns(now, out)
 	if !c.cache.synced {
--- a/internal/simtest/controller.go
+++ b/internal/simtest/controller.go
@@ -149,7 +149,7 @@
 		process.world.send(process.name, other.name, func() {
 			if other.up {
 				other.step(func(now event.Time) {
-					other.controller.HandleFrame(now, event.PeerFrame{Peer: -1, Data: data}, &other.effects)
+					other.controller.HandleFrame(now, event.PeerFrame{Peer: event.UnknownPeer, Data: data}, &other.effects)
 				})
 			}
 		})
