--- /dev/null
+++ b/internal/autoscaler/machine_pool_test.go
@@ -0,0 +1,42 @@
+package autoscaler
+
+import (
+	"testing"
+	"time"
+
+	"lugward/internal/event"
+	"lugward/internal/pipeline"
+	"lugward/internal/scheduler"
+)
+
+// An overdue machine is not counted on, and another pool is tried before its own
+// unless that costs far more.
+func TestOverduePools(t *testing.T) {
+	const own, other = 0, 1 // machine types
+	for _, test := range []struct {
+		name       string
+		since      event.Time
+		otherPrice float64
+		want       int
+	}{
+		{name: "boots as stated", since: 4 * statedBootTime, otherPrice: 2, want: own},
+		{name: "overdue", since: time.Second, otherPrice: 2, want: other},
+		{name: "overdue and the other type is expensive", since: time.Second, otherPrice: 4, want: own},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			f := newFixture(t, Config{})
+			f.catalog.types = scheduler.MachineTypes{
+				{Index: own, CPUs: 4, Price: 1, SpotPrice: 1, BootTime: statedBootTime.Seconds(), Zones: []int{0}},
+				{Index: other, CPUs: 4, Price: test.otherPrice, SpotPrice: test.otherPrice, BootTime: statedBootTime.Seconds(), Zones: []int{0}},
+			}
+			f.booting.byIndex[7] = &bootingMachine{since: test.since}
+			f.booting.byIndex[8] = &bootingMachine{pool: machinePool{spot: true}, since: test.since}
+			plan := f.planner.newPlan(5*statedBootTime, f.newScheduler("t", 0))
+			job := &pipeline.Job{Spec: pipeline.Spec{TaskCount: 1, CPUs: 1, Zone: -1, AllowSpot: true}}
+			query := poolQuery{job: job, tasks: 1, zone: anyZone}
+			if got, found := plan.pools.cheapest(query); !found || got.pool.machineType != test.want {
+				t.Errorf("machines of %+v are asked for, not of type %d", got, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/autoscaler/protocol_test.go
@@ -0,0 +1,50 @@
+package autoscaler
+
+import (
+	"encoding/json"
+	"errors"
+	"testing"
+)
+
+// A list of machine types is taken as a whole or, where it is malformed, not at all,
+// and the error tells why.
+func TestDecodeMachineTypes(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		data         string
+		invalidField string // of an invalidMachineTypeError
+		empty        bool   // errNoMachineTypes is expected
+		malformed    bool   // an error of package json is expected
+	}{
+		{name: "valid", data: `{"flavors":[{"name":"small","cores":4,"price":1}]}`},
+		{name: "malformed", data: `{"flavors":[{"name":"small","cores":4,"price":1}]`, malformed: true},
+		{name: "empty", data: `{"flavors":[]}`, empty: true},
+		{name: "no list", data: `{}`, empty: true},
+		{name: "no name", data: `{"flavors":[{"cores":4,"price":1}]}`, invalidField: "name"},
+		{name: "negative CPUs", data: `{"flavors":[{"name":"small","cores":-1,"price":1}]}`, invalidField: "cores"},
+		{name: "negative price", data: `{"flavors":[{"name":"small","cores":4,"price":-1}]}`, invalidField: "price"},
+		{name: "one of two invalid", data: `{"flavors":[{"name":"a"},{"name":"b","cores":-1}]}`, invalidField: "cores"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			list, err := decodeMachineTypes([]byte(test.data))
+			wantError := test.malformed || test.empty || test.invalidField != ""
+			if (err != nil) != wantError {
+				t.Fatalf("error %v", err)
+			}
+			if (len(list.MachineTypes) == 0) != wantError {
+				t.Errorf("%d machine types decoded", len(list.MachineTypes))
+			}
+			if got := errors.Is(err, errNoMachineTypes); got != test.empty {
+				t.Errorf("error %v, empty list: %v", err, test.empty)
+			}
+			var syntax *json.SyntaxError
+			if got := errors.As(err, &syntax); got != test.malformed {
+				t.Errorf("error %v, malformed: %v", err, test.malformed)
+			}
+			var invalid *invalidMachineTypeError
+			if errors.As(err, &invalid); invalid != nil && invalid.field != test.invalidField || invalid == nil && test.invalidField != "" {
+				t.Errorf("error %v, invalid field %q", err, test.invalidField)
+			}
+		})
+	}
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -184,7 +184,7 @@
 	case election.KeyPrefix:
 		c.election.HandleChange(key, data, version)
 	case autoscaler.TypesKeyPrefix, autoscaler.DecommissionKeyPrefix:
-		c.autoscaler.HandleChange(kind, rest, data, version)
+		c.autoscaler.HandleChange(kind, rest, data)
 	default:
 		c.jobs.HandleChange(kind, rest, data, version)
 	}
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -51,7 +51,7 @@
 	switch {
 	case c.store.HandleCallResult(now, result, out):
 		c.handleStateChange(now, out)
-	case c.autoscaler.HandleCallResult(now, result, out):
+	case c.autoscaler.HandleCallResult(now, result):
 	default:
 		c.workers.HandleCallResult(result, c.election, out)
 	}
