--- a/internal/autoscaler/machine_list.go
+++ b/internal/autoscaler/machine_list.go
@@ -1,7 +1,6 @@
 package autoscaler
 
 import (
-	"encoding/json"
 	"net/http"
 	"time"
 
@@ -86,8 +85,11 @@
 // again.
 func (r *machineListReader) handleResponse(now event.Time, response response) {
 	r.inFlight = false
-	var page wireMachineList
-	if response.status != http.StatusOK || json.Unmarshal(response.body, &page) != nil {
+	if response.status != http.StatusOK {
+		return
+	}
+	page, err := decodeMachineList(response.body)
+	if err != nil {
 		return
 	}
 	r.pages++
--- a/internal/autoscaler/protocol.go
+++ b/internal/autoscaler/protocol.go
@@ -140,6 +140,26 @@
 	return list, nil
 }
 
+// decodeMachineList decodes a page of the machine list.
+func decodeMachineList(data []byte) (wireMachineList, error) {
+	var page wireMachineList
+	if err := json.Unmarshal(data, &page); err != nil {
+		return wireMachineList{}, fmt.Errorf("decode machine list: %w", err)
+	}
+	return page, nil
+}
+
+// decodeProvisionResponse decodes the response to a request for machines. What could be
+// decoded is returned with an error as well: the cloud's error may still be told from
+// others.
+func decodeProvisionResponse(data []byte) (wireProvisionResponse, error) {
+	var result wireProvisionResponse
+	if err := json.Unmarshal(data, &result); err != nil {
+		return result, fmt.Errorf("decode response to a request for machines: %w", err)
+	}
+	return result, nil
+}
+
 // machineType converts a machine type, adding the names of the type and of its zones.
 func (t *wireMachineType) machineType(names *pipeline.Names) *scheduler.MachineType {
 	machineType := &scheduler.MachineType{
--- a/internal/autoscaler/provisioning.go
+++ b/internal/autoscaler/provisioning.go
@@ -1,7 +1,6 @@
 package autoscaler
 
 import (
-	"encoding/json"
 	"fmt"
 	"log/slog"
 	"net/http"
@@ -113,8 +112,7 @@
 
 // handleResponse takes the response to a request for machines.
 func (p *provisioner) handleResponse(now event.Time, request provisionRequest, response response) {
-	var result wireProvisionResponse
-	err := json.Unmarshal(response.body, &result)
+	result, err := decodeProvisionResponse(response.body)
 	noCapacity := response.status == http.StatusServiceUnavailable && result.Error == insufficientCapacity
 	switch {
 	case response.status == http.StatusOK && err == nil:
