--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -2,36 +2,72 @@
 
 import (
 	"bytes"
+	"errors"
+	"fmt"
 	"reflect"
 	"testing"
 )
 
-var samples = []Frame{
-	{Kind: Heartbeat, Label: "node-0", StateOK: true, IsLeader: true, FencingToken: 1 << 40, Requests: 7, Writes: 65535},
-	{Kind: Relay, Label: "n", ID: 9, Body: []byte(`{"host":"i-1"}`)},
-	{Kind: RelayAck, Label: "", ID: 9, Status: 200, Body: []byte("{}")},
+var samples = map[string]Frame{
+	"heartbeat": {Kind: Heartbeat, Label: "node-0", StateOK: true, IsLeader: true, FencingToken: 1 << 40, Requests: 7, Writes: 65535},
+	"relay":     {Kind: Relay, Label: "n", ID: 9, Body: []byte(`{"host":"i-1"}`)},
+	"relay ack": {Kind: RelayAck, Label: "", ID: 9, Status: 200, Body: []byte("{}")},
 }
 
+// TestRoundTrip: a frame that is encoded and decoded stays the same.
 func TestRoundTrip(t *testing.T) {
-	for _, f := range samples {
-		got, err := Decode(Append(nil, &f))
-		if err != nil || !reflect.DeepEqual(got, f) {
-			t.Errorf("%+v became %+v (%v)", f, got, err)
-		}
+	for name, f := range samples {
+		t.Run(name, func(t *testing.T) {
+			got, err := Decode(Append(nil, &f))
+			if err != nil || !reflect.DeepEqual(got, f) {
+				t.Errorf("%+v became %+v (%v)", f, got, err)
+			}
+		})
 	}
 }
 
+// TestCutShort: a frame without its end, or with something behind it, is none.
 func TestCutShort(t *testing.T) {
-	for _, f := range samples {
-		whole := Append(nil, &f)
-		for n := range whole {
-			if _, err := Decode(whole[:n]); err == nil {
-				t.Errorf("%d of %d bytes are taken for a frame", n, len(whole))
+	for name, f := range samples {
+		t.Run(name, func(t *testing.T) {
+			whole := Append(nil, &f)
+			for n := range whole {
+				_, err := Decode(whole[:n])
+				var bad *DecodeError
+				if !errors.As(err, &bad) || bad.Offset > n {
+					t.Errorf("%d of %d bytes: %v", n, len(whole), err)
+				}
 			}
-		}
-		if _, err := Decode(append(whole, 0)); err == nil {
-			t.Error("a tail goes unnoticed")
-		}
+			if _, err := Decode(append(whole, 0)); err == nil {
+				t.Error("a tail goes unnoticed")
+			}
+		})
+	}
+}
+
+// TestDecodeErrors: an error names the field, its place and what is wrong there.
+func TestDecodeErrors(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		in   []byte
+		want string
+	}{
+		{"empty", nil, "frame: version at byte 0: expected 1 bytes, found 0"},
+		{"another version", []byte{1, 1, 0}, "frame: version at byte 0: expected 2, found 1"},
+		{"no kind", []byte{2}, "frame: kind at byte 1: expected 1 bytes, found 0"},
+		{"unknown kind", []byte{2, 9, 0}, "frame: kind at byte 1: expected 1, 2 or 3, found 9"},
+		{"label cut short", []byte{2, 1, 3, 'a'}, "frame: label at byte 3: expected 3 bytes, found 1"},
+		{"unknown flag", []byte{2, 1, 0, 4}, "frame: flags at byte 3: expected bits 0 and 1 alone, found 4"},
+		{"token cut short", []byte{2, 1, 0, 1, 0}, "frame: token at byte 4: expected 8 bytes, found 1"},
+		{"data cut short", append([]byte{2, 2, 0}, make([]byte, 11)...), "frame: length of the data at byte 11: expected 4 bytes, found 3"},
+		{"tail", append([]byte{2, 2, 0}, make([]byte, 13)...), "frame: frame at byte 15: expected no bytes behind the last field, found 1"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Decode(c.in)
+			if got := fmt.Sprint(err); got != c.want {
+				t.Errorf("%q, want %q", got, c.want)
+			}
+		})
 	}
 }
 
@@ -41,9 +77,9 @@
 		f.Add(Append(nil, &s))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		fr, err := Decode(in)
-		if err == nil && !bytes.Equal(Append(nil, &fr), in) {
-			t.Fatalf("%x decodes to %+v, which encodes otherwise", in, fr)
+		frame, err := Decode(in)
+		if err == nil && !bytes.Equal(Append(nil, &frame), in) {
+			t.Fatalf("%x decodes to %+v, which encodes otherwise", in, frame)
 		}
 	})
 }
