--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -1,14 +1,11 @@
 package config
 
 import (
-	"encoding/json"
-	"errors"
 	"fmt"
 	"net/netip"
-	"reflect"
 )
 
-// check returns an error that names the first key with a bad value.
+// check returns an *Error that names the first key with a bad value.
 func (p *Platform) check() error {
 	for _, check := range []func() error{
 		p.checkIdentity,
@@ -29,11 +26,12 @@
 
 func (p *Platform) checkIdentity() error {
 	if p.Label == "" {
-		return errors.New("label is missing")
+		return problem(Error{Key: "label", Expected: "a name"}, "label is missing")
 	}
 	for _, seed := range p.Seeds {
 		if seed.Label == "" || seed.Label == p.Label {
-			return fmt.Errorf("seeds: label %q is empty or our own", seed.Label)
+			return problem(Error{Key: "seeds", Expected: "labels of other controllers", Found: seed.Label},
+				"seeds: label %q is empty or our own", seed.Label)
 		}
 	}
 	return nil
@@ -41,23 +39,33 @@
 
 func (p *Platform) checkAddresses() error {
 	type address struct{ key, value string }
-	addresses := []address{
+	own := []address{
 		{"bind", p.Bind},
 		{"peer_bind", p.PeerBind},
 		{"services.cloud", p.Services.Cloud},
 		{"services.state", p.Services.State},
 	}
-	for _, seed := range p.Seeds {
-		addresses = append(addresses, address{"seeds." + seed.Label + ".endpoint", seed.Endpoint})
+	for _, a := range own {
+		if err := checkAddress(a.key, a.value); err != nil {
+			return err
+		}
 	}
-	for _, a := range addresses {
-		if _, err := netip.ParseAddrPort(a.value); err != nil {
-			return fmt.Errorf("%s: %q is not an address and port", a.key, a.value)
+	for _, seed := range p.Seeds {
+		if err := checkAddress("seeds."+seed.Label+".endpoint", seed.Endpoint); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
+func checkAddress(key, value string) error {
+	if _, err := netip.ParseAddrPort(value); err != nil {
+		return problem(Error{Key: key, Expected: "an address and port", Found: value, Err: err},
+			"%s: %q is not an address and port", key, value)
+	}
+	return nil
+}
+
 // amount is a setting that must be positive.
 type amount struct {
 	key   string
@@ -67,7 +75,8 @@
 func checkPositive(amounts []amount) error {
 	for _, a := range amounts {
 		if !(a.value > 0) {
-			return fmt.Errorf("%s must be positive", a.key)
+			return problem(Error{Key: a.key, Expected: "a positive number", Found: fmt.Sprint(a.value)},
+				"%s must be positive", a.key)
 		}
 	}
 	return nil
@@ -76,7 +85,7 @@
 func (p *Platform) checkAmounts() error {
 	s := &p.Settings
 	return checkPositive([]amount{
-		{"settings.workers.report_s", s.Workers.ReportS},
+		{"settings.workers.report_s", s.Workers.HeartbeatS},
 		{"settings.workers.lease_s", s.Workers.LeaseS},
 		{"settings.workers.gang_wait_s", s.Workers.GangWaitS},
 		{"settings.workers.gang_peer_s", s.Workers.GangPeerS},
@@ -117,9 +126,9 @@
 
 // What the limits must allow for the service to work at all.
 const (
-	// connectionsPerPeer are our link to another controller and its link to us.
+	// connectionsPerPeer are our connection to another controller and its one to us.
 	connectionsPerPeer = 2
-	// otherConnections are those to the state service (two transactions, a watch, a
+	// otherConnections are those to the key-value store (two transactions, a watch, a
 	// barrier and a lease at a time), to the cloud, and a few for workers and users.
 	otherConnections = 16
 	// minValueKB holds a job's record, or the run record of the fewest tasks that
@@ -156,21 +165,24 @@
 		{stateKey("txn_ops", float64(state.TxnOps), float64(lasting.TxnOps)), float64(lasting.TxnOps), minTxnOps, "the writes that begin a term"},
 	} {
 		if limit.value < limit.least {
-			return fmt.Errorf("%s is %v: at least %v are needed for %s", limit.key, limit.value, limit.least, limit.purpose)
+			return problem(Error{Key: limit.key, Expected: fmt.Sprintf("at least %v", limit.least), Found: fmt.Sprint(limit.value)},
+				"%s is %v: at least %v are needed for %s", limit.key, limit.value, limit.least, limit.purpose)
 		}
 	}
 	return nil
 }
 
 func (p *Platform) checkTimes() error {
-	if p.Settings.Cloud.ListLagS < 0 {
-		return errors.New("settings.cloud.list_lag_s must not be negative")
+	if lag := p.Settings.Cloud.ListLagS; lag < 0 {
+		return problem(Error{Key: "settings.cloud.list_lag_s", Expected: "a number, not negative", Found: fmt.Sprint(lag)},
+			"settings.cloud.list_lag_s must not be negative")
 	}
 	// A cancelled job's tasks must have ended within cancel_s even if the leader
-	// has lost the state service. It may keep its workers for what cancel_s
+	// has lost the key-value store. It may keep its workers for what cancel_s
 	// leaves beside lease_s: there must be something left.
-	if p.Settings.Workers.CancelS <= p.Settings.Workers.LeaseS {
-		return errors.New("settings.workers.cancel_s must exceed settings.workers.lease_s")
+	if workers := &p.Settings.Workers; workers.CancelS <= workers.LeaseS {
+		return problem(Error{Key: "settings.workers.cancel_s", Expected: fmt.Sprintf("more than %v", workers.LeaseS), Found: fmt.Sprint(workers.CancelS)},
+			"settings.workers.cancel_s must exceed settings.workers.lease_s")
 	}
 	return nil
 }
@@ -181,7 +193,8 @@
 			continue
 		}
 		if o.WithinS < 0 || o.Share < 0 || o.Share > 1 || o.Times < 0 {
-			return fmt.Errorf("settings.objectives: %s of class %q has a negative amount or a share beyond 1", o.Kind, o.Class)
+			return problem(Error{Key: "settings.objectives", Expected: "amounts that are not negative and shares up to 1", Found: o.Kind + " of class " + o.Class},
+				"settings.objectives: %s of class %q has a negative amount or a share beyond 1", o.Kind, o.Class)
 		}
 	}
 	return nil
@@ -190,23 +203,9 @@
 func (p *Platform) checkTeams() error {
 	for _, t := range p.Settings.Teams {
 		if t.Name == "" || t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
-			return fmt.Errorf("settings.teams: team %q has no name or a negative amount", t.Name)
+			return problem(Error{Key: "settings.teams", Expected: "names, and amounts that are not negative", Found: "team " + t.Name},
+				"settings.teams: team %q has no name or a negative amount", t.Name)
 		}
 	}
 	return nil
 }
-
-// jsonKind names what a field of the settings expects, in terms of JSON.
-func jsonKind(wrong *json.UnmarshalTypeError) string {
-	switch wrong.Type.Kind() {
-	case reflect.String:
-		return "a string"
-	case reflect.Int:
-		return "an integer"
-	case reflect.Float64:
-		return "a number"
-	case reflect.Slice:
-		return "a list"
-	}
-	return "an object"
-}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package config reads and checks the platform's settings file (JSON) and the
-// operators' own settings (TOML). Its errors are one line that names the file,
-// the key and what was expected there.
+// operators' own settings (TOML). Errors in a file are of type *Error; their text is
+// one line that names the file, the key and what was expected there.
 package config
 
 import (
@@ -18,7 +18,7 @@
 	}
 	p, err := Parse(raw)
 	if err != nil {
-		return nil, fmt.Errorf("settings %s: %w", platformPath, err)
+		return nil, inFile("settings", platformPath, err)
 	}
 	if operatorPath == "" {
 		return p, nil
@@ -28,7 +28,7 @@
 		return nil, fmt.Errorf("operator settings: %w", err)
 	}
 	if p.Operator, err = ParseOperator(string(raw)); err != nil {
-		return nil, fmt.Errorf("operator settings %s: %w", operatorPath, err)
+		return nil, inFile("operator settings", operatorPath, err)
 	}
 	return p, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -12,49 +13,58 @@
 "workers":{"report_s":1,"lease_s":30,"gang_wait_s":1,"gang_peer_s":1,"cancel_s":60},"state":{"rps":8,"write_rps":4,"value_kb":4,"txn_ops":8},
 "cloud":{"rps":1,"list_lag_s":0},"resources":{"core_share":0.1,"ram_mb":50,"max_connections":40}}}`
 
-// TestPlatform: a bad value is refused by its key and what is expected there.
-func TestPlatform(t *testing.T) {
+// TestPlatformErrors: a bad value is refused by its key and what is expected there.
+func TestPlatformErrors(t *testing.T) {
 	if _, err := Parse([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ old, new, want string }{
-		{`"label":"a"`, `"label":""`, "label is missing"},
-		{`10.0.0.1:80"`, `localhost:80"`, "bind"},
-		{`"label":"b"`, `"label":"a"`, "seeds"},
-		{`"txn_ops":8`, `"txn_ops":0`, "state.txn_ops"},
-		{`"cancel_s":60`, `"cancel_s":20`, "cancel_s"},
-		{`{"name":"t"}`, `{"name":"t","gpus":-1}`, "team"},
-		{`"rps":8`, `"rps":"x"`, "settings.state.rps: expected a number, found string"},
-		{`"label":"a"`, `"label":5`, "label: expected a string"},
-		{`"txn_ops":8`, `"txn_ops":1.5`, "txn_ops: expected an integer"},
-		{`"seeds":[`, `"seeds":5,"x":[`, "seeds: expected a list"},
-		{`"services":{`, `"services":5,"x":{`, "services: expected an object"},
-		{good, `[]`, "the file: expected an object, found array"},
-		{good, `{"label";`, "not JSON, at byte 9"},
+	for _, c := range []struct{ name, old, new, message, key, expected, found string }{
+		{"no label", `"label":"a"`, `"label":""`, "label is missing", "label", "a name", ""},
+		{"a name for an address", `10.0.0.1:80"`, `localhost:80"`, "bind", "bind", "an address and port", "localhost:80"},
+		{"own label for a seed", `"label":"b"`, `"label":"a"`, "seeds", "seeds", "labels of other controllers", "a"},
+		{"zero", `"txn_ops":8`, `"txn_ops":0`, "state.txn_ops", "settings.state.txn_ops", "a positive number", "0"},
+		{"cancel_s too short", `"cancel_s":60`, `"cancel_s":20`, "cancel_s", "settings.workers.cancel_s", "more than 30", "20"},
+		{"negative lag", `"list_lag_s":0`, `"list_lag_s":-1`, "settings.cloud.list_lag_s must not be negative", "settings.cloud.list_lag_s", "a number, not negative", "-1"},
+		{"negative amount of a team", `{"name":"t"}`, `{"name":"t","gpus":-1}`, "team", "settings.teams", "names, and amounts that are not negative", "team t"},
+		{"text for a number", `"rps":8`, `"rps":"x"`, "settings.state.rps: expected a number, found string", "settings.state.rps", "a number", "string"},
+		{"number for a text", `"label":"a"`, `"label":5`, "label: expected a string", "label", "a string", "number"},
+		{"fraction for an integer", `"txn_ops":8`, `"txn_ops":1.5`, "txn_ops: expected an integer", "settings.state.txn_ops", "an integer", "number 1.5"},
+		{"number for a list", `"seeds":[`, `"seeds":5,"x":[`, "seeds: expected a list", "seeds", "a list", "number"},
+		{"number for an object", `"services":{`, `"services":5,"x":{`, "services: expected an object", "services", "an object", "number"},
+		{"list for the file", good, `[]`, "the file: expected an object, found array", "", "an object", "array"},
+		{"not JSON", good, `{"label";`, "not JSON, at byte 9", "", "JSON", "other text at byte 9"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)))
-		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v", c.new, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)))
+			if err == nil || !strings.Contains(err.Error(), c.message) {
+				t.Errorf("%v, want %s", err, c.message)
+			}
+			var wrong *Error
+			if !errors.As(err, &wrong) || wrong.Key != c.key || wrong.Expected != c.expected || wrong.Found != c.found {
+				t.Errorf("%+v, want key %q, expected %q, found %q", wrong, c.key, c.expected, c.found)
+			}
+		})
 	}
 }
 
-// TestLimitsCarryTheSite: limits with which no term could begin, or no record be
+// TestLeastLimits: limits with which no term could begin, or no record be
 // stored, are refused at start with the key, its value and what is needed.
-func TestLimitsCarryTheSite(t *testing.T) {
-	for _, c := range []struct{ old, new, want string }{
-		{`"max_connections":40`, `"max_connections":17`, "settings.resources.max_connections is 17: at least 18 are needed for 2 controllers, their services, workers and users"},
-		{`"rps":8`, `"rps":1.5`, "settings.state.rps is 1.5: at least 2 are needed for one request a second of each of 2 controllers"},
-		{`"write_rps":4`, `"write_rps":1.9`, "settings.state.write_rps is 1.9: at least 2 are needed for the writes that begin a term"},
-		{`"value_kb":4`, `"value_kb":0.5`, "settings.state.value_kb is 0.5: at least 1 are needed for one record"},
-		{`"txn_ops":8`, `"txn_ops":1`, "settings.state.txn_ops is 1: at least 2 are needed for the writes that begin a term"},
-		{`"txn_ops":8`, `"txn_ops":8,"next":{"txn_ops":1}`, "settings.state.next.txn_ops is 1: at least 2 are needed for the writes that begin a term"},
-		{`"value_kb":4`, `"value_kb":4,"next":{"value_kb":0.9}`, "settings.state.next.value_kb is 0.9: at least 1 are needed for one record"},
+func TestLeastLimits(t *testing.T) {
+	for _, c := range []struct{ name, old, new, want string }{
+		{"connections", `"max_connections":40`, `"max_connections":17`, "settings.resources.max_connections is 17: at least 18 are needed for 2 controllers, their services, workers and users"},
+		{"requests", `"rps":8`, `"rps":1.5`, "settings.state.rps is 1.5: at least 2 are needed for one request a second of each of 2 controllers"},
+		{"writes", `"write_rps":4`, `"write_rps":1.9`, "settings.state.write_rps is 1.9: at least 2 are needed for the writes that begin a term"},
+		{"size of values", `"value_kb":4`, `"value_kb":0.5`, "settings.state.value_kb is 0.5: at least 1 are needed for one record"},
+		{"size of transactions", `"txn_ops":8`, `"txn_ops":1`, "settings.state.txn_ops is 1: at least 2 are needed for the writes that begin a term"},
+		{"announced size of transactions", `"txn_ops":8`, `"txn_ops":8,"next":{"txn_ops":1}`, "settings.state.next.txn_ops is 1: at least 2 are needed for the writes that begin a term"},
+		{"announced size of values", `"value_kb":4`, `"value_kb":4,"next":{"value_kb":0.9}`, "settings.state.next.value_kb is 0.9: at least 1 are needed for one record"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)))
-		if err == nil || err.Error() != c.want {
-			t.Errorf("%s: %v", c.new, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)))
+			if err == nil || err.Error() != c.want {
+				t.Errorf("%v, want %s", err, c.want)
+			}
+		})
 	}
 	if _, err := Parse([]byte(strings.Replace(good, `"max_connections":40`, `"max_connections":18`, 1))); err != nil {
 		t.Errorf("just enough connections: %v", err)
@@ -106,20 +116,27 @@
 	if err != nil || o.Term.Life != 5e9 || o.Scheduler.Round != DefaultOperator().Scheduler.Round {
 		t.Errorf("%+v, %v", o, err)
 	}
-	for _, c := range [][2]string{
-		{"[term]\nlives = \"5s\"", "term.lives"},
-		{"[term]\nlife = \"-5s\"", "positive"},
-		{"[term]\nlife = \"10ms\"", "at least"},
-		{"x", "line 1"},
-		{"[term]\nlife = 5", `"term.life"): expected a duration in quotes such as "1.5s", found 5`},
-		{"[term]\nlife = \"5\"", `"term.life"): expected a duration`},
-		{"term = 3", `"term"): expected a table`},
-		{"[term]\nlife = [\"4s\"]", `"term.life"): expected a duration`},
-		{"life = \"4s\"", "unknown key life"},
+	for _, c := range []struct{ name, text, message, key string }{
+		{"unknown key of a table", "[term]\nlives = \"5s\"", "term.lives", "term.lives"},
+		{"negative", "[term]\nlife = \"-5s\"", "positive", "term.life"},
+		{"too short", "[term]\nlife = \"10ms\"", "at least", "term.life"},
+		{"not TOML", "x", "line 1", ""},
+		{"number", "[term]\nlife = 5", `"term.life"): expected a duration in quotes such as "1.5s", found 5`, "term.life"},
+		{"no unit", "[term]\nlife = \"5\"", `"term.life"): expected a duration`, "term.life"},
+		{"number for a table", "term = 3", `"term"): expected a table`, "term"},
+		{"list", "[term]\nlife = [\"4s\"]", `"term.life"): expected a duration`, "term.life"},
+		{"unknown key", "life = \"4s\"", "unknown key life", "life"},
 	} {
-		if _, err := ParseOperator(c[0]); err == nil || !strings.Contains(err.Error(), c[1]) {
-			t.Errorf("%q: %v", c[0], err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, err := ParseOperator(c.text)
+			if err == nil || !strings.Contains(err.Error(), c.message) {
+				t.Errorf("%v, want %s", err, c.message)
+			}
+			var wrong *Error
+			if !errors.As(err, &wrong) || wrong.Key != c.key {
+				t.Errorf("%+v, want key %q", wrong, c.key)
+			}
+		})
 	}
 }
 
@@ -137,16 +154,23 @@
 	if _, err := Load(settings, write("good.toml", "")); err != nil {
 		t.Error(err)
 	}
-	for _, c := range []struct{ platform, operator, want string }{
-		{filepath.Join(dir, "none.json"), "", "none.json"},
-		{write("bad.json", "{}"), "", "bad.json: label is missing"},
-		{settings, filepath.Join(dir, "none.toml"), "none.toml"},
-		{settings, write("bad.toml", "[place]\nlap = 1"), "bad.toml: unknown key place.lap"},
+	badPlatform, badOperator := write("bad.json", "{}"), write("bad.toml", "[place]\nlap = 1")
+	for _, c := range []struct{ name, platform, operator, want, file string }{
+		{"no platform's file", filepath.Join(dir, "none.json"), "", "none.json", ""},
+		{"bad platform's file", badPlatform, "", "bad.json: label is missing", badPlatform},
+		{"no operators' file", settings, filepath.Join(dir, "none.toml"), "none.toml", ""},
+		{"bad operators' file", settings, badOperator, "bad.toml: unknown key place.lap", badOperator},
 	} {
-		_, err := Load(c.platform, c.operator)
-		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s, %s: %v", c.platform, c.operator, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Load(c.platform, c.operator)
+			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want %s", err, c.want)
+			}
+			var wrong *Error
+			if errors.As(err, &wrong) != (c.file != "") || (wrong != nil && wrong.File != c.file) {
+				t.Errorf("%+v, want file %q", wrong, c.file)
+			}
+		})
 	}
 }
 
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -1,9 +1,7 @@
 package config
 
 import (
-	"errors"
 	"fmt"
-	"strings"
 	"time"
 
 	"github.com/BurntSushi/toml"
@@ -31,20 +29,32 @@
 
 // Operator is the operators' TOML file. docs/lugward.sample.toml describes the keys.
 type Operator struct {
-	Term struct {
-		Life Duration `toml:"life"`
-	} `toml:"term"`
-	Scheduler struct {
-		Round  Duration `toml:"round"`
-		Budget Duration `toml:"budget"`
-	} `toml:"place"`
-	Autoscaler struct {
-		IdleKeep Duration `toml:"idle_keep"`
-		Settle   Duration `toml:"settle"`
-	} `toml:"rental"`
-	API struct {
-		Answer Duration `toml:"answer"`
-	} `toml:"intake"`
+	Term       TermSettings       `toml:"term"`
+	Scheduler  SchedulerSettings  `toml:"place"`
+	Autoscaler AutoscalerSettings `toml:"rental"`
+	API        APISettings        `toml:"intake"`
+}
+
+// TermSettings are about the leader's term of office.
+type TermSettings struct {
+	Life Duration `toml:"life"` // of the leader's lease, at least minTermLife
+}
+
+// SchedulerSettings are about the rounds that place tasks.
+type SchedulerSettings struct {
+	Round  Duration `toml:"round"`  // between two rounds
+	Budget Duration `toml:"budget"` // the longest that one round may take
+}
+
+// AutoscalerSettings are about the release of machines.
+type AutoscalerSettings struct {
+	IdleKeep Duration `toml:"idle_keep"` // how long an idle machine is kept
+	Settle   Duration `toml:"settle"`    // from the beginning of a term until machines may be released
+}
+
+// APISettings are about the users' HTTP API.
+type APISettings struct {
+	Answer Duration `toml:"answer"` // a request that is not decided by then gets 503
 }
 
 // minTermLife is the shortest lease of a term. The leader renews its lease
@@ -53,39 +63,36 @@
 
 // DefaultOperator returns the values of all keys that the TOML file leaves out.
 func DefaultOperator() Operator {
-	var o Operator
-	o.Term.Life = Duration(4 * time.Second)
-	o.Scheduler.Round = Duration(200 * time.Millisecond)
-	o.Scheduler.Budget = Duration(5 * time.Millisecond)
-	o.Autoscaler.IdleKeep = Duration(20 * time.Second)
-	o.Autoscaler.Settle = Duration(20 * time.Second)
-	o.API.Answer = Duration(1500 * time.Millisecond)
-	return o
+	return Operator{
+		Term: TermSettings{Life: Duration(4 * time.Second)},
+		Scheduler: SchedulerSettings{
+			Round:  Duration(200 * time.Millisecond),
+			Budget: Duration(5 * time.Millisecond),
+		},
+		Autoscaler: AutoscalerSettings{
+			IdleKeep: Duration(20 * time.Second),
+			Settle:   Duration(20 * time.Second),
+		},
+		API: APISettings{Answer: Duration(1500 * time.Millisecond)},
+	}
 }
 
 // ParseOperator reads the TOML text over the defaults. An unknown key is an
-// error: it would else be a misspelt key that changes nothing.
+// error: it would else be a misspelt key that changes nothing. Its errors are *Error,
+// without a file.
 func ParseOperator(text string) (Operator, error) {
 	o := DefaultOperator()
 	meta, err := toml.Decode(text, &o)
 	if err != nil {
-		return o, describeTOMLError(err)
+		return o, tomlError(err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return o, fmt.Errorf("unknown key %s", unknown[0])
+		key := unknown[0].String()
+		return o, problem(Error{Key: key, Expected: "a key of docs/lugward.sample.toml"}, "unknown key %s", key)
 	}
-	if time.Duration(o.Term.Life) < minTermLife {
-		return o, fmt.Errorf("term.life must be at least %v", minTermLife)
+	if life := time.Duration(o.Term.Life); life < minTermLife {
+		return o, problem(Error{Key: "term.life", Expected: fmt.Sprintf("at least %v", minTermLife), Found: life.String()},
+			"term.life must be at least %v", minTermLife)
 	}
 	return o, nil
 }
-
-// describeTOMLError replaces Go's type names in the decoder's error for a value
-// in place of a table. Other errors name the line and the key in plain words.
-func describeTOMLError(err error) error {
-	position, _, found := strings.Cut(err.Error(), "type mismatch for struct")
-	if found {
-		return errors.New(position + "expected a table")
-	}
-	return err
-}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -166,7 +166,7 @@
 		Workers:           c.workers,
 		MachineTypes:      c.autoscaler.MachineTypes(),
 		Teams:             teams,
-		HeartbeatInterval: config.Seconds(settings.Workers.ReportS),
+		HeartbeatInterval: config.Seconds(settings.Workers.HeartbeatS),
 		HeartbeatTimeout:  c.workerHeartbeatTimeout(),
 	})
 }
@@ -174,7 +174,7 @@
 // workerHeartbeatTimeout is how long a worker may send no heartbeat before nothing more
 // is placed on its machine.
 func (c *Controller) workerHeartbeatTimeout() time.Duration {
-	return config.Seconds(heartbeatTimeoutIntervals*c.cfg.Settings.Workers.ReportS) + heartbeatTimeoutMargin
+	return config.Seconds(heartbeatTimeoutIntervals*c.cfg.Settings.Workers.HeartbeatS) + heartbeatTimeoutMargin
 }
 
 // handleChange routes a change of the replica to the part that owns the key.
--- a/internal/intern/intern_test.go
+++ b/internal/intern/intern_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// A released name's index serves the next new name, and the name gets an index like
+// TestRelease: a released name's index serves the next new name, and the name gets an index like
 // any other when it comes again.
 func TestRelease(t *testing.T) {
 	var names Table
--- a/internal/simtest/scenario_test.go
+++ b/internal/simtest/scenario_test.go
@@ -77,7 +77,7 @@
 
 func newScenarioWorld(arguments Arguments, wire WireObserver) *World {
 	world := NewObserved(Announce(Settings, arguments), int(arguments.number("nodes", "3")), uint64(arguments.number("seed", "1")), logOut(), wire, func(platform *config.Platform) {
-		platform.Settings.Workers.ReportS = arguments.number("report", "1")
+		platform.Settings.Workers.HeartbeatS = arguments.number("report", "1")
 		platform.Settings.Workers.LeaseS = arguments.number("lease", "10")
 		platform.Settings.Workers.CancelS = arguments.number("cancel", "25")
 		platform.Settings.Cloud.RPS = arguments.number("cloudrps", "4")
--- a/internal/simtest/worker.go
+++ b/internal/simtest/worker.go
@@ -98,7 +98,7 @@
 func (worker *fakeWorker) sendHeartbeat() {
 	worker.heartbeatInFlight, worker.changed = true, false
 	worker.lastHeartbeat = worker.world.now
-	every := seconds(worker.world.config.Settings.Workers.ReportS)
+	every := seconds(worker.world.config.Settings.Workers.HeartbeatS)
 	worker.nextHeartbeat = worker.world.now + every*3/4 + time.Duration(worker.world.random.Int64N(int64(every/2)))
 	body, _ := json.Marshal(worker.buildHeartbeat())
 	sent, session := worker.world.now, worker.incarnation
