--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -5,6 +5,7 @@
 	"lugward/internal/httpwire"
 	"lugward/internal/kv"
 	"lugward/internal/pipeline"
+	"lugward/internal/record"
 )
 
 // maxCancelRetries bounds the attempts at one cancellation. Each conflict means
@@ -34,7 +35,7 @@
 		s.cancelAfterBarrier(c)
 		return
 	}
-	jobKey, terminalKey := pipeline.JobKeyOf(c.id), pipeline.TerminalKeyOf(c.id)
+	jobKey, terminalKey := record.JobKey(c.id), record.TerminalKey(c.id)
 	s.store.Submit(&kv.Txn{
 		Priority: kv.PriorityCancellation,
 		Compares: []kv.Compare{{Key: jobKey, ModRevision: j.ModRevision}, {Key: terminalKey}},
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -11,6 +11,7 @@
 	"lugward/internal/event"
 	"lugward/internal/kv"
 	"lugward/internal/pipeline"
+	"lugward/internal/record"
 	"lugward/internal/scheduler"
 )
 
@@ -37,7 +38,7 @@
 	limits := kv.Limits{TxnOps: txnOps, Rates: kv.Rates{Requests: 1000, Writes: 1000}}
 	onChange := func(key string, data []byte, modRevision uint64) {
 		kind, rest := kv.SplitKey(key)
-		n.jobs.HandleChange(kind, rest, data, modRevision)
+		n.jobs.HandleChange(record.Kind(kind), rest, data, modRevision)
 	}
 	n.client = kv.New(kv.Config{Addr: "s", Limits: limits, StaleAfter: time.Hour, OnChange: onChange})
 	machineTypes := &scheduler.MachineTypes{{Index: names.MachineTypes.Index("m"), CPUs: 8, Memory: 32, Zones: []int{0}}}
@@ -158,7 +159,7 @@
 	job := &pipeline.Job{ID: "", Ready: true, Spec: pipeline.Spec{TaskCount: 1, CPUs: 1, Zone: anyZone}}
 	names := &pipeline.Names{}
 	job.Class, job.Team, job.Image = names.Classes.Index("c"), names.Teams.Index("red"), names.Images.Index("b")
-	record := pipeline.Encode(names, job)
+	record := pipeline.EncodeJob(names, job)
 	list := make([]string, count)
 	for i := range list {
 		list[i] = fmt.Sprintf("req-%d", first+i)
--- a/internal/api/paged_submission.go
+++ b/internal/api/paged_submission.go
@@ -9,6 +9,7 @@
 	"lugward/internal/httpwire"
 	"lugward/internal/kv"
 	"lugward/internal/pipeline"
+	"lugward/internal/record"
 )
 
 const (
@@ -42,7 +43,7 @@
 }
 
 // firstPageKey is the key that stands for the attempt.
-func (p *pagedSubmission) firstPageKey() string { return pipeline.UpstreamPageKeyOf(p.job.ID, 0) }
+func (p *pagedSubmission) firstPageKey() string { return record.UpstreamPageKey(p.job.ID, 0) }
 
 // startPagedSubmission begins an attempt by writing the first page, unless another
 // attempt for the same job is under way, here or, as its first page shows, elsewhere.
@@ -82,8 +83,8 @@
 		Priority: kv.PrioritySubmission,
 		Compares: []kv.Compare{
 			{Key: p.firstPageKey(), ModRevision: firstPageRevision},
-			{Key: pipeline.JobKeyOf(p.job.ID)},
-			{Key: pipeline.TerminalKeyOf(p.job.ID)},
+			{Key: record.JobKey(p.job.ID)},
+			{Key: record.TerminalKey(p.job.ID)},
 		},
 		Writes: []kv.Write{write},
 		Done:   done,
@@ -97,7 +98,7 @@
 		page := p.nextPage
 		p.nextPage++
 		p.inFlight++
-		write := kv.Write{Key: pipeline.UpstreamPageKeyOf(p.job.ID, page), Data: p.pages[page]}
+		write := kv.Write{Key: record.UpstreamPageKey(p.job.ID, page), Data: p.pages[page]}
 		s.writeWithRetries(now, p, write, func(r kv.Result) {
 			p.inFlight--
 			s.writeNextPages(r.Now, p)
@@ -111,7 +112,7 @@
 
 // writeRecord writes the job's record, which accepts the job.
 func (s *Server) writeRecord(now event.Time, p *pagedSubmission) {
-	write := kv.Write{Key: pipeline.JobKeyOf(p.job.ID), Data: pipeline.Encode(s.names, p.job)}
+	write := kv.Write{Key: record.JobKey(p.job.ID), Data: pipeline.EncodeJob(s.names, p.job)}
 	s.writeWithRetries(now, p, write, func(r kv.Result) {
 		s.finish(p)
 		if !p.answered {
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -7,6 +7,7 @@
 	"lugward/internal/httpwire"
 	"lugward/internal/kv"
 	"lugward/internal/pipeline"
+	"lugward/internal/record"
 )
 
 // submit accepts a job once its record is stored.
@@ -121,21 +122,21 @@
 	if paged {
 		limit -= pagesRevisionBytes
 	}
-	record := pipeline.Encode(s.names, j)
-	if len(record) > limit {
-		return nil, &malformedError{badField: badField{Value: len(record), Expected: "a shorter record"}}
+	data := pipeline.EncodeJob(s.names, j)
+	if len(data) > limit {
+		return nil, &malformedError{badField: badField{Value: len(data), Expected: "a shorter record"}}
 	}
-	return record, nil
+	return data, nil
 }
 
 // storeRecord stores a new job's record unless the job has one or has ended, and
 // answers the submission.
-func (s *Server) storeRecord(now event.Time, conn uint64, id string, record []byte) {
-	jobKey, terminalKey := pipeline.JobKeyOf(id), pipeline.TerminalKeyOf(id)
+func (s *Server) storeRecord(now event.Time, conn uint64, id string, data []byte) {
+	jobKey, terminalKey := record.JobKey(id), record.TerminalKey(id)
 	s.store.Submit(&kv.Txn{
 		Priority: kv.PrioritySubmission,
 		Compares: []kv.Compare{{Key: jobKey}, {Key: terminalKey}},
-		Writes:   []kv.Write{{Key: jobKey, Data: record}},
+		Writes:   []kv.Write{{Key: jobKey, Data: data}},
 		Done: func(r kv.Result) {
 			switch r.Outcome {
 			case kv.Committed:
--- a/internal/api/upstream.go
+++ b/internal/api/upstream.go
@@ -1,6 +1,9 @@
 package api
 
-import "lugward/internal/pipeline"
+import (
+	"lugward/internal/pipeline"
+	"lugward/internal/record"
+)
 
 // pagesRevisionBytes is the most that the revision of a list's first page takes in
 // the job's record. It is added after the record's size has been checked.
@@ -48,14 +51,14 @@
 	largest := *j
 	largest.Ready = true
 	largest.ReadyAt = j.SubmittedAt + 1 // has as many digits as any later time
-	if len(pipeline.Encode(s.names, &largest)) <= s.cfg.ValueBytes {
+	if len(pipeline.EncodeJob(s.names, &largest)) <= s.cfg.ValueBytes {
 		return nil
 	}
 	j.Upstream = nil
 	if j.Ready {
 		return nil
 	}
-	pages = pipeline.EncodeUpstreamPages(upstream, s.cfg.ValueBytes)
+	pages = record.EncodeUpstreamPages(upstream, s.cfg.ValueBytes)
 	j.UpstreamPages = len(pages)
 	return pages
 }
--- a/internal/autoscaler/scale_out_test.go
+++ b/internal/autoscaler/scale_out_test.go
@@ -6,6 +6,7 @@
 
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
+	"lugward/internal/record"
 )
 
 // Machines are provisioned for what a team's limit lets all of its jobs together
@@ -31,7 +32,7 @@
 			blocked := make([]*pipeline.Job, 0, len(ids))
 			for i, id := range ids {
 				job := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{TaskCount: 4, CPUs: 1, Memory: 1, Zone: -1}}
-				f.jobs.HandleChange(pipeline.JobKey, id, pipeline.Encode(f.names, job), uint64(i+1))
+				f.jobs.HandleChange(record.KindJob, id, pipeline.EncodeJob(f.names, job), uint64(i+1))
 				blocked = append(blocked, f.jobs.Job(id))
 			}
 			var out event.Effects
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -14,6 +14,7 @@
 	"lugward/internal/election"
 	"lugward/internal/kv"
 	"lugward/internal/pipeline"
+	"lugward/internal/record"
 	"lugward/internal/scheduler"
 	"lugward/internal/worker"
 )
@@ -121,7 +122,7 @@
 			NextRates: kv.Rates{Requests: limits.RPS, Writes: limits.WriteRPS},
 		},
 		StaleAfter:      min(staleAfter, grace/refreshesPerGrace),
-		ImmutablePrefix: pipeline.TerminalKey + "/",
+		ImmutablePrefix: record.TerminalKey(""),
 		OnChange:        c.handleChange,
 		Logger:          c.log,
 	})
@@ -186,6 +187,6 @@
 	case autoscaler.TypesKeyPrefix, autoscaler.DecommissionKeyPrefix:
 		c.autoscaler.HandleChange(kind, rest, data)
 	default:
-		c.jobs.HandleChange(kind, rest, data, version)
+		c.jobs.HandleChange(record.Kind(kind), rest, data, version)
 	}
 }
--- a/internal/controller/version.go
+++ b/internal/controller/version.go
@@ -6,7 +6,7 @@
 
 	"lugward/internal/event"
 	"lugward/internal/kv"
-	"lugward/internal/pipeline"
+	"lugward/internal/record"
 )
 
 const (
@@ -43,7 +43,7 @@
 func newVersionPublication(label string, labels []string) versionPublication {
 	position := slices.Index(labels, label)
 	return versionPublication{
-		key:          pipeline.VersionKey + "/" + label,
+		key:          record.VersionKey(label),
 		firstAttempt: versionRetryInterval + versionStagger*time.Duration(position),
 	}
 }
@@ -65,7 +65,7 @@
 	store.Submit(&kv.Txn{
 		Priority: kv.PriorityProgress,
 		Compares: []kv.Compare{{Key: v.key}},
-		Writes:   []kv.Write{{Key: v.key, Data: pipeline.Version}},
+		Writes:   []kv.Write{{Key: v.key, Data: record.Version}},
 		Done:     v.written,
 	}, now+versionWriteTimeout)
 }
--- a/internal/pipeline/clean.go
+++ b/internal/pipeline/clean.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"lugward/internal/kv"
+	"lugward/internal/record"
 )
 
 // CollectGarbage drops the records that finished jobs leave behind, once no task of theirs
@@ -41,11 +42,11 @@
 	}
 	for index := range j.Segments {
 		if j.Segments[index].ModRevision != 0 && len(in.Writes) < t.txnOps-1 { // one is for the job's record
-			drop(runKey(j.ID, index), j.Segments[index].ModRevision)
+			drop(record.RunKey(j.ID, index), j.Segments[index].ModRevision)
 		}
 	}
 	if j.ModRevision != 0 {
-		drop(JobKeyOf(j.ID), j.ModRevision)
+		drop(record.JobKey(j.ID), j.ModRevision)
 	}
 	return in
 }
--- a/internal/pipeline/fields_test.go
+++ b/internal/pipeline/fields_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"encoding/json"
-	"reflect"
 	"testing"
 	"time"
+
+	"lugward/internal/record"
 )
 
 // Fields of a later version survive when a record is written again: controllers of
@@ -22,12 +23,12 @@
 		}
 	}
 	tb, j := newJob(t, 4)
-	record := Encode(tb.Names, j)
-	withUnknown := append(append(record[:len(record)-1:len(record)-1], ','), unknown+"}"...)
-	tb.HandleChange(JobKey, j.ID, withUnknown, 5)
-	check("job", Encode(tb.Names, tb.Job(j.ID)))
+	data := EncodeJob(tb.Names, j)
+	withUnknown := append(append(data[:len(data)-1:len(data)-1], ','), unknown+"}"...)
+	tb.HandleChange(record.KindJob, j.ID, withUnknown, 5)
+	check("job", EncodeJob(tb.Names, tb.Job(j.ID)))
 
-	tb.HandleChange(RunKey, "req-1/0", []byte(`{"t":1,`+unknown+`,"a":[[0,1,"i-1"]]}`), 6)
+	tb.HandleChange(record.KindRun, "req-1/0", []byte(`{"t":1,`+unknown+`,"a":[[0,1,"i-1"]]}`), 6)
 	if j.ActiveCount() != 1 {
 		t.Fatalf("%d entries", j.ActiveCount())
 	}
@@ -40,23 +41,9 @@
 	write := q.next(t)
 	check("run", write.Writes[0].Data)
 
-	tb.HandleChange(RetryKey, j.ID, []byte(`{"n":1,`+unknown+`}`), 7)
+	tb.HandleChange(record.KindRetry, j.ID, []byte(`{"n":1,`+unknown+`}`), 7)
 	tb.BackOff(j, time.Second)
 	q = &queue{}
 	tb.FlushRetries(time.Second, term, q)
 	check("retry", q.next(t).Writes[0].Data)
 }
-
-// A record without such fields is written as ever.
-func TestNoUnknownFields(t *testing.T) {
-	var none recordFields
-	if got := string(none.appendTo([]byte(`{"t":1}`))); got != `{"t":1}` {
-		t.Error(got)
-	}
-	if got := unknownFields([]byte(`{"t":1,"d":"","a":[]}`), runFields); got != nil {
-		t.Error(got)
-	}
-	if want := map[string]bool{"t": true, "d": true, "a": true}; !reflect.DeepEqual(runFields, want) {
-		t.Error(runFields)
-	}
-}
--- a/internal/pipeline/finals.go
+++ b/internal/pipeline/finals.go
@@ -3,6 +3,8 @@
 import (
 	"strconv"
 	"strings"
+
+	"lugward/internal/record"
 )
 
 // TerminalRecords holds the final marks of all jobs that have ever ended. They are kept for
@@ -68,7 +70,7 @@
 
 // packID returns an ID of the usual form as a number.
 func packID(id string) (key packedID, ok bool) {
-	digits, usual := strings.CutPrefix(id, idPrefix)
+	digits, usual := strings.CutPrefix(id, record.JobIDPrefix)
 	if !usual || len(digits) == 0 || len(digits) > maxPackedDigits {
 		return 0, false
 	}
--- a/internal/pipeline/finish.go
+++ b/internal/pipeline/finish.go
@@ -1,10 +1,10 @@
 package pipeline
 
 import (
-	"encoding/json"
 	"time"
 
 	"lugward/internal/kv"
+	"lugward/internal/record"
 )
 
 // TerminalRecord is a job's final mark.
@@ -20,12 +20,12 @@
 	if data == nil || t.Terminal.Has(id) {
 		return false
 	}
-	var r terminalRecord
-	if json.Unmarshal(data, &r) != nil {
+	stored, err := record.DecodeTerminal(data)
+	if err != nil {
 		return false
 	}
-	f := TerminalRecord{Phase: Done, TaskCount: r.TaskCount, Daemon: r.Daemon}
-	if r.Phase == terminalCancelled {
+	f := TerminalRecord{Phase: Done, TaskCount: stored.TaskCount, Daemon: stored.Daemon}
+	if stored.Cancelled {
 		f.Phase = Cancelled
 	}
 	t.Terminal.add(id, f)
@@ -103,7 +103,7 @@
 	s.Submit(&kv.Txn{
 		Priority: kv.PriorityProgress,
 		Rank:     j.writeRank(),
-		BuildKey: TerminalKeyOf(j.ID),
+		BuildKey: record.TerminalKey(j.ID),
 		Build:    func(in *kv.Txn) bool { return j.buildTerminalWrite(in, term) },
 		Done:     j.terminalWritten,
 	}, now+writeTimeout)
@@ -116,8 +116,8 @@
 	if !j.complete() {
 		return false
 	}
-	in.Compares = []kv.Compare{term, {Key: JobKeyOf(j.ID), ModRevision: j.ModRevision}, {Key: TerminalKeyOf(j.ID)}}
-	in.Writes = []kv.Write{{Key: TerminalKeyOf(j.ID), Data: EncodeTerminal(Done, j)}}
+	in.Compares = []kv.Compare{term, {Key: record.JobKey(j.ID), ModRevision: j.ModRevision}, {Key: record.TerminalKey(j.ID)}}
+	in.Writes = []kv.Write{{Key: record.TerminalKey(j.ID), Data: EncodeTerminal(Done, j)}}
 	return true
 }
 
--- a/internal/pipeline/finish_test.go
+++ b/internal/pipeline/finish_test.go
@@ -4,13 +4,14 @@
 	"testing"
 
 	"lugward/internal/kv"
+	"lugward/internal/record"
 )
 
 // A job is done with a single write, whatever its records; what its tasks took is
 // free at once, and the records go behind everything else.
 func TestMarkAloneEndsJob(t *testing.T) {
 	tb, j := newJob(t, 2)
-	tb.HandleChange(RunKey, "req-1/0", []byte(`{"t":2,"a":[[0,1,"i-1"],[1,2,"i-2"]]}`), 2)
+	tb.HandleChange(record.KindRun, "req-1/0", []byte(`{"t":2,"a":[[0,1,"i-1"],[1,2,"i-2"]]}`), 2)
 	for task := range 2 {
 		j.Assignment(task).Phase = TaskExited
 		tb.RecordCompletion(j, task)
@@ -18,7 +19,7 @@
 	q := &queue{}
 	tb.Flush(0, term, q)
 	mark := q.next(t)
-	if len(mark.Writes) != 1 || mark.Writes[0].Key != TerminalKeyOf(j.ID) || mark.Priority != kv.PriorityProgress {
+	if len(mark.Writes) != 1 || mark.Writes[0].Key != record.TerminalKey(j.ID) || mark.Priority != kv.PriorityProgress {
 		t.Fatalf("%+v is written", mark.Writes)
 	}
 	carryOut(tb, mark, 3)
@@ -44,7 +45,7 @@
 // run: what it takes stays counted until its end is proven.
 func TestOtherAttemptStaysCounted(t *testing.T) {
 	tb, j := newJob(t, 1)
-	tb.HandleChange(RunKey, "req-1/0", []byte(`{"t":2,"a":[[0,2,"i-2"]]}`), 2)
+	tb.HandleChange(record.KindRun, "req-1/0", []byte(`{"t":2,"a":[[0,2,"i-2"]]}`), 2)
 	j.Assignment(0).Phase = TaskRunning
 	tb.RecordCompletion(j, 0)
 	q := &queue{}
@@ -72,8 +73,8 @@
 		tb := NewTable(&Names{}, 4096, 12)
 		j := &Job{ID: "req-2", Upstream: []string{"req-1"}, Spec: Spec{TaskCount: 1, Priority: priority, Zone: -1}}
 		j.Class, j.Team, j.Image = tb.Names.Classes.Index("c"), tb.Names.Teams.Index("t"), tb.Names.Images.Index("b")
-		tb.HandleChange(JobKey, j.ID, Encode(tb.Names, j), 1)
-		tb.HandleChange(TerminalKey, "req-1", []byte(`{"p":"done","n":1}`), 2)
+		tb.HandleChange(record.KindJob, j.ID, EncodeJob(tb.Names, j), 1)
+		tb.HandleChange(record.KindTerminal, "req-1", []byte(`{"p":"done","n":1}`), 2)
 		q := &queue{}
 		tb.WriteReadiness(0, q, func(*Job) bool { return true })
 		if mark, want := q.next(t), tb.Job(j.ID).writeRank(); mark.Rank != want || mark.Priority != kv.PriorityPlacement {
--- a/internal/pipeline/fixture_test.go
+++ b/internal/pipeline/fixture_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"lugward/internal/kv"
+	"lugward/internal/record"
 )
 
 var term = kv.Compare{Key: "t/lead", ModRevision: 1}
@@ -35,12 +36,18 @@
 // carryOut applies a write as the state service would, and reports its outcome.
 func carryOut(tb *Table, in *kv.Txn, revision uint64) {
 	for _, w := range in.Writes {
-		kind, rest := kv.SplitKey(w.Key)
+		kind, rest := splitKey(w.Key)
 		tb.HandleChange(kind, rest, w.Data, revision)
 	}
 	in.Done(kv.Result{Outcome: kv.Committed, Revision: revision})
 }
 
+// splitKey splits a key into the kind of what is stored there and the rest.
+func splitKey(key string) (kind record.Kind, rest string) {
+	first, rest := kv.SplitKey(key)
+	return record.Kind(first), rest
+}
+
 // nameSpec gives a spec the names that every stored job has.
 func nameSpec(n *Names, s *Spec) {
 	s.Class = n.Classes.Index("c")
@@ -54,15 +61,16 @@
 	tb := NewTable(&Names{}, 4096, 12)
 	j := &Job{ID: "req-1", Ready: true, Spec: Spec{TaskCount: n, CPUs: 1, Zone: -1}}
 	nameSpec(tb.Names, &j.Spec)
-	tb.HandleChange(JobKey, j.ID, Encode(tb.Names, j), 1)
+	tb.HandleChange(record.KindJob, j.ID, EncodeJob(tb.Names, j), 1)
 	return tb, tb.Job(j.ID)
 }
 
 // line is a change of a stored key, for tests that replay changes in another order.
 type line struct {
-	kind, rest string
-	data       []byte
-	version    uint64
+	kind    record.Kind
+	rest    string
+	data    []byte
+	version uint64
 }
 
 // fixture is a table together with what is stored.
@@ -79,7 +87,7 @@
 	return r
 }
 
-func (r *fixture) write(kind, rest string, data []byte) {
+func (r *fixture) write(kind record.Kind, rest string, data []byte) {
 	r.revision++
 	r.log = append(r.log, line{kind, rest, data, r.revision})
 	r.HandleChange(kind, rest, data, r.revision)
@@ -102,7 +110,7 @@
 	if set != nil {
 		set(j)
 	}
-	r.write(JobKey, j.ID, Encode(r.Names, j))
+	r.write(record.KindJob, j.ID, EncodeJob(r.Names, j))
 	return r.Job(j.ID)
 }
 
@@ -115,11 +123,11 @@
 
 func (r *fixture) final(n int, p Phase) {
 	j := &Job{Spec: Spec{TaskCount: 1}}
-	r.write(TerminalKey, id(n), EncodeTerminal(p, j))
+	r.write(record.KindTerminal, id(n), EncodeTerminal(p, j))
 }
 
 func idsOf(list []*Job) string {
-	var s []string
+	s := make([]string, 0, len(list))
 	for _, j := range list {
 		s = append(s, strings.TrimLeft(strings.TrimPrefix(j.ID, "req-"), "0"))
 	}
--- a/internal/pipeline/flush.go
+++ b/internal/pipeline/flush.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"lugward/internal/kv"
+	"lugward/internal/record"
 )
 
 const (
@@ -91,7 +92,7 @@
 	s.Submit(&kv.Txn{
 		Priority: priority,
 		Rank:     j.writeRank(),
-		BuildKey: runKey(j.ID, index),
+		BuildKey: record.RunKey(j.ID, index),
 		Build:    w.build,
 		Done:     w.done,
 	}, now+writeTimeout)
@@ -213,12 +214,12 @@
 // once the job has its final mark.
 func (t *Table) buildSegmentWrite(in *kv.Txn, j *Job, index int, term kv.Compare) bool {
 	ch := &j.Segments[index]
-	key := runKey(j.ID, index)
+	key := record.RunKey(j.ID, index)
 	ch.placing = false
 	c := t.content(j, index)
 	in.Compares = []kv.Compare{term, {Key: key, ModRevision: ch.ModRevision}}
 	if j.TerminalPhase == Queued {
-		in.Compares = append(in.Compares, kv.Compare{Key: TerminalKeyOf(j.ID)})
+		in.Compares = append(in.Compares, kv.Compare{Key: record.TerminalKey(j.ID)})
 	} else if len(c.active)+len(c.placements) == 0 {
 		return ch.buildDrop(in, key)
 	}
--- a/internal/pipeline/graph_test.go
+++ b/internal/pipeline/graph_test.go
@@ -6,6 +6,8 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"lugward/internal/record"
 )
 
 func TestDiamondReady(t *testing.T) {
@@ -27,7 +29,7 @@
 	// The ready mark counts whichever controller wrote it.
 	ready := *d
 	ready.Ready = true
-	r.write(JobKey, d.ID, Encode(r.Names, &ready))
+	r.write(record.KindJob, d.ID, EncodeJob(r.Names, &ready))
 	expect(t, "ready", idsOf(r.Releasable()), "")
 	expect(t, "to be placed", idsOf(r.ReadyJobs()), "4")
 	if len(r.graph.dependents)+len(r.graph.releasable) != 0 {
@@ -65,7 +67,7 @@
 	expect(t, "upstream cancelled", r.upstreamCancelledIDs(), "2 3 4 7 8")
 	// Once it has its own mark, jobs below it follow from that.
 	r.final(7, Cancelled)
-	r.write(JobKey, id(7), nil)
+	r.write(record.KindJob, id(7), nil)
 	r.job(9, nil, 7)
 	expect(t, "upstream cancelled", r.upstreamCancelledIDs(), "2 3 4 8 9")
 	if r.Job(id(7)) != nil {
@@ -89,7 +91,7 @@
 func (r *fixture) derivedState() string {
 	r.inherit()
 	var b strings.Builder
-	var names []string
+	names := make([]string, 0, len(r.byID))
 	for id := range r.byID {
 		names = append(names, id)
 	}
@@ -136,9 +138,9 @@
 // writeParts stores a job's list of upstream jobs in two parts, the first of which
 // has so many of them.
 func (r *fixture) writeParts(j *Job, first int) {
-	r.write(UpstreamPageKey, j.ID+"/0", EncodeUpstreamPages(j.Upstream[:first], 4096)[0])
+	r.write(record.KindUpstreamPage, j.ID+"/0", record.EncodeUpstreamPages(j.Upstream[:first], 4096)[0])
 	version := r.revision
-	r.write(UpstreamPageKey, j.ID+"/1", EncodeUpstreamPages(j.Upstream[first:], 4096)[0])
+	r.write(record.KindUpstreamPage, j.ID+"/1", record.EncodeUpstreamPages(j.Upstream[first:], 4096)[0])
 	j.listInParts(2, version)
 }
 
--- a/internal/pipeline/inherit_test.go
+++ b/internal/pipeline/inherit_test.go
@@ -1,10 +1,11 @@
 package pipeline
 
 import (
-	"lugward/internal/event"
 	"slices"
 	"testing"
 	"time"
+
+	"lugward/internal/event"
 )
 
 // checkDerived compares effective values with the plain definition.
@@ -93,16 +94,16 @@
 	r.SetClock(50*time.Second, time.Unix(5000, 0)) // monotonic time 0 is 4950 s
 	j := r.job(1, func(j *Job) { j.SubmittedAt, j.ReadyAt, j.Deadline = 4900_000, 4960_000, 100 })
 	if j.ReadySince != 10*time.Second || j.EffectiveDeadline != 50*time.Second {
-		t.Errorf("ready since %v, due at %v", time.Duration(j.ReadySince), time.Duration(j.EffectiveDeadline))
+		t.Errorf("ready since %v, due at %v", j.ReadySince, j.EffectiveDeadline)
 	}
 	j = r.job(2, func(j *Job) { j.SubmittedAt, j.Deadline = 4900_000, 100 })
 	if j.ReadySince != -50*time.Second || j.ReadyAt != 4900_000 {
-		t.Errorf("ready since %v, at %d", time.Duration(j.ReadySince), j.ReadyAt)
+		t.Errorf("ready since %v, at %d", j.ReadySince, j.ReadyAt)
 	}
 	// A clock that is ahead puts nothing into the future; an old record has no times.
 	for _, at := range []int64{9000_000, 0} {
 		if j = r.job(3+int(at), func(j *Job) { j.SubmittedAt, j.Deadline = at, 100 }); j.ReadySince != r.now || j.EffectiveDeadline != r.now+100*time.Second {
-			t.Errorf("at %d: ready since %v, due at %v", at, time.Duration(j.ReadySince), time.Duration(j.EffectiveDeadline))
+			t.Errorf("at %d: ready since %v, due at %v", at, j.ReadySince, j.EffectiveDeadline)
 		}
 	}
 }
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -10,6 +10,7 @@
 
 	"lugward/internal/event"
 	"lugward/internal/intern"
+	"lugward/internal/record"
 )
 
 // Shape of a job.
@@ -44,6 +45,9 @@
 	Cancelled
 )
 
+// AnyZone is the zone of a job that may run in any.
+const AnyZone = -1
+
 // Spec is what a job asks for, with names as dense indices.
 type Spec struct {
 	Class, Team        int
@@ -54,7 +58,7 @@
 	Image              int
 	ImageGB            float64
 	MachineTypes       []int // nil: any
-	Zone               int   // -1: any
+	Zone               int   // AnyZone: any
 	SameZone           bool
 	SpreadZones        bool
 	AllowSpot          bool
@@ -136,8 +140,8 @@
 	ID    string
 	Index int // in the table's list of jobs
 	Spec
-	Owner   string       // the controller that writes its ready mark
-	unknown recordFields // of its record, stored by a later version
+	Owner   string        // the controller that writes its ready mark
+	unknown record.Fields // of its record, stored by a later version
 
 	// Upstream are the upstream jobs that the record itself lists. If UpstreamPages
 	// is not 0, the list is stored in that many keys instead. SubmissionRevision is then the
@@ -225,8 +229,8 @@
 	Attempt     uint64              // highest attempt used
 	Done        []uint64            // bitmap of the tasks that are stored as done
 	Assignments map[int]*Assignment // by task: stored ones, and placements not stored yet
-	compacted   bool                // stored in the compact format
-	unknown     recordFields        // stored by a later version
+	format      record.Format       // of the stored record
+	unknown     record.Fields       // stored by a later version
 	segmentWrites
 }
 
@@ -260,7 +264,7 @@
 	if index >= len(j.Segments) || j.Segments[index].Done == nil {
 		return false
 	}
-	return j.Segments[index].Done[bit/bitsPerWord]>>(bit%bitsPerWord)&1 == 1
+	return j.Segments[index].Done[bit/record.BitsPerWord]>>(bit%record.BitsPerWord)&1 == 1
 }
 
 // Assignment returns the entry of a task, or nil.
--- a/internal/pipeline/marks.go
+++ b/internal/pipeline/marks.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"lugward/internal/kv"
+	"lugward/internal/record"
 )
 
 const (
@@ -66,7 +67,7 @@
 	ready.SubmissionRevision = 0
 	j.submitRecordWrite(&t.graph.readinessWritesInFlight, now, s, &kv.Txn{
 		Priority: kv.PriorityPlacement,
-		Writes:   []kv.Write{{Key: JobKeyOf(j.ID), Data: Encode(t.Names, &ready)}},
+		Writes:   []kv.Write{{Key: record.JobKey(j.ID), Data: EncodeJob(t.Names, &ready)}},
 	})
 }
 
@@ -77,7 +78,7 @@
 	j.recordWriteInFlight = true
 	*inFlight++
 	in.Rank = j.writeRank()
-	in.Compares = []kv.Compare{{Key: JobKeyOf(j.ID), ModRevision: j.ModRevision}, {Key: TerminalKeyOf(j.ID)}}
+	in.Compares = []kv.Compare{{Key: record.JobKey(j.ID), ModRevision: j.ModRevision}, {Key: record.TerminalKey(j.ID)}}
 	in.Done = func(r kv.Result) {
 		j.recordWriteInFlight = false
 		*inFlight--
@@ -108,6 +109,6 @@
 func (t *Table) writeCancellation(j *Job, now time.Duration, s TxnSubmitter) {
 	j.submitRecordWrite(&t.graph.cancellationWritesInFlight, now, s, &kv.Txn{
 		Priority: kv.PriorityProgress,
-		Writes:   []kv.Write{{Key: TerminalKeyOf(j.ID), Data: EncodeTerminal(Cancelled, j)}, {Key: JobKeyOf(j.ID)}},
+		Writes:   []kv.Write{{Key: record.TerminalKey(j.ID), Data: EncodeTerminal(Cancelled, j)}, {Key: record.JobKey(j.ID)}},
 	})
 }
--- a/internal/pipeline/marks_test.go
+++ b/internal/pipeline/marks_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"lugward/internal/kv"
+	"lugward/internal/record"
 )
 
 // Several controllers may write a ready mark: only the replica shows that one of
@@ -24,7 +25,7 @@
 		t.Fatalf("%d writes", len(q.list))
 	}
 	in := q.next(t)
-	if !slices.Contains(in.Compares, kv.Compare{Key: JobKeyOf(j.ID), ModRevision: j.ModRevision}) || !slices.Contains(in.Compares, kv.Compare{Key: TerminalKeyOf(j.ID)}) {
+	if !slices.Contains(in.Compares, kv.Compare{Key: record.JobKey(j.ID), ModRevision: j.ModRevision}) || !slices.Contains(in.Compares, kv.Compare{Key: record.TerminalKey(j.ID)}) {
 		t.Errorf("conditions %v", in.Compares)
 	}
 	in.Done(kv.Result{Outcome: kv.Conflict, Now: now})
@@ -73,7 +74,7 @@
 			}
 			r.revision++
 			for _, w := range in.Writes {
-				kind, rest := kv.SplitKey(w.Key)
+				kind, rest := splitKey(w.Key)
 				r.log = append(r.log, line{kind, rest, w.Data, r.revision})
 			}
 			carryOut(r.Table, in, r.revision)
@@ -114,7 +115,7 @@
 	r.final(1, Cancelled)
 	q := &queue{}
 	r.WriteCancellations(time.Second, q, func(j *Job) bool { return j.Owner == "n0" })
-	if len(q.list) != 1 || q.list[0].Writes[0].Key != TerminalKeyOf(id(3)) {
+	if len(q.list) != 1 || q.list[0].Writes[0].Key != record.TerminalKey(id(3)) {
 		t.Errorf("%d marks", len(q.list))
 	}
 }
@@ -132,7 +133,7 @@
 	q := &queue{}
 	r.WriteReadiness(time.Second, q, func(*Job) bool { return true })
 	r.WriteReadiness(time.Second, q, func(*Job) bool { return true })
-	if len(q.list) != maxReadinessWrites || q.list[0].Writes[0].Key != JobKeyOf(id(209)) || q.list[1].Writes[0].Key != JobKeyOf(id(10)) {
+	if len(q.list) != maxReadinessWrites || q.list[0].Writes[0].Key != record.JobKey(id(209)) || q.list[1].Writes[0].Key != record.JobKey(id(10)) {
 		t.Errorf("%d marks, first %s", len(q.list), q.list[0].Writes[0].Key)
 	}
 	marked := 0
--- a/internal/pipeline/parts.go
+++ b/internal/pipeline/parts.go
@@ -1,15 +1,13 @@
 package pipeline
 
 import (
-	"encoding/json"
 	"maps"
 	"slices"
-	"strconv"
-	"strings"
 	"time"
 
 	"lugward/internal/event"
 	"lugward/internal/kv"
+	"lugward/internal/record"
 )
 
 const (
@@ -23,16 +21,6 @@
 	SubmissionAttemptTimeout = 6 * time.Second
 )
 
-// UpstreamPageKey is the kind of the keys that store a long list of upstream jobs:
-// u/<id>/<n>. Part 0's version stands for the attempt to submit the job: the
-// other parts and the job's record are written on condition of it.
-const UpstreamPageKey = "u"
-
-// UpstreamPageKeyOf names a part of a job's list.
-func UpstreamPageKeyOf(id string, n int) string {
-	return UpstreamPageKey + "/" + id + "/" + strconv.Itoa(n)
-}
-
 // upstreamPage is one stored part of a list of upstream jobs.
 type upstreamPage struct {
 	modRevision uint64
@@ -45,43 +33,6 @@
 	shownSince event.Time // when page 0 showed, or any if it has none
 }
 
-// idPrefix begins the IDs of all jobs; stored lists leave it out.
-const idPrefix = "req-"
-
-// pageIDOverhead is what an ID adds to a part beside itself, in bytes: the space
-// before it and the quote that ends the part.
-const pageIDOverhead = 2
-
-// EncodeUpstreamPages returns the stored form of a list of upstream jobs, in values
-// of at most limit bytes.
-func EncodeUpstreamPages(ids []string, limit int) [][]byte {
-	var list [][]byte
-	text := []byte{'"'}
-	for _, id := range ids {
-		id = strings.TrimPrefix(id, idPrefix)
-		if len(text) > 1 && len(text)+len(id)+pageIDOverhead > limit {
-			list = append(list, append(text, '"'))
-			text = []byte{'"'}
-		}
-		if len(text) > 1 {
-			text = append(text, ' ')
-		}
-		text = append(text, id...)
-	}
-	return append(list, append(text, '"'))
-}
-
-func decodeUpstreamPage(data []byte) (ids []string, ok bool) {
-	var text string
-	if json.Unmarshal(data, &text) != nil {
-		return nil, false
-	}
-	for _, id := range strings.Fields(text) {
-		ids = append(ids, idPrefix+id)
-	}
-	return ids, true
-}
-
 // onUpstreamPage takes a part of the replica.
 func (t *Table) onUpstreamPage(id string, n int, data []byte, version uint64) {
 	p := t.graph.pages[id]
@@ -94,8 +45,8 @@
 		}
 		return
 	}
-	ids, ok := decodeUpstreamPage(data)
-	if !ok {
+	ids, err := record.DecodeUpstreamPage(data)
+	if err != nil {
 		ids = nil // damaged: it counts as a part, so that it is deleted with the others
 	}
 	if p == nil {
@@ -138,7 +89,7 @@
 	if p == nil {
 		return 0, 0
 	}
-	return p.byNumber[0].modRevision, now - time.Duration(p.shownSince)
+	return p.byNumber[0].modRevision, now - p.shownSince
 }
 
 // DeleteStaleUpstreamPages deletes the lists that nobody needs: those of jobs that are ready
@@ -193,17 +144,17 @@
 func (t *Table) deletePage(id string, n int, now time.Duration, term kv.Compare, s TxnSubmitter) {
 	conditions := []kv.Compare{term}
 	if n != 0 {
-		conditions = append(conditions, kv.Compare{Key: UpstreamPageKeyOf(id, 0)})
+		conditions = append(conditions, kv.Compare{Key: record.UpstreamPageKey(id, 0)})
 	}
-	conditions = append(conditions, kv.Compare{Key: UpstreamPageKeyOf(id, n), ModRevision: t.graph.pages[id].byNumber[n].modRevision})
+	conditions = append(conditions, kv.Compare{Key: record.UpstreamPageKey(id, n), ModRevision: t.graph.pages[id].byNumber[n].modRevision})
 	if !t.accepted(id) {
-		conditions = append(conditions, kv.Compare{Key: JobKeyOf(id)})
+		conditions = append(conditions, kv.Compare{Key: record.JobKey(id)})
 	}
 	t.graph.pageDeletionsInFlight++
 	s.Submit(&kv.Txn{
 		Priority: kv.PriorityProgress,
 		Compares: conditions,
-		Writes:   []kv.Write{{Key: UpstreamPageKeyOf(id, n)}},
+		Writes:   []kv.Write{{Key: record.UpstreamPageKey(id, n)}},
 		Done:     func(kv.Result) { t.graph.pageDeletionsInFlight-- },
 	}, now+writeTimeout)
 }
--- a/internal/pipeline/parts_test.go
+++ b/internal/pipeline/parts_test.go
@@ -1,35 +1,14 @@
 package pipeline
 
 import (
-	"fmt"
 	"slices"
 	"testing"
 	"time"
 
 	"lugward/internal/kv"
+	"lugward/internal/record"
 )
 
-func TestEncodeParts(t *testing.T) {
-	var list []string
-	for i := range 900 {
-		list = append(list, fmt.Sprintf("req-%d", i*i*i*i))
-	}
-	var back []string
-	for _, p := range EncodeUpstreamPages(list, 2048) {
-		if len(p) > 2048 {
-			t.Errorf("a part of %d bytes", len(p))
-		}
-		got, ok := decodeUpstreamPage(p)
-		if !ok {
-			t.Fatalf("%s", p)
-		}
-		back = append(back, got...)
-	}
-	if !slices.Equal(list, back) {
-		t.Error("not the same list")
-	}
-}
-
 // A job whose list is not whole, or is still that of an older attempt, is
 // neither releasable nor cancelled by it.
 func TestPartsOfAttempts(t *testing.T) {
@@ -38,35 +17,35 @@
 	r.job(2, nil)
 	r.final(1, Cancelled)
 	r.final(2, Done)
-	p := func(n int) []byte { return EncodeUpstreamPages([]string{id(n)}, 4096)[0] }
-	r.write(UpstreamPageKey, id(5)+"/0", p(1)) // abandoned
-	r.write(UpstreamPageKey, id(5)+"/1", p(1))
+	p := func(n int) []byte { return record.EncodeUpstreamPages([]string{id(n)}, 4096)[0] }
+	r.write(record.KindUpstreamPage, id(5)+"/0", p(1)) // abandoned
+	r.write(record.KindUpstreamPage, id(5)+"/1", p(1))
 	old := r.revision
 	r.revision += 10
 	j := r.job(5, func(j *Job) { j.listInParts(2, old+3) }, 9)
 	if j.linked || j.upstreamCancelled || len(r.Releasable()) != 0 {
 		t.Fatal("linked by an abandoned list")
 	}
-	r.HandleChange(UpstreamPageKey, id(5)+"/0", p(2), old+3)
+	r.HandleChange(record.KindUpstreamPage, id(5)+"/0", p(2), old+3)
 	if j.linked {
 		t.Fatal("linked by half a list")
 	}
-	r.HandleChange(UpstreamPageKey, id(5)+"/1", p(2), old+4)
+	r.HandleChange(record.KindUpstreamPage, id(5)+"/1", p(2), old+4)
 	expect(t, "held", idsOf(r.Releasable()), "5")
 	// The list may go once it is ready; what was linked stays linked till then.
-	r.HandleChange(UpstreamPageKey, id(5)+"/0", nil, r.revision+1)
+	r.HandleChange(record.KindUpstreamPage, id(5)+"/0", nil, r.revision+1)
 	expect(t, "held", idsOf(r.Releasable()), "5")
 }
 
 func TestDeleteStaleParts(t *testing.T) {
 	r := newFixture()
-	part := EncodeUpstreamPages([]string{id(1)}, 4096)[0]
+	part := record.EncodeUpstreamPages([]string{id(1)}, 4096)[0]
 	r.job(1, nil)
 	for _, k := range []string{"/0", "/1", "/2"} {
-		r.write(UpstreamPageKey, id(2)+k, part) // left behind
+		r.write(record.KindUpstreamPage, id(2)+k, part) // left behind
 	}
 	first := r.graph.pages[id(2)].byNumber[0].modRevision
-	r.write(UpstreamPageKey, id(3)+"/0", part)
+	r.write(record.KindUpstreamPage, id(3)+"/0", part)
 	held := r.job(3, func(j *Job) { j.listInParts(1, r.revision) }, 1)
 	q := &queue{}
 	r.DeleteStaleUpstreamPages(time.Minute, term, q)
@@ -75,13 +54,13 @@
 	}
 	r.DeleteStaleUpstreamPages(2*time.Minute, term, q)
 	r.DeleteStaleUpstreamPages(2*time.Minute, term, q)
-	if len(q.list) != 1 || q.list[0].Writes[0].Key != UpstreamPageKeyOf(id(2), 0) ||
-		!slices.Contains(q.list[0].Compares, kv.Compare{Key: UpstreamPageKeyOf(id(2), 0), ModRevision: first}) || !slices.Contains(q.list[0].Compares, kv.Compare{Key: JobKeyOf(id(2))}) {
+	if len(q.list) != 1 || q.list[0].Writes[0].Key != record.UpstreamPageKey(id(2), 0) ||
+		!slices.Contains(q.list[0].Compares, kv.Compare{Key: record.UpstreamPageKey(id(2), 0), ModRevision: first}) || !slices.Contains(q.list[0].Compares, kv.Compare{Key: record.JobKey(id(2))}) {
 		t.Fatalf("%d drops", len(q.list))
 	}
 	carryOut(r.Table, q.next(t), r.revision+1)
 	r.DeleteStaleUpstreamPages(2*time.Minute, term, q)
-	if len(q.list) != 2 || !slices.Contains(q.list[0].Compares, kv.Compare{Key: UpstreamPageKeyOf(id(2), 0)}) {
+	if len(q.list) != 2 || !slices.Contains(q.list[0].Compares, kv.Compare{Key: record.UpstreamPageKey(id(2), 0)}) {
 		t.Fatalf("%d drops", len(q.list))
 	}
 	carryOut(r.Table, q.next(t), r.revision+2)
@@ -94,7 +73,7 @@
 	ready.UpstreamPages = 0
 	ready.SubmissionRevision = 0
 	r.revision += 5
-	r.write(JobKey, held.ID, Encode(r.Names, &ready))
+	r.write(record.KindJob, held.ID, EncodeJob(r.Names, &ready))
 	r.DeleteStaleUpstreamPages(2*time.Minute, term, q)
 	carryOut(r.Table, q.next(t), r.revision+1)
 	if len(r.graph.pages) != 0 {
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -1,7 +1,6 @@
 package pipeline
 
 import (
-	"encoding/json"
 	"hash/fnv"
 	"maps"
 	"math/rand/v2"
@@ -10,13 +9,9 @@
 
 	"lugward/internal/event"
 	"lugward/internal/kv"
+	"lugward/internal/record"
 )
 
-// RetryKey is the kind of the keys e/<id> that store how often a job has failed
-// in a row and when it may be tried again, so that a new leader does not begin
-// anew with a job that fails on every machine. Earlier versions ignore them.
-const RetryKey = "e"
-
 const (
 	// retryBase is the pause after the first failed attempt.
 	retryBase = 5 * time.Second
@@ -37,17 +32,10 @@
 	maxDoublings = 8
 )
 
-// retryRecord is the stored form of a job's retry state.
-type retryRecord struct {
-	Failures  int   `json:"n"`
-	NotBefore int64 `json:"u"` // unix ms
-}
-
-// storedRetry is a retry record as the replica shows it.
+// storedRetry is a retry state as the replica shows it.
 type storedRetry struct {
-	retryRecord
-	version uint64
-	unknown recordFields // of a later version
+	record.Retry
+	modRevision uint64
 }
 
 // retryState is what a job's failures so far mean for its next attempt. Failures
@@ -224,14 +212,14 @@
 
 // onRetry takes a retry record of the replica.
 func (t *Table) onRetry(id string, data []byte, version uint64) {
-	var r retryRecord
-	switch {
-	case data == nil:
+	if data == nil {
 		delete(t.storedRetries, id)
-	case json.Unmarshal(data, &r) != nil:
-		return // damaged
-	default:
-		t.storedRetries[id] = storedRetry{r, version, unknownFields(data, retryFields)}
+	} else {
+		retry, err := record.DecodeRetry(data)
+		if err != nil {
+			return
+		}
+		t.storedRetries[id] = storedRetry{retry, version}
 	}
 	if j := t.byID[id]; j != nil {
 		t.loadRetry(j)
@@ -281,21 +269,21 @@
 func (t *Table) writeRetry(j *Job, now time.Duration, term kv.Compare, s TxnSubmitter) {
 	j.retry.queued = true
 	written := 0
-	intent := &kv.Txn{Priority: kv.PriorityProgress, Rank: j.writeRank(), BuildKey: RetryKeyOf(j.ID)}
+	intent := &kv.Txn{Priority: kv.PriorityProgress, Rank: j.writeRank(), BuildKey: record.RetryKey(j.ID)}
 	intent.Build = func(intent *kv.Txn) bool {
 		stored := t.storedRetries[j.ID]
-		if !j.retry.dirty || j.TerminalPhase != Queued || (j.retry.failures == 0 && stored.version == 0) {
+		if !j.retry.dirty || j.TerminalPhase != Queued || (j.retry.failures == 0 && stored.modRevision == 0) {
 			j.retry.dirty = false
 			return false
 		}
 		written = j.retry.failures
 		intent.Compares = []kv.Compare{
 			term,
-			{Key: JobKeyOf(j.ID), ModRevision: j.ModRevision},
-			{Key: TerminalKeyOf(j.ID)},
-			{Key: RetryKeyOf(j.ID), ModRevision: stored.version},
+			{Key: record.JobKey(j.ID), ModRevision: j.ModRevision},
+			{Key: record.TerminalKey(j.ID)},
+			{Key: record.RetryKey(j.ID), ModRevision: stored.modRevision},
 		}
-		intent.Writes = []kv.Write{{Key: RetryKeyOf(j.ID), Data: t.encodeRetry(j)}}
+		intent.Writes = []kv.Write{{Key: record.RetryKey(j.ID), Data: t.encodeRetry(j)}}
 		return true
 	}
 	intent.Done = func(result kv.Result) {
@@ -314,19 +302,14 @@
 	if j.retry.failures == 0 {
 		return nil
 	}
-	data, err := json.Marshal(retryRecord{
+	retry := record.Retry{
 		Failures:  j.retry.failures,
 		NotBefore: t.UnixMS(j.retry.notBefore),
-	})
-	if err != nil {
-		panic(err) // two integers
+		Unknown:   t.storedRetries[j.ID].Unknown,
 	}
-	return t.storedRetries[j.ID].unknown.appendTo(data)
+	return retry.Encode()
 }
 
-// RetryKeyOf is the key of a job's retry state.
-func RetryKeyOf(id string) string { return RetryKey + "/" + id }
-
 // orphanedRetries lists retry records of jobs that are over and cleaned up, as a
 // leader of an earlier version leaves them behind; at most limit.
 func (t *Table) orphanedRetries(limit int) []string {
@@ -343,8 +326,8 @@
 // deleteOrphanedRetries drops the retry records of jobs that are over.
 func (t *Table) deleteOrphanedRetries(now time.Duration, term kv.Compare, s TxnSubmitter, limit int) {
 	for _, id := range t.orphanedRetries(limit) {
-		key := RetryKeyOf(id)
-		condition := kv.Compare{Key: key, ModRevision: t.storedRetries[id].version}
+		key := record.RetryKey(id)
+		condition := kv.Compare{Key: key, ModRevision: t.storedRetries[id].modRevision}
 		t.retryDeletionsInFlight[id] = true
 		s.Submit(&kv.Txn{
 			Priority: kv.PriorityCleanup,
--- a/internal/pipeline/retry_test.go
+++ b/internal/pipeline/retry_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"lugward/internal/kv"
+	"lugward/internal/record"
 )
 
 // A job whose tasks fail on one machine tries another at once; one that fails on
@@ -14,7 +15,7 @@
 // with a single task.
 func TestJobBacksOffOnce(t *testing.T) {
 	tb, j := newJob(t, 8)
-	var entries []*Assignment
+	entries := make([]*Assignment, 0, 6)
 	for task := range 6 {
 		entries = append(entries, tb.Assign(j, task, task/2, 0, 1))
 	}
@@ -70,7 +71,7 @@
 	j.Shape = Gang
 	fail := func(now time.Duration) {
 		attempt := j.MaxAttempt() + 1
-		var entries []*Assignment
+		entries := make([]*Assignment, 0, 3)
 		for task := range 3 {
 			entries = append(entries, tb.Assign(j, task, task, attempt, now))
 		}
@@ -138,14 +139,14 @@
 	other := NewTable(&Names{}, 4096, 12)
 	other.SetClock(time.Hour, time.UnixMilli(1_002_000))
 	other.SetNow(time.Hour)
-	other.HandleChange(RetryKey, j.ID, []byte(`{"n":3,"u":1010000}`), 7)
-	other.HandleChange(JobKey, j.ID, Encode(tb.Names, j), 1)
+	other.HandleChange(record.KindRetry, j.ID, []byte(`{"n":3,"u":1010000}`), 7)
+	other.HandleChange(record.KindJob, j.ID, EncodeJob(tb.Names, j), 1)
 	o := other.Job(j.ID)
 	if o.Failures() != 3 || !o.BackingOff(time.Hour+7*time.Second) || o.BackingOff(time.Hour+9*time.Second) {
 		t.Errorf("another controller reads %d failures", o.Failures())
 	}
 	// A clock that is far ahead can't put the job off for long.
-	other.HandleChange(RetryKey, j.ID, []byte(`{"n":4,"u":9999999999}`), 8)
+	other.HandleChange(record.KindRetry, j.ID, []byte(`{"n":4,"u":9999999999}`), 8)
 	if o.BackingOff(time.Hour + retryCap) {
 		t.Error("a clock that is ahead holds the job up")
 	}
@@ -153,7 +154,7 @@
 	tb.ClearFailures(j)
 	tb.FlushRetries(time.Minute, term, q)
 	write := q.next(t)
-	if len(write.Writes) != 1 || write.Writes[0].Data != nil || write.Writes[0].Key != RetryKeyOf(j.ID) {
+	if len(write.Writes) != 1 || write.Writes[0].Data != nil || write.Writes[0].Key != record.RetryKey(j.ID) {
 		t.Errorf("%+v is written", write.Writes)
 	}
 	carryOut(tb, write, 9)
@@ -167,8 +168,8 @@
 // ended the job: that one does not know such records.
 func TestRetryRecordGoes(t *testing.T) {
 	tb, j := newJob(t, 2)
-	tb.HandleChange(RetryKey, j.ID, []byte(`{"n":2,"u":1}`), 5)
-	tb.HandleChange(TerminalKey, j.ID, EncodeTerminal(Cancelled, j), 6)
+	tb.HandleChange(record.KindRetry, j.ID, []byte(`{"n":2,"u":1}`), 5)
+	tb.HandleChange(record.KindTerminal, j.ID, EncodeTerminal(Cancelled, j), 6)
 	q := &queue{}
 	tb.CollectGarbage(0, term, q, 10)
 	for len(q.list) > 0 {
@@ -180,7 +181,7 @@
 		t.Fatalf("%d drops", len(q.list))
 	}
 	drop := q.next(t)
-	if drop.Priority != kv.PriorityCleanup || drop.Writes[0].Key != RetryKeyOf(j.ID) || drop.Compares[1].ModRevision != 5 {
+	if drop.Priority != kv.PriorityCleanup || drop.Writes[0].Key != record.RetryKey(j.ID) || drop.Compares[1].ModRevision != 5 {
 		t.Errorf("%+v", drop)
 	}
 	carryOut(tb, drop, 8)
@@ -199,7 +200,7 @@
 		tb.RecordFailure(e, time.Second)
 		tb.RecordTermination(e)
 	}
-	var tried []int
+	tried := make([]int, 0, 5)
 	for range 5 {
 		task := j.ProbeTask()
 		tried = append(tried, task)
--- a/internal/pipeline/run.go
+++ b/internal/pipeline/run.go
@@ -1,24 +1,25 @@
 package pipeline
 
-import "math/bits"
+import (
+	"math/bits"
+
+	"lugward/internal/record"
+)
 
 // maxTasks bounds the tasks of a job as its run records number them, so that a
 // damaged key cannot make the table grow without end.
 const maxTasks = 1 << 20
 
-// bitsPerWord is the number of tasks that one word of a bitmap holds.
-const bitsPerWord = 64
-
 // setDone sets the bit of a task, counted from the start of its chunk.
 func setDone(done []uint64, task int) {
-	done[task/bitsPerWord] |= 1 << (task % bitsPerWord)
+	done[task/record.BitsPerWord] |= 1 << (task % record.BitsPerWord)
 }
 
 // segment returns a job's chunk by its index, growing the list.
 func (t *Table) segment(j *Job, index int) *Segment {
 	for len(j.Segments) <= index {
 		j.Segments = append(j.Segments, Segment{
-			Done:        make([]uint64, (t.segmentLen+bitsPerWord-1)/bitsPerWord),
+			Done:        make([]uint64, (t.segmentLen+record.BitsPerWord-1)/record.BitsPerWord),
 			Assignments: map[int]*Assignment{},
 		})
 	}
@@ -36,18 +37,18 @@
 	}
 	j := t.get(id)
 	ch := t.segment(j, index)
-	var active []runAssignment
+	var active []record.Assignment
 	if data != nil {
-		run, ok := decodeRun(data, len(ch.Done))
-		ch.compacted = run.compacted // also of a record that is refused
-		if !ok {
+		run, err := record.DecodeRun(data, len(ch.Done))
+		ch.format = run.Format // also of a record that is refused
+		if err != nil {
 			return
 		}
-		active = run.active
-		ch.unknown = run.unknown
-		ch.Attempt = max(ch.Attempt, run.attempt)
-		for word := range run.done {
-			ch.Done[word] |= run.done[word] // a done task stays done
+		active = run.Active
+		ch.unknown = run.Unknown
+		ch.Attempt = max(ch.Attempt, run.Attempt)
+		for word := range run.Done {
+			ch.Done[word] |= run.Done[word] // a done task stays done
 		}
 	}
 	ch.ModRevision = version
@@ -67,17 +68,17 @@
 
 // storeAssignments marks the entries that a chunk's record lists as durable, adding
 // those that are not known. It returns them by task.
-func (t *Table) storeAssignments(j *Job, ch *Segment, active []runAssignment) map[int]*Assignment {
+func (t *Table) storeAssignments(j *Job, ch *Segment, active []record.Assignment) map[int]*Assignment {
 	stored := map[int]*Assignment{}
 	for _, a := range active {
-		machine := t.Names.Machines.Index(a.machine)
-		e := ch.Assignments[a.task]
-		if e == nil || e.Machine != machine || e.Attempt != a.attempt {
+		machine := t.Names.Machines.Index(a.Machine)
+		e := ch.Assignments[a.Task]
+		if e == nil || e.Machine != machine || e.Attempt != a.Attempt {
 			if e != nil {
 				t.removeAssignment(e)
 			}
-			e = &Assignment{Job: j, Task: a.task, Machine: machine, Attempt: a.attempt}
-			ch.Assignments[a.task] = e
+			e = &Assignment{Job: j, Task: a.Task, Machine: machine, Attempt: a.Attempt}
+			ch.Assignments[a.Task] = e
 			t.addAssignment(e)
 		}
 		if !e.Durable {
@@ -85,7 +86,7 @@
 		}
 		e.Durable = true
 		e.sent = true
-		stored[a.task] = e
+		stored[a.Task] = e
 	}
 	return stored
 }
--- a/internal/pipeline/size.go
+++ b/internal/pipeline/size.go
@@ -1,47 +1,56 @@
 package pipeline
 
 import (
+	"cmp"
 	"maps"
 	"slices"
 	"sort"
+
+	"lugward/internal/record"
 )
 
-// fit encodes a chunk within the limit on values: in the plain format, which every
+// fit encodes a segment within the limit on values: in the plain format, which every
 // version reads, while that fits, else in the compact one once every controller is
 // known to read it. Placements that are not stored yet are left out until they fit,
 // those of a gang all together; taken are those that are not left out.
 func (t *Table) fit(j *Job, ch *Segment, c segmentContent) (data []byte, taken []*Assignment) {
+	slices.SortFunc(c.placements, func(a, b *Assignment) int { return cmp.Compare(a.Task, b.Task) })
+	active := t.assignmentRecords(c.active)
+	placements := t.assignmentRecords(c.placements)
 	encode := func(count int) []byte {
-		return t.encodeChunk(ch, c.done, slices.Concat(c.active, c.placements[:count]))
+		return t.encodeSegment(ch, c.done, slices.Concat(active, placements[:count]))
 	}
-	data = encode(len(c.placements))
-	if len(data) <= t.ValueLimit || len(c.placements) == 0 {
+	data = encode(len(placements))
+	if len(data) <= t.ValueLimit || len(placements) == 0 {
 		return data, c.placements
 	}
-	sort.Slice(c.placements, func(a, b int) bool { return c.placements[a].Task < c.placements[b].Task })
 	count := 0
 	if j.Shape != Gang {
-		count = sort.Search(len(c.placements), func(count int) bool { return len(encode(count+1)) > t.ValueLimit })
+		count = sort.Search(len(placements), func(count int) bool { return len(encode(count+1)) > t.ValueLimit })
 	}
 	return encode(count), c.placements[:count]
 }
 
-// encodeChunk encodes a chunk's record, plain if it fits or must be plain.
-func (t *Table) encodeChunk(ch *Segment, done []uint64, active []*Assignment) []byte {
-	data := ch.unknown.appendTo(encodeRun(t.Names, ch.Attempt, done, active, plainFormat))
+// assignmentRecords returns the stored form of assignments.
+func (t *Table) assignmentRecords(assignments []*Assignment) []record.Assignment {
+	list := make([]record.Assignment, len(assignments))
+	for i, e := range assignments {
+		list[i] = record.Assignment{Task: e.Task, Attempt: e.Attempt, Machine: t.Names.Machines.Name(e.Machine)}
+	}
+	return list
+}
+
+// encodeSegment encodes a segment's record, plain if it fits or must be plain.
+func (t *Table) encodeSegment(ch *Segment, done []uint64, active []record.Assignment) []byte {
+	run := record.Run{Attempt: ch.Attempt, Done: done, Active: active, Unknown: ch.unknown}
+	data := run.Encode()
 	if len(data) > t.ValueLimit && t.AllControllersUpgraded() {
-		data = ch.unknown.appendTo(encodeRun(t.Names, ch.Attempt, done, active, compactFormat))
+		run.Format = record.Compact
+		data = run.Encode()
 	}
 	return data
 }
 
-// VersionKey is the kind of the keys v/<label> by which each controller shows,
-// for good, that it runs this version.
-const VersionKey = "v"
-
-// Version is what is stored there.
-var Version = []byte(`{"v":3}`)
-
 // AllControllersUpgraded reports whether every controller has shown that it runs this version.
 func (t *Table) AllControllersUpgraded() bool {
 	for _, label := range t.ControllerLabels {
@@ -59,7 +68,7 @@
 			continue
 		}
 		for index := range j.Segments {
-			if j.Segments[index].compacted && j.Segments[index].ModRevision != 0 {
+			if j.Segments[index].format == record.Compact && j.Segments[index].ModRevision != 0 {
 				count++
 			}
 		}
@@ -77,7 +86,7 @@
 		}
 		for index := range j.Segments {
 			ch := &j.Segments[index]
-			if !ch.compacted || ch.dirty || ch.ModRevision == 0 {
+			if ch.format == record.Plain || ch.dirty || ch.ModRevision == 0 {
 				continue
 			}
 			if limit == 0 {
@@ -93,7 +102,7 @@
 
 // fitsPlain reports whether a chunk as it is fits in the plain format.
 func (t *Table) fitsPlain(ch *Segment) bool {
-	active := slices.Collect(maps.Values(ch.Assignments))
-	data := encodeRun(t.Names, ch.Attempt, ch.Done, active, plainFormat)
-	return len(ch.unknown.appendTo(data)) <= t.ValueLimit
+	assignments := slices.Collect(maps.Values(ch.Assignments))
+	run := record.Run{Attempt: ch.Attempt, Done: ch.Done, Active: t.assignmentRecords(assignments), Unknown: ch.unknown}
+	return len(run.Encode()) <= t.ValueLimit
 }
--- a/internal/pipeline/size_test.go
+++ b/internal/pipeline/size_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"lugward/internal/kv"
+	"lugward/internal/record"
 )
 
 // limited returns a table whose state service will take values of 2 KiB, with a
@@ -17,7 +18,7 @@
 	tb.ValueLimit = 2048
 	tb.ControllerLabels = []string{"n0", "n1"}
 	j := &Job{ID: "req-2", Ready: true, Spec: Spec{TaskCount: 128, Shape: shape, CPUs: 1, Zone: -1}}
-	tb.HandleChange(JobKey, j.ID, Encode(tb.Names, j), 2)
+	tb.HandleChange(record.KindJob, j.ID, EncodeJob(tb.Names, j), 2)
 	return tb, tb.Job(j.ID)
 }
 
@@ -44,7 +45,7 @@
 // it is not written over and over, and goes on once all of them do.
 func TestLargeRecordWaits(t *testing.T) {
 	tb, j := limited(t, Array)
-	tb.HandleChange(VersionKey, "n0", Version, 3)
+	tb.HandleChange(record.KindVersion, "n0", record.Version, 3)
 	q := &queue{}
 	place(tb, j, 128)
 	now := time.Duration(0)
@@ -59,7 +60,7 @@
 			t.Fatalf("%d bytes", len(data))
 		}
 		for _, w := range in.Writes {
-			kind, rest := kv.SplitKey(w.Key)
+			kind, rest := splitKey(w.Key)
 			tb.HandleChange(kind, rest, w.Data, revision)
 		}
 		in.Done(kv.Result{Outcome: kv.Committed, Revision: revision, Now: now})
@@ -93,7 +94,7 @@
 	if got := durable(j); got <= part-10 || j.ActiveCount() != 118 {
 		t.Errorf("%d of %d stored", got, j.ActiveCount())
 	}
-	tb.HandleChange(VersionKey, "n1", Version, 6)
+	tb.HandleChange(record.KindVersion, "n1", record.Version, 6)
 	flush()
 	if data := written(7); !strings.Contains(data, `"a":"`) {
 		t.Errorf("not compact: %s", data)
@@ -112,7 +113,7 @@
 func TestExpandRecords(t *testing.T) {
 	tb, j := limited(t, Array)
 	for _, l := range tb.ControllerLabels {
-		tb.HandleChange(VersionKey, l, Version, 3)
+		tb.HandleChange(record.KindVersion, l, record.Version, 3)
 	}
 	q := &queue{}
 	place(tb, j, 128)
@@ -145,7 +146,7 @@
 	}
 	q.list = nil
 	for _, l := range tb.ControllerLabels {
-		tb.HandleChange(VersionKey, l, Version, 3)
+		tb.HandleChange(record.KindVersion, l, record.Version, 3)
 	}
 	tb.Flush(2*time.Second, term, q)
 	carryOut(tb, q.next(t), 4)
@@ -163,7 +164,7 @@
 		tb.ValueLimit = 2048
 		tb.ControllerLabels = []string{"n0"}
 		if all {
-			tb.HandleChange(VersionKey, "n0", Version, 1)
+			tb.HandleChange(record.KindVersion, "n0", record.Version, 1)
 		}
 		l := stored(t, "production_large.txt")[0]
 		if len(l.data) <= tb.ValueLimit {
@@ -173,7 +174,7 @@
 		id, _, _ := strings.Cut(l.rest, "/")
 		job := &Job{ID: id, Ready: true, Spec: Spec{TaskCount: 10_000, Zone: -1}}
 		nameSpec(tb.Names, &job.Spec)
-		tb.HandleChange(JobKey, id, Encode(tb.Names, job), l.version)
+		tb.HandleChange(record.KindJob, id, EncodeJob(tb.Names, job), l.version)
 		j := tb.Job(id)
 		before := durable(j)
 		var one *Assignment
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -3,10 +3,9 @@
 import (
 	"cmp"
 	"slices"
-	"strconv"
-	"strings"
 
 	"lugward/internal/event"
+	"lugward/internal/record"
 )
 
 // Table is the replica of the graph with the leader's pending writes.
@@ -86,24 +85,24 @@
 func (t *Table) Job(id string) *Job { return t.byID[id] }
 
 // HandleChange takes one change of the replica; data is nil if the key was deleted.
-func (t *Table) HandleChange(kind, rest string, data []byte, version uint64) {
+func (t *Table) HandleChange(kind record.Kind, rest string, data []byte, version uint64) {
 	switch kind {
-	case JobKey:
+	case record.KindJob:
 		t.onJob(rest, data, version)
-	case RunKey:
-		if id, index, ok := splitNumbered(rest); ok {
+	case record.KindRun:
+		if id, index, ok := record.SplitNumbered(rest); ok {
 			t.onRun(id, index, data, version)
 		}
-	case TerminalKey:
+	case record.KindTerminal:
 		if !t.onTerminal(rest, data) {
 			return
 		}
-	case RetryKey:
+	case record.KindRetry:
 		t.onRetry(rest, data, version)
-	case VersionKey:
+	case record.KindVersion:
 		t.upgraded[rest] = data != nil
-	case UpstreamPageKey:
-		if id, n, ok := splitNumbered(rest); ok {
+	case record.KindUpstreamPage:
+		if id, n, ok := record.SplitNumbered(rest); ok {
 			t.onUpstreamPage(id, n, data, version)
 		}
 	default:
@@ -112,23 +111,12 @@
 	t.RequestRound()
 }
 
-// splitNumbered splits what follows the kind in a key <kind>/<id>/<n>; not ok: the
-// key has another form, so it is none of ours.
-func splitNumbered(rest string) (id string, n int, ok bool) {
-	i := strings.LastIndexByte(rest, '/')
-	if i < 0 {
-		return "", 0, false
-	}
-	n, err := strconv.Atoi(rest[i+1:])
-	return rest[:i], n, err == nil && n >= 0
-}
-
 // get returns the job, adding an empty one for records that arrive first.
 func (t *Table) get(id string) *Job {
 	if j := t.byID[id]; j != nil {
 		return j
 	}
-	j := &Job{ID: id, Spec: Spec{Zone: -1}, EffectiveDeadline: NoDeadline}
+	j := &Job{ID: id, Spec: Spec{Zone: AnyZone}, EffectiveDeadline: NoDeadline}
 	j.segmentLen = t.segmentLen
 	j.deadlineAt = NoDeadline
 	j.propagatedDeadline = NoDeadline
@@ -183,9 +171,9 @@
 	wasReady := j.Ready
 	// Entries count by the spec; with none known yet they counted nothing.
 	t.recountUsage(j, -1)
-	ok := decode(t.Names, data, j)
+	err := decodeJob(t.Names, data, j)
 	t.recountUsage(j, 1)
-	if !ok {
+	if err != nil {
 		return
 	}
 	j.ModRevision = version
@@ -229,12 +217,3 @@
 	slices.SortFunc(list, byReadiness)
 	return list
 }
-
-// JobKeyOf is the key of a job's record.
-func JobKeyOf(id string) string { return JobKey + "/" + id }
-
-// TerminalKeyOf is the key of a job's final mark.
-func TerminalKeyOf(id string) string { return TerminalKey + "/" + id }
-
-// runKey is the key of the run record of a job's chunk.
-func runKey(id string, index int) string { return RunKey + "/" + id + "/" + strconv.Itoa(index) }
--- a/internal/pipeline/table_test.go
+++ b/internal/pipeline/table_test.go
@@ -5,13 +5,14 @@
 	"time"
 
 	"lugward/internal/kv"
+	"lugward/internal/record"
 )
 
 // A leader that ends between the last task's mark and the job's leaves a job
 // on which nothing is due any more: its successor must mark it.
 func TestSuccessorMarksCompleteJob(t *testing.T) {
 	tb, j := newJob(t, 2)
-	tb.HandleChange(RunKey, "req-1/0", []byte(`{"t":1,"d":"Aw"}`), 2)
+	tb.HandleChange(record.KindRun, "req-1/0", []byte(`{"t":1,"d":"Aw"}`), 2)
 	tb.Reset()
 	q := &queue{}
 	tb.Flush(0, term, q)
--- a/internal/pipeline/compact.go
+++ b/internal/record/compact.go
@@ -1,6 +1,7 @@
-package pipeline
+package record
 
 import (
+	"fmt"
 	"strconv"
 	"strings"
 	"unicode/utf8"
@@ -11,7 +12,7 @@
 const compactBase = 36
 
 // maxSpan bounds the tasks of a span, so that a damaged record cannot ask for more
-// memory than a chunk of the largest size.
+// memory than a segment of the largest size.
 const maxSpan = 1 << 10
 
 // attemptRule says which attempts the tasks of a record or a span are in.
@@ -43,11 +44,11 @@
 	return r.base
 }
 
-func (r attemptRule) holdsFor(e *Assignment) bool {
-	return r.attempt(int64(e.Task)) == int64(e.Attempt)
+func (r attemptRule) holdsFor(assignment *Assignment) bool {
+	return r.attempt(int64(assignment.Task)) == int64(assignment.Attempt)
 }
 
-// compact writes entries, which are in the order of tasks, as one text: the rule
+// compact writes assignments, which are in the order of tasks, as one text: the rule
 // that the attempts of most follow, what the names of all their machines begin
 // with, and for each machine the spans of tasks on it and the rest of its name:
 //
@@ -59,9 +60,9 @@
 // A span's own attempt is that of all its tasks (@) or of its first, counting up
 // (+). Numbers have base 36. A version that does not know this format takes no text
 // for a list, so it refuses the record instead of reading it as empty.
-func compact(n *Names, active []*Assignment) string {
+func compact(active []Assignment) string {
 	common := mostCommonRule(active)
-	prefix := commonPrefix(n, active)
+	prefix := commonPrefix(active)
 	text := []byte{byte(common.kind)}
 	text = strconv.AppendInt(text, common.base, compactBase)
 	text = append(text, ' ')
@@ -69,25 +70,25 @@
 	machines, byMachine := groupByMachine(active)
 	for _, machine := range machines {
 		separator := byte(' ')
-		for list := byMachine[machine]; len(list) > 0; separator = ',' {
-			length, kind := common.span(list)
+		for rest := byMachine[machine]; len(rest) > 0; separator = ',' {
+			length, kind := common.span(rest)
 			text = append(text, separator)
-			text = appendSpan(text, list[:length], kind)
-			list = list[length:]
+			text = appendSpan(text, rest[:length], kind)
+			rest = rest[length:]
 		}
 		text = append(text, ':')
-		text = append(text, n.Machines.Name(machine)[len(prefix):]...)
+		text = append(text, machine[len(prefix):]...)
 	}
 	return string(text)
 }
 
-// mostCommonRule is the rule that holds for most entries.
-func mostCommonRule(active []*Assignment) attemptRule {
+// mostCommonRule is the rule that holds for most assignments.
+func mostCommonRule(active []Assignment) attemptRule {
 	attempts := map[int64]int{}
 	differences := map[int64]int{}
-	for _, e := range active {
-		attempts[int64(e.Attempt)]++
-		differences[int64(e.Attempt)-int64(e.Task)]++
+	for _, assignment := range active {
+		attempts[int64(assignment.Attempt)]++
+		differences[int64(assignment.Attempt)-int64(assignment.Task)]++
 	}
 	attempt := mostCommon(attempts)
 	difference := mostCommon(differences)
@@ -111,11 +112,10 @@
 
 // commonPrefix is what the names of all machines begin with. It ends between two
 // characters, as JSON would replace half of one.
-func commonPrefix(n *Names, active []*Assignment) string {
-	prefix := n.Machines.Name(active[0].Machine)
-	for _, e := range active {
-		name := n.Machines.Name(e.Machine)
-		for !strings.HasPrefix(name, prefix) || !utf8.ValidString(prefix) {
+func commonPrefix(active []Assignment) string {
+	prefix := active[0].Machine
+	for _, assignment := range active {
+		for !strings.HasPrefix(assignment.Machine, prefix) || !utf8.ValidString(prefix) {
 			prefix = prefix[:len(prefix)-1]
 		}
 	}
@@ -123,27 +123,27 @@
 }
 
 // groupByMachine returns the machines in the order of their first tasks, and the
-// entries of each.
-func groupByMachine(active []*Assignment) (machines []int, byMachine map[int][]*Assignment) {
-	byMachine = map[int][]*Assignment{}
-	for _, e := range active {
-		if byMachine[e.Machine] == nil {
-			machines = append(machines, e.Machine)
+// assignments of each.
+func groupByMachine(active []Assignment) (machines []string, byMachine map[string][]Assignment) {
+	byMachine = map[string][]Assignment{}
+	for _, assignment := range active {
+		if byMachine[assignment.Machine] == nil {
+			machines = append(machines, assignment.Machine)
 		}
-		byMachine[e.Machine] = append(byMachine[e.Machine], e)
+		byMachine[assignment.Machine] = append(byMachine[assignment.Machine], assignment)
 	}
 	return machines, byMachine
 }
 
-// span returns how many entries at the start of a list make a span, and which rule
+// span returns how many assignments at the start of a list make a span, and which rule
 // holds for it, where r is the one of the whole record.
-func (r attemptRule) span(list []*Assignment) (length int, kind ruleKind) {
+func (r attemptRule) span(list []Assignment) (length int, kind ruleKind) {
 	kind = sameAttempt // of a single task
-	if r.holdsFor(list[0]) {
+	if r.holdsFor(&list[0]) {
 		kind = commonRule
 	}
 	for length = 1; length < len(list); length++ {
-		next, ok := r.continues(list[length-1], list[length])
+		next, ok := r.continues(&list[length-1], &list[length])
 		if !ok || (length > 1 && next != kind) {
 			break
 		}
@@ -152,8 +152,8 @@
 	return length, kind
 }
 
-// continues returns the rule by which a span that ends with one entry goes on with
-// the next; not ok: the span ends there.
+// continues returns the rule by which a span that ends with one assignment goes on
+// with the next; not ok: the span ends there.
 func (r attemptRule) continues(last, next *Assignment) (kind ruleKind, ok bool) {
 	if next.Task != last.Task+1 || r.holdsFor(last) != r.holdsFor(next) {
 		return 0, false
@@ -169,12 +169,12 @@
 	return 0, false
 }
 
-func appendSpan(text []byte, span []*Assignment, kind ruleKind) []byte {
-	first := span[0]
+func appendSpan(text []byte, span []Assignment, kind ruleKind) []byte {
+	first, last := span[0], span[len(span)-1]
 	text = strconv.AppendInt(text, int64(first.Task), compactBase)
 	if len(span) > 1 {
 		text = append(text, '-')
-		text = strconv.AppendInt(text, int64(span[len(span)-1].Task), compactBase)
+		text = strconv.AppendInt(text, int64(last.Task), compactBase)
 	}
 	if kind != commonRule {
 		text = append(text, byte(kind))
@@ -183,72 +183,77 @@
 	return text
 }
 
-// expand reads what compact writes; not ok: the text is damaged.
-func expand(text string) (active []runAssignment, ok bool) {
+// expand reads what compact writes. An error wraps ErrCompactText.
+func expand(text string) (active []Assignment, err error) {
 	groups := strings.Split(text, " ")
 	if len(groups) < 2 {
-		return nil, false
+		return nil, compactError(text)
 	}
-	common, ok := parseRule(groups[0])
-	if !ok {
-		return nil, false
+	common, err := parseRule(groups[0])
+	if err != nil {
+		return nil, err
 	}
 	prefix := groups[1]
 	for _, group := range groups[2:] {
 		spans, rest, found := strings.Cut(group, ":")
 		machine := prefix + rest
 		if !found || machine == "" {
-			return nil, false
+			return nil, compactError(group)
 		}
 		for _, span := range strings.Split(spans, ",") {
-			entries, ok := expandSpan(span, common, machine)
-			if !ok {
-				return nil, false
+			assignments, err := expandSpan(span, common, machine)
+			if err != nil {
+				return nil, err
 			}
-			active = append(active, entries...)
+			active = append(active, assignments...)
 		}
 	}
-	return active, true
+	return active, nil
 }
 
+// compactError names the part of a compact list that breaks the grammar.
+func compactError(part string) error { return fmt.Errorf("%w: %q", ErrCompactText, part) }
+
 // parseRule reads the rule of a whole record.
-func parseRule(text string) (rule attemptRule, ok bool) {
+func parseRule(text string) (attemptRule, error) {
 	if text == "" || strings.IndexByte(ruleKinds, text[0]) < 0 {
-		return attemptRule{}, false
+		return attemptRule{}, compactError(text)
 	}
 	base, err := strconv.ParseInt(text[1:], compactBase, 64)
-	return attemptRule{ruleKind(text[0]), base}, err == nil
+	if err != nil {
+		return attemptRule{}, compactError(text)
+	}
+	return attemptRule{ruleKind(text[0]), base}, nil
 }
 
 // expandSpan reads a span of tasks on a machine.
-func expandSpan(text string, common attemptRule, machine string) (entries []runAssignment, ok bool) {
+func expandSpan(text string, common attemptRule, machine string) (assignments []Assignment, err error) {
 	tasks, own := text, ""
 	if i := strings.IndexAny(text, ruleKinds); i >= 0 {
 		tasks, own = text[:i], text[i:]
 	}
-	first, last, ok := parseTasks(tasks)
-	if !ok {
-		return nil, false
+	first, last, err := parseTasks(tasks)
+	if err != nil {
+		return nil, err
 	}
 	rule := common
 	if own != "" {
-		rule, ok = parseSpanRule(own, first)
-		if !ok {
-			return nil, false
+		if rule, err = parseSpanRule(own, first); err != nil {
+			return nil, err
 		}
 	}
 	for task := first; task <= last; task++ {
 		attempt := rule.attempt(task)
 		if attempt < 0 {
-			return nil, false
+			return nil, compactError(text)
 		}
-		entries = append(entries, runAssignment{int(task), uint64(attempt), machine})
+		assignments = append(assignments, Assignment{int(task), uint64(attempt), machine})
 	}
-	return entries, true
+	return assignments, nil
 }
 
 // parseTasks reads the first and the last task of a span.
-func parseTasks(text string) (first, last int64, ok bool) {
+func parseTasks(text string) (first, last int64, err error) {
 	from, to, isSpan := strings.Cut(text, "-")
 	if !isSpan {
 		to = from
@@ -256,20 +261,20 @@
 	low, errLow := strconv.ParseUint(from, compactBase, 32)
 	high, errHigh := strconv.ParseUint(to, compactBase, 32)
 	if errLow != nil || errHigh != nil || high < low || high-low >= maxSpan {
-		return 0, 0, false
+		return 0, 0, compactError(text)
 	}
-	return int64(low), int64(high), true
+	return int64(low), int64(high), nil
 }
 
 // parseSpanRule reads a span's own rule, which names the attempt of its first task.
-func parseSpanRule(text string, first int64) (rule attemptRule, ok bool) {
+func parseSpanRule(text string, first int64) (attemptRule, error) {
 	attempt, err := strconv.ParseUint(text[1:], compactBase, 63)
 	if err != nil {
-		return attemptRule{}, false
+		return attemptRule{}, compactError(text)
 	}
-	rule = attemptRule{ruleKind(text[0]), int64(attempt)}
+	rule := attemptRule{ruleKind(text[0]), int64(attempt)}
 	if rule.kind == countingUp {
 		rule.base -= first
 	}
-	return rule, true
+	return rule, nil
 }
--- /dev/null
+++ b/internal/record/upstream_page_test.go
@@ -0,0 +1,29 @@
+package record
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
+
+func TestEncodeUpstreamPages(t *testing.T) {
+	const limit = 2048
+	jobs := make([]string, 0, 900)
+	for i := range 900 {
+		jobs = append(jobs, fmt.Sprintf("req-%d", i*i*i*i))
+	}
+	var decoded []string
+	for _, page := range EncodeUpstreamPages(jobs, limit) {
+		if len(page) > limit {
+			t.Errorf("a page of %d bytes", len(page))
+		}
+		got, err := DecodeUpstreamPage(page)
+		if err != nil {
+			t.Fatalf("%s: %v", page, err)
+		}
+		decoded = append(decoded, got...)
+	}
+	if !slices.Equal(jobs, decoded) {
+		t.Error("not the same list")
+	}
+}
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"lugward/internal/pipeline"
+	"lugward/internal/record"
 	"lugward/internal/worker"
 	"lugward/internal/worker/workertest"
 )
@@ -115,18 +116,18 @@
 		modify(job)
 	}
 	s.revision++
-	s.jobs.HandleChange(pipeline.JobKey, id, pipeline.Encode(s.jobs.Names, job), s.revision)
+	s.jobs.HandleChange(record.KindJob, id, pipeline.EncodeJob(s.jobs.Names, job), s.revision)
 	return s.jobs.Job(id)
 }
 
 // setRunRecord stores the only run record of a job.
-func (s *site) setRunRecord(id, record string, revision uint64) {
-	s.jobs.HandleChange(pipeline.RunKey, id+"/0", []byte(record), revision)
+func (s *site) setRunRecord(id, stored string, revision uint64) {
+	s.jobs.HandleChange(record.KindRun, id+"/0", []byte(stored), revision)
 }
 
 // setRetryRecord stores the retry record of a job.
-func (s *site) setRetryRecord(id, record string, revision uint64) {
-	s.jobs.HandleChange(pipeline.RetryKey, id, []byte(record), revision)
+func (s *site) setRetryRecord(id, stored string, revision uint64) {
+	s.jobs.HandleChange(record.KindRetry, id, []byte(stored), revision)
 }
 
 // newRound returns a round of the site without a budget.
--- a/internal/scheduler/job_order_test.go
+++ b/internal/scheduler/job_order_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"lugward/internal/pipeline"
+	"lugward/internal/record"
 )
 
 // A job that has been ready for long and has not started goes before the waiting
@@ -85,7 +86,7 @@
 		t.Errorf("with the last of the pipeline: %s", got)
 	}
 	s.revision++
-	s.jobs.HandleChange(pipeline.TerminalKey, "req-4", pipeline.EncodeTerminal(pipeline.Cancelled, s.jobs.Job("req-4")), s.revision)
+	s.jobs.HandleChange(record.KindTerminal, "req-4", pipeline.EncodeTerminal(pipeline.Cancelled, s.jobs.Job("req-4")), s.revision)
 	if got := s.jobOrder(); got != "req-1 req-2" {
 		t.Errorf("once that is cancelled: %s", got)
 	}
--- a/internal/worker/failures_test.go
+++ b/internal/worker/failures_test.go
@@ -9,6 +9,7 @@
 
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
+	"lugward/internal/record"
 )
 
 // cluster is a registry with jobs whose tasks the test lets run and fail.
@@ -27,7 +28,7 @@
 func (c *cluster) submit(id string, shape pipeline.Shape, tasks int) *pipeline.Job {
 	j := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{Shape: shape, TaskCount: tasks, Zone: -1}}
 	j.Class, j.Team, j.Image = c.names.Classes.Index("c"), c.names.Teams.Index("t"), c.names.Images.Index("b")
-	c.jobs.HandleChange(pipeline.JobKey, id, pipeline.Encode(c.names, j), 1)
+	c.jobs.HandleChange(record.KindJob, id, pipeline.EncodeJob(c.names, j), 1)
 	return c.jobs.Job(id)
 }
 
@@ -92,7 +93,7 @@
 		if j.BackingOff(c.now) || !j.AvoidsMachine(c.Add("i-1", c.now).Index, c.now) {
 			t.Errorf("%s does not move at once", j.ID)
 		}
-		c.jobs.HandleChange(pipeline.RunKey, j.ID+"/0", []byte(`{"t":1}`), 5)
+		c.jobs.HandleChange(record.KindRun, j.ID+"/0", []byte(`{"t":1}`), 5)
 		c.start(j, 0, "i-2")
 		c.report("i-2", j, 0, "running", "")
 	}
@@ -122,7 +123,7 @@
 		c.start(j, task, machine)
 		c.report(machine, j, task, "exited", "error")
 	}
-	c.jobs.HandleChange(pipeline.RunKey, j.ID+"/0", []byte(`{"t":2}`), 5)
+	c.jobs.HandleChange(record.KindRun, j.ID+"/0", []byte(`{"t":2}`), 5)
 	c.wait(time.Minute)
 	if !j.AtFault() || j.StartableCount() != 1 {
 		t.Fatalf("%d failures, %d to try", j.Failures(), j.StartableCount())
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -10,6 +10,7 @@
 
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
+	"lugward/internal/record"
 )
 
 // term is a leader that has always led, with a lease of 30 s for workers.
@@ -107,8 +108,8 @@
 		jobs := pipeline.NewTable(names, 4096, 12)
 		j := &pipeline.Job{ID: "req-1", Ready: true, Spec: pipeline.Spec{TaskCount: 1, Zone: -1}}
 		j.Class, j.Team, j.Image = names.Classes.Index("c"), names.Teams.Index("t"), names.Images.Index("b")
-		jobs.HandleChange(pipeline.JobKey, j.ID, pipeline.Encode(names, j), 1)
-		jobs.HandleChange(pipeline.RunKey, "req-1/0", []byte(`{"t":3,"a":[[0,3,"i-1"]]}`), 2)
+		jobs.HandleChange(record.KindJob, j.ID, pipeline.EncodeJob(names, j), 1)
+		jobs.HandleChange(record.KindRun, "req-1/0", []byte(`{"t":3,"a":[[0,3,"i-1"]]}`), 2)
 		entry := jobs.Job(j.ID).Assignment(0)
 		switch pending {
 		case pipeline.PendingClear:
@@ -116,7 +117,7 @@
 		case pipeline.PendingDone:
 			jobs.RecordCompletion(entry.Job, 0)
 		}
-		jobs.HandleChange(pipeline.TerminalKey, "req-1", pipeline.EncodeTerminal(pipeline.Cancelled, j), 3)
+		jobs.HandleChange(record.KindTerminal, "req-1", pipeline.EncodeTerminal(pipeline.Cancelled, j), 3)
 		registry := New(Config{Names: names, Jobs: jobs, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		report := &Heartbeat{Machine: "i-1", Addr: "10.1.0.1:9000", MachineType: "f", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: 5,
 			Tasks: []TaskStatus{{Task: "req-1/0", Attempt: 3, Phase: "running"}}}
