--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -34,7 +34,7 @@
 	n := &node{t: t, service: s, replies: map[uint64]event.Reply{}, now: time.Second}
 	names := &pipeline.Names{}
 	names.Zones.Index("a")
-	n.jobs = pipeline.NewTable(names, valueBytes, txnOps)
+	n.jobs = pipeline.NewTable(pipeline.Config{Names: names, LayoutValueBytes: valueBytes, TxnOps: txnOps})
 	limits := kv.Limits{TxnOps: txnOps, Rates: kv.Rates{Requests: 1000, Writes: 1000}}
 	onChange := func(key string, data []byte, modRevision uint64) {
 		kind, rest := kv.SplitKey(key)
--- a/internal/api/paged_submission.go
+++ b/internal/api/paged_submission.go
@@ -65,7 +65,7 @@
 	switch r.Outcome {
 	case kv.Committed:
 		p.firstPageRevision = r.Revision
-		p.job.SubmissionRevision = r.Revision
+		p.job.SetSubmissionRevision(r.Revision)
 		s.writeNextPages(r.Now, p)
 	case kv.Aborted, kv.Rejected:
 		s.finishAborted(p, r)
--- a/internal/api/upstream.go
+++ b/internal/api/upstream.go
@@ -59,6 +59,6 @@
 		return nil
 	}
 	pages = record.EncodeUpstreamPages(upstream, s.cfg.ValueBytes)
-	j.UpstreamPages = len(pages)
+	j.UseUpstreamPages(len(pages))
 	return pages
 }
--- a/internal/autoscaler/fixture_test.go
+++ b/internal/autoscaler/fixture_test.go
@@ -40,7 +40,7 @@
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	names := &pipeline.Names{}
-	jobs := pipeline.NewTable(names, testValueBytes, testTxnOps)
+	jobs := pipeline.NewTable(pipeline.Config{Names: names, LayoutValueBytes: testValueBytes, TxnOps: testTxnOps})
 	workers := worker.New(worker.Config{Names: names, Jobs: jobs, Log: log})
 	cfg.Names = names
 	cfg.Jobs = jobs
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -79,16 +79,21 @@
 	// that the version in production knows; sizes and rates keep within the
 	// limits to come as well.
 	limits := cfg.Settings.State.Lasting()
-	c.jobs = pipeline.NewTable(c.names, int(cfg.Settings.State.ValueKB*bytesPerKB), limits.TxnOps)
-	c.jobs.ValueLimit = int(limits.ValueKB * bytesPerKB)
-	c.jobs.ControllerLabels = sortedLabels(cfg)
+	c.jobs = pipeline.NewTable(pipeline.Config{
+		Names:            c.names,
+		LayoutValueBytes: int(cfg.Settings.State.ValueKB * bytesPerKB),
+		ValueLimit:       int(limits.ValueKB * bytesPerKB),
+		TxnOps:           limits.TxnOps,
+		ControllerLabels: sortedLabels(cfg),
+		OnRefusedRecord:  func(key string, err error) { log.Warn("stored record refused", "key", key, "err", err) },
+	})
 	c.connectState(limits)
 	c.connectSite(teams)
 	c.api = api.New(api.Config{
 		Label:         cfg.Label,
 		Teams:         cfg.Settings.Teams,
 		AnswerTimeout: time.Duration(cfg.Operator.API.Answer),
-		ValueBytes:    c.jobs.ValueLimit,
+		ValueBytes:    c.jobs.ValueLimit(),
 		TxnOps:        limits.TxnOps,
 		Names:         c.names,
 		Jobs:          c.jobs,
@@ -128,7 +133,7 @@
 	})
 	c.election = election.New(election.Config{
 		Label:       c.cfg.Label,
-		Position:    sort.SearchStrings(c.jobs.ControllerLabels, c.cfg.Label),
+		Position:    sort.SearchStrings(sortedLabels(c.cfg), c.cfg.Label),
 		TermLease:   time.Duration(c.cfg.Operator.Term.Life),
 		WorkerLease: workerLease,
 		Grace:       grace,
@@ -153,7 +158,7 @@
 		Workers:          c.workers,
 		Store:            c.store,
 		Log:              c.log,
-		MaxValueBytes:    c.jobs.ValueLimit,
+		MaxValueBytes:    c.jobs.ValueLimit(),
 		CloudAddr:        c.cfg.Services.Cloud,
 		CloudRPS:         settings.Cloud.RPS,
 		ListLag:          config.Seconds(settings.Cloud.ListLagS),
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -110,7 +110,10 @@
 // expectsWorkerHeartbeats tells whether there are workers that should send heartbeats.
 func (c *Controller) expectsWorkerHeartbeats() bool {
 	expected := c.autoscaler.HasUnregisteredMachines()
-	c.jobs.MachinesInUse(func(int) { expected = true })
+	for range c.jobs.MachinesInUse() {
+		expected = true
+		break
+	}
 	for machine := range c.workers.All() {
 		expected = expected || machine.LastHeartbeat() > 0
 	}
--- a/internal/controller/load_log.go
+++ b/internal/controller/load_log.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"iter"
+
 	"lugward/internal/event"
 	"lugward/internal/pipeline"
 	"lugward/internal/scheduler"
@@ -23,28 +25,30 @@
 }
 
 // countTasks counts the work of the unfinished jobs among the given ones.
-func countTasks(jobs []*pipeline.Job) taskLoad {
+func countTasks(jobs iter.Seq[*pipeline.Job]) taskLoad {
 	var load taskLoad
-	for _, job := range jobs {
-		if job == nil || job.TerminalPhase != pipeline.Queued {
+	for job := range jobs {
+		if job.TerminalPhase != pipeline.Queued {
 			continue
 		}
 		if unplaced := job.UnplacedCount(); unplaced > 0 {
 			load.jobsUnplaced++
 			load.tasksUnplaced += unplaced
 		}
-		job.Assignments(load.count)
+		for assignment := range job.Assignments() {
+			load.count(assignment)
+		}
 	}
 	return load
 }
 
 // count counts a task that is placed.
 func (l *taskLoad) count(assignment *pipeline.Assignment) {
-	l.byPhase[assignment.Phase]++
-	if assignment.Evicting {
+	l.byPhase[assignment.Phase()]++
+	if assignment.Evicting() {
 		l.evicting++
 	}
-	if !assignment.Durable {
+	if !assignment.Durable() {
 		l.notDurable++
 	}
 }
@@ -67,7 +71,7 @@
 	if !c.leadership.schedule.loadLog.takeDue(now) {
 		return
 	}
-	tasks := countTasks(c.jobs.Jobs)
+	tasks := countTasks(c.jobs.AllJobs())
 	machines := countMachines(c.leadership.lastRound.Capacities)
 	stateDemand := c.store.Demand(now)
 	c.log.Info("load",
--- a/internal/pipeline/clean.go
+++ b/internal/pipeline/clean.go
@@ -11,11 +11,11 @@
 // can be on a machine; at most limit jobs at a time.
 func (t *Table) CollectGarbage(now time.Duration, term kv.Compare, s TxnSubmitter, limit int) {
 	t.deleteOrphanedRetries(now, term, s, limit)
-	for _, j := range t.Jobs {
+	for j := range t.AllJobs() {
 		if limit == 0 {
 			return
 		}
-		if j == nil || j.TerminalPhase == Queued || j.deletionInFlight || j.active > 0 || now < j.retryAt {
+		if j.TerminalPhase == Queued || j.deletionInFlight || j.active > 0 || now < j.retryAt {
 			continue
 		}
 		in := t.recordDrop(j, term)
@@ -40,9 +40,9 @@
 		in.Compares = append(in.Compares, kv.Compare{Key: key, ModRevision: version})
 		in.Writes = append(in.Writes, kv.Write{Key: key})
 	}
-	for index := range j.Segments {
-		if j.Segments[index].ModRevision != 0 && len(in.Writes) < t.txnOps-1 { // one is for the job's record
-			drop(record.RunKey(j.ID, index), j.Segments[index].ModRevision)
+	for index := range j.segments {
+		if j.segments[index].modRevision != 0 && len(in.Writes) < t.config.TxnOps-1 { // one is for the job's record
+			drop(record.RunKey(j.ID, index), j.segments[index].modRevision)
 		}
 	}
 	if j.ModRevision != 0 {
--- a/internal/pipeline/entries.go
+++ b/internal/pipeline/entries.go
@@ -1,6 +1,9 @@
 package pipeline
 
-import "slices"
+import (
+	"iter"
+	"slices"
+)
 
 // Usage is what tasks take of machines or of a team's limit.
 type Usage struct{ CPUs, GPUs, Memory float64 }
@@ -29,11 +32,13 @@
 	return x.byMachine[machine]
 }
 
-// MachinesInUse calls f for every machine with entries.
-func (x *machineIndex) MachinesInUse(f func(machine int)) {
-	for machine, list := range x.byMachine {
-		if len(list) > 0 {
-			f(machine)
+// MachinesInUse returns the machines with assignments, in the order of their indices.
+func (x *machineIndex) MachinesInUse() iter.Seq[int] {
+	return func(yield func(machine int) bool) {
+		for machine, list := range x.byMachine {
+			if len(list) > 0 && !yield(machine) {
+				return
+			}
 		}
 	}
 }
@@ -95,7 +100,7 @@
 func (t *Table) removeAssignment(e *Assignment) {
 	e.Job.active--
 	e.Job.noteUnplaced(e.Task)
-	if e.Pending == PendingDone {
+	if e.pending == PendingDone {
 		e.Job.pendingDone--
 	}
 	t.countUsage(e, -1)
@@ -105,10 +110,10 @@
 // recountUsage counts all entries of a job by its spec as it is now, so many times:
 // -1 before the spec changes, 1 after.
 func (t *Table) recountUsage(j *Job, times float64) {
-	j.Assignments(func(e *Assignment) {
+	for e := range j.Assignments() {
 		t.countUsage(e, times)
 		t.NoteMachineChanged(e.Machine)
-	})
+	}
 }
 
 func (t *Table) countUsage(e *Assignment, times float64) {
--- a/internal/pipeline/finish.go
+++ b/internal/pipeline/finish.go
@@ -16,13 +16,13 @@
 
 // onTerminal takes a final mark of the replica. It reports whether the mark is new: it
 // never changes, and may be shown twice.
-func (t *Table) onTerminal(id string, data []byte) bool {
+func (t *Table) onTerminal(id string, data []byte) (isNew bool, err error) {
 	if data == nil || t.Terminal.Has(id) {
-		return false
+		return false, nil
 	}
 	stored, err := record.DecodeTerminal(data)
 	if err != nil {
-		return false
+		return false, err
 	}
 	f := TerminalRecord{Phase: Done, TaskCount: stored.TaskCount, Daemon: stored.Daemon}
 	if stored.Cancelled {
@@ -33,7 +33,7 @@
 	if j := t.byID[id]; j != nil {
 		t.finalize(j, f.Phase)
 	}
-	return true
+	return true, nil
 }
 
 // finalize takes over a final mark in the job's own state.
@@ -43,7 +43,9 @@
 	t.unmarkUpstreamCancelled(j)
 	if j.active > 0 {
 		t.terminated[j] = true
-		j.Assignments(func(e *Assignment) { t.NoteMachineChanged(e.Machine) })
+		for e := range j.Assignments() {
+			t.NoteMachineChanged(e.Machine)
+		}
 	}
 	t.removePlacements(j)
 	if phase == Done {
@@ -55,10 +57,10 @@
 // removePlacements removes the placements of a job with a final mark that are not
 // stored: they never will be, as their write requires that there is no such mark.
 func (t *Table) removePlacements(j *Job) {
-	for index := range j.Segments {
-		for task, e := range j.Segments[index].Assignments {
-			if !e.Durable {
-				delete(j.Segments[index].Assignments, task)
+	for index := range j.segments {
+		for task, e := range j.segments[index].assignments {
+			if !e.durable {
+				delete(j.segments[index].assignments, task)
 				t.removeAssignment(e)
 			}
 		}
@@ -94,8 +96,8 @@
 	if !j.complete() {
 		return false
 	}
-	for index := range j.Segments {
-		if now < j.Segments[index].retryAt {
+	for index := range j.segments {
+		if now < j.segments[index].retryAt {
 			return true // the replica does not show what was written last
 		}
 	}
@@ -128,8 +130,8 @@
 		return
 	}
 	j.backOff(r)
-	for index := range j.Segments {
-		j.Segments[index].retryAt = j.retryAt
+	for index := range j.segments {
+		j.segments[index].retryAt = j.retryAt
 	}
 }
 
@@ -138,11 +140,11 @@
 // ends together), and the mark keeps them from being started again. What is left
 // may still be on a machine and stays until it is proven to have terminated.
 func (t *Table) dropCompleted(j *Job) {
-	for index := range j.Segments {
-		chunk := &j.Segments[index]
-		for task, e := range chunk.Assignments {
-			if e.Pending == PendingDone && (e.Phase == TaskExited || j.Shape == Gang) {
-				delete(chunk.Assignments, task)
+	for index := range j.segments {
+		chunk := &j.segments[index]
+		for task, e := range chunk.assignments {
+			if e.pending == PendingDone && (e.phase == TaskExited || j.Shape == Gang) {
+				delete(chunk.assignments, task)
 				t.removeAssignment(e)
 			}
 		}
@@ -150,8 +152,8 @@
 	if j.active > 0 {
 		return
 	}
-	for index := range j.Segments {
-		j.Segments[index].dirty = false // Clean drops the record
+	for index := range j.segments {
+		j.segments[index].dirty = false // Clean drops the record
 	}
 	delete(t.dirty, j)
 	delete(t.terminated, j)
--- a/internal/pipeline/finish_test.go
+++ b/internal/pipeline/finish_test.go
@@ -13,7 +13,7 @@
 	tb, j := newJob(t, 2)
 	tb.HandleChange(record.KindRun, "req-1/0", []byte(`{"t":2,"a":[[0,1,"i-1"],[1,2,"i-2"]]}`), 2)
 	for task := range 2 {
-		j.Assignment(task).Phase = TaskExited
+		j.Assignment(task).phase = TaskExited
 		tb.RecordCompletion(j, task)
 	}
 	q := &queue{}
@@ -46,7 +46,7 @@
 func TestOtherAttemptStaysCounted(t *testing.T) {
 	tb, j := newJob(t, 1)
 	tb.HandleChange(record.KindRun, "req-1/0", []byte(`{"t":2,"a":[[0,2,"i-2"]]}`), 2)
-	j.Assignment(0).Phase = TaskRunning
+	j.Assignment(0).phase = TaskRunning
 	tb.RecordCompletion(j, 0)
 	q := &queue{}
 	tb.Flush(0, term, q)
@@ -70,7 +70,7 @@
 // them: what comes after it in a chain waits for it.
 func TestReadyMarkHasItsJobsRank(t *testing.T) {
 	for _, priority := range []Priority{Idle, Normal, High} {
-		tb := NewTable(&Names{}, 4096, 12)
+		tb := newTable(12)
 		j := &Job{ID: "req-2", Upstream: []string{"req-1"}, Spec: Spec{TaskCount: 1, Priority: priority, Zone: -1}}
 		j.Class, j.Team, j.Image = tb.Names.Classes.Index("c"), tb.Names.Teams.Index("t"), tb.Names.Images.Index("b")
 		tb.HandleChange(record.KindJob, j.ID, EncodeJob(tb.Names, j), 1)
--- a/internal/pipeline/fixture_test.go
+++ b/internal/pipeline/fixture_test.go
@@ -55,10 +55,18 @@
 	s.Image = n.Images.Index("b")
 }
 
+// testValueBytes is the limit on values for which tables are laid out.
+const testValueBytes = 4096
+
+// newTable returns a table for a limit on the writes of a transaction.
+func newTable(txnOps int) *Table {
+	return NewTable(Config{Names: &Names{}, LayoutValueBytes: testValueBytes, TxnOps: txnOps})
+}
+
 // newJob returns a table with a ready job of n tasks.
 func newJob(t *testing.T, n int) (*Table, *Job) {
 	t.Helper()
-	tb := NewTable(&Names{}, 4096, 12)
+	tb := newTable(12)
 	j := &Job{ID: "req-1", Ready: true, Spec: Spec{TaskCount: n, CPUs: 1, Zone: -1}}
 	nameSpec(tb.Names, &j.Spec)
 	tb.HandleChange(record.KindJob, j.ID, EncodeJob(tb.Names, j), 1)
@@ -81,7 +89,7 @@
 }
 
 func newFixture() *fixture {
-	r := &fixture{Table: NewTable(&Names{}, 4096, 4)}
+	r := &fixture{Table: newTable(4)}
 	r.SetNow(time.Second)
 	r.SetClock(time.Second, time.Unix(1000, 0)) // monotonic time 0 is 999 s
 	return r
--- a/internal/pipeline/flush.go
+++ b/internal/pipeline/flush.go
@@ -46,8 +46,8 @@
 // flushSegments queues the writes of a job's chunks that are due. It reports whether
 // any chunk still differs from what is stored.
 func (t *Table) flushSegments(j *Job, now time.Duration, term kv.Compare, s TxnSubmitter) (dirty bool) {
-	for index := range j.Segments {
-		ch := &j.Segments[index]
+	for index := range j.segments {
+		ch := &j.segments[index]
 		if !ch.dirty {
 			continue
 		}
@@ -79,7 +79,7 @@
 // queueSegmentWrite queues the write of a chunk. Its content is decided when it is
 // sent, so a job's tasks share one write however many of them change meanwhile. A write with the priority of placements may overtake one without.
 func (t *Table) queueSegmentWrite(j *Job, index int, now time.Duration, term kv.Compare, s TxnSubmitter) {
-	ch := &j.Segments[index]
+	ch := &j.segments[index]
 	if ch.placementQueued || (ch.progressQueued && !ch.placing) {
 		return // the queued write will carry whatever has changed by then
 	}
@@ -98,7 +98,7 @@
 	}, now+writeTimeout)
 }
 
-func (w *segmentWrite) chunk() *Segment { return &w.job.Segments[w.index] }
+func (w *segmentWrite) chunk() *segment { return &w.job.segments[w.index] }
 
 func (w *segmentWrite) setQueued(queued bool) {
 	if w.placements {
@@ -147,10 +147,10 @@
 // removeDropped removes entries that were part of a write without an answer and
 // have been cleared since: the write that just succeeded builds on a version
 // without them, so that earlier write can no longer be carried out.
-func (t *Table) removeDropped(ch *Segment) {
-	for task, e := range ch.Assignments {
-		if e.dropped && !e.Durable {
-			delete(ch.Assignments, task)
+func (t *Table) removeDropped(ch *segment) {
+	for task, e := range ch.assignments {
+		if e.omitted && !e.durable {
+			delete(ch.assignments, task)
 			t.removeAssignment(e)
 			t.RequestRound()
 		}
@@ -166,8 +166,8 @@
 		ch.retryAt = max(ch.retryAt, r.Now+deferredWait)
 	}
 	w.table.dirty[w.job] = true
-	for _, e := range ch.Assignments {
-		ch.placing = ch.placing || (e.Pending == NoPendingWrite && !e.Durable)
+	for _, e := range ch.assignments {
+		ch.placing = ch.placing || (e.pending == NoPendingWrite && !e.durable)
 	}
 }
 
@@ -182,12 +182,12 @@
 // content gathers what a chunk's record is to say, and marks the entries that it
 // leaves out.
 func (t *Table) content(j *Job, index int) segmentContent {
-	ch := &j.Segments[index]
-	c := segmentContent{done: slices.Clone(ch.Done)}
-	for _, e := range ch.Assignments {
-		switch e.Pending {
+	ch := &j.segments[index]
+	c := segmentContent{done: slices.Clone(ch.done)}
+	for _, e := range ch.assignments {
+		switch e.pending {
 		case NoPendingWrite:
-			if e.Durable {
+			if e.durable {
 				c.active = append(c.active, e)
 			} else {
 				c.placements = append(c.placements, e)
@@ -197,7 +197,7 @@
 			setDone(c.done, e.Task%t.segmentLen)
 		case PendingClear:
 			c.changed = true
-			e.dropped = true
+			e.omitted = true
 		}
 	}
 	for task := range j.doneUnassigned {
@@ -213,11 +213,11 @@
 // stored version to be the one that the replica shows, and no placement is written
 // once the job has its final mark.
 func (t *Table) buildSegmentWrite(in *kv.Txn, j *Job, index int, term kv.Compare) bool {
-	ch := &j.Segments[index]
+	ch := &j.segments[index]
 	key := record.RunKey(j.ID, index)
 	ch.placing = false
 	c := t.content(j, index)
-	in.Compares = []kv.Compare{term, {Key: key, ModRevision: ch.ModRevision}}
+	in.Compares = []kv.Compare{term, {Key: key, ModRevision: ch.modRevision}}
 	if j.TerminalPhase == Queued {
 		in.Compares = append(in.Compares, kv.Compare{Key: record.TerminalKey(j.ID)})
 	} else if len(c.active)+len(c.placements) == 0 {
@@ -229,7 +229,7 @@
 		return false // the stored record has all that can be written
 	}
 	for _, e := range taken {
-		e.sent = true
+		e.written = true
 	}
 	in.Writes = []kv.Write{{Key: key, Data: data}}
 	return true
@@ -237,9 +237,9 @@
 
 // buildDrop fills in the deletion of a chunk's record, of which nothing is needed
 // any more; false: none is stored.
-func (ch *Segment) buildDrop(in *kv.Txn, key string) bool {
+func (ch *segment) buildDrop(in *kv.Txn, key string) bool {
 	ch.deferredPlacements = 0
-	if ch.ModRevision == 0 {
+	if ch.modRevision == 0 {
 		ch.dirty = false
 		return false
 	}
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -6,6 +6,7 @@
 package pipeline
 
 import (
+	"iter"
 	"slices"
 
 	"lugward/internal/event"
@@ -87,54 +88,6 @@
 	Classes, Teams, Images, MachineTypes, Zones, Machines intern.Table
 }
 
-// Assignment says that an attempt of a task may be on a machine. It exists from
-// before the start is logged until its end is proven and logged.
-type Assignment struct {
-	Job     *Job
-	Task    int
-	Machine int
-	Attempt uint64
-	Durable bool // the replica shows it
-	sent    bool // part of a write that was or may still be carried out
-	dropped bool // left out of a write that is under way
-
-	// What only the leader knows; lost with the term.
-	Pending          PendingWrite
-	Phase            TaskPhase
-	Evicting         bool       // to be stopped, to run elsewhere
-	GracePeriod      float64    // of that stop, in seconds
-	OrderedSequence  uint64     // sequence of the report whose answer last carried the start
-	MissedHeartbeats int        // reports in a row that do not show the task
-	StartedAt        event.Time // when first seen on its machine, 0 before
-	PlacedAt         event.Time // when it was decided
-}
-
-// Stored tells whether the state service has the entry as it is.
-func (e *Assignment) Stored() bool { return e.Durable && e.Pending == NoPendingWrite }
-
-// PendingWrite is the change the leader wants for an entry.
-type PendingWrite uint8
-
-// The pending writes.
-const (
-	NoPendingWrite PendingWrite = iota
-	PendingClear
-	PendingDone
-)
-
-// TaskPhase is a task's state as its worker last reported it.
-type TaskPhase uint8
-
-// The task phases.
-const (
-	TaskUnseen TaskPhase = iota
-	TaskPulling
-	TaskWaitingForGang
-	TaskRunning
-	TaskCheckpointing
-	TaskExited
-)
-
 // Job is a vertex of a pipeline: what its record says, and what the table derives.
 type Job struct {
 	ID    string
@@ -172,7 +125,7 @@
 
 	ModRevision   uint64    // of the job record, 0: none is stored
 	TerminalPhase Phase     // Done or Cancelled once marked, else Queued
-	Segments      []Segment // its run records, by index
+	segments      []segment // its run records, by index
 
 	taskCounts
 	graphLinks
@@ -216,19 +169,19 @@
 
 // leaderState is what the leader decides about a job; it is lost with the term.
 type leaderState struct {
-	Terminating    bool         // gang: its attempt is being ended
-	WithinQuota    bool         // it fits in its team's guarantee
-	ReservedZone   ZoneSelector // the zone chosen for its reservations, any: none is chosen
+	terminating    bool         // gang: its attempt is being ended
+	withinQuota    bool         // it fits in its team's guarantee
+	reservedZone   ZoneSelector // where capacity is gathered for it, any: nowhere
 	unplacedFrom   int          // no task below it waits to be placed
 	doneUnassigned map[int]bool // completed tasks that have no entry to mark as done
 }
 
-// Segment is the part of a job's run record that one key holds.
-type Segment struct {
-	ModRevision uint64              // of the stored record, 0: none is stored
-	Attempt     uint64              // highest attempt used
-	Done        []uint64            // bitmap of the tasks that are stored as done
-	Assignments map[int]*Assignment // by task: stored ones, and placements not stored yet
+// segment is the part of a job's run record that one key holds.
+type segment struct {
+	modRevision uint64              // of the stored record, 0: none is stored
+	attempt     uint64              // highest attempt used
+	done        []uint64            // bitmap of the tasks that are stored as done
+	assignments map[int]*Assignment // by task: stored ones, and placements not stored yet
 	format      record.Format       // of the stored record
 	unknown     record.Fields       // stored by a later version
 	segmentWrites
@@ -261,29 +214,34 @@
 // IsDone reports whether a task is stored as done.
 func (j *Job) IsDone(task int) bool {
 	index, bit := task/j.segmentLen, task%j.segmentLen
-	if index >= len(j.Segments) || j.Segments[index].Done == nil {
+	if index >= len(j.segments) || j.segments[index].done == nil {
 		return false
 	}
-	return j.Segments[index].Done[bit/record.BitsPerWord]>>(bit%record.BitsPerWord)&1 == 1
+	return j.segments[index].done[bit/record.BitsPerWord]>>(bit%record.BitsPerWord)&1 == 1
 }
 
 // Assignment returns the entry of a task, or nil.
 func (j *Job) Assignment(task int) *Assignment {
 	index := task / j.segmentLen
-	if index >= len(j.Segments) {
+	if index >= len(j.segments) {
 		return nil
 	}
-	return j.Segments[index].Assignments[task]
+	return j.segments[index].assignments[task]
 }
 
-// Assignments calls f for every entry of the job.
-func (j *Job) Assignments(f func(*Assignment)) {
-	if j.active == 0 {
-		return
-	}
-	for index := range j.Segments {
-		for _, e := range j.Segments[index].Assignments {
-			f(e)
+// Assignments returns the assignments of the job, in no order. It may be changed
+// meanwhile.
+func (j *Job) Assignments() iter.Seq[*Assignment] {
+	return func(yield func(*Assignment) bool) {
+		if j.active == 0 {
+			return
+		}
+		for index := range j.segments {
+			for _, assignment := range j.segments[index].assignments {
+				if !yield(assignment) {
+					return
+				}
+			}
 		}
 	}
 }
@@ -335,7 +293,7 @@
 
 // Schedulable reports whether an unfinished ready job has tasks to place.
 func (j *Job) Schedulable(now event.Time) bool {
-	return j.StartableCount() > 0 && !j.Terminating && !j.BackingOff(now)
+	return j.StartableCount() > 0 && !j.terminating && !j.BackingOff(now)
 }
 
 // Phase is the phase that users are shown.
@@ -352,6 +310,43 @@
 	return Queued
 }
 
+// Terminating reports whether an attempt of the gang is being ended.
+func (j *Job) Terminating() bool { return j.terminating }
+
+// BeginTermination records that the attempt of a gang is being ended: nothing of it
+// is placed before all of its tasks have terminated.
+func (t *Table) BeginTermination(j *Job) { j.terminating = true }
+
+// FinishTermination lets a gang start again once all tasks of its old attempt have
+// terminated.
+func (t *Table) FinishTermination(j *Job) {
+	if j.terminating && j.ActiveCount() == 0 {
+		j.terminating = false
+		t.RequestRound()
+	}
+}
+
+// WithinQuota reports whether the job fits in its team's guarantee.
+func (j *Job) WithinQuota() bool { return j.withinQuota }
+
+// SetWithinQuota records whether the job fits in its team's guarantee.
+func (j *Job) SetWithinQuota(within bool) { j.withinQuota = within }
+
+// ReservedZone selects the zone where capacity is gathered for the job, or any zone if
+// there is none.
+func (j *Job) ReservedZone() ZoneSelector { return j.reservedZone }
+
+// ReserveZone records the zone where capacity is gathered for the job.
+func (j *Job) ReserveZone(zone ZoneSelector) { j.reservedZone = zone }
+
+// UseUpstreamPages records that the job's list of upstream jobs is stored in a number
+// of pages instead of its record.
+func (j *Job) UseUpstreamPages(pages int) { j.UpstreamPages = pages }
+
+// SetSubmissionRevision records the revision of the first page of the job's list of
+// upstream jobs, which identifies the attempt to submit the job.
+func (j *Job) SetSubmissionRevision(revision uint64) { j.SubmissionRevision = revision }
+
 // UpstreamCancelled reports whether a job that it needs is cancelled: it is cancelled
 // with that one, whether its own mark is stored yet or not.
 func (j *Job) UpstreamCancelled() bool { return j.upstreamCancelled }
@@ -359,8 +354,8 @@
 // MaxAttempt is the highest attempt used by any task of the job.
 func (j *Job) MaxAttempt() uint64 {
 	var highest uint64
-	for index := range j.Segments {
-		highest = max(highest, j.Segments[index].Attempt)
+	for index := range j.segments {
+		highest = max(highest, j.segments[index].attempt)
 	}
 	return highest
 }
--- a/internal/pipeline/parts.go
+++ b/internal/pipeline/parts.go
@@ -34,7 +34,7 @@
 }
 
 // onUpstreamPage takes a part of the replica.
-func (t *Table) onUpstreamPage(id string, n int, data []byte, version uint64) {
+func (t *Table) onUpstreamPage(id string, n int, data []byte, modRevision uint64) error {
 	p := t.graph.pages[id]
 	if data == nil {
 		if p != nil {
@@ -43,7 +43,7 @@
 				delete(t.graph.pages, id)
 			}
 		}
-		return
+		return nil
 	}
 	ids, err := record.DecodeUpstreamPage(data)
 	if err != nil {
@@ -56,10 +56,11 @@
 	if n == 0 {
 		p.shownSince = t.now
 	}
-	p.byNumber[n] = upstreamPage{version, ids}
+	p.byNumber[n] = upstreamPage{modRevision, ids}
 	if j := t.byID[id]; j != nil {
 		t.linkIfComplete(j)
 	}
+	return err
 }
 
 // upstreamList returns the whole list of a job's upstream jobs; false: parts of it
--- a/internal/pipeline/pending.go
+++ b/internal/pipeline/pending.go
@@ -7,11 +7,12 @@
 func (t *Table) Assign(j *Job, task, machine int, attempt uint64, now event.Time) *Assignment {
 	ch := t.segment(j, task/t.segmentLen)
 	if attempt == 0 {
-		attempt = ch.Attempt + 1
+		attempt = ch.attempt + 1
 	}
-	ch.Attempt = max(ch.Attempt, attempt)
-	e := &Assignment{Job: j, Task: task, Machine: machine, Attempt: attempt, PlacedAt: now}
-	ch.Assignments[task] = e
+	ch.attempt = max(ch.attempt, attempt)
+	e := &Assignment{Job: j, Task: task, Machine: machine, Attempt: attempt}
+	e.placedAt = now
+	ch.assignments[task] = e
 	t.addAssignment(e)
 	if j.AtFault() && j.Shape != Gang {
 		j.retry.probe = e
@@ -22,7 +23,7 @@
 }
 
 // noteSegmentChanged notes that a chunk differs from what is stored.
-func (t *Table) noteSegmentChanged(j *Job, ch *Segment) {
+func (t *Table) noteSegmentChanged(j *Job, ch *segment) {
 	ch.dirty = true
 	ch.changeCount++
 	t.dirty[j] = true
@@ -30,21 +31,21 @@
 
 // RecordTermination records that an attempt is proven to have terminated.
 func (t *Table) RecordTermination(e *Assignment) {
-	if e.Pending == PendingDone {
+	if e.pending == PendingDone {
 		return
 	}
-	ch := &e.Job.Segments[e.Task/t.segmentLen]
-	if !e.sent && !e.Durable {
+	ch := &e.Job.segments[e.Task/t.segmentLen]
+	if !e.written && !e.durable {
 		// Never part of a write: nothing to undo.
-		if ch.Assignments[e.Task] == e {
-			delete(ch.Assignments, e.Task)
+		if ch.assignments[e.Task] == e {
+			delete(ch.assignments, e.Task)
 			t.removeAssignment(e)
 			t.RequestRound()
 		}
 		return
 	}
-	if e.Pending != PendingClear {
-		e.Pending = PendingClear
+	if e.pending != PendingClear {
+		e.pending = PendingClear
 		t.NoteMachineChanged(e.Machine)
 		t.noteSegmentChanged(e.Job, ch)
 	}
@@ -56,9 +57,9 @@
 		return
 	}
 	ch := t.segment(j, task/t.segmentLen)
-	if e := ch.Assignments[task]; e != nil {
-		if e.Pending != PendingDone {
-			e.Pending = PendingDone
+	if e := ch.assignments[task]; e != nil {
+		if e.pending != PendingDone {
+			e.pending = PendingDone
 			j.pendingDone++
 			t.NoteMachineChanged(e.Machine)
 			t.noteSegmentChanged(j, ch)
@@ -77,19 +78,14 @@
 
 // Reset drops everything that only a leader knows.
 func (t *Table) Reset() {
-	for _, j := range t.Jobs {
-		if j != nil {
-			t.resetJob(j)
-		}
+	for j := range t.AllJobs() {
+		t.resetJob(j)
 	}
 	clear(t.dirty)
 	clear(t.dirtyRetries)
 	clear(t.retryDeletionsInFlight)
 	clear(t.terminated)
-	for _, j := range t.Jobs {
-		if j == nil {
-			continue
-		}
+	for j := range t.AllJobs() {
 		// All tasks are logged as done and the leader that logged it has lost its
 		// term: nothing else would ever write the done mark.
 		if j.complete() {
@@ -108,14 +104,14 @@
 	j.leaderState = leaderState{}
 	j.deletionInFlight = false
 	j.terminalWriteInFlight = false
-	for index := range j.Segments {
-		ch := &j.Segments[index]
+	for index := range j.segments {
+		ch := &j.segments[index]
 		ch.dirty = false
 		ch.placing = false
 		ch.retryAt = 0
-		for task, e := range ch.Assignments {
-			if !e.Durable {
-				delete(ch.Assignments, task)
+		for task, e := range ch.assignments {
+			if !e.durable {
+				delete(ch.assignments, task)
 				t.removeAssignment(e)
 				continue
 			}
@@ -127,12 +123,6 @@
 }
 
 // reset drops what only a leader knows of an entry.
-func (e *Assignment) reset() {
-	e.Pending = NoPendingWrite
-	e.Phase = TaskUnseen
-	e.Evicting = false
-	e.StartedAt = 0
-	e.PlacedAt = 0
-	e.OrderedSequence = 0
-	e.MissedHeartbeats = 0
+func (a *Assignment) reset() {
+	a.assignmentStatus = assignmentStatus{}
 }
--- a/internal/pipeline/production_test.go
+++ b/internal/pipeline/production_test.go
@@ -38,7 +38,7 @@
 // What the version in production stores is read, and written again the same to
 // the byte where nothing new is to be told.
 func TestProductionRecords(t *testing.T) {
-	tb := NewTable(&Names{}, 4096, 12)
+	tb := newTable(12)
 	seen := map[record.Kind]int{}
 	most := 0
 	for _, l := range stored(t, "production_store.txt") {
@@ -60,15 +60,15 @@
 			id, chunk, _ := strings.Cut(l.rest, "/")
 			j := tb.Job(id)
 			c, _ := strconv.Atoi(chunk)
-			active := make([]*Assignment, 0, len(j.Segments[c].Assignments))
-			for _, e := range j.Segments[c].Assignments {
-				if !e.Durable {
+			active := make([]*Assignment, 0, len(j.segments[c].assignments))
+			for _, e := range j.segments[c].assignments {
+				if !e.durable {
 					t.Errorf("%s: an entry is not stored", l.rest)
 				}
 				active = append(active, e)
 			}
 			most = max(most, len(active))
-			run := record.Run{Attempt: j.Segments[c].Attempt, Done: j.Segments[c].Done, Active: tb.assignmentRecords(active)}
+			run := record.Run{Attempt: j.segments[c].attempt, Done: j.segments[c].done, Active: tb.assignmentRecords(active)}
 			if got := run.Encode(); !bytes.Equal(got, l.data) {
 				t.Errorf("%s becomes %s", l.data, got)
 			}
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -85,7 +85,7 @@
 // probing reports whether the task that tries again is being started or running.
 func (j *Job) probing() bool {
 	probe := j.retry.probe
-	return probe != nil && j.Assignment(probe.Task) == probe && probe.Pending == NoPendingWrite
+	return probe != nil && j.Assignment(probe.Task) == probe && probe.pending == NoPendingWrite
 }
 
 // StartableCount counts the tasks that the job's failures allow to be placed: all
@@ -116,7 +116,7 @@
 	case j.AtFault():
 		// Tasks that ran beside the probe, and the rest of a gang, belong to an
 		// attempt that was counted already.
-		if j.retry.probe == e || (j.Shape == Gang && !j.Terminating) {
+		if j.retry.probe == e || (j.Shape == Gang && !j.terminating) {
 			t.BackOff(j, now)
 		}
 	case j.failsEverywhere(e.Machine, avoided):
@@ -148,9 +148,12 @@
 
 // activeElsewhere reports whether tasks of the job may be on other machines.
 func (j *Job) activeElsewhere(machine int) bool {
-	elsewhere := false
-	j.Assignments(func(e *Assignment) { elsewhere = elsewhere || e.Machine != machine })
-	return elsewhere
+	for e := range j.Assignments() {
+		if e.Machine != machine {
+			return true
+		}
+	}
+	return false
 }
 
 // FailedOnlyOn reports whether a machine is the only one on which tasks of the job
@@ -183,11 +186,9 @@
 
 // ForgetMachine drops what jobs remember of a machine that is gone.
 func (t *Table) ForgetMachine(machine int) {
-	for _, j := range t.Jobs {
-		if j != nil {
-			delete(j.retry.avoid, machine)
-			delete(j.retry.failedOn, machine)
-		}
+	for j := range t.AllJobs() {
+		delete(j.retry.avoid, machine)
+		delete(j.retry.failedOn, machine)
 	}
 }
 
@@ -211,19 +212,20 @@
 }
 
 // onRetry takes a retry record of the replica.
-func (t *Table) onRetry(id string, data []byte, version uint64) {
+func (t *Table) onRetry(id string, data []byte, modRevision uint64) error {
 	if data == nil {
 		delete(t.storedRetries, id)
 	} else {
 		retry, err := record.DecodeRetry(data)
 		if err != nil {
-			return
+			return err
 		}
-		t.storedRetries[id] = storedRetry{retry, version}
+		t.storedRetries[id] = storedRetry{retry, modRevision}
 	}
 	if j := t.byID[id]; j != nil {
 		t.loadRetry(j)
 	}
+	return nil
 }
 
 // loadRetry takes over the stored retry state of a job, unless this controller, as
--- a/internal/pipeline/retry_test.go
+++ b/internal/pipeline/retry_test.go
@@ -77,12 +77,12 @@
 		}
 		for _, entry := range entries {
 			tb.RecordFailure(entry, now)
-			j.Terminating = true // as the whole gang is stopped with its first task
+			j.terminating = true // as the whole gang is stopped with its first task
 		}
 		for _, entry := range entries {
 			tb.RecordTermination(entry)
 		}
-		j.Terminating = false
+		j.terminating = false
 	}
 	fail(time.Second)
 	if j.Failures() != 1 {
@@ -136,7 +136,7 @@
 	}
 
 	// Another process has another monotonic clock.
-	other := NewTable(&Names{}, 4096, 12)
+	other := newTable(12)
 	other.SetClock(time.Hour, time.UnixMilli(1_002_000))
 	other.SetNow(time.Hour)
 	other.HandleChange(record.KindRetry, j.ID, []byte(`{"n":3,"u":1010000}`), 7)
--- a/internal/pipeline/run.go
+++ b/internal/pipeline/run.go
@@ -16,44 +16,44 @@
 }
 
 // segment returns a job's chunk by its index, growing the list.
-func (t *Table) segment(j *Job, index int) *Segment {
-	for len(j.Segments) <= index {
-		j.Segments = append(j.Segments, Segment{
-			Done:        make([]uint64, (t.segmentLen+record.BitsPerWord-1)/record.BitsPerWord),
-			Assignments: map[int]*Assignment{},
+func (t *Table) segment(j *Job, index int) *segment {
+	for len(j.segments) <= index {
+		j.segments = append(j.segments, segment{
+			done:        make([]uint64, (t.segmentLen+record.BitsPerWord-1)/record.BitsPerWord),
+			assignments: map[int]*Assignment{},
 		})
 	}
-	return &j.Segments[index]
+	return &j.segments[index]
 }
 
 // onRun replaces what the table knows of a chunk by what is stored: this is
 // the only place where an entry becomes durable or goes away for good.
-func (t *Table) onRun(id string, index int, data []byte, version uint64) {
+func (t *Table) onRun(id string, index int, data []byte, modRevision uint64) error {
 	if data == nil && t.byID[id] == nil {
-		return
+		return nil
 	}
 	if index > maxTasks/t.segmentLen {
-		return
+		return nil
 	}
 	j := t.get(id)
 	ch := t.segment(j, index)
 	var active []record.Assignment
 	if data != nil {
-		run, err := record.DecodeRun(data, len(ch.Done))
+		run, err := record.DecodeRun(data, len(ch.done))
 		ch.format = run.Format // also of a record that is refused
 		if err != nil {
-			return
+			return err
 		}
 		active = run.Active
 		ch.unknown = run.Unknown
-		ch.Attempt = max(ch.Attempt, run.Attempt)
+		ch.attempt = max(ch.attempt, run.Attempt)
 		for word := range run.Done {
-			ch.Done[word] |= run.Done[word] // a done task stays done
+			ch.done[word] |= run.Done[word] // a done task stays done
 		}
 	}
-	ch.ModRevision = version
+	ch.modRevision = modRevision
 	if data == nil {
-		ch.ModRevision = 0
+		ch.modRevision = 0
 	}
 	stored := t.storeAssignments(j, ch, active)
 	t.removeOutdated(j, ch, stored)
@@ -64,28 +64,29 @@
 	if data == nil {
 		t.forget(j)
 	}
+	return nil
 }
 
 // storeAssignments marks the entries that a chunk's record lists as durable, adding
 // those that are not known. It returns them by task.
-func (t *Table) storeAssignments(j *Job, ch *Segment, active []record.Assignment) map[int]*Assignment {
+func (t *Table) storeAssignments(j *Job, ch *segment, active []record.Assignment) map[int]*Assignment {
 	stored := map[int]*Assignment{}
 	for _, a := range active {
 		machine := t.Names.Machines.Index(a.Machine)
-		e := ch.Assignments[a.Task]
+		e := ch.assignments[a.Task]
 		if e == nil || e.Machine != machine || e.Attempt != a.Attempt {
 			if e != nil {
 				t.removeAssignment(e)
 			}
 			e = &Assignment{Job: j, Task: a.Task, Machine: machine, Attempt: a.Attempt}
-			ch.Assignments[a.Task] = e
+			ch.assignments[a.Task] = e
 			t.addAssignment(e)
 		}
-		if !e.Durable {
+		if !e.durable {
 			t.NoteMachineChanged(machine)
 		}
-		e.Durable = true
-		e.sent = true
+		e.durable = true
+		e.written = true
 		stored[a.Task] = e
 	}
 	return stored
@@ -93,10 +94,10 @@
 
 // removeOutdated removes the entries that a chunk's record does not list, except
 // placements that may still be written.
-func (t *Table) removeOutdated(j *Job, ch *Segment, stored map[int]*Assignment) {
-	for task, e := range ch.Assignments {
-		if stored[task] == nil && (e.Durable || j.TerminalPhase != Queued || j.IsDone(task)) {
-			delete(ch.Assignments, task)
+func (t *Table) removeOutdated(j *Job, ch *segment, stored map[int]*Assignment) {
+	for task, e := range ch.assignments {
+		if stored[task] == nil && (e.durable || j.TerminalPhase != Queued || j.IsDone(task)) {
+			delete(ch.assignments, task)
 			t.removeAssignment(e)
 		}
 	}
@@ -106,8 +107,8 @@
 // that waited to be shown so.
 func (j *Job) countDone() {
 	j.done = 0
-	for index := range j.Segments {
-		for _, word := range j.Segments[index].Done {
+	for index := range j.segments {
+		for _, word := range j.segments[index].done {
 			j.done += bits.OnesCount64(word)
 		}
 	}
--- a/internal/pipeline/size.go
+++ b/internal/pipeline/size.go
@@ -13,7 +13,7 @@
 // version reads, while that fits, else in the compact one once every controller is
 // known to read it. Placements that are not stored yet are left out until they fit,
 // those of a gang all together; taken are those that are not left out.
-func (t *Table) fit(j *Job, ch *Segment, c segmentContent) (data []byte, taken []*Assignment) {
+func (t *Table) fit(j *Job, ch *segment, c segmentContent) (data []byte, taken []*Assignment) {
 	slices.SortFunc(c.placements, func(a, b *Assignment) int { return cmp.Compare(a.Task, b.Task) })
 	active := t.assignmentRecords(c.active)
 	placements := t.assignmentRecords(c.placements)
@@ -21,12 +21,12 @@
 		return t.encodeSegment(ch, c.done, slices.Concat(active, placements[:count]))
 	}
 	data = encode(len(placements))
-	if len(data) <= t.ValueLimit || len(placements) == 0 {
+	if len(data) <= t.config.ValueLimit || len(placements) == 0 {
 		return data, c.placements
 	}
 	count := 0
 	if j.Shape != Gang {
-		count = sort.Search(len(placements), func(count int) bool { return len(encode(count+1)) > t.ValueLimit })
+		count = sort.Search(len(placements), func(count int) bool { return len(encode(count+1)) > t.config.ValueLimit })
 	}
 	return encode(count), c.placements[:count]
 }
@@ -41,10 +41,10 @@
 }
 
 // encodeSegment encodes a segment's record, plain if it fits or must be plain.
-func (t *Table) encodeSegment(ch *Segment, done []uint64, active []record.Assignment) []byte {
-	run := record.Run{Attempt: ch.Attempt, Done: done, Active: active, Unknown: ch.unknown}
+func (t *Table) encodeSegment(ch *segment, done []uint64, active []record.Assignment) []byte {
+	run := record.Run{Attempt: ch.attempt, Done: done, Active: active, Unknown: ch.unknown}
 	data := run.Encode()
-	if len(data) > t.ValueLimit && t.AllControllersUpgraded() {
+	if len(data) > t.config.ValueLimit && t.AllControllersUpgraded() {
 		run.Format = record.Compact
 		data = run.Encode()
 	}
@@ -53,22 +53,19 @@
 
 // AllControllersUpgraded reports whether every controller has shown that it runs this version.
 func (t *Table) AllControllersUpgraded() bool {
-	for _, label := range t.ControllerLabels {
+	for _, label := range t.config.ControllerLabels {
 		if !t.upgraded[label] {
 			return false
 		}
 	}
-	return len(t.ControllerLabels) > 0
+	return len(t.config.ControllerLabels) > 0
 }
 
 // CompactCount counts the run records that are stored in the compact format.
 func (t *Table) CompactCount() (count int) {
-	for _, j := range t.Jobs {
-		if j == nil {
-			continue
-		}
-		for index := range j.Segments {
-			if j.Segments[index].format == record.Compact && j.Segments[index].ModRevision != 0 {
+	for j := range t.AllJobs() {
+		for index := range j.segments {
+			if j.segments[index].format == record.Compact && j.segments[index].modRevision != 0 {
 				count++
 			}
 		}
@@ -80,13 +77,13 @@
 // again, as it does once the larger limit counts: needed before the service can go
 // back to a version that does not read the compact one. At most limit at a time.
 func (t *Table) ExpandRecords(limit int) {
-	for _, j := range t.Jobs {
-		if j == nil || j.TerminalPhase != Queued {
+	for j := range t.AllJobs() {
+		if j.TerminalPhase != Queued {
 			continue
 		}
-		for index := range j.Segments {
-			ch := &j.Segments[index]
-			if ch.format == record.Plain || ch.dirty || ch.ModRevision == 0 {
+		for index := range j.segments {
+			ch := &j.segments[index]
+			if ch.format == record.Plain || ch.dirty || ch.modRevision == 0 {
 				continue
 			}
 			if limit == 0 {
@@ -101,8 +98,8 @@
 }
 
 // fitsPlain reports whether a chunk as it is fits in the plain format.
-func (t *Table) fitsPlain(ch *Segment) bool {
-	assignments := slices.Collect(maps.Values(ch.Assignments))
-	run := record.Run{Attempt: ch.Attempt, Done: ch.Done, Active: t.assignmentRecords(assignments), Unknown: ch.unknown}
-	return len(run.Encode()) <= t.ValueLimit
+func (t *Table) fitsPlain(ch *segment) bool {
+	assignments := slices.Collect(maps.Values(ch.assignments))
+	run := record.Run{Attempt: ch.attempt, Done: ch.done, Active: t.assignmentRecords(assignments), Unknown: ch.unknown}
+	return len(run.Encode()) <= t.config.ValueLimit
 }
--- a/internal/pipeline/size_test.go
+++ b/internal/pipeline/size_test.go
@@ -15,8 +15,8 @@
 func limited(t *testing.T, shape Shape) (*Table, *Job) {
 	t.Helper()
 	tb, _ := newJob(t, 1)
-	tb.ValueLimit = 2048
-	tb.ControllerLabels = []string{"n0", "n1"}
+	tb.config.ValueLimit = 2048
+	tb.config.ControllerLabels = []string{"n0", "n1"}
 	j := &Job{ID: "req-2", Ready: true, Spec: Spec{TaskCount: 128, Shape: shape, CPUs: 1, Zone: -1}}
 	tb.HandleChange(record.KindJob, j.ID, EncodeJob(tb.Names, j), 2)
 	return tb, tb.Job(j.ID)
@@ -33,11 +33,11 @@
 }
 
 func durable(j *Job) (n int) {
-	j.Assignments(func(e *Assignment) {
-		if e.Durable {
+	for e := range j.Assignments() {
+		if e.durable {
 			n++
 		}
-	})
+	}
 	return n
 }
 
@@ -56,7 +56,7 @@
 	written := func(revision uint64) string {
 		in := q.next(t)
 		data := string(in.Writes[0].Data)
-		if len(data) > tb.ValueLimit {
+		if len(data) > tb.config.ValueLimit {
 			t.Fatalf("%d bytes", len(data))
 		}
 		for _, w := range in.Writes {
@@ -112,7 +112,7 @@
 // any other change.
 func TestExpandRecords(t *testing.T) {
 	tb, j := limited(t, Array)
-	for _, l := range tb.ControllerLabels {
+	for _, l := range tb.config.ControllerLabels {
 		tb.HandleChange(record.KindVersion, l, record.Version, 3)
 	}
 	q := &queue{}
@@ -123,7 +123,7 @@
 	if tb.Flush(time.Second, term, q); len(q.list) != 0 || tb.CompactCount() != 1 {
 		t.Errorf("%d writes, %d compact", len(q.list), tb.CompactCount())
 	}
-	tb.ValueLimit = 4096
+	tb.config.ValueLimit = 4096
 	tb.ExpandRecords(2)
 	tb.Flush(time.Second, term, q)
 	carryOut(tb, q.next(t), 5)
@@ -145,7 +145,7 @@
 		in.Done(kv.Result{Outcome: kv.Aborted})
 	}
 	q.list = nil
-	for _, l := range tb.ControllerLabels {
+	for _, l := range tb.config.ControllerLabels {
 		tb.HandleChange(record.KindVersion, l, record.Version, 3)
 	}
 	tb.Flush(2*time.Second, term, q)
@@ -160,14 +160,14 @@
 // compact form: by then all do, else the larger limit still counts.
 func TestLargerRecordStored(t *testing.T) {
 	for _, all := range []bool{true, false} {
-		tb := NewTable(&Names{}, 4096, 4)
-		tb.ValueLimit = 2048
-		tb.ControllerLabels = []string{"n0"}
+		tb := newTable(4)
+		tb.config.ValueLimit = 2048
+		tb.config.ControllerLabels = []string{"n0"}
 		if all {
 			tb.HandleChange(record.KindVersion, "n0", record.Version, 1)
 		}
 		l := stored(t, "production_large.txt")[0]
-		if len(l.data) <= tb.ValueLimit {
+		if len(l.data) <= tb.config.ValueLimit {
 			t.Fatal("the record is not large")
 		}
 		tb.HandleChange(l.kind, l.rest, l.data, l.version)
@@ -178,12 +178,14 @@
 		j := tb.Job(id)
 		before := durable(j)
 		var one *Assignment
-		j.Assignments(func(e *Assignment) { one = e })
+		for e := range j.Assignments() {
+			one = e
+		}
 		tb.RecordCompletion(j, one.Task)
 		q := &queue{}
 		tb.Flush(0, term, q)
 		in := q.next(t)
-		if size := len(in.Writes[0].Data); (size <= tb.ValueLimit) != all || size > 4096 {
+		if size := len(in.Writes[0].Data); (size <= tb.config.ValueLimit) != all || size > 4096 {
 			t.Errorf("%d bytes, all new: %v", size, all)
 		}
 		carryOut(tb, in, l.version+1)
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -2,56 +2,72 @@
 
 import (
 	"cmp"
+	"iter"
 	"slices"
 
 	"lugward/internal/event"
 	"lugward/internal/record"
 )
 
+// Config is what a table is made for.
+type Config struct {
+	Names *Names
+	// LayoutValueBytes is the limit on values, in bytes, for which run records are
+	// laid out. All versions and controllers must agree on it, as it decides which
+	// key holds a task.
+	LayoutValueBytes int
+	// ValueLimit bounds the values that are written, in bytes. It may be smaller than
+	// LayoutValueBytes; 0: it is the same.
+	ValueLimit int
+	// TxnOps is the state service's limit on the writes of a transaction.
+	TxnOps int
+	// ControllerLabels are those of all controllers.
+	ControllerLabels []string
+	// OnRefusedRecord, if set, is told of each stored record that cannot be decoded
+	// and is therefore ignored. err is a *record.DecodeError.
+	OnRefusedRecord func(key string, err error)
+}
+
 // Table is the replica of the graph with the leader's pending writes.
 type Table struct {
 	Names    *Names
-	Jobs     []*Job // by index; nil: the index is free
 	Terminal TerminalRecords
-	// ValueLimit bounds the values that are written, in bytes. It may be smaller
-	// than what the chunks were laid out for, which all versions must agree on.
-	ValueLimit int
-	// ControllerLabels are those of all controllers.
-	ControllerLabels []string
 
+	config         Config
 	now            event.Time // of the input that is being handled
+	clockOffset    int64      // Unix time in ns at monotonic time 0; 0: not known yet
 	roundRequested bool       // something that placement depends on has changed
 
+	jobs        []*Job // by index; nil: the index is free
+	freeIndexes []int  // of jobs
 	byID        map[string]*Job
-	freeIndexes []int // of Jobs
 	graph       graph
 	machineIndex
-	team       map[int]Usage // by team, what its entries take
-	terminated map[*Job]bool // marked while tasks of theirs may be on machines
+	team       map[int]Usage // by team, what its assignments take
+	terminated map[*Job]bool // with a terminal record while tasks may be on machines
 	retryRecords
 
-	dirty       map[*Job]bool   // some chunk differs from what is stored, or the done mark is due
-	segmentLen  int             // tasks per run record
-	txnOps      int             // the state service's limit on writes in a transaction
-	upgraded    map[string]bool // by label, the controllers that have shown this version
-	clockOffset int64           // Unix time in ns at monotonic time 0; 0: not known yet
+	dirty      map[*Job]bool   // some segment differs from what is stored, or the job's completion is due
+	segmentLen int             // tasks per run record
+	upgraded   map[string]bool // by label, the controllers that have shown this version
 }
 
-// The number of tasks per run record follows from the state service's limit on
-// values. All versions must agree on it, as it decides which key holds a task.
+// The number of tasks per run record follows from the state service's limit on values.
 const (
 	bytesPerTask  = 32 // what a task takes in the plain format, with a reserve
 	minSegmentLen = 16
 	maxSegmentLen = 1024
 )
 
-// NewTable returns an empty table. valueBytes and txnOps are the state
-// service's limits.
-func NewTable(n *Names, valueBytes, txnOps int) *Table {
+// NewTable returns an empty table.
+func NewTable(config Config) *Table {
+	if config.ValueLimit == 0 {
+		config.ValueLimit = config.LayoutValueBytes
+	}
 	return &Table{
-		Names:        n,
+		Names:        config.Names,
 		Terminal:     newTerminalRecords(),
-		ValueLimit:   valueBytes,
+		config:       config,
 		byID:         map[string]*Job{},
 		graph:        newGraph(),
 		machineIndex: machineIndex{isChanged: map[int]bool{}},
@@ -59,12 +75,14 @@
 		terminated:   map[*Job]bool{},
 		retryRecords: newRetryRecords(),
 		dirty:        map[*Job]bool{},
-		segmentLen:   max(minSegmentLen, min(maxSegmentLen, valueBytes/bytesPerTask)),
-		txnOps:       txnOps,
+		segmentLen:   max(minSegmentLen, min(maxSegmentLen, config.LayoutValueBytes/bytesPerTask)),
 		upgraded:     map[string]bool{},
 	}
 }
 
+// ValueLimit bounds the values that are written, in bytes.
+func (t *Table) ValueLimit() int { return t.config.ValueLimit }
+
 // SetNow sets the time of the input that is being handled.
 func (t *Table) SetNow(now event.Time) { t.now = now }
 
@@ -84,31 +102,54 @@
 // Job returns an unfinished job, or one that is finished but not cleaned up.
 func (t *Table) Job(id string) *Job { return t.byID[id] }
 
+// AllJobs returns the unfinished jobs and those that are finished but not cleaned up,
+// in the order of their indices.
+func (t *Table) AllJobs() iter.Seq[*Job] {
+	return func(yield func(*Job) bool) {
+		for _, job := range t.jobs {
+			if job != nil && !yield(job) {
+				return
+			}
+		}
+	}
+}
+
 // HandleChange takes one change of the replica; data is nil if the key was deleted.
-func (t *Table) HandleChange(kind record.Kind, rest string, data []byte, version uint64) {
+func (t *Table) HandleChange(kind record.Kind, rest string, data []byte, modRevision uint64) {
+	changed, err := t.applyChange(kind, rest, data, modRevision)
+	if err != nil && t.config.OnRefusedRecord != nil {
+		t.config.OnRefusedRecord(string(kind)+"/"+rest, err)
+	}
+	if changed {
+		t.RequestRound()
+	}
+}
+
+// applyChange takes a change of the replica. It reports whether the change may matter
+// to placement. An error means that the record cannot be decoded.
+func (t *Table) applyChange(kind record.Kind, rest string, data []byte, modRevision uint64) (changed bool, err error) {
 	switch kind {
 	case record.KindJob:
-		t.onJob(rest, data, version)
+		return true, t.onJob(rest, data, modRevision)
 	case record.KindRun:
 		if id, index, ok := record.SplitNumbered(rest); ok {
-			t.onRun(id, index, data, version)
+			err = t.onRun(id, index, data, modRevision)
 		}
+		return true, err
 	case record.KindTerminal:
-		if !t.onTerminal(rest, data) {
-			return
-		}
+		return t.onTerminal(rest, data)
 	case record.KindRetry:
-		t.onRetry(rest, data, version)
+		return true, t.onRetry(rest, data, modRevision)
 	case record.KindVersion:
 		t.upgraded[rest] = data != nil
+		return true, nil
 	case record.KindUpstreamPage:
-		if id, n, ok := record.SplitNumbered(rest); ok {
-			t.onUpstreamPage(id, n, data, version)
+		if id, page, ok := record.SplitNumbered(rest); ok {
+			err = t.onUpstreamPage(id, page, data, modRevision)
 		}
-	default:
-		return
+		return true, err
 	}
-	t.RequestRound()
+	return false, nil
 }
 
 // get returns the job, adding an empty one for records that arrive first.
@@ -133,13 +174,13 @@
 func (t *Table) assignIndex(j *Job) {
 	last := len(t.freeIndexes) - 1
 	if last < 0 {
-		j.Index = len(t.Jobs)
-		t.Jobs = append(t.Jobs, j)
+		j.Index = len(t.jobs)
+		t.jobs = append(t.jobs, j)
 		return
 	}
 	j.Index = t.freeIndexes[last]
 	t.freeIndexes = t.freeIndexes[:last]
-	t.Jobs[j.Index] = j
+	t.jobs[j.Index] = j
 }
 
 // forget removes a job of which no key is left.
@@ -147,8 +188,8 @@
 	if j.ModRevision != 0 || j.active > 0 {
 		return
 	}
-	for index := range j.Segments {
-		if j.Segments[index].ModRevision != 0 {
+	for index := range j.segments {
+		if j.segments[index].modRevision != 0 {
 			return
 		}
 	}
@@ -157,15 +198,15 @@
 	delete(t.dirtyRetries, j)
 	delete(t.terminated, j)
 	delete(t.graph.stale, j)
-	t.Jobs[j.Index] = nil
+	t.jobs[j.Index] = nil
 	t.freeIndexes = append(t.freeIndexes, j.Index)
 }
 
 // onJob takes a job's record of the replica.
-func (t *Table) onJob(id string, data []byte, version uint64) {
+func (t *Table) onJob(id string, data []byte, modRevision uint64) error {
 	if data == nil {
 		t.onJobDeleted(id)
-		return
+		return nil
 	}
 	j := t.get(id)
 	wasReady := j.Ready
@@ -174,17 +215,18 @@
 	err := decodeJob(t.Names, data, j)
 	t.recountUsage(j, 1)
 	if err != nil {
-		return
+		return err
 	}
-	j.ModRevision = version
+	j.ModRevision = modRevision
 	if j.Ready && !wasReady {
-		j.ReadyRevision = version
+		j.ReadyRevision = modRevision
 		j.ReadySince = max(t.now, 1)
 		if j.ReadyAt != 0 && t.clockOffset != 0 {
 			j.ReadySince = t.monotonicTime(j.ReadyAt)
 		}
 	}
 	t.updateGraph(j)
+	return nil
 }
 
 func (t *Table) onJobDeleted(id string) {
@@ -209,8 +251,8 @@
 func (t *Table) ReadyJobs() []*Job {
 	t.inherit()
 	var list []*Job
-	for _, j := range t.Jobs {
-		if j != nil && j.ModRevision != 0 && j.Ready && j.TerminalPhase == Queued {
+	for j := range t.AllJobs() {
+		if j.ModRevision != 0 && j.Ready && j.TerminalPhase == Queued {
 			list = append(list, j)
 		}
 	}
--- a/internal/pipeline/table_test.go
+++ b/internal/pipeline/table_test.go
@@ -54,7 +54,7 @@
 	}
 	carryOut(tb, q.next(t), 2)
 	for task := range 40 {
-		if !j.Assignment(task).Durable {
+		if !j.Assignment(task).durable {
 			t.Fatalf("task %d is not stored", task)
 		}
 	}
--- a/internal/pipeline/waiting.go
+++ b/internal/pipeline/waiting.go
@@ -17,11 +17,3 @@
 func (j *Job) StartOverdue(limit time.Duration, now event.Time) bool {
 	return j.ReadyLongerThan(limit, now) && !j.HasStarted() && !j.AtFault()
 }
-
-// IsFirstOfJob reports whether no other task of the job is placed or done.
-func (e *Assignment) IsFirstOfJob() bool {
-	return e.Job.ActiveCount() == 1 && e.Job.DoneCount() == 0
-}
-
-// PlacementDelay is how long the job had been ready when the task was placed.
-func (e *Assignment) PlacementDelay() time.Duration { return e.PlacedAt - e.Job.ReadySince }
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -119,11 +119,11 @@
 		FreeMemory:  machineType.Memory,
 	}
 	for _, task := range s.jobs.OnMachine(machine.Index) {
-		if task.Phase == pipeline.TaskExited {
+		if task.Phase() == pipeline.TaskExited {
 			continue // it uses nothing any more; only its record is still to change
 		}
 		capacity.Allocate(&task.Job.Spec, 1)
-		if task.Evicting {
+		if task.Evicting() {
 			capacity.Evicting = append(capacity.Evicting, task)
 		}
 	}
--- a/internal/scheduler/consolidation.go
+++ b/internal/scheduler/consolidation.go
@@ -94,7 +94,7 @@
 func (c *consolidation) reserveForEvicted() (blocked []*pipeline.Job) {
 	for machine := range c.workers.All() {
 		for _, task := range c.jobs.OnMachine(machine.Index) {
-			if !task.Evicting || task.Job.TerminalPhase != pipeline.Queued {
+			if !task.Evicting() || task.Job.TerminalPhase != pipeline.Queued {
 				continue
 			}
 			i := slices.IndexFunc(c.targets, func(target *Capacity) bool {
@@ -138,14 +138,14 @@
 // without loss.
 func canMove(task *pipeline.Assignment, now event.Time) bool {
 	job := task.Job
-	running := task.Phase == pipeline.TaskRunning && !task.Evicting
+	running := task.Phase() == pipeline.TaskRunning && !task.Evicting()
 	if !running || !task.Stored() {
 		return false
 	}
 	if job.CheckpointInterval == 0 || job.IsGang() {
 		return false
 	}
-	return now-task.StartedAt >= startCountsAfter
+	return now-task.StartedAt() >= startCountsAfter
 }
 
 // move is a task that is to move to a target.
--- a/internal/scheduler/consolidation_test.go
+++ b/internal/scheduler/consolidation_test.go
@@ -16,18 +16,23 @@
 func TestConsolidateReservesForEvicted(t *testing.T) {
 	const machines = 6
 	s := newSite(t)
+	recordRunning := func() {
+		for job := range s.jobs.AllJobs() {
+			for task := range job.Assignments() {
+				task.RecordPhase(pipeline.TaskRunning, s.now-time.Minute)
+			}
+		}
+	}
 	for i := range machines {
 		name := fmt.Sprintf("i-%d", i+1)
 		s.heartbeat(name)
 		id := fmt.Sprintf("req-%d", i+1)
-		job := s.addJob(id, func(j *pipeline.Job) {
+		s.addJob(id, func(j *pipeline.Job) {
 			j.CPUs, j.EstimatedRuntime, j.CheckpointInterval = 4, 600, 5
 		})
 		s.setRunRecord(id, fmt.Sprintf(`{"t":1,"a":[[0,1,%q]]}`, name), 100)
-		task := job.Assignment(0)
-		task.Phase = pipeline.TaskRunning
-		task.StartedAt = s.now - time.Minute
 	}
+	recordRunning()
 	first := s.Consolidate(s.now, RoundResult{Capacities: s.Capacities(s.now)}, nil)
 	if len(first) != machines/2 {
 		t.Fatalf("%d of %d machines drained, not half of them", len(first), machines)
@@ -37,10 +42,9 @@
 		t.Errorf("%d more machines drained while the tasks of the first ones are not placed yet", len(second))
 	}
 	waiting := s.addJob("req-9", func(j *pipeline.Job) { j.CPUs = 1 })
+	s.jobs.Reset() // nothing is evicted any more
+	recordRunning()
 	for _, machine := range first {
-		for _, task := range s.jobs.OnMachine(machine.Index) {
-			task.Evicting = false
-		}
 		// As a machine that is drained never takes tasks again, another takes its place.
 		s.workers.Remove(machine)
 		s.heartbeat(machine.Name)
--- a/internal/scheduler/expected_release.go
+++ b/internal/scheduler/expected_release.go
@@ -37,10 +37,10 @@
 		return math.Inf(1) // until it is cancelled
 	}
 	expected := s.workers.ExpectedRuntime(task.Job)
-	if task.StartedAt == 0 {
+	if task.StartedAt() == 0 {
 		return expected
 	}
-	return max(expected-secondsSince(task.StartedAt, now), minRemainingShare*expected)
+	return max(expected-secondsSince(task.StartedAt(), now), minRemainingShare*expected)
 }
 
 // ProjectedCapacities lists what is free on the machines that are up once the tasks
@@ -51,12 +51,12 @@
 	for _, capacity := range capacities {
 		for _, task := range s.jobs.OnMachine(capacity.Machine.Index) {
 			finished := task.Job.TerminalPhase != pipeline.Queued
-			if task.Evicting && !finished {
+			if task.Evicting() && !finished {
 				evicting = append(evicting, task)
 			}
 			switch {
-			case task.Phase == pipeline.TaskExited: // it was not counted
-			case task.Evicting || finished || task.Pending != pipeline.NoPendingWrite:
+			case task.Phase() == pipeline.TaskExited: // it was not counted
+			case task.Evicting() || finished || task.Pending() != pipeline.NoPendingWrite:
 				capacity.release(&task.Job.Spec)
 			default:
 				capacity.releases = append(capacity.releases, expectedRelease{task, s.RemainingRuntime(task, now)})
@@ -85,11 +85,11 @@
 	}
 	capacity.releasesListed = true
 	for _, task := range s.jobs.OnMachine(capacity.Machine.Index) {
-		if task.Phase == pipeline.TaskExited {
+		if task.Phase() == pipeline.TaskExited {
 			continue // it was not counted
 		}
 		after := s.RemainingRuntime(task, now)
-		if task.Evicting {
+		if task.Evicting() {
 			after = task.Job.CheckpointDuration
 		}
 		capacity.releases = append(capacity.releases, expectedRelease{task, after})
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -38,7 +38,7 @@
 	names.Classes.Index("c")
 	names.Teams.Index("t")
 	names.Images.Index("b")
-	jobs := pipeline.NewTable(names, 4096, 12)
+	jobs := pipeline.NewTable(pipeline.Config{Names: names, LayoutValueBytes: 4096, TxnOps: 12})
 	workers := worker.New(worker.Config{
 		Names: names,
 		Jobs:  jobs,
@@ -73,10 +73,9 @@
 		})
 		record := fmt.Sprintf(`{"t":1,"a":[[0,1,%q],[1,1,%q]]}`, name, name)
 		s.setRunRecord(id, record, uint64(10_000_000+i))
-		s.jobs.Job(id).Assignments(func(task *pipeline.Assignment) {
-			task.Phase = pipeline.TaskRunning
-			task.StartedAt = s.now - time.Duration(i%90)*time.Second
-		})
+		for task := range s.jobs.Job(id).Assignments() {
+			task.RecordPhase(pipeline.TaskRunning, s.now-time.Duration(i%90)*time.Second)
+		}
 	}
 	for i := range waitingJobs {
 		s.addJob(fmt.Sprintf("req-%d", 200_000+i), func(j *pipeline.Job) {
--- a/internal/scheduler/job_order.go
+++ b/internal/scheduler/job_order.go
@@ -79,7 +79,7 @@
 // overdue, as it cannot start wherever it is placed.
 func precedenceOf(job *pipeline.Job, now event.Time) precedence {
 	switch {
-	case job.WithinQuota:
+	case job.WithinQuota():
 		return withinQuota
 	case job.IsGang() && !job.AtFault() && job.ReadyLongerThan(startOverdueAfter, now):
 		return gangOverdue
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -35,7 +35,7 @@
 // mayPreemptAny reports whether there may be tasks that a job may preempt. None is
 // evicted for the probe of a job at fault, which is likely to fail again.
 func (r *round) mayPreemptAny(job *pipeline.Job) bool {
-	outranks := job.EffectivePriority > r.lowestRunningPriority || job.WithinQuota
+	outranks := job.EffectivePriority > r.lowestRunningPriority || job.WithinQuota()
 	return outranks && !job.AtFault()
 }
 
@@ -58,7 +58,7 @@
 		}
 	}
 	if best != nil {
-		job.ReservedZone = bestZone
+		job.ReserveZone(bestZone)
 	}
 	return best
 }
@@ -118,13 +118,13 @@
 	if job.EffectivePriority > other.EffectivePriority {
 		return true
 	}
-	if !job.WithinQuota || job.Team == other.Team {
+	if !job.WithinQuota() || job.Team == other.Team {
 		return false
 	}
 	// A job within its own team's quota is not preempted for another's. Nor is what
 	// was placed a moment ago: two jobs that preempted each other in every round,
 	// before either was stored, would never start.
-	if other.WithinQuota || !victim.Durable {
+	if other.WithinQuota() || !victim.Durable() {
 		return false
 	}
 	return r.borrows(other, r.cfg.Teams[job.Team], &job.Spec)
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -17,13 +17,13 @@
 	}
 	s.addJob("req-2", func(j *pipeline.Job) { j.Priority = pipeline.Idle })
 	s.runRound()
-	if task := normal.Assignment(0); task == nil || task.Evicting {
+	if task := normal.Assignment(0); task == nil || task.Evicting() {
 		t.Fatal("preempted for less important work")
 	}
 	s.addJob("req-3", heldBy("req-2", pipeline.High, 0))
 	s.runRound()
 	// One that is not stored yet is taken back at once.
-	if task := normal.Assignment(0); task != nil && !task.Evicting {
+	if task := normal.Assignment(0); task != nil && !task.Evicting() {
 		t.Error("not preempted for what an important job needs")
 	}
 }
@@ -37,7 +37,7 @@
 	s.runRound()
 	s.addJob("req-1", nil)
 	s.runRound()
-	if task := idle.Assignment(0); task == nil || task.Evicting {
+	if task := idle.Assignment(0); task == nil || task.Evicting() {
 		t.Error("what an important job needs is preempted for a less important one")
 	}
 }
@@ -58,8 +58,8 @@
 	s.setRunRecord("req-2", firstTaskOnMachine, 9)
 	r := s.newRound()
 	r.updateQuotas(s.jobs.ReadyJobs())
-	if !claimant.WithinQuota || !within.WithinQuota || beyond.WithinQuota {
-		t.Fatalf("within the quota: %v %v %v", claimant.WithinQuota, within.WithinQuota, beyond.WithinQuota)
+	if !claimant.WithinQuota() || !within.WithinQuota() || beyond.WithinQuota() {
+		t.Fatalf("within the quota: %v %v %v", claimant.WithinQuota(), within.WithinQuota(), beyond.WithinQuota())
 	}
 	if r.mayPreempt(claimant, within.Assignment(0)) {
 		t.Error("a job within its own team's quota is preempted")
@@ -68,7 +68,7 @@
 		t.Error("a task is preempted before it is stored")
 	}
 	s.setRunRecord("req-3", firstTaskOnMachine, 10)
-	if task := beyond.Assignment(0); !task.Durable || !r.mayPreempt(claimant, task) {
+	if task := beyond.Assignment(0); !task.Durable() || !r.mayPreempt(claimant, task) {
 		t.Error("what a team uses beyond its quota is not preempted")
 	}
 	claimant.EffectivePriority = pipeline.High
--- a/internal/scheduler/preemption_victims.go
+++ b/internal/scheduler/preemption_victims.go
@@ -65,7 +65,7 @@
 // mayBeVictim reports whether a task can be preempted at all. Gangs cannot: all of
 // their tasks would lose their places for the sake of one.
 func mayBeVictim(task *pipeline.Assignment) bool {
-	if task.Evicting || task.Pending != pipeline.NoPendingWrite {
+	if task.Evicting() || task.Pending() != pipeline.NoPendingWrite {
 		return false
 	}
 	return task.Job.TerminalPhase == pipeline.Queued && !task.Job.IsGang()
@@ -74,13 +74,13 @@
 // evictionCost is what it costs to evict a task, in seconds of work lost or delayed.
 func evictionCost(task *pipeline.Assignment, now event.Time) float64 {
 	cost := task.Job.CheckpointDuration + relocationCost
-	if task.StartedAt == 0 {
+	if task.StartedAt() == 0 {
 		return cost
 	}
 	if task.Job.CheckpointInterval == 0 {
-		cost += secondsSince(task.StartedAt, now) // all of it is lost
+		cost += secondsSince(task.StartedAt(), now) // all of it is lost
 	}
-	if now-task.StartedAt < startCountsAfter {
+	if now-task.StartedAt() < startCountsAfter {
 		cost += uncountedStartCost
 	}
 	return cost
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -20,7 +20,7 @@
 		usage := byTeam[job.Team]
 		usage.Add(&job.Spec, float64(job.TaskCount-job.DoneCount()))
 		byTeam[job.Team] = usage
-		job.WithinQuota = isWithinQuota(job, r.cfg.Teams[job.Team], usage)
+		job.SetWithinQuota(isWithinQuota(job, r.cfg.Teams[job.Team], usage))
 		if job.ActiveCount() > 0 {
 			r.lowestRunningPriority = min(r.lowestRunningPriority, job.EffectivePriority)
 		}
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -34,7 +34,7 @@
 		return // it never fits on the machines that are up: others may use them
 	}
 	if zone.IsSingle() && len(slots) == tasks {
-		job.ReservedZone = zone
+		job.ReserveZone(zone)
 	}
 	for _, slot := range slots {
 		r.reservationCount++
@@ -75,7 +75,7 @@
 // another looks a little better, and small jobs would take it.
 func (r *round) earliestSlots(job *pipeline.Job, count int) (best []slot, bestZone pipeline.ZoneSelector) {
 	earliest := math.Inf(1)
-	chosen := job.ReservedZone
+	chosen := job.ReservedZone()
 	for _, zone := range r.zonesToSearch(job) {
 		slots := r.earliestSlotsInZone(job, count, zone)
 		if len(slots) == 0 {
--- a/internal/scheduler/round_test.go
+++ b/internal/scheduler/round_test.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"testing"
-
-	"lugward/internal/pipeline"
 )
 
 // The work of a round for the jobs that wait follows what has changed, not the number
@@ -21,11 +19,11 @@
 		s.runRound()
 		placed := 0
 		for _, job := range s.jobs.ReadyJobs() {
-			job.Assignments(func(task *pipeline.Assignment) {
-				if !task.Durable {
+			for task := range job.Assignments() {
+				if !task.Durable() {
 					placed++
 				}
-			})
+			}
 		}
 		return work{
 			recomputed: s.counters.capacitiesRecomputed - before.capacitiesRecomputed,
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -32,7 +32,7 @@
 // a job that was starved.
 func isProtectedStart(task *pipeline.Assignment, now event.Time) bool {
 	wasStarved := task.PlacementDelay() > starvedAfter
-	return task.IsFirstOfJob() && wasStarved && now-task.PlacedAt < firstTaskProtection
+	return task.IsFirstOfJob() && wasStarved && now-task.PlacedAt() < firstTaskProtection
 }
 
 // startStarvedJobs places one task of each starved job, or reserves the capacity that
--- a/internal/scheduler/zone_constraints.go
+++ b/internal/scheduler/zone_constraints.go
@@ -17,13 +17,13 @@
 // TasksByZone counts, per zone, the tasks of a job that may be on machines there.
 func (s *Scheduler) TasksByZone(job *pipeline.Job) ZoneCounts {
 	counts := ZoneCounts{}
-	job.Assignments(func(task *pipeline.Assignment) {
+	for task := range job.Assignments() {
 		zone := unknownZone
 		if machine := s.workers.MachineAt(task.Machine); machine != nil {
 			zone = machine.Zone()
 		}
 		counts[zone]++
-	})
+	}
 	return counts
 }
 
@@ -104,8 +104,8 @@
 		return nil // until it is known where they are
 	}
 	var zones []pipeline.ZoneSelector
-	if job.ReservedZone.IsSingle() {
-		zones = append(zones, job.ReservedZone)
+	if job.ReservedZone().IsSingle() {
+		zones = append(zones, job.ReservedZone())
 	}
 	for _, capacity := range r.capacities {
 		zone := pipeline.OnlyZone(capacity.Zone)
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -73,7 +73,7 @@
 	// A cancelled job's task is terminated whatever write is pending: one that was
 	// taken to have terminated may hang and go on.
 	cancelled := task.assignment.Job.TerminalPhase == pipeline.Cancelled
-	if task.assignment.Pending != pipeline.NoPendingWrite && !cancelled {
+	if task.assignment.Pending() != pipeline.NoPendingWrite && !cancelled {
 		return
 	}
 	if due, gracePeriod := mustTerminate(task.assignment); due {
@@ -97,7 +97,7 @@
 // lacks.
 func (r *Registry) respondToUnlisted(response *response, assignment *pipeline.Assignment) {
 	terminate, _ := mustTerminate(assignment)
-	lost := assignment.Phase >= pipeline.TaskWaitingForGang && response.tokenConfirmed
+	lost := assignment.Phase() >= pipeline.TaskWaitingForGang && response.tokenConfirmed
 	switch {
 	case !terminate && lost && assignment.Job.IsGang():
 		// The worker lost it: the rest of the gang cannot go on.
@@ -116,9 +116,7 @@
 // worker's incarnation.
 func (r *response) start(assignment *pipeline.Assignment) {
 	r.starts = append(r.starts, startCommand(assignment))
-	assignment.OrderedSequence = r.heartbeat.Sequence
-	assignment.Phase = pipeline.TaskUnseen
-	assignment.StartedAt = 0
+	assignment.RecordStartCommand(r.heartbeat.Sequence)
 	r.machine.images[assignment.Job.Image] = true
 }
 
@@ -128,5 +126,5 @@
 	if assignment.Job.TerminalPhase != pipeline.Queued {
 		return true, 0
 	}
-	return assignment.Evicting, assignment.GracePeriod
+	return assignment.Evicting(), assignment.GracePeriod()
 }
--- a/internal/worker/eviction.go
+++ b/internal/worker/eviction.go
@@ -15,7 +15,7 @@
 // Evict asks for a task to be terminated so that it can run elsewhere, with a grace
 // period in seconds. A gang is terminated as a whole.
 func (r *Registry) Evict(assignment *pipeline.Assignment, gracePeriod float64) {
-	if assignment.Evicting {
+	if assignment.Evicting() {
 		return
 	}
 	r.jobs.RequestRound()
@@ -28,20 +28,18 @@
 
 // terminateGang evicts all tasks of a gang. It starts again when all have terminated.
 func (r *Registry) terminateGang(job *pipeline.Job) {
-	job.Terminating = true
-	job.Assignments(func(assignment *pipeline.Assignment) { r.evictAssignment(assignment, GracePeriod(job)) })
+	r.jobs.BeginTermination(job)
+	for assignment := range job.Assignments() {
+		r.evictAssignment(assignment, GracePeriod(job))
+	}
 }
 
 // evictAssignment marks an assignment to be terminated, and clears it at once where it
 // is not stored yet: no start was sent then.
 func (r *Registry) evictAssignment(assignment *pipeline.Assignment, gracePeriod float64) {
-	if !assignment.Evicting {
-		assignment.Evicting = true
-		assignment.GracePeriod = gracePeriod
-		r.jobs.NoteMachineChanged(assignment.Machine)
-	}
+	r.jobs.RequestEviction(assignment, gracePeriod)
 	r.terminateSoon(assignment)
-	if !assignment.Durable {
+	if !assignment.Durable() {
 		r.jobs.RecordTermination(assignment)
 	}
 }
--- a/internal/worker/failure_detector.go
+++ b/internal/worker/failure_detector.go
@@ -61,15 +61,15 @@
 
 // runTime is for how long a task has been seen running.
 func runTime(assignment *pipeline.Assignment, now event.Time) event.Time {
-	if assignment.StartedAt == 0 {
+	if assignment.StartedAt() == 0 {
 		return 0
 	}
-	return now - event.Time(assignment.StartedAt)
+	return now - event.Time(assignment.StartedAt())
 }
 
 // runsFor tells whether a task is running and has been for a time.
 func runsFor(assignment *pipeline.Assignment, needed, now event.Time) bool {
-	return assignment.Phase == pipeline.TaskRunning && runTime(assignment, now) >= needed
+	return assignment.Phase() == pipeline.TaskRunning && runTime(assignment, now) >= needed
 }
 
 // scanFailures looks at the machines on which tasks have failed. Without any it
@@ -126,9 +126,9 @@
 	}
 	needed := max(minWorkingTime, workingTimeFactor*ran)
 	works := false
-	job.Assignments(func(assignment *pipeline.Assignment) {
+	for assignment := range job.Assignments() {
 		works = works || (assignment.Machine != machine.Index && runsFor(assignment, needed, now))
-	})
+	}
 	return works
 }
 
@@ -154,9 +154,9 @@
 		return
 	}
 	works := false
-	job.Assignments(func(assignment *pipeline.Assignment) {
+	for assignment := range job.Assignments() {
 		works = works || runsFor(assignment, serviceWorkingTime, now)
-	})
+	}
 	if works {
 		r.jobs.ClearFailures(job)
 	}
--- a/internal/worker/failures_test.go
+++ b/internal/worker/failures_test.go
@@ -21,7 +21,7 @@
 
 func newCluster() *cluster {
 	names := &pipeline.Names{}
-	table := pipeline.NewTable(names, 4096, 12)
+	table := pipeline.NewTable(pipeline.Config{Names: names, LayoutValueBytes: 4096, TxnOps: 12})
 	return &cluster{Registry: New(Config{Names: names, Jobs: table, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}), now: time.Second}
 }
 
@@ -35,8 +35,16 @@
 // start puts a task on a machine as a stored placement.
 func (c *cluster) start(j *pipeline.Job, task int, machine string) {
 	placedOn := c.Add(machine, c.now)
-	entry := c.jobs.Assign(j, task, placedOn.Index, j.MaxAttempt()+1, c.now)
-	entry.Durable = true
+	c.jobs.Assign(j, task, placedOn.Index, j.MaxAttempt()+1, c.now)
+	run := record.Run{Attempt: j.MaxAttempt()}
+	for assignment := range j.Assignments() {
+		run.Active = append(run.Active, record.Assignment{
+			Task:    assignment.Task,
+			Attempt: assignment.Attempt,
+			Machine: c.names.Machines.Name(assignment.Machine),
+		})
+	}
+	c.jobs.HandleChange(record.KindRun, j.ID+"/0", run.Encode(), 2)
 }
 
 // report lets a machine report one task.
@@ -106,7 +114,7 @@
 	if !faulty.quarantined || !faulty.draining {
 		t.Error("the machine is not taken out of use")
 	}
-	if entry := other.Assignment(0); entry == nil || !entry.Evicting {
+	if entry := other.Assignment(0); entry == nil || !entry.Evicting() {
 		t.Error("what runs there does not move")
 	}
 	if c.Add("i-2", c.now).quarantined {
--- a/internal/worker/heartbeat_handling.go
+++ b/internal/worker/heartbeat_handling.go
@@ -138,12 +138,9 @@
 // updateAssignment takes in what a heartbeat says of a task with an assignment.
 func (r *Registry) updateAssignment(machine *Machine, assignment *pipeline.Assignment, status *TaskStatus, now event.Time) {
 	phase := phases[status.Phase]
-	started := phase >= pipeline.TaskWaitingForGang && phase < pipeline.TaskExited
-	if started && assignment.StartedAt == 0 {
-		assignment.StartedAt = now
+	if started := assignment.RecordPhase(phase, now); started {
 		r.logStart(machine, assignment, now)
 	}
-	assignment.Phase = phase
 	if phase >= pipeline.TaskWaitingForGang {
 		machine.images[assignment.Job.Image] = true
 	}
@@ -160,7 +157,7 @@
 		"task", assignment.Task,
 		"attempt", assignment.Attempt,
 		"machine", machine.Name,
-		"since_placed", now-assignment.PlacedAt,
+		"since_placed", now-assignment.PlacedAt(),
 		"since_ready", now-job.ReadySince)
 }
 
@@ -193,7 +190,7 @@
 func (r *Registry) handleExitCause(machine *Machine, assignment *pipeline.Assignment, cause string, now event.Time) {
 	switch cause {
 	case causeFailed:
-		if assignment.Pending == pipeline.NoPendingWrite {
+		if assignment.Pending() == pipeline.NoPendingWrite {
 			r.taskFailed(machine, assignment, now)
 		}
 	case causeNoCapacity, causeTaskConflict:
@@ -211,7 +208,7 @@
 func (r *Registry) taskCompleted(machine *Machine, assignment *pipeline.Assignment, now event.Time) {
 	job := assignment.Job
 	r.taskSucceeded(machine, job)
-	if assignment.Pending == pipeline.NoPendingWrite {
+	if assignment.Pending() == pipeline.NoPendingWrite {
 		r.recordRuntime(machine, assignment, now)
 	}
 	if job.Shape != pipeline.Gang {
--- a/internal/worker/reachability.go
+++ b/internal/worker/reachability.go
@@ -65,16 +65,14 @@
 // its heartbeats.
 func (r *Registry) checkStarts(machine *Machine, heartbeat *Heartbeat, now event.Time) {
 	for _, assignment := range r.jobs.OnMachine(machine.Index) {
-		commanded := assignment.OrderedSequence != 0 && assignment.OrderedSequence < heartbeat.Sequence
-		if !commanded || assignment.Phase != pipeline.TaskUnseen {
+		if !assignment.AwaitsStart(heartbeat.Sequence) {
 			continue
 		}
 		if heartbeat.lists(taskName(assignment)) {
-			assignment.MissedHeartbeats = 0
+			assignment.ClearMissedHeartbeats()
 			continue
 		}
-		assignment.MissedHeartbeats++
-		if assignment.MissedHeartbeats >= maxMissedStarts {
+		if assignment.RecordMissedHeartbeat() >= maxMissedStarts {
 			r.markUnreachable(machine, now)
 			return
 		}
@@ -94,7 +92,7 @@
 // evictUnstarted evicts the tasks that a machine has not started.
 func (r *Registry) evictUnstarted(machine *Machine) {
 	for _, assignment := range r.sortedAssignments(machine) {
-		if assignment.Phase == pipeline.TaskUnseen {
+		if assignment.Phase() == pipeline.TaskUnseen {
 			r.Evict(assignment, GracePeriod(assignment.Job))
 		}
 	}
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -153,7 +153,7 @@
 		return false
 	}
 	for _, assignment := range r.jobs.OnMachine(machine.Index) {
-		if assignment.Durable {
+		if assignment.Durable() {
 			return false
 		}
 	}
--- a/internal/worker/runtime_estimate.go
+++ b/internal/worker/runtime_estimate.go
@@ -20,10 +20,10 @@
 // owners' estimates, and whether a machine is slow.
 func (r *Registry) recordRuntime(machine *Machine, assignment *pipeline.Assignment, now event.Time) {
 	job := assignment.Job
-	if job.EstimatedRuntime <= 0 || assignment.StartedAt == 0 {
+	if job.EstimatedRuntime <= 0 || assignment.StartedAt() == 0 {
 		return
 	}
-	took := (now - assignment.StartedAt).Seconds()
+	took := (now - assignment.StartedAt()).Seconds()
 	ratio := took / job.EstimatedRuntime
 	usual, known := r.runtimeRatio[job.Class]
 	if !known {
--- a/internal/worker/termination.go
+++ b/internal/worker/termination.go
@@ -22,7 +22,9 @@
 // sendDueTerminations sends the terminations that are due to all workers.
 func (r *Registry) sendDueTerminations(now event.Time, leadership Leadership, out *event.Effects) {
 	for _, job := range r.jobs.TakeTerminatedJobs() {
-		job.Assignments(r.terminateSoon)
+		for assignment := range job.Assignments() {
+			r.terminateSoon(assignment)
+		}
 	}
 	for _, index := range slices.Sorted(maps.Keys(r.terminating)) {
 		machine := r.MachineAt(index)
@@ -57,7 +59,7 @@
 
 // notTerminating tells whether a worker that has a task has not begun to terminate it.
 func notTerminating(assignment *pipeline.Assignment) bool {
-	return assignment.Phase != pipeline.TaskUnseen && assignment.Phase < pipeline.TaskCheckpointing
+	return assignment.Phase() != pipeline.TaskUnseen && assignment.Phase() < pipeline.TaskCheckpointing
 }
 
 // checkExpired clears a machine whose tasks have terminated because its lease has
@@ -89,11 +91,3 @@
 	machine.lastHeartbeat = 0
 	r.jobs.RequestRound()
 }
-
-// checkTerminated lets a gang start again once all of its old attempt has terminated.
-func (r *Registry) checkTerminated(job *pipeline.Job) {
-	if job.Terminating && job.ActiveCount() == 0 {
-		job.Terminating = false
-		r.jobs.RequestRound()
-	}
-}
--- a/internal/worker/tick.go
+++ b/internal/worker/tick.go
@@ -19,11 +19,11 @@
 	}
 	r.scannedAt = now
 	r.scanFailures(now)
-	r.jobs.MachinesInUse(func(index int) { r.checkExpired(index, now, leadership) })
-	for _, job := range r.jobs.Jobs {
-		if job != nil {
-			r.checkService(job, now)
-			r.checkTerminated(job)
-		}
+	for index := range r.jobs.MachinesInUse() {
+		r.checkExpired(index, now, leadership)
+	}
+	for job := range r.jobs.AllJobs() {
+		r.checkService(job, now)
+		r.jobs.FinishTermination(job)
 	}
 }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -27,7 +27,7 @@
 	names := &pipeline.Names{}
 	registry := New(Config{
 		Names:            names,
-		Jobs:             pipeline.NewTable(names, 4096, 12),
+		Jobs:             pipeline.NewTable(pipeline.Config{Names: names, LayoutValueBytes: 4096, TxnOps: 12}),
 		HeartbeatTimeout: 13 * time.Second,
 		Log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
@@ -105,7 +105,7 @@
 func TestCancelledIsStoppedWhatever(t *testing.T) {
 	for _, pending := range []pipeline.PendingWrite{pipeline.NoPendingWrite, pipeline.PendingClear, pipeline.PendingDone} {
 		names := &pipeline.Names{}
-		jobs := pipeline.NewTable(names, 4096, 12)
+		jobs := pipeline.NewTable(pipeline.Config{Names: names, LayoutValueBytes: 4096, TxnOps: 12})
 		j := &pipeline.Job{ID: "req-1", Ready: true, Spec: pipeline.Spec{TaskCount: 1, Zone: -1}}
 		j.Class, j.Team, j.Image = names.Classes.Index("c"), names.Teams.Index("t"), names.Images.Index("b")
 		jobs.HandleChange(record.KindJob, j.ID, pipeline.EncodeJob(names, j), 1)
