--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -14,13 +14,14 @@
 	"lugward/internal/worker"
 )
 
-// Keys in the state service.
+// Prefixes of the autoscaler's keys in the state service.
 const (
-	TypesKey              = "c/types" // the machine types as last seen
-	TypesKeyPrefix        = "c"       // of TypesKey
-	DecommissionKeyPrefix = "h"       // h/<machine>: gets no more tasks and is to be released
+	MachineTypesKeyPrefix = "c" // c/types: the machine types as last seen
+	DecommissionKeyPrefix = "h" // h/<machine>: gets no more tasks and is to be released
 )
 
+const machineTypesKey = MachineTypesKeyPrefix + "/types"
+
 // scanInterval is the time between two scans of all machines.
 const scanInterval = 500 * time.Millisecond
 
@@ -46,12 +47,8 @@
 // the stored machine types and decommissions; everything else is the leader's. It is
 // not safe for concurrent use.
 type Autoscaler struct {
-	listLag    time.Duration
-	settleTime time.Duration
-
 	cloud         *cloudClient
 	catalog       *machineTypeCatalog
-	bootTimes     *bootTimes
 	booting       *bootingMachines
 	list          *machineListReader
 	provisioner   *provisioner
@@ -61,13 +58,14 @@
 	planner       *planner
 	scaleIn       *scaleIn
 
+	settleTime  time.Duration // after termBeganAt no machine is released for this long
 	termBeganAt event.Time
 	scannedAt   event.Time // when all machines were last looked at
 }
 
 // New returns an autoscaler that knows no machine types yet.
 func New(cfg Config) *Autoscaler {
-	a := &Autoscaler{listLag: cfg.ListLag, settleTime: cfg.SettleTime}
+	a := &Autoscaler{settleTime: cfg.SettleTime}
 	a.cloud = &cloudClient{addr: cfg.CloudAddr, rps: cfg.CloudRPS}
 	a.catalog = &machineTypeCatalog{
 		names:         cfg.Names,
@@ -77,8 +75,10 @@
 		log:           cfg.Log,
 		maxValueBytes: cfg.MaxValueBytes,
 	}
-	a.bootTimes = &bootTimes{catalog: a.catalog, histories: map[int]*bootHistory{}}
-	a.booting = &bootingMachines{catalog: a.catalog, bootTimes: a.bootTimes}
+	a.booting = &bootingMachines{
+		catalog:   a.catalog,
+		bootTimes: &bootTimes{catalog: a.catalog, histories: map[int]*bootHistory{}},
+	}
 	a.connectCloud(cfg)
 	a.connectWorkers(cfg)
 	a.connectScaling(cfg)
@@ -110,7 +110,7 @@
 		decommissions: a.decommissions,
 		listLag:       cfg.ListLag,
 	}
-	a.list = &machineListReader{cloud: a.cloud, observe: listed.observe}
+	a.list = &machineListReader{cloud: a.cloud, lag: cfg.ListLag, observe: listed.observe}
 }
 
 // connectWorkers builds the parts that watch the connection to the machines.
@@ -135,7 +135,7 @@
 		names:       cfg.Names,
 		workers:     cfg.Workers,
 		catalog:     a.catalog,
-		bootTimes:   a.bootTimes,
+		bootTimes:   a.booting.bootTimes,
 		booting:     a.booting,
 		partitions:  a.partitions,
 		provisioner: a.provisioner,
@@ -145,7 +145,7 @@
 		jobs:             cfg.Jobs,
 		workers:          cfg.Workers,
 		catalog:          a.catalog,
-		bootTimes:        a.bootTimes,
+		bootTimes:        a.booting.bootTimes,
 		booting:          a.booting,
 		partitions:       a.partitions,
 		decommissions:    a.decommissions,
@@ -172,23 +172,18 @@
 func (a *Autoscaler) BeginTerm(now event.Time, fencingToken uint64) {
 	a.Reset()
 	a.termBeganAt = now
-	// What a leader before us provisioned last may be missing from the list: a
-	// plan by an older list would provision it twice.
-	a.list.validFrom = now
-	if fencingToken > 1 {
-		a.list.validFrom += a.listLag
-	}
+	a.list.beginTerm(now, fencingToken)
 }
 
-// HandleChange takes a change of a key with the prefix TypesKeyPrefix or
+// HandleChange takes a change of a key with the prefix MachineTypesKeyPrefix or
 // DecommissionKeyPrefix. rest is what follows the prefix, data is nil if the key was
 // deleted.
 func (a *Autoscaler) HandleChange(prefix, rest string, data []byte) {
-	switch {
-	case prefix == DecommissionKeyPrefix:
+	switch prefix {
+	case DecommissionKeyPrefix:
 		a.decommissions.handleChange(rest, data)
-	case data != nil:
-		a.catalog.handleStored(data)
+	case MachineTypesKeyPrefix:
+		a.catalog.handleChange(data)
 	}
 }
 
--- /dev/null
+++ b/internal/autoscaler/decommission_test.go
@@ -0,0 +1,48 @@
+package autoscaler
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"lugward/internal/event"
+	"lugward/internal/kv"
+)
+
+// A machine whose decommission is stored is released, and forgotten once the cloud has
+// taken it back.
+func TestRelease(t *testing.T) {
+	const machine = "i-1"
+	for _, test := range []struct {
+		name     string
+		status   int
+		released bool
+	}{
+		{name: "taken back", status: http.StatusOK, released: true},
+		{name: "refused", status: http.StatusInternalServerError},
+		{name: "no response", status: 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			const now = time.Minute
+			f := newFixture(t, Config{})
+			f.HandleChange(DecommissionKeyPrefix, machine, []byte("1"))
+			var out event.Effects
+			f.decommissions.release(now, kv.Compare{}, &out)
+			if len(out.Calls) != 1 || out.Calls[0].Path != "/rentals/return" || string(out.Calls[0].Body) != `{"hosts":["i-1"]}` {
+				t.Fatalf("calls %+v", out.Calls)
+			}
+			if !f.workers.Lookup(machine).Decommissioning() {
+				t.Error("the machine may still get tasks")
+			}
+			f.HandleCallResult(now, event.CallResult{ID: out.Calls[0].ID, Status: test.status})
+			if f.Released(machine) != test.released || (f.workers.Lookup(machine) == nil) != test.released {
+				t.Errorf("released: %v, known: %v", f.Released(machine), f.workers.Lookup(machine) != nil)
+			}
+			out.Reset()
+			f.decommissions.release(now+errorPause, kv.Compare{}, &out)
+			if repeated := len(out.Calls) == 1; repeated == test.released {
+				t.Errorf("repeated: %v", repeated)
+			}
+		})
+	}
+}
--- a/internal/autoscaler/machine_list.go
+++ b/internal/autoscaler/machine_list.go
@@ -21,6 +21,7 @@
 // machineListReader reads the cloud's machine list page by page.
 type machineListReader struct {
 	cloud   *cloudClient
+	lag     time.Duration                             // by which the list may be out of date
 	observe func(listed *wireMachine, now event.Time) // takes a machine of the list
 
 	inFlight  bool       // a page is asked for
@@ -43,6 +44,16 @@
 	r.upToDate = false
 }
 
+// beginTerm makes the list count as out of date until it is read in the new term. What a
+// leader before us provisioned last may be missing from the list for a while: a plan by
+// an older list would provision it twice.
+func (r *machineListReader) beginTerm(now event.Time, fencingToken uint64) {
+	r.validFrom = now
+	if fencingToken > 1 {
+		r.validFrom += r.lag
+	}
+}
+
 // interval is the time from the beginning of one reading to that of the next.
 func (r *machineListReader) interval() time.Duration {
 	seconds := float64(r.pages) / (listRateShare * r.cloud.rps)
--- a/internal/autoscaler/machine_types.go
+++ b/internal/autoscaler/machine_types.go
@@ -66,9 +66,12 @@
 	return machineType.Price
 }
 
-// handleStored takes the machine types that a leader has stored. Malformed ones are
-// ignored: those that are known stay in use.
-func (c *machineTypeCatalog) handleStored(data []byte) {
+// handleChange takes the machine types that a leader has stored; data is nil if they
+// were deleted. Then, and if they are malformed, those that are known stay in use.
+func (c *machineTypeCatalog) handleChange(data []byte) {
+	if data == nil {
+		return
+	}
 	list, err := decodeMachineTypes(data)
 	if err != nil {
 		c.log.Warn("stored machine types ignored", "error", err)
@@ -139,7 +142,7 @@
 	c.store.Submit(&kv.Txn{
 		Priority: kv.PrioritySubmission,
 		Compares: []kv.Compare{term},
-		Writes:   []kv.Write{{Key: TypesKey, Data: data}},
+		Writes:   []kv.Write{{Key: machineTypesKey, Data: data}},
 		Done: func(result kv.Result) {
 			// What is rejected as malformed would be rejected again.
 			if result.Outcome == kv.Committed || result.Outcome == kv.Rejected {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -189,7 +189,7 @@
 	switch kind {
 	case election.KeyPrefix:
 		c.election.HandleChange(key, data, version)
-	case autoscaler.TypesKeyPrefix, autoscaler.DecommissionKeyPrefix:
+	case autoscaler.MachineTypesKeyPrefix, autoscaler.DecommissionKeyPrefix:
 		c.autoscaler.HandleChange(kind, rest, data)
 	default:
 		c.jobs.HandleChange(record.Kind(kind), rest, data, version)
