--- a/internal/kv/call.go
+++ b/internal/kv/call.go
@@ -35,7 +35,7 @@
 	body   []byte
 }
 
-// err returns nil if the store has executed the request, else a *StatusError.
+// err returns nil for the status 200, else a *StatusError.
 func (r *response) err() error {
 	if r.status == httpwire.StatusOK {
 		return nil
@@ -43,7 +43,8 @@
 	return &StatusError{Method: r.call.method, Path: r.call.path, Status: r.status}
 }
 
-// A StatusError tells that the store did not execute a request.
+// A StatusError reports that a request got a response other than 200, or none.
+// Without a usable response the store may have executed the request all the same.
 type StatusError struct {
 	Method, Path string
 	// Status is the HTTP status, or event.NoResponse or event.ResponseTooLarge.
--- a/internal/kv/lease.go
+++ b/internal/kv/lease.go
@@ -17,8 +17,8 @@
 type LeaseGrantFunc func(now event.Time, leaseID uint64, err error, out *event.Effects)
 
 // LeaseRenewalFunc receives the result of a lease's renewal: nil if it was
-// renewed, ErrLeaseNotFound if it has ended, or a *StatusError if the store did
-// not answer the request.
+// renewed, ErrLeaseNotFound if it has ended, or a *StatusError; after the latter
+// it may be alive or not.
 type LeaseRenewalFunc func(now event.Time, err error, out *event.Effects)
 
 // GrantLease asks for a new lease with the given time to live.
--- a/internal/kv/protocol.go
+++ b/internal/kv/protocol.go
@@ -40,7 +40,7 @@
 	watchSlack = 4 * time.Second
 )
 
-// A DecodeError tells that the body of a response does not follow the protocol.
+// A DecodeError reports that the body of a response does not follow the protocol.
 type DecodeError struct {
 	Message string // kind of the response
 	Err     error
