--- a/cmd/limits/spread.go
+++ b/cmd/limits/distribution.go
@@ -5,12 +5,12 @@
 	"math"
 )
 
-// spread is a distribution: the listed sizes with their weights, or else a
+// distribution is of sizes or times: the listed sizes with their weights, or else a
 // log-normal with the given median and 95th percentile, cut off at Max if set.
-type spread struct {
+type distribution struct {
 	Median  float64   `toml:"median"`
 	P95     float64   `toml:"p95"`
-	Max     float64   `toml:"max"`
+	Max     float64   `toml:"max"` // 0: none
 	Sizes   []float64 `toml:"sizes"`
 	Weights []float64 `toml:"weights"`
 }
@@ -18,18 +18,19 @@
 // z95 is the 95th percentile of the standard normal distribution.
 const z95 = 1.6449
 
-func (s spread) check() error {
-	if len(s.Sizes) == 0 {
-		if !(s.Median > 0 && s.P95 >= s.Median) {
+// check refuses a distribution that has no mean.
+func (d distribution) check() error {
+	if len(d.Sizes) == 0 {
+		if !(d.Median > 0 && d.P95 >= d.Median) {
 			return errors.New("sizes with weights, or a positive median and a p95 not below it, are expected")
 		}
 		return nil
 	}
-	if len(s.Weights) != len(s.Sizes) {
+	if len(d.Weights) != len(d.Sizes) {
 		return errors.New("as many weights as sizes are expected")
 	}
 	total := 0.0
-	for _, weight := range s.Weights {
+	for _, weight := range d.Weights {
 		total += weight
 	}
 	if !(total > 0) {
@@ -39,32 +40,32 @@
 }
 
 // sigma is the standard deviation of the log-normal's logarithm.
-func (s spread) sigma() float64 { return math.Log(s.P95/s.Median) / z95 }
+func (d distribution) sigma() float64 { return math.Log(d.P95/d.Median) / z95 }
 
 // mean is the mean of the listed sizes or of the whole log-normal.
-func (s spread) mean() float64 {
-	if len(s.Sizes) > 0 {
+func (d distribution) mean() float64 {
+	if len(d.Sizes) > 0 {
 		sum, weight := 0.0, 0.0
-		for i, size := range s.Sizes {
-			sum += size * s.Weights[i]
-			weight += s.Weights[i]
+		for i, size := range d.Sizes {
+			sum += size * d.Weights[i]
+			weight += d.Weights[i]
 		}
 		return sum / weight
 	}
-	sigma := s.sigma()
-	return s.Median * math.Exp(sigma*sigma/2)
+	sigma := d.sigma()
+	return d.Median * math.Exp(sigma*sigma/2)
 }
 
 // leastMean is the mean of the log-normal cut off at its largest value. Whether
 // the bench draws larger values anew or lowers them to the largest, their mean is
 // this or more.
-func (s spread) leastMean() float64 {
-	mean := s.mean()
-	if s.Max <= 0 || len(s.Sizes) > 0 || s.P95 <= s.Median {
+func (d distribution) leastMean() float64 {
+	mean := d.mean()
+	if d.Max <= 0 || len(d.Sizes) > 0 || d.P95 <= d.Median {
 		return mean
 	}
-	sigma := s.sigma()
-	cut := math.Log(s.Max/s.Median) / sigma
+	sigma := d.sigma()
+	cut := math.Log(d.Max/d.Median) / sigma
 	return mean * normalCDF(cut-sigma) / normalCDF(cut)
 }
 
--- a/cmd/limits/main.go
+++ b/cmd/limits/main.go
@@ -1,5 +1,7 @@
-// Command limits computes, from a site file of the bench, bounds that no
-// scheduler could pass, and sets beside them what a run's report shows.
+// Command limits computes bounds on what any scheduler could reach on a site: the
+// price, the useful part of it, the share of jobs that begin in time, the makespan
+// and the length of pipelines. It reads a site file of the bench and, if given, the
+// report of a run of the bench, and prints what the run reached behind the bounds.
 //
 //	go run ./cmd/limits SITE.toml [REPORT.json]
 //
@@ -10,52 +12,96 @@
 package main
 
 import (
+	"errors"
+	"flag"
 	"fmt"
 	"io"
 	"os"
+	"strings"
 )
 
-// usageExitCode is the exit code for a wrong number of arguments.
-const usageExitCode = 2
+// Exit codes of the command.
+const (
+	exitError = 1
+	exitUsage = 2
+)
+
+const help = `usage: limits SITE.toml [REPORT.json]
+
+Prints bounds that no scheduler could pass on a site, one line each:
+
+  CLASS: N tasks run on average    load of a class of jobs, its least price an hour,
+                                   and its price on the cheapest machine type alone
+  wait: at most S of N jobs        highest share of jobs that begin in time
+  pipeline P: done after S s       shortest time from the first submission to the end
+  makespan: at least S s           shortest time to the given share of the work
+  price: at least R                least price, as a multiple of the cheapest types' price
+  useful: at most S                highest share of the price that is spent on tasks
+
+SITE.toml is a site file of the bench. With the REPORT.json of a run of the bench, what
+the run reached follows. docs/limits.md explains the method.
+`
 
 func main() {
-	if len(os.Args) < 2 || len(os.Args) > 3 {
-		fmt.Fprintln(os.Stderr, "usage: limits SITE.toml [REPORT.json]")
-		os.Exit(usageExitCode)
+	paths, err := parseArguments(os.Args[1:])
+	switch {
+	case errors.Is(err, flag.ErrHelp):
+		fmt.Print(help)
+		return
+	case err != nil:
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(exitUsage)
 	}
-	if err := run(os.Args[1:], os.Stdout); err != nil {
+	if err := run(paths, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "limits:", err)
-		os.Exit(1)
+		os.Exit(exitError)
 	}
 }
 
-// weightSteps is the number of steps in which the weight of CPUs goes from 0 to
-// 1 in the search for the highest bound.
-const weightSteps = 10
+// arguments are the paths of the command line.
+type arguments struct {
+	site   string
+	report string // empty: none
+}
+
+// parseArguments returns flag.ErrHelp if the arguments ask for help.
+func parseArguments(args []string) (arguments, error) {
+	flags := flag.NewFlagSet("limits", flag.ContinueOnError)
+	flags.SetOutput(io.Discard)
+	if err := flags.Parse(args); err != nil {
+		return arguments{}, err
+	}
+	switch flags.NArg() {
+	case 1, 2:
+		return arguments{site: flags.Arg(0), report: flags.Arg(1)}, nil
+	}
+	return arguments{}, errors.New("usage: limits SITE.toml [REPORT.json]")
+}
 
-// run writes the bounds for the site file args[0], and what the report args[1],
-// if given, shows.
-func run(args []string, w io.Writer) error {
-	s, err := loadSite(args[0])
+// run writes the bounds for the site file, and what the report shows, if one is given.
+func run(paths arguments, w io.Writer) error {
+	s, err := loadSite(paths.site)
 	if err != nil {
-		return fmt.Errorf("site file %s: %w", args[0], err)
-	}
-	var highest *bounds
-	for step := range weightSteps + 1 {
-		b, err := s.bounds(float64(step) / weightSteps)
-		if err != nil {
-			return fmt.Errorf("site file %s: %w", args[0], err)
-		}
-		if highest == nil || b.cost() > highest.cost() {
-			highest = b
-		}
-	}
-	fmt.Fprint(w, highest.text.String())
-	if len(args) < 2 {
-		return nil
+		return fmt.Errorf("site file %s: %w", paths.site, err)
+	}
+	highest, err := s.highestBounds()
+	if err != nil {
+		return fmt.Errorf("site file %s: %w", paths.site, err)
 	}
-	if err := printReport(args[1], w); err != nil {
-		return fmt.Errorf("report %s: %w", args[1], err)
+	if err := writeLines(w, highest.lines); err != nil || paths.report == "" {
+		return err
+	}
+	reached, err := reportLines(paths.report)
+	if err != nil {
+		return fmt.Errorf("report %s: %w", paths.report, err)
+	}
+	return writeLines(w, reached)
+}
+
+func writeLines(w io.Writer, lines []string) error {
+	if len(lines) == 0 {
+		return nil
 	}
-	return nil
+	_, err := io.WriteString(w, strings.Join(lines, "\n")+"\n")
+	return err
 }
--- a/cmd/limits/main_test.go
+++ b/cmd/limits/main_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"flag"
 	"os"
 	"path/filepath"
 	"strings"
@@ -9,7 +10,7 @@
 
 // small is a site small enough to work out by hand: two machines hold one task each,
 // one at 1 an hour (up), one at 3; two jobs at the start, none later, each
-// running for half of the day: one task on average.
+// running for half of the time: one task on average.
 const small = `
 duration_s = 80.0
 warmup_s = 20.0
@@ -44,7 +45,7 @@
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	err := run([]string{path}, &out)
+	err := run(arguments{site: path}, &out)
 	return out.String(), err
 }
 
@@ -86,16 +87,18 @@
 // TestSiteRefused: a site file that bounds can't be computed from is refused by
 // the key that is at fault.
 func TestSiteRefused(t *testing.T) {
-	for _, c := range []struct{ from, to, want string }{
-		{"duration_s = 80.0", `duration_s = "x"`, "duration_s"},
-		{"duration_s = 80.0", "duration_s = -20.0", "duration_s and warmup_s"},
-		{"weights = [2.0]", "weights = []", `jobs "c": tasks: as many weights as sizes`},
-		{"weights = [2.0]", "weights = [0.0]", `jobs "c": tasks: weights`},
-		{"median = 50.0", "median = 0.0", `jobs "c": run_s: `},
-		{"[[jobs]]", "[[others]]", "jobs: at least one class"},
-		{"cpus = 1.0\nmemory_gb = 1.0\ntasks", "cpus = 9.0\nmemory_gb = 1.0\ntasks", `jobs "c": a task fits no machine type`},
+	for _, c := range []struct{ name, from, to, want string }{
+		{"duration is text", "duration_s = 80.0", `duration_s = "x"`, "duration_s"},
+		{"negative duration", "duration_s = 80.0", "duration_s = -20.0", "duration_s and warmup_s"},
+		{"no weights", "weights = [2.0]", "weights = []", `jobs "c": tasks: as many weights as sizes`},
+		{"weights without a sum", "weights = [2.0]", "weights = [0.0]", `jobs "c": tasks: weights`},
+		{"no run time", "median = 50.0", "median = 0.0", `jobs "c": run_s: `},
+		{"no class", "[[jobs]]", "[[others]]", "jobs: at least one class"},
+		{"task fits no machine", "cpus = 1.0\nmemory_gb = 1.0\ntasks", "cpus = 9.0\nmemory_gb = 1.0\ntasks", `jobs "c": a task fits no machine type`},
 	} {
-		expectRefused(t, strings.Replace(small, c.from, c.to, 1), c.want)
+		t.Run(c.name, func(t *testing.T) {
+			expectRefused(t, strings.Replace(small, c.from, c.to, 1), c.want)
+		})
 	}
 }
 
@@ -107,15 +110,63 @@
 	}
 	var out strings.Builder
 	for _, c := range []struct {
-		args []string
-		want string
+		name  string
+		paths arguments
+		want  string
 	}{
-		{[]string{"none.toml"}, "site file none.toml: "},
-		{[]string{path, "none.json"}, "report none.json: "},
-		{[]string{path, path}, "report " + path + ": "},
+		{"no site file", arguments{site: "none.toml"}, "site file none.toml: "},
+		{"no report", arguments{site: path, report: "none.json"}, "report none.json: "},
+		{"report that is not JSON", arguments{site: path, report: path}, "report " + path + ": "},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if err := run(c.paths, &out); err == nil || !strings.HasPrefix(err.Error(), c.want) {
+				t.Errorf("%v, want %s", err, c.want)
+			}
+		})
+	}
+}
+
+// TestReport: what a run reached follows the bounds.
+func TestReport(t *testing.T) {
+	dir := t.TempDir()
+	paths := arguments{site: filepath.Join(dir, "site.toml"), report: filepath.Join(dir, "report.json")}
+	for path, text := range map[string]string{
+		paths.site:   small,
+		paths.report: `{"scenario":"s","targets":[{"kind":"wait","class":"c","within_s":5,"value":0.25},{"kind":"deadline","times":1.5,"value":1}]}`,
 	} {
-		if err := run(c.args, &out); err == nil || !strings.HasPrefix(err.Error(), c.want) {
-			t.Errorf("%v: %v", c.args, err)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
 		}
 	}
+	var out strings.Builder
+	if err := run(paths, &out); err != nil {
+		t.Fatal(err)
+	}
+	want := "useful: at most 1.00 (each rented machine boots once)\nsimulated, s: wait c 5 s: 0.250\nsimulated, s: deadline 1.5 times: 1.000\n"
+	if !strings.HasSuffix(out.String(), want) {
+		t.Errorf("no %q at the end of:\n%s", want, out.String())
+	}
+}
+
+// TestArguments: a site file, and a report if one is wanted.
+func TestArguments(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		args []string
+		want arguments
+		err  string
+	}{
+		{"site", []string{"a"}, arguments{site: "a"}, ""},
+		{"site and report", []string{"a", "b"}, arguments{site: "a", report: "b"}, ""},
+		{"none", nil, arguments{}, "usage: limits SITE.toml [REPORT.json]"},
+		{"too many", []string{"a", "b", "c"}, arguments{}, "usage: limits SITE.toml [REPORT.json]"},
+		{"help", []string{"--help"}, arguments{}, flag.ErrHelp.Error()},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got, err := parseArguments(c.args)
+			if got != c.want || (err == nil) != (c.err == "") || (err != nil && err.Error() != c.err) {
+				t.Errorf("%+v, %v; want %+v, %s", got, err, c.want, c.err)
+			}
+		})
+	}
 }
--- a/cmd/limits/options.go
+++ b/cmd/limits/options.go
@@ -6,15 +6,14 @@
 )
 
 // option is a way to run a class: on a machine type, spot or not. Shares of a
-// machine are weighted shares of its CPUs and GPUs.
+// machine are weighted shares of its CPUs and GPUs. Prices are for an hour.
 type option struct {
-	price            float64 // an hour per task, by shares
-	fullMachinePrice float64 // an hour per task on a machine full of them
+	machineType      *machineType
+	price            float64 // per task, by its share of a machine
+	fullMachinePrice float64 // per task on a machine full of them
 	capacity         float64 // tasks that all machines hold, by shares
 	capacityUp       float64 // the same of the machines up at the start
-	tasksUp          float64 // whole tasks that machines up at the start hold
-	boot             float64 // seconds, nominal
-	fetch            float64 // GB per second
+	wholeTasksUp     float64 // whole tasks that machines up at the start hold
 }
 
 // fitTolerance absorbs rounding where tasks fill a machine exactly.
@@ -35,39 +34,42 @@
 	return fit
 }
 
-// options lists the ways to run a class, the cheapest per task first. cpuWeight
-// is the part of a machine's price that is laid on its CPUs; the rest is on its
-// GPUs.
+// machineShare is a task's share of a machine, of whose price cpuWeight is laid on
+// the CPUs and the rest on the GPUs.
+func machineShare(t *machineType, job *jobClass, cpuWeight float64) float64 {
+	share := job.CPUs / t.CPUs
+	if t.GPUs > 0 {
+		share = cpuWeight*share + (1-cpuWeight)*job.GPUs/t.GPUs
+	}
+	return share
+}
+
+// options lists the ways to run a class, the cheapest per task first.
 func (s *site) options(job *jobClass, cpuWeight float64) []option {
 	var options []option
-	for i := range s.Types {
-		t := &s.Types[i]
+	for i := range s.MachineTypes {
+		t := &s.MachineTypes[i]
 		fit := tasksPerMachine(t, job)
 		if !job.allows(t.Name) || fit < 1 {
 			continue
 		}
-		share := job.CPUs / t.CPUs
-		if t.GPUs > 0 {
-			share = cpuWeight*share + (1-cpuWeight)*job.GPUs/t.GPUs
-		}
-		count, spot := s.count(t.Name)
+		share := machineShare(t, job, cpuWeight)
+		onDemand, spot := s.count(t.Name)
 		up := s.countUp(t.Name)
 		options = append(options, option{
+			machineType:      t,
 			price:            t.Price * share,
 			fullMachinePrice: t.Price / fit,
-			capacity:         tasksByShare(count, share),
+			capacity:         tasksByShare(onDemand, share),
 			capacityUp:       tasksByShare(up, share),
-			tasksUp:          up * fit,
-			boot:             t.Boot,
-			fetch:            t.Fetch,
+			wholeTasksUp:     up * fit,
 		})
 		if job.Spot && spot > 0 {
 			options = append(options, option{
-				price:            t.Spot * share,
-				fullMachinePrice: t.Spot / fit,
+				machineType:      t,
+				price:            t.SpotPrice * share,
+				fullMachinePrice: t.SpotPrice / fit,
 				capacity:         tasksByShare(spot, share),
-				boot:             t.Boot,
-				fetch:            t.Fetch,
 			})
 		}
 	}
@@ -83,15 +85,15 @@
 	return machines / share
 }
 
-// count returns the ordinary and the spot machines of a type in all zones.
-func (s *site) count(machineType string) (ordinary, spot float64) {
+// count returns the on-demand and the spot machines of a type in all zones.
+func (s *site) count(machineType string) (onDemand, spot float64) {
 	for _, c := range s.Capacity {
 		if c.Type == machineType {
-			ordinary += c.Count
+			onDemand += c.Count
 			spot += c.Spot
 		}
 	}
-	return ordinary, spot
+	return onDemand, spot
 }
 
 // countUp returns the machines of a type that are up at the start.
--- a/cmd/limits/pipeline.go
+++ b/cmd/limits/pipeline.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"strings"
 )
 
@@ -39,8 +40,8 @@
 	return 0, fmt.Errorf("jobs: a least and a most are expected, found %d values", len(st.Jobs))
 }
 
-// chainedJobs counts the jobs of each class that come in pipelines.
-func (s *site) chainedJobs() (map[string]float64, error) {
+// pipelineJobs counts the jobs of each class that come in pipelines.
+func (s *site) pipelineJobs() (map[string]float64, error) {
 	jobs := map[string]float64{}
 	for i := range s.Pipelines {
 		p := &s.Pipelines[i]
@@ -73,25 +74,25 @@
 		if !ok {
 			return nil, fmt.Errorf("stage %d: no jobs of class %q are described", k, st.Class)
 		}
-		longest := path{seconds: own, previous: none}
+		best := path{seconds: own, previous: none}
 		for _, need := range st.Needs {
 			if need < 0 || need >= k {
 				return nil, fmt.Errorf("stage %d: needs: expected earlier stages, found %d", k, need)
 			}
-			if through := paths[need].seconds + own; longest.previous == none || through > longest.seconds {
-				longest = path{seconds: through, previous: need}
+			if through := paths[need].seconds + own; best.previous == none || through > best.seconds {
+				best = path{seconds: through, previous: need}
 			}
 		}
-		paths[k] = longest
+		paths[k] = best
 	}
 	return paths, nil
 }
 
-// describePipeline bounds how soon a pipeline can be over after its first
+// pipelineLine bounds how soon a pipeline can be over after its first
 // submission: the sum of the mean run times along its longest path. Machines are
 // there at once, images cached, and a stage takes no longer than one of its
 // tasks: the mean of a longest path is no less than the longest path of the means.
-func (s *site) describePipeline(p *pipeline) (string, error) {
+func (s *site) pipelineLine(p *pipeline) (string, error) {
 	seconds := map[string]float64{}
 	for i := range s.Jobs {
 		seconds[s.Jobs[i].Name] = s.Jobs[i].Run.leastMean()
@@ -100,23 +101,30 @@
 	if err != nil {
 		return "", fmt.Errorf("pipelines %q: %w", p.Name, err)
 	}
-	last := none
-	for k := range paths {
-		if last == none || paths[k].seconds > paths[last].seconds {
-			last = k
-		}
-	}
+	last := longest(paths)
 	if last == none {
 		return "", fmt.Errorf("pipelines %q: at least one stage is expected", p.Name)
 	}
 	var steps []string
 	for k := last; k != none; k = paths[k].previous {
 		class := p.Stages[k].Class
-		steps = append([]string{fmt.Sprintf("%s %.1f", class, seconds[class])}, steps...)
+		steps = append(steps, fmt.Sprintf("%s %.1f", class, seconds[class]))
 	}
-	text := fmt.Sprintf("pipeline %s: done after %.1f s at least, on average (%s)", p.Name, paths[last].seconds, strings.Join(steps, " + "))
+	slices.Reverse(steps)
+	line := fmt.Sprintf("pipeline %s: done after %.1f s at least, on average (%s)", p.Name, paths[last].seconds, strings.Join(steps, " + "))
 	if p.Deadline.Factor > 0 || p.Deadline.Plus > 0 {
-		text += fmt.Sprintf("; its deadline is %.2f times what its owner expects plus %.0f s", p.Deadline.Factor, p.Deadline.Plus)
+		line += fmt.Sprintf("; its deadline is %.2f times what its owner expects plus %.0f s", p.Deadline.Factor, p.Deadline.Plus)
+	}
+	return line, nil
+}
+
+// longest returns the index of the first longest path, or none.
+func longest(paths []path) int {
+	last := none
+	for k := range paths {
+		if last == none || paths[k].seconds > paths[last].seconds {
+			last = k
+		}
 	}
-	return text, nil
+	return last
 }
--- a/cmd/limits/pipeline_test.go
+++ b/cmd/limits/pipeline_test.go
@@ -21,10 +21,10 @@
 `, name, seconds, seconds)
 }
 
-// chains is the small site with a pipeline: a diamond of 50 s, then 20 s and 30 s
+// withPipeline is the small site with a pipeline: a diamond of 50 s, then 20 s and 30 s
 // in parallel, then 10 s; and a shorter branch. The longest path takes 90 s. Two
-// pipelines come in a hundred seconds, for half of the day.
-var chains = small + classText("quick", 20) + classText("slow", 30) + classText("last", 10) + `
+// pipelines come in a hundred seconds, for half of the time.
+var withPipeline = small + classText("quick", 20) + classText("slow", 30) + classText("last", 10) + `
 [[targets]]
 kind = "wait"
 class = "slow"
@@ -42,25 +42,27 @@
 deadline = { factor = 1.5, plus_s = 60.0 }
 `
 
-// TestChain: the longest path of the diamond, and the jobs that it adds to each class.
-func TestChain(t *testing.T) {
-	expectOutput(t, chains,
+// TestPipeline: the longest path of the diamond, and the jobs that it adds to each class.
+func TestPipeline(t *testing.T) {
+	expectOutput(t, withPipeline,
 		"pipeline p: done after 90.0 s at least, on average (c 50.0 + slow 30.0 + last 10.0); its deadline is 1.50 times what its owner expects plus 60 s\n",
 		"slow: 0.8 tasks run on average",              // 2.5 jobs of 30 s in 100 s
 		"wait 9 s: at most 1.000 of 2 jobs (quickest", // none are there at the start
-		"c: 1.5 tasks run on average",                 // two at the start and one chained
+		"c: 1.5 tasks run on average",                 // two at the start and one of a pipeline
 		"last: 0.2 tasks run",                         // twice one
 	)
 }
 
-// TestChainRefused: a pipeline that can't be followed is refused by its stage.
-func TestChainRefused(t *testing.T) {
-	for _, c := range []struct{ from, to, want string }{
-		{"needs = [2, 1]", "needs = [2, 3]", `pipelines "p": stage 3: needs`},
-		{`{ class = "c" }`, `{ class = "none" }`, `pipelines "p": stage 0: no jobs of class "none"`},
-		{"jobs = [2, 3]", "jobs = [2]", `pipelines "p": stage 1: jobs`},
+// TestPipelineRefused: a pipeline that can't be followed is refused by its stage.
+func TestPipelineRefused(t *testing.T) {
+	for _, c := range []struct{ name, from, to, want string }{
+		{"needs a later stage", "needs = [2, 1]", "needs = [2, 3]", `pipelines "p": stage 3: needs`},
+		{"unknown class", `{ class = "c" }`, `{ class = "none" }`, `pipelines "p": stage 0: no jobs of class "none"`},
+		{"one number of jobs", "jobs = [2, 3]", "jobs = [2]", `pipelines "p": stage 1: jobs`},
 	} {
-		expectRefused(t, strings.Replace(chains, c.from, c.to, 1), c.want)
+		t.Run(c.name, func(t *testing.T) {
+			expectRefused(t, strings.Replace(withPipeline, c.from, c.to, 1), c.want)
+		})
 	}
 }
 
@@ -74,16 +76,16 @@
 
 // TestLeastMean: the closed form agrees with an integral by steps.
 func TestLeastMean(t *testing.T) {
-	s := spread{Median: 15, P95: 35, Max: 50}
+	d := distribution{Median: 15, P95: 35, Max: 50}
 	// The mean of the log-normal below 50, integrated by steps.
-	sigma := math.Log(s.P95/s.Median) / z95
+	sigma := math.Log(d.P95/d.Median) / z95
 	sum, weight := 0.0, 0.0
-	for x := 0.005; x < s.Max; x += 0.01 {
-		z := math.Log(x/s.Median) / sigma
-		d := math.Exp(-z*z/2) / x
-		sum, weight = sum+x*d, weight+d
+	for x := 0.005; x < d.Max; x += 0.01 {
+		z := math.Log(x/d.Median) / sigma
+		density := math.Exp(-z*z/2) / x
+		sum, weight = sum+x*density, weight+density
 	}
-	if got := s.leastMean(); math.Abs(got-sum/weight) > 0.01 || got >= s.mean() {
-		t.Errorf("got %.3f, integrated %.3f, mean %.3f", got, sum/weight, s.mean())
+	if got := d.leastMean(); math.Abs(got-sum/weight) > 0.01 || got >= d.mean() {
+		t.Errorf("got %.3f, integrated %.3f, mean %.3f", got, sum/weight, d.mean())
 	}
 }
--- a/cmd/lugward/main.go
+++ b/cmd/lugward/main.go
@@ -1,4 +1,5 @@
-// Command lugward is the cluster scheduler's controller.
+// Command lugward is the cluster scheduler's controller. It serves users, workers and
+// other controllers until it is killed.
 package main
 
 import (
@@ -24,31 +25,46 @@
 var version = "dev"
 
 func main() {
-	if err := command().Execute(); err != nil {
+	if err := command().ExecuteContext(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, "lugward:", err)
 		os.Exit(1)
 	}
 }
 
+// longHelp is what --help says besides the commands and flags.
+const longHelp = `Runs one controller of the cluster scheduler: it takes jobs from users over HTTP,
+schedules their tasks on machines that it provisions in the cloud, and stores its state
+in a consensus-backed key-value store. Several controllers run at a time; one of them
+is the leader, and another takes over if it fails.
+
+The log goes to standard error. LOG_LEVEL is error (the default), info or debug.`
+
+// settingsFiles are the paths of the settings, from the flags.
+type settingsFiles struct {
+	platform string // JSON
+	operator string // TOML; empty: none
+}
+
 func command() *cobra.Command {
-	var settings, operator string
+	var files settingsFiles
 	root := &cobra.Command{
 		Use:           "lugward --config FILE",
 		Short:         "A cluster scheduler's controller: serves users and workers until it is killed",
+		Long:          longHelp,
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
-		RunE: func(*cobra.Command, []string) error {
-			cfg, err := load(settings, operator)
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			cfg, err := files.load()
 			if err != nil {
 				return err
 			}
-			return serve(cfg)
+			return serve(cmd.Context(), cfg)
 		},
 	}
-	root.PersistentFlags().StringVar(&settings, "config", "", "settings file of the platform (JSON)")
-	root.PersistentFlags().StringVar(&operator, "operator", "", "operators' own settings (TOML)")
-	root.AddCommand(versionCommand(), checkCommand(&settings, &operator))
+	root.PersistentFlags().StringVar(&files.platform, "config", "", "settings file of the platform (JSON), required")
+	root.PersistentFlags().StringVar(&files.operator, "operator", "", "operators' own settings (TOML); without it the defaults hold")
+	root.AddCommand(versionCommand(), checkCommand(&files))
 	return root
 }
 
@@ -57,33 +73,35 @@
 		Use:   "version",
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
-		Run: func(cmd *cobra.Command, _ []string) {
-			fmt.Fprintln(cmd.OutOrStdout(), "lugward", version, runtime.Version())
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			_, err := fmt.Fprintln(cmd.OutOrStdout(), "lugward", version, runtime.Version())
+			return err
 		},
 	}
 }
 
 // checkCommand reads the paths when it runs, after the flags have been parsed.
-func checkCommand(settings, operator *string) *cobra.Command {
+func checkCommand(files *settingsFiles) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check",
 		Short: "Check the settings and exit",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg, err := load(*settings, *operator)
-			if err == nil {
-				fmt.Fprintln(cmd.OutOrStdout(), "settings of", cfg.Label, "are good")
+			cfg, err := files.load()
+			if err != nil {
+				return err
 			}
+			_, err = fmt.Fprintln(cmd.OutOrStdout(), "settings of", cfg.Label, "are good")
 			return err
 		},
 	}
 }
 
-func load(settings, operator string) (*config.Platform, error) {
-	if settings == "" {
+func (f *settingsFiles) load() (*config.Platform, error) {
+	if f.platform == "" {
 		return nil, errors.New("--config FILE is required")
 	}
-	return config.Load(settings, operator)
+	return config.Load(f.platform, f.operator)
 }
 
 // logLevel reads LOG_LEVEL; without it only errors are logged.
@@ -112,8 +130,8 @@
 	debug.SetMemoryLimit(int64(memoryMB * heapShare * bytesPerMB))
 }
 
-// serve runs the controller until it is killed.
-func serve(cfg *config.Platform) error {
+// serve runs the controller until it is killed, or the context is cancelled.
+func serve(ctx context.Context, cfg *config.Platform) error {
 	level, err := logLevel()
 	if err != nil {
 		return err
@@ -121,25 +139,30 @@
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	slog.SetDefault(log)
 	limitRuntime(cfg.Settings.Resources.MemoryMB)
+	logUnknownObjectives(cfg, log)
+	start := time.Now()
+	stateMachine := controller.New(cfg, log, func() time.Duration { return time.Since(start) })
+	log.Info("starting", "label", cfg.Label, "bind", cfg.Bind)
+	return engine.Run(ctx, engineConfig(cfg), stateMachine, log)
+}
+
+func logUnknownObjectives(cfg *config.Platform, log *slog.Logger) {
 	for _, objective := range cfg.Settings.Objectives {
 		if !objective.Known() {
 			log.Info("objective of an unknown kind is ignored", "kind", objective.Kind, "class", objective.Class)
 		}
 	}
-	start := time.Now()
-	node := controller.New(cfg, log, func() time.Duration { return time.Since(start) })
-	log.Info("starting", "label", cfg.Label, "bind", cfg.Bind)
-	return engine.Run(context.Background(), engineConfig(cfg), node, log)
 }
 
 func engineConfig(cfg *config.Platform) engine.Config {
-	ec := engine.Config{
+	peers := make([]string, len(cfg.Seeds))
+	for i, seed := range cfg.Seeds {
+		peers[i] = seed.Endpoint
+	}
+	return engine.Config{
 		Bind:           cfg.Bind,
 		PeerBind:       cfg.PeerBind,
+		Peers:          peers,
 		MaxConnections: cfg.Settings.Resources.MaxConnections,
 	}
-	for _, seed := range cfg.Seeds {
-		ec.Peers = append(ec.Peers, seed.Endpoint)
-	}
-	return ec
 }
--- a/cmd/lugward/main_test.go
+++ b/cmd/lugward/main_test.go
@@ -67,24 +67,27 @@
 	bad := writeFile(t, "bad.json", strings.Replace(settings, `"rps":8`, `"rps":"x"`, 1))
 	operator := writeFile(t, "bad.toml", "[term]\nlife = 5\n")
 	for _, c := range []struct {
+		name        string
 		environment string
 		args        []string
 		want        string
 	}{
-		{"LOG_LEVEL=", nil, "--config FILE is required"},
-		{"LOG_LEVEL=", []string{"--confg", good}, "unknown flag: --confg"},
-		{"LOG_LEVEL=", []string{"chek"}, `unknown command "chek"`},
-		{"LOG_LEVEL=", []string{"check", "more"}, `"more"`},
-		{"LOG_LEVEL=", []string{"--config"}, "--config"},
-		{"LOG_LEVEL=", []string{"--config", "none.json"}, "none.json"},
-		{"LOG_LEVEL=", []string{"--config", bad}, "bad.json: settings.state.rps: expected a number"},
-		{"LOG_LEVEL=", []string{"check", "--config", bad}, "bad.json: settings.state.rps: expected a number"},
-		{"LOG_LEVEL=", []string{"--config", good, "--operator", operator}, "bad.toml: toml: line 2 (last key \"term.life\"): expected a duration"},
-		{"LOG_LEVEL=loud", []string{"--config", good}, `LOG_LEVEL "loud"`},
+		{"no settings", "LOG_LEVEL=", nil, "--config FILE is required"},
+		{"unknown flag", "LOG_LEVEL=", []string{"--confg", good}, "unknown flag: --confg"},
+		{"unknown command", "LOG_LEVEL=", []string{"chek"}, `unknown command "chek"`},
+		{"argument of check", "LOG_LEVEL=", []string{"check", "more"}, `"more"`},
+		{"flag without a value", "LOG_LEVEL=", []string{"--config"}, "--config"},
+		{"missing file", "LOG_LEVEL=", []string{"--config", "none.json"}, "none.json"},
+		{"wrong type", "LOG_LEVEL=", []string{"--config", bad}, "bad.json: settings.state.rps: expected a number"},
+		{"wrong type, checked", "LOG_LEVEL=", []string{"check", "--config", bad}, "bad.json: settings.state.rps: expected a number"},
+		{"bad operators' file", "LOG_LEVEL=", []string{"--config", good, "--operator", operator}, "bad.toml: toml: line 2 (last key \"term.life\"): expected a duration"},
+		{"unknown log level", "LOG_LEVEL=loud", []string{"--config", good}, `LOG_LEVEL "loud"`},
 	} {
-		code, out, errOut := lugward(t, c.environment, c.args...)
-		if code == 0 || out != "" || strings.Count(errOut, "\n") != 1 || !strings.Contains(errOut, c.want) {
-			t.Errorf("%v: exit code %d, output %q, errors %q", c.args, code, out, errOut)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			code, out, errOut := lugward(t, c.environment, c.args...)
+			if code == 0 || out != "" || strings.Count(errOut, "\n") != 1 || !strings.Contains(errOut, c.want) {
+				t.Errorf("exit code %d, output %q, errors %q, want %q", code, out, errOut, c.want)
+			}
+		})
 	}
 }
--- a/cmd/runtests/main.go
+++ b/cmd/runtests/main.go
@@ -4,14 +4,16 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
+	"io/fs"
 	"os"
 	"os/exec"
 )
 
-// knownRedFile lists the tests that are known to fail, if there are any.
-const knownRedFile = "KNOWN-RED.txt"
+// knownFailuresFile lists the tests that are known to fail, if there are any.
+const knownFailuresFile = "KNOWN-RED.txt"
 
 func main() {
 	if err := run(os.Args[1:]); err != nil {
@@ -20,29 +22,41 @@
 	}
 }
 
+// run tests packages, given as go test takes them.
 func run(packages []string) error {
-	text, err := os.ReadFile(knownRedFile)
-	if err != nil && !os.IsNotExist(err) {
+	known, err := readKnownFailures()
+	if err != nil {
 		return err
 	}
-	known, err := parseKnownRed(string(text))
+	return testAll(goTest, packages, known, os.Stdout)
+}
+
+// readKnownFailures reads the list. Without the file every test must pass.
+func readKnownFailures() ([]knownFailure, error) {
+	text, err := os.ReadFile(knownFailuresFile)
+	if err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return nil, err
+	}
+	known, err := parseKnownFailures(string(text))
 	if err != nil {
-		return fmt.Errorf("%s: %w", knownRedFile, err)
+		return nil, fmt.Errorf("%s: %w", knownFailuresFile, err)
 	}
-	return testAll(goTest, packages, known, os.Stdout)
+	return known, nil
 }
 
-// tester runs "go test" with arguments and writes what it prints to out. passed
-// tells whether all tests that it ran have passed.
-type tester func(out io.Writer, arguments ...string) (passed bool, err error)
+// goTestFunc runs "go test" with arguments and writes what it prints to out. passed
+// reports whether all tests that it ran have passed; err is that the command could not
+// be run.
+type goTestFunc func(out io.Writer, arguments ...string) (passed bool, err error)
 
-// goTest is the tester that runs the go command.
+// goTest is the goTestFunc that runs the go command in the working directory.
 func goTest(out io.Writer, arguments ...string) (passed bool, err error) {
 	command := exec.Command("go", append([]string{"test", "-race", "-count=1"}, arguments...)...)
 	command.Stdout = out
 	command.Stderr = out
 	err = command.Run()
-	if _, failed := err.(*exec.ExitError); failed {
+	var exit *exec.ExitError
+	if errors.As(err, &exit) {
 		return false, nil
 	}
 	return err == nil, err
