--- a/internal/simtest/arguments.go
+++ b/internal/simtest/arguments.go
@@ -141,3 +141,28 @@
 		return nil
 	}}
 }
+
+// parseJobIDs reads job IDs joined by "+", where req-000100*3000 stands for that
+// many, counted up.
+func parseJobIDs(text string) ([]string, error) {
+	var ids []string
+	for _, part := range strings.Split(text, "+") {
+		id, count, many := strings.Cut(part, "*")
+		if !many {
+			ids = append(ids, id)
+			continue
+		}
+		first, err := strconv.Atoi(strings.TrimPrefix(id, "req-"))
+		if err != nil {
+			return nil, fmt.Errorf("%s is not req- and a number", id)
+		}
+		number, err := strconv.Atoi(count)
+		if err != nil {
+			return nil, fmt.Errorf("%s is not a number of jobs", count)
+		}
+		for i := range number {
+			ids = append(ids, jobID(first+i))
+		}
+	}
+	return ids, nil
+}
--- /dev/null
+++ b/internal/simtest/checker_starts.go
@@ -0,0 +1,80 @@
+package simtest
+
+import (
+	"slices"
+)
+
+// addInstance notes that a task is on a machine.
+func (checker *Checker) addInstance(assignment *taskAssignment) {
+	checker.instances[assignment.name] = append(checker.instances[assignment.name], assignment)
+}
+
+// checkRunsOnce checks that a task that starts is on no other machine.
+func (checker *Checker) checkRunsOnce(assignment *taskAssignment) {
+	checker.instances[assignment.name] = slices.DeleteFunc(checker.instances[assignment.name], func(other *taskAssignment) bool {
+		return !other.worker.up || other.worker.assignments[other.name] != other || other.phase == taskExited
+	})
+	for _, other := range checker.instances[assignment.name] {
+		if other.onMachine() && !other.worker.certainlyLost() {
+			checker.reportViolation("ran_twice: %s starts on %s while on %s", assignment.name, assignment.worker.name, other.worker.name)
+		}
+	}
+	checker.addInstance(assignment)
+}
+
+// quotaTolerance is by how much rounding may put a sum over a limit.
+const quotaTolerance = 1e-6
+
+// checkQuota checks the limit of a starting task's team, where the task takes of
+// what is limited.
+func (checker *Checker) checkQuota(assignment *taskAssignment) {
+	for _, team := range checker.world.config.Settings.Teams {
+		limited := (team.CPUsMax > 0 && assignment.job.cpus > 0) || (team.GPUsMax > 0 && assignment.job.gpus > 0)
+		if team.Name != assignment.job.team || !limited {
+			continue
+		}
+		cpus, gpus := assignment.job.cpus, assignment.job.gpus
+		checker.eachOnMachine(func(other *taskAssignment) {
+			if other != assignment && other.job.team == assignment.job.team {
+				cpus += other.job.cpus
+				gpus += other.job.gpus
+			}
+		})
+		overCPUs := team.CPUsMax > 0 && cpus > team.CPUsMax+quotaTolerance
+		overGPUs := team.GPUsMax > 0 && gpus > team.GPUsMax+quotaTolerance
+		if overCPUs || overGPUs {
+			checker.reportViolation("quota: team %s uses %v CPUs, %v GPUs", team.Name, cpus, gpus)
+		}
+	}
+}
+
+// checkStart is called when a task has its image and starts.
+func (checker *Checker) checkStart(assignment *taskAssignment) {
+	checker.starts++
+	assignment.job.startedAttempts++
+	checker.checkRunsOnce(assignment)
+	checker.checkQuota(assignment)
+	checker.checkPlacement(assignment)
+	checker.checkUpstreamDone(assignment)
+	checker.checkCancelledStart(assignment)
+}
+
+// checkPlacement checks that a task starts on a machine and in a zone that its job allows.
+func (checker *Checker) checkPlacement(assignment *taskAssignment) {
+	job, worker := assignment.job, assignment.worker
+	inZone := map[string]int{worker.zone: 1}
+	if job.sameZone || job.scatter {
+		checker.eachOnMachine(func(other *taskAssignment) {
+			if other.job == job && other.index != assignment.index {
+				inZone[other.worker.zone]++
+			}
+		})
+	}
+	splitOverZones := job.sameZone && len(inZone) > 1
+	crowdedInZone := job.scatter && inZone[worker.zone] > job.maxTasksPerZone()
+	if !job.allows(worker) || splitOverZones || crowdedInZone {
+		checker.reportViolation("wrong_place: %s attempt %d on %s (%s, %s, spot %v), zones %v, job same zone %v scatter %v spot %v of %d",
+			assignment.name, assignment.attempt, worker.name, worker.machineType, worker.zone, worker.spot, inZone,
+			job.sameZone, job.scatter, job.allowSpot, job.taskCount)
+	}
+}
--- a/internal/simtest/checker_test.go
+++ b/internal/simtest/checker_test.go
@@ -10,14 +10,14 @@
 // TestCheckerCatches shows that the checker sees each kind of violation.
 func TestCheckerCatches(t *testing.T) {
 	// place puts a task on a machine as a service that breaks rules would.
-	place := func(world *World, job *jobRecord, index int, machineType, zone string, spot bool) *assignment {
+	place := func(world *World, job *jobRecord, index int, machineType, zone string, spot bool) *taskAssignment {
 		name := "i-" + string(rune('a'+len(world.workers)))
-		worker := &fakeWorker{world: world, name: name, addr: name, machineType: machineType, zone: zone, spot: spot, up: true, assignments: map[string]*assignment{}}
+		worker := &fakeWorker{world: world, name: name, addr: name, machineType: machineType, zone: zone, spot: spot, up: true, assignments: map[string]*taskAssignment{}}
 		world.workers[name] = worker
-		other := &assignment{worker: worker, job: job, name: job.id + "/" + string(rune('0'+index)), index: index, attempt: 1, phase: "running"}
-		worker.assignments[other.name] = other
-		world.checker.checkStart(other)
-		return other
+		assignment := &taskAssignment{worker: worker, job: job, name: job.id + "/" + string(rune('0'+index)), index: index, attempt: 1, phase: "running"}
+		worker.assignments[assignment.name] = assignment
+		world.checker.checkStart(assignment)
+		return assignment
 	}
 	cases := map[string]func(world *World, job *jobRecord){
 		"ran_twice": func(world *World, job *jobRecord) {
@@ -136,7 +136,7 @@
 			world.checker.cancelRequests[job.id] = true
 			world.checker.checkAnswer(world.now, job.id, 200, "cancelled")
 			worker := newWorker(world, "i-a", "i-a", "small", "a", false)
-			worker.assignments["req-000001/0"] = &assignment{worker: worker, job: job, name: "req-000001/0", attempt: 1, phase: "running"}
+			worker.assignments["req-000001/0"] = &taskAssignment{worker: worker, job: job, name: "req-000001/0", attempt: 1, phase: "running"}
 			worker.hang(26 * time.Second)
 			world.Run(25500 * time.Millisecond)
 			world.checker.checkInvariants()
@@ -171,7 +171,7 @@
 	world.jobs[job.id] = job
 	worker := newWorker(world, "i-a", "i-a", "small", "a", false)
 	start := func(shard string) {
-		world.checker.checkStart(&assignment{worker: worker, job: job, name: shard, attempt: 1, phase: "running"})
+		world.checker.checkStart(&taskAssignment{worker: worker, job: job, name: shard, attempt: 1, phase: "running"})
 	}
 	start("req-000001/0")
 	world.checker.cancelRequests[job.id] = true
--- a/internal/simtest/checker_upstream.go
+++ b/internal/simtest/checker_upstream.go
@@ -2,56 +2,9 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"slices"
-	"strconv"
-	"strings"
-	"time"
 )
 
-// parseJobIDs reads job IDs joined by "+", where req-000100*3000 stands for that
-// many, counted up.
-func parseJobIDs(text string) ([]string, error) {
-	var ids []string
-	for _, part := range strings.Split(text, "+") {
-		id, count, many := strings.Cut(part, "*")
-		if !many {
-			ids = append(ids, id)
-			continue
-		}
-		first, err := strconv.Atoi(strings.TrimPrefix(id, "req-"))
-		if err != nil {
-			return nil, fmt.Errorf("%s is not req- and a number", id)
-		}
-		n, err := strconv.Atoi(count)
-		if err != nil {
-			return nil, fmt.Errorf("%s is not a number of jobs", count)
-		}
-		for i := range n {
-			ids = append(ids, jobID(first+i))
-		}
-	}
-	return ids, nil
-}
-
-// recordUpstream notes the upstream jobs that a submission names. Once the job is
-// accepted its list is what it was, whatever a retry says.
-func (world *World) recordUpstream(job *jobRecord, arguments Arguments) []string {
-	text, ok := arguments["awaits"]
-	if !ok {
-		return nil
-	}
-	ids, err := parseJobIDs(text)
-	if err != nil {
-		world.reportMisuse("%s: %v", job.id, err)
-		return nil
-	}
-	if world.checker.acknowledgedPhase[job.id] == "" {
-		job.upstream = ids
-	}
-	return ids
-}
-
 // allUpstream lists all jobs that a job needs, directly or through others, each
 // once.
 func (world *World) allUpstream(id string) []string {
@@ -84,7 +37,7 @@
 		Phase string `json:"p"`
 	}
 	_ = json.Unmarshal(world.stateService.keys["f/"+id].data, &f)
-	return f.Phase == "done"
+	return f.Phase == jobDone
 }
 
 // unfinishedUpstream names a job that a job needs and that is not done yet, or "".
@@ -117,41 +70,10 @@
 }
 
 // checkUpstreamDone checks that all that a task's job needs is done when it starts.
-func (checker *Checker) checkUpstreamDone(other *assignment) {
-	if upstream, why := checker.unfinishedUpstream(other.job.id); upstream != "" {
-		checker.reportViolation("too_early: %s starts on %s, needs %s, before %s", other.name, other.worker.name, upstream, why)
-	}
-}
-
-// cancelRequested tells whether the user of a job, or of one that it needs, asked to
-// cancel it and was not answered that it is done.
-func (checker *Checker) cancelRequested(id string) bool {
-	if checker.cancelRequests[id] {
-		return true
-	}
-	for _, upstream := range checker.world.allUpstream(id) {
-		if checker.cancelRequests[upstream] && checker.acknowledgedPhase[upstream] != "done" {
-			return true
-		}
+func (checker *Checker) checkUpstreamDone(assignment *taskAssignment) {
+	if upstream, why := checker.unfinishedUpstream(assignment.job.id); upstream != "" {
+		checker.reportViolation("too_early: %s starts on %s, needs %s, before %s", assignment.name, assignment.worker.name, upstream, why)
 	}
-	return false
-}
-
-// cancelledSince is when the cancellation of a job, or of one that it needs, was
-// first acknowledged.
-func (checker *Checker) cancelledSince(id string) (time.Duration, bool) {
-	since, ok := checker.cancelAcknowledgedAt[id]
-	for _, upstream := range checker.world.allUpstream(id) {
-		if a, acknowledged := checker.cancelAcknowledgedAt[upstream]; acknowledged && (!ok || a < since) {
-			since, ok = a, true
-		}
-	}
-	return since, ok
-}
-
-// overdue tells whether a cancellation acknowledged then must be complete by now.
-func (checker *Checker) overdue(since time.Duration) bool {
-	return checker.world.now-since > seconds(checker.world.config.Settings.Workers.CancelS)
 }
 
 // checkUpstreamAnswer checks an answer against the jobs that its job needs.
@@ -160,12 +82,12 @@
 	if status == 201 {
 		for _, up := range job.upstream {
 			upstream := checker.world.jobs[up]
-			if up == id || upstream == nil || !upstream.submitted || upstream.shape == "daemon" {
+			if up == id || upstream == nil || !upstream.submitted || upstream.shape == shapeDaemon {
 				checker.reportViolation("taken: %s is accepted though it awaits %s", id, up)
 			}
 		}
 	}
-	if status == 200 && (phase == "queued" || phase == "running") {
+	if status == 200 && (phase == jobQueued || phase == jobRunning) {
 		for _, up := range checker.world.allUpstream(id) {
 			if since, ok := checker.cancelAcknowledgedAt[up]; ok && checker.overdue(since) {
 				checker.reportViolation("orphaned: %s called %s %s after %s was cancelled", id, phase, checker.world.now-since, up)
@@ -173,20 +95,20 @@
 			}
 		}
 	}
-	if phase != "done" || checker.acknowledgedPhase[id] == "done" || !checker.cancelRequests[id] {
+	if phase != jobDone || checker.acknowledgedPhase[id] == jobDone || !checker.cancelRequests[id] {
 		return
 	}
 	// The cancellation lost: what needs the job goes on.
 	var ids []string
 	for other, acknowledged := range checker.acknowledgedPhase {
-		if acknowledged == "cancelled" && !checker.cancelRequests[other] {
+		if acknowledged == jobCancelled && !checker.cancelRequests[other] {
 			ids = append(ids, other)
 		}
 	}
 	slices.Sort(ids)
 	for _, other := range ids {
 		if needs := checker.world.allUpstream(other); slices.Contains(needs, id) && !slices.ContainsFunc(needs, func(up string) bool {
-			return up != id && checker.cancelRequests[up] && checker.acknowledgedPhase[up] != "done"
+			return up != id && checker.cancelRequests[up] && checker.acknowledgedPhase[up] != jobDone
 		}) {
 			checker.reportViolation("went_back: %s cancelled by nobody, as %s is done", other, id)
 		}
--- a/internal/simtest/checker_upstream_test.go
+++ b/internal/simtest/checker_upstream_test.go
@@ -21,7 +21,7 @@
 		job.completed[i] = true
 	}
 	if marked {
-		world.putValue("f/"+job.id, `{"p":"done","n":1}`)
+		world.stateService.putValue("f/"+job.id, `{"p":"done","n":1}`)
 	}
 }
 
@@ -29,11 +29,11 @@
 // of chained jobs, and nothing where they are kept.
 func TestCheckerCatchesChains(t *testing.T) {
 	start := func(world *World, job *jobRecord) {
-		worker := &fakeWorker{world: world, name: "i-a", addr: "i-a", machineType: "small", zone: "a", up: true, assignments: map[string]*assignment{}}
+		worker := &fakeWorker{world: world, name: "i-a", addr: "i-a", machineType: "small", zone: "a", up: true, assignments: map[string]*taskAssignment{}}
 		world.workers[worker.name] = worker
-		other := &assignment{worker: worker, job: job, name: job.id + "/0", attempt: 1, phase: "running"}
-		worker.assignments[other.name] = other
-		world.checker.checkStart(other)
+		assignment := &taskAssignment{worker: worker, job: job, name: job.id + "/0", attempt: 1, phase: "running"}
+		worker.assignments[assignment.name] = assignment
+		world.checker.checkStart(assignment)
 	}
 	cancel := func(world *World, id string) {
 		world.checker.cancelRequests[id] = true
@@ -59,7 +59,7 @@
 		{"start below a cancelled one", "too_early: req-000002/0", func(world *World, first, second, third *jobRecord) {
 			completeJob(world, first, false)
 			cancel(world, first.id)
-			world.putValue("f/"+first.id, `{"p":"cancelled","n":1}`)
+			world.stateService.putValue("f/"+first.id, `{"p":"cancelled","n":1}`)
 			start(world, second)
 		}},
 		{"called queued for long", "orphaned: req-000003 called queued 26s after req-000001 was cancelled", func(world *World, first, second, third *jobRecord) {
--- a/internal/simtest/checker_waiting.go
+++ b/internal/simtest/checker_waiting.go
@@ -9,6 +9,13 @@
 // and has capacity, with its team under its limit, once all troubles are over.
 const maxWaitBesideCapacity = 90 * time.Second
 
+// capacityWaits is what the check for jobs that wait beside capacity remembers.
+type capacityWaits struct {
+	waitingSince map[string]time.Duration       // since when a job waits beside capacity for it
+	writeCounts  []int                          // number of writes at the last checks
+	recentFree   map[*fakeWorker][]freeCapacity // what was free on machines at the last checks
+}
+
 // checkWaitsBesideCapacity notes which jobs wait beside capacity for them, and since when.
 func (checker *Checker) checkWaitsBesideCapacity() {
 	if checker.faultsOverAt == 0 {
@@ -21,7 +28,8 @@
 	capacities, used := checker.freeCapacities(), checker.usedByTeam()
 	for id, phase := range checker.acknowledgedPhase {
 		job := checker.world.jobs[id]
-		if phase == "done" || job == nil || checker.cancelRequested(id) || checker.waitsForUpstream(id) || job.broken || job.expectedRefusal != 0 || !checker.couldStart(job, capacities, used) {
+		mustStart := phase != jobDone && job != nil && !checker.cancelRequested(id) && !checker.waitsForUpstream(id) && job.canSucceed()
+		if !mustStart || !checker.couldStart(job, capacities, used) {
 			delete(checker.waitingSince, id)
 			continue
 		}
@@ -70,14 +78,14 @@
 	const moments = int(capacityWindow / invariantCheckInterval)
 	var list []freeCapacity
 	for _, worker := range checker.world.sortedWorkers() {
-		if !worker.up || worker.hung || worker.heartbeatsBlocked || worker.reclaimAt != 0 || worker.slowdown > 0 || worker.faulty || checker.world.isUnreachable(worker) {
+		if !worker.isHealthy() || checker.world.network.isUnreachable(worker) {
 			delete(checker.recentFree, worker)
 			continue
 		}
 		kind := machineTypes[worker.machineType]
 		free := freeCapacity{worker, kind.cpus, kind.gpus, kind.memory}
 		for _, assignment := range worker.assignments {
-			if assignment.phase != "exited" {
+			if assignment.phase != taskExited {
 				free.cpus, free.gpus, free.memory = free.cpus-assignment.job.cpus, free.gpus-assignment.job.gpus, free.memory-assignment.job.memory
 			}
 		}
@@ -86,88 +94,122 @@
 			continue
 		}
 		checker.recentFree[worker] = checker.recentFree[worker][len(checker.recentFree[worker])-moments:]
-		for _, o := range checker.recentFree[worker] {
-			free.cpus, free.gpus, free.memory = min(free.cpus, o.cpus), min(free.gpus, o.gpus), min(free.memory, o.memory)
+		for _, earlier := range checker.recentFree[worker] {
+			free.cpus, free.gpus, free.memory = min(free.cpus, earlier.cpus), min(free.gpus, earlier.gpus), min(free.memory, earlier.memory)
 		}
 		list = append(list, free)
 	}
 	return list
 }
 
+// teamUsage is what the tasks of a team take.
+type teamUsage struct{ cpus, gpus float64 }
+
 // usedByTeam is what each team's tasks take, those included that fetch their image.
-func (checker *Checker) usedByTeam() map[string][2]float64 {
-	use := map[string][2]float64{}
+func (checker *Checker) usedByTeam() map[string]teamUsage {
+	used := map[string]teamUsage{}
 	for _, worker := range checker.world.workers {
 		if !worker.up {
 			continue
 		}
 		for _, assignment := range worker.assignments {
-			if assignment.phase != "exited" {
-				usage := use[assignment.job.team]
-				use[assignment.job.team] = [2]float64{usage[0] + assignment.job.cpus, usage[1] + assignment.job.gpus}
+			if assignment.phase != taskExited {
+				team := assignment.job.team
+				used[team] = teamUsage{used[team].cpus + assignment.job.cpus, used[team].gpus + assignment.job.gpus}
 			}
 		}
 	}
-	return use
+	return used
 }
 
 // couldStart tells whether a job waits though its next task, or all those of a gang,
 // could be started on these machine capacities.
-func (checker *Checker) couldStart(job *jobRecord, capacities []freeCapacity, used map[string][2]float64) bool {
-	held, inZone := map[int]bool{}, map[string]int{}
+func (checker *Checker) couldStart(job *jobRecord, capacities []freeCapacity, used map[string]teamUsage) bool {
+	onMachine, inZone := checker.tasksOnMachines(job)
+	missing := 0
+	for i := range job.taskCount {
+		if !onMachine[i] && !job.completed[i] && !job.alwaysFails(i) {
+			missing++
+		}
+	}
+	isGang := job.shape == shapeGang
+	if missing == 0 || (isGang && missing < job.taskCount) {
+		return false
+	}
+	needed := 1
+	if isGang {
+		needed = missing
+	}
+	if !checker.withinLimit(job, needed, used[job.team]) {
+		return false
+	}
+	return job.fitsInZones(needed, inZone, job.placeableByZone(needed, inZone, capacities))
+}
+
+// tasksOnMachines tells which tasks of a job are on machines that may execute, those
+// included that fetch their image, and how many of them are in each zone.
+func (checker *Checker) tasksOnMachines(job *jobRecord) (indices map[int]bool, inZone map[string]int) {
+	indices, inZone = map[int]bool{}, map[string]int{}
 	for _, worker := range checker.world.workers {
 		if !worker.up || worker.certainlyLost() {
 			continue
 		}
 		for _, assignment := range worker.assignments {
-			if assignment.job == job && assignment.phase != "exited" {
-				held[assignment.index] = true
+			if assignment.job == job && assignment.phase != taskExited {
+				indices[assignment.index] = true
 				inZone[worker.zone]++
 			}
 		}
 	}
-	need := 0
-	for i := range job.taskCount {
-		if !held[i] && !job.completed[i] && !job.alwaysFails(i) {
-			need++
-		}
-	}
-	if need == 0 || (job.shape == "gang" && need < job.taskCount) {
-		return false
-	}
-	if job.shape != "gang" {
-		need = 1
-	}
-	usage := used[job.team]
+	return indices, inZone
+}
+
+// withinLimit tells whether so many more tasks of a job leave its team within its limit.
+func (checker *Checker) withinLimit(job *jobRecord, tasks int, used teamUsage) bool {
+	count := float64(tasks)
 	for _, team := range checker.world.config.Settings.Teams {
-		count := float64(need)
-		if team.Name == job.team && ((team.CPUsMax > 0 && usage[0]+count*job.cpus > team.CPUsMax) || (team.GPUsMax > 0 && usage[1]+count*job.gpus > team.GPUsMax)) {
+		if team.Name != job.team {
+			continue
+		}
+		overCPUs := team.CPUsMax > 0 && used.cpus+count*job.cpus > team.CPUsMax
+		overGPUs := team.GPUsMax > 0 && used.gpus+count*job.gpus > team.GPUsMax
+		if overCPUs || overGPUs {
 			return false
 		}
 	}
-	inOne := map[string]int{}
+	return true
+}
+
+// placeableByZone counts, by zone, how many tasks of the job could be placed, on each machine
+// at most as many as are needed. inZone are the tasks that are on machines already.
+func (job *jobRecord) placeableByZone(needed int, inZone map[string]int, capacities []freeCapacity) map[string]int {
+	placeable := map[string]int{}
 	for _, free := range capacities {
-		allowed := job.machineTypes == nil
-		for _, f := range job.machineTypes {
-			allowed = allowed || f == free.worker.machineType
-		}
-		if !allowed || (job.zone != "" && job.zone != free.worker.zone) || (free.worker.spot && !job.allowSpot) || (job.sameZone && len(inZone) > 0 && inZone[free.worker.zone] == 0) {
+		zone := free.worker.zone
+		otherZone := job.sameZone && len(inZone) > 0 && inZone[zone] == 0
+		if !job.allows(free.worker) || otherZone {
 			continue
 		}
-		for placed := 0; placed < need && free.cpus >= job.cpus && free.gpus >= job.gpus && free.memory >= job.memory; placed++ {
+		for placed := 0; placed < needed && free.cpus >= job.cpus && free.gpus >= job.gpus && free.memory >= job.memory; placed++ {
 			free.cpus, free.gpus, free.memory = free.cpus-job.cpus, free.gpus-job.gpus, free.memory-job.memory
-			inOne[free.worker.zone]++
+			placeable[zone]++
 		}
 	}
+	return placeable
+}
+
+// fitsInZones tells whether the tasks that could be placed in each zone are enough, under
+// what the job demands of zones.
+func (job *jobRecord) fitsInZones(needed int, inZone, placeable map[string]int) bool {
 	sum := 0
-	for zone, count := range inOne {
+	for zone, count := range placeable {
 		if job.scatter {
-			count = min(count, (job.taskCount+1)/2-inZone[zone])
+			count = min(count, job.maxTasksPerZone()-inZone[zone])
 		}
-		if job.sameZone && count >= need {
+		if job.sameZone && count >= needed {
 			return true
 		}
 		sum += count
 	}
-	return !job.sameZone && sum >= need
+	return !job.sameZone && sum >= needed
 }
--- a/internal/simtest/cloud.go
+++ b/internal/simtest/cloud.go
@@ -92,7 +92,7 @@
 }
 
 // serve answers a request.
-func (cloud *fakeCloud) serve(method, target string, body []byte, answer func(int, any)) {
+func (cloud *fakeCloud) serve(method, target string, body []byte, answer answerFunc) {
 	if cloud.down {
 		answer(503, unavailable)
 		return
@@ -173,7 +173,7 @@
 func (cloud *fakeCloud) provision(body []byte) (int, any) {
 	var request provisionRequest
 	if json.Unmarshal(body, &request) != nil || machineTypes[request.MachineType].cpus == 0 || request.Number < 1 || request.Number > maxProvisioned || request.ID == "" {
-		cloud.world.reportMisuse("bad request for machines %s", body)
+		cloud.world.reportLimitViolation("bad request for machines %s", body)
 		return 400, nil
 	}
 	if got, ok := cloud.provisionedByRequest[request.ID]; ok {
@@ -199,7 +199,7 @@
 func (cloud *fakeCloud) release(body []byte) (int, any) {
 	var names machineNames
 	if json.Unmarshal(body, &names) != nil || len(names.Machines) > maxReleased {
-		cloud.world.reportMisuse("bad return %s", body)
+		cloud.world.reportLimitViolation("bad return %s", body)
 		return 400, nil
 	}
 	for _, name := range names.Machines {
--- a/internal/simtest/commands_faults.go
+++ b/internal/simtest/commands_faults.go
@@ -22,8 +22,8 @@
 		onControllers(func(process *controllerProcess) { process.watchBlocked = true })},
 	"unblock_watch": {"ends block_watch", controllerParameters, onControllers(func(process *controllerProcess) { process.watchBlocked = false })},
 	"isolate": {"cuts controllers off from the state service and each other, not from workers", controllerParameters,
-		onControllers(func(process *controllerProcess) { process.world.setIsolated(process, true) })},
-	"join": {"ends isolate", controllerParameters, onControllers(func(process *controllerProcess) { process.world.setIsolated(process, false) })},
+		onControllers(func(process *controllerProcess) { process.world.network.setIsolated(process, true) })},
+	"join": {"ends isolate", controllerParameters, onControllers(func(process *controllerProcess) { process.world.network.setIsolated(process, false) })},
 	"pause": {"pauses controllers while their clocks run on", withParameters(controllerParameters, durationParameter("for", "2s if absent"),
 		flagParameter("mid_step", "from when the next decision is made and not carried out")), acting(pauseControllers)},
 	"churn": {"changes the leader repeatedly", []parameter{numberParameter("times", "10 if absent"), durationParameter("over", "in that time, 120s if absent"),
@@ -48,7 +48,7 @@
 	"block_reports":    {"lets machines reach no controller, direct commands reach them", []parameter{textParameter("zone", "all zones if absent"), durationParameter("for", "5s if absent")}, acting(blockReports)},
 	"unreachable_next": {"lets nothing reach the machines that come up next", []parameter{numberParameter("count", "1 if absent")},
 		acting(func(world *World, arguments Arguments) {
-			world.unreachableMachines += int(arguments.number("count", "1"))
+			world.network.unreachableMachines += int(arguments.number("count", "1"))
 		})},
 }
 
@@ -59,22 +59,28 @@
 	"heal":     {"ends cut", withParameters(controllerParameters, required(textParameter("from", "workers, state, cloud, user or a controller")), textParameter("zone", "only the workers of a zone")), acting(func(world *World, arguments Arguments) { cutLinks(world, arguments, false) })},
 	"cut_zone": {"cuts a zone's workers and a controller off from everything else", withParameters(controllerParameters, required(textParameter("zone", "zone")), durationParameter("for", "20s if absent")), cutOffZone},
 	"network": {"lets links lose packets and repeat requests late", []parameter{numberParameter("loss", "share of packets that are lost"), numberParameter("late", "share of requests that are carried out once more, late")}, acting(func(world *World, arguments Arguments) {
-		world.lossShare, world.lateRepeatShare = arguments.number("loss", "0"), arguments.number("late", "0")
+		world.network.lossShare, world.network.lateRepeatShare = arguments.number("loss", "0"), arguments.number("late", "0")
 	})},
 	"worker_sockets": {"limits the workers that a controller has sockets for", []parameter{required(numberParameter("count", "workers, 0 for no limit"))},
-		acting(func(world *World, arguments Arguments) { world.workerSockets = int(arguments.number("count", "0")) })},
+		acting(func(world *World, arguments Arguments) {
+			world.network.workerSockets = int(arguments.number("count", "0"))
+		})},
 	"copies": {"lets copies of reports arrive late, at any controller", withParameters(shareParameters, durationParameter("within", "30s if absent")), acting(func(world *World, arguments Arguments) {
-		world.duplicateShare, world.duplicateDelay = arguments.number("share", "0"), arguments.duration("within", "30s")
+		world.network.duplicateShare, world.network.duplicateDelay = arguments.number("share", "0"), arguments.duration("within", "30s")
+	})},
+	"delay_reports": {"lets reports arrive seconds late, maybe elsewhere", shareParameters, acting(func(world *World, arguments Arguments) {
+		world.network.delayedHeartbeats = arguments.number("share", "0")
+	})},
+	"delay_commands": {"lets direct commands or their answers arrive seconds late", shareParameters, acting(func(world *World, arguments Arguments) {
+		world.network.delayedCommands = arguments.number("share", "0")
 	})},
-	"delay_reports":  {"lets reports arrive seconds late, maybe elsewhere", shareParameters, acting(func(world *World, arguments Arguments) { world.delayedHeartbeats = arguments.number("share", "0") })},
-	"delay_commands": {"lets direct commands or their answers arrive seconds late", shareParameters, acting(func(world *World, arguments Arguments) { world.delayedCommands = arguments.number("share", "0") })},
 }
 
 // raceCommands let requests of users meet other events.
 var raceCommands = map[string]command{
-	"cancel_at_end": {"cancels jobs at the moment when they end", shareParameters, acting(func(world *World, arguments Arguments) { world.cancelAtEnd = arguments.number("share", "0") })},
+	"cancel_at_end": {"cancels jobs at the moment when they end", shareParameters, acting(func(world *World, arguments Arguments) { world.users.cancelAtEnd = arguments.number("share", "0") })},
 	"cancel_now": {"cancels running jobs and prints how many", []parameter{numberParameter("count", "1 if absent"), durationParameter("hang", "their machines hang for that long")}, printing(func(world *World, arguments Arguments) string {
-		return strconv.Itoa(len(world.cancelNow(int(arguments.number("count", "1")), arguments.duration("hang", "0s"))))
+		return strconv.Itoa(len(world.users.cancelNow(int(arguments.number("count", "1")), arguments.duration("hang", "0s"))))
 	})},
 	"invalid_requests": {"lets users send invalid requests", []parameter{durationParameter("for", "10s if absent")}, acting(sendInvalidFor)},
 	"race": {"lets pairs of jobs meet, each at another moment, and tells whether each pair ended alike", withParameters(jobRangeParameters,
@@ -91,28 +97,12 @@
 	})
 }
 
-func (process *controllerProcess) bootIfDown() {
-	if !process.up {
-		process.boot()
-	}
-}
-
 func pauseControllers(world *World, arguments Arguments) {
 	for _, process := range world.selectControllers(arguments["node"]) {
 		process.pause(arguments.duration("for", "2s"), arguments.has("mid_step"))
 	}
 }
 
-// controller finds a controller by its name.
-func (world *World) controller(name string) *controllerProcess {
-	for _, process := range world.controllers {
-		if process.name == name {
-			return process
-		}
-	}
-	return nil
-}
-
 // selectControllers finds the controllers that a command names: none if nobody leads.
 func (world *World) selectControllers(name string) []*controllerProcess {
 	process := world.controller(name)
@@ -198,9 +188,9 @@
 }
 
 func blockInboundOf(worker *fakeWorker, arguments Arguments) {
-	worker.world.blockInbound(worker, true)
+	worker.world.network.blockInbound(worker, true)
 	if arguments.has("for") {
-		worker.world.schedule(arguments.duration("for", "5s"), func() { worker.world.blockInbound(worker, false) })
+		worker.world.schedule(arguments.duration("for", "5s"), func() { worker.world.network.blockInbound(worker, false) })
 	}
 }
 
@@ -216,36 +206,36 @@
 
 func blockInbound(world *World, arguments Arguments) {
 	for _, worker := range world.runningWorkers(arguments) {
-		world.blockInboundFor(worker, arguments.duration("for", "5s"))
+		world.network.blockInboundFor(worker, arguments.duration("for", "5s"))
 	}
 }
 
-func (world *World) blockInboundFor(worker *fakeWorker, duration time.Duration) {
-	world.blockInbound(worker, true)
-	world.schedule(duration, func() { world.blockInbound(worker, false) })
+func (network *fakeNetwork) blockInboundFor(worker *fakeWorker, duration time.Duration) {
+	network.blockInbound(worker, true)
+	network.world.schedule(duration, func() { network.blockInbound(worker, false) })
 }
 
 func blockReports(world *World, arguments Arguments) {
 	for _, worker := range world.runningWorkers(arguments) {
-		world.blockHeartbeatsFor(worker, arguments.duration("for", "5s"))
+		worker.blockHeartbeatsFor(arguments.duration("for", "5s"))
 	}
 }
 
 func cutLinks(world *World, arguments Arguments, enabled bool) {
-	world.refusedWhenCut = arguments.number("refused", "0")
+	world.network.refusedWhenCut = arguments.number("refused", "0")
 	for _, process := range world.selectControllers(arguments["node"]) {
 		if arguments["from"] != "workers" {
-			world.setLinkCut(process.name, arguments["from"], enabled)
+			world.network.setLinkCut(process.name, arguments["from"], enabled)
 			continue
 		}
 		for _, worker := range world.sortedWorkers() {
 			if zone, ok := arguments["zone"]; !ok || zone == worker.zone {
-				world.markLinkCut(process.name, worker.name, enabled)
+				world.network.markLinkCut(process.name, worker.name, enabled)
 			}
 		}
 	}
 	if !enabled {
-		world.releaseHeldPackets() // once: it goes through all that are held
+		world.network.releaseHeldPackets() // once: it goes through all that are held
 	}
 }
 
@@ -254,12 +244,12 @@
 	if err != nil {
 		return "", err
 	}
-	world.cutZone(process, arguments["zone"], arguments.duration("for", "20s"))
+	world.network.cutZone(process, arguments["zone"], arguments.duration("for", "20s"))
 	return "ok", nil
 }
 
 func sendInvalidFor(world *World, arguments Arguments) {
-	world.invalidRequests = true
-	world.sendInvalidRequests()
-	world.schedule(arguments.duration("for", "10s"), func() { world.invalidRequests = false })
+	world.users.invalidRequests = true
+	world.users.sendInvalidRequests()
+	world.schedule(arguments.duration("for", "10s"), func() { world.users.invalidRequests = false })
 }
--- a/internal/simtest/commands_inspect.go
+++ b/internal/simtest/commands_inspect.go
@@ -69,10 +69,10 @@
 }
 
 // tasksOf lists the tasks of a job that are on machines.
-func (world *World) tasksOf(id string) (tasks []*assignment) {
-	for _, other := range world.checker.onMachines() {
-		if other.job.id == id {
-			tasks = append(tasks, other)
+func (world *World) tasksOf(id string) (tasks []*taskAssignment) {
+	for _, assignment := range world.checker.onMachines() {
+		if assignment.job.id == id {
+			tasks = append(tasks, assignment)
 		}
 	}
 	return tasks
--- a/internal/simtest/commands_jobs.go
+++ b/internal/simtest/commands_jobs.go
@@ -44,7 +44,7 @@
 // jobCommands are requests of users.
 var jobCommands = map[string]command{
 	"submit": {"submits a job and repeats that as users do; prints status and phase", jobParameters, printing(func(world *World, arguments Arguments) string {
-		return statusAndPhase(world.Submit(arguments))
+		return statusAndPhase(world.users.Submit(arguments))
 	})},
 	"accept": {"submits a job that is to be accepted, at the first attempt or later", jobParameters, printing(acceptJob)},
 	"burst":  {"submits many jobs alike", withParameters(jobRangeParameters, flagParameter("once", "all at the same moment"), durationParameter("within", "with once: time in which all must be answered")), printing(burst)},
@@ -54,12 +54,16 @@
 	"request": {"sends the input as one request to n0 and prints the status", []parameter{requestMethods, required(textParameter("path", "path"))}, printingWithInput(rawRequest)},
 	"begin":   {"submits a job without waiting for the answer", withParameters(jobParameters, flagParameter("cancel", "cancels instead"), flagParameter("once", "the user does not repeat it")), acting(beginRequest)},
 	"answer":  {"prints the answer to what begin sent", withParameters(jobIDParameters, required(choiceParameter("of", "request", "submit", "cancel")), flagParameter("accepted", "prints accepted for 200 and 201"), durationParameter("within", "70s if absent")), printing(answerOf)},
-	"poll":    {"asks for a job's state once", jobIDParameters, printing(func(world *World, arguments Arguments) string { return statusAndPhase(world.Poll(arguments["id"])) })},
+	"poll": {"asks for a job's state once", jobIDParameters, printing(func(world *World, arguments Arguments) string {
+		return statusAndPhase(world.users.Poll(arguments["id"]))
+	})},
 	"storm": {"lets users ask about accepted jobs, drawn at random, and prints how many were answered while they waited",
 		[]parameter{required(numberParameter("count", "questions")), durationParameter("over", "in that time, 5s if absent")}, printing(pollStorm)},
-	"cancel": {"cancels a job; prints status and phase", jobIDParameters, printing(func(world *World, arguments Arguments) string { return statusAndPhase(world.Cancel(arguments["id"])) })},
+	"cancel": {"cancels a job; prints status and phase", jobIDParameters, printing(func(world *World, arguments Arguments) string {
+		return statusAndPhase(world.users.Cancel(arguments["id"]))
+	})},
 	"cancel_soon": {"cancels a job without waiting for the answer", jobIDParameters,
-		acting(func(world *World, arguments Arguments) { world.cancelInBackground(arguments["id"]) })},
+		acting(func(world *World, arguments Arguments) { world.users.cancelInBackground(arguments["id"]) })},
 	"until": {"polls a job until it has a phase", withParameters(jobIDParameters, required(textParameter("phase", "phase")), durationParameter("within", "60s if absent")), printing(untilPhase)},
 	"all":   {"polls all accepted jobs until they are done", []parameter{durationParameter("within", "60s if absent")}, printing(untilAllDone)},
 	"users": {"sends users from here on to one controller: the named one, or without arguments one that does not lead",
@@ -80,7 +84,7 @@
 
 // acceptJob is a submission that is accepted at the first attempt or later.
 func acceptJob(world *World, arguments Arguments) string {
-	if status, phase := world.Submit(arguments); !isAccepted(status) {
+	if status, phase := world.users.Submit(arguments); !isAccepted(status) {
 		return statusAndPhase(status, phase)
 	}
 	return "accepted"
@@ -88,13 +92,13 @@
 
 func burst(world *World, arguments Arguments) string {
 	if arguments.has("once") {
-		return world.submitAtOnce(arguments)
+		return world.users.submitAtOnce(arguments)
 	}
 	count := 0
 	for i := range int(arguments.number("count", "1")) {
 		one := maps.Clone(arguments)
 		one["id"] = jobID(int(arguments.number("from", "1")) + i)
-		if status, _ := world.Submit(one); isAccepted(status) {
+		if status, _ := world.users.Submit(one); isAccepted(status) {
 			count++
 		}
 	}
@@ -102,13 +106,13 @@
 }
 
 func registerUnsubmittedJob(world *World, arguments Arguments) {
-	world.registerJob(arguments)
+	world.users.registerJob(arguments)
 	world.jobs[arguments["id"]].submitted = true
 }
 
 func sendSubmission(world *World, arguments Arguments, input string) (string, error) {
 	var fields map[string]json.RawMessage
-	if err := json.Unmarshal(world.registerJob(arguments), &fields); err != nil {
+	if err := json.Unmarshal(world.users.registerJob(arguments), &fields); err != nil {
 		return "", err
 	}
 	fields["awaits"] = json.RawMessage(strings.TrimSpace(input))
@@ -116,14 +120,14 @@
 	if err != nil {
 		return "", err
 	}
-	process := world.chooseEntryController()
+	process := world.users.chooseEntryController()
 	if arguments.has("node") {
 		if process, err = world.selectController(arguments); err != nil {
 			return "", err
 		}
 	}
 	asked := world.now
-	status, phase := world.requestAndWait(process, "POST", "/submissions", body)
+	status, phase := world.users.requestAndWait(process, submitRequest(body))
 	if isAccepted(status) {
 		world.jobs[arguments["id"]].submitted = true
 	}
@@ -132,27 +136,27 @@
 }
 
 func rawRequest(world *World, arguments Arguments, input string) string {
-	status, _ := world.requestAndWait(world.controllers[0], arguments.text("method", "POST"), arguments["path"], []byte(input))
+	status, _ := world.users.requestAndWait(world.controllers[0], userRequest(arguments.text("method", "POST"), arguments["path"], []byte(input)))
 	return strconv.Itoa(status)
 }
 
 func beginRequest(world *World, arguments Arguments) {
 	switch {
 	case arguments.has("cancel"):
-		world.cancelRecorded(arguments["id"])
+		world.users.cancelRecorded(arguments["id"])
 	case arguments.has("once"):
 		// Its user gives up.
-		body := world.registerJob(arguments)
+		body := world.users.registerJob(arguments)
 		world.jobs[arguments["id"]].submitted = true
-		world.request("user", world.chooseEntryController(), "POST", "/submissions", body, userCallTimeout, func(int, []byte) {})
+		world.network.request(world.users.chooseEntryController(), submitRequest(body), func(int, []byte) {})
 	default:
-		world.submitRecorded(arguments)
+		world.users.submitRecorded(arguments)
 	}
 }
 
 func answerOf(world *World, arguments Arguments) string {
-	world.waitForRecordedAnswers(arguments.duration("within", "70s"))
-	got := world.recordedAnswers[arguments["of"]+" "+arguments["id"]]
+	world.users.waitForRecordedAnswers(arguments.duration("within", "70s"))
+	got := world.users.recordedAnswers[arguments["of"]+" "+arguments["id"]]
 	if status, _, _ := strings.Cut(got, " "); arguments.has("accepted") && (status == "200" || status == "201") {
 		return "accepted"
 	}
@@ -169,12 +173,14 @@
 	for range count {
 		id := ids[world.random.IntN(len(ids))]
 		world.schedule(world.randomDuration(0, over), func() {
-			process := world.chooseEntryController()
+			process := world.users.chooseEntryController()
 			for !process.up {
-				process = world.chooseEntryController() // the load balancer passes over it
+				process = world.users.chooseEntryController() // the load balancer passes over it
 			}
 			asked := world.now
-			world.request("user", process, "GET", "/submissions/"+id, nil, pollTimeout, func(status int, body []byte) {
+			request := pollRequest(id)
+			request.timeout = pollTimeout
+			world.network.request(process, request, func(status int, body []byte) {
 				world.checker.checkAnswer(asked, id, status, phaseIn(body))
 				world.checker.checkPoll(id, status)
 				if status == 200 {
@@ -190,7 +196,7 @@
 func untilPhase(world *World, arguments Arguments) string {
 	phase := ""
 	for end := world.now + arguments.duration("within", "60s"); world.now < end; world.Run(500 * time.Millisecond) {
-		if _, phase = world.Poll(arguments["id"]); phase == arguments["phase"] {
+		if _, phase = world.users.Poll(arguments["id"]); phase == arguments["phase"] {
 			return phase
 		}
 	}
@@ -203,7 +209,7 @@
 		done = 0
 		for _, id := range world.acceptedJobs() {
 			if world.checker.acknowledgedPhase[id] != "done" {
-				world.Poll(id)
+				world.users.Poll(id)
 			}
 			if world.checker.acknowledgedPhase[id] == "done" {
 				done++
@@ -219,7 +225,7 @@
 // chooseEntry chooses the controller that users ask.
 func chooseEntry(world *World, arguments Arguments, _ string) (string, error) {
 	if arguments.has("any") {
-		world.entryController = nil
+		world.users.entryController = nil
 		return "ok", nil
 	}
 	if arguments.has("node") {
@@ -227,12 +233,12 @@
 		if err != nil {
 			return "", err
 		}
-		world.entryController = process
+		world.users.entryController = process
 		return "ok", nil
 	}
 	for _, process := range world.controllers {
 		if process != world.leader() {
-			world.entryController = process
+			world.users.entryController = process
 		}
 	}
 	return "ok", nil
--- a/internal/simtest/commands_services.go
+++ b/internal/simtest/commands_services.go
@@ -23,16 +23,20 @@
 		numberParameter("writes", "writes per second"), numberParameter("value", "size of a value in KiB"), numberParameter("ops", "writes per transaction")},
 		acting(func(world *World, arguments Arguments) { world.stateService.setLimits(arguments) })},
 	"pages": {"limits the items in a page of the state service", []parameter{required(numberParameter("limit", "items"))},
-		acting(func(world *World, arguments Arguments) { world.pageLimit = int(arguments.number("limit", "1000")) })},
+		acting(func(world *World, arguments Arguments) {
+			world.stateService.pageLimit = int(arguments.number("limit", "1000"))
+		})},
 	"truncate_log": {"lets the state service drop all changes that it keeps", nil,
 		acting(func(world *World, _ Arguments) { world.stateService.oldest = world.stateService.revision })},
 	"write": {"stores the input under a key, as another version would", []parameter{required(textParameter("key", "key"))}, writeKey},
 	"delay_writes": {"carries out the next transactions that write a key late and does not answer them", []parameter{required(textParameter("key", "prefix of the key")),
 		durationParameter("for", "delay, 8s if absent"), numberParameter("count", "transactions, 1 if absent")}, acting(lagWrites)},
 	"slow_state": {"lets the state service answer within a time drawn for each answer, or at once",
-		[]parameter{durationParameter("within", "longest time, 0 ends it")}, acting(func(world *World, arguments Arguments) { world.slowStateService = arguments.duration("within", "0s") })},
+		[]parameter{durationParameter("within", "longest time, 0 ends it")}, acting(func(world *World, arguments Arguments) {
+			world.network.slowStateService = arguments.duration("within", "0s")
+		})},
 	"late_writes": {"lets transactions go unanswered and be carried out late", []parameter{numberParameter("share", "of all transactions")},
-		acting(func(world *World, arguments Arguments) { world.lateWrites = arguments.number("share", "0") })},
+		acting(func(world *World, arguments Arguments) { world.network.lateWrites = arguments.number("share", "0") })},
 	"load": {"goes on from a recording", []parameter{required(textParameter("file", "path"))}, func(world *World, arguments Arguments, _ string) (string, error) {
 		return "ok", world.Load(arguments["file"])
 	}},
@@ -60,7 +64,7 @@
 	if err := json.Unmarshal([]byte(input), &value); err != nil {
 		return "", err
 	}
-	world.putValue(arguments["key"], strings.TrimSpace(input))
+	world.stateService.putValue(arguments["key"], strings.TrimSpace(input))
 	world.stateService.notifyWatchers()
 	return "ok", nil
 }
@@ -70,8 +74,8 @@
 }
 
 // putValue puts a record as it is.
-func (world *World) putValue(key, data string) {
-	world.stateService.revision++
-	world.stateService.keys[key] = storedValue{data: json.RawMessage(data), modRevision: world.stateService.revision}
-	world.stateService.log = append(world.stateService.log, changeEvent{Write: key, Data: json.RawMessage(data), ModRevision: world.stateService.revision})
+func (stateService *fakeStateService) putValue(key, data string) {
+	stateService.revision++
+	stateService.keys[key] = storedValue{data: json.RawMessage(data), modRevision: stateService.revision}
+	stateService.log = append(stateService.log, changeEvent{Write: key, Data: json.RawMessage(data), ModRevision: stateService.revision})
 }
--- a/internal/simtest/commands_upstream.go
+++ b/internal/simtest/commands_upstream.go
@@ -29,7 +29,7 @@
 		if i > 0 {
 			one["awaits"] = jobID(count - 1)
 		}
-		if status, phase := world.Submit(one); !isAccepted(status) {
+		if status, phase := world.users.Submit(one); !isAccepted(status) {
 			return statusAndPhase(status, phase)
 		}
 	}
@@ -62,27 +62,21 @@
 func (world *World) addFinishedJobs(arguments Arguments) {
 	for i := range int(arguments.number("count", "1")) {
 		id := jobID(int(arguments.number("from", "1")) + i)
-		world.registerJob(Arguments{"id": id})
+		world.users.registerJob(Arguments{"id": id})
 		job := world.jobs[id]
 		job.submitted = true
 		phase := arguments.text("phase", "done")
-		if phase == "done" {
+		if phase == jobDone {
 			job.completed[0] = true
 		} else {
 			world.checker.cancelRequests[id] = true
 		}
 		world.checker.acknowledgedPhase[id] = phase
-		world.putValue("f/"+id, fmt.Sprintf(`{"p":%q,"n":1}`, phase))
+		world.stateService.putValue("f/"+id, fmt.Sprintf(`{"p":%q,"n":1}`, phase))
 	}
 	world.stateService.notifyWatchers()
 }
 
-// isOver tells whether the last answer showed a job as done or cancelled.
-func (checker *Checker) isOver(id string) bool {
-	phase := checker.acknowledgedPhase[id]
-	return phase == "done" || phase == "cancelled"
-}
-
 // tally counts the last acknowledged phases of so many jobs from an ID on,
 // polling those that are not over until they are or the time has run out.
 func (world *World) tally(arguments Arguments) string {
@@ -94,7 +88,7 @@
 		for i := range n {
 			id := jobID(first + i)
 			if !world.checker.isOver(id) {
-				world.Poll(id)
+				world.users.Poll(id)
 			}
 			if !world.checker.isOver(id) {
 				open++
@@ -126,18 +120,18 @@
 	for i := range count {
 		submission, down := maps.Clone(arguments), maps.Clone(arguments)
 		submission["id"], down["id"], down["awaits"] = jobID(first+2*i), jobID(first+2*i+1), jobID(first+2*i)
-		world.Submit(submission)
+		world.users.Submit(submission)
 		offset := step * time.Duration(i-count/2)
 		if arguments["with"] == "done" {
-			world.Submit(down)
+			world.users.Submit(down)
 			world.cancelAroundEnd(world.jobs[submission["id"]], offset)
 			continue
 		}
-		world.schedule(max(0, -offset), func() { world.cancelRecorded(submission["id"]) })
-		world.schedule(max(0, offset), func() { world.submitRecorded(down) })
+		world.schedule(max(0, -offset), func() { world.users.cancelRecorded(submission["id"]) })
+		world.schedule(max(0, offset), func() { world.users.submitRecorded(down) })
 	}
 	world.Run(step*time.Duration(count) + time.Second)
-	if !world.waitForRecordedAnswers(2 * userRetry) {
+	if !world.users.waitForRecordedAnswers(2 * userRetry) {
 		return "not all are answered"
 	}
 	return world.raceOutcome(first, count, arguments.duration("within", "120s"), arguments.has("both"))
@@ -149,7 +143,7 @@
 		world.schedule(tickInterval, func() { world.cancelAroundEnd(job, offset) })
 		return
 	}
-	world.schedule(max(0, job.startedAt+job.runTime-world.now+offset), func() { world.cancelRecorded(job.id) })
+	world.schedule(max(0, job.startedAt+job.runTime-world.now+offset), func() { world.users.cancelRecorded(job.id) })
 }
 
 // raceOutcome polls the pairs of a race until each has ended alike.
@@ -157,7 +151,7 @@
 	for end := world.now + within; ; world.Run(time.Second) {
 		for i := range 2 * pairs {
 			if id := jobID(first + i); !world.checker.isOver(id) {
-				world.Poll(id)
+				world.users.Poll(id)
 			}
 		}
 		ends := map[string]int{}
--- a/internal/simtest/controller_memory_test.go
+++ b/internal/simtest/controller_memory_test.go
@@ -15,9 +15,9 @@
 	world.watchInvariants()
 	for generation := range 8 {
 		id := jobID(100 + generation)
-		world.Submit(Arguments{"id": id, "tasks": "10", "cpus": "4", "types": "small", "run": "5s"})
+		world.users.Submit(Arguments{"id": id, "tasks": "10", "cpus": "4", "types": "small", "run": "5s"})
 		world.Run(90 * time.Second)
-		if _, phase := world.Poll(id); phase != "done" {
+		if _, phase := world.users.Poll(id); phase != "done" {
 			t.Fatalf("%s is %s", id, phase)
 		}
 	}
@@ -49,7 +49,7 @@
 	world.Run(10 * time.Second)
 	before := heapMB()
 	for i := range 100 {
-		world.Submit(Arguments{"id": fmt.Sprintf("req-%06d", i), "tasks": "400", "run": "1h"})
+		world.users.Submit(Arguments{"id": fmt.Sprintf("req-%06d", i), "tasks": "400", "run": "1h"})
 	}
 	world.Run(30 * time.Second)
 	placed := len(world.checker.onMachines())
--- a/internal/simtest/fault_injection.go
+++ b/internal/simtest/fault_injection.go
@@ -2,28 +2,52 @@
 
 import "time"
 
-// activeFaults are the faults of the network and of users that last for a while,
-// most as the share of requests that they concern.
-type activeFaults struct {
-	lateWrites        float64       // transactions that get no answer and are carried out late
-	delayedHeartbeats float64       // reports that arrive seconds late, maybe elsewhere
-	delayedCommands   float64       // direct commands that arrive, or whose answers arrive, seconds late
-	slowStateService  time.Duration // within which the state service answers
-	cancelAtEnd       float64       // jobs that end that are cancelled at that moment
-	invalidRequests   bool          // users send invalid requests
-	invalidIDs        int
-	workerSockets     int           // workers that a controller has sockets for, 0: for all
-	refusedWhenCut    float64       // requests to controllers over cut links that fail at once
-	faultsEndAt       time.Duration // when the last fault ends
+// denyFor lets the state service refuse a controller for a while.
+func (process *controllerProcess) denyFor(duration time.Duration) {
+	process.denied = true
+	process.world.schedule(duration, func() { process.denied = false })
 }
 
+// Ways in which a controller may cease to lead.
 const (
-	minDelay = 2 * time.Second
-	maxDelay = 12 * time.Second
+	leaderKilled   = "kill"
+	leaderDenied   = "deny"
+	leaderIsolated = "isolate"
+	leaderPaused   = "pause"
 )
 
-func (world *World) randomDuration(least, most time.Duration) time.Duration {
-	return least + time.Duration(world.random.Int64N(int64(most-least)))
+// leaderFaults are drawn with equal probability; what is there twice is to be more frequent.
+var leaderFaults = []string{leaderKilled, leaderKilled, leaderDenied, leaderIsolated, leaderPaused}
+
+// churn changes the leader so many times within that time, each time in the same way or,
+// if that is "", in one that is drawn.
+func (world *World) churn(times int, over time.Duration, way string) {
+	interval := over / time.Duration(times)
+	for i := range times {
+		world.schedule(time.Duration(i)*interval, func() { world.replaceLeader(way, interval*3/4) })
+	}
 }
 
-func (world *World) chance(share float64) bool { return share > 0 && world.random.Float64() < share }
+// replaceLeader brings a fault to the leader that lasts for that long at most.
+func (world *World) replaceLeader(way string, duration time.Duration) {
+	leader := world.leader()
+	if leader == nil || !leader.up {
+		return
+	}
+	if way == "" {
+		way = leaderFaults[world.random.IntN(len(leaderFaults))]
+	}
+	switch way {
+	case leaderKilled:
+		leader.kill()
+		world.schedule(world.randomDuration(50*time.Millisecond, duration/2), leader.bootIfDown)
+	case leaderDenied:
+		leader.denyFor(duration)
+	case leaderIsolated:
+		world.network.isolateFor(leader, duration)
+	case leaderPaused:
+		if !leader.paused {
+			leader.pause(duration, world.random.IntN(2) == 0)
+		}
+	}
+}
--- a/internal/simtest/jobs.go
+++ b/internal/simtest/jobs.go
@@ -1,6 +1,7 @@
 package simtest
 
 import (
+	"slices"
 	"sort"
 	"time"
 )
@@ -52,57 +53,6 @@
 	return job.id
 }
 
-// taskCompleted is called when a task completes: the last one's job may be cancelled,
-// asked about and submitted again at that very moment.
-func (world *World) taskCompleted(job *jobRecord) {
-	if len(job.completed) < job.taskCount || world.checker.cancelRequests[job.id] || !world.chance(world.cancelAtEnd) {
-		return
-	}
-	world.checker.cancelRequests[job.id] = true
-	world.schedule(world.randomDuration(0, time.Second), func() { world.cancelInBackground(job.id) })
-	world.schedule(world.randomDuration(0, time.Second), func() { world.resubmitInBackground(job.id) })
-	world.schedule(world.randomDuration(0, time.Second), func() { world.pollInBackground(job.id) })
-}
-
-// runningJobs lists the accepted jobs that have a task on a machine and that
-// nobody cancelled.
-func (world *World) runningJobs() []string {
-	var ids []string
-	seen := map[string]bool{}
-	for _, assignment := range world.checker.onMachines() {
-		if id := assignment.job.id; !seen[id] && world.checker.acknowledgedPhase[id] != "" && !world.checker.cancelRequests[id] {
-			seen[id] = true
-			ids = append(ids, id)
-		}
-	}
-	return ids
-}
-
-// cancelNow cancels so many running jobs within a fifth of a second, and lets
-// up to eight of their machines hang for d.
-func (world *World) cancelNow(count int, duration time.Duration) []string {
-	ids := world.runningJobs()
-	world.random.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
-	ids = ids[:min(count, len(ids))]
-	for _, id := range ids {
-		world.checker.cancelRequests[id] = true
-		world.schedule(world.randomDuration(0, 200*time.Millisecond), func() { world.cancelInBackground(id) })
-	}
-	if duration > 0 {
-		hung := map[*fakeWorker]bool{}
-		for _, assignment := range world.checker.onMachines() {
-			for _, id := range ids {
-				if assignment.job.id == id && len(hung) < 8 && !hung[assignment.worker] {
-					hung[assignment.worker] = true
-					worker := assignment.worker
-					world.schedule(world.randomDuration(0, 400*time.Millisecond), func() { worker.hang(duration) })
-				}
-			}
-		}
-	}
-	return ids
-}
-
 // acceptedJobs lists the jobs whose users got an answer and did not cancel.
 func (world *World) acceptedJobs() []string {
 	var ids []string
@@ -114,3 +64,20 @@
 	sort.Strings(ids)
 	return ids
 }
+
+// allows tells whether a task of the job may run on a machine, wherever its others are.
+func (job *jobRecord) allows(worker *fakeWorker) bool {
+	if job.machineTypes != nil && !slices.Contains(job.machineTypes, worker.machineType) {
+		return false
+	}
+	if job.zone != "" && job.zone != worker.zone {
+		return false
+	}
+	return job.allowSpot || !worker.spot
+}
+
+// maxTasksPerZone is how many tasks of a scattered job may run in a zone.
+func (job *jobRecord) maxTasksPerZone() int { return (job.taskCount + 1) / 2 }
+
+// canSucceed tells whether the job may be accepted and not all of its tasks always fail.
+func (job *jobRecord) canSucceed() bool { return !job.broken && job.expectedRefusal == 0 }
--- /dev/null
+++ b/internal/simtest/network_requests.go
@@ -0,0 +1,125 @@
+package simtest
+
+import (
+	"time"
+
+	"lugward/internal/event"
+)
+
+// commandDelays draws the delays of a call and of its answer.
+func (network *fakeNetwork) commandDelays(receiver string) (there, back time.Duration) {
+	if receiver == "state" && network.slowStateService > 0 {
+		return 0, network.world.randomDuration(0, network.slowStateService)
+	}
+	if receiver == "state" || receiver == "cloud" || !network.world.chance(network.delayedCommands) {
+		return 0, 0
+	}
+	if network.world.random.IntN(2) == 0 {
+		return network.world.randomDuration(time.Second, maxDelay), 0
+	}
+	return 0, network.world.randomDuration(time.Second, maxDelay)
+}
+
+// heartbeatDelays draws where a heartbeat arrives, and the delays of the heartbeat and of
+// its answer: the worker may have given it up by then.
+func (network *fakeNetwork) heartbeatDelays(process *controllerProcess, path string) (receiver *controllerProcess, there, back time.Duration) {
+	if path != heartbeatPath || !network.world.chance(network.delayedHeartbeats) {
+		return process, 0, 0
+	}
+	switch network.world.random.IntN(4) {
+	case 0:
+		return process, 0, network.world.randomDuration(time.Second, maxDelay/2)
+	case 1:
+		return process, network.world.randomDuration(500*time.Millisecond, heartbeatTimeout), 0
+	case 2:
+		return process, network.world.randomDuration(minDelay, maxDelay), 0
+	}
+	lease := seconds(network.world.config.Settings.Workers.LeaseS)
+	return network.world.randomController(), network.world.randomDuration(minDelay, 2*lease), 0
+}
+
+// httpRequest is a request to a controller.
+type httpRequest struct {
+	from    string // name of the sender
+	method  string
+	path    string
+	body    []byte
+	timeout time.Duration // how long the sender waits for the answer
+}
+
+// request sends an HTTP request to a controller; answer is called once, with
+// status 0 for no response.
+func (network *fakeNetwork) request(process *controllerProcess, request httpRequest, answer func(status int, body []byte)) {
+	answered := false
+	answerOnce := func(status int, body []byte) {
+		if !answered {
+			answered = true
+			answer(status, body)
+		}
+	}
+	network.world.schedule(request.timeout, func() { answerOnce(0, nil) })
+	if network.cutLinks[link{request.from, process.name}] && network.world.chance(network.refusedWhenCut) {
+		network.world.schedule(time.Millisecond, func() { answerOnce(0, nil) })
+		return
+	}
+	receiver, there, back := network.heartbeatDelays(process, request.path)
+	network.sendDelayed(there, request.from, receiver.name, func() {
+		receiver.handleRequest(request, func(status int, body []byte) {
+			if status == 0 {
+				answerOnce(0, nil)
+				return
+			}
+			if receiver == process {
+				network.sendDelayed(back, process.name, request.from, func() { answerOnce(status, body) })
+			}
+		})
+	})
+	if request.path == heartbeatPath && network.world.random.Float64() < network.duplicateShare {
+		network.deliverDuplicate(request)
+	}
+}
+
+// deliverDuplicate lets a copy of a request arrive at any controller, late. Nobody waits for
+// what is answered to it.
+func (network *fakeNetwork) deliverDuplicate(request httpRequest) {
+	receiver := network.world.randomController()
+	delay := time.Duration(network.world.random.Int64N(int64(network.duplicateDelay)))
+	network.world.schedule(delay, func() { receiver.handleRequest(request, func(int, []byte) {}) })
+}
+
+// handleRequest gives a request that has arrived to the controller; status 0 is answered
+// where it is down.
+func (process *controllerProcess) handleRequest(request httpRequest, answer func(status int, body []byte)) {
+	if !process.up {
+		answer(0, nil)
+		return
+	}
+	process.lastRequest++
+	id := process.lastRequest
+	process.pendingRequests[id] = answer
+	process.world.observe(Message{From: request.from, To: process.name, Method: request.method, Path: request.path, Body: request.body})
+	process.step(func(now event.Time) {
+		crowded := request.path == heartbeatPath && process.connectWorker(request.from, id)
+		process.controller.HandleRequest(now, event.Request{Conn: id, Method: request.method, Path: request.path, Body: request.body,
+			ConnectionLimitReached: crowded}, &process.effects)
+	})
+}
+
+// connectWorker notes that a worker is connected to a controller, and tells whether that is
+// more than it has sockets for: the connection then ends with the answer, as it does
+// where the worker is sent elsewhere.
+func (process *controllerProcess) connectWorker(worker string, request uint64) (crowded bool) {
+	for _, other := range process.world.controllers {
+		delete(other.connectedWorkers, worker)
+	}
+	process.connectedWorkers[worker] = true
+	crowded = process.world.network.workerSockets > 0 && len(process.connectedWorkers) > process.world.network.workerSockets
+	answer := process.pendingRequests[request]
+	process.pendingRequests[request] = func(status int, body []byte) {
+		if crowded || status == 421 {
+			delete(process.connectedWorkers, worker)
+		}
+		answer(status, body)
+	}
+	return crowded
+}
--- a/internal/simtest/protocol.go
+++ b/internal/simtest/protocol.go
@@ -5,6 +5,50 @@
 // The messages of the published protocols, as users, workers, the cloud and the
 // state service send them. Fields stand in the order of their names there.
 
+// Phases of a job in answers to users.
+const (
+	jobQueued    = "queued"
+	jobRunning   = "running"
+	jobDone      = "done"
+	jobCancelled = "cancelled"
+)
+
+// Phases of a task in heartbeats.
+const (
+	taskPulling = "pulling" // its image is fetched
+	taskWaiting = "waiting" // for the rest of its gang
+	taskRunning = "running"
+	taskSaving  = "saving" // its last checkpoint
+	taskExited  = "exited"
+)
+
+// Causes of a task's exit.
+const (
+	causeDone       = "done"
+	causeError      = "error"
+	causeStopped    = "halted"
+	causePeers      = "peers"      // another task of its gang was lost
+	causeIncomplete = "incomplete" // its gang did not come together in time
+	causeUnknown    = "unknown"    // the worker knows no such task
+	causeFull       = "full"       // the machine has no capacity for it
+)
+
+// Shapes of jobs.
+const (
+	shapeArray  = "array"
+	shapeGang   = "gang"
+	shapeDaemon = "daemon"
+)
+
+// Paths of requests.
+const (
+	heartbeatPath     = "/hello"
+	directCommandPath = "/do"
+	jobsPath          = "/submissions"
+	transactionPath   = "/commit"
+	watchPath         = "/follow"
+)
+
 // errorResponse is an answer that something went wrong.
 type errorResponse struct {
 	Error string `json:"error"`
--- a/internal/simtest/random_faults_test.go
+++ b/internal/simtest/random_faults_test.go
@@ -81,19 +81,19 @@
 
 func isolateLeader(world *World, _ *controllerProcess, long time.Duration) {
 	if process := world.leader(); process != nil {
-		world.isolateFor(process, long)
+		world.network.isolateFor(process, long)
 	}
 }
 
 func loseState(world *World, process *controllerProcess, long time.Duration) {
-	world.setLinkCut(process.name, "state", true)
-	world.schedule(long, func() { world.setLinkCut(process.name, "state", false) })
+	world.network.setLinkCut(process.name, "state", true)
+	world.schedule(long, func() { world.network.setLinkCut(process.name, "state", false) })
 }
 
 func loseWorkers(world *World, process *controllerProcess, long time.Duration) {
 	cut := func(enabled bool) {
 		for _, worker := range world.sortedWorkers() {
-			world.setLinkCut(process.name, worker.name, enabled)
+			world.network.setLinkCut(process.name, worker.name, enabled)
 		}
 	}
 	cut(true)
@@ -105,7 +105,7 @@
 func loseZone(world *World, process *controllerProcess, long time.Duration) {
 	long += seconds(10)
 	world.extendFaults(long)
-	world.cutZone(process, []string{"a", "b"}[world.random.IntN(2)], long)
+	world.network.cutZone(process, []string{"a", "b"}[world.random.IntN(2)], long)
 }
 
 func stateOutage(world *World, _ *controllerProcess, long time.Duration) {
@@ -114,8 +114,8 @@
 }
 
 func slowState(world *World, _ *controllerProcess, long time.Duration) {
-	world.slowStateService = seconds(world.random.Float64() * 4)
-	world.schedule(long, func() { world.slowStateService = 0 })
+	world.network.slowStateService = seconds(world.random.Float64() * 4)
+	world.schedule(long, func() { world.network.slowStateService = 0 })
 }
 
 func blockWatch(world *World, process *controllerProcess, long time.Duration) {
@@ -125,15 +125,15 @@
 }
 
 func lateWrites(world *World, _ *controllerProcess, long time.Duration) {
-	world.setShareFor(&world.lateWrites, 0.3, long)
+	world.setShareFor(&world.network.lateWrites, 0.3, long)
 }
 
 func delayReports(world *World, _ *controllerProcess, long time.Duration) {
-	world.setShareFor(&world.delayedHeartbeats, 0.3, long)
+	world.setShareFor(&world.network.delayedHeartbeats, 0.3, long)
 }
 
 func delayCommands(world *World, _ *controllerProcess, long time.Duration) {
-	world.setShareFor(&world.delayedCommands, 0.5, long)
+	world.setShareFor(&world.network.delayedCommands, 0.5, long)
 }
 
 // loseMachine lets a machine with tasks crash, hang or be terminated.
@@ -155,16 +155,16 @@
 
 func blockInboundOnce(world *World, _ *controllerProcess, long time.Duration) {
 	if assignments := world.checker.onMachines(); len(assignments) > 0 {
-		world.blockInboundFor(assignments[world.random.IntN(len(assignments))].worker, long)
+		world.network.blockInboundFor(assignments[world.random.IntN(len(assignments))].worker, long)
 	}
 }
 
 func blockInboundOfSome(world *World, _ *controllerProcess, long time.Duration) {
-	world.forRandomMachines(func(worker *fakeWorker) { world.blockInboundFor(worker, long) })
+	world.forRandomMachines(func(worker *fakeWorker) { world.network.blockInboundFor(worker, long) })
 }
 
 func blockReportsOfSome(world *World, _ *controllerProcess, long time.Duration) {
-	world.forRandomMachines(func(worker *fakeWorker) { world.blockHeartbeatsFor(worker, long) })
+	world.forRandomMachines(func(worker *fakeWorker) { worker.blockHeartbeatsFor(long) })
 }
 
 func cloudOutage(world *World, _ *controllerProcess, long time.Duration) {
@@ -185,19 +185,19 @@
 
 func cancelSome(world *World, _ *controllerProcess, _ time.Duration) {
 	hang := seconds(world.random.Float64() * 12)
-	world.cancelNow(1+world.random.IntN(4), hang)
+	world.users.cancelNow(1+world.random.IntN(4), hang)
 	world.extendFaults(hang)
 }
 
 func cancelEnding(world *World, _ *controllerProcess, long time.Duration) {
-	world.setShareFor(&world.cancelAtEnd, 0.5, long)
+	world.setShareFor(&world.users.cancelAtEnd, 0.5, long)
 }
 
 func invalidRequests(world *World, _ *controllerProcess, long time.Duration) {
-	if !world.invalidRequests {
-		world.invalidRequests = true
-		world.sendInvalidRequests()
-		world.schedule(long, func() { world.invalidRequests = false })
+	if !world.users.invalidRequests {
+		world.users.invalidRequests = true
+		world.users.sendInvalidRequests()
+		world.schedule(long, func() { world.users.invalidRequests = false })
 	}
 }
 
@@ -238,15 +238,15 @@
 	out := seconds(world.config.Settings.Workers.CancelS + world.random.Float64()*20)
 	world.extendFaults(alone + out + time.Second)
 	if world.random.IntN(2) == 0 {
-		world.denyFor(process, alone+seconds(world.random.Float64()))
+		process.denyFor(alone + seconds(world.random.Float64()))
 	} else {
-		world.isolateFor(process, alone+out)
+		world.network.isolateFor(process, alone+out)
 	}
 	var hang time.Duration
 	if world.random.IntN(2) == 0 {
 		hang = seconds(world.random.Float64() * 10)
 	}
-	world.schedule(seconds(world.random.Float64()*alone.Seconds()), func() { world.cancelNow(1+world.random.IntN(4), hang) })
+	world.schedule(seconds(world.random.Float64()*alone.Seconds()), func() { world.users.cancelNow(1+world.random.IntN(4), hang) })
 	world.schedule(alone, func() {
 		world.stateService.setOutage(true)
 		world.schedule(out, func() { world.stateService.setOutage(false) })
--- a/internal/simtest/random_pipelines_test.go
+++ b/internal/simtest/random_pipelines_test.go
@@ -27,8 +27,8 @@
 	}
 	world := NewWith(Announce(Settings, next), 3, seed, logOut())
 	world.watchInvariants()
-	world.lossShare, world.lateRepeatShare = 0.01, 0.05
-	world.duplicateShare, world.duplicateDelay = 0.05, 30*time.Second
+	world.network.lossShare, world.network.lateRepeatShare = 0.01, 0.05
+	world.network.duplicateShare, world.network.duplicateDelay = 0.05, 30*time.Second
 	for range 3 {
 		world.cloud.addMachine("small", []string{"a", "b"}[world.random.IntN(2)], false, 0)
 	}
@@ -39,7 +39,7 @@
 // pipelinePlay is a play of random pipelines.
 type pipelinePlay struct {
 	errorReporter
-	w         *World
+	world     *World
 	seed      uint64
 	open      []string // accepted jobs
 	all       []string // those too whose answer nobody waited for
@@ -50,13 +50,13 @@
 
 // playPipelines goes on with jobs that were accepted, and with new ones.
 func playPipelines(reporter errorReporter, world *World, seed uint64, announced bool, open []string) {
-	play := &pipelinePlay{errorReporter: reporter, w: world, seed: seed, open: open, all: append([]string(nil), open...), announced: announced}
+	play := &pipelinePlay{errorReporter: reporter, world: world, seed: seed, open: open, all: append([]string(nil), open...), announced: announced}
 	for range 5 {
 		play.onePipeline()
 	}
 	play.lower()
 	world.endAllFaults()
-	world.waitForRecordedAnswers(2 * userRetry)
+	world.users.waitForRecordedAnswers(2 * userRetry)
 	world.stateService.writesToDelay = 0
 	play.untilOver()
 	play.checkEnds()
@@ -75,13 +75,13 @@
 func (play *pipelinePlay) lower() {
 	if play.announced && !play.lowered {
 		play.lowered = true
-		play.w.stateService.setLimits(Arguments{"value": "2", "ops": "4", "writes": "20"})
+		play.world.stateService.setLimits(Arguments{"value": "2", "ops": "4", "writes": "20"})
 	}
 }
 
 // randomJob draws a job that needs others.
 func (play *pipelinePlay) randomJob(awaits []string) Arguments {
-	rng := play.w.random
+	rng := play.world.random
 	arguments := Arguments{"id": jobID(play.next), "shape": []string{"array", "array", "gang"}[rng.IntN(3)], "tasks": fmt.Sprint(1 + rng.IntN(4)),
 		"run": fmt.Sprintf("%ds", 1+rng.IntN(12)), "team": []string{"red", "blue"}[rng.IntN(2)],
 		"priority": []string{"idle", "normal", "high", "production"}[rng.IntN(4)]}
@@ -105,7 +105,7 @@
 // submit submits a random job that needs others.
 func (play *pipelinePlay) submit(awaits []string) (id string, taken bool) {
 	arguments := play.randomJob(awaits)
-	status, _ := play.w.Submit(arguments)
+	status, _ := play.world.users.Submit(arguments)
 	switch status {
 	case 200, 201:
 		play.open = append(play.open, arguments["id"])
@@ -119,7 +119,7 @@
 
 // onePipeline submits a pipeline under random faults.
 func (play *pipelinePlay) onePipeline() {
-	world := play.w
+	world := play.world
 	stages := play.submitStages()
 	if world.random.IntN(3) != 0 {
 		world.causeTwoFaults()
@@ -139,19 +139,19 @@
 		// A submission that meets the cancellation of what it needs.
 		upstream := stages[world.random.IntN(len(stages))]
 		down := play.randomJob([]string{upstream})
-		world.schedule(seconds(world.random.Float64()/2), func() { world.submitRecorded(down) })
-		world.schedule(seconds(world.random.Float64()/2), func() { world.cancelRecorded(upstream) })
+		world.schedule(seconds(world.random.Float64()/2), func() { world.users.submitRecorded(down) })
+		world.schedule(seconds(world.random.Float64()/2), func() { world.users.cancelRecorded(upstream) })
 	}
 	world.Run(seconds(world.random.Float64() * 8))
 	if len(stages) > 0 && world.random.IntN(2) == 0 {
-		world.Poll(stages[world.random.IntN(len(stages))])
+		world.users.Poll(stages[world.random.IntN(len(stages))])
 	}
 	if len(stages) > 0 && world.random.IntN(4) == 0 {
-		world.Cancel(stages[world.random.IntN(len(stages))])
+		world.users.Cancel(stages[world.random.IntN(len(stages))])
 	}
 	for _, id := range stages {
 		if world.random.IntN(3) == 0 {
-			world.Poll(id)
+			world.users.Poll(id)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 // submitStages submits a pipeline: each job needs one or two before it, some an
 // older one.
 func (play *pipelinePlay) submitStages() (stages []string) {
-	rng := play.w.random
+	rng := play.world.random
 	for k := range 2 + rng.IntN(4) {
 		var awaits []string
 		if k > 0 && len(stages) > 0 {
@@ -174,7 +174,7 @@
 			stages = append(stages, id)
 		}
 		if rng.IntN(5) == 0 {
-			play.w.Run(seconds(rng.Float64() * 4)) // the next comes late
+			play.world.Run(seconds(rng.Float64() * 4)) // the next comes late
 		}
 	}
 	return stages
@@ -183,7 +183,7 @@
 // left lists the accepted jobs that are not over.
 func (play *pipelinePlay) left() (ids []string) {
 	for _, id := range play.all {
-		if play.w.checker.acknowledgedPhase[id] != "" && !play.w.checker.isOver(id) {
+		if play.world.checker.acknowledgedPhase[id] != "" && !play.world.checker.isOver(id) {
 			ids = append(ids, id)
 		}
 	}
@@ -193,8 +193,8 @@
 // untilOver polls all jobs until they are over.
 func (play *pipelinePlay) untilOver() {
 	for _, id := range play.all {
-		if play.w.checker.acknowledgedPhase[id] == "" {
-			play.w.Poll(id) // its user gave up; it may be accepted all the same
+		if play.world.checker.acknowledgedPhase[id] == "" {
+			play.world.users.Poll(id) // its user gave up; it may be accepted all the same
 		}
 	}
 	for range 150 {
@@ -203,15 +203,15 @@
 			break
 		}
 		for _, id := range ids {
-			play.w.Poll(id)
+			play.world.users.Poll(id)
 		}
-		play.w.Run(seconds(2))
+		play.world.Run(seconds(2))
 	}
 }
 
 // checkEnds checks that all jobs are over, and as their upstream jobs demand.
 func (play *pipelinePlay) checkEnds() {
-	world := play.w
+	world := play.world
 	for _, id := range play.left() {
 		play.Errorf("seed %d: %s is still %s, needs %v\n%s", play.seed, id, world.checker.acknowledgedPhase[id], world.jobs[id].upstream,
 			strings.Join(append(world.listKeys("j/"+id), world.listKeys("r/"+id)...), "\n"))
--- a/internal/simtest/recording.go
+++ b/internal/simtest/recording.go
@@ -80,7 +80,7 @@
 			Fence: worker.fencingToken, Answered: world.now - worker.leaseStart}
 		for _, assignment := range worker.sortedAssignments() {
 			recorded := recordedTask{Task: assignment.name, Index: assignment.index, Attempt: assignment.attempt, Phase: assignment.phase, Cause: assignment.cause, CheckpointStored: assignment.checkpointStored}
-			if assignment.phase == "running" {
+			if assignment.phase == taskRunning {
 				recorded.Ran = world.now - assignment.startedAt
 			}
 			machine.Tasks = append(machine.Tasks, recorded)
@@ -131,7 +131,7 @@
 }
 
 func (world *World) loadJob(recorded recordedJob) {
-	world.registerJob(currentArgs(recorded.Args))
+	world.users.registerJob(currentArgs(recorded.Args))
 	job := world.jobs[recorded.Args["id"]]
 	job.submitted, job.firstAnsweredAt, job.startedAt = true, 1, 1
 	for _, i := range recorded.Complete {
@@ -173,36 +173,36 @@
 func (worker *fakeWorker) restoreTask(recorded recordedTask) {
 	world := worker.world
 	job := world.jobs[recorded.Task[:strings.LastIndexByte(recorded.Task, '/')]]
-	other := &assignment{worker: worker, job: job, name: recorded.Task, index: recorded.Index, attempt: recorded.Attempt, phase: recorded.Phase, cause: recorded.Cause, checkpointStored: recorded.CheckpointStored, startedAt: world.now - recorded.Ran}
+	assignment := &taskAssignment{worker: worker, job: job, name: recorded.Task, index: recorded.Index, attempt: recorded.Attempt, phase: recorded.Phase, cause: recorded.Cause, checkpointStored: recorded.CheckpointStored, startedAt: world.now - recorded.Ran}
 	switch {
 	case recorded.Phase == "exited":
-		worker.assignments[recorded.Task] = other
-	case recorded.Phase != "running" || job.shape == "gang" && len(job.completed) > 0:
+		worker.assignments[recorded.Task] = assignment
+	case recorded.Phase != jobRunning || job.shape == shapeGang && len(job.completed) > 0:
 		// Its image is fetched anew: the machine had it or nearly so.
 		worker.startTask(taskCommand{Verb: "start", Task: recorded.Task, Attempt: recorded.Attempt})
-	case job.shape == "gang":
-		worker.assignments[recorded.Task] = other
-		world.checker.addInstance(other)
+	case job.shape == shapeGang:
+		worker.assignments[recorded.Task] = assignment
+		world.checker.addInstance(assignment)
 		worker.images[job.id] = true
-		gang := job.gangs[other.attempt]
+		gang := job.gangs[assignment.attempt]
 		if gang == nil {
-			gang = &gangRun{tasks: map[int]*assignment{}, stopped: map[int]bool{}}
-			job.gangs[other.attempt] = gang
+			gang = &gangRun{tasks: map[int]*taskAssignment{}, stopped: map[int]bool{}}
+			job.gangs[assignment.attempt] = gang
 		}
-		gang.tasks[other.index] = other
+		gang.tasks[assignment.index] = assignment
 		if len(gang.tasks) == job.taskCount {
 			gang.started = true
 			world.finishGangAfter(job, gang, job.runTime-job.progress[0]-recorded.Ran)
 		}
 	default:
-		worker.assignments[recorded.Task] = other
-		world.checker.addInstance(other)
+		worker.assignments[recorded.Task] = assignment
+		world.checker.addInstance(assignment)
 		worker.images[job.id] = true
-		if job.shape == "array" {
-			world.scheduleFor(other, job.runTime-job.progress[other.index]-recorded.Ran, func() {
-				job.completed[other.index] = true
-				world.taskCompleted(job)
-				worker.exitTask(other, "done", false)
+		if job.shape == shapeArray {
+			world.scheduleFor(assignment, job.runTime-job.progress[assignment.index]-recorded.Ran, func() {
+				job.completed[assignment.index] = true
+				world.users.taskCompleted(job)
+				worker.exitTask(assignment, causeDone, false)
 			})
 		}
 	}
--- a/internal/simtest/recording_test.go
+++ b/internal/simtest/recording_test.go
@@ -29,7 +29,7 @@
 			arguments[key] = v
 		}
 		jobs = append(jobs, maps.Clone(arguments))
-		if status, phase := world.Submit(arguments); status != 201 && status != 200 {
+		if status, phase := world.users.Submit(arguments); status != 201 && status != 200 {
 			t.Fatalf("%v: %d %s", arguments, status, phase)
 		}
 	}
@@ -44,13 +44,13 @@
 	submit("shape=gang tasks=2 run=1s scatter priority=high")
 	submit("tasks=3 run=50s priority=idle checkpoint=4s")
 	world.Run(24 * time.Second)
-	world.Poll("req-000900")
-	world.Poll("req-000908")
+	world.users.Poll("req-000900")
+	world.users.Poll("req-000908")
 	if worker := world.workerOf("req-000909/1"); worker != nil {
 		worker.crash()
 	}
 	world.Run(time.Second)
-	world.Cancel("req-000907")
+	world.users.Cancel("req-000907")
 	for _, process := range world.controllers {
 		process.kill()
 	}
@@ -67,7 +67,7 @@
 	}
 	for _, id := range world.acceptedJobs() {
 		acknowledged := world.checker.acknowledgedPhase[id]
-		status, phase := world.requestUntilAnswered(id, "GET", "/submissions/"+id, nil)
+		status, phase := world.users.requestUntilAnswered(id, pollRequest(id))
 		if status != 200 || (acknowledged == "done" && phase != acknowledged) {
 			t.Errorf("%s was %s, is %d %s", id, acknowledged, status, phase)
 		}
@@ -75,16 +75,16 @@
 	// New jobs need old ones: one done long ago and one that still runs, and
 	// one that was cancelled.
 	for _, arguments := range []Arguments{{"id": "req-000950", "awaits": "req-000900+req-000901", "run": "2s"}, {"id": "req-000951", "awaits": "req-000907"}} {
-		if status, _ := world.Submit(arguments); status != 200 && status != 201 {
+		if status, _ := world.users.Submit(arguments); status != 200 && status != 201 {
 			t.Errorf("%v: %d", arguments, status)
 		}
 	}
 	world.Run(20 * time.Second)
-	if _, phase := world.requestUntilAnswered("req-000951", "GET", "/submissions/req-000951", nil); phase != "cancelled" {
+	if _, phase := world.users.requestUntilAnswered("req-000951", pollRequest("req-000951")); phase != "cancelled" {
 		t.Errorf("needs a cancelled job and is %s", phase)
 	}
 	world.stateService.setLimits(Arguments{"value": "2", "ops": "4", "writes": "40"})
-	world.Cancel("req-000904") // a service
+	world.users.Cancel("req-000904") // a service
 	if got := runCommand(t, world, "all", Arguments{"within": "240s"}); got != fmt.Sprintf("%d done", len(world.acceptedJobs())) {
 		t.Errorf("%s of %d", got, len(world.acceptedJobs()))
 		for _, id := range world.acceptedJobs() {
--- a/internal/simtest/scenario_test.go
+++ b/internal/simtest/scenario_test.go
@@ -209,8 +209,8 @@
 func playRandomJobsObserved(reporter errorReporter, seed uint64, wire WireObserver) {
 	world := NewObserved(Settings, 3, seed, logOut(), wire)
 	world.watchInvariants()
-	world.lossShare, world.lateRepeatShare = 0.01, 0.05
-	world.duplicateShare, world.duplicateDelay = 0.05, 30*time.Second
+	world.network.lossShare, world.network.lateRepeatShare = 0.01, 0.05
+	world.network.duplicateShare, world.network.duplicateDelay = 0.05, 30*time.Second
 	for range 3 {
 		world.cloud.addMachine("small", []string{"a", "b"}[world.random.IntN(2)], false, 0)
 	}
@@ -230,23 +230,23 @@
 		} else if world.random.IntN(3) == 0 {
 			arguments["scatter"] = ""
 		}
-		status, _ := world.Submit(arguments)
+		status, _ := world.users.Submit(arguments)
 		if status == 200 || status == 201 {
 			open = append(open, arguments["id"])
 		}
 		world.causeTwoFaults()
 		world.Run(seconds(world.random.Float64() * 6))
 		if world.random.IntN(3) == 0 && len(open) > 0 {
-			world.Poll(open[world.random.IntN(len(open))])
+			world.users.Poll(open[world.random.IntN(len(open))])
 		}
 		if world.random.IntN(4) == 0 && len(open) > 0 {
-			world.Cancel(open[world.random.IntN(len(open))])
+			world.users.Cancel(open[world.random.IntN(len(open))])
 		}
 	}
 	world.endAllFaults()
 	for _, id := range open {
-		if world.jobs[id].shape == "daemon" {
-			world.Cancel(id)
+		if world.jobs[id].shape == shapeDaemon {
+			world.users.Cancel(id)
 		}
 	}
 	world.pollUntilOver(open)
@@ -282,7 +282,7 @@
 		for _, id := range open {
 			if !world.checker.isOver(id) {
 				left++
-				world.Poll(id)
+				world.users.Poll(id)
 			}
 		}
 		if left == 0 {
@@ -295,8 +295,8 @@
 // endAllFaults ends all faults.
 func (world *World) endAllFaults() {
 	world.Run(max(seconds(25), world.faultsEndAt-world.now))
-	world.lossShare, world.lateRepeatShare, world.cloud.bootFailures, world.cloud.down, world.duplicateShare = 0, 0, 0, false, 0
-	world.lateWrites, world.delayedHeartbeats, world.delayedCommands, world.cancelAtEnd, world.invalidRequests = 0, 0, 0, 0, false
+	world.network.lossShare, world.network.lateRepeatShare, world.cloud.bootFailures, world.cloud.down, world.network.duplicateShare = 0, 0, 0, false, 0
+	world.network.lateWrites, world.network.delayedHeartbeats, world.network.delayedCommands, world.users.cancelAtEnd, world.users.invalidRequests = 0, 0, 0, 0, false
 	world.Run(maxDelay) // what was delayed arrives
 	world.checker.faultsOverAt = world.now
 	for _, process := range world.controllers {
--- a/internal/simtest/state_limits.go
+++ b/internal/simtest/state_limits.go
@@ -56,7 +56,7 @@
 func (service *fakeStateService) refuseTooLarge(what, f string, values ...any) (int, any) {
 	service.tooLarge++
 	if (service.override == nil || service.world.limitsAnnounced) && service.tooLarge <= maxNamed {
-		service.world.reportMisuse("%.2fs state service got %s", service.world.now.Seconds(), fmt.Sprintf(f, values...))
+		service.world.reportLimitViolation("%.2fs state service got %s", service.world.now.Seconds(), fmt.Sprintf(f, values...))
 	}
 	if service.tooLargeAttempts == nil {
 		service.tooLargeAttempts = map[string][]time.Duration{}
@@ -67,7 +67,7 @@
 		if service.world.now-list[0] < repeatsWithin {
 			service.endlessRetries++
 			if service.endlessRetries == 1 {
-				service.world.reportMisuse("%.2fs %s is tried again and again though it is too large", service.world.now.Seconds(), what)
+				service.world.reportLimitViolation("%.2fs %s is tried again and again though it is too large", service.world.now.Seconds(), what)
 			}
 			list = nil
 		}
--- a/internal/simtest/state_service.go
+++ b/internal/simtest/state_service.go
@@ -21,6 +21,7 @@
 	lastLease uint64
 	watchers  []*watcher
 	down      bool
+	pageLimit int // keys in a page
 
 	requests, writes leakyBucket
 	refusedForRate   int // for exceeding them
@@ -69,14 +70,14 @@
 
 type watcher struct {
 	from     uint64
-	answer   func(int, any)
+	answer   answerFunc
 	answered bool
 }
 
 const logKept = 10000
 
-func newState(world *World) *fakeStateService {
-	return &fakeStateService{world: world, keys: map[string]storedValue{}, leases: map[uint64]*grantedLease{}}
+func newStateService(world *World) *fakeStateService {
+	return &fakeStateService{world: world, pageLimit: maxPage, keys: map[string]storedValue{}, leases: map[uint64]*grantedLease{}}
 }
 
 // serve answers a request, at once or (for a watch) later.
@@ -99,7 +100,7 @@
 	switch {
 	case parsed.Path == "/keys" && method == "GET":
 		answer(200, service.listKeys(parsed.Query()))
-	case parsed.Path == "/commit" && method == "POST":
+	case parsed.Path == transactionPath && method == "POST":
 		if !service.delayMatchingWrite(body) {
 			answer(service.commit(body))
 		}
@@ -107,7 +108,7 @@
 		answer(service.grantLease(body))
 	case strings.HasPrefix(parsed.Path, "/leases/"):
 		answer(service.changeLease(method, strings.TrimPrefix(parsed.Path, "/leases/")))
-	case parsed.Path == "/follow":
+	case parsed.Path == watchPath:
 		service.watch(parsed.Query(), answer)
 	default:
 		answer(404, nil)
@@ -190,7 +191,7 @@
 	if limit <= 0 || limit > maxPage {
 		limit = maxPage
 	}
-	limit = min(limit, service.world.pageLimit)
+	limit = min(limit, service.pageLimit)
 	items := []keyEntry{}
 	for _, key := range keys[:min(limit, len(keys))] {
 		items = append(items, keyEntry{service.keys[key].data, key, service.keys[key].modRevision})
--- /dev/null
+++ b/internal/simtest/users_submission.go
@@ -0,0 +1,85 @@
+package simtest
+
+import (
+	"encoding/json"
+	"strings"
+	"time"
+)
+
+// registerJob registers a job with the workers, as its user does, and returns the
+// submission.
+func (users *fakeUsers) registerJob(arguments Arguments) []byte {
+	id := arguments["id"]
+	job := users.world.jobs[id]
+	if job == nil {
+		job = &jobRecord{id: id, progress: map[int]time.Duration{}, completed: map[int]bool{}, gangs: map[uint64]*gangRun{}}
+		users.world.jobs[id] = job
+	}
+	job.describe(arguments)
+	job.body = job.encodeSubmission(arguments, users.recordUpstream(job, arguments))
+	return job.body
+}
+
+// describe takes what a job is from the arguments of its submission.
+func (job *jobRecord) describe(arguments Arguments) {
+	job.team, job.shape, job.class = arguments.text("team", "red"), arguments.text("shape", "array"), arguments.text("class", "c")
+	job.taskCount = int(arguments.number("tasks", "1"))
+	job.cpus, job.gpus, job.memory = arguments.number("cpus", "1"), arguments.number("gpus", "0"), arguments.number("memory", "1")
+	if types, ok := arguments["types"]; ok {
+		job.machineTypes = strings.Split(types, "+")
+	}
+	job.zone = arguments["zone"]
+	job.sameZone, job.scatter, job.allowSpot = arguments.has("same_zone"), arguments.has("scatter"), arguments.has("spot")
+	job.broken = arguments.has("broken")
+	job.brokenTask = 1 + int(arguments.number("broken_task", "-1"))
+	job.runTime, job.imageFetchTime = arguments.duration("run", "5s"), arguments.duration("image", "1s")
+	job.checkpointInterval, job.checkpointDuration = arguments.duration("checkpoint", "0s"), arguments.duration("checkpoint_cost", "1s")
+}
+
+// encodeSubmission is the body of the request that submits a job.
+func (job *jobRecord) encodeSubmission(arguments Arguments, upstream []string) []byte {
+	request := submission{
+		ID:                 job.id,
+		Class:              job.class,
+		Team:               job.team,
+		Shape:              job.shape,
+		Priority:           arguments.text("priority", "normal"),
+		TaskCount:          job.taskCount,
+		CPUs:               job.cpus,
+		GPUs:               job.gpus,
+		Memory:             job.memory,
+		Image:              arguments.text("image_name", "img"),
+		ImageGB:            1,
+		MachineTypes:       job.machineTypes,
+		SameZone:           job.sameZone,
+		Scatter:            job.scatter,
+		AllowSpot:          job.allowSpot,
+		EstimatedRuntime:   job.runTime.Seconds(),
+		CheckpointInterval: job.checkpointInterval.Seconds(),
+		CheckpointDuration: job.checkpointDuration.Seconds(),
+		Upstream:           upstream,
+	}
+	if job.zone != "" {
+		request.Zone = &job.zone
+	}
+	body, _ := json.Marshal(request)
+	return body
+}
+
+// recordUpstream notes the upstream jobs that a submission names. Once the job is
+// accepted its list is what it was, whatever a retry says.
+func (users *fakeUsers) recordUpstream(job *jobRecord, arguments Arguments) []string {
+	text, ok := arguments["awaits"]
+	if !ok {
+		return nil
+	}
+	ids, err := parseJobIDs(text)
+	if err != nil {
+		users.world.reportLimitViolation("%s: %v", job.id, err)
+		return nil
+	}
+	if users.world.checker.acknowledgedPhase[job.id] == "" {
+		job.upstream = ids
+	}
+	return ids
+}
--- a/internal/simtest/worker.go
+++ b/internal/simtest/worker.go
@@ -17,7 +17,7 @@
 	incarnation, sequence        uint64
 	fencingToken                 uint64
 	reclaimAt                    time.Duration
-	assignments                  map[string]*assignment
+	assignments                  map[string]*taskAssignment
 	images                       map[string]bool
 	target                       int
 	heartbeatInFlight            bool
@@ -31,19 +31,17 @@
 }
 
 func newWorker(world *World, name, addr, machineType, zone string, spot bool) *fakeWorker {
-	worker := &fakeWorker{world: world, name: name, addr: addr, machineType: machineType, zone: zone, spot: spot, up: true, incarnation: 1, assignments: map[string]*assignment{},
+	worker := &fakeWorker{world: world, name: name, addr: addr, machineType: machineType, zone: zone, spot: spot, up: true, incarnation: 1, assignments: map[string]*taskAssignment{},
 		images: map[string]bool{}, leaseStart: world.now, target: world.random.IntN(len(world.controllers)), changed: true}
 	world.workers[addr] = worker
-	if world.unreachableMachines > 0 {
-		world.unreachableMachines--
-		world.blockInbound(worker, true)
+	if world.network.unreachableMachines > 0 {
+		world.network.unreachableMachines--
+		world.network.blockInbound(worker, true)
 	}
 	worker.tick()
 	return worker
 }
 
-func seconds(amount float64) time.Duration { return time.Duration(amount * float64(time.Second)) }
-
 func (worker *fakeWorker) tick() {
 	if !worker.up {
 		return
@@ -59,17 +57,17 @@
 }
 
 func (worker *fakeWorker) killTasks() {
-	for _, other := range worker.sortedAssignments() {
-		worker.removeTask(other)
+	for _, assignment := range worker.sortedAssignments() {
+		worker.removeTask(assignment)
 	}
-	worker.assignments = map[string]*assignment{}
+	worker.assignments = map[string]*taskAssignment{}
 	worker.images = map[string]bool{}
 }
 
-func (worker *fakeWorker) sortedAssignments() []*assignment {
-	var list []*assignment
-	for _, other := range worker.assignments {
-		list = append(list, other)
+func (worker *fakeWorker) sortedAssignments() []*taskAssignment {
+	var list []*taskAssignment
+	for _, assignment := range worker.assignments {
+		list = append(list, assignment)
 	}
 	sort.Slice(list, func(a, b int) bool { return list[a].name < list[b].name })
 	return list
@@ -86,7 +84,7 @@
 	}
 	for _, assignment := range worker.sortedAssignments() {
 		line := taskStatus{Task: assignment.name, Attempt: assignment.attempt, Phase: assignment.phase}
-		if assignment.phase == "exited" {
+		if assignment.phase == taskExited {
 			line.Cause, line.CheckpointStored = assignment.cause, assignment.checkpointStored
 		}
 		message.Tasks = append(message.Tasks, line)
@@ -107,7 +105,8 @@
 		worker.world.schedule(time.Duration(worker.world.random.Int64N(int64(heartbeatTimeout))), func() { worker.whenResumed(func() { worker.handleHeartbeatResponse(sent, session, 0, nil) }) })
 		return
 	}
-	worker.world.request(worker.name, worker.world.controllers[worker.target], "POST", "/hello", body, heartbeatTimeout, func(status int, body []byte) {
+	request := httpRequest{from: worker.name, method: "POST", path: heartbeatPath, body: body, timeout: heartbeatTimeout}
+	worker.world.network.request(worker.world.controllers[worker.target], request, func(status int, body []byte) {
 		worker.whenResumed(func() {
 			if worker.world.now-sent >= heartbeatTimeout {
 				status, body = 0, nil // it came while the machine hung
@@ -169,7 +168,7 @@
 }
 
 // serve answers a direct command.
-func (worker *fakeWorker) serve(path string, body []byte, answer func(int, any)) {
+func (worker *fakeWorker) serve(path string, body []byte, answer answerFunc) {
 	if !worker.up {
 		return
 	}
@@ -178,10 +177,10 @@
 		worker.whenResumed(func() { worker.serve(path, body, answer) })
 		return
 	}
-	if path == "/do" {
+	if path == directCommandPath {
 		var request commandRequest
 		if json.Unmarshal(body, &request) != nil || request.FencingToken == nil || request.Incarnation == nil {
-			worker.world.reportMisuse("bad direct command %s", body)
+			worker.world.reportLimitViolation("bad direct command %s", body)
 			answer(400, nil)
 			return
 		}
@@ -205,17 +204,17 @@
 			}
 			worker.startTask(command)
 		case "stop":
-			if assignment != nil && assignment.attempt == command.Attempt && assignment.phase != "exited" {
+			if assignment != nil && assignment.attempt == command.Attempt && assignment.phase != taskExited {
 				worker.world.checker.countStop(assignment)
 				worker.stopTask(assignment, seconds(command.GracePeriod))
 			}
 		case "reap":
-			if assignment != nil && assignment.attempt == command.Attempt && assignment.phase == "exited" {
+			if assignment != nil && assignment.attempt == command.Attempt && assignment.phase == taskExited {
 				delete(worker.assignments, command.Task)
 				worker.changed = true
 			}
 		default:
-			worker.world.reportMisuse("unknown order %q", command.Verb)
+			worker.world.reportLimitViolation("unknown order %q", command.Verb)
 		}
 	}
 }
@@ -225,3 +224,15 @@
 	worker.killTasks()
 	worker.up = false
 }
+
+// blockHeartbeatsFor lets a machine reach no controller for a while.
+func (worker *fakeWorker) blockHeartbeatsFor(duration time.Duration) {
+	worker.heartbeatsBlocked = true
+	worker.world.schedule(duration, func() { worker.heartbeatsBlocked = false })
+}
+
+// isHealthy tells whether no fault and no reclaim notice keeps the machine from running tasks
+// as it should.
+func (worker *fakeWorker) isHealthy() bool {
+	return worker.up && !worker.hung && !worker.heartbeatsBlocked && worker.reclaimAt == 0 && worker.slowdown <= 0 && !worker.faulty
+}
--- a/internal/simtest/worker_gang.go
+++ b/internal/simtest/worker_gang.go
@@ -3,18 +3,18 @@
 import "time"
 
 type gangRun struct {
-	tasks           map[int]*assignment
+	tasks           map[int]*taskAssignment
 	started         bool
 	over            bool
 	stopRequestedAt time.Duration
 	stopped         map[int]bool
 }
 
-func (job *jobRecord) gangOf(other *assignment) *gangRun {
+func (job *jobRecord) gangOf(assignment *taskAssignment) *gangRun {
 	if job == nil {
 		return nil
 	}
-	return job.gangs[other.attempt]
+	return job.gangs[assignment.attempt]
 }
 
 func (gang *gangRun) anyResponsive() bool {
@@ -26,20 +26,20 @@
 	return false
 }
 
-func (worker *fakeWorker) joinGang(other *assignment) {
-	job := other.job
-	gang := job.gangs[other.attempt]
+func (worker *fakeWorker) joinGang(assignment *taskAssignment) {
+	job := assignment.job
+	gang := job.gangs[assignment.attempt]
 	if gang == nil {
-		gang = &gangRun{tasks: map[int]*assignment{}, stopped: map[int]bool{}}
-		job.gangs[other.attempt] = gang
+		gang = &gangRun{tasks: map[int]*taskAssignment{}, stopped: map[int]bool{}}
+		job.gangs[assignment.attempt] = gang
 	}
-	gang.tasks[other.index] = other
+	gang.tasks[assignment.index] = assignment
 	if !gang.started && len(gang.tasks) == job.taskCount {
 		gang.started = true
 		failing := false
 		for i := range job.taskCount {
 			member := gang.tasks[i]
-			member.phase, member.startedAt = "running", member.worker.executionTime()
+			member.phase, member.startedAt = taskRunning, member.worker.executionTime()
 			member.worker.changed = true
 			member.generation++
 			if member.fails() {
@@ -53,21 +53,21 @@
 		}
 		return
 	}
-	worker.world.scheduleFor(other, seconds(worker.world.config.Settings.Workers.GangWaitS), func() { worker.exitTask(other, "incomplete", false) })
+	worker.world.scheduleFor(assignment, seconds(worker.world.config.Settings.Workers.GangWaitS), func() { worker.exitTask(assignment, causeIncomplete, false) })
 }
 
-func (world *World) leaveGang(other *assignment, gang *gangRun) {
-	if gang.tasks[other.index] == other {
-		delete(gang.tasks, other.index)
+func (world *World) leaveGang(assignment *taskAssignment, gang *gangRun) {
+	if gang.tasks[assignment.index] == assignment {
+		delete(gang.tasks, assignment.index)
 	}
 	if !gang.started || gang.over {
 		return
 	}
-	if other.cause == "halted" && other.checkpointStored {
+	if assignment.cause == causeStopped && assignment.checkpointStored {
 		return
 	}
 	gang.over = true
-	world.schedule(seconds(world.config.Settings.Workers.GangPeerS), func() { world.abortGang(other.job, gang) })
+	world.schedule(seconds(world.config.Settings.Workers.GangPeerS), func() { world.abortGang(assignment.job, gang) })
 }
 
 // abortGang lets the tasks of a gang that lost one exit, on a machine that hangs
@@ -77,7 +77,7 @@
 		if assignment := gang.tasks[i]; assignment != nil && assignment.onMachine() {
 			assignment.worker.whenResumed(func() {
 				if assignment.onMachine() && assignment.worker.assignments[assignment.name] == assignment {
-					assignment.worker.exitTask(assignment, "peers", false)
+					assignment.worker.exitTask(assignment, causePeers, false)
 				}
 			})
 		}
@@ -102,11 +102,11 @@
 			job.completed[i] = true
 		}
 		for i := range job.taskCount {
-			if assignment := gang.tasks[i]; assignment != nil && assignment.phase == "running" {
-				assignment.worker.exitTask(assignment, "done", false)
+			if assignment := gang.tasks[i]; assignment != nil && assignment.phase == taskRunning {
+				assignment.worker.exitTask(assignment, causeDone, false)
 			}
 		}
-		world.taskCompleted(job)
+		world.users.taskCompleted(job)
 	}
 	world.schedule(duration, end)
 }
--- a/internal/simtest/worker_hang.go
+++ b/internal/simtest/worker_hang.go
@@ -115,13 +115,3 @@
 	}
 	worker.world.schedule(duration, check)
 }
-
-// checkResumed checks the tasks of a machine that resumes: one whose cancellation is
-// overdue breaks the rules, however soon it is stopped after that.
-func (checker *Checker) checkResumed(worker *fakeWorker) {
-	for _, assignment := range worker.sortedAssignments() {
-		if since, ok := checker.cancelledSince(assignment.job.idOrEmpty()); ok && assignment.onMachine() && checker.overdue(since) {
-			checker.reportViolation("ran_cancelled: %s goes on on %s", assignment.name, worker.name)
-		}
-	}
-}
--- a/internal/simtest/worker_hang_test.go
+++ b/internal/simtest/worker_hang_test.go
@@ -14,7 +14,7 @@
 func startOneTask(run time.Duration) (*World, *fakeWorker) {
 	world := New(1, 1, io.Discard)
 	world.controllers[0].kill()
-	world.registerJob(Arguments{"id": "req-000001", "run": run.String(), "image": "0s"})
+	world.users.registerJob(Arguments{"id": "req-000001", "run": run.String(), "image": "0s"})
 	worker := newWorker(world, "i-a", "i-a", "small", "a", false)
 	worker.executeCommands([]taskCommand{{Verb: "start", Task: "req-000001/0", Attempt: 1}})
 	world.Run(100 * time.Millisecond)
@@ -93,7 +93,7 @@
 func TestHangEndsGang(t *testing.T) {
 	world := New(1, 1, io.Discard)
 	world.controllers[0].kill()
-	world.registerJob(Arguments{"id": "req-000001", "shape": "gang", "tasks": "2", "run": "60s", "image": "0s"})
+	world.users.registerJob(Arguments{"id": "req-000001", "shape": "gang", "tasks": "2", "run": "60s", "image": "0s"})
 	var list []*fakeWorker
 	for i, name := range []string{"i-a", "i-b"} {
 		worker := newWorker(world, name, name, "small", "a", false)
@@ -138,7 +138,7 @@
 	world := New(1, 1, io.Discard)
 	process := world.controllers[0]
 	process.kill()
-	world.lateWrites = 1
+	world.network.lateWrites = 1
 	write := func(key string, version uint64) {
 		body, _ := json.Marshal(transaction{If: []precondition{{key, version}}, Then: []operation{{Write: key, Data: json.RawMessage("1")}}})
 		if !process.delayTransaction(event.Call{Method: "POST", Path: "/commit", Body: body}) {
--- a/internal/simtest/worker_tasks.go
+++ b/internal/simtest/worker_tasks.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-type assignment struct {
+type taskAssignment struct {
 	worker           *fakeWorker
 	job              *jobRecord
 	name             string
@@ -19,8 +19,8 @@
 	generation       int           // outdates scheduled events
 }
 
-func (other *assignment) onMachine() bool {
-	return other.phase == "waiting" || other.phase == "running" || other.phase == "saving"
+func (assignment *taskAssignment) onMachine() bool {
+	return assignment.phase == taskWaiting || assignment.phase == taskRunning || assignment.phase == taskSaving
 }
 
 // startTask executes an order to start a task: it fetches the image, then runs it.
@@ -30,27 +30,27 @@
 	var index int
 	_, _ = fmt.Sscan(command.Task[i+1:], &index)
 	job := worker.world.jobs[command.Task[:i]]
-	other := &assignment{worker: worker, job: job, name: command.Task, index: index, attempt: command.Attempt, phase: "exited"}
+	assignment := &taskAssignment{worker: worker, job: job, name: command.Task, index: index, attempt: command.Attempt, phase: taskExited}
 	if old := worker.assignments[command.Task]; old != nil {
-		worker.world.checker.countRefusal("in_use", command.Task)
+		worker.world.checker.countRefusal("in_use")
 		return // refused without a trace: the old attempt keeps its line
 	}
-	worker.assignments[command.Task] = other
+	worker.assignments[command.Task] = assignment
 	if job == nil || index >= job.taskCount {
-		other.cause = "unknown"
+		assignment.cause = causeUnknown
 		return
 	}
 	if !worker.hasCapacity(job) {
-		other.cause = "full"
-		worker.world.checker.countRefusal("full", command.Task)
+		assignment.cause = causeFull
+		worker.world.checker.countRefusal(causeFull)
 		return
 	}
-	other.phase = "pulling"
+	assignment.phase = taskPulling
 	wait := job.imageFetchTime
 	if worker.images[job.id] {
 		wait = 0
 	}
-	worker.world.scheduleFor(other, wait, func() { worker.runTask(other) })
+	worker.world.scheduleFor(assignment, wait, func() { worker.runTask(assignment) })
 }
 
 // hasCapacity tells whether another task of a job fits on the machine.
@@ -58,7 +58,7 @@
 	kind := machineTypes[worker.machineType]
 	cpus, gpus, memory := kind.cpus, kind.gpus, kind.memory
 	for _, assignment := range worker.assignments {
-		if assignment.phase != "exited" {
+		if assignment.phase != taskExited {
 			cpus -= assignment.job.cpus
 			gpus -= assignment.job.gpus
 			memory -= assignment.job.memory
@@ -71,39 +71,39 @@
 const rounding = 1e-9
 
 // runTask starts a task whose image is there.
-func (worker *fakeWorker) runTask(other *assignment) {
-	job := other.job
+func (worker *fakeWorker) runTask(assignment *taskAssignment) {
+	job := assignment.job
 	worker.images[job.id] = true
 	worker.changed = true
-	worker.world.checker.checkStart(other)
+	worker.world.checker.checkStart(assignment)
 	switch {
-	case job.completed[other.index]:
-		worker.exitTask(other, "done", false)
-	case job.shape == "gang":
-		other.phase = "waiting"
-		worker.joinGang(other)
-	case other.fails():
-		other.phase = "running"
-		worker.failSoon(other)
+	case job.completed[assignment.index]:
+		worker.exitTask(assignment, causeDone, false)
+	case job.shape == shapeGang:
+		assignment.phase = taskWaiting
+		worker.joinGang(assignment)
+	case assignment.fails():
+		assignment.phase = taskRunning
+		worker.failSoon(assignment)
 	default:
-		other.phase, other.startedAt = "running", worker.executionTime()
+		assignment.phase, assignment.startedAt = taskRunning, worker.executionTime()
 		job.markStarted(worker.world.now)
-		if job.shape == "array" {
-			worker.completeLater(other)
+		if job.shape == shapeArray {
+			worker.completeLater(assignment)
 		}
 	}
 }
 
 // completeLater lets a task of an array run for the rest of its time.
-func (worker *fakeWorker) completeLater(other *assignment) {
-	left := other.job.runTime - other.job.progress[other.index]
+func (worker *fakeWorker) completeLater(assignment *taskAssignment) {
+	left := assignment.job.runTime - assignment.job.progress[assignment.index]
 	if worker.slowdown > 0 {
 		left = time.Duration(float64(left) * worker.slowdown)
 	}
-	worker.world.scheduleFor(other, left, func() {
-		other.job.completed[other.index] = true
-		worker.exitTask(other, "done", false)
-		worker.world.taskCompleted(other.job)
+	worker.world.scheduleFor(assignment, left, func() {
+		assignment.job.completed[assignment.index] = true
+		worker.exitTask(assignment, causeDone, false)
+		worker.world.users.taskCompleted(assignment.job)
 	})
 }
 
@@ -111,79 +111,79 @@
 const failureDelay = 300 * time.Millisecond
 
 // fails tells whether a task can only fail: because of its job or its machine.
-func (other *assignment) fails() bool {
-	return other.job.alwaysFails(other.index) || other.worker.faulty
+func (assignment *taskAssignment) fails() bool {
+	return assignment.job.alwaysFails(assignment.index) || assignment.worker.faulty
 }
 
 // failSoon lets a running task exit with an error.
-func (worker *fakeWorker) failSoon(other *assignment) {
-	worker.world.scheduleFor(other, failureDelay, func() { worker.exitTask(other, "error", false) })
+func (worker *fakeWorker) failSoon(assignment *taskAssignment) {
+	worker.world.scheduleFor(assignment, failureDelay, func() { worker.exitTask(assignment, causeError, false) })
 }
 
 // scheduleFor runs f unless the task has changed state by then.
-func (world *World) scheduleFor(other *assignment, duration time.Duration, action func()) {
-	other.generation++
-	gen := other.generation
-	other.worker.afterExecuting(max(duration, 0), func() {
-		if other.generation == gen && other.worker.up && other.worker.assignments[other.name] == other {
+func (world *World) scheduleFor(assignment *taskAssignment, duration time.Duration, action func()) {
+	assignment.generation++
+	gen := assignment.generation
+	assignment.worker.afterExecuting(max(duration, 0), func() {
+		if assignment.generation == gen && assignment.worker.up && assignment.worker.assignments[assignment.name] == assignment {
 			action()
 		}
 	})
 }
 
-func (worker *fakeWorker) exitTask(other *assignment, cause string, stored bool) {
-	other.generation++
-	other.phase, other.cause, other.checkpointStored = "exited", cause, stored
+func (worker *fakeWorker) exitTask(assignment *taskAssignment, cause string, stored bool) {
+	assignment.generation++
+	assignment.phase, assignment.cause, assignment.checkpointStored = taskExited, cause, stored
 	worker.changed = true
-	if gang := other.job.gangs[other.attempt]; gang != nil && cause != "done" {
-		worker.world.leaveGang(other, gang)
+	if gang := assignment.job.gangs[assignment.attempt]; gang != nil && cause != causeDone {
+		worker.world.leaveGang(assignment, gang)
 	}
 }
 
 // removeTask removes a task without a trace.
-func (worker *fakeWorker) removeTask(other *assignment) {
-	other.generation++
-	other.phase = "exited"
-	if job := other.job; job != nil {
-		if gang := job.gangs[other.attempt]; gang != nil {
-			worker.world.leaveGang(other, gang)
+func (worker *fakeWorker) removeTask(assignment *taskAssignment) {
+	assignment.generation++
+	assignment.phase = taskExited
+	if job := assignment.job; job != nil {
+		if gang := job.gangs[assignment.attempt]; gang != nil {
+			worker.world.leaveGang(assignment, gang)
 		}
 	}
 }
 
-func (worker *fakeWorker) stopTask(other *assignment, wind time.Duration) {
-	job := other.job
+func (worker *fakeWorker) stopTask(assignment *taskAssignment, wind time.Duration) {
+	job := assignment.job
 	worker.changed = true
-	if other.phase == "saving" {
+	if assignment.phase == taskSaving {
 		if wind == 0 {
-			worker.exitTask(other, "halted", false)
+			worker.exitTask(assignment, causeStopped, false)
 		}
 		return
 	}
-	if other.phase != "running" || job.checkpointInterval == 0 || wind < job.checkpointDuration {
-		worker.exitTask(other, "halted", false)
+	if assignment.phase != taskRunning || job.checkpointInterval == 0 || wind < job.checkpointDuration {
+		worker.exitTask(assignment, causeStopped, false)
 		return
 	}
-	made := job.progress[other.index] + worker.executionTime() - other.startedAt
-	if job.shape == "gang" {
-		gang := job.gangs[other.attempt]
+	made := job.progress[assignment.index] + worker.executionTime() - assignment.startedAt
+	if job.shape == shapeGang {
+		gang := job.gangs[assignment.attempt]
 		if gang.stopRequestedAt == 0 {
 			gang.stopRequestedAt = worker.world.now
 		}
-		gang.stopped[other.index] = true
-		other.phase = "saving"
-		worker.world.scheduleFor(other, job.checkpointDuration, func() {
+		gang.stopped[assignment.index] = true
+		assignment.phase = taskSaving
+		worker.world.scheduleFor(assignment, job.checkpointDuration, func() {
 			saved := len(gang.stopped) == job.taskCount && !gang.over
 			if saved {
 				job.progress[0] = made
 			}
-			worker.exitTask(other, "halted", saved)
+			worker.exitTask(assignment, causeStopped, saved)
 		})
 		return
 	}
-	other.phase = "saving"
-	worker.world.scheduleFor(other, job.checkpointDuration, func() {
-		job.progress[other.index] = made
-		worker.exitTask(other, "halted", true)
+	assignment.phase = taskSaving
+	worker.world.scheduleFor(assignment, job.checkpointDuration, func() {
+		job.progress[assignment.index] = made
+		worker.exitTask(assignment, causeStopped, true)
 	})
 }
--- a/internal/simtest/worker_tasks_test.go
+++ b/internal/simtest/worker_tasks_test.go
@@ -18,7 +18,7 @@
 func newTwoMachines(t *testing.T, shape string) (*World, []*fakeWorker) {
 	world := New(1, 1, io.Discard)
 	world.controllers[0].kill()
-	world.registerJob(Arguments{"id": "req-000001", "shape": shape, "tasks": "2", "run": "3s", "image": "0s"})
+	world.users.registerJob(Arguments{"id": "req-000001", "shape": shape, "tasks": "2", "run": "3s", "image": "0s"})
 	machines := []*fakeWorker{newWorker(world, "i-a", "i-a", "small", "a", false), newWorker(world, "i-b", "i-b", "small", "b", false)}
 	if got := runCommand(t, world, "faulty", Arguments{"machine": "i-a"}); got != "ok" || !machines[0].faulty || machines[1].faulty {
 		t.Fatalf("faulty: %s", got)
--- a/internal/simtest/world.go
+++ b/internal/simtest/world.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"lugward/internal/config"
+	"lugward/internal/simtest/eventqueue"
 )
 
 const (
@@ -27,9 +28,8 @@
 
 // World is one simulated deployment.
 type World struct {
-	now    time.Duration
-	events schedule
-	seq    int
+	now    time.Duration // virtual time since the world began
+	events eventqueue.Queue
 	random *rand.Rand
 	config *config.Platform
 
@@ -40,22 +40,13 @@
 	jobs         map[string]*jobRecord
 	checker      *Checker
 
-	cutLinks            map[[2]string]bool
-	droppedLinks        map[[2]string]bool // packets that way vanish
-	duplicateShare      float64            // share of reports of which a copy comes later, to any node
-	duplicateDelay      time.Duration      // by at most this
-	unreachableMachines int                // so many of the next machines are unreachable
-	entryController     *controllerProcess // whom users ask, nil: any
-	heldPackets         []heldPacket
-	lossShare           float64 // share of packets between machines that are lost
-	lateRepeatShare     float64 // share of calls to the state service and cloud executed late as well
-	pageLimit           int
-	limitsAnnounced     bool              // the settings tell of lower limits of the state service
-	recordedAnswers     map[string]string // to requests that nobody waits for, by what was asked
-	serviceMisuses      []string          // errors of the service against its own limits
-	log                 *slog.Logger
-	observer            WireObserver // nil: none
-	activeFaults
+	network         *fakeNetwork
+	users           *fakeUsers
+	faultsEndAt     time.Duration // when the last fault that was drawn ends
+	limitsAnnounced bool          // the settings tell of lower limits of the state service
+	limitViolations []string      // what controllers sent against the limits or the protocol
+	log             *slog.Logger
+	observer        WireObserver // nil: none
 }
 
 // Settings are the JSON settings that every simulated controller gets.
@@ -69,17 +60,17 @@
 "resources":{"core_share":0.1,"ram_mb":100,"max_connections":500},"skew_ms":100}}`
 
 // New returns a world with so many controllers. tune changes the settings.
-func New(nodes int, seed uint64, log io.Writer, tune ...func(*config.Platform)) *World {
-	return NewWith(Settings, nodes, seed, log, tune...)
+func New(controllers int, seed uint64, log io.Writer, tune ...func(*config.Platform)) *World {
+	return NewWith(Settings, controllers, seed, log, tune...)
 }
 
 // NewWith is New with settings of its own.
-func NewWith(settings string, nodes int, seed uint64, log io.Writer, tune ...func(*config.Platform)) *World {
-	return NewObserved(settings, nodes, seed, log, nil, tune...)
+func NewWith(settings string, controllers int, seed uint64, log io.Writer, tune ...func(*config.Platform)) *World {
+	return NewObserved(settings, controllers, seed, log, nil, tune...)
 }
 
 // NewObserved is NewWith with an observer of every message that a controller receives or sends.
-func NewObserved(settings string, nodes int, seed uint64, log io.Writer, wire WireObserver, tune ...func(*config.Platform)) *World {
+func NewObserved(settings string, controllers int, seed uint64, log io.Writer, observer WireObserver, tune ...func(*config.Platform)) *World {
 	cfg, err := config.Parse([]byte(settings))
 	if err != nil {
 		panic(err)
@@ -87,11 +78,18 @@
 	for _, change := range tune {
 		change(cfg)
 	}
-	world := &World{random: rand.New(rand.NewPCG(seed, 1)), observer: wire, config: cfg, workers: map[string]*fakeWorker{}, jobs: map[string]*jobRecord{},
-		cutLinks: map[[2]string]bool{}, droppedLinks: map[[2]string]bool{}, pageLimit: 1000, recordedAnswers: map[string]string{},
-		limitsAnnounced: strings.Contains(settings, `"next":`), log: slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelInfo}))}
-	world.stateService, world.cloud, world.checker = newState(world), newCloud(world), newChecker(world)
-	for i := range nodes {
+	world := &World{
+		random:          rand.New(rand.NewPCG(seed, 1)),
+		config:          cfg,
+		workers:         map[string]*fakeWorker{},
+		jobs:            map[string]*jobRecord{},
+		limitsAnnounced: strings.Contains(settings, `"next":`),
+		log:             slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelInfo})),
+		observer:        observer,
+	}
+	world.stateService, world.cloud, world.checker = newStateService(world), newCloud(world), newChecker(world)
+	world.network, world.users = newNetwork(world), newUsers(world)
+	for i := range controllers {
 		world.controllers = append(world.controllers, &controllerProcess{world: world, index: i, name: fmt.Sprintf("n%d", i)})
 	}
 	for _, process := range world.controllers {
@@ -100,13 +98,14 @@
 	return world
 }
 
-func (world *World) reportMisuse(f string, values ...any) {
-	world.serviceMisuses = append(world.serviceMisuses, fmt.Sprintf(f, values...))
+// reportLimitViolation notes that controllers sent what the limits or the protocol forbid.
+func (world *World) reportLimitViolation(format string, values ...any) {
+	world.limitViolations = append(world.limitViolations, fmt.Sprintf(format, values...))
 }
 
 // sortedWorkers lists the workers in an order that does not change from run to run.
 func (world *World) sortedWorkers() []*fakeWorker {
-	var list []*fakeWorker
+	list := make([]*fakeWorker, 0, len(world.workers))
 	for _, worker := range world.workers {
 		list = append(list, worker)
 	}
@@ -114,14 +113,24 @@
 	return list
 }
 
-// leader is the name of the controller that the state service shows as leader.
+// leader is the controller that the state service shows as leader, nil if there is none.
 func (world *World) leader() *controllerProcess {
-	var r struct {
+	var record struct {
 		Label string `json:"l"`
 	}
-	_ = json.Unmarshal(world.stateService.keys["t/lead"].data, &r)
+	_ = json.Unmarshal(world.stateService.keys["t/lead"].data, &record)
+	return world.controller(record.Label)
+}
+
+// randomController draws a controller.
+func (world *World) randomController() *controllerProcess {
+	return world.controllers[world.random.IntN(len(world.controllers))]
+}
+
+// controller finds a controller by its name, nil if there is none.
+func (world *World) controller(name string) *controllerProcess {
 	for _, process := range world.controllers {
-		if process.name == r.Label {
+		if process.name == name {
 			return process
 		}
 	}
