--- a/internal/simtest/checker_cancellation.go
+++ b/internal/simtest/checker_cancellation.go
@@ -48,7 +48,10 @@
 // overdue breaks the rules, however soon it is stopped after that.
 func (checker *Checker) checkResumed(worker *fakeWorker) {
 	for _, assignment := range worker.sortedAssignments() {
-		if since, ok := checker.cancelledSince(assignment.job.idOrEmpty()); ok && assignment.onMachine() && checker.overdue(since) {
+		if !assignment.onMachine() {
+			continue
+		}
+		if since, ok := checker.cancelledSince(assignment.job.id); ok && checker.overdue(since) {
 			checker.reportViolation("ran_cancelled: %s goes on on %s", assignment.name, worker.name)
 		}
 	}
--- a/internal/simtest/checker_upstream_test.go
+++ b/internal/simtest/checker_upstream_test.go
@@ -9,7 +9,8 @@
 
 // acceptJobAwaiting adds a job of one task that needs others, accepted.
 func acceptJobAwaiting(world *World, id string, awaits ...string) *jobRecord {
-	job := &jobRecord{id: id, team: "red", class: "c", taskCount: 1, submitted: true, completed: map[int]bool{}, upstream: awaits}
+	job := submittedJob(id, 1)
+	job.upstream = awaits
 	world.jobs[id] = job
 	world.checker.checkAnswer(world.now, id, 201, "queued")
 	return job
@@ -25,189 +26,225 @@
 	}
 }
 
+// jobChain is three accepted jobs of which each needs the one before.
+type jobChain struct {
+	world                *World
+	first, second, third *jobRecord
+}
+
+func newJobChain() *jobChain {
+	chain := &jobChain{world: New(1, 1, io.Discard)}
+	chain.first = acceptJobAwaiting(chain.world, "req-000001")
+	chain.second = acceptJobAwaiting(chain.world, "req-000002", "req-000001")
+	chain.third = acceptJobAwaiting(chain.world, "req-000003", "req-000002")
+	return chain
+}
+
+// start lets the only task of a job start on a machine.
+func (chain *jobChain) start(job *jobRecord) {
+	startOnNewMachine(chain.world, job, 0, smallMachine("i-a", "a"))
+}
+
+// cancel cancels a job and acknowledges that.
+func (chain *jobChain) cancel(job *jobRecord) {
+	chain.world.checker.cancelRequests[job.id] = true
+	chain.world.checker.checkAnswer(chain.world.now, job.id, 200, jobCancelled)
+}
+
+// upstreamCases are what happens to a chain of jobs, and what the checker says of it.
+var upstreamCases = []struct {
+	name, want string
+	act        func(chain *jobChain)
+}{
+	{
+		name: "start before the tasks end",
+		want: "too_early: req-000003/0 starts on i-a, needs req-000001, before all its tasks are complete",
+		act: func(chain *jobChain) {
+			completeJob(chain.world, chain.second, true)
+			chain.start(chain.third)
+		},
+	},
+	{
+		name: "start before the mark",
+		want: "too_early: req-000002/0 starts on i-a, needs req-000001, before it is marked done",
+		act: func(chain *jobChain) {
+			completeJob(chain.world, chain.first, false)
+			chain.start(chain.second)
+		},
+	},
+	{
+		name: "start in turn",
+		want: "kept",
+		act: func(chain *jobChain) {
+			completeJob(chain.world, chain.first, true)
+			completeJob(chain.world, chain.second, true)
+			chain.start(chain.third)
+		},
+	},
+	{
+		name: "start below a cancelled one",
+		want: "too_early: req-000002/0",
+		act: func(chain *jobChain) {
+			completeJob(chain.world, chain.first, false)
+			chain.cancel(chain.first)
+			chain.world.stateService.putValue("f/"+chain.first.id, `{"p":"cancelled","n":1}`)
+			chain.start(chain.second)
+		},
+	},
+	{
+		name: "called queued for long",
+		want: "orphaned: req-000003 called queued 26s after req-000001 was cancelled",
+		act: func(chain *jobChain) {
+			chain.cancel(chain.first)
+			chain.world.now += 26 * time.Second
+			chain.world.checker.checkAnswer(chain.world.now, chain.third.id, 200, "queued")
+		},
+	},
+	{
+		name: "called running for long",
+		want: "orphaned: req-000003 called running",
+		act: func(chain *jobChain) {
+			chain.cancel(chain.second)
+			chain.world.now += 26 * time.Second
+			chain.world.checker.checkAnswer(chain.world.now, chain.third.id, 200, "running")
+		},
+	},
+	{
+		name: "called queued for a while",
+		want: "kept",
+		act: func(chain *jobChain) {
+			chain.cancel(chain.first)
+			chain.world.now += 24 * time.Second
+			chain.world.checker.checkAnswer(chain.world.now, chain.third.id, 200, "queued")
+			chain.world.checker.checkAnswer(chain.world.now, chain.third.id, 200, "cancelled")
+		},
+	},
+	{
+		name: "accepted below a cancelled one",
+		want: "kept",
+		act: func(chain *jobChain) {
+			chain.cancel(chain.first)
+			chain.world.now += time.Minute
+			acceptJobAwaiting(chain.world, "req-000004", chain.first.id)
+			chain.world.checker.checkAnswer(chain.world.now, "req-000004", 200, "cancelled")
+		},
+	},
+	{
+		name: "runs below a cancelled one",
+		want: "ran_cancelled: req-000002/0 on i-a",
+		act: func(chain *jobChain) {
+			completeJob(chain.world, chain.first, true)
+			chain.start(chain.second)
+			chain.cancel(chain.first)
+			chain.world.now += 26 * time.Second
+			chain.world.checker.checkInvariants()
+		},
+	},
+	{
+		name: "cancelled from below",
+		want: "went_back: req-000001 cancelled by nobody",
+		act: func(chain *jobChain) {
+			chain.cancel(chain.second)
+			chain.world.checker.checkAnswer(chain.world.now, chain.first.id, 200, "cancelled")
+		},
+	},
+	{
+		name: "cancelled though it lost",
+		want: "went_back: req-000002 cancelled by nobody",
+		act: func(chain *jobChain) {
+			completeJob(chain.world, chain.first, true)
+			chain.world.checker.cancelRequests[chain.first.id] = true
+			chain.world.checker.checkAnswer(chain.world.now, chain.first.id, 200, "done")
+			chain.world.checker.checkAnswer(chain.world.now, chain.second.id, 200, "cancelled")
+		},
+	},
+	{
+		name: "cancelled before it lost",
+		want: "went_back: req-000002 cancelled by nobody, as req-000001 is done",
+		act: func(chain *jobChain) {
+			completeJob(chain.world, chain.first, true)
+			chain.world.checker.cancelRequests[chain.first.id] = true
+			chain.world.checker.checkAnswer(chain.world.now, chain.second.id, 200, "cancelled")
+			chain.world.checker.checkAnswer(chain.world.now, chain.first.id, 200, "done")
+		},
+	},
+	{
+		name: "done then queued again",
+		want: "went_back: req-000002 was cancelled, is queued",
+		act: func(chain *jobChain) {
+			chain.cancel(chain.first)
+			chain.world.checker.checkAnswer(chain.world.now, chain.second.id, 200, "cancelled")
+			chain.world.checker.checkAnswer(chain.world.now, chain.second.id, 200, "queued")
+		},
+	},
+	{
+		name: "accepted with an unknown one",
+		want: "taken: req-000004 is accepted though it awaits req-000009",
+		act: func(chain *jobChain) {
+			acceptJobAwaiting(chain.world, "req-000004", "req-000009")
+		},
+	},
+	{
+		name: "accepted with itself",
+		want: "taken: req-000004 is accepted though it awaits req-000004",
+		act: func(chain *jobChain) {
+			acceptJobAwaiting(chain.world, "req-000004", "req-000004")
+		},
+	},
+	{
+		name: "accepted with a service",
+		want: "taken: req-000004 is accepted though it awaits req-000001",
+		act: func(chain *jobChain) {
+			chain.first.shape = "daemon"
+			acceptJobAwaiting(chain.world, "req-000004", chain.first.id)
+		},
+	},
+	{
+		name: "held is not unserved",
+		want: "kept",
+		act: func(chain *jobChain) {
+			chain.first.startedAt = 1
+			chain.world.checker.checkServed()
+		},
+	},
+	{
+		name: "largest late after it was freed",
+		want: "not served: largest of c: 1 of 3",
+		act: func(chain *jobChain) {
+			chain.first.startedAt = time.Second
+			completeJob(chain.world, chain.first, true)
+			completeJob(chain.world, chain.second, true)
+			chain.world.now = time.Minute
+			chain.world.checker.checkInvariants()
+			chain.second.startedAt, chain.third.startedAt = 6*time.Minute, 6*time.Minute
+			chain.world.checker.checkServed()
+		},
+	},
+	{
+		name: "largest in time after it was freed",
+		want: "kept",
+		act: func(chain *jobChain) {
+			chain.first.startedAt = time.Second
+			completeJob(chain.world, chain.first, true)
+			completeJob(chain.world, chain.second, true)
+			chain.world.now = 10 * time.Minute
+			chain.world.checker.checkInvariants()
+			chain.second.startedAt, chain.third.startedAt = 12*time.Minute, 12*time.Minute
+			chain.world.checker.checkServed()
+		},
+	},
+}
+
 // TestCheckerCatchesChains shows that the checker sees what breaks the rules
 // of chained jobs, and nothing where they are kept.
 func TestCheckerCatchesChains(t *testing.T) {
-	start := func(world *World, job *jobRecord) {
-		worker := &fakeWorker{world: world, name: "i-a", addr: "i-a", machineType: "small", zone: "a", up: true, assignments: map[string]*taskAssignment{}}
-		world.workers[worker.name] = worker
-		assignment := &taskAssignment{worker: worker, job: job, name: job.id + "/0", attempt: 1, phase: "running"}
-		worker.assignments[assignment.name] = assignment
-		world.checker.checkStart(assignment)
-	}
-	cancel := func(world *World, id string) {
-		world.checker.cancelRequests[id] = true
-		world.checker.checkAnswer(world.now, id, 200, "cancelled")
-	}
-	cases := []struct {
-		name, want string
-		do         func(world *World, first, second, third *jobRecord)
-	}{
-		{"start before the tasks end", "too_early: req-000003/0 starts on i-a, needs req-000001, before all its tasks are complete", func(world *World, first, second, third *jobRecord) {
-			completeJob(world, second, true)
-			start(world, third)
-		}},
-		{"start before the mark", "too_early: req-000002/0 starts on i-a, needs req-000001, before it is marked done", func(world *World, first, second, third *jobRecord) {
-			completeJob(world, first, false)
-			start(world, second)
-		}},
-		{"start in turn", "kept", func(world *World, first, second, third *jobRecord) {
-			completeJob(world, first, true)
-			completeJob(world, second, true)
-			start(world, third)
-		}},
-		{"start below a cancelled one", "too_early: req-000002/0", func(world *World, first, second, third *jobRecord) {
-			completeJob(world, first, false)
-			cancel(world, first.id)
-			world.stateService.putValue("f/"+first.id, `{"p":"cancelled","n":1}`)
-			start(world, second)
-		}},
-		{"called queued for long", "orphaned: req-000003 called queued 26s after req-000001 was cancelled", func(world *World, first, second, third *jobRecord) {
-			cancel(world, first.id)
-			world.now += 26 * time.Second
-			world.checker.checkAnswer(world.now, third.id, 200, "queued")
-		}},
-		{"called running for long", "orphaned: req-000003 called running", func(world *World, first, second, third *jobRecord) {
-			cancel(world, second.id)
-			world.now += 26 * time.Second
-			world.checker.checkAnswer(world.now, third.id, 200, "running")
-		}},
-		{"called queued for a while", "kept", func(world *World, first, second, third *jobRecord) {
-			cancel(world, first.id)
-			world.now += 24 * time.Second
-			world.checker.checkAnswer(world.now, third.id, 200, "queued")
-			world.checker.checkAnswer(world.now, third.id, 200, "cancelled")
-		}},
-		{"accepted below a cancelled one", "kept", func(world *World, first, second, third *jobRecord) {
-			cancel(world, first.id)
-			world.now += time.Minute
-			acceptJobAwaiting(world, "req-000004", first.id)
-			world.checker.checkAnswer(world.now, "req-000004", 200, "cancelled")
-		}},
-		{"runs below a cancelled one", "ran_cancelled: req-000002/0 on i-a", func(world *World, first, second, third *jobRecord) {
-			completeJob(world, first, true)
-			start(world, second)
-			cancel(world, first.id)
-			world.now += 26 * time.Second
-			world.checker.checkInvariants()
-		}},
-		{"cancelled from below", "went_back: req-000001 cancelled by nobody", func(world *World, first, second, third *jobRecord) {
-			cancel(world, second.id)
-			world.checker.checkAnswer(world.now, first.id, 200, "cancelled")
-		}},
-		{"cancelled though it lost", "went_back: req-000002 cancelled by nobody", func(world *World, first, second, third *jobRecord) {
-			completeJob(world, first, true)
-			world.checker.cancelRequests[first.id] = true
-			world.checker.checkAnswer(world.now, first.id, 200, "done")
-			world.checker.checkAnswer(world.now, second.id, 200, "cancelled")
-		}},
-		{"cancelled before it lost", "went_back: req-000002 cancelled by nobody, as req-000001 is done", func(world *World, first, second, third *jobRecord) {
-			completeJob(world, first, true)
-			world.checker.cancelRequests[first.id] = true
-			world.checker.checkAnswer(world.now, second.id, 200, "cancelled")
-			world.checker.checkAnswer(world.now, first.id, 200, "done")
-		}},
-		{"done then queued again", "went_back: req-000002 was cancelled, is queued", func(world *World, first, second, third *jobRecord) {
-			cancel(world, first.id)
-			world.checker.checkAnswer(world.now, second.id, 200, "cancelled")
-			world.checker.checkAnswer(world.now, second.id, 200, "queued")
-		}},
-		{"accepted with an unknown one", "taken: req-000004 is accepted though it awaits req-000009", func(world *World, first, second, third *jobRecord) {
-			acceptJobAwaiting(world, "req-000004", "req-000009")
-		}},
-		{"accepted with itself", "taken: req-000004 is accepted though it awaits req-000004", func(world *World, first, second, third *jobRecord) {
-			acceptJobAwaiting(world, "req-000004", "req-000004")
-		}},
-		{"accepted with a service", "taken: req-000004 is accepted though it awaits req-000001", func(world *World, first, second, third *jobRecord) {
-			first.shape = "daemon"
-			acceptJobAwaiting(world, "req-000004", first.id)
-		}},
-		{"held is not unserved", "kept", func(world *World, first, second, third *jobRecord) {
-			first.startedAt = 1
-			world.checker.checkServed()
-		}},
-		{"largest late after it was freed", "not served: largest of c: 1 of 3", func(world *World, first, second, third *jobRecord) {
-			first.startedAt = time.Second
-			completeJob(world, first, true)
-			completeJob(world, second, true)
-			world.now = time.Minute
-			world.checker.checkInvariants()
-			second.startedAt, third.startedAt = 6*time.Minute, 6*time.Minute
-			world.checker.checkServed()
-		}},
-		{"largest in time after it was freed", "kept", func(world *World, first, second, third *jobRecord) {
-			first.startedAt = time.Second
-			completeJob(world, first, true)
-			completeJob(world, second, true)
-			world.now = 10 * time.Minute
-			world.checker.checkInvariants()
-			second.startedAt, third.startedAt = 12*time.Minute, 12*time.Minute
-			world.checker.checkServed()
-		}},
-	}
-	for _, c := range cases {
-		world := New(1, 1, io.Discard)
-		first := acceptJobAwaiting(world, "req-000001")
-		second := acceptJobAwaiting(world, "req-000002", "req-000001")
-		third := acceptJobAwaiting(world, "req-000003", "req-000002")
-		c.do(world, first, second, third)
-		if got := world.Verdict(); !strings.Contains(got, c.want) {
-			t.Errorf("%s: checker said %q, not %q", c.name, got, c.want)
-		}
-	}
-}
-
-// TestLowering shows that the state service's stand-in keeps what it holds,
-// refuses what is new and too large, and whose fault that is.
-func TestLowering(t *testing.T) {
-	value := func(count int) string { return `"` + strings.Repeat("x", count-2) + `"` }
-	commit := func(world *World, ops ...string) int {
-		for i, v := range ops {
-			ops[i] = `{"write":"k/` + string(rune('a'+i)) + `","data":` + v + `}`
-		}
-		status, _ := world.stateService.commit([]byte(`{"then":[` + strings.Join(ops, ",") + `]}`))
-		return status
-	}
-	for _, announced := range []bool{false, true} {
-		arguments := Arguments{}
-		if announced {
-			arguments = Arguments{"nextvalue": "2", "nextops": "4", "nextwrites": "15"}
-		}
-		world := NewWith(Announce(Settings, arguments), 1, 1, io.Discard)
-		large := value(3000)
-		if got := commit(world, large, "1", "2", "3", "4"); got != 200 {
-			t.Fatalf("before: %d", got)
-		}
-		runCommand(t, world, "limits", Arguments{"value": "2", "ops": "4", "writes": "15"})
-		world.Run(10 * time.Second)
-		if got := string(world.stateService.keys["k/a"].data); got != large {
-			t.Errorf("what was stored is %d bytes", len(got))
-		}
-		if got := commit(world, value(2048), "1"); got != 200 {
-			t.Errorf("within the limits: %d", got)
-		}
-		if a, b := commit(world, value(2049)), commit(world, "1", "2", "3", "4", "5"); a != 400 || b != 400 || world.stateService.tooLarge != 2 {
-			t.Errorf("beyond: %d, %d", a, b)
-		}
-		if got := world.Verdict() != "kept"; got != announced {
-			t.Errorf("announced %v: %s", announced, world.Verdict())
-		}
-		world.Run(10 * time.Second)
-		ok := 0
-		for range 10 {
-			if commit(world, "1", "2", "3") == 200 {
-				ok++
+	for _, test := range upstreamCases {
+		t.Run(test.name, func(t *testing.T) {
+			chain := newJobChain()
+			test.act(chain)
+			if got := chain.world.Verdict(); !strings.Contains(got, test.want) {
+				t.Errorf("checker said %q, not %q", got, test.want)
 			}
-		}
-		if ok != 5 || world.stateService.refusedForRate != 5 {
-			t.Errorf("%d of 10 writes of three were taken at 15 a second", ok)
-		}
-		for range 3 * maxRepeats {
-			world.Run(100 * time.Millisecond)
-			commit(world, large)
-		}
-		if !strings.Contains(world.Verdict(), "k/a is tried again and again") {
-			t.Errorf("endless tries: %s", world.Verdict())
-		}
+		})
 	}
 }
--- a/internal/simtest/checker_waiting.go
+++ b/internal/simtest/checker_waiting.go
@@ -64,8 +64,8 @@
 
 // freeCapacity is what is left of a machine.
 type freeCapacity struct {
-	worker             *fakeWorker
-	cpus, gpus, memory float64
+	worker *fakeWorker
+	resources
 }
 
 // capacityWindow is for how long capacity must have been there to count: what comes
@@ -82,11 +82,10 @@
 			delete(checker.recentFree, worker)
 			continue
 		}
-		kind := machineTypes[worker.machineType]
-		free := freeCapacity{worker, kind.cpus, kind.gpus, kind.memory}
+		free := freeCapacity{worker, machineTypes[worker.machineType].resources}
 		for _, assignment := range worker.assignments {
 			if assignment.phase != taskExited {
-				free.cpus, free.gpus, free.memory = free.cpus-assignment.job.cpus, free.gpus-assignment.job.gpus, free.memory-assignment.job.memory
+				free.resources = free.minus(assignment.job.resources)
 			}
 		}
 		checker.recentFree[worker] = append(checker.recentFree[worker], free)
@@ -95,7 +94,7 @@
 		}
 		checker.recentFree[worker] = checker.recentFree[worker][len(checker.recentFree[worker])-moments:]
 		for _, earlier := range checker.recentFree[worker] {
-			free.cpus, free.gpus, free.memory = min(free.cpus, earlier.cpus), min(free.gpus, earlier.gpus), min(free.memory, earlier.memory)
+			free.resources = free.atMost(earlier.resources)
 		}
 		list = append(list, free)
 	}
@@ -190,8 +189,8 @@
 		if !job.allows(free.worker) || otherZone {
 			continue
 		}
-		for placed := 0; placed < needed && free.cpus >= job.cpus && free.gpus >= job.gpus && free.memory >= job.memory; placed++ {
-			free.cpus, free.gpus, free.memory = free.cpus-job.cpus, free.gpus-job.gpus, free.memory-job.memory
+		for placed := 0; placed < needed && free.covers(job.resources); placed++ {
+			free.resources = free.minus(job.resources)
 			placeable[zone]++
 		}
 	}
--- a/internal/simtest/cloud.go
+++ b/internal/simtest/cloud.go
@@ -10,10 +10,29 @@
 	"time"
 )
 
+// resources are what a machine has and what each task of a job takes.
+type resources struct{ cpus, gpus, memory float64 }
+
+// minus is what is left when something is taken.
+func (r resources) minus(taken resources) resources {
+	return resources{r.cpus - taken.cpus, r.gpus - taken.gpus, r.memory - taken.memory}
+}
+
+// atMost is the smaller amount of each resource.
+func (r resources) atMost(other resources) resources {
+	return resources{min(r.cpus, other.cpus), min(r.gpus, other.gpus), min(r.memory, other.memory)}
+}
+
+// covers tells whether there is enough of each resource.
+func (r resources) covers(needed resources) bool {
+	return r.cpus >= needed.cpus && r.gpus >= needed.gpus && r.memory >= needed.memory
+}
+
+// machineType is a type of machines that the cloud offers.
 type machineType struct {
-	cpus, gpus, memory float64
-	price              float64
-	boot               time.Duration
+	resources
+	price float64
+	boot  time.Duration
 }
 
 // recordedGPUType is the name of the machine type "gpu" in recordings of versions
@@ -26,11 +45,11 @@
 // machineTypes are the machine types of the simulated deployments, also those of
 // recordings.
 var machineTypes = map[string]machineType{
-	"small": {4, 0, 16, 1, 3 * time.Second},
-	"big":   {16, 0, 64, 3, 4 * time.Second},
-	"gpu":   {8, 4, 64, 10, 5 * time.Second},
+	"small": {resources{4, 0, 16}, 1, 3 * time.Second},
+	"big":   {resources{16, 0, 64}, 3, 4 * time.Second},
+	"gpu":   {resources{8, 4, 64}, 10, 5 * time.Second},
 
-	recordedGPUType: {8, 4, 64, 10, 5 * time.Second},
+	recordedGPUType: {resources{8, 4, 64}, 10, 5 * time.Second},
 }
 
 // fakeCloud is a stand-in of the cloud.
@@ -49,11 +68,10 @@
 
 // provisionedMachine is a machine that the cloud has provisioned.
 type provisionedMachine struct {
-	name, addr, machineType, zone string
-	spot                          bool
-	provisionedAt                 time.Duration
-	worker                        *fakeWorker
-	terminated                    bool
+	machineIdentity
+	provisionedAt time.Duration
+	worker        *fakeWorker // nil: it has not booted yet
+	terminated    bool
 }
 
 func newCloud(world *World) *fakeCloud {
@@ -64,10 +82,19 @@
 	return fmt.Sprintf("%s/%s/%v", machineType, zone, spot)
 }
 
+// addMachine provisions a machine that boots after a while and returns its name.
 func (cloud *fakeCloud) addMachine(machineType, zone string, spot bool, boot time.Duration) string {
 	cloud.lastMachine++
-	machine := &provisionedMachine{name: fmt.Sprintf("i-%06d", cloud.lastMachine), addr: fmt.Sprintf("10.1.%d.%d:9000", cloud.lastMachine/250, cloud.lastMachine%250+1), machineType: machineType,
-		zone: zone, spot: spot, provisionedAt: cloud.world.now}
+	machine := &provisionedMachine{
+		machineIdentity: machineIdentity{
+			name:        fmt.Sprintf("i-%06d", cloud.lastMachine),
+			addr:        fmt.Sprintf("10.1.%d.%d:9000", cloud.lastMachine/250, cloud.lastMachine%250+1),
+			machineType: machineType,
+			zone:        zone,
+			spot:        spot,
+		},
+		provisionedAt: cloud.world.now,
+	}
 	cloud.machines[machine.name] = machine
 	if cloud.bootFailures > 0 {
 		cloud.bootFailures--
@@ -75,12 +102,13 @@
 	}
 	cloud.world.schedule(boot, func() {
 		if !machine.terminated {
-			machine.worker = newWorker(cloud.world, machine.name, machine.addr, machineType, zone, spot)
+			machine.worker = newWorker(cloud.world, machine.machineIdentity)
 		}
 	})
 	return machine.name
 }
 
+// terminate takes a machine away without notice.
 func (cloud *fakeCloud) terminate(name string) {
 	if machine := cloud.machines[name]; machine != nil {
 		machine.terminated = true
@@ -112,14 +140,14 @@
 	case parsed.Path == "/rentals":
 		answer(cloud.provision(body))
 	case parsed.Path == "/rentals/return":
-		answer(cloud.release(body))
+		answer(cloud.release(body), nil)
 	default:
 		answer(404, nil)
 	}
 }
 
 func (cloud *fakeCloud) offered() offeredTypes {
-	var list []offeredType
+	list := make([]offeredType, 0, len(cloud.offeredNames))
 	for _, name := range cloud.offeredNames {
 		kind := machineTypes[name]
 		list = append(list, offeredType{Name: name, CPUs: kind.cpus, GPUs: kind.gpus, Memory: kind.memory, LocalGB: 50, FetchRate: 1,
@@ -196,11 +224,12 @@
 	return 200, machineNames{got}
 }
 
-func (cloud *fakeCloud) release(body []byte) (int, any) {
+// release takes machines back and returns the status of the answer.
+func (cloud *fakeCloud) release(body []byte) int {
 	var names machineNames
 	if json.Unmarshal(body, &names) != nil || len(names.Machines) > maxReleased {
-		cloud.world.reportLimitViolation("bad return %s", body)
-		return 400, nil
+		cloud.world.reportLimitViolation("bad request to release machines %s", body)
+		return 400
 	}
 	for _, name := range names.Machines {
 		if cloud.machines[name] != nil {
@@ -208,5 +237,5 @@
 		}
 		cloud.terminate(name)
 	}
-	return 200, nil
+	return 200
 }
--- a/internal/simtest/commands.go
+++ b/internal/simtest/commands.go
@@ -48,8 +48,10 @@
 }
 
 // printing makes a runner of what prints something and cannot fail.
-func printing(print func(world *World, arguments Arguments) string) commandFunc {
-	return func(world *World, arguments Arguments, _ string) (string, error) { return print(world, arguments), nil }
+func printing(output func(world *World, arguments Arguments) string) commandFunc {
+	return func(world *World, arguments Arguments, _ string) (string, error) {
+		return output(world, arguments), nil
+	}
 }
 
 // withParameters is a list of arguments and more of them.
--- a/internal/simtest/commands_inspect.go
+++ b/internal/simtest/commands_inspect.go
@@ -12,34 +12,118 @@
 
 // inspectionCommands print what came of everything; they change nothing.
 var inspectionCommands = map[string]command{
-	"rules":    {`prints "kept" or the rules that were broken`, nil, printing(func(world *World, _ Arguments) string { return world.Verdict() })},
-	"served":   {"checks that half of each class, of each team and of the largest jobs have begun in time", nil, printing(func(world *World, _ Arguments) string { return world.checker.checkServed() })},
-	"work":     {"checks how much work controllers did", []parameter{required(numberParameter("decoded", "percent of the bytes of reports")), required(numberParameter("counted", "machine capacities")), required(numberParameter("writes", "writes"))}, printing(workDone)},
-	"zones":    {"prints the tasks of a job that are on machines, by zone", withParameters(jobIDParameters, flagParameter("either", "the larger number first, whatever the zone")), printing(tasksByZone)},
-	"machines": {"prints the machines that the cloud has provisioned and not taken back, by type", nil, printing(machinesByType)},
-	"keys": {"prints keys and values of the state service", []parameter{required(textParameter("prefix", "of the keys"))}, printing(func(world *World, arguments Arguments) string {
-		return strings.Join(world.listKeys(arguments["prefix"]), "\n")
-	})},
-	"job_machines":  {"prints the number of machines that a job's tasks are on, and how many are slow", jobIDParameters, printing(machinesOfJob)},
-	"completed":     {"prints the number of a job's tasks that have completed", jobIDParameters, countOfJob(func(job *jobRecord) int { return len(job.completed) })},
-	"running_tasks": {"prints the number of a job's tasks that are on machines", jobIDParameters, printing(runningTasks)},
-	"acknowledged": {"prints the phase of a job that was last acknowledged", jobIDParameters, printing(func(world *World, arguments Arguments) string {
-		return world.checker.acknowledgedPhase[arguments["id"]]
-	})},
-	"leads":      {"prints the leader", nil, printing(leaderName)},
-	"machine_of": {"prints the machine that a task is on", []parameter{required(textParameter("task", "task"))}, printing(machineName)},
-	"machine_state": {"prints whether a machine is booting, up, failed (its worker ended, the cloud still has it) or gone (returned or terminated)",
-		[]parameter{required(textParameter("machine", "name of the machine"))}, printing(func(world *World, arguments Arguments) string { return world.cloud.machineState(arguments["machine"]) })},
-	"starts":           {"prints the number of starts that workers executed", nil, count(func(world *World) int { return world.checker.starts })},
-	"connected":        {"prints how many workers are connected to each controller", nil, printing(workersByController)},
-	"unanswered":       {"prints the number of workers' reports that got no answer", nil, count(func(world *World) int { return world.checker.unansweredHeartbeats })},
-	"after":            {"prints the number of starts after an acknowledged cancellation", nil, count(func(world *World) int { return world.checker.startsAfterCancellation })},
-	"refused":          {"prints the number of requests refused by the state service's rates", nil, count(func(world *World) int { return world.stateService.refusedForRate })},
-	"oversized_writes": {"prints the number of writes refused for their size", nil, count(func(world *World) int { return world.stateService.tooLarge })},
-	"provisioned":      {"prints the number of machines that controllers have provisioned so far", nil, count((*World).provisioned)},
-	"attempts":         {"prints the number of starts that workers executed for a job, from when its image was fetched; each task of a gang's attempt counts", jobIDParameters, countOfJob(func(job *jobRecord) int { return job.startedAttempts })},
-	"stopped": {"prints the number of tasks, of a job or of all, that a command stopped while their job was neither finished nor cancelled",
-		[]parameter{textParameter("id", "job ID, all if absent")}, printing(stoppedTasks)},
+	"rules": {
+		usage: `prints "kept" or the rules that were broken`,
+		run:   printing(func(world *World, _ Arguments) string { return world.Verdict() }),
+	},
+	"served": {
+		usage: "checks that half of each class, of each team and of the largest jobs have begun in time",
+		run:   printing(func(world *World, _ Arguments) string { return world.checker.checkServed() }),
+	},
+	"work": {
+		usage: "checks how much work controllers did",
+		parameters: []parameter{
+			required(numberParameter("decoded", "percent of the bytes of reports")),
+			required(numberParameter("counted", "machine capacities")),
+			required(numberParameter("writes", "writes")),
+		},
+		run: printing(workDone),
+	},
+	"zones": {
+		usage: "prints the tasks of a job that are on machines, by zone",
+		parameters: withParameters(
+			jobIDParameters,
+			flagParameter("either", "the larger number first, whatever the zone"),
+		),
+		run: printing(tasksByZone),
+	},
+	"machines": {
+		usage: "prints the machines that the cloud has provisioned and not taken back, by type",
+		run:   printing(machinesByType),
+	},
+	"keys": {
+		usage:      "prints keys and values of the state service",
+		parameters: []parameter{required(textParameter("prefix", "of the keys"))},
+		run: printing(func(world *World, arguments Arguments) string {
+			return strings.Join(world.listKeys(arguments["prefix"]), "\n")
+		}),
+	},
+	"job_machines": {
+		usage:      "prints the number of machines that a job's tasks are on, and how many are slow",
+		parameters: jobIDParameters,
+		run:        printing(machinesOfJob),
+	},
+	"completed": {
+		usage:      "prints the number of a job's tasks that have completed",
+		parameters: jobIDParameters,
+		run:        countOfJob(func(job *jobRecord) int { return len(job.completed) }),
+	},
+	"running_tasks": {
+		usage:      "prints the number of a job's tasks that are on machines",
+		parameters: jobIDParameters,
+		run:        printing(runningTasks),
+	},
+	"acknowledged": {
+		usage:      "prints the phase of a job that was last acknowledged",
+		parameters: jobIDParameters,
+		run: printing(func(world *World, arguments Arguments) string {
+			return world.checker.acknowledgedPhase[arguments["id"]]
+		}),
+	},
+	"leads": {
+		usage: "prints the leader",
+		run:   printing(leaderName),
+	},
+	"machine_of": {
+		usage:      "prints the machine that a task is on",
+		parameters: []parameter{required(textParameter("task", "task"))},
+		run:        printing(machineName),
+	},
+	"machine_state": {
+		usage: "prints whether a machine is booting, up, failed (its worker ended, the cloud still has it) or gone (returned or terminated)",
+
+		parameters: []parameter{required(textParameter("machine", "name of the machine"))},
+		run:        printing(func(world *World, arguments Arguments) string { return world.cloud.machineState(arguments["machine"]) }),
+	},
+	"starts": {
+		usage: "prints the number of starts that workers executed",
+		run:   count(func(world *World) int { return world.checker.starts }),
+	},
+	"connected": {
+		usage: "prints how many workers are connected to each controller",
+		run:   printing(workersByController),
+	},
+	"unanswered": {
+		usage: "prints the number of workers' reports that got no answer",
+		run:   count(func(world *World) int { return world.checker.unansweredHeartbeats }),
+	},
+	"after": {
+		usage: "prints the number of starts after an acknowledged cancellation",
+		run:   count(func(world *World) int { return world.checker.startsAfterCancellation }),
+	},
+	"refused": {
+		usage: "prints the number of requests refused by the state service's rates",
+		run:   count(func(world *World) int { return world.stateService.refusedForRate }),
+	},
+	"oversized_writes": {
+		usage: "prints the number of writes refused for their size",
+		run:   count(func(world *World) int { return world.stateService.tooLarge }),
+	},
+	"provisioned": {
+		usage: "prints the number of machines that controllers have provisioned so far",
+		run:   count((*World).provisioned),
+	},
+	"attempts": {
+		usage:      "prints the number of starts that workers executed for a job, from when its image was fetched; each task of a gang's attempt counts",
+		parameters: jobIDParameters,
+		run:        countOfJob(func(job *jobRecord) int { return job.startedAttempts }),
+	},
+	"stopped": {
+		usage: "prints the number of tasks, of a job or of all, that a command stopped while their job was neither finished nor cancelled",
+
+		parameters: []parameter{textParameter("id", "job ID, all if absent")},
+		run:        printing(stoppedTasks),
+	},
 }
 
 // count makes a runner of what prints a number.
@@ -125,7 +209,7 @@
 }
 
 func workersByController(world *World, _ Arguments) string {
-	var parts []string
+	parts := make([]string, 0, len(world.controllers))
 	for _, process := range world.controllers {
 		parts = append(parts, fmt.Sprintf("%s=%d", process.name, len(process.connectedWorkers)))
 	}
--- a/internal/simtest/commands_jobs.go
+++ b/internal/simtest/commands_jobs.go
@@ -43,36 +43,125 @@
 
 // jobCommands are requests of users.
 var jobCommands = map[string]command{
-	"submit": {"submits a job and repeats that as users do; prints status and phase", jobParameters, printing(func(world *World, arguments Arguments) string {
-		return statusAndPhase(world.users.Submit(arguments))
-	})},
-	"accept": {"submits a job that is to be accepted, at the first attempt or later", jobParameters, printing(acceptJob)},
-	"burst":  {"submits many jobs alike", withParameters(jobRangeParameters, flagParameter("once", "all at the same moment"), durationParameter("within", "with once: time in which all must be answered")), printing(burst)},
-	"job":    {"registers a job with the workers without submitting it", jobParameters, acting(registerUnsubmittedJob)},
-	"send": {"sends one submission whose upstream list is the input", withParameters(jobParameters,
-		controllerParameter("the controller to ask, any if absent")), sendSubmission},
-	"request": {"sends the input as one request to n0 and prints the status", []parameter{requestMethods, required(textParameter("path", "path"))}, printingWithInput(rawRequest)},
-	"begin":   {"submits a job without waiting for the answer", withParameters(jobParameters, flagParameter("cancel", "cancels instead"), flagParameter("once", "the user does not repeat it")), acting(beginRequest)},
-	"answer":  {"prints the answer to what begin sent", withParameters(jobIDParameters, required(choiceParameter("of", "request", "submit", "cancel")), flagParameter("accepted", "prints accepted for 200 and 201"), durationParameter("within", "70s if absent")), printing(answerOf)},
-	"poll": {"asks for a job's state once", jobIDParameters, printing(func(world *World, arguments Arguments) string {
-		return statusAndPhase(world.users.Poll(arguments["id"]))
-	})},
-	"storm": {"lets users ask about accepted jobs, drawn at random, and prints how many were answered while they waited",
-		[]parameter{required(numberParameter("count", "questions")), durationParameter("over", "in that time, 5s if absent")}, printing(pollStorm)},
-	"cancel": {"cancels a job; prints status and phase", jobIDParameters, printing(func(world *World, arguments Arguments) string {
-		return statusAndPhase(world.users.Cancel(arguments["id"]))
-	})},
-	"cancel_soon": {"cancels a job without waiting for the answer", jobIDParameters,
-		acting(func(world *World, arguments Arguments) { world.users.cancelInBackground(arguments["id"]) })},
-	"until": {"polls a job until it has a phase", withParameters(jobIDParameters, required(textParameter("phase", "phase")), durationParameter("within", "60s if absent")), printing(untilPhase)},
-	"all":   {"polls all accepted jobs until they are done", []parameter{durationParameter("within", "60s if absent")}, printing(untilAllDone)},
-	"users": {"sends users from here on to one controller: the named one, or without arguments one that does not lead",
-		[]parameter{controllerParameter("the controller"), flagParameter("any", "to any controller again")}, chooseEntry},
+	"submit": {
+		usage:      "submits a job and repeats that as users do; prints status and phase",
+		parameters: jobParameters,
+		run: printing(func(world *World, arguments Arguments) string {
+			return statusAndPhase(world.users.Submit(arguments))
+		}),
+	},
+	"accept": {
+		usage:      "submits a job that is to be accepted, at the first attempt or later",
+		parameters: jobParameters,
+		run:        printing(acceptJob),
+	},
+	"burst": {
+		usage: "submits many jobs alike",
+		parameters: withParameters(
+			jobRangeParameters,
+			flagParameter("once", "all at the same moment"),
+			durationParameter("within", "with once: time in which all must be answered"),
+		),
+		run: printing(burst),
+	},
+	"job": {
+		usage:      "registers a job with the workers without submitting it",
+		parameters: jobParameters,
+		run:        acting(registerUnsubmittedJob),
+	},
+	"send": {
+		usage: "sends one submission whose upstream list is the input",
+		parameters: withParameters(
+			jobParameters,
+
+			controllerParameter("the controller to ask, any if absent"),
+		),
+		run: sendSubmission,
+	},
+	"request": {
+		usage: "sends the input as one request to n0 and prints the status",
+		parameters: []parameter{
+			requestMethods,
+			required(textParameter("path", "path")),
+		},
+		run: printingWithInput(rawRequest),
+	},
+	"begin": {
+		usage: "submits a job without waiting for the answer",
+		parameters: withParameters(
+			jobParameters,
+			flagParameter("cancel", "cancels instead"),
+			flagParameter("once", "the user does not repeat it"),
+		),
+		run: acting(beginRequest),
+	},
+	"answer": {
+		usage: "prints the answer to what begin sent",
+		parameters: withParameters(
+			jobIDParameters,
+			required(choiceParameter("of", "request", "submit", "cancel")),
+			flagParameter("accepted", "prints accepted for 200 and 201"),
+			durationParameter("within", "70s if absent"),
+		),
+		run: printing(answerOf),
+	},
+	"poll": {
+		usage:      "asks for a job's state once",
+		parameters: jobIDParameters,
+		run: printing(func(world *World, arguments Arguments) string {
+			return statusAndPhase(world.users.Poll(arguments["id"]))
+		}),
+	},
+	"storm": {
+		usage: "lets users ask about accepted jobs, drawn at random, and prints how many were answered while they waited",
+
+		parameters: []parameter{
+			required(numberParameter("count", "questions")),
+			durationParameter("over", "in that time, 5s if absent"),
+		},
+		run: printing(pollStorm),
+	},
+	"cancel": {
+		usage:      "cancels a job; prints status and phase",
+		parameters: jobIDParameters,
+		run: printing(func(world *World, arguments Arguments) string {
+			return statusAndPhase(world.users.Cancel(arguments["id"]))
+		}),
+	},
+	"cancel_soon": {
+		usage:      "cancels a job without waiting for the answer",
+		parameters: jobIDParameters,
+		run:        acting(func(world *World, arguments Arguments) { world.users.cancelInBackground(arguments["id"]) }),
+	},
+	"until": {
+		usage: "polls a job until it has a phase",
+		parameters: withParameters(
+			jobIDParameters,
+			required(textParameter("phase", "phase")),
+			durationParameter("within", "60s if absent"),
+		),
+		run: printing(untilPhase),
+	},
+	"all": {
+		usage:      "polls all accepted jobs until they are done",
+		parameters: []parameter{durationParameter("within", "60s if absent")},
+		run:        printing(untilAllDone),
+	},
+	"users": {
+		usage: "sends users from here on to one controller: the named one, or without arguments one that does not lead",
+
+		parameters: []parameter{
+			controllerParameter("the controller"),
+			flagParameter("any", "to any controller again"),
+		},
+		run: chooseEntry,
+	},
 }
 
-func printingWithInput(print func(world *World, arguments Arguments, input string) string) commandFunc {
+// printingWithInput is printing for what takes the input of the command.
+func printingWithInput(output func(world *World, arguments Arguments, input string) string) commandFunc {
 	return func(world *World, arguments Arguments, input string) (string, error) {
-		return print(world, arguments, input), nil
+		return output(world, arguments, input), nil
 	}
 }
 
--- a/internal/simtest/commands_upstream.go
+++ b/internal/simtest/commands_upstream.go
@@ -12,13 +12,44 @@
 
 // pipelineCommands submit and watch jobs that need others.
 var pipelineCommands = map[string]command{
-	"line": {"submits jobs that each need the one before", jobRangeParameters, printing(submitLine)},
-	"finished_jobs": {"adds jobs that were over long ago", []parameter{numberParameter("from", "number of the first ID, 1 if absent"), numberParameter("count", "jobs"),
-		choiceParameter("phase", "done if absent", "done", "cancelled")}, acting((*World).addFinishedJobs)},
-	"tally": {"counts the phases last acknowledged of many jobs, polling those that are not over", []parameter{numberParameter("from", "number of the first ID, 1 if absent"),
-		numberParameter("count", "jobs"), durationParameter("within", "polls until all are over or for so long")}, printing((*World).tally)},
-	"owner": {"prints the controller that owns a job", jobIDParameters, printing(ownerOf)},
-	"order": {"tells whether a job began before another", withParameters(jobIDParameters, required(textParameter("before", "ID of the other job"))), startOrder},
+	"line": {
+		usage:      "submits jobs that each need the one before",
+		parameters: jobRangeParameters,
+		run:        printing(submitLine),
+	},
+	"finished_jobs": {
+		usage: "adds jobs that were over long ago",
+		parameters: []parameter{
+			numberParameter("from", "number of the first ID, 1 if absent"),
+			numberParameter("count", "jobs"),
+
+			choiceParameter("phase", "done if absent", "done", "cancelled"),
+		},
+		run: acting((*World).addFinishedJobs),
+	},
+	"tally": {
+		usage: "counts the phases last acknowledged of many jobs, polling those that are not over",
+		parameters: []parameter{
+			numberParameter("from", "number of the first ID, 1 if absent"),
+
+			numberParameter("count", "jobs"),
+			durationParameter("within", "polls until all are over or for so long"),
+		},
+		run: printing((*World).tally),
+	},
+	"owner": {
+		usage:      "prints the controller that owns a job",
+		parameters: jobIDParameters,
+		run:        printing(ownerOf),
+	},
+	"order": {
+		usage: "tells whether a job began before another",
+		parameters: withParameters(
+			jobIDParameters,
+			required(textParameter("before", "ID of the other job")),
+		),
+		run: startOrder,
+	},
 }
 
 func submitLine(world *World, arguments Arguments) string {
@@ -104,68 +135,9 @@
 
 // countsText lists counts as name=count, by name.
 func countsText(count map[string]int) string {
-	var parts []string
+	parts := make([]string, 0, len(count))
 	for _, name := range slices.Sorted(maps.Keys(count)) {
 		parts = append(parts, fmt.Sprintf("%s=%d", name, count[name]))
 	}
 	return strings.Join(parts, " ")
 }
-
-// race lets so many pairs meet, each a little later against the other: a job is
-// cancelled and, from before to after it, one that needs it is submitted
-// ("submit"), or a job is cancelled about when its last task ends, while another
-// waits for it ("done"). It tells whether each pair ended alike.
-func (world *World) race(arguments Arguments) string {
-	first, count, step := int(arguments.number("from", "1")), int(arguments.number("count", "20")), arguments.duration("step", "10ms")
-	for i := range count {
-		submission, down := maps.Clone(arguments), maps.Clone(arguments)
-		submission["id"], down["id"], down["awaits"] = jobID(first+2*i), jobID(first+2*i+1), jobID(first+2*i)
-		world.users.Submit(submission)
-		offset := step * time.Duration(i-count/2)
-		if arguments["with"] == "done" {
-			world.users.Submit(down)
-			world.cancelAroundEnd(world.jobs[submission["id"]], offset)
-			continue
-		}
-		world.schedule(max(0, -offset), func() { world.users.cancelRecorded(submission["id"]) })
-		world.schedule(max(0, offset), func() { world.users.submitRecorded(down) })
-	}
-	world.Run(step*time.Duration(count) + time.Second)
-	if !world.users.waitForRecordedAnswers(2 * userRetry) {
-		return "not all are answered"
-	}
-	return world.raceOutcome(first, count, arguments.duration("within", "120s"), arguments.has("both"))
-}
-
-// cancelAroundEnd cancels a job that much after the expected end of its tasks.
-func (world *World) cancelAroundEnd(job *jobRecord, offset time.Duration) {
-	if job.startedAt == 0 {
-		world.schedule(tickInterval, func() { world.cancelAroundEnd(job, offset) })
-		return
-	}
-	world.schedule(max(0, job.startedAt+job.runTime-world.now+offset), func() { world.users.cancelRecorded(job.id) })
-}
-
-// raceOutcome polls the pairs of a race until each has ended alike.
-func (world *World) raceOutcome(first, pairs int, within time.Duration, both bool) string {
-	for end := world.now + within; ; world.Run(time.Second) {
-		for i := range 2 * pairs {
-			if id := jobID(first + i); !world.checker.isOver(id) {
-				world.users.Poll(id)
-			}
-		}
-		ends := map[string]int{}
-		for i := range pairs {
-			ends[world.checker.acknowledgedPhase[jobID(first+2*i)]+"/"+world.checker.acknowledgedPhase[jobID(first+2*i+1)]]++
-		}
-		if ends["done/done"]+ends["cancelled/cancelled"] == pairs {
-			if both && (ends["done/done"] == 0 || ends["cancelled/cancelled"] == 0) {
-				return fmt.Sprintf("alike, but all one way: %v", ends)
-			}
-			return "alike"
-		}
-		if world.now >= end {
-			return fmt.Sprint(ends)
-		}
-	}
-}
--- /dev/null
+++ b/internal/simtest/fixtures_test.go
@@ -0,0 +1,25 @@
+package simtest
+
+import "fmt"
+
+// smallMachine is a machine of the smallest type.
+func smallMachine(name, zone string) machineIdentity {
+	return machineIdentity{name: name, addr: name, machineType: "small", zone: zone}
+}
+
+// submittedJob is an array that its user has submitted.
+func submittedJob(id string, tasks int) *jobRecord {
+	job := newJobRecord(id)
+	job.team, job.class, job.taskCount, job.submitted = "red", "c", tasks, true
+	return job
+}
+
+// startOnNewMachine lets a task of a job start on a machine of its own.
+func startOnNewMachine(world *World, job *jobRecord, index int, machine machineIdentity) *taskAssignment {
+	worker := &fakeWorker{world: world, machineIdentity: machine, up: true, assignments: map[string]*taskAssignment{}}
+	world.workers[machine.addr] = worker
+	assignment := &taskAssignment{worker: worker, job: job, name: fmt.Sprintf("%s/%d", job.id, index), index: index, attempt: 1, phase: taskRunning}
+	worker.assignments[assignment.name] = assignment
+	world.checker.checkStart(assignment)
+	return assignment
+}
--- a/internal/simtest/jobs.go
+++ b/internal/simtest/jobs.go
@@ -8,51 +8,66 @@
 
 // jobRecord is a submitted job and what has become of it.
 type jobRecord struct {
+	jobSpec
+	jobSubmission
+	jobExecution
+}
+
+// jobSpec is what a job asks for.
+type jobSpec struct {
 	id                 string
 	team, class        string
-	firstAnsweredAt    time.Duration // when its user first got an answer
-	startedAt          time.Duration // when it first ran, a gang as a whole
 	shape              string
 	taskCount          int
-	cpus, gpus         float64
-	memory             float64
-	machineTypes       []string
-	zone               string
+	resources                   // of each task
+	machineTypes       []string // nil: any
+	zone               string   // "": any
 	sameZone, scatter  bool
 	allowSpot          bool
-	checkpointInterval time.Duration
+	checkpointInterval time.Duration // 0: it stores no checkpoints
 	checkpointDuration time.Duration
-	runTime            time.Duration
+	runTime            time.Duration // of each task
 	imageFetchTime     time.Duration
 	broken             bool // fails on every machine
 	brokenTask         int  // 1 + the number of the only task that fails on every machine, 0: none
-	startedAttempts    int  // starts that workers executed
-	stoppedTasks       int  // tasks stopped by a command while the job was neither finished nor cancelled
-	progress           map[int]time.Duration
-	completed          map[int]bool
-	gangs              map[uint64]*gangRun
-	submitted          bool
-	upstream           []string // jobs that must be done before any task of it starts
-	body               []byte   // the submission
-	expectedRefusal    int      // the status with which it must be refused, 0: it can run
+}
+
+// jobSubmission is what its user has done with a job.
+type jobSubmission struct {
+	submitted       bool
+	body            []byte        // of the request
+	upstream        []string      // jobs that must be done before any task of it starts
+	expectedRefusal int           // the status with which it must be refused, 0: it can run
+	firstAnsweredAt time.Duration // when its user first got an answer
+}
+
+// jobExecution is what workers have done of a job.
+type jobExecution struct {
+	startedAt       time.Duration         // when it first ran, a gang as a whole
+	startedAttempts int                   // starts that workers executed
+	stoppedTasks    int                   // tasks stopped by a command while the job was neither finished nor cancelled
+	progress        map[int]time.Duration // of tasks that stored a checkpoint, by index
+	completed       map[int]bool          // tasks, by index
+	gangs           map[uint64]*gangRun   // by attempt
+}
+
+func newJobRecord(id string) *jobRecord {
+	return &jobRecord{
+		jobSpec:      jobSpec{id: id},
+		jobExecution: jobExecution{progress: map[int]time.Duration{}, completed: map[int]bool{}, gangs: map[uint64]*gangRun{}},
+	}
 }
 
 // alwaysFails tells whether a task of the job fails on every machine.
 func (job *jobRecord) alwaysFails(index int) bool { return job.broken || index+1 == job.brokenTask }
 
+// markStarted notes when the job first ran.
 func (job *jobRecord) markStarted(now time.Duration) {
 	if job.startedAt == 0 {
 		job.startedAt = now
 	}
 }
 
-func (job *jobRecord) idOrEmpty() string {
-	if job == nil {
-		return ""
-	}
-	return job.id
-}
-
 // acceptedJobs lists the jobs whose users got an answer and did not cancel.
 func (world *World) acceptedJobs() []string {
 	var ids []string
--- a/internal/simtest/random_pipelines_test.go
+++ b/internal/simtest/random_pipelines_test.go
@@ -11,6 +11,7 @@
 // service lowers its limits: the rules must hold, every job must end, as those
 // that it needs do, and nothing but final marks may be left behind.
 func TestRandomChains(t *testing.T) {
+	t.Parallel()
 	first, plays := environmentNumber("SIM_FROM", 1), environmentNumber("SIM_PLAYS", 60)
 	for seed := first; seed < first+plays; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -27,11 +28,7 @@
 	}
 	world := NewWith(Announce(Settings, next), 3, seed, logOut())
 	world.watchInvariants()
-	world.network.lossShare, world.network.lateRepeatShare = 0.01, 0.05
-	world.network.duplicateShare, world.network.duplicateDelay = 0.05, 30*time.Second
-	for range 3 {
-		world.cloud.addMachine("small", []string{"a", "b"}[world.random.IntN(2)], false, 0)
-	}
+	world.startRandomFaults()
 	world.addFinishedJobs(Arguments{"from": "5000", "count": "400"})
 	playPipelines(reporter, world, seed, len(next) > 0, nil)
 }
@@ -214,7 +211,7 @@
 	world := play.world
 	for _, id := range play.left() {
 		play.Errorf("seed %d: %s is still %s, needs %v\n%s", play.seed, id, world.checker.acknowledgedPhase[id], world.jobs[id].upstream,
-			strings.Join(append(world.listKeys("j/"+id), world.listKeys("r/"+id)...), "\n"))
+			world.storedOf(id))
 	}
 	for _, id := range play.all {
 		for _, upstream := range world.jobs[id].upstream {
--- a/internal/simtest/recording.go
+++ b/internal/simtest/recording.go
@@ -14,13 +14,13 @@
 // testdata/production were taken down by a run of the version in production
 // (TestRecord), so that a change of version is played without its code.
 type worldRecording struct {
-	Note     string            `json:"note"`
-	Revision uint64            `json:"epoch"`
-	Keys     []recordedKey     `json:"keys"`
-	Leases   map[uint64]int64  `json:"leases"` // life in milliseconds
-	Jobs     []recordedJob     `json:"jobs"`
-	Machines []recordedMachine `json:"machines"`
-	Hires    map[string][]string
+	Note        string              `json:"note"`
+	Revision    uint64              `json:"epoch"`
+	Keys        []recordedKey       `json:"keys"`
+	Leases      map[uint64]int64    `json:"leases"` // life in milliseconds
+	Jobs        []recordedJob       `json:"jobs"`
+	Machines    []recordedMachine   `json:"machines"`
+	Provisioned map[string][]string `json:"Hires"` // names of machines, by request
 }
 
 type recordedKey struct {
@@ -39,11 +39,17 @@
 }
 
 type recordedMachine struct {
-	Name, Addr, Flavor, Zone string
-	Spot, Up                 bool
-	Tenure, Tick, Fence      uint64
-	Answered                 time.Duration // since the last report that was answered
-	Tasks                    []recordedTask
+	Name         string         `json:"Name"`
+	Addr         string         `json:"Addr"`
+	MachineType  string         `json:"Flavor"`
+	Zone         string         `json:"Zone"`
+	Spot         bool           `json:"Spot"`
+	Up           bool           `json:"Up"`
+	Incarnation  uint64         `json:"Tenure"`
+	Sequence     uint64         `json:"Tick"`
+	FencingToken uint64         `json:"Fence"`
+	Answered     time.Duration  `json:"Answered"` // since the last heartbeat that was answered
+	Tasks        []recordedTask `json:"Tasks"`
 }
 
 type recordedTask struct {
@@ -56,9 +62,14 @@
 	Ran              time.Duration `json:"ran,omitempty"`
 }
 
+// identity is what the machine was.
+func (machine recordedMachine) identity() machineIdentity {
+	return machineIdentity{name: machine.Name, addr: machine.Addr, machineType: machine.MachineType, zone: machine.Zone, spot: machine.Spot}
+}
+
 // Record takes down what there is. jobs are the arguments of the submissions.
 func (world *World) Record(note string, jobs []Arguments) ([]byte, error) {
-	recording := worldRecording{Note: note, Revision: world.stateService.revision, Leases: map[uint64]int64{}, Hires: world.cloud.provisionedByRequest}
+	recording := worldRecording{Note: note, Revision: world.stateService.revision, Leases: map[uint64]int64{}, Provisioned: world.cloud.provisionedByRequest}
 	for key, stored := range world.stateService.keys {
 		recording.Keys = append(recording.Keys, recordedKey{key, stored.data, stored.modRevision, stored.leaseID})
 	}
@@ -76,8 +87,8 @@
 		recording.Jobs = append(recording.Jobs, recorded)
 	}
 	for _, worker := range world.sortedWorkers() {
-		machine := recordedMachine{Name: worker.name, Addr: worker.addr, Flavor: worker.machineType, Zone: worker.zone, Spot: worker.spot, Up: worker.up, Tenure: worker.incarnation, Tick: worker.sequence,
-			Fence: worker.fencingToken, Answered: world.now - worker.leaseStart}
+		machine := recordedMachine{Name: worker.name, Addr: worker.addr, MachineType: worker.machineType, Zone: worker.zone, Spot: worker.spot, Up: worker.up, Incarnation: worker.incarnation, Sequence: worker.sequence,
+			FencingToken: worker.fencingToken, Answered: world.now - worker.leaseStart}
 		for _, assignment := range worker.sortedAssignments() {
 			recorded := recordedTask{Task: assignment.name, Index: assignment.index, Attempt: assignment.attempt, Phase: assignment.phase, Cause: assignment.cause, CheckpointStored: assignment.checkpointStored}
 			if assignment.phase == taskRunning {
@@ -148,21 +159,20 @@
 
 // load replaces the cloud's machines and what runs on them.
 func (cloud *fakeCloud) load(recording worldRecording) {
-	cloud.provisionedByRequest = recording.Hires
+	cloud.provisionedByRequest = recording.Provisioned
 	cloud.machines = map[string]*provisionedMachine{}
-	if slices.ContainsFunc(recording.Machines, func(machine recordedMachine) bool { return machine.Flavor == recordedGPUType }) {
+	if slices.ContainsFunc(recording.Machines, func(machine recordedMachine) bool { return machine.MachineType == recordedGPUType }) {
 		cloud.offeredNames = []string{"small", "big", recordedGPUType}
 	}
 	for i, machine := range recording.Machines {
 		cloud.lastMachine = max(cloud.lastMachine, i+1)
-		worker := newWorker(cloud.world, machine.Name, machine.Addr, machine.Flavor, machine.Zone, machine.Spot)
+		worker := newWorker(cloud.world, machine.identity())
 		if !machine.Up {
 			worker.crash()
 			continue
 		}
-		cloud.machines[machine.Name] = &provisionedMachine{name: machine.Name, addr: machine.Addr, machineType: machine.Flavor, zone: machine.Zone, spot: machine.Spot,
-			provisionedAt: cloud.world.now - time.Minute, worker: worker}
-		worker.incarnation, worker.sequence, worker.fencingToken, worker.leaseStart = machine.Tenure, machine.Tick, machine.Fence, cloud.world.now-machine.Answered
+		cloud.machines[machine.Name] = &provisionedMachine{machineIdentity: machine.identity(), provisionedAt: cloud.world.now - time.Minute, worker: worker}
+		worker.incarnation, worker.sequence, worker.fencingToken, worker.leaseStart = machine.Incarnation, machine.Sequence, machine.FencingToken, cloud.world.now-machine.Answered
 		for _, recorded := range machine.Tasks {
 			worker.restoreTask(recorded)
 		}
@@ -175,31 +185,26 @@
 	job := world.jobs[recorded.Task[:strings.LastIndexByte(recorded.Task, '/')]]
 	assignment := &taskAssignment{worker: worker, job: job, name: recorded.Task, index: recorded.Index, attempt: recorded.Attempt, phase: recorded.Phase, cause: recorded.Cause, checkpointStored: recorded.CheckpointStored, startedAt: world.now - recorded.Ran}
 	switch {
-	case recorded.Phase == "exited":
+	case recorded.Phase == taskExited:
 		worker.assignments[recorded.Task] = assignment
-	case recorded.Phase != jobRunning || job.shape == shapeGang && len(job.completed) > 0:
+	case recorded.Phase != taskRunning || job.shape == shapeGang && len(job.completed) > 0:
 		// Its image is fetched anew: the machine had it or nearly so.
 		worker.startTask(taskCommand{Verb: "start", Task: recorded.Task, Attempt: recorded.Attempt})
 	case job.shape == shapeGang:
 		worker.assignments[recorded.Task] = assignment
 		world.checker.addInstance(assignment)
 		worker.images[job.id] = true
-		gang := job.gangs[assignment.attempt]
-		if gang == nil {
-			gang = &gangRun{tasks: map[int]*taskAssignment{}, stopped: map[int]bool{}}
-			job.gangs[assignment.attempt] = gang
-		}
-		gang.tasks[assignment.index] = assignment
-		if len(gang.tasks) == job.taskCount {
+		gang := assignment.addToGang()
+		if gang.isComplete() {
 			gang.started = true
-			world.finishGangAfter(job, gang, job.runTime-job.progress[0]-recorded.Ran)
+			gang.finishAfter(job.runTime - job.progress[0] - recorded.Ran)
 		}
 	default:
 		worker.assignments[recorded.Task] = assignment
 		world.checker.addInstance(assignment)
 		worker.images[job.id] = true
 		if job.shape == shapeArray {
-			world.scheduleFor(assignment, job.runTime-job.progress[assignment.index]-recorded.Ran, func() {
+			assignment.after(job.runTime-job.progress[assignment.index]-recorded.Ran, func() {
 				job.completed[assignment.index] = true
 				world.users.taskCompleted(job)
 				worker.exitTask(assignment, causeDone, false)
--- a/internal/simtest/recording_test.go
+++ b/internal/simtest/recording_test.go
@@ -17,6 +17,7 @@
 // job that waits for its team's limit, a cancelled one whose tasks still run, a
 // crashed machine. At its end all controllers are down.
 func stopMidway(t *testing.T, seed uint64) (*World, []Arguments) {
+	t.Helper()
 	world := New(3, seed, logOut())
 	world.watchInvariants()
 	world.cloud.addMachine("big", "a", false, 0)
@@ -60,6 +61,7 @@
 
 // playRecording plays a loaded world to its end.
 func playRecording(t *testing.T, file string) {
+	t.Helper()
 	world := NewWith(Announce(Settings, Arguments{"nextvalue": "2", "nextops": "4", "nextwrites": "40"}), 3, 7, logOut(), func(*config.Platform) {})
 	world.watchInvariants()
 	if err := world.Load(file); err != nil {
--- a/internal/simtest/scenario_test.go
+++ b/internal/simtest/scenario_test.go
@@ -2,20 +2,14 @@
 
 import (
 	"errors"
-	"flag"
 	"fmt"
 	"io"
-	"maps"
 	"os"
 	"path/filepath"
-	"slices"
-	"strconv"
 	"strings"
 	"testing"
-	"time"
 
 	"github.com/cockroachdb/datadriven"
-	"pgregory.net/rapid"
 
 	"lugward/internal/config"
 )
@@ -100,18 +94,26 @@
 	return output
 }
 
+// scenarioFiles lists the files of all scenarios.
+func scenarioFiles(t *testing.T) []string {
+	t.Helper()
+	files, err := filepath.Glob("testdata/*.txt")
+	if err != nil || len(files) == 0 {
+		t.Fatalf("%d scenarios: %v", len(files), err)
+	}
+	return files
+}
+
 // TestScenarios plays every text file below testdata. A file starts with
 // "world"; whatever else it shows, it must end with the rules kept.
 func TestScenarios(t *testing.T) {
-	files, _ := filepath.Glob("testdata/*.txt")
-	if len(files) == 0 {
-		t.Fatal("no scenarios")
-	}
-	for _, f := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(f), ".txt"), func(t *testing.T) {
+	t.Parallel()
+	for _, file := range scenarioFiles(t) {
+		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
 			t.Parallel()
 			player := &scenarioPlayer{}
-			datadriven.RunTest(t, f, func(t *testing.T, directive *datadriven.TestData) string {
+			datadriven.RunTest(t, file, func(t *testing.T, directive *datadriven.TestData) string {
+				t.Helper()
 				output, err := player.play(directive)
 				if err != nil {
 					t.Fatal(err)
@@ -128,7 +130,7 @@
 // TestScenarioErrors shows that a mistake in a scenario is named with its file
 // and line.
 func TestScenarioErrors(t *testing.T) {
-	for _, c := range []struct{ line, want string }{
+	for _, test := range []struct{ line, want string }{
 		{"explode node=n0", "explode: unknown command explode"},
 		{"poll", "poll: argument id is missing"},
 		{"poll id=req-000001 loudly", "poll: unknown argument loudly"},
@@ -149,159 +151,17 @@
 		{"world seed=one", "world: seed=one: not a number"},
 		{"world sead=1", "world: unknown argument sead"},
 	} {
-		player := &scenarioPlayer{world: New(3, 1, io.Discard)}
-		var err error
-		datadriven.RunTestFromString(t, c.line+"\n----\n", func(_ *testing.T, directive *datadriven.TestData) string {
-			directive.Pos = "scenario.txt:7"
-			_, err = player.play(directive)
-			return ""
-		})
-		if want := "scenario.txt:7: " + c.want; err == nil || err.Error() != want {
-			t.Errorf("%s: %v, want %s", c.line, err, want)
-		}
-	}
-}
-
-// TestRandomFaults plays random jobs under random faults; the rules must hold
-// and, once the faults are over, every job must end.
-func TestRandomFaults(t *testing.T) {
-	first, plays := environmentNumber("SIM_FROM", 1), environmentNumber("SIM_PLAYS", 60)
-	for seed := first; seed < first+plays; seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			t.Parallel()
-			playRandomJobs(t, seed)
-		})
-	}
-}
-
-// The drawn faults are the same at every run, so that the verdict is, too.
-func init() {
-	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
-		if err := flag.Set(name, value); err != nil {
-			panic(err)
-		}
-	}
-}
-
-// TestDrawnFaults lets rapid draw the seed and shrink a failure.
-func TestDrawnFaults(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) {
-		seed := rapid.Uint64Range(1000, 1<<32).Draw(rt, "seed")
-		playRandomJobs(rt, seed)
-	})
-}
-
-// environmentNumber is a number from the environment, for longer trials.
-func environmentNumber(name string, def uint64) uint64 {
-	if n, err := strconv.ParseUint(os.Getenv(name), 10, 64); err == nil {
-		return n
-	}
-	return def
-}
-
-type errorReporter interface {
-	Errorf(format string, args ...any)
-}
-
-func playRandomJobs(reporter errorReporter, seed uint64) { playRandomJobsObserved(reporter, seed, nil) }
-
-// playRandomJobsObserved is play with an observer of the wire.
-func playRandomJobsObserved(reporter errorReporter, seed uint64, wire WireObserver) {
-	world := NewObserved(Settings, 3, seed, logOut(), wire)
-	world.watchInvariants()
-	world.network.lossShare, world.network.lateRepeatShare = 0.01, 0.05
-	world.network.duplicateShare, world.network.duplicateDelay = 0.05, 30*time.Second
-	for range 3 {
-		world.cloud.addMachine("small", []string{"a", "b"}[world.random.IntN(2)], false, 0)
-	}
-	var open []string
-	kinds := []string{"array", "array", "gang", "daemon"}
-	for i := range 8 {
-		arguments := Arguments{"id": fmt.Sprintf("req-%06d", i), "shape": kinds[world.random.IntN(4)], "tasks": fmt.Sprint(1 + world.random.IntN(5)),
-			"run": fmt.Sprintf("%ds", 2+world.random.IntN(15)), "team": []string{"red", "blue"}[world.random.IntN(2)]}
-		if world.random.IntN(2) == 0 {
-			arguments["checkpoint"] = "3s"
-		}
-		if world.random.IntN(2) == 0 {
-			arguments["spot"] = ""
-		}
-		if world.random.IntN(3) == 0 {
-			arguments["same_zone"] = ""
-		} else if world.random.IntN(3) == 0 {
-			arguments["scatter"] = ""
-		}
-		status, _ := world.users.Submit(arguments)
-		if status == 200 || status == 201 {
-			open = append(open, arguments["id"])
-		}
-		world.causeTwoFaults()
-		world.Run(seconds(world.random.Float64() * 6))
-		if world.random.IntN(3) == 0 && len(open) > 0 {
-			world.users.Poll(open[world.random.IntN(len(open))])
-		}
-		if world.random.IntN(4) == 0 && len(open) > 0 {
-			world.users.Cancel(open[world.random.IntN(len(open))])
-		}
-	}
-	world.endAllFaults()
-	for _, id := range open {
-		if world.jobs[id].shape == shapeDaemon {
-			world.users.Cancel(id)
-		}
-	}
-	world.pollUntilOver(open)
-	for _, id := range open {
-		if !world.checker.isOver(id) {
-			reporter.Errorf("seed %d: %s is still %s: %+v\n%s", seed, id, world.checker.acknowledgedPhase[id], *world.jobs[id], strings.Join(append(world.listKeys("j/"+id), world.listKeys("r/"+id)...), "\n"))
-		}
-	}
-	if left := world.waitForMachinesReleased(); left != "" {
-		reporter.Errorf("seed %d: nothing runs, and these machines are kept: %s\n%s", seed, left, strings.Join(world.listKeys("r/"), "\n"))
-	}
-	if v := world.Verdict(); v != "kept" {
-		reporter.Errorf("seed %d: %s", seed, v)
-	}
-}
-
-// waitForMachinesReleased plays until all machines are given back, for five minutes at most,
-// and names those that are not.
-func (world *World) waitForMachinesReleased() string {
-	for range 150 {
-		if len(world.cloud.machines) == 0 {
-			return ""
-		}
-		world.Run(seconds(2))
-	}
-	return strings.Join(slices.Sorted(maps.Keys(world.cloud.machines)), ", ")
-}
-
-// pollUntilOver polls jobs until they are over, for four minutes at most.
-func (world *World) pollUntilOver(open []string) {
-	for range 120 {
-		left := 0
-		for _, id := range open {
-			if !world.checker.isOver(id) {
-				left++
-				world.users.Poll(id)
+		t.Run(test.line, func(t *testing.T) {
+			player := &scenarioPlayer{world: New(3, 1, io.Discard)}
+			var err error
+			datadriven.RunTestFromString(t, test.line+"\n----\n", func(_ *testing.T, directive *datadriven.TestData) string {
+				directive.Pos = "scenario.txt:7"
+				_, err = player.play(directive)
+				return ""
+			})
+			if want := "scenario.txt:7: " + test.want; err == nil || err.Error() != want {
+				t.Errorf("%v, want %s", err, want)
 			}
-		}
-		if left == 0 {
-			break
-		}
-		world.Run(seconds(2))
-	}
-}
-
-// endAllFaults ends all faults.
-func (world *World) endAllFaults() {
-	world.Run(max(seconds(25), world.faultsEndAt-world.now))
-	world.network.lossShare, world.network.lateRepeatShare, world.cloud.bootFailures, world.cloud.down, world.network.duplicateShare = 0, 0, 0, false, 0
-	world.network.lateWrites, world.network.delayedHeartbeats, world.network.delayedCommands, world.users.cancelAtEnd, world.users.invalidRequests = 0, 0, 0, 0, false
-	world.Run(maxDelay) // what was delayed arrives
-	world.checker.faultsOverAt = world.now
-	for _, process := range world.controllers {
-		if !process.up {
-			process.boot()
-		}
+		})
 	}
 }
--- a/internal/simtest/state_limits.go
+++ b/internal/simtest/state_limits.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"slices"
 	"strings"
 	"time"
 )
@@ -31,15 +32,17 @@
 	if service.override != nil {
 		return *service.override
 	}
-	set := &service.world.config.Settings.State
-	return serviceLimits{set.RPS, set.WriteRPS, set.ValueKB, set.TxnOps}
+	settings := &service.world.config.Settings.State
+	return serviceLimits{settings.RPS, settings.WriteRPS, settings.ValueKB, settings.TxnOps}
 }
 
 // setLimits changes the limits without notice. What is stored stays.
 func (service *fakeStateService) setLimits(arguments Arguments) {
 	limits := service.currentLimits()
-	limits.requestsPerSecond, limits.writesPerSecond = arguments.number("rps", fmt.Sprint(limits.requestsPerSecond)), arguments.number("writes", fmt.Sprint(limits.writesPerSecond))
-	limits.valueKB, limits.txnOps = arguments.number("value", fmt.Sprint(limits.valueKB)), int(arguments.number("ops", fmt.Sprint(limits.txnOps)))
+	limits.requestsPerSecond = arguments.number("rps", fmt.Sprint(limits.requestsPerSecond))
+	limits.writesPerSecond = arguments.number("writes", fmt.Sprint(limits.writesPerSecond))
+	limits.valueKB = arguments.number("value", fmt.Sprint(limits.valueKB))
+	limits.txnOps = int(arguments.number("ops", fmt.Sprint(limits.txnOps)))
 	service.override = &limits
 }
 
@@ -53,42 +56,47 @@
 
 // refuseTooLarge answers what is over the limits. It is the service's own fault
 // where the limits were announced; where they were not it may try, but not for ever.
-func (service *fakeStateService) refuseTooLarge(what, f string, values ...any) (int, any) {
+func (service *fakeStateService) refuseTooLarge(what, format string, values ...any) (int, any) {
 	service.tooLarge++
 	if (service.override == nil || service.world.limitsAnnounced) && service.tooLarge <= maxNamed {
-		service.world.reportLimitViolation("%.2fs state service got %s", service.world.now.Seconds(), fmt.Sprintf(f, values...))
+		service.world.reportLimitViolation("%.2fs state service got %s", service.world.now.Seconds(), fmt.Sprintf(format, values...))
 	}
 	if service.tooLargeAttempts == nil {
 		service.tooLargeAttempts = map[string][]time.Duration{}
 	}
-	list := append(service.tooLargeAttempts[what], service.world.now)
-	if len(list) > maxRepeats {
-		list = list[len(list)-maxRepeats:]
-		if service.world.now-list[0] < repeatsWithin {
-			service.endlessRetries++
-			if service.endlessRetries == 1 {
-				service.world.reportLimitViolation("%.2fs %s is tried again and again though it is too large", service.world.now.Seconds(), what)
-			}
-			list = nil
+	attempts := append(slices.Clip(service.tooLargeAttempts[what]), service.world.now)
+	if len(attempts) > maxRepeats {
+		attempts = attempts[len(attempts)-maxRepeats:]
+		if service.world.now-attempts[0] < repeatsWithin {
+			service.reportEndlessRetries(what)
+			attempts = nil
 		}
 	}
-	service.tooLargeAttempts[what] = list
+	service.tooLargeAttempts[what] = attempts
 	return 400, nil
 }
 
+// reportEndlessRetries notes that a write is tried again and again; the first one is reported.
+func (service *fakeStateService) reportEndlessRetries(what string) {
+	service.endlessRetries++
+	if service.endlessRetries == 1 {
+		service.world.reportLimitViolation("%.2fs %s is tried again and again though it is too large", service.world.now.Seconds(), what)
+	}
+}
+
 // delayMatchingWrite takes a transaction that is to be carried out later and not answered.
 func (service *fakeStateService) delayMatchingWrite(body []byte) bool {
 	if service.writesToDelay == 0 {
 		return false
 	}
-	var t struct {
+	var request struct {
 		Then []struct {
 			Write string `json:"write"`
 		} `json:"then"`
 	}
-	_ = json.Unmarshal(body, &t)
-	for _, op := range t.Then {
-		if strings.HasPrefix(op.Write, service.delayedPrefix) {
+	_ = json.Unmarshal(body, &request)
+	for _, operation := range request.Then {
+		if strings.HasPrefix(operation.Write, service.delayedPrefix) {
 			service.writesToDelay--
 			service.world.schedule(service.writeDelay, func() { service.commit(body) })
 			return true
@@ -108,6 +116,6 @@
 	if len(next) == 0 {
 		return settings
 	}
-	b, _ := json.Marshal(next)
-	return strings.Replace(settings, `"txn_ops":12}`, `"txn_ops":12,"next":`+string(b)+`}`, 1)
+	limits, _ := json.Marshal(next)
+	return strings.Replace(settings, `"txn_ops":12}`, `"txn_ops":12,"next":`+string(limits)+`}`, 1)
 }
--- a/internal/simtest/state_service.go
+++ b/internal/simtest/state_service.go
@@ -107,7 +107,7 @@
 	case parsed.Path == "/leases" && method == "POST":
 		answer(service.grantLease(body))
 	case strings.HasPrefix(parsed.Path, "/leases/"):
-		answer(service.changeLease(method, strings.TrimPrefix(parsed.Path, "/leases/")))
+		answer(service.changeLease(method, strings.TrimPrefix(parsed.Path, "/leases/")), nil)
 	case parsed.Path == watchPath:
 		service.watch(parsed.Query(), answer)
 	default:
@@ -135,22 +135,22 @@
 }
 
 // changeLease extends or ends the lease that a path names.
-func (service *fakeStateService) changeLease(method, path string) (int, any) {
+func (service *fakeStateService) changeLease(method, path string) int {
 	name, action, _ := strings.Cut(path, "/")
 	id, _ := strconv.ParseUint(name, 10, 64)
 	lease := service.leases[id]
 	switch {
 	case lease == nil:
-		return 404, nil
+		return 404
 	case method == "DELETE":
 		lease.expiresAt = service.world.now
 		service.expireLeases()
-		return 200, nil
+		return 200
 	case action == "extend":
 		lease.expiresAt = service.world.now + lease.duration
-		return 200, nil
+		return 200
 	}
-	return 400, nil
+	return 400
 }
 
 // watch answers with the changes after a revision, once there are any or the
@@ -192,8 +192,9 @@
 		limit = maxPage
 	}
 	limit = min(limit, service.pageLimit)
-	items := []keyEntry{}
-	for _, key := range keys[:min(limit, len(keys))] {
+	page := keys[:min(limit, len(keys))]
+	items := make([]keyEntry, 0, len(page))
+	for _, key := range page {
 		items = append(items, keyEntry{service.keys[key].data, key, service.keys[key].modRevision})
 	}
 	return keyPage{service.revision, len(keys) > limit, items}
--- a/internal/simtest/users_submission.go
+++ b/internal/simtest/users_submission.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"strings"
-	"time"
 )
 
 // registerJob registers a job with the workers, as its user does, and returns the
@@ -12,7 +11,7 @@
 	id := arguments["id"]
 	job := users.world.jobs[id]
 	if job == nil {
-		job = &jobRecord{id: id, progress: map[int]time.Duration{}, completed: map[int]bool{}, gangs: map[uint64]*gangRun{}}
+		job = newJobRecord(id)
 		users.world.jobs[id] = job
 	}
 	job.describe(arguments)
--- a/internal/simtest/wire_record_test.go
+++ b/internal/simtest/wire_record_test.go
@@ -37,22 +37,23 @@
 func newRecorder(t *testing.T, name string) *wireRecorder {
 	t.Helper()
 	recorder := &wireRecorder{hash: sha256.New()}
-	var to io.Writer = recorder.hash
+	var output io.Writer = recorder.hash
 	if *recordMessages {
 		file, err := os.Create(filepath.Join(*recordDirectory, name+".messages"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		recorder.file = file
-		to = io.MultiWriter(recorder.hash, file)
+		output = io.MultiWriter(recorder.hash, file)
 	}
-	recorder.text = bufio.NewWriter(to)
+	recorder.text = bufio.NewWriter(output)
 	return recorder
 }
 
 func (recorder *wireRecorder) observe(message Message) {
 	recorder.count++
-	fmt.Fprintf(recorder.text, "%d %s>%s %s %s %d %d %q\n", message.Time, message.From, message.To, message.Method, message.Path, message.Status, message.RetryAfter, message.Body)
+	// Flush returns the first error of the writer.
+	_, _ = fmt.Fprintf(recorder.text, "%d %s>%s %s %s %d %d %q\n", message.Time, message.From, message.To, message.Method, message.Path, message.Status, message.RetryAfter, message.Body)
 }
 
 // close writes the record's hash to a file of its own.
@@ -74,17 +75,14 @@
 
 // TestRecordWire records the wire of every scenario and of the first random plays.
 func TestRecordWire(t *testing.T) {
+	t.Parallel()
 	if *recordDirectory == "" {
 		t.Skip("only with -record")
 	}
 	if err := os.MkdirAll(*recordDirectory, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	files, err := filepath.Glob("testdata/*.txt")
-	if err != nil || len(files) == 0 {
-		t.Fatalf("%d scenarios: %v", len(files), err)
-	}
-	for _, file := range files {
+	for _, file := range scenarioFiles(t) {
 		name := strings.TrimSuffix(filepath.Base(file), ".txt")
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- /dev/null
+++ b/internal/simtest/worker_commands.go
@@ -0,0 +1,58 @@
+package simtest
+
+import (
+	"encoding/json"
+)
+
+// serve answers a request of a controller: a direct command or an inspection.
+func (worker *fakeWorker) serve(path string, body []byte, answer answerFunc) {
+	if !worker.up {
+		return
+	}
+	if worker.hung {
+		// It waits until the machine resumes, then is executed like any other.
+		worker.whenResumed(func() { worker.serve(path, body, answer) })
+		return
+	}
+	if path == directCommandPath {
+		var request commandRequest
+		if json.Unmarshal(body, &request) != nil || request.FencingToken == nil || request.Incarnation == nil {
+			worker.world.reportLimitViolation("bad direct command %s", body)
+			answer(400, nil)
+			return
+		}
+		if *request.FencingToken < worker.fencingToken || *request.Incarnation != worker.incarnation {
+			answer(409, worker.buildHeartbeat())
+			return
+		}
+		worker.learnFencingToken(*request.FencingToken)
+		worker.executeCommands(request.Commands)
+	}
+	answer(200, worker.buildHeartbeat())
+}
+
+// executeCommands carries out commands, each once however often it comes.
+func (worker *fakeWorker) executeCommands(commands []taskCommand) {
+	for _, command := range commands {
+		assignment := worker.assignments[command.Task]
+		known := assignment != nil && assignment.attempt == command.Attempt
+		switch command.Verb {
+		case "start":
+			if !known {
+				worker.startTask(command)
+			}
+		case "stop":
+			if known && assignment.phase != taskExited {
+				worker.world.checker.countStop(assignment)
+				worker.stopTask(assignment, seconds(command.GracePeriod))
+			}
+		case "reap":
+			if known && assignment.phase == taskExited {
+				delete(worker.assignments, command.Task)
+				worker.changed = true
+			}
+		default:
+			worker.world.reportLimitViolation("unknown command %q", command.Verb)
+		}
+	}
+}
--- a/internal/simtest/worker_hang.go
+++ b/internal/simtest/worker_hang.go
@@ -13,9 +13,6 @@
 	onResume  []func()      // what happens once it goes on, in order
 }
 
-// heartbeatAnswerTimeout is how long a worker waits for the answer to a report.
-const heartbeatTimeout = 4 * time.Second
-
 // hang lets the machine be paused for that long.
 func (worker *fakeWorker) hang(duration time.Duration) {
 	worker.hungUntil = max(worker.hungUntil, worker.world.now+duration)
@@ -28,19 +25,21 @@
 	// there is no rest that executes.
 	since := worker.hungSince
 	for _, assignment := range worker.sortedAssignments() {
-		gang := assignment.job.gangOf(assignment)
+		gang := assignment.gang()
 		if gang == nil {
 			continue
 		}
 		worker.world.schedule(seconds(worker.world.config.Settings.Workers.GangPeerS), func() {
-			if worker.hung && worker.hungSince == since && gang.started && !gang.over && gang.tasks[assignment.index] == assignment && gang.anyResponsive() {
+			stillHung := worker.hung && worker.hungSince == since
+			if stillHung && gang.isRunning() && gang.members[assignment.index] == assignment && gang.anyResponsive() {
 				gang.over = true
-				worker.world.abortGang(assignment.job, gang)
+				gang.abort()
 			}
 		})
 	}
 }
 
+// resumeAfterHang ends a hang, unless another one lasts for longer.
 func (worker *fakeWorker) resumeAfterHang() {
 	if !worker.up || !worker.hung {
 		return
@@ -53,36 +52,20 @@
 	worker.totalHung += worker.world.now - worker.hungSince
 	worker.expireLease()
 	worker.world.checker.checkResumed(worker)
-	list := worker.onResume
+	actions := worker.onResume
 	worker.onResume = nil
-	for _, action := range list {
+	for _, action := range actions {
 		if worker.up {
 			action()
 		}
 	}
 }
 
-// expireLease kills the tasks and begins a session if the lease has run out.
-func (worker *fakeWorker) expireLease() {
-	if !worker.leaseExpired() {
-		return
-	}
-	worker.killTasks()
-	worker.incarnation++
-	worker.leaseStart = worker.world.now
-	worker.changed = true
-}
-
-// leaseExpired tells whether the last answered report was sent too long ago.
-func (worker *fakeWorker) leaseExpired() bool {
-	return worker.world.now-worker.leaseStart > seconds(worker.world.config.Settings.Workers.LeaseS)
-}
-
 // certainlyLost tells whether the tasks are certain not to go on: the machine hangs
 // and has outlived its lease.
 func (worker *fakeWorker) certainlyLost() bool { return worker.hung && worker.leaseExpired() }
 
-// whenResumed runs f at once, or when the machine goes on.
+// whenResumed runs an action at once, or when the machine goes on.
 func (worker *fakeWorker) whenResumed(action func()) {
 	if worker.hung {
 		worker.onResume = append(worker.onResume, action)
@@ -99,7 +82,7 @@
 	return worker.world.now - worker.totalHung
 }
 
-// afterExecuting runs f once the machine has executed for d.
+// afterExecuting runs an action once the machine has executed for so long.
 func (worker *fakeWorker) afterExecuting(duration time.Duration, action func()) {
 	target := worker.executionTime() + duration
 	var check func()
--- a/internal/simtest/worker_hang_test.go
+++ b/internal/simtest/worker_hang_test.go
@@ -15,7 +15,7 @@
 	world := New(1, 1, io.Discard)
 	world.controllers[0].kill()
 	world.users.registerJob(Arguments{"id": "req-000001", "run": run.String(), "image": "0s"})
-	worker := newWorker(world, "i-a", "i-a", "small", "a", false)
+	worker := newWorker(world, smallMachine("i-a", "a"))
 	worker.executeCommands([]taskCommand{{Verb: "start", Task: "req-000001/0", Attempt: 1}})
 	world.Run(100 * time.Millisecond)
 	return world, worker
@@ -94,9 +94,9 @@
 	world := New(1, 1, io.Discard)
 	world.controllers[0].kill()
 	world.users.registerJob(Arguments{"id": "req-000001", "shape": "gang", "tasks": "2", "run": "60s", "image": "0s"})
-	var list []*fakeWorker
+	list := make([]*fakeWorker, 0, 2)
 	for i, name := range []string{"i-a", "i-b"} {
-		worker := newWorker(world, name, name, "small", "a", false)
+		worker := newWorker(world, smallMachine(name, "a"))
 		worker.executeCommands([]taskCommand{{Verb: "start", Task: "req-000001/" + string(rune('0'+i)), Attempt: 1}})
 		list = append(list, worker)
 	}
--- a/internal/simtest/worker_tasks.go
+++ b/internal/simtest/worker_tasks.go
@@ -6,24 +6,26 @@
 	"time"
 )
 
+// taskAssignment is an attempt of a task on a machine.
 type taskAssignment struct {
 	worker           *fakeWorker
-	job              *jobRecord
-	name             string
+	job              *jobRecord // nil: the worker knows no such job
+	name             string     // of the task: the job's ID, a slash and the index
 	index            int
 	attempt          uint64
 	phase            string
-	cause            string
-	checkpointStored bool
+	cause            string        // of the exit
+	checkpointStored bool          // the exit came after a last checkpoint
 	startedAt        time.Duration // of running, in time that the machine executed, for progress
 	generation       int           // outdates scheduled events
 }
 
+// onMachine tells whether the task executes.
 func (assignment *taskAssignment) onMachine() bool {
 	return assignment.phase == taskWaiting || assignment.phase == taskRunning || assignment.phase == taskSaving
 }
 
-// startTask executes an order to start a task: it fetches the image, then runs it.
+// startTask executes a command to start a task: it fetches the image, then runs it.
 func (worker *fakeWorker) startTask(command taskCommand) {
 	worker.changed = true
 	i := strings.LastIndexByte(command.Task, '/')
@@ -50,21 +52,18 @@
 	if worker.images[job.id] {
 		wait = 0
 	}
-	worker.world.scheduleFor(assignment, wait, func() { worker.runTask(assignment) })
+	assignment.after(wait, func() { worker.runTask(assignment) })
 }
 
 // hasCapacity tells whether another task of a job fits on the machine.
 func (worker *fakeWorker) hasCapacity(job *jobRecord) bool {
-	kind := machineTypes[worker.machineType]
-	cpus, gpus, memory := kind.cpus, kind.gpus, kind.memory
+	free := machineTypes[worker.machineType].resources
 	for _, assignment := range worker.assignments {
 		if assignment.phase != taskExited {
-			cpus -= assignment.job.cpus
-			gpus -= assignment.job.gpus
-			memory -= assignment.job.memory
+			free = free.minus(assignment.job.resources)
 		}
 	}
-	return job.cpus <= cpus+rounding && job.gpus <= gpus+rounding && job.memory <= memory+rounding
+	return job.cpus <= free.cpus+rounding && job.gpus <= free.gpus+rounding && job.memory <= free.memory+rounding
 }
 
 // rounding is what sums of resources may be off by.
@@ -81,7 +80,7 @@
 		worker.exitTask(assignment, causeDone, false)
 	case job.shape == shapeGang:
 		assignment.phase = taskWaiting
-		worker.joinGang(assignment)
+		assignment.joinGang()
 	case assignment.fails():
 		assignment.phase = taskRunning
 		worker.failSoon(assignment)
@@ -100,7 +99,7 @@
 	if worker.slowdown > 0 {
 		left = time.Duration(float64(left) * worker.slowdown)
 	}
-	worker.world.scheduleFor(assignment, left, func() {
+	assignment.after(left, func() {
 		assignment.job.completed[assignment.index] = true
 		worker.exitTask(assignment, causeDone, false)
 		worker.world.users.taskCompleted(assignment.job)
@@ -117,26 +116,28 @@
 
 // failSoon lets a running task exit with an error.
 func (worker *fakeWorker) failSoon(assignment *taskAssignment) {
-	worker.world.scheduleFor(assignment, failureDelay, func() { worker.exitTask(assignment, causeError, false) })
+	assignment.after(failureDelay, func() { worker.exitTask(assignment, causeError, false) })
 }
 
-// scheduleFor runs f unless the task has changed state by then.
-func (world *World) scheduleFor(assignment *taskAssignment, duration time.Duration, action func()) {
+// after runs an action once the machine has executed for so long, unless the assignment has
+// changed state by then.
+func (assignment *taskAssignment) after(duration time.Duration, action func()) {
 	assignment.generation++
-	gen := assignment.generation
+	generation := assignment.generation
 	assignment.worker.afterExecuting(max(duration, 0), func() {
-		if assignment.generation == gen && assignment.worker.up && assignment.worker.assignments[assignment.name] == assignment {
+		if assignment.generation == generation && assignment.worker.up && assignment.worker.assignments[assignment.name] == assignment {
 			action()
 		}
 	})
 }
 
+// exitTask ends a task with a cause; stored tells that it stored a last checkpoint.
 func (worker *fakeWorker) exitTask(assignment *taskAssignment, cause string, stored bool) {
 	assignment.generation++
 	assignment.phase, assignment.cause, assignment.checkpointStored = taskExited, cause, stored
 	worker.changed = true
-	if gang := assignment.job.gangs[assignment.attempt]; gang != nil && cause != causeDone {
-		worker.world.leaveGang(assignment, gang)
+	if gang := assignment.gang(); gang != nil && cause != causeDone {
+		gang.leave(assignment)
 	}
 }
 
@@ -144,46 +145,52 @@
 func (worker *fakeWorker) removeTask(assignment *taskAssignment) {
 	assignment.generation++
 	assignment.phase = taskExited
-	if job := assignment.job; job != nil {
-		if gang := job.gangs[assignment.attempt]; gang != nil {
-			worker.world.leaveGang(assignment, gang)
-		}
+	if gang := assignment.gang(); gang != nil {
+		gang.leave(assignment)
 	}
 }
 
-func (worker *fakeWorker) stopTask(assignment *taskAssignment, wind time.Duration) {
+// stopTask stops a task, after a last checkpoint if the grace period is enough for it.
+func (worker *fakeWorker) stopTask(assignment *taskAssignment, gracePeriod time.Duration) {
 	job := assignment.job
 	worker.changed = true
 	if assignment.phase == taskSaving {
-		if wind == 0 {
+		if gracePeriod == 0 {
 			worker.exitTask(assignment, causeStopped, false)
 		}
 		return
 	}
-	if assignment.phase != taskRunning || job.checkpointInterval == 0 || wind < job.checkpointDuration {
+	canSave := assignment.phase == taskRunning && job.checkpointInterval != 0 && gracePeriod >= job.checkpointDuration
+	if !canSave {
 		worker.exitTask(assignment, causeStopped, false)
 		return
 	}
-	made := job.progress[assignment.index] + worker.executionTime() - assignment.startedAt
-	if job.shape == shapeGang {
-		gang := job.gangs[assignment.attempt]
-		if gang.stopRequestedAt == 0 {
-			gang.stopRequestedAt = worker.world.now
-		}
-		gang.stopped[assignment.index] = true
-		assignment.phase = taskSaving
-		worker.world.scheduleFor(assignment, job.checkpointDuration, func() {
-			saved := len(gang.stopped) == job.taskCount && !gang.over
-			if saved {
-				job.progress[0] = made
-			}
-			worker.exitTask(assignment, causeStopped, saved)
+	worker.saveAndExit(assignment)
+}
+
+// saveAndExit lets a running task store a last checkpoint. That of a gang is stored once all
+// its tasks have saved theirs.
+func (worker *fakeWorker) saveAndExit(assignment *taskAssignment) {
+	job := assignment.job
+	progress := job.progress[assignment.index] + worker.executionTime() - assignment.startedAt
+	assignment.phase = taskSaving
+	if job.shape != shapeGang {
+		assignment.after(job.checkpointDuration, func() {
+			job.progress[assignment.index] = progress
+			worker.exitTask(assignment, causeStopped, true)
 		})
 		return
 	}
-	assignment.phase = taskSaving
-	worker.world.scheduleFor(assignment, job.checkpointDuration, func() {
-		job.progress[assignment.index] = made
-		worker.exitTask(assignment, causeStopped, true)
+	gang := assignment.gang()
+	if gang.stopRequestedAt == 0 {
+		gang.stopRequestedAt = worker.world.now
+	}
+	gang.stopped[assignment.index] = true
+	assignment.after(job.checkpointDuration, func() {
+		saved := len(gang.stopped) == job.taskCount && !gang.over
+		if saved {
+			job.progress[0] = progress
+		}
+		worker.exitTask(assignment, causeStopped, saved)
 	})
 }
--- a/internal/simtest/worker_tasks_test.go
+++ b/internal/simtest/worker_tasks_test.go
@@ -16,10 +16,11 @@
 // newTwoMachines returns a world whose only controller does nothing, with a job
 // of two tasks and two machines, the first of them faulty.
 func newTwoMachines(t *testing.T, shape string) (*World, []*fakeWorker) {
+	t.Helper()
 	world := New(1, 1, io.Discard)
 	world.controllers[0].kill()
 	world.users.registerJob(Arguments{"id": "req-000001", "shape": shape, "tasks": "2", "run": "3s", "image": "0s"})
-	machines := []*fakeWorker{newWorker(world, "i-a", "i-a", "small", "a", false), newWorker(world, "i-b", "i-b", "small", "b", false)}
+	machines := []*fakeWorker{newWorker(world, smallMachine("i-a", "a")), newWorker(world, smallMachine("i-b", "b"))}
 	if got := runCommand(t, world, "faulty", Arguments{"machine": "i-a"}); got != "ok" || !machines[0].faulty || machines[1].faulty {
 		t.Fatalf("faulty: %s", got)
 	}
