--- /dev/null
+++ b/internal/controller/health_test.go
@@ -0,0 +1,49 @@
+package controller
+
+import (
+	"testing"
+	"time"
+
+	"lugward/internal/event"
+	"lugward/internal/peer"
+)
+
+// fakeState is a state service as one controller sees it.
+type fakeState struct {
+	synced      bool
+	unavailable bool
+	lastContact event.Time
+}
+
+func (s fakeState) Synced() bool            { return s.synced }
+func (s fakeState) Unavailable() bool       { return s.unavailable }
+func (s fakeState) LastContact() event.Time { return s.lastContact }
+
+func TestIsHealthy(t *testing.T) {
+	refused := func(age time.Duration) fakeState { return fakeState{true, true, testNow - age} }
+	dead := testPeer("b", time.Minute, peer.Frame{StateOK: true})
+	served := testPeer("c", 0, peer.Frame{StateOK: true})
+	unserved := testPeer("d", 0, peer.Frame{})
+	tests := []struct {
+		name  string
+		state fakeState
+		peers *peerTable
+		want  bool
+	}{
+		{"replica is not complete", fakeState{false, false, testNow}, testPeers(), false},
+		{"state service available", fakeState{true, false, 0}, testPeers(served), true},
+		{"refused a moment ago", refused(peerHeartbeatTimeout), testPeers(served), true},
+		{"refused while a peer is served", refused(peerHeartbeatTimeout + 1), testPeers(dead, served), false},
+		{"outage that all share", refused(time.Minute), testPeers(dead, unserved), true},
+		{"no peer heard, not for long", refused(isolatedAfter), testPeers(dead), true},
+		{"no peer heard for long", refused(isolatedAfter + 1), testPeers(dead), false},
+		{"outage without peers", refused(time.Minute), testPeers(), true},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			if got := isHealthy(testNow, test.state, test.peers); got != test.want {
+				t.Errorf("healthy %v, want %v", got, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/controller/leadership_test.go
@@ -0,0 +1,64 @@
+package controller
+
+import (
+	"testing"
+	"time"
+
+	"lugward/internal/event"
+)
+
+// fakeExpiry lets tasks terminate after a fixed time without an answer.
+type fakeExpiry time.Duration
+
+func (e fakeExpiry) TasksExpireAt(lastAnswer event.Time) event.Time {
+	return lastAnswer + time.Duration(e)
+}
+
+func TestHeartbeatDeadline(t *testing.T) {
+	const lease = fakeExpiry(time.Minute)
+	const begin = time.Hour
+	observed := begin + time.Second
+	tests := []struct {
+		name   string
+		before leadership
+		change func(l *leadership)
+		want   event.Time
+	}{
+		{"term has begun", leadership{}, func(*leadership) {}, begin + noWorkerHeartbeatTimeout},
+		{"heartbeat came", leadership{}, func(l *leadership) { l.observeWorker(observed) }, observed + noWorkerHeartbeatTimeout},
+		{"resigned without heartbeats", leadership{resignedWithoutHeartbeats: true}, func(*leadership) {},
+			begin + time.Minute + noWorkerHeartbeatTimeout},
+		{"resigned, then a heartbeat came", leadership{resignedWithoutHeartbeats: true},
+			func(l *leadership) { l.observeWorker(observed) }, observed + noWorkerHeartbeatTimeout},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			l := test.before
+			l.begin(begin)
+			test.change(&l)
+			if got := l.heartbeatDeadline(lease); got != test.want {
+				t.Errorf("deadline %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestPeriodicWork(t *testing.T) {
+	work := periodic{interval: time.Second}
+	steps := []struct {
+		now  event.Time
+		want bool
+	}{
+		{time.Second - 1, false},
+		{time.Second, true},
+		{time.Second, false},
+		{5 * time.Second, true}, // late
+		{6*time.Second - 1, false},
+		{6 * time.Second, true},
+	}
+	for _, step := range steps {
+		if got := work.takeDue(step.now); got != step.want {
+			t.Errorf("at %v due %v, want %v", step.now, got, step.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/pending_heartbeats_test.go
@@ -0,0 +1,121 @@
+package controller
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// addPending adds a heartbeat of a machine to those that wait.
+func addPending(t *testing.T, p *pendingHeartbeats, machine int) *pendingHeartbeat {
+	t.Helper()
+	pending := &pendingHeartbeat{machine: machine, receivedAt: time.Duration(machine) * time.Second}
+	if replaced := p.add(pending); replaced != nil {
+		t.Fatalf("the heartbeat of machine %d replaces another", machine)
+	}
+	return pending
+}
+
+func TestPendingHeartbeatReplacesOlderOfItsMachine(t *testing.T) {
+	p := newPendingHeartbeats()
+	first := addPending(t, &p, 1)
+	p.markIdle(first)
+	second := &pendingHeartbeat{machine: 1}
+	if replaced := p.add(second); replaced != first || !first.answered {
+		t.Errorf("replaced %v, answered %v; want the first, answered", replaced, first.answered)
+	}
+	if p.get(1) != second || p.idleCount != 0 {
+		t.Errorf("waiting %v, %d idle; want the second, none idle", p.get(1), p.idleCount)
+	}
+	p.markAnswered(second)
+	if !p.empty() {
+		t.Error("a heartbeat waits after both were answered")
+	}
+}
+
+func TestPendingHeartbeatQueues(t *testing.T) {
+	tests := []struct {
+		name               string
+		change             func(p *pendingHeartbeats, list []*pendingHeartbeat)
+		oldest, oldestIdle int // machine, 0: none
+		all                []int
+	}{
+		{"all wait", func(*pendingHeartbeats, []*pendingHeartbeat) {}, 1, 0, []int{1, 2, 3}},
+		{"oldest answered", func(p *pendingHeartbeats, list []*pendingHeartbeat) { p.markAnswered(list[0]) }, 2, 0, []int{2, 3}},
+		{"oldest idle", func(p *pendingHeartbeats, list []*pendingHeartbeat) { p.markIdle(list[0]) }, 2, 1, []int{1, 2, 3}},
+		{"idle twice", func(p *pendingHeartbeats, list []*pendingHeartbeat) {
+			p.markIdle(list[2])
+			p.markIdle(list[2])
+		}, 1, 3, []int{1, 2, 3}},
+		{"idle, then answered", func(p *pendingHeartbeats, list []*pendingHeartbeat) {
+			p.markIdle(list[1])
+			p.markAnswered(list[1])
+		}, 1, 0, []int{1, 3}},
+		{"all answered", func(p *pendingHeartbeats, list []*pendingHeartbeat) {
+			for _, pending := range list {
+				p.markAnswered(pending)
+			}
+		}, 0, 0, nil},
+	}
+	machineOf := func(pending *pendingHeartbeat) int {
+		if pending == nil {
+			return 0
+		}
+		return pending.machine
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			p := newPendingHeartbeats()
+			test.change(&p, []*pendingHeartbeat{addPending(t, &p, 1), addPending(t, &p, 2), addPending(t, &p, 3)})
+			var all []int
+			for pending := range p.all() {
+				all = append(all, pending.machine)
+				p.markAnswered(pending) // as the caller does
+			}
+			if !slices.Equal(all, test.all) {
+				t.Errorf("waiting: machines %v, want %v", all, test.all)
+			}
+			if p.idleCount != 0 {
+				t.Errorf("%d count as idle after all were answered", p.idleCount)
+			}
+		})
+		t.Run(test.name+", heads", func(t *testing.T) {
+			p := newPendingHeartbeats()
+			test.change(&p, []*pendingHeartbeat{addPending(t, &p, 1), addPending(t, &p, 2), addPending(t, &p, 3)})
+			if got := machineOf(p.oldest()); got != test.oldest {
+				t.Errorf("oldest of machine %d, want %d", got, test.oldest)
+			}
+			if got := machineOf(p.oldestIdle()); got != test.oldestIdle {
+				t.Errorf("oldest idle of machine %d, want %d", got, test.oldestIdle)
+			}
+		})
+	}
+}
+
+func TestHeartbeatsAreReviewedOnChangeAndAfterRounds(t *testing.T) {
+	p := newPendingHeartbeats()
+	addPending(t, &p, 1)
+	p.markIdle(addPending(t, &p, 2))
+	if got := p.takeToReview([]int{9}); !slices.Equal(got, []int{1, 2, 9}) {
+		t.Errorf("to review %v; want the new ones and what changed", got)
+	}
+	if got := p.takeToReview(nil); len(got) != 0 {
+		t.Errorf("to review again %v", got)
+	}
+	steps := []struct {
+		name           string
+		roundRequested bool
+		want           []int
+	}{
+		{"no round was awaited", false, nil},
+		{"a round is awaited", true, nil},
+		{"it is still awaited", true, nil},
+		{"it is over", false, []int{1}},
+		{"none is awaited any more", false, nil},
+	}
+	for _, step := range steps {
+		if got := p.appendAfterRound(nil, step.roundRequested); !slices.Equal(got, step.want) {
+			t.Errorf("%s: machines %v, want %v", step.name, got, step.want)
+		}
+	}
+}
