--- a/internal/controller/leader_work.go
+++ b/internal/controller/leader_work.go
@@ -139,8 +139,8 @@
 	schedule := &c.leadership.schedule
 	schedule.roundAt = now
 	c.jobs.ClearRoundRequest()
-	c.counters.rounds++
-	result := c.scheduler.Round(now, c.newBudget())
+	c.leadership.rounds++
+	result := c.scheduler.Round(now, c.leadership.budget.start())
 	c.leadership.lastRound = result
 	if replan := c.autoscaler.TakeReplanRequest(); replan || schedule.provisioning.isDue(now) {
 		schedule.provisioning.lastRun = now
@@ -148,15 +148,19 @@
 	}
 }
 
-// newBudget starts the processor time that the scheduler has for one round. It is
-// unlimited without a clock.
-func (c *Controller) newBudget() scheduler.Budget {
-	if c.clock == nil {
+// roundBudget is the processor time that the scheduler has for one round.
+type roundBudget struct {
+	clock func() time.Duration // nil: rounds are not bounded
+	limit time.Duration
+}
+
+// start starts the time of a round.
+func (b *roundBudget) start() scheduler.Budget {
+	if b.clock == nil {
 		return nil
 	}
-	begin := c.clock()
-	limit := time.Duration(c.cfg.Operator.Scheduler.Budget)
-	return func() bool { return c.clock()-begin > limit }
+	begin := b.clock()
+	return func() bool { return b.clock()-begin > b.limit }
 }
 
 // consolidate moves tasks off machines that can be released then.
@@ -165,7 +169,7 @@
 	if lastRound.Capacities == nil || !c.leadership.schedule.consolidation.takeDue(now) {
 		return
 	}
-	for _, machine := range c.scheduler.Consolidate(now, lastRound, c.newBudget()) {
+	for _, machine := range c.scheduler.Consolidate(now, lastRound, c.leadership.budget.start()) {
 		c.log.Info("machine drained for consolidation", "machine", machine.Name)
 	}
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -21,9 +21,15 @@
 	// heartbeat came, and no worker has sent us one since.
 	resignedWithoutHeartbeats bool
 	schedule                  leaderSchedule
+	budget                    roundBudget
+	rounds                    int                   // scheduling rounds since the process began
 	lastRound                 scheduler.RoundResult // of this term, empty before its first round
 }
 
+func newLeadership(budget roundBudget) leadership {
+	return leadership{schedule: newLeaderSchedule(), budget: budget}
+}
+
 // taskExpiry tells when the tasks of machines that do not answer have terminated.
 type taskExpiry interface {
 	// TasksExpireAt is when the tasks of a machine have terminated at the latest,
--- a/internal/controller/machine_sweep.go
+++ b/internal/controller/machine_sweep.go
@@ -17,7 +17,7 @@
 	if !c.machineSweep.takeDue(now) {
 		return
 	}
-	c.parser.Retain(func(name string) bool { return c.workers.Lookup(name) != nil })
+	c.heartbeats.parser.Retain(func(name string) bool { return c.workers.Lookup(name) != nil })
 	for index := range c.names.Machines.Len() {
 		if c.names.Machines.Used(index) && !c.refersToMachine(index) {
 			c.jobs.ForgetMachine(index)
@@ -29,5 +29,5 @@
 // refersToMachine tells whether a machine's index is in use.
 func (c *Controller) refersToMachine(index int) bool {
 	known := c.workers.MachineAt(index) != nil || c.autoscaler.IsBooting(index)
-	return known || len(c.jobs.OnMachine(index)) > 0 || c.heartbeats.get(index) != nil
+	return known || len(c.jobs.OnMachine(index)) > 0 || c.heartbeats.pending.get(index) != nil
 }
--- a/internal/controller/pending_heartbeats.go
+++ b/internal/controller/pending_heartbeats.go
@@ -2,11 +2,26 @@
 
 import (
 	"iter"
+	"time"
 
 	"lugward/internal/event"
 	"lugward/internal/worker"
 )
 
+const (
+	// heartbeatAnswerTimeout: a worker's heartbeat is answered when its consequences
+	// are stored, or after this. A write takes milliseconds; a slow one is not
+	// waited for.
+	heartbeatAnswerTimeout = 400 * time.Millisecond
+	// idleHeartbeatAnswerTimeout is how long the heartbeat of a machine without tasks
+	// waits: nothing can change there, and a start that is decided meanwhile need
+	// not wait for the next heartbeat. The worker waits for 4 s.
+	idleHeartbeatAnswerTimeout = 2500 * time.Millisecond
+	// idleSocketDivisor: waiting heartbeats of idle machines take 1/4 of all sockets
+	// at most, as other machines may need the rest.
+	idleSocketDivisor = 4
+)
+
 // pendingHeartbeat is a worker's heartbeat that was accepted and is not answered yet.
 type pendingHeartbeat struct {
 	replyTo    replyTarget
@@ -28,12 +43,13 @@
 	queue        []*pendingHeartbeat // due after heartbeatAnswerTimeout
 	idleQueue    []*pendingHeartbeat // due after idleHeartbeatAnswerTimeout
 	idleCount    int                 // unanswered ones in idleQueue
+	idleLimit    int                 // of idleCount, so that sockets are left for others
 	toReview     []int               // machines whose heartbeats are to be reviewed
 	roundAwaited bool                // at the last review a change waited for its round
 }
 
-func newPendingHeartbeats() pendingHeartbeats {
-	return pendingHeartbeats{byMachine: map[int]*pendingHeartbeat{}}
+func newPendingHeartbeats(idleLimit int) pendingHeartbeats {
+	return pendingHeartbeats{byMachine: map[int]*pendingHeartbeat{}, idleLimit: idleLimit}
 }
 
 // add adds a heartbeat. It returns the one that the same machine has sent before, if
@@ -100,16 +116,27 @@
 	return machines
 }
 
-// oldest returns the oldest heartbeat that waits for heartbeatAnswerTimeout, nil if
-// there is none.
-func (p *pendingHeartbeats) oldest() *pendingHeartbeat {
-	return head(&p.queue, (*pendingHeartbeat).waitsInQueue)
+// nextOverdue returns the oldest heartbeat that has waited for heartbeatAnswerTimeout
+// and was not found to be of an idle machine, nil if there is none.
+func (p *pendingHeartbeats) nextOverdue(now event.Time) *pendingHeartbeat {
+	oldest := head(&p.queue, (*pendingHeartbeat).waitsInQueue)
+	if oldest == nil || now-oldest.receivedAt < heartbeatAnswerTimeout {
+		return nil
+	}
+	return oldest
 }
 
-// oldestIdle returns the oldest heartbeat that waits for idleHeartbeatAnswerTimeout,
-// nil if there is none.
-func (p *pendingHeartbeats) oldestIdle() *pendingHeartbeat {
-	return head(&p.idleQueue, (*pendingHeartbeat).waits)
+// nextOverdueIdle returns the oldest heartbeat of an idle machine, if it has waited for
+// idleHeartbeatAnswerTimeout or more of them wait than may, else nil.
+func (p *pendingHeartbeats) nextOverdueIdle(now event.Time) *pendingHeartbeat {
+	oldest := head(&p.idleQueue, (*pendingHeartbeat).waits)
+	if oldest == nil {
+		return nil
+	}
+	if now-oldest.receivedAt < idleHeartbeatAnswerTimeout && p.idleCount <= p.idleLimit {
+		return nil
+	}
+	return oldest
 }
 
 // all iterates over the heartbeats that wait. They may be answered meanwhile.
--- a/internal/controller/pending_heartbeats_test.go
+++ b/internal/controller/pending_heartbeats_test.go
@@ -6,6 +6,9 @@
 	"time"
 )
 
+// longAfter is when any heartbeat of these tests has waited for long enough.
+const longAfter = time.Hour
+
 // addPending adds a heartbeat of a machine to those that wait.
 func addPending(t *testing.T, p *pendingHeartbeats, machine int) *pendingHeartbeat {
 	t.Helper()
@@ -17,7 +20,7 @@
 }
 
 func TestPendingHeartbeatReplacesOlderOfItsMachine(t *testing.T) {
-	p := newPendingHeartbeats()
+	p := newPendingHeartbeats(100)
 	first := addPending(t, &p, 1)
 	p.markIdle(first)
 	second := &pendingHeartbeat{machine: 1}
@@ -35,10 +38,10 @@
 
 func TestPendingHeartbeatQueues(t *testing.T) {
 	tests := []struct {
-		name               string
-		change             func(p *pendingHeartbeats, list []*pendingHeartbeat)
-		oldest, oldestIdle int // machine, 0: none
-		all                []int
+		name                 string
+		change               func(p *pendingHeartbeats, list []*pendingHeartbeat)
+		overdue, overdueIdle int // machine, 0: none
+		all                  []int
 	}{
 		{"all wait", func(*pendingHeartbeats, []*pendingHeartbeat) {}, 1, 0, []int{1, 2, 3}},
 		{"oldest answered", func(p *pendingHeartbeats, list []*pendingHeartbeat) { p.markAnswered(list[0]) }, 2, 0, []int{2, 3}},
@@ -65,7 +68,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			p := newPendingHeartbeats()
+			p := newPendingHeartbeats(100)
 			test.change(&p, []*pendingHeartbeat{addPending(t, &p, 1), addPending(t, &p, 2), addPending(t, &p, 3)})
 			var all []int
 			for pending := range p.all() {
@@ -80,20 +83,20 @@
 			}
 		})
 		t.Run(test.name+", heads", func(t *testing.T) {
-			p := newPendingHeartbeats()
+			p := newPendingHeartbeats(100)
 			test.change(&p, []*pendingHeartbeat{addPending(t, &p, 1), addPending(t, &p, 2), addPending(t, &p, 3)})
-			if got := machineOf(p.oldest()); got != test.oldest {
-				t.Errorf("oldest of machine %d, want %d", got, test.oldest)
+			if got := machineOf(p.nextOverdue(longAfter)); got != test.overdue {
+				t.Errorf("overdue of machine %d, want %d", got, test.overdue)
 			}
-			if got := machineOf(p.oldestIdle()); got != test.oldestIdle {
-				t.Errorf("oldest idle of machine %d, want %d", got, test.oldestIdle)
+			if got := machineOf(p.nextOverdueIdle(longAfter)); got != test.overdueIdle {
+				t.Errorf("overdue idle of machine %d, want %d", got, test.overdueIdle)
 			}
 		})
 	}
 }
 
 func TestHeartbeatsAreReviewedOnChangeAndAfterRounds(t *testing.T) {
-	p := newPendingHeartbeats()
+	p := newPendingHeartbeats(100)
 	addPending(t, &p, 1)
 	p.markIdle(addPending(t, &p, 2))
 	if got := p.takeToReview([]int{9}); !slices.Equal(got, []int{1, 2, 9}) {
@@ -119,3 +122,37 @@
 		}
 	}
 }
+
+func TestHeartbeatsBecomeOverdue(t *testing.T) {
+	const begin = time.Minute
+	tests := []struct {
+		name      string
+		idle      bool
+		idleLimit int
+		waited    time.Duration
+		want      bool
+	}{
+		{"in time", false, 1, heartbeatAnswerTimeout - 1, false},
+		{"overdue", false, 1, heartbeatAnswerTimeout, true},
+		{"idle, in time", true, 1, idleHeartbeatAnswerTimeout - 1, false},
+		{"idle, overdue", true, 1, idleHeartbeatAnswerTimeout, true},
+		{"idle, more than may wait", true, 0, 0, true},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			p := newPendingHeartbeats(test.idleLimit)
+			pending := &pendingHeartbeat{machine: 1, receivedAt: begin}
+			p.add(pending)
+			if test.idle {
+				p.markIdle(pending)
+			}
+			got, gotIdle := p.nextOverdue(begin+test.waited), p.nextOverdueIdle(begin+test.waited)
+			if (got != nil) != (test.want && !test.idle) {
+				t.Errorf("overdue: %v", got)
+			}
+			if (gotIdle != nil) != (test.want && test.idle) {
+				t.Errorf("overdue and idle: %v", gotIdle)
+			}
+		})
+	}
+}
--- a/internal/controller/counters.go
+++ b/internal/controller/work_counters.go
@@ -11,19 +11,13 @@
 	MachineIndices       int // that are or were in use; those of machines that are gone serve others
 }
 
-// counters counts what no other part counts.
-type counters struct {
-	workerHeartbeats int
-	rounds           int
-}
-
 // WorkCounters returns the counts since the process began.
 func (c *Controller) WorkCounters() WorkCounters {
 	return WorkCounters{
-		WorkerHeartbeats:     c.counters.workerHeartbeats,
-		BytesDecoded:         c.parser.DecodedBytes,
-		BytesUnchanged:       c.parser.UnchangedBytes,
-		Rounds:               c.counters.rounds,
+		WorkerHeartbeats:     c.heartbeats.received,
+		BytesDecoded:         c.heartbeats.parser.DecodedBytes,
+		BytesUnchanged:       c.heartbeats.parser.UnchangedBytes,
+		Rounds:               c.leadership.rounds,
 		CapacitiesRecomputed: c.scheduler.CapacitiesRecomputed(),
 		MachineIndices:       c.names.Machines.Len(),
 	}
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -7,6 +7,17 @@
 	"lugward/internal/worker"
 )
 
+// workerHeartbeats is what is kept of the heartbeats of workers.
+type workerHeartbeats struct {
+	parser   worker.HeartbeatParser
+	pending  pendingHeartbeats
+	received int // that workers have sent to this controller, relayed ones left out
+}
+
+func newWorkerHeartbeats(maxConnections int) workerHeartbeats {
+	return workerHeartbeats{pending: newPendingHeartbeats(maxConnections / idleSocketDivisor)}
+}
+
 // replyTarget is where the answer to a worker's heartbeat goes: to a connection of
 // ours or, for a heartbeat that a peer has relayed, back through that peer.
 type replyTarget struct {
@@ -24,8 +35,8 @@
 		out.Reply(request.Conn, httpwire.StatusMethodNotAllowed, nil)
 		return
 	}
-	c.counters.workerHeartbeats++
-	heartbeat, err := c.parser.Parse(request.Body)
+	c.heartbeats.received++
+	heartbeat, err := c.heartbeats.parser.Parse(request.Body)
 	if err != nil {
 		out.Reply(request.Conn, httpwire.StatusBadRequest, nil)
 		return
@@ -46,7 +57,7 @@
 // relayed.
 func (c *Controller) handleRelayedHeartbeat(now event.Time, from int, frame *peer.Frame, out *event.Effects) {
 	replyTo := replyTarget{peer: from, relayID: frame.ID}
-	heartbeat, err := c.parser.Parse(frame.Body)
+	heartbeat, err := c.heartbeats.parser.Parse(frame.Body)
 	if err != nil || !c.mayAnswerWorkers(now) {
 		c.respond(replyTo, httpwire.StatusServiceUnavailable, nil, out)
 		return
@@ -74,7 +85,7 @@
 
 // awaitAnswer lets a heartbeat wait for its answer.
 func (c *Controller) awaitAnswer(now event.Time, replyTo replyTarget, heartbeat *worker.Heartbeat, out *event.Effects) {
-	replaced := c.heartbeats.add(&pendingHeartbeat{
+	replaced := c.heartbeats.pending.add(&pendingHeartbeat{
 		replyTo:    replyTo,
 		heartbeat:  heartbeat,
 		machine:    c.names.Machines.Index(heartbeat.Machine),
