--- a/internal/api/feasibility.go
+++ b/internal/api/feasibility.go
@@ -5,7 +5,6 @@
 
 	"lugward/internal/config"
 	"lugward/internal/pipeline"
-	"lugward/internal/scheduler"
 )
 
 // newJob turns a submission into a job. Its errors are *infeasibleError if the job
@@ -83,7 +82,7 @@
 func (s *Server) usableZones(spec *pipeline.Spec) (fits bool, zones int) {
 	usable := map[int]bool{}
 	for _, machineType := range *s.machineTypes {
-		if !scheduler.Allows(spec, machineType) {
+		if !machineType.CanRun(spec) {
 			continue
 		}
 		fits = true
--- a/internal/autoscaler/capacity_forecast.go
+++ b/internal/autoscaler/capacity_forecast.go
@@ -47,7 +47,7 @@
 // empty.
 func (f *capacityForecast) hasMachineFor(job *pipeline.Job) bool {
 	return slices.ContainsFunc(f.capacities, func(capacity *scheduler.Capacity) bool {
-		return capacity != nil && capacity.Matches(&job.Spec) && scheduler.Allows(&job.Spec, capacity.MachineType)
+		return capacity != nil && capacity.Matches(&job.Spec) && capacity.MachineType.CanRun(&job.Spec)
 	})
 }
 
--- a/internal/autoscaler/machine_pool.go
+++ b/internal/autoscaler/machine_pool.go
@@ -86,7 +86,7 @@
 func (s *poolSelector) cheapest(query poolQuery) (best poolCandidate, found bool) {
 	least := math.Inf(1)
 	for _, machineType := range s.catalog.types {
-		if !scheduler.Allows(&query.job.Spec, machineType) {
+		if !machineType.CanRun(&query.job.Spec) {
 			continue
 		}
 		for _, zone := range machineType.Zones {
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -179,7 +179,7 @@
 func (p *plan) bootTime(job *pipeline.Job) float64 {
 	least := math.Inf(1)
 	for _, machineType := range p.catalog.types {
-		if scheduler.Allows(&job.Spec, machineType) {
+		if machineType.CanRun(&job.Spec) {
 			least = min(least, p.bootTimes.expected(machineType))
 		}
 	}
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -20,13 +20,13 @@
 	Spot        bool
 	FreeCPUs    float64
 	FreeGPUs    float64
-	FreeMemory  float64                // GB
-	InUse       bool                   // tasks are on it
-	Evicting    []*pipeline.Assignment // its tasks that are being evicted
+	FreeMemory  float64 // GB
+	InUse       bool    // tasks are on it
 
-	releases       []expectedRelease // by its tasks, the earliest first
-	releasesListed bool              // releases are filled in
-	changes        uint32            // of the machine's assignments when it was computed
+	evicting       []*pipeline.Assignment // its tasks that are being evicted
+	releases       []expectedRelease      // by its tasks, the earliest first
+	releasesListed bool                   // releases are filled in
+	changes        uint32                 // of the machine's assignments when it was computed
 }
 
 // Fits returns how many tasks of a job fit.
@@ -124,16 +124,16 @@
 		}
 		capacity.Allocate(&task.Job.Spec, 1)
 		if task.Evicting() {
-			capacity.Evicting = append(capacity.Evicting, task)
+			capacity.evicting = append(capacity.evicting, task)
 		}
 	}
 	// A round appends to its copy: that must not reach the cached one.
-	capacity.Evicting = slices.Clip(capacity.Evicting)
+	capacity.evicting = slices.Clip(capacity.evicting)
 	return capacity
 }
 
-// Capacities lists what is free on the machines that are up.
-func (s *Scheduler) Capacities(now event.Time) []*Capacity {
+// machineCapacities lists what is free on the machines that are up.
+func (s *Scheduler) machineCapacities(now event.Time) []*Capacity {
 	all := make([]Capacity, 0, s.workers.Len())
 	for machine := range s.workers.All() {
 		if !machine.Schedulable(now, s.cfg.HeartbeatTimeout) {
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -19,7 +19,7 @@
 	job := s.addJob("req-1", func(j *pipeline.Job) { j.TaskCount, j.CPUs = 2, 3 })
 	check := func(when string, first, second float64, recomputed int) {
 		t.Helper()
-		capacities := s.Capacities(s.now)
+		capacities := s.machineCapacities(s.now)
 		if len(capacities) != 2 || capacities[0].FreeCPUs != first || capacities[1].FreeCPUs != second {
 			t.Fatalf("%s: %+v; want %v and %v CPUs", when, capacities, first, second)
 		}
@@ -28,7 +28,7 @@
 		}
 	}
 	check("empty machines", 8, 8, 2)
-	second := s.Capacities(s.now)[1].Machine
+	second := s.machineCapacities(s.now)[1].Machine
 	task := s.jobs.Assign(job, 0, second.Index, 1, s.now)
 	check("with a task on the second", 8, 5, 3)
 	s.jobs.RecordTermination(task)
--- a/internal/scheduler/consolidation.go
+++ b/internal/scheduler/consolidation.go
@@ -129,7 +129,7 @@
 		if !canMove(task, c.now) {
 			return false
 		}
-		longest = max(longest, c.RemainingRuntime(task, c.now))
+		longest = max(longest, c.remainingRuntime(task, c.now))
 	}
 	return longest > minConsolidationGain
 }
--- a/internal/scheduler/consolidation_test.go
+++ b/internal/scheduler/consolidation_test.go
@@ -33,11 +33,11 @@
 		s.setRunRecord(id, fmt.Sprintf(`{"t":1,"a":[[0,1,%q]]}`, name), 100)
 	}
 	recordRunning()
-	first := s.Consolidate(s.now, RoundResult{Capacities: s.Capacities(s.now)}, nil)
+	first := s.Consolidate(s.now, RoundResult{Capacities: s.machineCapacities(s.now)}, nil)
 	if len(first) != machines/2 {
 		t.Fatalf("%d of %d machines drained, not half of them", len(first), machines)
 	}
-	second := s.Consolidate(s.now, RoundResult{Capacities: s.Capacities(s.now)}, nil)
+	second := s.Consolidate(s.now, RoundResult{Capacities: s.machineCapacities(s.now)}, nil)
 	if len(second) != 0 {
 		t.Errorf("%d more machines drained while the tasks of the first ones are not placed yet", len(second))
 	}
@@ -49,7 +49,7 @@
 		s.workers.Remove(machine)
 		s.heartbeat(machine.Name)
 	}
-	blocked := RoundResult{Blocked: []*pipeline.Job{waiting}, Capacities: s.Capacities(s.now)}
+	blocked := RoundResult{Blocked: []*pipeline.Job{waiting}, Capacities: s.machineCapacities(s.now)}
 	if third := s.Consolidate(s.now, blocked, nil); len(third) != 0 {
 		t.Errorf("%d machines drained of a type on which a job waits", len(third))
 	}
--- a/internal/scheduler/expected_release.go
+++ b/internal/scheduler/expected_release.go
@@ -31,8 +31,8 @@
 	return cmp.Or(cmp.Compare(a.Job.ReadyRevision, b.Job.ReadyRevision), cmp.Compare(a.Task, b.Task))
 }
 
-// RemainingRuntime estimates how long a task still runs, in seconds.
-func (s *Scheduler) RemainingRuntime(task *pipeline.Assignment, now event.Time) float64 {
+// remainingRuntime estimates how long a task still runs, in seconds.
+func (s *Scheduler) remainingRuntime(task *pipeline.Assignment, now event.Time) float64 {
 	if task.Job.Shape == pipeline.Daemon {
 		return math.Inf(1) // until it is cancelled
 	}
@@ -47,7 +47,7 @@
 // that are being evicted have terminated; those that are to run again are returned.
 // ReleaseWithin then adds what is released later.
 func (s *Scheduler) ProjectedCapacities(now event.Time) (capacities []*Capacity, evicting []*pipeline.Assignment) {
-	capacities = s.Capacities(now)
+	capacities = s.machineCapacities(now)
 	for _, capacity := range capacities {
 		for _, task := range s.jobs.OnMachine(capacity.Machine.Index) {
 			finished := task.Job.TerminalPhase != pipeline.Queued
@@ -59,7 +59,7 @@
 			case task.Evicting() || finished || task.Pending() != pipeline.NoPendingWrite:
 				capacity.release(&task.Job.Spec)
 			default:
-				capacity.releases = append(capacity.releases, expectedRelease{task, s.RemainingRuntime(task, now)})
+				capacity.releases = append(capacity.releases, expectedRelease{task, s.remainingRuntime(task, now)})
 			}
 		}
 		sortReleases(capacity.releases)
@@ -88,7 +88,7 @@
 		if task.Phase() == pipeline.TaskExited {
 			continue // it was not counted
 		}
-		after := s.RemainingRuntime(task, now)
+		after := s.remainingRuntime(task, now)
 		if task.Evicting() {
 			after = task.Job.CheckpointDuration
 		}
--- a/internal/scheduler/job_order_test.go
+++ b/internal/scheduler/job_order_test.go
@@ -8,66 +8,106 @@
 	"lugward/internal/record"
 )
 
+// How long ago a job became ready, for one whose start is overdue and for one whose is
+// not yet.
+const (
+	longAgo = startOverdueAfter + time.Second
+	justNow = startOverdueAfter - time.Second
+)
+
+// overdueTest describes two jobs of the same size, of which only one fits.
+type overdueTest struct {
+	name         string
+	first        pipeline.Shape // of the job that became ready first
+	firstRun     string         // its run record
+	firstIsHigh  bool           // it has a higher priority
+	second       pipeline.Shape // of the other job
+	secondRetry  string         // its retry record
+	secondWaited time.Duration
+	secondFirst  bool // it goes first
+}
+
+// run checks which of the jobs goes first, in the order and in a round.
+func (test overdueTest) run(t *testing.T) {
+	t.Helper()
+	s := newSite(t)
+	first := s.addJob("req-1", func(j *pipeline.Job) {
+		j.Shape, j.TaskCount, j.CPUs = test.first, 2, 4
+		if test.firstIsHigh {
+			j.Priority = pipeline.High
+		}
+	})
+	second := s.addJob("req-2", func(j *pipeline.Job) {
+		j.Shape, j.TaskCount, j.CPUs = test.second, 2, 4
+	})
+	s.setTime(time.Hour)
+	first.ReadySince = s.now - longAgo
+	second.ReadySince = s.now - test.secondWaited
+	if test.firstRun != "" {
+		s.setRunRecord("req-1", test.firstRun, 9)
+	}
+	if test.secondRetry != "" {
+		s.setRetryRecord("req-2", test.secondRetry, 9)
+	}
+	want := "req-1 req-2"
+	if test.secondFirst {
+		want = "req-2 req-1"
+	}
+	if got := s.jobOrder(); got != want {
+		t.Errorf("order %s, not %s", got, want)
+	}
+	s.runRound()
+	if got := second.ActiveCount() == second.TaskCount; got != test.secondFirst {
+		t.Errorf("all of the second is placed: %v", got)
+	}
+}
+
 // A job that has been ready for long and has not started goes before the waiting
 // tasks of one that has, in the order and for the capacity that there is; not before a
 // higher priority, a gang whose rest waits, or another that has not started and became
 // ready earlier, unless it is a gang itself. One that fails wherever it is tried gains
 // nothing by waiting.
 func TestOverdueJobGoesFirst(t *testing.T) {
-	const (
-		justNow = startOverdueAfter - time.Second
-		longAgo = startOverdueAfter + time.Second
-	)
-	tests := []struct {
-		name         string
-		firstRun     string // run record of the job that became ready first
-		secondRetry  string // retry record of the other
-		priority     pipeline.Priority
-		first        pipeline.Shape
-		second       pipeline.Shape
-		secondWaited time.Duration
-		secondFirst  bool // the second one goes first
-	}{
-		{"the first has started", firstTaskElsewhere, "", pipeline.Normal, pipeline.Array, pipeline.Array, longAgo, true},
-		{"a task of the first is done", firstTaskDone, "", pipeline.Normal, pipeline.Array, pipeline.Array, longAgo, true},
-		{"neither has started", "", "", pipeline.Normal, pipeline.Array, pipeline.Array, longAgo, false},
-		{"the second has not waited for long", firstTaskElsewhere, "", pipeline.Normal, pipeline.Array, pipeline.Array, justNow, false},
-		{"the first has a higher priority", firstTaskElsewhere, "", pipeline.High, pipeline.Array, pipeline.Array, longAgo, false},
-		{"the first is a gang whose rest waits", firstTaskElsewhere, "", pipeline.Normal, pipeline.Gang, pipeline.Array, longAgo, false},
-		{"neither has started and the second is a gang", "", "", pipeline.Normal, pipeline.Array, pipeline.Gang, longAgo, true},
-		{"the second is at fault", firstTaskElsewhere, failedOnce, pipeline.Normal, pipeline.Array, pipeline.Array, longAgo, false},
-		{"the second is a gang at fault", firstTaskElsewhere, failedOnce, pipeline.Normal, pipeline.Array, pipeline.Gang, longAgo, false},
+	tests := []overdueTest{
+		{
+			name:     "the first has started",
+			firstRun: firstTaskElsewhere, secondWaited: longAgo, secondFirst: true,
+		},
+		{
+			name:     "a task of the first is done",
+			firstRun: firstTaskDone, secondWaited: longAgo, secondFirst: true,
+		},
+		{
+			name:         "neither has started",
+			secondWaited: longAgo,
+		},
+		{
+			name:     "the second has not waited for long",
+			firstRun: firstTaskElsewhere, secondWaited: justNow,
+		},
+		{
+			name:     "the first has a higher priority",
+			firstRun: firstTaskElsewhere, firstIsHigh: true, secondWaited: longAgo,
+		},
+		{
+			name:  "the first is a gang whose rest waits",
+			first: pipeline.Gang, firstRun: firstTaskElsewhere, secondWaited: longAgo,
+		},
+		{
+			name:   "neither has started and the second is a gang",
+			second: pipeline.Gang, secondWaited: longAgo, secondFirst: true,
+		},
+		{
+			name:     "the second is at fault",
+			firstRun: firstTaskElsewhere, secondRetry: failedOnce, secondWaited: longAgo,
+		},
+		{
+			name:     "the second is a gang at fault",
+			firstRun: firstTaskElsewhere, second: pipeline.Gang, secondRetry: failedOnce, secondWaited: longAgo,
+		},
 	}
 	for _, test := range tests {
-		t.Run(test.name, func(t *testing.T) {
-			s := newSite(t)
-			first := s.addJob("req-1", func(j *pipeline.Job) {
-				j.Shape, j.TaskCount, j.CPUs, j.Priority = test.first, 2, 4, test.priority
-			})
-			second := s.addJob("req-2", func(j *pipeline.Job) {
-				j.Shape, j.TaskCount, j.CPUs = test.second, 2, 4
-			})
-			s.setTime(time.Hour)
-			first.ReadySince = s.now - longAgo
-			second.ReadySince = s.now - test.secondWaited
-			if test.firstRun != "" {
-				s.setRunRecord("req-1", test.firstRun, 9)
-			}
-			if test.secondRetry != "" {
-				s.setRetryRecord("req-2", test.secondRetry, 9)
-			}
-			want := "req-1 req-2"
-			if test.secondFirst {
-				want = "req-2 req-1"
-			}
-			if got := s.jobOrder(); got != want {
-				t.Errorf("order %s, not %s", got, want)
-			}
-			s.runRound()
-			if got := second.ActiveCount() == second.TaskCount; got != test.secondFirst {
-				t.Errorf("all of the second is placed: %v", got)
-			}
-		})
+		t.Run(test.name, test.run)
 	}
 }
 
--- a/internal/scheduler/limit.go
+++ b/internal/scheduler/limit.go
@@ -6,8 +6,8 @@
 	"lugward/internal/pipeline"
 )
 
-// TasksWithinLimit returns how many more tasks of the job its team's limit allows.
-func (s *Scheduler) TasksWithinLimit(job *pipeline.Job) int {
+// tasksWithinLimit returns how many more tasks of the job its team's limit allows.
+func (s *Scheduler) tasksWithinLimit(job *pipeline.Job) int {
 	return s.TasksWithinLimitBeside(job, pipeline.Usage{})
 }
 
--- a/internal/scheduler/machine_type.go
+++ b/internal/scheduler/machine_type.go
@@ -30,13 +30,14 @@
 	return t[index]
 }
 
-// Allows reports whether a type can hold a task of the job at all.
-func Allows(spec *pipeline.Spec, machineType *MachineType) bool {
-	if machineType == nil || !spec.Allows(machineType.Index) {
+// CanRun reports whether an empty machine of the type can run a task of the job. None
+// can of an unknown type, nil.
+func (t *MachineType) CanRun(spec *pipeline.Spec) bool {
+	if t == nil || !spec.Allows(t.Index) {
 		return false
 	}
-	if spec.CPUs > machineType.CPUs || spec.GPUs > machineType.GPUs || spec.Memory > machineType.Memory {
+	if spec.CPUs > t.CPUs || spec.GPUs > t.GPUs || spec.Memory > t.Memory {
 		return false
 	}
-	return spec.Zone < 0 || slices.Contains(machineType.Zones, spec.Zone)
+	return spec.Zone < 0 || slices.Contains(t.Zones, spec.Zone)
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -44,7 +44,7 @@
 // there are any of an older one, the gang is being terminated and not scheduled.
 func (s *Scheduler) tasksToPlace(job *pipeline.Job) int {
 	startable := job.StartableCount()
-	allowed := s.TasksWithinLimit(job)
+	allowed := s.tasksWithinLimit(job)
 	if job.Shape == pipeline.Gang && allowed < startable {
 		return 0
 	}
--- a/internal/scheduler/placement_score.go
+++ b/internal/scheduler/placement_score.go
@@ -16,8 +16,8 @@
 	idleMachineScore    = 2.0   // a machine without tasks, which could be released
 )
 
-// FetchTime is how long a machine fetches a job's image, in seconds.
-func (c *Capacity) FetchTime(job *pipeline.Job) float64 {
+// fetchTime is how long a machine fetches a job's image, in seconds.
+func (c *Capacity) fetchTime(job *pipeline.Job) float64 {
 	if c.Machine == nil || c.Machine.HasImage(job.Image) || c.MachineType.FetchRate <= 0 {
 		return 0
 	}
@@ -30,7 +30,7 @@
 	if job.GPUs == 0 && capacity.MachineType.GPUs > 0 {
 		score += idleGPUsScore
 	}
-	score += fetchWeight * capacity.FetchTime(job)
+	score += fetchWeight * capacity.fetchTime(job)
 	// The start is sent in the answer to the machine's next heartbeat.
 	sinceHeartbeat := now - capacity.Machine.LastHeartbeat()
 	score += heartbeatWaitWeight * max(0, (s.cfg.HeartbeatInterval-sinceHeartbeat).Seconds())
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -68,7 +68,7 @@
 func (r *round) preemptionPricing(job *pipeline.Job) slotPricing {
 	return func(free *Capacity, claimed victimSet) (slotPrice, bool) {
 		afterEvictions := free.afterEvictions()
-		fetch := imageFetchWeight * free.FetchTime(job)
+		fetch := imageFetchWeight * free.fetchTime(job)
 		if afterEvictions.Fits(&job.Spec) > 0 {
 			return slotPrice{cost: fetch}, true
 		}
@@ -92,7 +92,7 @@
 func (r *round) useSlot(job *pipeline.Job, slot slot, attempt uint64) {
 	for _, victim := range slot.victims {
 		r.workers.Evict(victim, worker.GracePeriod(victim.Job))
-		slot.capacity.Evicting = append(slot.capacity.Evicting, victim)
+		slot.capacity.noteEviction(victim)
 		r.preempted.add(victim.Job)
 	}
 	if slot.victims == nil && slot.capacity.Fits(&job.Spec) > 0 {
@@ -102,11 +102,16 @@
 	}
 }
 
+// noteEviction records that a task of the machine is being evicted.
+func (c *Capacity) noteEviction(task *pipeline.Assignment) {
+	c.evicting = append(c.evicting, task)
+}
+
 // afterEvictions is the capacity once the tasks that are being evicted have
 // terminated.
 func (c *Capacity) afterEvictions() Capacity {
 	free := *c
-	for _, task := range c.Evicting {
+	for _, task := range c.evicting {
 		free.release(&task.Job.Spec)
 	}
 	return free
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -22,7 +22,7 @@
 	}
 	s.addJob("req-3", heldBy("req-2", pipeline.High, 0))
 	s.runRound()
-	// One that is not stored yet is taken back at once.
+	// A placement that is not stored yet is withdrawn at once.
 	if task := normal.Assignment(0); task != nil && !task.Evicting() {
 		t.Error("not preempted for what an important job needs")
 	}
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -28,7 +28,7 @@
 	// there; nil: not listed yet.
 	byFirstRelease        []machineRelease
 	lowestRunningPriority pipeline.Priority
-	preempted             usageByTeam // what this round stops
+	preempted             usageByTeam // what this round preempts
 	reserved              usageByTeam // what this round reserves
 }
 
@@ -70,7 +70,7 @@
 		Scheduler:  s,
 		now:        now,
 		budget:     budget,
-		capacities: s.Capacities(now),
+		capacities: s.machineCapacities(now),
 		preempted:  usageByTeam{},
 		reserved:   usageByTeam{},
 	}
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -14,7 +14,7 @@
 	// image.
 	starvedAfter = 150 * time.Second
 	// firstTaskProtection is for how long the first task of a job that was starved is
-	// not preempted: the next round would stop it for the jobs it overtook.
+	// not preempted: the next round would evict it for the jobs it overtook.
 	firstTaskProtection = time.Minute
 	// maxStarvedStarts bounds the starved jobs that one round starts, since each looks
 	// at all machines.
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -20,11 +20,11 @@
 		retry  string // its retry record
 		want   int    // tasks of it that the round places
 	}{
-		{"starved", pipeline.Array, tooLong, "", "", 1},
-		{"not waited for long", pipeline.Array, starvedAfter - time.Second, "", "", 0},
-		{"started", pipeline.Array, tooLong, firstTaskElsewhere, "", 0},
-		{"gang", pipeline.Gang, tooLong, "", "", 0},
-		{"at fault", pipeline.Array, tooLong, "", failedOnce, 0},
+		{name: "starved", waited: tooLong, want: 1},
+		{name: "not waited for long", waited: starvedAfter - time.Second},
+		{name: "started", waited: tooLong, run: firstTaskElsewhere},
+		{name: "gang", waited: tooLong, shape: pipeline.Gang},
+		{name: "at fault", waited: tooLong, retry: failedOnce},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
