--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -15,6 +15,7 @@
 	Expected string
 }
 
+// String names the field, what is expected there and what was found.
 func (b *badField) String() string {
 	field, value := b.Field, any("nothing")
 	if field == "" {
@@ -32,13 +33,16 @@
 	Err error // the cause; may be nil
 }
 
+// Error says in one line what is malformed.
 func (e *malformedError) Error() string { return "malformed submission: " + e.String() }
 
+// Unwrap returns the cause, or nil.
 func (e *malformedError) Unwrap() error { return e.Err }
 
 // infeasibleError refuses a job that could never run.
 type infeasibleError struct{ badField }
 
+// Error says in one line what keeps the job from running.
 func (e *infeasibleError) Error() string { return "job can never run: " + e.String() }
 
 // unavailableError refuses a request that can't be decided or carried out now.
@@ -47,6 +51,7 @@
 	RetryAfter int // seconds after which the client may come back
 }
 
+// Error says in one line why, and when to come back.
 func (e *unavailableError) Error() string {
 	return fmt.Sprintf("%s: retry after %d s", e.Reason, e.RetryAfter)
 }
--- /dev/null
+++ b/internal/api/server_test.go
@@ -0,0 +1,39 @@
+package api
+
+import (
+	"testing"
+
+	"lugward/internal/event"
+)
+
+// TestRouting: which method and path gets which status.
+func TestRouting(t *testing.T) {
+	for _, c := range []struct {
+		name, method, path, body string
+		status                   int
+	}{
+		{"submission", "POST", "/submissions", body(1, ""), 201},
+		{"submission with a query", "POST", "/submissions?a=b", body(1, ""), 201},
+		{"malformed submission", "POST", "/submissions", "{}", 400},
+		{"list of jobs", "GET", "/submissions", "", 405},
+		{"no ID", "GET", "/submissions/", "", 404},
+		{"no ID to cancel", "POST", "/submissions//cancel", "", 404},
+		{"unknown job", "GET", "/submissions/req-9", "", 404},
+		{"unknown job with a query", "GET", "/submissions/req-9?a=b", "", 404},
+		{"slash behind the ID", "GET", "/submissions/req-9/", "", 405},
+		{"another method for a job", "DELETE", "/submissions/req-9", "", 405},
+		{"cancellation of an unknown job", "POST", "/submissions/req-9/cancel", "", 404},
+		{"another method for a cancellation", "GET", "/submissions/req-9/cancel", "", 405},
+		{"unknown action", "POST", "/submissions/req-9/start", "", 404},
+		{"longer word", "GET", "/submissionsx", "", 405},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			n := newNode(t, newFakeStore(t), "n0")
+			n.expect(c.path, n.send(c.method, c.path, c.body), c.status, "")
+		})
+	}
+	n := newNode(t, newFakeStore(t), "n0")
+	if n.server.Handle(n.now, event.Request{Conn: 1, Method: "GET", Path: "/other"}, &n.out) || len(n.out.Replies) != 0 {
+		t.Error("a request for another path was taken")
+	}
+}
