--- a/internal/autoscaler/partitions_test.go
+++ b/internal/autoscaler/partitions_test.go
@@ -31,7 +31,9 @@
 				if i < test.unresponsive {
 					at = now - testHeartbeatTimeout - 1
 				}
-				f.workers.HandleHeartbeat(workertest.Heartbeat(fmt.Sprintf("i-%d", i), at), at, workertest.Leader{})
+				if err := f.workers.HandleHeartbeat(workertest.Heartbeat(fmt.Sprintf("i-%d", i), at), at, workertest.Leader{}); err != nil {
+					t.Fatal(err)
+				}
 			}
 			f.partitions.update(f.partitions.runningByZone(), now)
 			zone, ok := f.names.Zones.Lookup("a")
--- a/internal/autoscaler/token_announcements_test.go
+++ b/internal/autoscaler/token_announcements_test.go
@@ -23,7 +23,9 @@
 		heartbeat.Addr = fmt.Sprintf("10.1.0.1:%d", i)
 		heartbeat.Zone = fmt.Sprintf("zone-%d", i%3)
 		heartbeat.FencingToken = workertest.FencingToken - 1
-		f.workers.HandleHeartbeat(heartbeat, now, workertest.Leader{})
+		if err := f.workers.HandleHeartbeat(heartbeat, now, workertest.Leader{}); err != nil {
+			t.Fatal(err)
+		}
 	}
 	now += 3 * time.Second
 	told := map[string]int{}
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -68,7 +68,7 @@
 // acceptWorkerHeartbeat applies a worker's heartbeat as leader, whichever way it
 // came. Its answer follows when its consequences are stored.
 func (c *Controller) acceptWorkerHeartbeat(now event.Time, replyTo replyTarget, heartbeat *worker.Heartbeat, out *event.Effects) {
-	if c.autoscaler.Released(heartbeat.Machine) || !c.workers.HandleHeartbeat(heartbeat, now, c.election) {
+	if c.autoscaler.Released(heartbeat.Machine) || c.workers.HandleHeartbeat(heartbeat, now, c.election) != nil {
 		c.respond(replyTo, httpwire.StatusServiceUnavailable, nil, out)
 		return
 	}
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -86,9 +86,10 @@
 }
 
 // heartbeat handles a heartbeat of a machine of the first type that runs no tasks. A
-// machine that is new is added.
+// machine that is new is added. A second heartbeat at the same time is refused and
+// changes nothing.
 func (s *site) heartbeat(machine string) {
-	s.workers.HandleHeartbeat(workertest.Heartbeat(machine, s.now), s.now, workertest.Leader{})
+	_ = s.workers.HandleHeartbeat(workertest.Heartbeat(machine, s.now), s.now, workertest.Leader{})
 }
 
 // setTime sets the time, at which the site's machine has just sent a heartbeat.
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -76,8 +76,8 @@
 	if task.assignment.Pending() != pipeline.NoPendingWrite && !cancelled {
 		return
 	}
-	if due, gracePeriod := mustTerminate(task.assignment); due {
-		response.terminations = append(response.terminations, terminateCommand(task.Task, task.Attempt, gracePeriod))
+	if termination := terminationOf(task.assignment); termination.due {
+		response.terminations = append(response.terminations, terminateCommand(task.Task, task.Attempt, termination.gracePeriod))
 	}
 }
 
@@ -96,19 +96,22 @@
 // respondToUnlisted decides what to do with a stored assignment that the heartbeat
 // lacks.
 func (r *Registry) respondToUnlisted(response *response, assignment *pipeline.Assignment) {
-	terminate, _ := mustTerminate(assignment)
+	if terminationOf(assignment).due {
+		// A worker has one heartbeat in flight and carries out no late response: a
+		// start that this heartbeat does not show will not happen.
+		if response.tokenConfirmed {
+			r.jobs.RecordTermination(assignment)
+		}
+		return
+	}
 	lost := assignment.Phase() >= pipeline.TaskWaitingForGang && response.tokenConfirmed
 	switch {
-	case !terminate && lost && assignment.Job.IsGang():
-		// The worker lost it: the rest of the gang cannot go on.
+	case lost && assignment.Job.IsGang():
+		// The rest of the gang cannot go on.
 		r.terminateGang(assignment.Job)
 		r.jobs.RecordTermination(assignment)
-	case !terminate && response.mayStart:
+	case response.mayStart:
 		response.start(assignment)
-	case terminate && response.tokenConfirmed:
-		// A worker has one heartbeat in flight and carries out no late response: a
-		// start that this heartbeat does not show will not happen.
-		r.jobs.RecordTermination(assignment)
 	}
 }
 
@@ -119,12 +122,3 @@
 	assignment.RecordStartCommand(r.heartbeat.Sequence)
 	r.machine.images[assignment.Job.Image] = true
 }
-
-// mustTerminate tells whether a task is to be terminated, and with which grace period
-// in seconds.
-func mustTerminate(assignment *pipeline.Assignment) (due bool, gracePeriod float64) {
-	if assignment.Job.TerminalPhase != pipeline.Queued {
-		return true, 0
-	}
-	return assignment.Evicting(), assignment.GracePeriod()
-}
--- a/internal/worker/failure_detector.go
+++ b/internal/worker/failure_detector.go
@@ -64,7 +64,7 @@
 	if assignment.StartedAt() == 0 {
 		return 0
 	}
-	return now - event.Time(assignment.StartedAt())
+	return now - assignment.StartedAt()
 }
 
 // runsFor tells whether a task is running and has been for a time.
@@ -135,7 +135,7 @@
 // quarantine takes a machine at fault out of use: what runs there is evicted, and the
 // machine is released when it is empty.
 func (r *Registry) quarantine(machine *Machine) {
-	r.log.Info("machine is faulty", "machine", machine.Name, "failed_jobs", len(machine.failedJobs))
+	r.log.Info("machine quarantined", "machine", machine.Name, "failed_jobs", len(machine.failedJobs))
 	machine.quarantined = true
 	machine.draining = true
 	for _, id := range slices.Sorted(maps.Keys(machine.failedJobs)) {
--- /dev/null
+++ b/internal/worker/fixture_test.go
@@ -0,0 +1,102 @@
+package worker_test
+
+import (
+	"io"
+	"log/slog"
+	"strconv"
+	"testing"
+	"time"
+
+	"lugward/internal/event"
+	"lugward/internal/pipeline"
+	"lugward/internal/record"
+	"lugward/internal/worker"
+	"lugward/internal/worker/workertest"
+)
+
+var _ worker.Leadership = workertest.Leader{}
+
+// leader is the leadership in all tests.
+var leader = workertest.Leader{}
+
+// cluster is a registry with jobs whose tasks the test lets run and fail.
+type cluster struct {
+	*worker.Registry
+	names    *pipeline.Names
+	jobs     *pipeline.Table
+	now      event.Time
+	sequence uint64
+}
+
+func newCluster(heartbeatTimeout time.Duration) *cluster {
+	names := &pipeline.Names{}
+	jobs := pipeline.NewTable(pipeline.Config{Names: names, LayoutValueBytes: 4096, TxnOps: 12})
+	registry := worker.New(worker.Config{
+		Names:            names,
+		Jobs:             jobs,
+		HeartbeatTimeout: heartbeatTimeout,
+		Log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
+	})
+	return &cluster{Registry: registry, names: names, jobs: jobs, now: time.Second}
+}
+
+// submit stores a job that is ready.
+func (c *cluster) submit(id string, shape pipeline.Shape, tasks int) *pipeline.Job {
+	job := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{Shape: shape, TaskCount: tasks, Zone: -1}}
+	job.Class = c.names.Classes.Index("c")
+	job.Team = c.names.Teams.Index("t")
+	job.Image = c.names.Images.Index("b")
+	c.jobs.HandleChange(record.KindJob, id, pipeline.EncodeJob(c.names, job), 1)
+	return c.jobs.Job(id)
+}
+
+// start puts a task on a machine as a stored assignment.
+func (c *cluster) start(job *pipeline.Job, task int, machine string) {
+	index := c.Add(machine, c.now).Index
+	c.jobs.Assign(job, task, index, job.MaxAttempt()+1, c.now)
+	run := record.Run{Attempt: job.MaxAttempt()}
+	for assignment := range job.Assignments() {
+		run.Active = append(run.Active, record.Assignment{
+			Task:    assignment.Task,
+			Attempt: assignment.Attempt,
+			Machine: c.names.Machines.Name(assignment.Machine),
+		})
+	}
+	c.jobs.HandleChange(record.KindRun, job.ID+"/0", run.Encode(), 2)
+}
+
+// heartbeat lets the worker of a machine report one task.
+func (c *cluster) heartbeat(t *testing.T, machine string, job *pipeline.Job, task int, phase, cause string) {
+	t.Helper()
+	c.sequence++
+	status := worker.TaskStatus{Task: job.ID + "/" + strconv.Itoa(task), Phase: phase, Cause: cause}
+	if assignment := job.Assignment(task); assignment != nil {
+		status.Attempt = assignment.Attempt
+	}
+	heartbeat := workertest.Heartbeat(machine, c.now)
+	heartbeat.Sequence = c.sequence
+	heartbeat.Tasks = []worker.TaskStatus{status}
+	if err := c.HandleHeartbeat(heartbeat, c.now, leader); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// run lets a task start on a machine and run there.
+func (c *cluster) run(t *testing.T, job *pipeline.Job, task int, machine string) {
+	t.Helper()
+	c.start(job, task, machine)
+	c.heartbeat(t, machine, job, task, "running", "")
+}
+
+// fail lets a task start on a machine and fail there.
+func (c *cluster) fail(t *testing.T, job *pipeline.Job, task int, machine string) {
+	t.Helper()
+	c.start(job, task, machine)
+	c.heartbeat(t, machine, job, task, "exited", "error")
+}
+
+func (c *cluster) wait(duration time.Duration) {
+	c.now += duration
+	c.jobs.SetNow(c.now)
+	c.Tick(c.now, leader, &event.Effects{})
+}
--- a/internal/worker/heartbeat.go
+++ b/internal/worker/heartbeat.go
@@ -2,30 +2,38 @@
 
 import (
 	"encoding/json"
-	"errors"
+	"fmt"
 	"slices"
 )
 
-// errIncomplete is returned for a heartbeat that lacks a field which identifies its
-// machine or incarnation.
-var errIncomplete = errors.New("heartbeat lacks a field")
-
-// parseHeartbeat decodes and checks a heartbeat.
+// parseHeartbeat decodes and checks a heartbeat. Its errors are those of package json
+// and MissingFieldError.
 func parseHeartbeat(body []byte) (*Heartbeat, error) {
 	heartbeat := &Heartbeat{}
 	if err := json.Unmarshal(body, heartbeat); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("decode heartbeat: %w", err)
 	}
-	if !heartbeat.complete() {
-		return nil, errIncomplete
+	if field := heartbeat.missingField(); field != "" {
+		return nil, &MissingFieldError{Field: field}
 	}
 	return heartbeat, nil
 }
 
-// complete tells whether the fields are there that every heartbeat has.
-func (h *Heartbeat) complete() bool {
-	described := h.MachineType != "" && h.Zone != ""
-	return described && h.Machine != "" && h.Incarnation != 0
+// missingField returns the name of a field that is not there though every heartbeat has
+// it, "" if there is none.
+func (h *Heartbeat) missingField() string {
+	switch {
+	case h.Machine == "":
+		return fieldMachine
+	case h.MachineType == "":
+		return fieldMachineType
+	case h.Zone == "":
+		return fieldZone
+	case h.Incarnation == 0:
+		return fieldIncarnation
+	default:
+		return ""
+	}
 }
 
 // lists tells whether a heartbeat shows a task.
--- a/internal/worker/heartbeat_handling.go
+++ b/internal/worker/heartbeat_handling.go
@@ -10,12 +10,17 @@
 // refusedPause is how long nothing is placed on a machine whose worker refused a task.
 const refusedPause = 4 * time.Second
 
-// HandleHeartbeat takes a heartbeat in. ok is false for one that is older than one
-// taken before.
-func (r *Registry) HandleHeartbeat(heartbeat *Heartbeat, now event.Time, leadership Leadership) (ok bool) {
+// HandleHeartbeat takes a heartbeat in. It returns a RefusedError for one that tells
+// nothing of the present state of its machine.
+func (r *Registry) HandleHeartbeat(heartbeat *Heartbeat, now event.Time, leadership Leadership) error {
 	machine := r.Add(heartbeat.Machine, now)
-	if machine.isStale(heartbeat) || machine.incarnationExpired(heartbeat, now, leadership) {
-		return false
+	if reason := machine.checkCurrent(heartbeat, now, leadership); reason != nil {
+		return &RefusedError{
+			Machine:     heartbeat.Machine,
+			Incarnation: heartbeat.Incarnation,
+			Sequence:    heartbeat.Sequence,
+			Reason:      reason,
+		}
 	}
 	leadership.ObserveFencingToken(heartbeat.FencingToken)
 	r.updateMachine(machine, heartbeat, now)
@@ -25,7 +30,7 @@
 	// The tasks come before the question whether our responses arrive: what the
 	// heartbeat shows is there, whatever a copy that came before did not show.
 	r.checkReachable(machine, heartbeat, now, leadership)
-	return true
+	return nil
 }
 
 // RecordRelay records that the last heartbeat of a machine came through another
@@ -34,9 +39,19 @@
 	r.Add(name, now).relayedAt = now
 }
 
-// isStale tells whether a heartbeat is not newer than the last one: it was delayed by
-// the network, or is a copy. Its list of tasks is out of date, and its sender waits
-// for no response.
+// checkCurrent returns the reason for which a heartbeat is refused, nil if it is not.
+func (c *contact) checkCurrent(heartbeat *Heartbeat, now event.Time, leadership Leadership) error {
+	switch {
+	case c.isStale(heartbeat):
+		return ErrStale
+	case c.incarnationExpired(heartbeat, now, leadership):
+		return ErrIncarnationExpired
+	default:
+		return nil
+	}
+}
+
+// isStale tells whether a heartbeat is not newer than the last one.
 func (c *contact) isStale(heartbeat *Heartbeat) bool {
 	if heartbeat.Incarnation != c.incarnation {
 		return heartbeat.Incarnation < c.incarnation
@@ -45,8 +60,7 @@
 }
 
 // incarnationExpired tells whether the lease of a heartbeat's incarnation has expired
-// since the last response to it: the heartbeat was delayed from before then, and its
-// machine may be released.
+// since the last response to it.
 func (c *contact) incarnationExpired(heartbeat *Heartbeat, now event.Time, leadership Leadership) bool {
 	if heartbeat.Incarnation != c.incarnation || c.lastResponse <= 0 {
 		return false
@@ -58,7 +72,7 @@
 func (r *Registry) updateMachine(machine *Machine, heartbeat *Heartbeat, now event.Time) {
 	if heartbeat.Incarnation != machine.incarnation && machine.incarnation != 0 {
 		machine.images = map[int]bool{}
-		r.log.Info("worker lost its lease", "machine", heartbeat.Machine, "session", heartbeat.Incarnation)
+		r.log.Info("worker began a new incarnation", "machine", heartbeat.Machine, "incarnation", heartbeat.Incarnation)
 	}
 	if machine.lastHeartbeat != 0 && now-machine.lastHeartbeat > r.heartbeatTimeout {
 		machine.reconnectedAt = now
@@ -151,7 +165,7 @@
 
 func (r *Registry) logStart(machine *Machine, assignment *pipeline.Assignment, now event.Time) {
 	job := assignment.Job
-	r.log.Debug("started",
+	r.log.Debug("task started",
 		"job", job.ID,
 		"class", r.names.Classes.Name(job.Class),
 		"task", assignment.Task,
--- a/internal/worker/heartbeat_parser.go
+++ b/internal/worker/heartbeat_parser.go
@@ -28,7 +28,8 @@
 }
 
 // Parse parses and checks a heartbeat. What it returns shares its list of tasks with
-// other heartbeats that say the same.
+// other heartbeats that say the same. Its errors are those of package json and
+// MissingFieldError.
 func (p *HeartbeatParser) Parse(body []byte) (*Heartbeat, error) {
 	text, ok := splitSequence(body)
 	if ok {
--- a/internal/worker/protocol.go
+++ b/internal/worker/protocol.go
@@ -52,6 +52,14 @@
 // pathDirectCommand is the path of a worker that takes direct commands.
 const pathDirectCommand = "/do"
 
+// Fields of a heartbeat that every heartbeat has.
+const (
+	fieldMachine     = "host"
+	fieldMachineType = "flavor"
+	fieldZone        = "yard"
+	fieldIncarnation = "tenure"
+)
+
 // sequenceField precedes the digits of the sequence in the text of a heartbeat.
 const sequenceField = `"tick":`
 
--- a/internal/worker/reachability.go
+++ b/internal/worker/reachability.go
@@ -56,7 +56,7 @@
 		r.evictUnstarted(machine)
 		return
 	}
-	r.log.Info("machine is reachable again", "machine", machine.Name)
+	r.log.Info("machine reachable again", "machine", machine.Name)
 	machine.unreachableSince = 0
 	r.jobs.RequestRound()
 }
@@ -83,7 +83,9 @@
 // started is evicted, once a heartbeat proves that it will not start. What runs goes on:
 // it may complete before its lease expires, and we may be wrong.
 func (r *Registry) markUnreachable(machine *Machine, now event.Time) {
-	r.log.Info("machine is unreachable: it does not receive our answers", "machine", machine.Name, "tasks", len(r.jobs.OnMachine(machine.Index)))
+	r.log.Info("machine unreachable: heartbeat responses do not arrive",
+		"machine", machine.Name,
+		"tasks", len(r.jobs.OnMachine(machine.Index)))
 	machine.unreachableSince = now
 	machine.unreachableIncarnation = machine.incarnation
 	r.evictUnstarted(machine)
--- a/internal/worker/runtime_estimate.go
+++ b/internal/worker/runtime_estimate.go
@@ -44,7 +44,7 @@
 	}
 	machine.slowJobs[job.ID] = true
 	if len(machine.slowJobs) == maxSlowJobs {
-		r.log.Info("machine is slow", "machine", machine.Name)
+		r.log.Info("machine excluded as slow", "machine", machine.Name)
 	}
 }
 
--- a/internal/worker/termination.go
+++ b/internal/worker/termination.go
@@ -14,6 +14,21 @@
 // worker.
 const terminationInterval = time.Second
 
+// termination is whether a task is to be terminated, and how.
+type termination struct {
+	due         bool
+	gracePeriod float64 // seconds that the task gets to save a checkpoint
+}
+
+// terminationOf returns whether a task is to be terminated: at once where its job has
+// ended, with a grace period where it is evicted.
+func terminationOf(assignment *pipeline.Assignment) termination {
+	if assignment.Job.TerminalPhase != pipeline.Queued {
+		return termination{due: true}
+	}
+	return termination{due: assignment.Evicting(), gracePeriod: assignment.GracePeriod()}
+}
+
 // terminateSoon notes that a task is to be terminated.
 func (r *Registry) terminateSoon(assignment *pipeline.Assignment) {
 	r.terminating[assignment.Machine] = true
@@ -42,10 +57,10 @@
 	ready := due && machine.lastHeartbeat != 0 && machine.addr != ""
 	var commands []Command
 	for _, assignment := range r.jobs.OnMachine(machine.Index) {
-		terminate, gracePeriod := mustTerminate(assignment)
-		more = more || terminate
-		if ready && terminate && assignment.Stored() && notTerminating(assignment) {
-			commands = append(commands, terminateCommand(taskName(assignment), assignment.Attempt, gracePeriod))
+		termination := terminationOf(assignment)
+		more = more || termination.due
+		if ready && termination.due && assignment.Stored() && notTerminating(assignment) {
+			commands = append(commands, terminateCommand(taskName(assignment), assignment.Attempt, termination.gracePeriod))
 		}
 	}
 	if len(commands) == 0 {
@@ -80,7 +95,7 @@
 // RecordTermination clears everything on a machine that is proven to run nothing.
 func (r *Registry) RecordTermination(machine *Machine) {
 	if machine.lastHeartbeat != 0 {
-		r.log.Info("machine terminated", "machine", machine.Name, "tasks", len(r.jobs.OnMachine(machine.Index)))
+		r.log.Info("all tasks on machine terminated", "machine", machine.Name, "tasks", len(r.jobs.OnMachine(machine.Index)))
 	}
 	for _, assignment := range r.sortedAssignments(machine) {
 		if assignment.Job.IsGang() {
