--- a/internal/scheduler/zone_constraints.go
+++ b/internal/scheduler/zone_constraints.go
@@ -17,6 +17,13 @@
 // TasksByZone counts, per zone, the tasks of a job that may be on machines there.
 func (s *Scheduler) TasksByZone(job *pipeline.Job) ZoneCounts {
 	counts := ZoneCounts{}
+	s.countTasks(job, counts)
+	return counts
+}
+
+// countTasks adds the tasks of a job to counts. It is a function of its own so that the
+// compiler can inline TasksByZone and keep the map on the stack.
+func (s *Scheduler) countTasks(job *pipeline.Job, counts ZoneCounts) {
 	for task := range job.Assignments() {
 		zone := unknownZone
 		if machine := s.workers.MachineAt(task.Machine); machine != nil {
@@ -24,7 +31,6 @@
 		}
 		counts[zone]++
 	}
-	return counts
 }
 
 // singleZone returns the zone where all of the tasks are, known only where it is a
