--- a/internal/simtest/arguments.go
+++ b/internal/simtest/arguments.go
@@ -14,29 +14,33 @@
 // methods below is a fault of a Go caller, and they panic.
 type Arguments map[string]string
 
+// text is the value of an argument, or a default if it is absent.
 func (arguments Arguments) text(key, def string) string {
-	if v, ok := arguments[key]; ok {
-		return v
+	if value, ok := arguments[key]; ok {
+		return value
 	}
 	return def
 }
 
+// number is text as a number.
 func (arguments Arguments) number(key, def string) float64 {
-	v, err := strconv.ParseFloat(arguments.text(key, def), 64)
+	value, err := strconv.ParseFloat(arguments.text(key, def), 64)
 	if err != nil {
 		panic(fmt.Sprintf("%s=%s is not a number", key, arguments[key]))
 	}
-	return v
+	return value
 }
 
+// duration is text as a duration.
 func (arguments Arguments) duration(key, def string) time.Duration {
-	v, err := time.ParseDuration(arguments.text(key, def))
+	value, err := time.ParseDuration(arguments.text(key, def))
 	if err != nil {
 		panic(err)
 	}
-	return v
+	return value
 }
 
+// has tells whether an argument is given.
 func (arguments Arguments) has(key string) bool { _, ok := arguments[key]; return ok }
 
 // parameter documents an argument of a command and checks its values.
@@ -75,10 +79,12 @@
 	return arg
 }
 
+// textParameter takes any value.
 func textParameter(name, usage string) parameter {
 	return parameter{name: name, usage: usage, check: func(*World, string) error { return nil }}
 }
 
+// numberParameter takes a decimal number.
 func numberParameter(name, usage string) parameter {
 	return parameter{name: name, usage: usage, check: func(_ *World, value string) error {
 		if _, err := strconv.ParseFloat(value, 64); err != nil {
@@ -88,6 +94,7 @@
 	}}
 }
 
+// durationParameter takes a duration such as 1m30s.
 func durationParameter(name, usage string) parameter {
 	return parameter{name: name, usage: usage, check: func(_ *World, value string) error {
 		if _, err := time.ParseDuration(value); err != nil {
@@ -97,6 +104,7 @@
 	}}
 }
 
+// flagParameter takes no value: it is given or not.
 func flagParameter(name, usage string) parameter {
 	return parameter{name: name, usage: usage, check: func(_ *World, value string) error {
 		if value != "" {
@@ -106,6 +114,7 @@
 	}}
 }
 
+// choiceParameter takes one of several values.
 func choiceParameter(name, usage string, choices ...string) parameter {
 	return parameter{name: name, usage: usage + ": " + strings.Join(choices, ", "), check: func(_ *World, value string) error {
 		if !slices.Contains(choices, value) {
@@ -126,6 +135,7 @@
 	}}
 }
 
+// jobIDsParameter takes what parseJobIDs reads.
 func jobIDsParameter(name, usage string) parameter {
 	return parameter{name: name, usage: usage, check: func(_ *World, value string) error {
 		_, err := parseJobIDs(value)
@@ -133,6 +143,7 @@
 	}}
 }
 
+// machineTypeParameter takes the name of a machine type that the cloud offers.
 func machineTypeParameter(usage string) parameter {
 	return parameter{name: "type", usage: usage, check: func(_ *World, value string) error {
 		if !slices.Contains(offeredTypeNames, value) {
--- a/internal/simtest/checker.go
+++ b/internal/simtest/checker.go
@@ -46,10 +46,14 @@
 
 func newChecker(world *World) *Checker {
 	return &Checker{
-		world:         world,
-		instances:     map[string][]*taskAssignment{},
-		releasedAt:    map[string]time.Duration{},
-		answerHistory: answerHistory{acknowledgedPhase: map[string]string{}, acknowledgedAt: map[string]time.Duration{}, answeredAt: map[string]time.Duration{}},
+		world:      world,
+		instances:  map[string][]*taskAssignment{},
+		releasedAt: map[string]time.Duration{},
+		answerHistory: answerHistory{
+			acknowledgedPhase: map[string]string{},
+			acknowledgedAt:    map[string]time.Duration{},
+			answeredAt:        map[string]time.Duration{},
+		},
 		cancellations: cancellations{cancelRequests: map[string]bool{}, cancelAcknowledgedAt: map[string]time.Duration{}},
 		capacityWaits: capacityWaits{waitingSince: map[string]time.Duration{}, recentFree: map[*fakeWorker][]freeCapacity{}},
 		counters:      counters{refusals: map[string]int{}},
@@ -116,7 +120,11 @@
 // countStop is called when a worker executes a stop: it counts for a task that was
 // not being stopped yet and whose job is neither finished nor cancelled.
 func (checker *Checker) countStop(assignment *taskAssignment) {
-	if assignment.job != nil && assignment.phase != taskSaving && len(assignment.job.completed) < assignment.job.taskCount && !checker.cancelRequested(assignment.job.id) {
-		assignment.job.stoppedTasks++
+	job := assignment.job
+	if job == nil || assignment.phase == taskSaving {
+		return
+	}
+	if finished := len(job.completed) >= job.taskCount; !finished && !checker.cancelRequested(job.id) {
+		job.stoppedTasks++
 	}
 }
--- a/internal/simtest/checker_upstream.go
+++ b/internal/simtest/checker_upstream.go
@@ -31,7 +31,7 @@
 	return list
 }
 
-// hasDoneRecord tells whether the state service holds a job's done mark.
+// hasDoneRecord tells whether the state service holds the record that a job is done.
 func (world *World) hasDoneRecord(id string) bool {
 	var f struct {
 		Phase string `json:"p"`
@@ -41,7 +41,7 @@
 }
 
 // unfinishedUpstream names a job that a job needs and that is not done yet, or "".
-func (checker *Checker) unfinishedUpstream(id string) (upstream, why string) {
+func (checker *Checker) unfinishedUpstream(id string) (upstream, reason string) {
 	for _, up := range checker.world.allUpstream(id) {
 		job := checker.world.jobs[up]
 		switch {
@@ -71,8 +71,8 @@
 
 // checkUpstreamDone checks that all that a task's job needs is done when it starts.
 func (checker *Checker) checkUpstreamDone(assignment *taskAssignment) {
-	if upstream, why := checker.unfinishedUpstream(assignment.job.id); upstream != "" {
-		checker.reportViolation("too_early: %s starts on %s, needs %s, before %s", assignment.name, assignment.worker.name, upstream, why)
+	if upstream, reason := checker.unfinishedUpstream(assignment.job.id); upstream != "" {
+		checker.reportViolation("too_early: %s starts on %s, needs %s, before %s", assignment.name, assignment.worker.name, upstream, reason)
 	}
 }
 
--- a/internal/simtest/checker_upstream_test.go
+++ b/internal/simtest/checker_upstream_test.go
@@ -16,7 +16,7 @@
 	return job
 }
 
-// completeJob lets all tasks of a job complete and, marked, stores its done mark.
+// completeJob lets all tasks of a job complete and, if it is to be marked, stores the record that it is done.
 func completeJob(world *World, job *jobRecord, marked bool) {
 	for i := range job.taskCount {
 		job.completed[i] = true
@@ -65,7 +65,7 @@
 		},
 	},
 	{
-		name: "start before the mark",
+		name: "start before the done record",
 		want: "too_early: req-000002/0 starts on i-a, needs req-000001, before it is marked done",
 		act: func(chain *jobChain) {
 			completeJob(chain.world, chain.first, false)
--- a/internal/simtest/cloud.go
+++ b/internal/simtest/cloud.go
@@ -75,9 +75,16 @@
 }
 
 func newCloud(world *World) *fakeCloud {
-	return &fakeCloud{world: world, offeredNames: slices.Clone(offeredTypeNames), machines: map[string]*provisionedMachine{}, provisionedByRequest: map[string][]string{}, available: map[string]int{}}
+	return &fakeCloud{
+		world:                world,
+		offeredNames:         slices.Clone(offeredTypeNames),
+		machines:             map[string]*provisionedMachine{},
+		provisionedByRequest: map[string][]string{},
+		available:            map[string]int{},
+	}
 }
 
+// capacityKey names the machines whose number is limited together.
 func capacityKey(machineType, zone string, spot bool) string {
 	return fmt.Sprintf("%s/%s/%v", machineType, zone, spot)
 }
@@ -146,6 +153,7 @@
 	}
 }
 
+// offered lists the machine types.
 func (cloud *fakeCloud) offered() offeredTypes {
 	list := make([]offeredType, 0, len(cloud.offeredNames))
 	for _, name := range cloud.offeredNames {
@@ -178,6 +186,7 @@
 	return machinePage{Machines: list}
 }
 
+// phase is what the cloud says of a machine.
 func (machine *provisionedMachine) phase() string {
 	switch {
 	case machine.worker == nil:
@@ -198,9 +207,16 @@
 	maxReleased    = 100
 )
 
+// isValid tells whether the cloud would carry out the request.
+func (request provisionRequest) isValid() bool {
+	_, known := machineTypes[request.MachineType]
+	return known && request.ID != "" && request.Number >= 1 && request.Number <= maxProvisioned
+}
+
+// provision lets machines boot, the same ones for the same request.
 func (cloud *fakeCloud) provision(body []byte) (int, any) {
 	var request provisionRequest
-	if json.Unmarshal(body, &request) != nil || machineTypes[request.MachineType].cpus == 0 || request.Number < 1 || request.Number > maxProvisioned || request.ID == "" {
+	if json.Unmarshal(body, &request) != nil || !request.isValid() {
 		cloud.world.reportLimitViolation("bad request for machines %s", body)
 		return 400, nil
 	}
--- a/internal/simtest/commands.go
+++ b/internal/simtest/commands.go
@@ -17,8 +17,19 @@
 }
 
 // commands are all that scenarios may use but "world", which begins each of them.
-var commands = mergeCommands(serviceCommands, jobCommands, pipelineCommands, controllerCommands, machineCommands, networkCommands, raceCommands, inspectionCommands)
+var commands = mergeCommands(
+	serviceCommands,
+	jobCommands,
+	watchingCommands,
+	pipelineCommands,
+	controllerCommands,
+	machineCommands,
+	networkCommands,
+	raceCommands,
+	inspectionCommands,
+)
 
+// mergeCommands puts groups of commands together.
 func mergeCommands(groups ...map[string]command) map[string]command {
 	all := map[string]command{}
 	for _, group := range groups {
@@ -39,7 +50,7 @@
 	return command.run(world, arguments, input)
 }
 
-// acting makes a runner of what prints nothing but "ok".
+// acting makes a commandFunc of what prints nothing but "ok".
 func acting(action func(world *World, arguments Arguments)) commandFunc {
 	return func(world *World, arguments Arguments, _ string) (string, error) {
 		action(world, arguments)
@@ -47,7 +58,7 @@
 	}
 }
 
-// printing makes a runner of what prints something and cannot fail.
+// printing makes a commandFunc of what prints something and cannot fail.
 func printing(output func(world *World, arguments Arguments) string) commandFunc {
 	return func(world *World, arguments Arguments, _ string) (string, error) {
 		return output(world, arguments), nil
@@ -59,10 +70,11 @@
 	return append(slices.Clone(list), more...)
 }
 
+// worldParameters are those of the command "world".
 var worldParameters = []parameter{
 	numberParameter("nodes", "controllers"),
 	numberParameter("seed", "of all random draws"),
-	numberParameter("report", "seconds between a worker's reports"),
+	numberParameter("report", "seconds between a worker's heartbeats"),
 	numberParameter("lease", "seconds that a worker's lease lasts"),
 	numberParameter("cancel", "seconds that a cancellation may take"),
 	numberParameter("cloudrps", "the cloud's limit of requests per second"),
--- a/internal/simtest/commands_controllers.go
+++ b/internal/simtest/commands_controllers.go
@@ -73,7 +73,7 @@
 	},
 }
 
-// onControllers makes a runner of what is done to each controller that is named.
+// onControllers makes a commandFunc of what is done to each controller that is named.
 func onControllers(action func(process *controllerProcess)) commandFunc {
 	return acting(func(world *World, arguments Arguments) {
 		for _, process := range world.selectControllers(arguments["node"]) {
--- a/internal/simtest/commands_inspect.go
+++ b/internal/simtest/commands_inspect.go
@@ -23,7 +23,7 @@
 	"work": {
 		usage: "checks how much work controllers did",
 		parameters: []parameter{
-			required(numberParameter("decoded", "percent of the bytes of reports")),
+			required(numberParameter("decoded", "percent of the bytes of heartbeats")),
 			required(numberParameter("counted", "machine capacities")),
 			required(numberParameter("writes", "writes")),
 		},
@@ -94,7 +94,7 @@
 		run:   printing(workersByController),
 	},
 	"unanswered": {
-		usage: "prints the number of workers' reports that got no answer",
+		usage: "prints the number of workers' heartbeats that got no answer",
 		run:   count(func(world *World) int { return world.checker.unansweredHeartbeats }),
 	},
 	"after": {
@@ -126,13 +126,13 @@
 	},
 }
 
-// count makes a runner of what prints a number.
+// count makes a commandFunc of what prints a number.
 func count(number func(world *World) int) commandFunc {
 	return printing(func(world *World, _ Arguments) string { return strconv.Itoa(number(world)) })
 }
 
 // workDone checks how much work the controllers did, all together: of the
-// bytes of reports they may decode so many hundredths, in a round count the
+// bytes of heartbeats they may decode so many hundredths, in a round count the
 // machine capacities of so many machines anew, and make so many writes in all.
 func workDone(world *World, arguments Arguments) string {
 	var sum controller.WorkCounters
@@ -162,6 +162,7 @@
 	return tasks
 }
 
+// tasksByZone counts the tasks of a job that are on machines, by zone.
 func tasksByZone(world *World, arguments Arguments) string {
 	zone := map[string]int{}
 	for _, assignment := range world.tasksOf(arguments["id"]) {
@@ -173,6 +174,7 @@
 	return fmt.Sprintf("a=%d b=%d", zone["a"], zone["b"])
 }
 
+// machinesByType counts the cloud's machines, by type.
 func machinesByType(world *World, _ Arguments) string {
 	types := map[string]int{}
 	for _, machine := range world.cloud.machines {
@@ -181,6 +183,7 @@
 	return countsText(types)
 }
 
+// machinesOfJob counts the machines that tasks of a job are on, and the slow ones of them.
 func machinesOfJob(world *World, arguments Arguments) string {
 	machines := map[string]bool{}
 	slow := 0
@@ -193,11 +196,12 @@
 	return fmt.Sprintf("%d of them slow: %d", len(machines), slow)
 }
 
+// runningTasks counts the tasks of a job that are on machines.
 func runningTasks(world *World, arguments Arguments) string {
 	return strconv.Itoa(len(world.tasksOf(arguments["id"])))
 }
 
-// countOfJob makes a runner of what prints a number of a submitted job.
+// countOfJob makes a commandFunc of what prints a number of a submitted job.
 func countOfJob(number func(job *jobRecord) int) commandFunc {
 	return func(world *World, arguments Arguments, _ string) (string, error) {
 		job := world.jobs[arguments["id"]]
@@ -208,6 +212,7 @@
 	}
 }
 
+// workersByController counts the workers that are connected to each controller.
 func workersByController(world *World, _ Arguments) string {
 	parts := make([]string, 0, len(world.controllers))
 	for _, process := range world.controllers {
@@ -216,6 +221,7 @@
 	return strings.Join(parts, " ")
 }
 
+// leaderName names the leader.
 func leaderName(world *World, _ Arguments) string {
 	if process := world.leader(); process != nil {
 		return process.name
@@ -223,6 +229,7 @@
 	return "nobody"
 }
 
+// machineName names the machine that a task is on.
 func machineName(world *World, arguments Arguments) string {
 	worker := world.workerOf(arguments["task"])
 	if worker == nil {
@@ -254,6 +261,7 @@
 	return sum
 }
 
+// stoppedTasks counts the tasks that commands stopped, of one job or of all.
 func stoppedTasks(world *World, arguments Arguments) string {
 	sum := 0
 	for id, job := range world.jobs {
--- a/internal/simtest/commands_jobs.go
+++ b/internal/simtest/commands_jobs.go
@@ -6,7 +6,6 @@
 	"maps"
 	"strconv"
 	"strings"
-	"time"
 )
 
 // commonJobParameters describe a job, whatever its ID.
@@ -37,11 +36,13 @@
 var (
 	jobParameters      = withParameters(commonJobParameters, required(textParameter("id", "job ID")))
 	jobIDParameters    = []parameter{required(textParameter("id", "job ID"))}
-	jobRangeParameters = withParameters(commonJobParameters, numberParameter("from", "number of the first ID, 1 if absent"), numberParameter("count", "jobs"))
-	requestMethods     = choiceParameter("method", "POST if absent", "GET", "POST", "PUT", "DELETE")
+	jobRangeParameters = withParameters(commonJobParameters,
+		numberParameter("from", "number of the first ID, 1 if absent"),
+		numberParameter("count", "jobs"))
+	requestMethods = choiceParameter("method", "POST if absent", "GET", "POST", "PUT", "DELETE")
 )
 
-// jobCommands are requests of users.
+// jobCommands submit and cancel jobs.
 var jobCommands = map[string]command{
 	"submit": {
 		usage:      "submits a job and repeats that as users do; prints status and phase",
@@ -73,7 +74,6 @@
 		usage: "sends one submission whose upstream list is the input",
 		parameters: withParameters(
 			jobParameters,
-
 			controllerParameter("the controller to ask, any if absent"),
 		),
 		run: sendSubmission,
@@ -105,22 +105,6 @@
 		),
 		run: printing(answerOf),
 	},
-	"poll": {
-		usage:      "asks for a job's state once",
-		parameters: jobIDParameters,
-		run: printing(func(world *World, arguments Arguments) string {
-			return statusAndPhase(world.users.Poll(arguments["id"]))
-		}),
-	},
-	"storm": {
-		usage: "lets users ask about accepted jobs, drawn at random, and prints how many were answered while they waited",
-
-		parameters: []parameter{
-			required(numberParameter("count", "questions")),
-			durationParameter("over", "in that time, 5s if absent"),
-		},
-		run: printing(pollStorm),
-	},
 	"cancel": {
 		usage:      "cancels a job; prints status and phase",
 		parameters: jobIDParameters,
@@ -133,29 +117,6 @@
 		parameters: jobIDParameters,
 		run:        acting(func(world *World, arguments Arguments) { world.users.cancelInBackground(arguments["id"]) }),
 	},
-	"until": {
-		usage: "polls a job until it has a phase",
-		parameters: withParameters(
-			jobIDParameters,
-			required(textParameter("phase", "phase")),
-			durationParameter("within", "60s if absent"),
-		),
-		run: printing(untilPhase),
-	},
-	"all": {
-		usage:      "polls all accepted jobs until they are done",
-		parameters: []parameter{durationParameter("within", "60s if absent")},
-		run:        printing(untilAllDone),
-	},
-	"users": {
-		usage: "sends users from here on to one controller: the named one, or without arguments one that does not lead",
-
-		parameters: []parameter{
-			controllerParameter("the controller"),
-			flagParameter("any", "to any controller again"),
-		},
-		run: chooseEntry,
-	},
 }
 
 // printingWithInput is printing for what takes the input of the command.
@@ -165,10 +126,13 @@
 	}
 }
 
+// statusAndPhase is how commands print an answer.
 func statusAndPhase(status int, phase string) string { return fmt.Sprintf("%d %s", status, phase) }
 
+// isAccepted tells whether the status of an answer means that a job is accepted.
 func isAccepted(status int) bool { return status == 200 || status == 201 }
 
+// jobID is the ID of a job by its number.
 func jobID(number int) string { return fmt.Sprintf("req-%06d", number) }
 
 // acceptJob is a submission that is accepted at the first attempt or later.
@@ -179,6 +143,7 @@
 	return "accepted"
 }
 
+// burst submits many jobs alike, at the same moment or one after the other.
 func burst(world *World, arguments Arguments) string {
 	if arguments.has("once") {
 		return world.users.submitAtOnce(arguments)
@@ -194,11 +159,13 @@
 	return fmt.Sprintf("%d accepted", count)
 }
 
+// registerUnsubmittedJob registers a job with the workers only.
 func registerUnsubmittedJob(world *World, arguments Arguments) {
 	world.users.registerJob(arguments)
 	world.jobs[arguments["id"]].submitted = true
 }
 
+// sendSubmission sends a submission whose upstream list is the input, once.
 func sendSubmission(world *World, arguments Arguments, input string) (string, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(world.users.registerJob(arguments), &fields); err != nil {
@@ -224,11 +191,13 @@
 	return strings.TrimSpace(statusAndPhase(status, phase)), nil
 }
 
+// rawRequest sends the input as a request to the first controller.
 func rawRequest(world *World, arguments Arguments, input string) string {
 	status, _ := world.users.requestAndWait(world.controllers[0], userRequest(arguments.text("method", "POST"), arguments["path"], []byte(input)))
 	return strconv.Itoa(status)
 }
 
+// beginRequest sends a request and waits for no answer.
 func beginRequest(world *World, arguments Arguments) {
 	switch {
 	case arguments.has("cancel"):
@@ -243,6 +212,7 @@
 	}
 }
 
+// answerOf waits for the answer to a request that beginRequest sent.
 func answerOf(world *World, arguments Arguments) string {
 	world.users.waitForRecordedAnswers(arguments.duration("within", "70s"))
 	got := world.users.recordedAnswers[arguments["of"]+" "+arguments["id"]]
@@ -251,84 +221,3 @@
 	}
 	return got
 }
-
-// pollTimeout is how long users wait for the answer to a question.
-const pollTimeout = 2 * time.Second
-
-func pollStorm(world *World, arguments Arguments) string {
-	ids := world.acceptedJobs()
-	count, over := int(arguments.number("count", "1")), arguments.duration("over", "5s")
-	answered := 0
-	for range count {
-		id := ids[world.random.IntN(len(ids))]
-		world.schedule(world.randomDuration(0, over), func() {
-			process := world.users.chooseEntryController()
-			for !process.up {
-				process = world.users.chooseEntryController() // the load balancer passes over it
-			}
-			asked := world.now
-			request := pollRequest(id)
-			request.timeout = pollTimeout
-			world.network.request(process, request, func(status int, body []byte) {
-				world.checker.checkAnswer(asked, id, status, phaseIn(body))
-				world.checker.checkPoll(id, status)
-				if status == 200 {
-					answered++
-				}
-			})
-		})
-	}
-	world.Run(over + pollTimeout)
-	return fmt.Sprintf("%d of %d answered", answered, count)
-}
-
-func untilPhase(world *World, arguments Arguments) string {
-	phase := ""
-	for end := world.now + arguments.duration("within", "60s"); world.now < end; world.Run(500 * time.Millisecond) {
-		if _, phase = world.users.Poll(arguments["id"]); phase == arguments["phase"] {
-			return phase
-		}
-	}
-	return "still " + phase
-}
-
-func untilAllDone(world *World, arguments Arguments) string {
-	done := 0
-	for end := world.now + arguments.duration("within", "60s"); world.now < end; world.Run(time.Second) {
-		done = 0
-		for _, id := range world.acceptedJobs() {
-			if world.checker.acknowledgedPhase[id] != "done" {
-				world.users.Poll(id)
-			}
-			if world.checker.acknowledgedPhase[id] == "done" {
-				done++
-			}
-		}
-		if done == len(world.acceptedJobs()) {
-			break
-		}
-	}
-	return fmt.Sprintf("%d done", done)
-}
-
-// chooseEntry chooses the controller that users ask.
-func chooseEntry(world *World, arguments Arguments, _ string) (string, error) {
-	if arguments.has("any") {
-		world.users.entryController = nil
-		return "ok", nil
-	}
-	if arguments.has("node") {
-		process, err := world.selectController(arguments)
-		if err != nil {
-			return "", err
-		}
-		world.users.entryController = process
-		return "ok", nil
-	}
-	for _, process := range world.controllers {
-		if process != world.leader() {
-			world.users.entryController = process
-		}
-	}
-	return "ok", nil
-}
--- a/internal/simtest/commands_machines.go
+++ b/internal/simtest/commands_machines.go
@@ -92,7 +92,7 @@
 	},
 }
 
-// onMachines makes a runner of what is done to each machine that is named.
+// onMachines makes a commandFunc of what is done to each machine that is named.
 func onMachines(action func(worker *fakeWorker, arguments Arguments)) commandFunc {
 	return func(world *World, arguments Arguments, _ string) (string, error) {
 		machines, err := world.selectWorkers(arguments)
@@ -179,6 +179,7 @@
 	}
 }
 
+// blockInboundFor lets nothing reach a machine for a while.
 func (network *fakeNetwork) blockInboundFor(worker *fakeWorker, duration time.Duration) {
 	network.blockInbound(worker, true)
 	network.world.schedule(duration, func() { network.blockInbound(worker, false) })
--- a/internal/simtest/commands_network.go
+++ b/internal/simtest/commands_network.go
@@ -52,7 +52,7 @@
 		}),
 	},
 	"copies": {
-		usage: "lets copies of reports arrive late, at any controller",
+		usage: "lets copies of heartbeats arrive late, at any controller",
 		parameters: withParameters(
 			shareParameters,
 			durationParameter("within", "30s if absent"),
@@ -62,7 +62,7 @@
 		}),
 	},
 	"delay_reports": {
-		usage:      "lets reports arrive seconds late, maybe elsewhere",
+		usage:      "lets heartbeats arrive seconds late, maybe elsewhere",
 		parameters: shareParameters,
 		run: acting(func(world *World, arguments Arguments) {
 			world.network.delayedHeartbeats = arguments.number("share", "0")
--- a/internal/simtest/commands_upstream.go
+++ b/internal/simtest/commands_pipelines.go
@@ -52,6 +52,7 @@
 	},
 }
 
+// submitLine submits jobs of which each needs the one before.
 func submitLine(world *World, arguments Arguments) string {
 	for i := range int(arguments.number("count", "2")) {
 		one := maps.Clone(arguments)
@@ -67,6 +68,7 @@
 	return "accepted"
 }
 
+// ownerOf names the controller that owns a job.
 func ownerOf(world *World, arguments Arguments) string {
 	var r struct {
 		Owner string `json:"o"`
@@ -75,6 +77,7 @@
 	return r.Owner
 }
 
+// startOrder tells whether a job began before another.
 func startOrder(world *World, arguments Arguments, _ string) (string, error) {
 	first, second := world.jobs[arguments["id"]], world.jobs[arguments["before"]]
 	switch {
--- a/internal/simtest/commands_races.go
+++ b/internal/simtest/commands_races.go
@@ -33,7 +33,6 @@
 		usage: "lets pairs of jobs meet, each at another moment, and tells whether each pair ended alike",
 		parameters: withParameters(
 			jobRangeParameters,
-
 			choiceParameter("with", "what the cancellation of an upstream job meets, submit if absent", "submit", "done"),
 			durationParameter("step", "10ms if absent"),
 
--- a/internal/simtest/commands_services.go
+++ b/internal/simtest/commands_services.go
@@ -79,7 +79,7 @@
 			durationParameter("for", "delay, 8s if absent"),
 			numberParameter("count", "transactions, 1 if absent"),
 		},
-		run: acting(lagWrites),
+		run: acting(delayWrites),
 	},
 	"slow_state": {
 		usage: "lets the state service answer within a time drawn for each answer, or at once",
@@ -112,12 +112,14 @@
 	},
 }
 
+// addMachines adds machines that are up already.
 func addMachines(world *World, arguments Arguments) {
 	for range int(arguments.number("count", "1")) {
 		world.cloud.addMachine(arguments.text("type", "small"), arguments.text("zone", "a"), arguments.has("spot"), 0)
 	}
 }
 
+// limitCapacity limits the machines of a type that can be provisioned.
 func limitCapacity(world *World, arguments Arguments) {
 	for _, spot := range []bool{false, true} {
 		for _, zone := range []string{"a", "b"} {
@@ -126,6 +128,7 @@
 	}
 }
 
+// writeKey stores the input as the value of a key.
 func writeKey(world *World, arguments Arguments, input string) (string, error) {
 	var value json.RawMessage
 	if err := json.Unmarshal([]byte(input), &value); err != nil {
@@ -136,13 +139,9 @@
 	return "ok", nil
 }
 
-func lagWrites(world *World, arguments Arguments) {
-	world.stateService.delayedPrefix, world.stateService.writeDelay, world.stateService.writesToDelay = arguments["key"], arguments.duration("for", "8s"), int(arguments.number("count", "1"))
-}
-
-// putValue puts a record as it is.
-func (service *fakeStateService) putValue(key, data string) {
-	service.revision++
-	service.keys[key] = storedValue{data: json.RawMessage(data), modRevision: service.revision}
-	service.log = append(service.log, changeEvent{Write: key, Data: json.RawMessage(data), ModRevision: service.revision})
+// delayWrites carries out the next transactions that write a key late.
+func delayWrites(world *World, arguments Arguments) {
+	world.stateService.delayedPrefix = arguments["key"]
+	world.stateService.writeDelay = arguments.duration("for", "8s")
+	world.stateService.writesToDelay = int(arguments.number("count", "1"))
 }
--- a/internal/simtest/protocol.go
+++ b/internal/simtest/protocol.go
@@ -96,7 +96,7 @@
 	Zone         string       `json:"yard"`
 }
 
-// taskStatus is a task's part of a report.
+// taskStatus is a task's part of a heartbeat.
 type taskStatus struct {
 	Cause            string `json:"cause,omitempty"`
 	Phase            string `json:"phase"`
@@ -105,7 +105,7 @@
 	Attempt          uint64 `json:"try"`
 }
 
-// heartbeatResponse is a controller's answer to a report.
+// heartbeatResponse is a controller's answer to a heartbeat.
 type heartbeatResponse struct {
 	FencingToken uint64        `json:"fence"`
 	Leader       string        `json:"steward"`
@@ -183,7 +183,7 @@
 	LeaseID uint64 `json:"tether"`
 }
 
-// keyEntry is a key of the state service with its value and version.
+// keyEntry is a key of the state service with its value and mod revision.
 type keyEntry struct {
 	Data        json.RawMessage `json:"data"`
 	Key         string          `json:"key"`
@@ -220,7 +220,7 @@
 	Then []operation    `json:"then"`
 }
 
-// precondition requires that a key has a version, 0 for none.
+// precondition requires that a key has a mod revision, 0 for none.
 type precondition struct {
 	Key         string `json:"key"`
 	ModRevision uint64 `json:"stamp"`
@@ -233,3 +233,11 @@
 	Data    json.RawMessage `json:"data"`
 	LeaseID uint64          `json:"tether"`
 }
+
+// changeEvent is a change of a key.
+type changeEvent struct {
+	Write       string          `json:"write,omitempty"`
+	Drop        string          `json:"drop,omitempty"`
+	Data        json.RawMessage `json:"data,omitempty"`
+	ModRevision uint64          `json:"stamp"`
+}
--- a/internal/simtest/random_faults_test.go
+++ b/internal/simtest/random_faults_test.go
@@ -14,25 +14,26 @@
 }
 
 // randomFault causes a fault of a controller, or another one, that ends after a while.
-type randomFault func(world *World, process *controllerProcess, long time.Duration)
+type randomFault func(world *World, process *controllerProcess, duration time.Duration)
 
 // randomFaults are drawn with equal probability; those that are there twice are
 // to be more frequent.
 var randomFaults = [...]randomFault{
 	restart, restart, loseState, loseWorkers, stateOutage, loseMachine, cloudOutage, machinesNeverBoot,
-	noFault, restartSeveral, blockInboundOnce, isolateLeader, pauseOnce, lateWrites, delayReports, delayCommands,
-	blockReportsOfSome, gapOnce, gapOnce, cancelSome, cancelEnding, invalidRequests, churnLeaders, loseZone,
+	noFault, restartSeveral, blockInboundOnce, isolateLeader, pauseOnce, lateWrites, delayHeartbeats, delayCommands,
+	blockHeartbeatsOfSome, loseLeaderDuringOutage, loseLeaderDuringOutage, cancelSome, cancelEnding, invalidRequests, churnLeaders, loseZone,
 	restartAllAfterLease, blockInboundOfSome, slowState, blockWatch,
 }
 
 // causeRandomFault causes one random fault, which ends by itself.
 func (world *World) causeRandomFault() {
 	process := world.controllers[world.random.IntN(len(world.controllers))]
-	long := seconds(0.1 + world.random.Float64()*20)
-	world.extendFaults(long)
-	randomFaults[world.random.IntN(len(randomFaults))](world, process, long)
+	duration := seconds(0.1 + world.random.Float64()*20)
+	world.extendFaults(duration)
+	randomFaults[world.random.IntN(len(randomFaults))](world, process, duration)
 }
 
+// noFault leaves a fault without a second one.
 func noFault(*World, *controllerProcess, time.Duration) {}
 
 // bootAfter restarts a controller after a while, if it is down then.
@@ -40,10 +41,11 @@
 	world.schedule(duration, process.bootIfDown)
 }
 
-func restart(world *World, process *controllerProcess, long time.Duration) {
+// restart restarts a controller that is up.
+func restart(world *World, process *controllerProcess, duration time.Duration) {
 	if process.up {
 		process.kill()
-		world.bootAfter(process, long/4)
+		world.bootAfter(process, duration/4)
 	}
 }
 
@@ -73,71 +75,81 @@
 	return process
 }
 
-func pauseOnce(world *World, process *controllerProcess, long time.Duration) {
+// pauseOnce pauses the leader or another controller.
+func pauseOnce(world *World, process *controllerProcess, duration time.Duration) {
 	if process = world.leaderOr(process); process.up && !process.paused {
-		process.pause(long/2, world.random.IntN(2) == 0)
+		process.pause(duration/2, world.random.IntN(2) == 0)
 	}
 }
 
-func isolateLeader(world *World, _ *controllerProcess, long time.Duration) {
+// isolateLeader isolates the leader.
+func isolateLeader(world *World, _ *controllerProcess, duration time.Duration) {
 	if process := world.leader(); process != nil {
-		world.network.isolateFor(process, long)
+		world.network.isolateFor(process, duration)
 	}
 }
 
-func loseState(world *World, process *controllerProcess, long time.Duration) {
+// loseState cuts a controller off from the state service.
+func loseState(world *World, process *controllerProcess, duration time.Duration) {
 	world.network.setLinkCut(process.name, "state", true)
-	world.schedule(long, func() { world.network.setLinkCut(process.name, "state", false) })
+	world.schedule(duration, func() { world.network.setLinkCut(process.name, "state", false) })
 }
 
-func loseWorkers(world *World, process *controllerProcess, long time.Duration) {
+// loseWorkers cuts a controller off from all workers.
+func loseWorkers(world *World, process *controllerProcess, duration time.Duration) {
 	cut := func(enabled bool) {
 		for _, worker := range world.sortedWorkers() {
 			world.network.setLinkCut(process.name, worker.name, enabled)
 		}
 	}
 	cut(true)
-	world.schedule(long, func() { cut(false) })
+	world.schedule(duration, func() { cut(false) })
 }
 
 // loseZone cuts a zone with workers and a controller off for longer than the
 // lease.
-func loseZone(world *World, process *controllerProcess, long time.Duration) {
-	long += seconds(10)
-	world.extendFaults(long)
-	world.network.cutZone(process, []string{"a", "b"}[world.random.IntN(2)], long)
+func loseZone(world *World, process *controllerProcess, duration time.Duration) {
+	duration += seconds(10)
+	world.extendFaults(duration)
+	world.network.cutZone(process, []string{"a", "b"}[world.random.IntN(2)], duration)
 }
 
-func stateOutage(world *World, _ *controllerProcess, long time.Duration) {
+// stateOutage is an outage of the state service.
+func stateOutage(world *World, _ *controllerProcess, duration time.Duration) {
 	world.stateService.setOutage(true)
-	world.schedule(long, func() { world.stateService.setOutage(false) })
+	world.schedule(duration, func() { world.stateService.setOutage(false) })
 }
 
-func slowState(world *World, _ *controllerProcess, long time.Duration) {
+// slowState lets the state service answer slowly.
+func slowState(world *World, _ *controllerProcess, duration time.Duration) {
 	world.network.slowStateService = seconds(world.random.Float64() * 4)
-	world.schedule(long, func() { world.network.slowStateService = 0 })
+	world.schedule(duration, func() { world.network.slowStateService = 0 })
 }
 
-func blockWatch(world *World, process *controllerProcess, long time.Duration) {
+// blockWatch leaves the watches of the leader or another controller unanswered.
+func blockWatch(world *World, process *controllerProcess, duration time.Duration) {
 	process = world.leaderOr(process)
 	process.watchBlocked = true
-	world.schedule(long, func() { process.watchBlocked = false })
+	world.schedule(duration, func() { process.watchBlocked = false })
 }
 
-func lateWrites(world *World, _ *controllerProcess, long time.Duration) {
-	world.setShareFor(&world.network.lateWrites, 0.3, long)
+// lateWrites lets transactions be carried out late.
+func lateWrites(world *World, _ *controllerProcess, duration time.Duration) {
+	world.setShareFor(&world.network.lateWrites, 0.3, duration)
 }
 
-func delayReports(world *World, _ *controllerProcess, long time.Duration) {
-	world.setShareFor(&world.network.delayedHeartbeats, 0.3, long)
+// delayHeartbeats lets heartbeats arrive late.
+func delayHeartbeats(world *World, _ *controllerProcess, duration time.Duration) {
+	world.setShareFor(&world.network.delayedHeartbeats, 0.3, duration)
 }
 
-func delayCommands(world *World, _ *controllerProcess, long time.Duration) {
-	world.setShareFor(&world.network.delayedCommands, 0.5, long)
+// delayCommands lets direct commands or their answers arrive late.
+func delayCommands(world *World, _ *controllerProcess, duration time.Duration) {
+	world.setShareFor(&world.network.delayedCommands, 0.5, duration)
 }
 
 // loseMachine lets a machine with tasks crash, hang or be terminated.
-func loseMachine(world *World, _ *controllerProcess, long time.Duration) {
+func loseMachine(world *World, _ *controllerProcess, duration time.Duration) {
 	assignments := world.checker.onMachines()
 	if len(assignments) == 0 {
 		return
@@ -147,57 +159,69 @@
 	case 0:
 		worker.crash()
 	case 1:
-		worker.hang(long)
+		worker.hang(duration)
 	default:
 		world.cloud.terminate(worker.name)
 	}
 }
 
-func blockInboundOnce(world *World, _ *controllerProcess, long time.Duration) {
+// blockInboundOnce lets nothing reach a machine with tasks.
+func blockInboundOnce(world *World, _ *controllerProcess, duration time.Duration) {
 	if assignments := world.checker.onMachines(); len(assignments) > 0 {
-		world.network.blockInboundFor(assignments[world.random.IntN(len(assignments))].worker, long)
+		world.network.blockInboundFor(assignments[world.random.IntN(len(assignments))].worker, duration)
 	}
 }
 
-func blockInboundOfSome(world *World, _ *controllerProcess, long time.Duration) {
-	world.forRandomMachines(func(worker *fakeWorker) { world.network.blockInboundFor(worker, long) })
+// blockInboundOfSome lets nothing reach one machine or those of a zone.
+func blockInboundOfSome(world *World, _ *controllerProcess, duration time.Duration) {
+	world.forRandomMachines(func(worker *fakeWorker) { world.network.blockInboundFor(worker, duration) })
 }
 
-func blockReportsOfSome(world *World, _ *controllerProcess, long time.Duration) {
-	world.forRandomMachines(func(worker *fakeWorker) { worker.blockHeartbeatsFor(long) })
+// blockHeartbeatsOfSome lets one machine or those of a zone reach no controller.
+func blockHeartbeatsOfSome(world *World, _ *controllerProcess, duration time.Duration) {
+	world.forRandomMachines(func(worker *fakeWorker) { worker.blockHeartbeatsFor(duration) })
 }
 
-func cloudOutage(world *World, _ *controllerProcess, long time.Duration) {
+// cloudOutage is an outage of the cloud.
+func cloudOutage(world *World, _ *controllerProcess, duration time.Duration) {
 	world.cloud.down = true
-	world.schedule(long, func() { world.cloud.down = false })
+	world.schedule(duration, func() { world.cloud.down = false })
 }
 
+// machinesNeverBoot lets the next one or two machines never boot.
 func machinesNeverBoot(world *World, _ *controllerProcess, _ time.Duration) {
 	world.cloud.bootFailures = 1 + world.random.IntN(2)
 }
 
-func gapOnce(world *World, _ *controllerProcess, _ time.Duration) { world.leaderLossDuringOutage() }
+// loseLeaderDuringOutage causes leaderLossDuringOutage.
+func loseLeaderDuringOutage(world *World, _ *controllerProcess, _ time.Duration) {
+	world.leaderLossDuringOutage()
+}
 
+// churnLeaders changes the leader ten times in two minutes.
 func churnLeaders(world *World, _ *controllerProcess, _ time.Duration) {
 	world.churn(10, 2*time.Minute, "")
 	world.extendFaults(2 * time.Minute)
 }
 
+// cancelSome cancels running jobs, whose machines hang.
 func cancelSome(world *World, _ *controllerProcess, _ time.Duration) {
 	hang := seconds(world.random.Float64() * 12)
 	world.users.cancelNow(1+world.random.IntN(4), hang)
 	world.extendFaults(hang)
 }
 
-func cancelEnding(world *World, _ *controllerProcess, long time.Duration) {
-	world.setShareFor(&world.users.cancelAtEnd, 0.5, long)
+// cancelEnding cancels jobs at the moment when they end.
+func cancelEnding(world *World, _ *controllerProcess, duration time.Duration) {
+	world.setShareFor(&world.users.cancelAtEnd, 0.5, duration)
 }
 
-func invalidRequests(world *World, _ *controllerProcess, long time.Duration) {
+// invalidRequests lets users send invalid requests.
+func invalidRequests(world *World, _ *controllerProcess, duration time.Duration) {
 	if !world.users.invalidRequests {
 		world.users.invalidRequests = true
 		world.users.sendInvalidRequests()
-		world.schedule(long, func() { world.users.invalidRequests = false })
+		world.schedule(duration, func() { world.users.invalidRequests = false })
 	}
 }
 
@@ -206,6 +230,7 @@
 	world.faultsEndAt = max(world.faultsEndAt, world.now+duration)
 }
 
+// setShareFor sets a share of requests for a while.
 func (world *World) setShareFor(share *float64, value float64, duration time.Duration) {
 	*share = value
 	world.schedule(duration, func() { *share = 0 })
--- a/internal/simtest/random_jobs_test.go
+++ b/internal/simtest/random_jobs_test.go
@@ -62,7 +62,7 @@
 
 // playRandomJobsObserved is playRandomJobs with an observer of the wire.
 func playRandomJobsObserved(reporter errorReporter, seed uint64, observer WireObserver) {
-	world := NewObserved(Settings, 3, seed, logOut(), observer)
+	world := NewWith(Options{Controllers: 3, Seed: seed, Log: logOut(), Observer: observer})
 	world.watchInvariants()
 	world.startRandomFaults()
 	var accepted []string
--- a/internal/simtest/random_pipelines_test.go
+++ b/internal/simtest/random_pipelines_test.go
@@ -9,7 +9,7 @@
 
 // TestRandomChains plays random pipelines under random faults, while the state
 // service lowers its limits: the rules must hold, every job must end, as those
-// that it needs do, and nothing but final marks may be left behind.
+// that it needs do, and nothing but terminal records may be left behind.
 func TestRandomChains(t *testing.T) {
 	t.Parallel()
 	first, plays := environmentNumber("SIM_FROM", 1), environmentNumber("SIM_PLAYS", 60)
@@ -21,12 +21,13 @@
 	}
 }
 
+// playRandomPipelines plays random pipelines in a new world.
 func playRandomPipelines(reporter errorReporter, seed uint64) {
 	next := Arguments{}
 	if seed%3 != 0 {
 		next = Arguments{"nextvalue": "2", "nextops": "4", "nextwrites": "20"}
 	}
-	world := NewWith(Announce(Settings, next), 3, seed, logOut())
+	world := NewWith(Options{Settings: Announce(Settings, next), Controllers: 3, Seed: seed, Log: logOut()})
 	world.watchInvariants()
 	world.startRandomFaults()
 	world.addFinishedJobs(Arguments{"from": "5000", "count": "400"})
@@ -130,7 +131,9 @@
 		play.lower()
 	}
 	if world.random.IntN(3) == 0 {
-		world.stateService.delayedPrefix, world.stateService.writeDelay, world.stateService.writesToDelay = []string{"f/", "j/", "u/"}[world.random.IntN(3)], seconds(2+world.random.Float64()*10), 1+world.random.IntN(2)
+		world.stateService.delayedPrefix = []string{"f/", "j/", "u/"}[world.random.IntN(3)]
+		world.stateService.writeDelay = seconds(2 + world.random.Float64()*10)
+		world.stateService.writesToDelay = 1 + world.random.IntN(2)
 	}
 	if len(stages) > 0 && world.random.IntN(4) == 0 {
 		// A submission that meets the cancellation of what it needs.
@@ -215,7 +218,10 @@
 	}
 	for _, id := range play.all {
 		for _, upstream := range world.jobs[id].upstream {
-			if acknowledged, above := world.checker.acknowledgedPhase[id], world.checker.acknowledgedPhase[upstream]; acknowledged == "done" && above != "done" || above == "cancelled" && acknowledged != "" && acknowledged != "cancelled" {
+			acknowledged, above := world.checker.acknowledgedPhase[id], world.checker.acknowledgedPhase[upstream]
+			doneTooEarly := acknowledged == jobDone && above != jobDone
+			notCancelled := above == jobCancelled && acknowledged != "" && acknowledged != jobCancelled
+			if doneTooEarly || notCancelled {
 				play.Errorf("seed %d: %s is %s, needs %s, which is %s", play.seed, id, acknowledged, upstream, above)
 			}
 		}
--- a/internal/simtest/recording.go
+++ b/internal/simtest/recording.go
@@ -23,6 +23,7 @@
 	Provisioned map[string][]string `json:"Hires"` // names of machines, by request
 }
 
+// recordedKey is a key of the state service.
 type recordedKey struct {
 	Key         string          `json:"key"`
 	Data        json.RawMessage `json:"data"`
@@ -30,6 +31,7 @@
 	LeaseID     uint64          `json:"tether,omitempty"`
 }
 
+// recordedJob is a job and what its user was answered.
 type recordedJob struct {
 	Args              Arguments             `json:"args"`
 	AcknowledgedPhase string                `json:"told"`
@@ -38,6 +40,7 @@
 	Progress          map[int]time.Duration `json:"progress,omitempty"`
 }
 
+// recordedMachine is a machine, with what its worker knew.
 type recordedMachine struct {
 	Name         string         `json:"Name"`
 	Addr         string         `json:"Addr"`
@@ -52,6 +55,7 @@
 	Tasks        []recordedTask `json:"Tasks"`
 }
 
+// recordedTask is a task on a machine.
 type recordedTask struct {
 	Task             string        `json:"shard"`
 	Index            int           `json:"index"`
@@ -69,7 +73,12 @@
 
 // Record takes down what there is. jobs are the arguments of the submissions.
 func (world *World) Record(note string, jobs []Arguments) ([]byte, error) {
-	recording := worldRecording{Note: note, Revision: world.stateService.revision, Leases: map[uint64]int64{}, Provisioned: world.cloud.provisionedByRequest}
+	recording := worldRecording{
+		Note:        note,
+		Revision:    world.stateService.revision,
+		Leases:      map[uint64]int64{},
+		Provisioned: world.cloud.provisionedByRequest,
+	}
 	for key, stored := range world.stateService.keys {
 		recording.Keys = append(recording.Keys, recordedKey{key, stored.data, stored.modRevision, stored.leaseID})
 	}
@@ -78,29 +87,61 @@
 		recording.Leases[id] = lease.duration.Milliseconds()
 	}
 	for _, arguments := range jobs {
-		job := world.jobs[arguments["id"]]
-		recorded := recordedJob{Args: arguments, AcknowledgedPhase: world.checker.acknowledgedPhase[job.id], Cancelled: world.checker.cancelRequests[job.id], Progress: job.progress}
-		for i := range job.completed {
-			recorded.Complete = append(recorded.Complete, i)
-		}
-		slices.Sort(recorded.Complete)
-		recording.Jobs = append(recording.Jobs, recorded)
+		recording.Jobs = append(recording.Jobs, world.recordJob(arguments))
 	}
 	for _, worker := range world.sortedWorkers() {
-		machine := recordedMachine{Name: worker.name, Addr: worker.addr, MachineType: worker.machineType, Zone: worker.zone, Spot: worker.spot, Up: worker.up, Incarnation: worker.incarnation, Sequence: worker.sequence,
-			FencingToken: worker.fencingToken, Answered: world.now - worker.leaseStart}
-		for _, assignment := range worker.sortedAssignments() {
-			recorded := recordedTask{Task: assignment.name, Index: assignment.index, Attempt: assignment.attempt, Phase: assignment.phase, Cause: assignment.cause, CheckpointStored: assignment.checkpointStored}
-			if assignment.phase == taskRunning {
-				recorded.Ran = world.now - assignment.startedAt
-			}
-			machine.Tasks = append(machine.Tasks, recorded)
-		}
-		recording.Machines = append(recording.Machines, machine)
+		recording.Machines = append(recording.Machines, worker.record())
 	}
 	return json.Marshal(recording)
 }
 
+// recordJob takes down what has become of a job; arguments are those of its submission.
+func (world *World) recordJob(arguments Arguments) recordedJob {
+	job := world.jobs[arguments["id"]]
+	recorded := recordedJob{
+		Args:              arguments,
+		AcknowledgedPhase: world.checker.acknowledgedPhase[job.id],
+		Cancelled:         world.checker.cancelRequests[job.id],
+		Progress:          job.progress,
+	}
+	for i := range job.completed {
+		recorded.Complete = append(recorded.Complete, i)
+	}
+	slices.Sort(recorded.Complete)
+	return recorded
+}
+
+// record takes down a machine with its tasks.
+func (worker *fakeWorker) record() recordedMachine {
+	machine := recordedMachine{
+		Name:         worker.name,
+		Addr:         worker.addr,
+		MachineType:  worker.machineType,
+		Zone:         worker.zone,
+		Spot:         worker.spot,
+		Up:           worker.up,
+		Incarnation:  worker.incarnation,
+		Sequence:     worker.sequence,
+		FencingToken: worker.fencingToken,
+		Answered:     worker.world.now - worker.leaseStart,
+	}
+	for _, assignment := range worker.sortedAssignments() {
+		recorded := recordedTask{
+			Task:             assignment.name,
+			Index:            assignment.index,
+			Attempt:          assignment.attempt,
+			Phase:            assignment.phase,
+			Cause:            assignment.cause,
+			CheckpointStored: assignment.checkpointStored,
+		}
+		if assignment.phase == taskRunning {
+			recorded.Ran = worker.world.now - assignment.startedAt
+		}
+		machine.Tasks = append(machine.Tasks, recorded)
+	}
+	return machine
+}
+
 // Load makes a world that has just begun go on from a recording. Its
 // controllers are those of the newer version and begin anew.
 func (world *World) Load(file string) error {
@@ -141,6 +182,7 @@
 	}
 }
 
+// loadJob registers a recorded job.
 func (world *World) loadJob(recorded recordedJob) {
 	world.users.registerJob(currentArgs(recorded.Args))
 	job := world.jobs[recorded.Args["id"]]
@@ -171,8 +213,13 @@
 			worker.crash()
 			continue
 		}
-		cloud.machines[machine.Name] = &provisionedMachine{machineIdentity: machine.identity(), provisionedAt: cloud.world.now - time.Minute, worker: worker}
-		worker.incarnation, worker.sequence, worker.fencingToken, worker.leaseStart = machine.Incarnation, machine.Sequence, machine.FencingToken, cloud.world.now-machine.Answered
+		cloud.machines[machine.Name] = &provisionedMachine{
+			machineIdentity: machine.identity(),
+			provisionedAt:   cloud.world.now - time.Minute,
+			worker:          worker,
+		}
+		worker.incarnation, worker.sequence = machine.Incarnation, machine.Sequence
+		worker.fencingToken, worker.leaseStart = machine.FencingToken, cloud.world.now-machine.Answered
 		for _, recorded := range machine.Tasks {
 			worker.restoreTask(recorded)
 		}
@@ -183,7 +230,17 @@
 func (worker *fakeWorker) restoreTask(recorded recordedTask) {
 	world := worker.world
 	job := world.jobs[recorded.Task[:strings.LastIndexByte(recorded.Task, '/')]]
-	assignment := &taskAssignment{worker: worker, job: job, name: recorded.Task, index: recorded.Index, attempt: recorded.Attempt, phase: recorded.Phase, cause: recorded.Cause, checkpointStored: recorded.CheckpointStored, startedAt: world.now - recorded.Ran}
+	assignment := &taskAssignment{
+		worker:           worker,
+		job:              job,
+		name:             recorded.Task,
+		index:            recorded.Index,
+		attempt:          recorded.Attempt,
+		phase:            recorded.Phase,
+		cause:            recorded.Cause,
+		checkpointStored: recorded.CheckpointStored,
+		startedAt:        world.now - recorded.Ran,
+	}
 	switch {
 	case recorded.Phase == taskExited:
 		worker.assignments[recorded.Task] = assignment
--- a/internal/simtest/recording_test.go
+++ b/internal/simtest/recording_test.go
@@ -8,8 +8,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"lugward/internal/config"
 )
 
 // stopMidway is a deployment with a bit of everything, stopped in the middle: jobs
@@ -62,7 +60,12 @@
 // playRecording plays a loaded world to its end.
 func playRecording(t *testing.T, file string) {
 	t.Helper()
-	world := NewWith(Announce(Settings, Arguments{"nextvalue": "2", "nextops": "4", "nextwrites": "40"}), 3, 7, logOut(), func(*config.Platform) {})
+	world := NewWith(Options{
+		Settings:    Announce(Settings, Arguments{"nextvalue": "2", "nextops": "4", "nextwrites": "40"}),
+		Controllers: 3,
+		Seed:        7,
+		Log:         logOut(),
+	})
 	world.watchInvariants()
 	if err := world.Load(file); err != nil {
 		t.Fatal(err)
@@ -76,7 +79,10 @@
 	}
 	// New jobs need old ones: one done long ago and one that still runs, and
 	// one that was cancelled.
-	for _, arguments := range []Arguments{{"id": "req-000950", "awaits": "req-000900+req-000901", "run": "2s"}, {"id": "req-000951", "awaits": "req-000907"}} {
+	for _, arguments := range []Arguments{
+		{"id": "req-000950", "awaits": "req-000900+req-000901", "run": "2s"},
+		{"id": "req-000951", "awaits": "req-000907"},
+	} {
 		if status, _ := world.users.Submit(arguments); status != 200 && status != 201 {
 			t.Errorf("%v: %d", arguments, status)
 		}
@@ -91,7 +97,7 @@
 		t.Errorf("%s of %d", got, len(world.acceptedJobs()))
 		for _, id := range world.acceptedJobs() {
 			if world.checker.acknowledgedPhase[id] != "done" {
-				t.Errorf("%s is %s:\n%.600s", id, world.checker.acknowledgedPhase[id], strings.Join(append(world.listKeys("j/"+id), world.listKeys("r/"+id)...), "\n"))
+				t.Errorf("%s is %s:\n%.600s", id, world.checker.acknowledgedPhase[id], world.storedOf(id))
 			}
 		}
 	}
--- a/internal/simtest/scenario_test.go
+++ b/internal/simtest/scenario_test.go
@@ -14,6 +14,7 @@
 	"lugward/internal/config"
 )
 
+// logOut is where controllers log to: standard error if SIM_LOG is set, else nowhere.
 func logOut() io.Writer {
 	if os.Getenv("SIM_LOG") != "" {
 		return os.Stderr
@@ -51,6 +52,7 @@
 	return output, nil
 }
 
+// do carries out one command of a file.
 func (player *scenarioPlayer) do(directive *datadriven.TestData) (string, error) {
 	arguments, err := parseArguments(directive)
 	if err != nil {
@@ -69,21 +71,33 @@
 	return player.world.RunCommand(directive.Cmd, arguments, directive.Input)
 }
 
-func newScenarioWorld(arguments Arguments, wire WireObserver) *World {
-	world := NewObserved(Announce(Settings, arguments), int(arguments.number("nodes", "3")), uint64(arguments.number("seed", "1")), logOut(), wire, func(platform *config.Platform) {
-		platform.Settings.Workers.HeartbeatS = arguments.number("report", "1")
-		platform.Settings.Workers.LeaseS = arguments.number("lease", "10")
-		platform.Settings.Workers.CancelS = arguments.number("cancel", "25")
-		platform.Settings.Cloud.RPS = arguments.number("cloudrps", "4")
-		if most := arguments.number("maxgpus", "0"); most > 0 {
-			platform.Settings.Teams[0].GPUsMax = most
-		}
-		platform.Settings.State.RPS, platform.Settings.State.WriteRPS = arguments.number("rps", "100"), arguments.number("writes", "60")
+// newScenarioWorld is the world that the arguments of the command "world" ask for.
+func newScenarioWorld(arguments Arguments, observer WireObserver) *World {
+	world := NewWith(Options{
+		Settings:    Announce(Settings, arguments),
+		Controllers: int(arguments.number("nodes", "3")),
+		Seed:        uint64(arguments.number("seed", "1")),
+		Log:         logOut(),
+		Observer:    observer,
+		Tune:        func(platform *config.Platform) { tune(platform, arguments) },
 	})
 	world.watchInvariants()
 	return world
 }
 
+// tune changes settings as the arguments of the command "world" say.
+func tune(platform *config.Platform, arguments Arguments) {
+	platform.Settings.Workers.HeartbeatS = arguments.number("report", "1")
+	platform.Settings.Workers.LeaseS = arguments.number("lease", "10")
+	platform.Settings.Workers.CancelS = arguments.number("cancel", "25")
+	platform.Settings.Cloud.RPS = arguments.number("cloudrps", "4")
+	if limit := arguments.number("maxgpus", "0"); limit > 0 {
+		platform.Settings.Teams[0].GPUsMax = limit
+	}
+	platform.Settings.State.RPS = arguments.number("rps", "100")
+	platform.Settings.State.WriteRPS = arguments.number("writes", "60")
+}
+
 // runCommand carries out a command that cannot fail.
 func runCommand(t *testing.T, world *World, name string, arguments Arguments) string {
 	t.Helper()
--- /dev/null
+++ b/internal/simtest/state_leases.go
@@ -0,0 +1,86 @@
+package simtest
+
+import (
+	"encoding/json"
+	"sort"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// grantedLease is a lease of the state service: with it end the keys that are attached to it.
+type grantedLease struct {
+	duration  time.Duration
+	expiresAt time.Duration
+}
+
+// Limits of a lease's duration in milliseconds.
+const (
+	minLeaseMS = 100
+	maxLeaseMS = 600_000
+)
+
+// grantLease grants a lease with the duration that is asked for.
+func (service *fakeStateService) grantLease(body []byte) (int, any) {
+	var request struct {
+		DurationMS int `json:"life_ms"`
+	}
+	if json.Unmarshal(body, &request) != nil || request.DurationMS < minLeaseMS || request.DurationMS > maxLeaseMS {
+		return 400, nil
+	}
+	service.lastLease++
+	duration := time.Duration(request.DurationMS) * time.Millisecond
+	service.leases[service.lastLease] = &grantedLease{duration, service.world.now + duration}
+	return 200, leaseResponse{service.lastLease}
+}
+
+// changeLease extends or ends the lease that a path names.
+func (service *fakeStateService) changeLease(method, path string) int {
+	name, action, _ := strings.Cut(path, "/")
+	id, _ := strconv.ParseUint(name, 10, 64)
+	lease := service.leases[id]
+	switch {
+	case lease == nil:
+		return 404
+	case method == "DELETE":
+		lease.expiresAt = service.world.now
+		service.expireLeases()
+		return 200
+	case action == "extend":
+		lease.expiresAt = service.world.now + lease.duration
+		return 200
+	}
+	return 400
+}
+
+// expireLeases ends leases that ran out.
+func (service *fakeStateService) expireLeases() {
+	if service.down {
+		return
+	}
+	var ended []uint64
+	for id, lease := range service.leases {
+		if service.world.now >= lease.expiresAt {
+			ended = append(ended, id)
+		}
+	}
+	sort.Slice(ended, func(a, b int) bool { return ended[a] < ended[b] })
+	for _, id := range ended {
+		delete(service.leases, id)
+		var keys []string
+		for key, stored := range service.keys {
+			if stored.leaseID == id {
+				keys = append(keys, key)
+			}
+		}
+		sort.Strings(keys)
+		for _, key := range keys {
+			service.revision++
+			delete(service.keys, key)
+			service.log = append(service.log, changeEvent{Drop: key, ModRevision: service.revision})
+		}
+	}
+	if len(ended) > 0 {
+		service.notifyWatchers()
+	}
+}
--- a/internal/simtest/state_limits.go
+++ b/internal/simtest/state_limits.go
@@ -21,10 +21,13 @@
 	tooLarge         int            // 400s for size
 	tooLargeAttempts map[string][]time.Duration
 	endlessRetries   int // writes tried too often
+}
 
-	delayedPrefix string // transactions that write such a key are carried out later
+// writeDelays let the next transactions that write certain keys be carried out late.
+type writeDelays struct {
+	delayedPrefix string // of the keys
 	writeDelay    time.Duration
-	writesToDelay int
+	writesToDelay int // so many transactions
 }
 
 // currentLimits tells what is allowed now.
--- a/internal/simtest/state_limits_test.go
+++ b/internal/simtest/state_limits_test.go
@@ -33,7 +33,7 @@
 		{"announced", true, Arguments{"nextvalue": "2", "nextops": "4", "nextwrites": "15"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			world := NewWith(Announce(Settings, test.next), 1, 1, io.Discard)
+			world := NewWith(Options{Settings: Announce(Settings, test.next), Controllers: 1, Seed: 1, Log: io.Discard})
 			if got := commitValues(world, jsonText(3000), "1", "2", "3", "4"); got != 200 {
 				t.Fatalf("before: %d", got)
 			}
--- a/internal/simtest/state_service.go
+++ b/internal/simtest/state_service.go
@@ -6,7 +6,6 @@
 	"sort"
 	"strconv"
 	"strings"
-	"time"
 )
 
 // fakeStateService is a stand-in of the state service, written from its published
@@ -15,73 +14,30 @@
 	world     *World
 	keys      map[string]storedValue
 	revision  uint64
-	oldest    uint64 // changes from before are not kept
-	log       []changeEvent
 	leases    map[uint64]*grantedLease
 	lastLease uint64
-	watchers  []*watcher
 	down      bool
 	pageLimit int // keys in a page
-
-	requests, writes leakyBucket
-	refusedForRate   int // for exceeding them
-	writtenKeys      int // keys put and dropped
+	changeLog
+	rateLimits
 	limitOverride
+	writeDelays
+	writtenKeys int // keys put and dropped
 }
 
-// stateBurst is how many seconds' worth of requests or writes may come at once.
-const stateBurst = 1
-
-// leakyBucket is a rate with bursts.
-type leakyBucket struct {
-	used      float64
-	updatedAt time.Duration
-}
-
-// take tells whether n more are allowed now; a burst is as many as come in that many
-// seconds at the rate.
-func (bucket *leakyBucket) take(now time.Duration, rate, burstSeconds, count float64) bool {
-	bucket.used = max(0, bucket.used-rate*(now-bucket.updatedAt).Seconds())
-	bucket.updatedAt = now
-	if bucket.used+count > rate*burstSeconds {
-		return false
-	}
-	bucket.used += count
-	return true
-}
-
+// storedValue is the value of a key.
 type storedValue struct {
 	data        json.RawMessage
 	modRevision uint64
 	leaseID     uint64
 }
 
-type changeEvent struct {
-	Write       string          `json:"write,omitempty"`
-	Drop        string          `json:"drop,omitempty"`
-	Data        json.RawMessage `json:"data,omitempty"`
-	ModRevision uint64          `json:"stamp"`
-}
-
-type grantedLease struct {
-	duration  time.Duration
-	expiresAt time.Duration
-}
-
-type watcher struct {
-	from     uint64
-	answer   answerFunc
-	answered bool
-}
-
-const logKept = 10000
-
 func newStateService(world *World) *fakeStateService {
 	return &fakeStateService{world: world, pageLimit: maxPage, keys: map[string]storedValue{}, leases: map[uint64]*grantedLease{}}
 }
 
 // serve answers a request, at once or (for a watch) later.
-func (service *fakeStateService) serve(method, target string, body []byte, answer func(status int, response any)) {
+func (service *fakeStateService) serve(method, target string, body []byte, answer answerFunc) {
 	if service.down {
 		answer(503, unavailable)
 		return
@@ -115,70 +71,10 @@
 	}
 }
 
-// Limits of a lease's duration in milliseconds.
-const (
-	minLeaseMS = 100
-	maxLeaseMS = 600_000
-)
-
-func (service *fakeStateService) grantLease(body []byte) (int, any) {
-	var v struct {
-		Life int `json:"life_ms"`
-	}
-	if json.Unmarshal(body, &v) != nil || v.Life < minLeaseMS || v.Life > maxLeaseMS {
-		return 400, nil
-	}
-	service.lastLease++
-	life := time.Duration(v.Life) * time.Millisecond
-	service.leases[service.lastLease] = &grantedLease{life, service.world.now + life}
-	return 200, leaseResponse{service.lastLease}
-}
-
-// changeLease extends or ends the lease that a path names.
-func (service *fakeStateService) changeLease(method, path string) int {
-	name, action, _ := strings.Cut(path, "/")
-	id, _ := strconv.ParseUint(name, 10, 64)
-	lease := service.leases[id]
-	switch {
-	case lease == nil:
-		return 404
-	case method == "DELETE":
-		lease.expiresAt = service.world.now
-		service.expireLeases()
-		return 200
-	case action == "extend":
-		lease.expiresAt = service.world.now + lease.duration
-		return 200
-	}
-	return 400
-}
-
-// watch answers with the changes after a revision, once there are any or the
-// time to wait is over.
-func (service *fakeStateService) watch(query url.Values, answer func(status int, response any)) {
-	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
-	wait, _ := strconv.Atoi(query.Get("wait_ms"))
-	if from+logKept < service.revision || from < service.oldest {
-		answer(410, nil)
-		return
-	}
-	if from < service.revision || wait == 0 {
-		answer(200, service.changesAfter(from))
-		return
-	}
-	watch := &watcher{from: from, answer: answer}
-	service.watchers = append(service.watchers, watch)
-	service.world.schedule(time.Duration(wait)*time.Millisecond, func() {
-		if !watch.answered {
-			watch.answered = true
-			answer(200, service.changesAfter(watch.from))
-		}
-	})
-}
-
 // maxPage is the largest number of keys in a page.
 const maxPage = 1000
 
+// listKeys answers with a page of the keys below a prefix.
 func (service *fakeStateService) listKeys(query url.Values) keyPage {
 	var keys []string
 	for key := range service.keys {
@@ -200,22 +96,17 @@
 	return keyPage{service.revision, len(keys) > limit, items}
 }
 
-func (service *fakeStateService) changesAfter(from uint64) watchResponse {
-	i := sort.Search(len(service.log), func(i int) bool { return service.log[i].ModRevision > from })
-	return watchResponse{service.revision, append([]changeEvent{}, service.log[i:]...)}
-}
-
 // maxTransaction is the largest size of a transaction in bytes.
 const maxTransaction = 64 << 10
 
 // commit carries out a transaction if all its conditions hold.
 func (service *fakeStateService) commit(body []byte) (int, any) {
 	var txn transaction
-	set := service.currentLimits()
-	if len(body) > maxTransaction || json.Unmarshal(body, &txn) != nil || len(txn.Then) > set.txnOps || len(txn.If) > 4*set.txnOps {
+	limits := service.currentLimits()
+	if len(body) > maxTransaction || json.Unmarshal(body, &txn) != nil || len(txn.Then) > limits.txnOps || len(txn.If) > 4*limits.txnOps {
 		return service.refuseTooLarge("a transaction", "a transaction over its limits: %d ops, %d conditions, %d bytes", len(txn.Then), len(txn.If), len(body))
 	}
-	if !service.writes.take(service.world.now, set.writesPerSecond, stateBurst, float64(len(txn.Then))) {
+	if !service.writes.take(service.world.now, limits.writesPerSecond, stateBurst, float64(len(txn.Then))) {
 		service.refusedForRate++
 		return 429, nil
 	}
@@ -223,7 +114,7 @@
 		if operation.LeaseID != 0 && service.leases[operation.LeaseID] == nil {
 			return 400, errorResponse{"no such lease"}
 		}
-		if float64(len(operation.Data)) > set.valueKB*1024 {
+		if float64(len(operation.Data)) > limits.valueKB*1024 {
 			return service.refuseTooLarge(operation.Write, "a value of %s of %d bytes", operation.Write, len(operation.Data))
 		}
 	}
@@ -253,54 +144,6 @@
 	return 200, committedResponse{service.revision}
 }
 
-func (service *fakeStateService) notifyWatchers() {
-	list := service.watchers
-	service.watchers = nil
-	for _, watcher := range list {
-		if watcher.answered {
-			continue
-		}
-		if service.revision > watcher.from && !service.down {
-			watcher.answered = true
-			watcher.answer(200, service.changesAfter(watcher.from))
-		} else {
-			service.watchers = append(service.watchers, watcher)
-		}
-	}
-}
-
-// expireLeases ends leases that ran out.
-func (service *fakeStateService) expireLeases() {
-	if service.down {
-		return
-	}
-	var ended []uint64
-	for id, lease := range service.leases {
-		if service.world.now >= lease.expiresAt {
-			ended = append(ended, id)
-		}
-	}
-	sort.Slice(ended, func(a, b int) bool { return ended[a] < ended[b] })
-	for _, id := range ended {
-		delete(service.leases, id)
-		var keys []string
-		for key, stored := range service.keys {
-			if stored.leaseID == id {
-				keys = append(keys, key)
-			}
-		}
-		sort.Strings(keys)
-		for _, key := range keys {
-			service.revision++
-			delete(service.keys, key)
-			service.log = append(service.log, changeEvent{Drop: key, ModRevision: service.revision})
-		}
-	}
-	if len(ended) > 0 {
-		service.notifyWatchers()
-	}
-}
-
 // setOutage starts or ends an outage; after it every lease has its full time.
 func (service *fakeStateService) setOutage(down bool) {
 	service.expireLeases()
@@ -312,3 +155,10 @@
 		service.notifyWatchers()
 	}
 }
+
+// putValue stores a record as it is.
+func (service *fakeStateService) putValue(key, data string) {
+	service.revision++
+	service.keys[key] = storedValue{data: json.RawMessage(data), modRevision: service.revision}
+	service.log = append(service.log, changeEvent{Write: key, Data: json.RawMessage(data), ModRevision: service.revision})
+}
--- a/internal/simtest/users_background.go
+++ b/internal/simtest/users_background.go
@@ -30,6 +30,7 @@
 	})
 }
 
+// pollInBackground asks for a job's state while the world goes on.
 func (users *fakeUsers) pollInBackground(id string) {
 	users.retryRequest(pollRequest(id), func(asked time.Duration, status int, phase string) bool {
 		users.world.checker.checkAnswer(asked, id, status, phase)
--- a/internal/simtest/users_cancel.go
+++ b/internal/simtest/users_cancel.go
@@ -29,7 +29,7 @@
 }
 
 // cancelNow cancels so many running jobs within a fifth of a second, and lets
-// up to eight of their machines hang for d.
+// up to eight of their machines hang for that long.
 func (users *fakeUsers) cancelNow(count int, duration time.Duration) []string {
 	ids := users.runningJobs()
 	users.world.random.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
--- a/internal/simtest/users_invalid.go
+++ b/internal/simtest/users_invalid.go
@@ -42,6 +42,7 @@
 	}
 }
 
+// invalidID is an ID that no valid job has.
 func (users *fakeUsers) invalidID() string {
 	users.invalidIDs++
 	return fmt.Sprintf("req-9%06d", users.invalidIDs)
@@ -92,6 +93,7 @@
 	users.submitRefused(arguments["id"], body, 400)
 }
 
+// submitRefused submits a job until it is refused with the status that is wanted.
 func (users *fakeUsers) submitRefused(id string, body []byte, want int) {
 	job := users.world.jobs[id]
 	job.submitted, job.expectedRefusal = true, want
--- a/internal/simtest/wire_record_test.go
+++ b/internal/simtest/wire_record_test.go
@@ -34,6 +34,7 @@
 	count int
 }
 
+// newRecorder begins a record; it is complete once it is closed.
 func newRecorder(t *testing.T, name string) *wireRecorder {
 	t.Helper()
 	recorder := &wireRecorder{hash: sha256.New()}
@@ -50,10 +51,12 @@
 	return recorder
 }
 
+// observe adds a message, in a line of its own.
 func (recorder *wireRecorder) observe(message Message) {
 	recorder.count++
 	// Flush returns the first error of the writer.
-	_, _ = fmt.Fprintf(recorder.text, "%d %s>%s %s %s %d %d %q\n", message.Time, message.From, message.To, message.Method, message.Path, message.Status, message.RetryAfter, message.Body)
+	_, _ = fmt.Fprintf(recorder.text, "%d %s>%s %s %s %d %d %q\n", message.Time, message.From, message.To,
+		message.Method, message.Path, message.Status, message.RetryAfter, message.Body)
 }
 
 // close writes the record's hash to a file of its own.
@@ -100,6 +103,7 @@
 	}
 }
 
+// recordScenario records the wire of a scenario.
 func recordScenario(t *testing.T, file, name string) {
 	t.Helper()
 	recorder := newRecorder(t, name)
--- a/internal/simtest/worker_gang.go
+++ b/internal/simtest/worker_gang.go
@@ -43,8 +43,10 @@
 	assignment.after(wait, func() { assignment.worker.exitTask(assignment, causeIncomplete, false) })
 }
 
+// isComplete tells whether all tasks of the gang are there.
 func (gang *gangRun) isComplete() bool { return len(gang.members) == gang.job.taskCount }
 
+// isRunning tells whether the gang has started and lost no task yet.
 func (gang *gangRun) isRunning() bool { return gang.started && !gang.over }
 
 // anyResponsive tells whether a task of the gang is on a machine that does not hang.
@@ -113,6 +115,7 @@
 	gang.world.schedule(duration, gang.finish)
 }
 
+// finish ends a gang that has run for its whole time.
 func (gang *gangRun) finish() {
 	if gang.over || gang.stopRequestedAt != 0 {
 		return
--- a/internal/simtest/worker_hang_test.go
+++ b/internal/simtest/worker_hang_test.go
@@ -33,7 +33,7 @@
 	}
 	world.Run(2 * time.Second)
 	if assignment := worker.assignments["req-000001/0"]; assignment == nil || assignment.phase != "running" || worker.incarnation != 1 {
-		t.Fatalf("after it went on: %+v, session %d", assignment, worker.incarnation)
+		t.Fatalf("after it went on: %+v, incarnation %d", assignment, worker.incarnation)
 	}
 	worker.leaseStart = world.now
 	world.Run(5 * time.Second)
@@ -43,7 +43,7 @@
 }
 
 // A machine that goes on later than its lease kills its tasks before it does
-// anything else: what waited for it finds the next session.
+// anything else: what waited for it finds the next incarnation.
 func TestHangBeyondLease(t *testing.T) {
 	world, worker := startOneTask(60 * time.Second)
 	worker.leaseStart = world.now
@@ -56,36 +56,48 @@
 	}
 	world.Run(time.Second)
 	if status != 409 || len(worker.assignments) != 0 || worker.incarnation != 2 {
-		t.Fatalf("after it went on: %d, %d tasks, session %d", status, len(worker.assignments), worker.incarnation)
+		t.Fatalf("after it went on: %d, %d tasks, incarnation %d", status, len(worker.assignments), worker.incarnation)
 	}
 }
 
-// The lease counts from the sending of the last answered report, and what comes
+// The lease counts from the sending of the last answered heartbeat, and what comes
 // later than the worker waits is dropped, be it that the machine hung.
 func TestLateAnswerRenewsNothing(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
+		name    string
 		hang    time.Duration
 		renewed bool
-	}{{3 * time.Second, true}, {5 * time.Second, false}} {
-		world, worker := startOneTask(60 * time.Second)
-		world.Run(time.Second)
-		before := worker.leaseStart
-		worker.heartbeatInFlight = false
-		process := world.controllers[0]
-		process.up, process.paused, process.pendingRequests = true, true, map[uint64]func(int, []byte){} // it takes the report and says nothing
-		worker.sendHeartbeat()
-		sent := worker.lastHeartbeat
-		world.Run(10 * time.Millisecond)
-		worker.hang(c.hang)
-		body, _ := json.Marshal(heartbeatResponse{FencingToken: 7})
-		for _, answer := range process.pendingRequests {
-			answer(200, body)
-		}
-		process.up = false
-		world.Run(c.hang + 100*time.Millisecond)
-		if want := map[bool]time.Duration{true: sent, false: before}[c.renewed]; worker.leaseStart != want {
-			t.Errorf("a hang of %s: lease from %s, not %s", c.hang, worker.leaseStart, want)
-		}
+	}{
+		{"answer within the timeout", 3 * time.Second, true},
+		{"answer after the timeout", 5 * time.Second, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			world, worker := startOneTask(60 * time.Second)
+			world.Run(time.Second)
+			want := worker.leaseStart
+			worker.heartbeatInFlight = false
+			process := world.controllers[0]
+			// It takes the heartbeat and says nothing.
+			process.up, process.paused, process.pendingRequests = true, true, map[uint64]func(int, []byte){}
+			worker.sendHeartbeat()
+			if test.renewed {
+				want = worker.lastHeartbeat
+			}
+			world.Run(10 * time.Millisecond)
+			worker.hang(test.hang)
+			body, err := json.Marshal(heartbeatResponse{FencingToken: 7})
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, answer := range process.pendingRequests {
+				answer(200, body)
+			}
+			process.up = false
+			world.Run(test.hang + 100*time.Millisecond)
+			if worker.leaseStart != want {
+				t.Errorf("lease from %s, not %s", worker.leaseStart, want)
+			}
+		})
 	}
 }
 
@@ -112,23 +124,23 @@
 	}
 }
 
-// The reports of a machine that reaches no controller reach nobody; direct commands reach it.
+// The heartbeats of a machine that reaches no controller reach nobody; direct commands reach it.
 func TestReportsBlocked(t *testing.T) {
 	world, worker := startOneTask(60 * time.Second)
 	process := world.controllers[0]
 	process.up, process.paused, process.pendingRequests = true, true, map[uint64]func(int, []byte){}
 	worker.heartbeatsBlocked, process.lastRequest = true, 0
 	world.Run(5 * time.Second)
-	reports := process.lastRequest
+	heartbeats := process.lastRequest
 	got := 0
 	worker.serve("/inspect", nil, func(code int, _ any) { got = code })
-	if got != 200 || reports != 0 {
-		t.Errorf("inspect answered %d, %d reports arrived", got, reports)
+	if got != 200 || heartbeats != 0 {
+		t.Errorf("inspect answered %d, %d heartbeats arrived", got, heartbeats)
 	}
 	worker.heartbeatsBlocked = false
 	world.Run(2 * time.Second)
 	if process.lastRequest == 0 {
-		t.Error("no report once it reaches controllers again")
+		t.Error("no heartbeat once it reaches controllers again")
 	}
 }
 
--- a/internal/simtest/worker_tasks_test.go
+++ b/internal/simtest/worker_tasks_test.go
@@ -40,31 +40,40 @@
 	return list
 }
 
-// TestFaultyMachine shows how tasks fail on a faulty machine, and that it runs
-// them again once it is repaired.
+// TestFaultyMachine shows how tasks fail on a faulty machine.
 func TestFaultyMachine(t *testing.T) {
-	for shape, want := range map[string][2]string{"array": {"error", "done"}, "daemon": {"error", "running"}, "gang": {"error", "peers"}} {
-		world, machines := newTwoMachines(t, shape)
-		startOnAll(machines, 1)
-		world.Run(5 * time.Second)
-		if got := exitCauses(machines); got != want {
-			t.Errorf("%s: tasks ended with %v, want %v", shape, got, want)
-		}
-		if got := runCommand(t, world, "attempts", Arguments{"id": "req-000001"}); got != "2" {
-			t.Errorf("%s: %s attempts, want 2", shape, got)
-		}
-		if shape != "gang" {
-			continue
-		}
-		runCommand(t, world, "repair", Arguments{"machine": "i-a"})
-		for _, worker := range machines {
-			clear(worker.assignments)
-		}
-		startOnAll(machines, 2)
-		world.Run(5 * time.Second)
-		if got, want := exitCauses(machines), [2]string{"done", "done"}; got != want {
-			t.Errorf("after the repair tasks ended with %v, want %v", got, want)
-		}
+	for shape, want := range map[string][2]string{
+		shapeArray:  {causeError, causeDone},
+		shapeDaemon: {causeError, taskRunning},
+		shapeGang:   {causeError, causePeers},
+	} {
+		t.Run(shape, func(t *testing.T) {
+			world, machines := newTwoMachines(t, shape)
+			startOnAll(machines, 1)
+			world.Run(5 * time.Second)
+			if got := exitCauses(machines); got != want {
+				t.Errorf("tasks ended with %v, want %v", got, want)
+			}
+			if got := runCommand(t, world, "attempts", Arguments{"id": "req-000001"}); got != "2" {
+				t.Errorf("%s attempts, want 2", got)
+			}
+		})
+	}
+}
+
+// TestRepairedMachine shows that a gang runs on a machine that was faulty once it is repaired.
+func TestRepairedMachine(t *testing.T) {
+	world, machines := newTwoMachines(t, shapeGang)
+	startOnAll(machines, 1)
+	world.Run(5 * time.Second)
+	runCommand(t, world, "repair", Arguments{"machine": "i-a"})
+	for _, worker := range machines {
+		clear(worker.assignments)
+	}
+	startOnAll(machines, 2)
+	world.Run(5 * time.Second)
+	if got, want := exitCauses(machines), [2]string{causeDone, causeDone}; got != want {
+		t.Errorf("after the repair tasks ended with %v, want %v", got, want)
 	}
 }
 
--- a/internal/simtest/world.go
+++ b/internal/simtest/world.go
@@ -59,37 +59,46 @@
 "cloud":{"rps":4,"list_lag_s":2},
 "resources":{"core_share":0.1,"ram_mb":100,"max_connections":500},"skew_ms":100}}`
 
-// New returns a world with so many controllers. tune changes the settings.
-func New(controllers int, seed uint64, log io.Writer, tune ...func(*config.Platform)) *World {
-	return NewWith(Settings, controllers, seed, log, tune...)
+// Options are what a world is made of.
+type Options struct {
+	Settings    string                 // JSON, "" for the constant Settings
+	Controllers int                    // how many there are
+	Seed        uint64                 // of all random draws
+	Log         io.Writer              // where controllers log to
+	Observer    WireObserver           // of every message that a controller receives or sends, nil: none
+	Tune        func(*config.Platform) // changes the settings, nil: doesn't
 }
 
-// NewWith is New with settings of its own.
-func NewWith(settings string, controllers int, seed uint64, log io.Writer, tune ...func(*config.Platform)) *World {
-	return NewObserved(settings, controllers, seed, log, nil, tune...)
+// New returns a world with so many controllers and the usual settings.
+func New(controllers int, seed uint64, log io.Writer) *World {
+	return NewWith(Options{Controllers: controllers, Seed: seed, Log: log})
 }
 
-// NewObserved is NewWith with an observer of every message that a controller receives or sends.
-func NewObserved(settings string, controllers int, seed uint64, log io.Writer, observer WireObserver, tune ...func(*config.Platform)) *World {
+// NewWith returns a world that has just begun. It panics if the settings are invalid.
+func NewWith(options Options) *World {
+	settings := options.Settings
+	if settings == "" {
+		settings = Settings
+	}
 	cfg, err := config.Parse([]byte(settings))
 	if err != nil {
 		panic(err)
 	}
-	for _, change := range tune {
-		change(cfg)
+	if options.Tune != nil {
+		options.Tune(cfg)
 	}
 	world := &World{
-		random:          rand.New(rand.NewPCG(seed, 1)),
+		random:          rand.New(rand.NewPCG(options.Seed, 1)),
 		config:          cfg,
 		workers:         map[string]*fakeWorker{},
 		jobs:            map[string]*jobRecord{},
 		limitsAnnounced: strings.Contains(settings, `"next":`),
-		log:             slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelInfo})),
-		observer:        observer,
+		log:             slog.New(slog.NewTextHandler(options.Log, &slog.HandlerOptions{Level: slog.LevelInfo})),
+		observer:        options.Observer,
 	}
 	world.stateService, world.cloud, world.checker = newStateService(world), newCloud(world), newChecker(world)
 	world.network, world.users = newNetwork(world), newUsers(world)
-	for i := range controllers {
+	for i := range options.Controllers {
 		world.controllers = append(world.controllers, &controllerProcess{world: world, index: i, name: fmt.Sprintf("n%d", i)})
 	}
 	for _, process := range world.controllers {
