--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -112,7 +112,7 @@
 	context.AfterFunc(e.ctx, func() {
 		// The context of Stop bounds how long it waits; Run waits anyhow.
 		if err := g.Stop(context.Background()); err != nil {
-			e.log.Error("the event loop does not stop", "err", err)
+			e.log.Error("the event loop does not stop", "error", err)
 		}
 	})
 	return gnet.None
--- a/internal/engine/gnetlogger.go
+++ b/internal/engine/gnetlogger.go
@@ -20,10 +20,10 @@
 
 // Errorf logs an error of gnet.
 func (l gnetLogger) Errorf(format string, args ...any) {
-	l.log.Debug("error of gnet", "err", fmt.Sprintf(format, args...))
+	l.log.Debug("error of gnet", "error", fmt.Sprintf(format, args...))
 }
 
 // Fatalf logs an error that ends gnet.
 func (l gnetLogger) Fatalf(format string, args ...any) {
-	l.log.Error("fatal error of gnet", "err", fmt.Sprintf(format, args...))
+	l.log.Error("fatal error of gnet", "error", fmt.Sprintf(format, args...))
 }
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -35,7 +35,7 @@
 func (e *engine) connectToSelf() {
 	c, err := net.DialTimeout("tcp", e.cfg.Bind, dialTimeout)
 	if err != nil {
-		e.log.Error("cannot connect to our own address", "addr", e.cfg.Bind, "err", err)
+		e.log.Error("cannot connect to our own address", "addr", e.cfg.Bind, "error", err)
 		return
 	}
 	_ = c.Close() // nothing has been sent on it that could get lost
