--- a/internal/autoscaler/provisioning.go
+++ b/internal/autoscaler/provisioning.go
@@ -65,7 +65,7 @@
 	p.retries = nil
 }
 
-// backOff notes that a pool has no capacity.
+// delayRecordWrite notes that a pool has no capacity.
 func (p *provisioner) backOff(pool machinePool, now event.Time) {
 	duration := min(maxPoolBackoff, max(minPoolBackoff, 2*p.backoffs[pool].duration))
 	p.backoffs[pool] = poolBackoff{until: now + duration, duration: duration}
--- a/internal/pipeline/assignment.go
+++ b/internal/pipeline/assignment.go
@@ -129,14 +129,3 @@
 
 // ClearMissedHeartbeats records that a heartbeat shows the task.
 func (a *Assignment) ClearMissedHeartbeats() { a.missedHeartbeats = 0 }
-
-// RequestEviction records that a task is to be stopped so that it can run elsewhere,
-// with a grace period in seconds. A second request does not change the first.
-func (t *Table) RequestEviction(assignment *Assignment, gracePeriod float64) {
-	if assignment.evicting {
-		return
-	}
-	assignment.evicting = true
-	assignment.gracePeriod = gracePeriod
-	t.NoteMachineChanged(assignment.Machine)
-}
--- a/internal/pipeline/fixture_test.go
+++ b/internal/pipeline/fixture_test.go
@@ -16,30 +16,30 @@
 // each write.
 type queue struct{ list []*kv.Txn }
 
-func (q *queue) Submit(in *kv.Txn, _ time.Duration) { q.list = append(q.list, in) }
+func (q *queue) Submit(txn *kv.Txn, _ time.Duration) { q.list = append(q.list, txn) }
 
-// next takes the next intent that has something to write.
+// next takes the next transaction that has something to write.
 func (q *queue) next(t *testing.T) *kv.Txn {
 	t.Helper()
 	for len(q.list) > 0 {
-		in := q.list[0]
+		txn := q.list[0]
 		q.list = q.list[1:]
-		if in.Build == nil || in.Build(in) {
-			return in
+		if txn.Build == nil || txn.Build(txn) {
+			return txn
 		}
-		in.Done(kv.Result{Outcome: kv.Aborted})
+		txn.Done(kv.Result{Outcome: kv.Aborted})
 	}
 	t.Fatal("nothing is written")
 	return nil
 }
 
 // carryOut applies a write as the state service would, and reports its outcome.
-func carryOut(tb *Table, in *kv.Txn, revision uint64) {
-	for _, w := range in.Writes {
+func carryOut(table *Table, txn *kv.Txn, revision uint64) {
+	for _, w := range txn.Writes {
 		kind, rest := splitKey(w.Key)
-		tb.HandleChange(kind, rest, w.Data, revision)
+		table.HandleChange(kind, rest, w.Data, revision)
 	}
-	in.Done(kv.Result{Outcome: kv.Committed, Revision: revision})
+	txn.Done(kv.Result{Outcome: kv.Committed, Revision: revision})
 }
 
 // splitKey splits a key into the kind of what is stored there and the rest.
@@ -49,10 +49,10 @@
 }
 
 // nameSpec gives a spec the names that every stored job has.
-func nameSpec(n *Names, s *Spec) {
-	s.Class = n.Classes.Index("c")
-	s.Team = n.Teams.Index("t")
-	s.Image = n.Images.Index("b")
+func nameSpec(names *Names, spec *Spec) {
+	spec.Class = names.Classes.Index("c")
+	spec.Team = names.Teams.Index("t")
+	spec.Image = names.Images.Index("b")
 }
 
 // testValueBytes is the limit on values for which tables are laid out.
@@ -66,11 +66,11 @@
 // newJob returns a table with a ready job of n tasks.
 func newJob(t *testing.T, n int) (*Table, *Job) {
 	t.Helper()
-	tb := newTable(12)
-	j := &Job{ID: "req-1", Ready: true, Spec: Spec{TaskCount: n, CPUs: 1, Zone: -1}}
-	nameSpec(tb.Names, &j.Spec)
-	tb.HandleChange(record.KindJob, j.ID, EncodeJob(tb.Names, j), 1)
-	return tb, tb.Job(j.ID)
+	table := newTable(12)
+	job := &Job{ID: "req-1", Ready: true, Spec: Spec{TaskCount: n, CPUs: 1, Zone: -1}}
+	nameSpec(table.Names, &job.Spec)
+	table.HandleChange(record.KindJob, job.ID, EncodeJob(table.Names, job), 1)
+	return table, table.Job(job.ID)
 }
 
 // line is a change of a stored key, for tests that replay changes in another order.
@@ -105,39 +105,39 @@
 
 // job stores a held job below others, or one that is ready if there are none.
 func (r *fixture) job(n int, set func(*Job), up ...int) *Job {
-	j := &Job{
+	job := &Job{
 		ID:    id(n),
 		Owner: "n0",
 		Ready: len(up) == 0,
 		Spec:  Spec{TaskCount: 1, CPUs: 1, Priority: Normal, Zone: -1, EstimatedRuntime: 10},
 	}
-	nameSpec(r.Names, &j.Spec)
+	nameSpec(r.Names, &job.Spec)
 	for _, u := range up {
-		j.Upstream = append(j.Upstream, id(u))
+		job.Upstream = append(job.Upstream, id(u))
 	}
 	if set != nil {
-		set(j)
+		set(job)
 	}
-	r.write(record.KindJob, j.ID, EncodeJob(r.Names, j))
-	return r.Job(j.ID)
+	r.write(record.KindJob, job.ID, EncodeJob(r.Names, job))
+	return r.Job(job.ID)
 }
 
 // listInParts has a job's upstream jobs listed in other keys.
-func (j *Job) listInParts(parts int, version uint64) {
+func (j *Job) listInParts(parts int, modRevision uint64) {
 	j.Upstream = nil
 	j.UpstreamPages = parts
-	j.SubmissionRevision = version
+	j.SubmissionRevision = modRevision
 }
 
 func (r *fixture) final(n int, p Phase) {
-	j := &Job{Spec: Spec{TaskCount: 1}}
-	r.write(record.KindTerminal, id(n), EncodeTerminal(p, j))
+	job := &Job{Spec: Spec{TaskCount: 1}}
+	r.write(record.KindTerminal, id(n), EncodeTerminal(p, job))
 }
 
 func idsOf(list []*Job) string {
 	s := make([]string, 0, len(list))
-	for _, j := range list {
-		s = append(s, strings.TrimLeft(strings.TrimPrefix(j.ID, "req-"), "0"))
+	for _, job := range list {
+		s = append(s, strings.TrimLeft(strings.TrimPrefix(job.ID, "req-"), "0"))
 	}
 	return strings.Join(s, " ")
 }
--- a/internal/pipeline/graph_test.go
+++ b/internal/pipeline/graph_test.go
@@ -26,7 +26,7 @@
 	if d.Phase() != Queued || len(r.ReadyJobs()) != 0 {
 		t.Errorf("a held job is %v, %d are to be placed", d.Phase(), len(r.ReadyJobs()))
 	}
-	// The ready mark counts whichever controller wrote it.
+	// The readiness counts whichever controller wrote it.
 	ready := *d
 	ready.Ready = true
 	r.write(record.KindJob, d.ID, EncodeJob(r.Names, &ready))
@@ -97,10 +97,10 @@
 	}
 	slices.Sort(names)
 	for _, id := range names {
-		j := r.byID[id]
-		fmt.Fprint(&b, id, " ", j.ModRevision, j.Phase(), j.upstreamCancelled, r.graph.releasable[j])
-		if j.Phase() == Queued {
-			fmt.Fprint(&b, " ", j.EffectivePriority, j.EffectiveDeadline)
+		job := r.byID[id]
+		fmt.Fprint(&b, id, " ", job.ModRevision, job.Phase(), job.upstreamCancelled, r.graph.releasable[job])
+		if job.Phase() == Queued {
+			fmt.Fprint(&b, " ", job.EffectivePriority, job.EffectiveDeadline)
 		}
 		fmt.Fprintln(&b)
 	}
@@ -118,14 +118,14 @@
 				up = append(up, 1+rng.IntN(i-1))
 			}
 		}
-		r.job(i, func(j *Job) {
-			j.Priority = Priority(rng.IntN(4))
-			j.SubmittedAt = 1000_000 + int64(i)
+		r.job(i, func(job *Job) {
+			job.Priority = Priority(rng.IntN(4))
+			job.SubmittedAt = 1000_000 + int64(i)
 			if rng.IntN(3) == 0 {
-				j.Deadline = float64(100 + rng.IntN(100))
+				job.Deadline = float64(100 + rng.IntN(100))
 			}
 			if len(up) > 2 {
-				r.writeParts(j, 2)
+				r.writeParts(job, 2)
 			}
 		}, up...)
 		if event := rng.IntN(12); event < 3 && i > 5 {
@@ -135,25 +135,25 @@
 	return r
 }
 
-// writeParts stores a job's list of upstream jobs in two parts, the first of which
+// writeParts stores a job's list of upstream jobs in two pages, the first of which
 // has so many of them.
-func (r *fixture) writeParts(j *Job, first int) {
-	r.write(record.KindUpstreamPage, j.ID+"/0", record.EncodeUpstreamPages(j.Upstream[:first], 4096)[0])
-	version := r.revision
-	r.write(record.KindUpstreamPage, j.ID+"/1", record.EncodeUpstreamPages(j.Upstream[first:], 4096)[0])
-	j.listInParts(2, version)
+func (r *fixture) writeParts(job *Job, first int) {
+	r.write(record.KindUpstreamPage, job.ID+"/0", record.EncodeUpstreamPages(job.Upstream[:first], 4096)[0])
+	modRevision := r.revision
+	r.write(record.KindUpstreamPage, job.ID+"/1", record.EncodeUpstreamPages(job.Upstream[first:], 4096)[0])
+	job.listInParts(2, modRevision)
 }
 
 // endJob marks a job as cancelled, or as done if all its upstream jobs are done.
 func (r *fixture) endJob(n int, cancel bool) {
-	j := r.Job(id(n))
-	if r.Terminal.Has(id(n)) || j == nil {
+	job := r.Job(id(n))
+	if r.Terminal.Has(id(n)) || job == nil {
 		return
 	}
 	switch {
 	case cancel:
 		r.final(n, Cancelled)
-	case (j.Ready || r.graph.releasable[j]) && j.Phase() == Queued:
+	case (job.Ready || r.graph.releasable[job]) && job.Phase() == Queued:
 		r.final(n, Done)
 	}
 }
--- a/internal/pipeline/job_record.go
+++ b/internal/pipeline/job_record.go
@@ -3,74 +3,74 @@
 import "lugward/internal/record"
 
 // EncodeJob returns the stored form of a job.
-func EncodeJob(n *Names, j *Job) []byte {
+func EncodeJob(names *Names, job *Job) []byte {
 	stored := record.Job{
-		Class:              n.Classes.Name(j.Class),
-		Team:               n.Teams.Name(j.Team),
-		Shape:              uint8(j.Shape),
-		Priority:           uint8(j.Priority),
-		TaskCount:          j.TaskCount,
-		CPUs:               j.CPUs,
-		GPUs:               j.GPUs,
-		Memory:             j.Memory,
-		Image:              n.Images.Name(j.Image),
-		ImageGB:            j.ImageGB,
-		SameZone:           j.SameZone,
-		SpreadZones:        j.SpreadZones,
-		AllowSpot:          j.AllowSpot,
-		EstimatedRuntime:   j.EstimatedRuntime,
-		CheckpointInterval: j.CheckpointInterval,
-		CheckpointDuration: j.CheckpointDuration,
-		Deadline:           j.Deadline,
-		Owner:              j.Owner,
-		Upstream:           j.Upstream,
-		UpstreamPages:      j.UpstreamPages,
-		SubmissionRevision: j.SubmissionRevision,
-		Ready:              j.Ready,
-		SubmittedAt:        j.SubmittedAt,
-		ReadyAt:            j.ReadyAt,
-		Unknown:            j.unknown,
+		Class:              names.Classes.Name(job.Class),
+		Team:               names.Teams.Name(job.Team),
+		Shape:              uint8(job.Shape),
+		Priority:           uint8(job.Priority),
+		TaskCount:          job.TaskCount,
+		CPUs:               job.CPUs,
+		GPUs:               job.GPUs,
+		Memory:             job.Memory,
+		Image:              names.Images.Name(job.Image),
+		ImageGB:            job.ImageGB,
+		SameZone:           job.SameZone,
+		SpreadZones:        job.SpreadZones,
+		AllowSpot:          job.AllowSpot,
+		EstimatedRuntime:   job.EstimatedRuntime,
+		CheckpointInterval: job.CheckpointInterval,
+		CheckpointDuration: job.CheckpointDuration,
+		Deadline:           job.Deadline,
+		Owner:              job.Owner,
+		Upstream:           job.Upstream,
+		UpstreamPages:      job.UpstreamPages,
+		SubmissionRevision: job.SubmissionRevision,
+		Ready:              job.Ready,
+		SubmittedAt:        job.SubmittedAt,
+		ReadyAt:            job.ReadyAt,
+		Unknown:            job.unknown,
 	}
-	for _, machineType := range j.MachineTypes {
-		stored.MachineTypes = append(stored.MachineTypes, n.MachineTypes.Name(machineType))
+	for _, machineType := range job.MachineTypes {
+		stored.MachineTypes = append(stored.MachineTypes, names.MachineTypes.Name(machineType))
 	}
-	if j.Zone >= 0 {
-		stored.Zone = n.Zones.Name(j.Zone)
+	if job.Zone >= 0 {
+		stored.Zone = names.Zones.Name(job.Zone)
 	}
 	return stored.Encode()
 }
 
 // decodeJob decodes a job's stored form into the job, which stays as it was if there
 // is an error.
-func decodeJob(n *Names, data []byte, j *Job) error {
+func decodeJob(names *Names, data []byte, job *Job) error {
 	stored, err := record.DecodeJob(data)
 	if err != nil {
 		return err
 	}
-	j.Spec = newSpec(n, &stored)
-	j.unknown = stored.Unknown
-	j.Owner = stored.Owner
-	j.Upstream = stored.Upstream
-	j.UpstreamPages = stored.UpstreamPages
-	j.SubmissionRevision = stored.SubmissionRevision
-	j.Ready = stored.Ready
-	j.SubmittedAt = stored.SubmittedAt
-	j.ReadyAt = stored.ReadyAt
+	job.Spec = newSpec(names, &stored)
+	job.unknown = stored.Unknown
+	job.Owner = stored.Owner
+	job.Upstream = stored.Upstream
+	job.UpstreamPages = stored.UpstreamPages
+	job.SubmissionRevision = stored.SubmissionRevision
+	job.Ready = stored.Ready
+	job.SubmittedAt = stored.SubmittedAt
+	job.ReadyAt = stored.ReadyAt
 	return nil
 }
 
 // newSpec returns what a job record asks for, with indices in place of the names.
-func newSpec(n *Names, stored *record.Job) Spec {
+func newSpec(names *Names, stored *record.Job) Spec {
 	spec := Spec{
-		Class:              n.Classes.Index(stored.Class),
-		Team:               n.Teams.Index(stored.Team),
+		Class:              names.Classes.Index(stored.Class),
+		Team:               names.Teams.Index(stored.Team),
 		Shape:              Shape(stored.Shape),
 		Priority:           Priority(stored.Priority),
 		TaskCount:          stored.TaskCount,
 		CPUs:               stored.CPUs,
 		GPUs:               stored.GPUs,
 		Memory:             stored.Memory,
-		Image:              n.Images.Index(stored.Image),
+		Image:              names.Images.Index(stored.Image),
 		ImageGB:            stored.ImageGB,
 		Zone:               AnyZone,
 		SameZone:           stored.SameZone,
@@ -82,20 +82,20 @@
 		Deadline:           stored.Deadline,
 	}
 	for _, machineType := range stored.MachineTypes {
-		spec.MachineTypes = append(spec.MachineTypes, n.MachineTypes.Index(machineType))
+		spec.MachineTypes = append(spec.MachineTypes, names.MachineTypes.Index(machineType))
 	}
 	if stored.Zone != "" {
-		spec.Zone = n.Zones.Index(stored.Zone)
+		spec.Zone = names.Zones.Index(stored.Zone)
 	}
 	return spec
 }
 
 // EncodeTerminal returns the stored form of the terminal record of a job that ends in
 // a phase, which is Done or Cancelled.
-func EncodeTerminal(phase Phase, j *Job) []byte {
+func EncodeTerminal(phase Phase, job *Job) []byte {
 	return record.Terminal{
 		Cancelled: phase == Cancelled,
-		TaskCount: j.TaskCount,
-		Daemon:    j.Shape == Daemon,
+		TaskCount: job.TaskCount,
+		Daemon:    job.Shape == Daemon,
 	}.Encode()
 }
--- /dev/null
+++ b/internal/pipeline/machine_index.go
@@ -0,0 +1,78 @@
+package pipeline
+
+import (
+	"iter"
+	"slices"
+)
+
+// machineIndex lists the assignments of each machine, and the machines whose assignments
+// have changed. A list is replaced, never changed in place.
+type machineIndex struct {
+	byMachine       [][]*Assignment
+	changes         []uint32     // by machine, how often its assignments have changed
+	changedMachines []int        // since they were last taken, in the order of the first change
+	changed         map[int]bool // the machines in changedMachines
+}
+
+// OnMachine returns the assignments of a machine, as they are now: what is removed
+// meanwhile stays in the list that was returned.
+func (m *machineIndex) OnMachine(machine int) []*Assignment {
+	if machine < 0 || machine >= len(m.byMachine) {
+		return nil
+	}
+	return m.byMachine[machine]
+}
+
+// MachinesInUse returns the machines with assignments, in the order of their indices.
+func (m *machineIndex) MachinesInUse() iter.Seq[int] {
+	return func(yield func(machine int) bool) {
+		for machine, list := range m.byMachine {
+			if len(list) > 0 && !yield(machine) {
+				return
+			}
+		}
+	}
+}
+
+// NoteMachineChanged notes that something about the assignments of a machine has changed.
+func (m *machineIndex) NoteMachineChanged(machine int) {
+	for len(m.changes) <= machine {
+		m.changes = append(m.changes, 0)
+	}
+	m.changes[machine]++
+	if !m.changed[machine] {
+		m.changed[machine] = true
+		m.changedMachines = append(m.changedMachines, machine)
+	}
+}
+
+// Changes counts the changes of a machine's assignments: whoever caches something
+// that follows from them compares it.
+func (m *machineIndex) Changes(machine int) uint32 {
+	if machine >= len(m.changes) {
+		return 0
+	}
+	return m.changes[machine]
+}
+
+// TakeChangedMachines returns, once each, the machines whose assignments have changed.
+func (m *machineIndex) TakeChangedMachines() []int {
+	list := m.changedMachines
+	m.changedMachines = nil
+	clear(m.changed)
+	return list
+}
+
+func (m *machineIndex) addToMachine(assignment *Assignment) {
+	for len(m.byMachine) <= assignment.Machine {
+		m.byMachine = append(m.byMachine, nil)
+	}
+	m.byMachine[assignment.Machine] = append(slices.Clip(m.byMachine[assignment.Machine]), assignment)
+	m.NoteMachineChanged(assignment.Machine)
+}
+
+func (m *machineIndex) removeFromMachine(assignment *Assignment) {
+	m.NoteMachineChanged(assignment.Machine)
+	list := slices.Clone(m.byMachine[assignment.Machine])
+	m.byMachine[assignment.Machine] = slices.DeleteFunc(list, func(other *Assignment) bool { return other == assignment })
+}
--- a/internal/pipeline/inherit.go
+++ b/internal/pipeline/priority_inheritance.go
@@ -10,7 +10,7 @@
 
 // youngestFirst is a heap of jobs whose effective values are stale: the youngest
 // held job first, jobs that are ready last. A job names only jobs that were
-// accepted before it, and a held job's record is rewritten by its ready mark alone,
+// accepted before it, and a held job's record is rewritten by its readiness alone,
 // so whatever a job inherits is settled before it.
 type youngestFirst []*Job
 
@@ -34,7 +34,7 @@
 	return last
 }
 
-// acceptedAt is the version at which a held job was accepted, 0 for one that is
+// acceptedAt is the revision at which a held job was accepted, 0 for one that is
 // ready: its record has been rewritten since.
 func (j *Job) acceptedAt() uint64 {
 	if j.Ready {
@@ -51,50 +51,50 @@
 		return
 	}
 	h := make(youngestFirst, 0, len(stale))
-	for j := range stale {
-		h = append(h, j)
+	for job := range stale {
+		h = append(h, job)
 	}
 	heap.Init(&h)
-	push := func(j *Job) {
-		if !stale[j] {
-			stale[j] = true
-			heap.Push(&h, j)
+	push := func(job *Job) {
+		if !stale[job] {
+			stale[job] = true
+			heap.Push(&h, job)
 		}
 	}
 	for len(h) > 0 {
-		j := heap.Pop(&h).(*Job)
-		delete(stale, j)
-		if t.byID[j.ID] != j {
+		job := heap.Pop(&h).(*Job)
+		delete(stale, job)
+		if t.byID[job.ID] != job {
 			continue // its records are deleted
 		}
-		if j.inheritStale {
-			t.rederive(j)
+		if job.inheritStale {
+			t.rederive(job)
 		}
-		t.propagate(j, push)
+		t.propagate(job, push)
 	}
 }
 
 // rederive computes a job's effective values from those of the jobs that need it.
-func (t *Table) rederive(j *Job) {
-	j.inheritStale = false
-	j.EffectivePriority = j.Priority
-	j.EffectiveDeadline = j.deadlineAt
-	for dependent := range t.graph.dependents[j.ID] {
-		j.inheritFrom(dependent)
+func (t *Table) rederive(job *Job) {
+	job.inheritStale = false
+	job.EffectivePriority = job.Priority
+	job.EffectiveDeadline = job.deadlineAt
+	for dependent := range t.graph.dependents[job.ID] {
+		job.inheritFrom(dependent)
 	}
 }
 
 // propagate passes a job's effective values, if they have changed, on to its
 // upstream jobs. Values that ask for less make them be derived anew, since another
 // dependent job may still ask for more.
-func (t *Table) propagate(j *Job, push func(*Job)) {
-	if j.EffectivePriority == j.propagatedPriority && j.EffectiveDeadline == j.propagatedDeadline {
+func (t *Table) propagate(job *Job, push func(*Job)) {
+	if job.EffectivePriority == job.propagatedPriority && job.EffectiveDeadline == job.propagatedDeadline {
 		return
 	}
-	asksLess := j.EffectivePriority < j.propagatedPriority || j.EffectiveDeadline > j.propagatedDeadline
-	j.propagatedPriority = j.EffectivePriority
-	j.propagatedDeadline = j.EffectiveDeadline
-	for _, id := range j.linkedUpstream {
+	asksLess := job.EffectivePriority < job.propagatedPriority || job.EffectiveDeadline > job.propagatedDeadline
+	job.propagatedPriority = job.EffectivePriority
+	job.propagatedDeadline = job.EffectiveDeadline
+	for _, id := range job.linkedUpstream {
 		upstream := t.byID[id]
 		if upstream == nil || upstream.TerminalPhase != Queued {
 			continue
@@ -102,7 +102,7 @@
 		if asksLess {
 			upstream.inheritStale = true
 			push(upstream)
-		} else if upstream.inheritFrom(j) {
+		} else if upstream.inheritFrom(job) {
 			push(upstream)
 		}
 	}
--- a/internal/pipeline/inherit_test.go
+++ b/internal/pipeline/priority_inheritance_test.go
@@ -12,11 +12,11 @@
 func checkDerived(t *testing.T, r *fixture) {
 	t.Helper()
 	r.inherit()
-	var derive func(j *Job) (Priority, event.Time)
-	derive = func(j *Job) (Priority, event.Time) {
-		priority, deadline := j.Priority, j.deadlineAt
+	var derive func(job *Job) (Priority, event.Time)
+	derive = func(job *Job) (Priority, event.Time) {
+		priority, deadline := job.Priority, job.deadlineAt
 		for _, d := range r.byID {
-			if d.Ready || d.TerminalPhase != Queued || d.upstreamCancelled || !slices.Contains(d.linkedUpstream, j.ID) {
+			if d.Ready || d.TerminalPhase != Queued || d.upstreamCancelled || !slices.Contains(d.linkedUpstream, job.ID) {
 				continue
 			}
 			dr, dd := derive(d)
@@ -27,12 +27,12 @@
 		}
 		return priority, deadline
 	}
-	for _, j := range r.byID {
-		if j.TerminalPhase != Queued || j.upstreamCancelled {
+	for _, job := range r.byID {
+		if job.TerminalPhase != Queued || job.upstreamCancelled {
 			continue
 		}
-		if priority, deadline := derive(j); priority != j.EffectivePriority || deadline != j.EffectiveDeadline {
-			t.Errorf("%s has %v and %v, want %v and %v", j.ID, j.EffectivePriority, j.EffectiveDeadline, priority, deadline)
+		if priority, deadline := derive(job); priority != job.EffectivePriority || deadline != job.EffectiveDeadline {
+			t.Errorf("%s has %v and %v, want %v and %v", job.ID, job.EffectivePriority, job.EffectiveDeadline, priority, deadline)
 		}
 	}
 }
@@ -41,13 +41,13 @@
 // when it is cancelled they fall back.
 func TestInherit(t *testing.T) {
 	r := newFixture()
-	a := r.job(1, func(j *Job) { j.Priority = Idle })
-	b := r.job(2, func(j *Job) { j.Priority = Idle }, 1)
+	a := r.job(1, func(job *Job) { job.Priority = Idle })
+	b := r.job(2, func(job *Job) { job.Priority = Idle }, 1)
 	c := r.job(3, nil, 1)
 	if r.inherit(); a.EffectivePriority != Normal || a.EffectiveDeadline != NoDeadline || b.EffectivePriority != Idle {
 		t.Errorf("%v %v %v", a.EffectivePriority, a.EffectiveDeadline, b.EffectivePriority)
 	}
-	last := r.job(4, func(j *Job) { j.Priority, j.Deadline, j.SubmittedAt = High, 100, 1000_000 }, 2, 3)
+	last := r.job(4, func(job *Job) { job.Priority, job.Deadline, job.SubmittedAt = High, 100, 1000_000 }, 2, 3)
 	r.inherit()
 	// Submitted a second after monotonic time 0, due 100 s later.
 	deadline := 101 * time.Second
@@ -75,7 +75,7 @@
 		r.job(i, nil, i-1, max(1, i-2))
 	}
 	r.inherit()
-	r.job(n+1, func(j *Job) { j.Priority, j.Deadline, j.SubmittedAt = Production, 1e6, 1000_000 }, n)
+	r.job(n+1, func(job *Job) { job.Priority, job.Deadline, job.SubmittedAt = Production, 1e6, 1000_000 }, n)
 	r.inherit()
 	if root := r.Job(id(1)); root.EffectivePriority != Production || root.EffectiveDeadline != event.Time((1e6+1-10*n)*1e9) {
 		t.Errorf("the root has %v and %v", root.EffectivePriority, root.EffectiveDeadline)
@@ -92,18 +92,18 @@
 	r := newFixture()
 	r.SetNow(50 * time.Second)
 	r.SetClock(50*time.Second, time.Unix(5000, 0)) // monotonic time 0 is 4950 s
-	j := r.job(1, func(j *Job) { j.SubmittedAt, j.ReadyAt, j.Deadline = 4900_000, 4960_000, 100 })
-	if j.ReadySince != 10*time.Second || j.EffectiveDeadline != 50*time.Second {
-		t.Errorf("ready since %v, due at %v", j.ReadySince, j.EffectiveDeadline)
+	job := r.job(1, func(job *Job) { job.SubmittedAt, job.ReadyAt, job.Deadline = 4900_000, 4960_000, 100 })
+	if job.ReadySince != 10*time.Second || job.EffectiveDeadline != 50*time.Second {
+		t.Errorf("ready since %v, due at %v", job.ReadySince, job.EffectiveDeadline)
 	}
-	j = r.job(2, func(j *Job) { j.SubmittedAt, j.Deadline = 4900_000, 100 })
-	if j.ReadySince != -50*time.Second || j.ReadyAt != 4900_000 {
-		t.Errorf("ready since %v, at %d", j.ReadySince, j.ReadyAt)
+	job = r.job(2, func(job *Job) { job.SubmittedAt, job.Deadline = 4900_000, 100 })
+	if job.ReadySince != -50*time.Second || job.ReadyAt != 4900_000 {
+		t.Errorf("ready since %v, at %d", job.ReadySince, job.ReadyAt)
 	}
 	// A clock that is ahead puts nothing into the future; an old record has no times.
 	for _, at := range []int64{9000_000, 0} {
-		if j = r.job(3+int(at), func(j *Job) { j.SubmittedAt, j.Deadline = at, 100 }); j.ReadySince != r.now || j.EffectiveDeadline != r.now+100*time.Second {
-			t.Errorf("at %d: ready since %v, due at %v", at, j.ReadySince, j.EffectiveDeadline)
+		if job = r.job(3+int(at), func(job *Job) { job.SubmittedAt, job.Deadline = at, 100 }); job.ReadySince != r.now || job.EffectiveDeadline != r.now+100*time.Second {
+			t.Errorf("at %d: ready since %v, due at %v", at, job.ReadySince, job.EffectiveDeadline)
 		}
 	}
 }
--- a/internal/pipeline/production_test.go
+++ b/internal/pipeline/production_test.go
@@ -21,13 +21,13 @@
 	}
 	for _, s := range strings.Split(strings.TrimRight(string(raw), "\n"), "\n") {
 		f := strings.Split(s, "\t")
-		version, err := strconv.ParseUint(f[0], 10, 64)
+		modRevision, err := strconv.ParseUint(f[0], 10, 64)
 		if err != nil || len(f) != 3 {
 			t.Fatalf("%q", s)
 		}
 		var l line
 		l.kind, l.rest = splitKey(f[1])
-		if l.version = version; f[2] != "" {
+		if l.version = modRevision; f[2] != "" {
 			l.data = []byte(f[2])
 		}
 		list = append(list, l)
@@ -38,37 +38,37 @@
 // What the version in production stores is read, and written again the same to
 // the byte where nothing new is to be told.
 func TestProductionRecords(t *testing.T) {
-	tb := newTable(12)
+	table := newTable(12)
 	seen := map[record.Kind]int{}
 	most := 0
 	for _, l := range stored(t, "production_store.txt") {
-		tb.HandleChange(l.kind, l.rest, l.data, l.version)
+		table.HandleChange(l.kind, l.rest, l.data, l.version)
 		if l.data == nil {
 			continue
 		}
 		seen[l.kind]++
 		switch l.kind {
 		case record.KindJob:
-			j := tb.Job(l.rest)
-			if j == nil || !j.Ready || j.ModRevision != l.version || j.ReadyRevision != l.version || j.EffectivePriority != j.Priority {
-				t.Fatalf("%s is read as %+v", l.rest, j)
+			job := table.Job(l.rest)
+			if job == nil || !job.Ready || job.ModRevision != l.version || job.ReadyRevision != l.version || job.EffectivePriority != job.Priority {
+				t.Fatalf("%s is read as %+v", l.rest, job)
 			}
-			if got := EncodeJob(tb.Names, j); !bytes.Equal(got, l.data) {
+			if got := EncodeJob(table.Names, job); !bytes.Equal(got, l.data) {
 				t.Errorf("%s becomes %s", l.data, got)
 			}
 		case record.KindRun:
 			id, chunk, _ := strings.Cut(l.rest, "/")
-			j := tb.Job(id)
+			job := table.Job(id)
 			c, _ := strconv.Atoi(chunk)
-			active := make([]*Assignment, 0, len(j.segments[c].assignments))
-			for _, e := range j.segments[c].assignments {
-				if !e.durable {
+			active := make([]*Assignment, 0, len(job.segments[c].assignments))
+			for _, assignment := range job.segments[c].assignments {
+				if !assignment.durable {
 					t.Errorf("%s: an entry is not stored", l.rest)
 				}
-				active = append(active, e)
+				active = append(active, assignment)
 			}
 			most = max(most, len(active))
-			run := record.Run{Attempt: j.segments[c].attempt, Done: j.segments[c].done, Active: tb.assignmentRecords(active)}
+			run := record.Run{Attempt: job.segments[c].attempt, Done: job.segments[c].done, Active: table.assignmentRecords(active)}
 			if got := run.Encode(); !bytes.Equal(got, l.data) {
 				t.Errorf("%s becomes %s", l.data, got)
 			}
@@ -76,8 +76,8 @@
 			if _, err := record.DecodeTerminal(l.data); err != nil {
 				t.Fatalf("%s: %v", l.data, err)
 			}
-			f, _ := tb.Terminal.Get(l.rest)
-			if got := EncodeTerminal(f.Phase, &Job{Spec: Spec{TaskCount: f.TaskCount}}); !bytes.Equal(got, l.data) {
+			terminal, _ := table.Terminal.Get(l.rest)
+			if got := EncodeTerminal(terminal.Phase, &Job{Spec: Spec{TaskCount: terminal.TaskCount}}); !bytes.Equal(got, l.data) {
 				t.Errorf("%s becomes %s", l.data, got)
 			}
 		}
@@ -85,32 +85,32 @@
 	if seen[record.KindJob] < 5 || seen[record.KindRun] < 10 || seen[record.KindTerminal] < 4 || most < 40 {
 		t.Errorf("seen %v, at most %d entries", seen, most)
 	}
-	if len(tb.byID) != 0 {
-		t.Errorf("%d jobs are left", len(tb.byID))
+	if len(table.byID) != 0 {
+		t.Errorf("%d jobs are left", len(table.byID))
 	}
 	for id, want := range map[string]Phase{"req-000001": Done, "req-000002": Done, "req-000003": Cancelled, "req-000004": Done, "req-000005": Cancelled} {
-		if final, _ := tb.Terminal.Get(id); final.Phase != want {
-			t.Errorf("%s: %v", id, final)
+		if terminal, _ := table.Terminal.Get(id); terminal.Phase != want {
+			t.Errorf("%s: %v", id, terminal)
 		}
 	}
 }
 
 // A job's record is decoded into the same specification, with the indices of the names.
 func TestJobRecordRoundTrip(t *testing.T) {
-	n := &Names{}
-	j := &Job{ID: "req-1", Owner: "n2", Upstream: []string{"req-2", "req-3"}, Ready: true, SubmittedAt: 1_700_000_000_123, ReadyAt: 1_700_000_060_456, Spec: Spec{
-		Class: n.Classes.Index("c"), Team: n.Teams.Index("t"), Image: n.Images.Index("b"), Shape: Gang, Priority: High, TaskCount: 7, CPUs: 1.5, GPUs: 2, Memory: 3,
-		ImageGB: 4.5, MachineTypes: []int{n.MachineTypes.Index("x"), n.MachineTypes.Index("y")}, Zone: n.Zones.Index("z"), SameZone: true, AllowSpot: true,
+	names := &Names{}
+	job := &Job{ID: "req-1", Owner: "n2", Upstream: []string{"req-2", "req-3"}, Ready: true, SubmittedAt: 1_700_000_000_123, ReadyAt: 1_700_000_060_456, Spec: Spec{
+		Class: names.Classes.Index("c"), Team: names.Teams.Index("t"), Image: names.Images.Index("b"), Shape: Gang, Priority: High, TaskCount: 7, CPUs: 1.5, GPUs: 2, Memory: 3,
+		ImageGB: 4.5, MachineTypes: []int{names.MachineTypes.Index("x"), names.MachineTypes.Index("y")}, Zone: names.Zones.Index("z"), SameZone: true, AllowSpot: true,
 		EstimatedRuntime: 10, CheckpointInterval: 20, CheckpointDuration: 30, Deadline: 40}}
 	check := func() {
 		t.Helper()
-		data := EncodeJob(n, j)
+		data := EncodeJob(names, job)
 		back := &Job{ID: "req-1"}
-		if err := decodeJob(n, data, back); err != nil || !reflect.DeepEqual(back, j) {
+		if err := decodeJob(names, data, back); err != nil || !reflect.DeepEqual(back, job) {
 			t.Errorf("%s: %+v, %v", data, back, err)
 		}
 	}
 	check()
-	j.Upstream, j.UpstreamPages, j.SubmissionRevision, j.Ready, j.ReadyAt = nil, 9, 1<<63, false, 0
+	job.Upstream, job.UpstreamPages, job.SubmissionRevision, job.Ready, job.ReadyAt = nil, 9, 1<<63, false, 0
 	check()
 }
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -44,25 +44,25 @@
 	failures  int // failed attempts in a row of a job that is at fault itself
 	notBefore event.Time
 
-	failedOn     map[int]bool       // machines on which it has failed since it last succeeded
-	avoid        map[int]event.Time // by machine where it failed: until when it stays away
-	probe        *Assignment        // the one task that tries again
-	dirty        bool               // differs from what is stored
-	queued       bool               // a write of it is queued or under way
-	retryWriteAt event.Time         // no write before
+	failedOn      map[int]bool       // machines on which it has failed since it last succeeded
+	avoid         map[int]event.Time // by machine where it failed: until when it stays away
+	probe         *Assignment        // the one task that tries again
+	unsaved       bool               // differs from what is stored
+	writeInFlight bool               // a write of it is queued or under way
+	nextWrite     event.Time         // no write before
 }
 
 // retryRecords is what is stored of all jobs' retry states, and their writes.
 type retryRecords struct {
 	storedRetries          map[string]storedRetry // by job ID
-	dirtyRetries           map[*Job]bool          // whose retry state differs from what is stored
+	unsavedRetries         map[*Job]bool          // whose retry state differs from what is stored
 	retryDeletionsInFlight map[string]bool        // by job ID, whose record's deletion is under way
 }
 
 func newRetryRecords() retryRecords {
 	return retryRecords{
 		storedRetries:          map[string]storedRetry{},
-		dirtyRetries:           map[*Job]bool{},
+		unsavedRetries:         map[*Job]bool{},
 		retryDeletionsInFlight: map[string]bool{},
 	}
 }
@@ -89,46 +89,46 @@
 }
 
 // StartableCount counts the tasks that the job's failures allow to be placed: all
-// open ones, or a single one while the job is at fault. A gang is always placed as
+// unplaced ones, or a single one while the job is at fault. A gang is always placed as
 // a whole.
 func (j *Job) StartableCount() int {
-	open := j.UnplacedCount()
+	unplaced := j.UnplacedCount()
 	switch {
 	case !j.AtFault() || j.Shape == Gang:
-		return open
+		return unplaced
 	case j.probing():
 		return 0
 	default:
-		return min(open, 1)
+		return min(unplaced, 1)
 	}
 }
 
 // RecordFailure records that a task of the job ended with an error, on a machine
 // that is not known to be faulty. It reports whether the job is at fault itself.
-func (t *Table) RecordFailure(e *Assignment, now time.Duration) (atFault bool) {
-	j := e.Job
-	avoided := j.AvoidsMachine(e.Machine, now)
-	if j.retry.avoid == nil {
-		j.retry.avoid = map[int]event.Time{}
+func (t *Table) RecordFailure(assignment *Assignment, now time.Duration) (atFault bool) {
+	job := assignment.Job
+	avoided := job.AvoidsMachine(assignment.Machine, now)
+	if job.retry.avoid == nil {
+		job.retry.avoid = map[int]event.Time{}
 	}
-	j.retry.avoid[e.Machine] = now + avoidTime
+	job.retry.avoid[assignment.Machine] = now + avoidTime
 	switch {
-	case j.AtFault():
+	case job.AtFault():
 		// Tasks that ran beside the probe, and the rest of a gang, belong to an
 		// attempt that was counted already.
-		if j.retry.probe == e || (j.Shape == Gang && !j.terminating) {
-			t.BackOff(j, now)
+		if job.retry.probe == assignment || (job.Shape == Gang && !job.terminating) {
+			t.BackOff(job, now)
 		}
-	case j.failsEverywhere(e.Machine, avoided):
-		t.BackOff(j, now)
+	case job.failsEverywhere(assignment.Machine, avoided):
+		t.BackOff(job, now)
 	}
-	if j.AtFault() {
+	if job.AtFault() {
 		// The machines are not to blame, and a probe that found all of them
 		// avoided would have another one provisioned: it only goes elsewhere
 		// than the last one did.
-		j.retry.avoid = map[int]event.Time{e.Machine: now + avoidTime}
+		job.retry.avoid = map[int]event.Time{assignment.Machine: now + avoidTime}
 	}
-	return j.AtFault()
+	return job.AtFault()
 }
 
 // failsEverywhere records that a task failed on a machine; avoided means that
@@ -148,8 +148,8 @@
 
 // activeElsewhere reports whether tasks of the job may be on other machines.
 func (j *Job) activeElsewhere(machine int) bool {
-	for e := range j.Assignments() {
-		if e.Machine != machine {
+	for assignment := range j.Assignments() {
+		if assignment.Machine != machine {
 			return true
 		}
 	}
@@ -163,11 +163,11 @@
 }
 
 // BackOff counts a failed attempt of a job that is at fault and pauses it.
-func (t *Table) BackOff(j *Job, now time.Duration) {
-	j.retry.failures++
-	j.retry.probe = nil
-	j.retry.notBefore = now + retryPause(j.ID, j.retry.failures)
-	t.noteRetryChanged(j)
+func (t *Table) BackOff(job *Job, now time.Duration) {
+	job.retry.failures++
+	job.retry.probe = nil
+	job.retry.notBefore = now + retryPause(job.ID, job.retry.failures)
+	t.noteRetryChanged(job)
 }
 
 // retryPause is the pause after so many failed attempts in a row: it doubles up to
@@ -184,31 +184,31 @@
 	return pause - time.Duration(random.Float64()*retryJitter*float64(pause))
 }
 
-// ForgetMachine drops what jobs remember of a machine that is gone.
+// ForgetMachine discards what jobs remember of a machine that is gone.
 func (t *Table) ForgetMachine(machine int) {
-	for j := range t.AllJobs() {
-		delete(j.retry.avoid, machine)
-		delete(j.retry.failedOn, machine)
+	for job := range t.AllJobs() {
+		delete(job.retry.avoid, machine)
+		delete(job.retry.failedOn, machine)
 	}
 }
 
 // ClearFailures records that what failed before was not the job's fault: a task of
 // it works, or the machine was faulty.
-func (t *Table) ClearFailures(j *Job) {
-	clear(j.retry.failedOn)
-	if !j.AtFault() {
+func (t *Table) ClearFailures(job *Job) {
+	clear(job.retry.failedOn)
+	if !job.AtFault() {
 		return
 	}
-	j.retry.failures = 0
-	j.retry.notBefore = 0
-	j.retry.probe = nil
+	job.retry.failures = 0
+	job.retry.notBefore = 0
+	job.retry.probe = nil
 	t.RequestRound()
-	t.noteRetryChanged(j)
+	t.noteRetryChanged(job)
 }
 
-func (t *Table) noteRetryChanged(j *Job) {
-	j.retry.dirty = true
-	t.dirtyRetries[j] = true
+func (t *Table) noteRetryChanged(job *Job) {
+	job.retry.unsaved = true
+	t.unsavedRetries[job] = true
 }
 
 // onRetry takes a retry record of the replica.
@@ -222,8 +222,8 @@
 		}
 		t.storedRetries[id] = storedRetry{retry, modRevision}
 	}
-	if j := t.byID[id]; j != nil {
-		t.loadRetry(j)
+	if job := t.byID[id]; job != nil {
+		t.loadRetry(job)
 	}
 	return nil
 }
@@ -231,88 +231,88 @@
 // loadRetry takes over the stored retry state of a job, unless this controller, as
 // the leader, knows a newer one. Times of a clock that is ahead are bounded by the
 // longest pause.
-func (t *Table) loadRetry(j *Job) {
-	if j.retry.dirty {
+func (t *Table) loadRetry(job *Job) {
+	if job.retry.unsaved {
 		return
 	}
-	stored := t.storedRetries[j.ID]
-	j.retry.failures = stored.Failures
-	j.retry.notBefore = 0
+	stored := t.storedRetries[job.ID]
+	job.retry.failures = stored.Failures
+	job.retry.notBefore = 0
 	if stored.NotBefore != 0 && t.clockOffset != 0 {
-		j.retry.notBefore = min(event.Time(stored.NotBefore*int64(time.Millisecond)-t.clockOffset), t.now+retryCap)
+		job.retry.notBefore = min(event.Time(stored.NotBefore*int64(time.Millisecond)-t.clockOffset), t.now+retryCap)
 	}
 }
 
 // resetRetry drops what only a leader knows of a job's failures.
-func (t *Table) resetRetry(j *Job) {
-	j.retry = retryState{}
-	t.loadRetry(j)
+func (t *Table) resetRetry(job *Job) {
+	job.retry = retryState{}
+	t.loadRetry(job)
 }
 
 // FlushRetries queues the writes of retry states that have changed. term is the
 // condition that our term holds.
-func (t *Table) FlushRetries(now time.Duration, term kv.Compare, s TxnSubmitter) {
-	if len(t.dirtyRetries) == 0 {
+func (t *Table) FlushRetries(now time.Duration, term kv.Compare, submitter TxnSubmitter) {
+	if len(t.unsavedRetries) == 0 {
 		return
 	}
-	for _, j := range slices.SortedFunc(maps.Keys(t.dirtyRetries), byReadiness) {
-		if !j.retry.dirty || j.TerminalPhase != Queued {
-			delete(t.dirtyRetries, j)
+	for _, job := range slices.SortedFunc(maps.Keys(t.unsavedRetries), byReadiness) {
+		if !job.retry.unsaved || job.TerminalPhase != Queued {
+			delete(t.unsavedRetries, job)
 			continue
 		}
-		if !j.retry.queued && now >= j.retry.retryWriteAt {
-			t.writeRetry(j, now, term, s)
+		if !job.retry.writeInFlight && now >= job.retry.nextWrite {
+			t.writeRetry(job, now, term, submitter)
 		}
 	}
 }
 
 // writeRetry queues the write of a job's retry state. Its content is decided
 // when it is sent.
-func (t *Table) writeRetry(j *Job, now time.Duration, term kv.Compare, s TxnSubmitter) {
-	j.retry.queued = true
+func (t *Table) writeRetry(job *Job, now time.Duration, term kv.Compare, submitter TxnSubmitter) {
+	job.retry.writeInFlight = true
 	written := 0
-	intent := &kv.Txn{Priority: kv.PriorityProgress, Rank: j.writeRank(), BuildKey: record.RetryKey(j.ID)}
-	intent.Build = func(intent *kv.Txn) bool {
-		stored := t.storedRetries[j.ID]
-		if !j.retry.dirty || j.TerminalPhase != Queued || (j.retry.failures == 0 && stored.modRevision == 0) {
-			j.retry.dirty = false
+	txn := &kv.Txn{Priority: kv.PriorityProgress, Rank: job.writeRank(), BuildKey: record.RetryKey(job.ID)}
+	txn.Build = func(txn *kv.Txn) bool {
+		stored := t.storedRetries[job.ID]
+		if !job.retry.unsaved || job.TerminalPhase != Queued || (job.retry.failures == 0 && stored.modRevision == 0) {
+			job.retry.unsaved = false
 			return false
 		}
-		written = j.retry.failures
-		intent.Compares = []kv.Compare{
+		written = job.retry.failures
+		txn.Compares = []kv.Compare{
 			term,
-			{Key: record.JobKey(j.ID), ModRevision: j.ModRevision},
-			{Key: record.TerminalKey(j.ID)},
-			{Key: record.RetryKey(j.ID), ModRevision: stored.modRevision},
+			{Key: record.JobKey(job.ID), ModRevision: job.ModRevision},
+			{Key: record.TerminalKey(job.ID)},
+			{Key: record.RetryKey(job.ID), ModRevision: stored.modRevision},
 		}
-		intent.Writes = []kv.Write{{Key: record.RetryKey(j.ID), Data: t.encodeRetry(j)}}
+		txn.Writes = []kv.Write{{Key: record.RetryKey(job.ID), Data: t.encodeRetry(job)}}
 		return true
 	}
-	intent.Done = func(result kv.Result) {
-		j.retry.queued = false
-		if result.Outcome == kv.Committed && j.retry.failures == written {
-			j.retry.dirty = false
+	txn.Done = func(result kv.Result) {
+		job.retry.writeInFlight = false
+		if result.Outcome == kv.Committed && job.retry.failures == written {
+			job.retry.unsaved = false
 		}
-		j.retry.retryWriteAt = result.Now + retryWait
+		job.retry.nextWrite = result.Now + retryWait
 	}
-	s.Submit(intent, now+writeTimeout)
+	submitter.Submit(txn, now+writeTimeout)
 }
 
 // encodeRetry returns the stored form of a job's retry state, nil if there is
 // nothing to be kept.
-func (t *Table) encodeRetry(j *Job) []byte {
-	if j.retry.failures == 0 {
+func (t *Table) encodeRetry(job *Job) []byte {
+	if job.retry.failures == 0 {
 		return nil
 	}
 	retry := record.Retry{
-		Failures:  j.retry.failures,
-		NotBefore: t.UnixMS(j.retry.notBefore),
-		Unknown:   t.storedRetries[j.ID].Unknown,
+		Failures:  job.retry.failures,
+		NotBefore: t.UnixMS(job.retry.notBefore),
+		Unknown:   t.storedRetries[job.ID].Unknown,
 	}
 	return retry.Encode()
 }
 
-// orphanedRetries lists retry records of jobs that are over and cleaned up, as a
+// orphanedRetries lists retry records of jobs that have ended and are deleted, as a
 // leader of an earlier version leaves them behind; at most limit.
 func (t *Table) orphanedRetries(limit int) []string {
 	var list []string
@@ -325,13 +325,13 @@
 	return list[:min(limit, len(list))]
 }
 
-// deleteOrphanedRetries drops the retry records of jobs that are over.
-func (t *Table) deleteOrphanedRetries(now time.Duration, term kv.Compare, s TxnSubmitter, limit int) {
+// deleteOrphanedRetries deletes the retry records of jobs that have ended.
+func (t *Table) deleteOrphanedRetries(now time.Duration, term kv.Compare, submitter TxnSubmitter, limit int) {
 	for _, id := range t.orphanedRetries(limit) {
 		key := record.RetryKey(id)
 		condition := kv.Compare{Key: key, ModRevision: t.storedRetries[id].modRevision}
 		t.retryDeletionsInFlight[id] = true
-		s.Submit(&kv.Txn{
+		submitter.Submit(&kv.Txn{
 			Priority: kv.PriorityCleanup,
 			Compares: []kv.Compare{term, condition},
 			Writes:   []kv.Write{{Key: key}},
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -1,9 +1,7 @@
 package pipeline
 
 import (
-	"cmp"
 	"iter"
-	"slices"
 
 	"lugward/internal/event"
 	"lugward/internal/record"
@@ -43,11 +41,11 @@
 	byID        map[string]*Job
 	graph       graph
 	machineIndex
-	team       map[int]Usage // by team, what its assignments take
-	terminated map[*Job]bool // with a terminal record while tasks may be on machines
+	usageByTeam    map[int]Usage // by team, what its assignments take
+	endedWithTasks map[*Job]bool // with a terminal record while tasks may be on machines
 	retryRecords
 
-	dirty      map[*Job]bool   // some segment differs from what is stored, or the job's completion is due
+	unsaved    map[*Job]bool   // some segment differs from what is stored, or the job's completion is due
 	segmentLen int             // tasks per run record
 	upgraded   map[string]bool // by label, the controllers that have shown this version
 }
@@ -65,18 +63,18 @@
 		config.ValueLimit = config.LayoutValueBytes
 	}
 	return &Table{
-		Names:        config.Names,
-		Terminal:     newTerminalRecords(),
-		config:       config,
-		byID:         map[string]*Job{},
-		graph:        newGraph(),
-		machineIndex: machineIndex{isChanged: map[int]bool{}},
-		team:         map[int]Usage{},
-		terminated:   map[*Job]bool{},
-		retryRecords: newRetryRecords(),
-		dirty:        map[*Job]bool{},
-		segmentLen:   max(minSegmentLen, min(maxSegmentLen, config.LayoutValueBytes/bytesPerTask)),
-		upgraded:     map[string]bool{},
+		Names:          config.Names,
+		Terminal:       newTerminalRecords(),
+		config:         config,
+		byID:           map[string]*Job{},
+		graph:          newGraph(),
+		machineIndex:   machineIndex{changed: map[int]bool{}},
+		usageByTeam:    map[int]Usage{},
+		endedWithTasks: map[*Job]bool{},
+		retryRecords:   newRetryRecords(),
+		unsaved:        map[*Job]bool{},
+		segmentLen:     max(minSegmentLen, min(maxSegmentLen, config.LayoutValueBytes/bytesPerTask)),
+		upgraded:       map[string]bool{},
 	}
 }
 
@@ -152,54 +150,54 @@
 	return false, nil
 }
 
-// get returns the job, adding an empty one for records that arrive first.
-func (t *Table) get(id string) *Job {
-	if j := t.byID[id]; j != nil {
-		return j
-	}
-	j := &Job{ID: id, Spec: Spec{Zone: AnyZone}, EffectiveDeadline: NoDeadline}
-	j.segmentLen = t.segmentLen
-	j.deadlineAt = NoDeadline
-	j.propagatedDeadline = NoDeadline
-	t.assignIndex(j)
-	t.byID[id] = j
-	if f, ok := t.Terminal.Get(id); ok {
-		j.TerminalPhase = f.Phase
-	}
-	t.loadRetry(j)
-	return j
+// jobOrNew returns the job, adding an empty one for records that arrive first.
+func (t *Table) jobOrNew(id string) *Job {
+	if job := t.byID[id]; job != nil {
+		return job
+	}
+	job := &Job{ID: id, Spec: Spec{Zone: AnyZone}, EffectiveDeadline: NoDeadline}
+	job.segmentLen = t.segmentLen
+	job.deadlineAt = NoDeadline
+	job.propagatedDeadline = NoDeadline
+	t.assignIndex(job)
+	t.byID[id] = job
+	if terminal, ok := t.Terminal.Get(id); ok {
+		job.TerminalPhase = terminal.Phase
+	}
+	t.loadRetry(job)
+	return job
 }
 
 // assignIndex gives a new job an index that is free.
-func (t *Table) assignIndex(j *Job) {
+func (t *Table) assignIndex(job *Job) {
 	last := len(t.freeIndexes) - 1
 	if last < 0 {
-		j.Index = len(t.jobs)
-		t.jobs = append(t.jobs, j)
+		job.Index = len(t.jobs)
+		t.jobs = append(t.jobs, job)
 		return
 	}
-	j.Index = t.freeIndexes[last]
+	job.Index = t.freeIndexes[last]
 	t.freeIndexes = t.freeIndexes[:last]
-	t.jobs[j.Index] = j
+	t.jobs[job.Index] = job
 }
 
 // forget removes a job of which no key is left.
-func (t *Table) forget(j *Job) {
-	if j.ModRevision != 0 || j.active > 0 {
+func (t *Table) forget(job *Job) {
+	if job.ModRevision != 0 || job.activeCount > 0 {
 		return
 	}
-	for index := range j.segments {
-		if j.segments[index].modRevision != 0 {
+	for index := range job.segments {
+		if job.segments[index].modRevision != 0 {
 			return
 		}
 	}
-	delete(t.byID, j.ID)
-	delete(t.dirty, j)
-	delete(t.dirtyRetries, j)
-	delete(t.terminated, j)
-	delete(t.graph.stale, j)
-	t.jobs[j.Index] = nil
-	t.freeIndexes = append(t.freeIndexes, j.Index)
+	delete(t.byID, job.ID)
+	delete(t.unsaved, job)
+	delete(t.unsavedRetries, job)
+	delete(t.endedWithTasks, job)
+	delete(t.graph.stale, job)
+	t.jobs[job.Index] = nil
+	t.freeIndexes = append(t.freeIndexes, job.Index)
 }
 
 // onJob takes a job's record of the replica.
@@ -208,54 +206,34 @@
 		t.onJobDeleted(id)
 		return nil
 	}
-	j := t.get(id)
-	wasReady := j.Ready
-	// Entries count by the spec; with none known yet they counted nothing.
-	t.recountUsage(j, -1)
-	err := decodeJob(t.Names, data, j)
-	t.recountUsage(j, 1)
+	job := t.jobOrNew(id)
+	wasReady := job.Ready
+	// Assignments count by the spec; with none known yet they counted nothing.
+	t.recountUsage(job, -1)
+	err := decodeJob(t.Names, data, job)
+	t.recountUsage(job, 1)
 	if err != nil {
 		return err
 	}
-	j.ModRevision = modRevision
-	if j.Ready && !wasReady {
-		j.ReadyRevision = modRevision
-		j.ReadySince = max(t.now, 1)
-		if j.ReadyAt != 0 && t.clockOffset != 0 {
-			j.ReadySince = t.monotonicTime(j.ReadyAt)
+	job.ModRevision = modRevision
+	if job.Ready && !wasReady {
+		job.ReadyRevision = modRevision
+		job.ReadySince = max(t.now, 1)
+		if job.ReadyAt != 0 && t.clockOffset != 0 {
+			job.ReadySince = t.monotonicTime(job.ReadyAt)
 		}
 	}
-	t.updateGraph(j)
+	t.updateGraph(job)
 	return nil
 }
 
 func (t *Table) onJobDeleted(id string) {
-	j := t.byID[id]
-	if j == nil {
+	job := t.byID[id]
+	if job == nil {
 		return
 	}
-	j.ModRevision = 0
-	t.unlink(j)
-	t.unmarkUpstreamCancelled(j)
-	t.forget(j)
-}
-
-// byReadiness compares jobs by the order in which they became ready. Jobs of one
-// transaction share their place and follow their IDs.
-func byReadiness(a, b *Job) int {
-	return cmp.Or(cmp.Compare(a.ReadyRevision, b.ReadyRevision), cmp.Compare(a.ID, b.ID))
-}
-
-// ReadyJobs returns the ready jobs that are not over, in the order in which
-// they became ready.
-func (t *Table) ReadyJobs() []*Job {
-	t.inherit()
-	var list []*Job
-	for j := range t.AllJobs() {
-		if j.ModRevision != 0 && j.Ready && j.TerminalPhase == Queued {
-			list = append(list, j)
-		}
-	}
-	slices.SortFunc(list, byReadiness)
-	return list
+	job.ModRevision = 0
+	t.unlink(job)
+	t.unmarkUpstreamCancelled(job)
+	t.forget(job)
 }
--- a/internal/pipeline/finals.go
+++ b/internal/pipeline/terminal_records.go
@@ -7,9 +7,16 @@
 	"lugward/internal/record"
 )
 
-// TerminalRecords holds the final marks of all jobs that have ever ended. They are kept for
-// ever, as users may ask about a job at any later time, so each takes little: its ID
-// and its mark as one number each.
+// TerminalRecord says how a job ended.
+type TerminalRecord struct {
+	Phase     Phase // Done or Cancelled
+	TaskCount int   // number of tasks
+	Daemon    bool  // false also if an earlier version wrote the record
+}
+
+// TerminalRecords holds the terminal records of all jobs that have ever ended. They are
+// kept for ever, as users may ask about a job at any later time, so each takes little: its
+// ID and its record as one number each.
 type TerminalRecords struct {
 	packed map[packedID]packedTerminal
 	other  map[string]TerminalRecord // whose ID or size does not fit
@@ -19,8 +26,8 @@
 // zeros, and their value.
 type packedID uint64
 
-// packedTerminal is a mark as a number: the phase, whether the job was a service, and the
-// number of its tasks.
+// packedTerminal is a terminal record as a number: the phase, whether the job was a daemon,
+// and the number of its tasks.
 type packedTerminal uint32
 
 const (
@@ -38,34 +45,34 @@
 	return TerminalRecords{packed: map[packedID]packedTerminal{}, other: map[string]TerminalRecord{}}
 }
 
-// Get returns the mark of a job that has ended.
-func (f *TerminalRecords) Get(id string) (final TerminalRecord, ok bool) {
+// Get returns the record of a job that has ended.
+func (r *TerminalRecords) Get(id string) (terminal TerminalRecord, ok bool) {
 	key, packable := packID(id)
 	if !packable {
-		final, ok = f.other[id]
-		return final, ok
+		terminal, ok = r.other[id]
+		return terminal, ok
 	}
-	if mark, ok := f.packed[key]; ok {
-		return mark.unpack(), true
+	if packed, ok := r.packed[key]; ok {
+		return packed.unpack(), true
 	}
-	final, ok = f.other[id]
-	return final, ok
+	terminal, ok = r.other[id]
+	return terminal, ok
 }
 
-// Has tells whether a job has ended.
-func (f *TerminalRecords) Has(id string) bool {
-	_, ok := f.Get(id)
+// Has reports whether a job has ended.
+func (r *TerminalRecords) Has(id string) bool {
+	_, ok := r.Get(id)
 	return ok
 }
 
-// add adds the mark of a job.
-func (f *TerminalRecords) add(id string, final TerminalRecord) {
+// add adds the record of a job.
+func (r *TerminalRecords) add(id string, terminal TerminalRecord) {
 	key, packable := packID(id)
-	if packable && final.TaskCount >= 0 && final.TaskCount <= maxPackedSize {
-		f.packed[key] = packTerminal(final)
+	if packable && terminal.TaskCount >= 0 && terminal.TaskCount <= maxPackedSize {
+		r.packed[key] = packTerminal(terminal)
 		return
 	}
-	f.other[id] = final
+	r.other[id] = terminal
 }
 
 // packID returns an ID of the usual form as a number.
@@ -84,12 +91,12 @@
 	return packedID(uint64(len(digits))<<idDigitsShift | value), true
 }
 
-func packTerminal(final TerminalRecord) packedTerminal {
-	mark := packedTerminal(final.Phase) | packedTerminal(final.TaskCount)<<terminalSizeShift
-	if final.Daemon {
-		mark |= terminalDaemonBit
+func packTerminal(terminal TerminalRecord) packedTerminal {
+	packed := packedTerminal(terminal.Phase) | packedTerminal(terminal.TaskCount)<<terminalSizeShift
+	if terminal.Daemon {
+		packed |= terminalDaemonBit
 	}
-	return mark
+	return packed
 }
 
 func (p packedTerminal) unpack() TerminalRecord {
--- a/internal/pipeline/finals_test.go
+++ b/internal/pipeline/terminal_records_test.go
@@ -21,14 +21,14 @@
 		finals, want := newTerminalRecords(), map[string]TerminalRecord{}
 		for range 50 {
 			name := id.Draw(rt, "id")
-			final := TerminalRecord{
+			terminal := TerminalRecord{
 				Phase:     rapid.SampledFrom([]Phase{Done, Cancelled}).Draw(rt, "phase"),
 				TaskCount: rapid.OneOf(rapid.IntRange(0, 100_000), rapid.SampledFrom([]int{-1, 1 << 28, 1 << 29, 1 << 30})).Draw(rt, "size"),
 				Daemon:    rapid.Bool().Draw(rt, "service"),
 			}
 			if _, ok := want[name]; !ok {
-				want[name] = final
-				finals.add(name, final)
+				want[name] = terminal
+				finals.add(name, terminal)
 			}
 			other := id.Draw(rt, "other")
 			for _, asked := range []string{name, other, strings.Replace(name, "-", "-0", 1)} {
@@ -58,7 +58,7 @@
 	}
 	each := float64(heap()-before) / marks
 	t.Logf("%.1f bytes a mark", each)
-	if final, ok := finals.Get("req-000412"); !ok || final.TaskCount != 412 || each > limit {
-		t.Errorf("%.1f bytes a mark, %+v", each, final)
+	if terminal, ok := finals.Get("req-000412"); !ok || terminal.TaskCount != 412 || each > limit {
+		t.Errorf("%.1f bytes a mark, %+v", each, terminal)
 	}
 }
--- a/internal/pipeline/parts_test.go
+++ b/internal/pipeline/upstream_pages_test.go
@@ -22,12 +22,12 @@
 	r.write(record.KindUpstreamPage, id(5)+"/1", p(1))
 	old := r.revision
 	r.revision += 10
-	j := r.job(5, func(j *Job) { j.listInParts(2, old+3) }, 9)
-	if j.linked || j.upstreamCancelled || len(r.Releasable()) != 0 {
+	job := r.job(5, func(job *Job) { job.listInParts(2, old+3) }, 9)
+	if job.linked || job.upstreamCancelled || len(r.Releasable()) != 0 {
 		t.Fatal("linked by an abandoned list")
 	}
 	r.HandleChange(record.KindUpstreamPage, id(5)+"/0", p(2), old+3)
-	if j.linked {
+	if job.linked {
 		t.Fatal("linked by half a list")
 	}
 	r.HandleChange(record.KindUpstreamPage, id(5)+"/1", p(2), old+4)
@@ -46,25 +46,25 @@
 	}
 	first := r.graph.pages[id(2)].byNumber[0].modRevision
 	r.write(record.KindUpstreamPage, id(3)+"/0", part)
-	held := r.job(3, func(j *Job) { j.listInParts(1, r.revision) }, 1)
-	q := &queue{}
-	r.DeleteStaleUpstreamPages(time.Minute, term, q)
-	if len(q.list) != 0 {
-		t.Fatalf("%d drops of what is young or needed", len(q.list))
+	held := r.job(3, func(job *Job) { job.listInParts(1, r.revision) }, 1)
+	writes := &queue{}
+	r.DeleteStaleUpstreamPages(time.Minute, term, writes)
+	if len(writes.list) != 0 {
+		t.Fatalf("%d drops of what is young or needed", len(writes.list))
 	}
-	r.DeleteStaleUpstreamPages(2*time.Minute, term, q)
-	r.DeleteStaleUpstreamPages(2*time.Minute, term, q)
-	if len(q.list) != 1 || q.list[0].Writes[0].Key != record.UpstreamPageKey(id(2), 0) ||
-		!slices.Contains(q.list[0].Compares, kv.Compare{Key: record.UpstreamPageKey(id(2), 0), ModRevision: first}) || !slices.Contains(q.list[0].Compares, kv.Compare{Key: record.JobKey(id(2))}) {
-		t.Fatalf("%d drops", len(q.list))
+	r.DeleteStaleUpstreamPages(2*time.Minute, term, writes)
+	r.DeleteStaleUpstreamPages(2*time.Minute, term, writes)
+	if len(writes.list) != 1 || writes.list[0].Writes[0].Key != record.UpstreamPageKey(id(2), 0) ||
+		!slices.Contains(writes.list[0].Compares, kv.Compare{Key: record.UpstreamPageKey(id(2), 0), ModRevision: first}) || !slices.Contains(writes.list[0].Compares, kv.Compare{Key: record.JobKey(id(2))}) {
+		t.Fatalf("%d drops", len(writes.list))
 	}
-	carryOut(r.Table, q.next(t), r.revision+1)
-	r.DeleteStaleUpstreamPages(2*time.Minute, term, q)
-	if len(q.list) != 2 || !slices.Contains(q.list[0].Compares, kv.Compare{Key: record.UpstreamPageKey(id(2), 0)}) {
-		t.Fatalf("%d drops", len(q.list))
+	carryOut(r.Table, writes.next(t), r.revision+1)
+	r.DeleteStaleUpstreamPages(2*time.Minute, term, writes)
+	if len(writes.list) != 2 || !slices.Contains(writes.list[0].Compares, kv.Compare{Key: record.UpstreamPageKey(id(2), 0)}) {
+		t.Fatalf("%d drops", len(writes.list))
 	}
-	carryOut(r.Table, q.next(t), r.revision+2)
-	carryOut(r.Table, q.next(t), r.revision+3)
+	carryOut(r.Table, writes.next(t), r.revision+2)
+	carryOut(r.Table, writes.next(t), r.revision+3)
 	if r.graph.pages[id(2)] != nil || !held.linked {
 		t.Error("not all dropped, or too much")
 	}
@@ -74,8 +74,8 @@
 	ready.SubmissionRevision = 0
 	r.revision += 5
 	r.write(record.KindJob, held.ID, EncodeJob(r.Names, &ready))
-	r.DeleteStaleUpstreamPages(2*time.Minute, term, q)
-	carryOut(r.Table, q.next(t), r.revision+1)
+	r.DeleteStaleUpstreamPages(2*time.Minute, term, writes)
+	carryOut(r.Table, writes.next(t), r.revision+1)
 	if len(r.graph.pages) != 0 {
 		t.Error("the list of a ready job is kept")
 	}
