--- a/internal/pipeline/completion_test.go
+++ b/internal/pipeline/completion_test.go
@@ -9,33 +9,33 @@
 
 // A job is done with a single write, whatever its records; what its tasks took is
 // free at once, and the records go behind everything else.
-func TestMarkAloneEndsJob(t *testing.T) {
+func TestTerminalRecordEndsJob(t *testing.T) {
 	table, job := newJob(t, 2)
 	table.HandleChange(record.KindRun, "req-1/0", []byte(`{"t":2,"a":[[0,1,"i-1"],[1,2,"i-2"]]}`), 2)
 	for task := range 2 {
 		job.Assignment(task).phase = TaskExited
 		table.RecordCompletion(job, task)
 	}
-	writes := &queue{}
-	table.Flush(0, term, writes)
-	mark := writes.next(t)
+	txns := &txnQueue{}
+	table.Flush(0, term, txns)
+	mark := txns.next(t)
 	if len(mark.Writes) != 1 || mark.Writes[0].Key != record.TerminalKey(job.ID) || mark.Priority != kv.PriorityProgress {
 		t.Fatalf("%+v is written", mark.Writes)
 	}
-	carryOut(table, mark, 3)
+	commit(table, mark, 3)
 	if used := table.TeamUsage(job.Team); job.Phase() != Done || job.ActiveCount() != 0 || used.CPUs != 0 {
 		t.Errorf("%v with %d entries, the team uses %v", job.Phase(), job.ActiveCount(), used)
 	}
-	table.Flush(1, term, writes)
-	if len(writes.list) != 0 {
+	table.Flush(1, term, txns)
+	if len(txns.list) != 0 {
 		t.Error("the record is written once more")
 	}
-	table.CollectGarbage(1, term, writes, 10)
-	drop := writes.next(t)
+	table.CollectGarbage(1, term, txns, 10)
+	drop := txns.next(t)
 	if drop.Priority != kv.PriorityCleanup || len(drop.Writes) != 2 {
 		t.Errorf("%+v", drop)
 	}
-	carryOut(table, drop, 4)
+	commit(table, drop, 4)
 	if table.Job(job.ID) != nil {
 		t.Error("the job is still held")
 	}
@@ -48,9 +48,9 @@
 	table.HandleChange(record.KindRun, "req-1/0", []byte(`{"t":2,"a":[[0,2,"i-2"]]}`), 2)
 	job.Assignment(0).phase = TaskRunning
 	table.RecordCompletion(job, 0)
-	writes := &queue{}
-	table.Flush(0, term, writes)
-	carryOut(table, writes.next(t), 3)
+	txns := &txnQueue{}
+	table.Flush(0, term, txns)
+	commit(table, txns.next(t), 3)
 	if job.Phase() != Done || job.ActiveCount() != 1 || len(table.TakeTerminatedJobs()) != 1 {
 		t.Errorf("%v with %d entries", job.Phase(), job.ActiveCount())
 	}
@@ -68,16 +68,16 @@
 
 // The readiness of a job waits with the writes of jobs of its priority, not behind
 // them: what comes after it in a chain waits for it.
-func TestReadyMarkHasItsJobsRank(t *testing.T) {
+func TestReadinessHasRankOfJob(t *testing.T) {
 	for _, priority := range []Priority{Idle, Normal, High} {
 		table := newTable(12)
-		job := &Job{ID: "req-2", Upstream: []string{"req-1"}, Spec: Spec{TaskCount: 1, Priority: priority, Zone: -1}}
+		job := &Job{ID: "req-2", Upstream: []string{"req-1"}, Spec: Spec{TaskCount: 1, Priority: priority, Zone: AnyZone}}
 		job.Class, job.Team, job.Image = table.Names.Classes.Index("c"), table.Names.Teams.Index("t"), table.Names.Images.Index("b")
 		table.HandleChange(record.KindJob, job.ID, EncodeJob(table.Names, job), 1)
 		table.HandleChange(record.KindTerminal, "req-1", []byte(`{"p":"done","n":1}`), 2)
-		writes := &queue{}
-		table.WriteReadiness(0, writes, func(*Job) bool { return true })
-		if mark, want := writes.next(t), table.Job(job.ID).writeRank(); mark.Rank != want || mark.Priority != kv.PriorityPlacement {
+		txns := &txnQueue{}
+		table.WriteReadiness(0, txns, func(*Job) bool { return true })
+		if mark, want := txns.next(t), table.Job(job.ID).writeRank(); mark.Rank != want || mark.Priority != kv.PriorityPlacement {
 			t.Errorf("priority %d: rank %d, not %d", priority, mark.Rank, want)
 		}
 	}
--- a/internal/pipeline/fixture_test.go
+++ b/internal/pipeline/fixture_test.go
@@ -6,20 +6,21 @@
 	"testing"
 	"time"
 
+	"lugward/internal/event"
 	"lugward/internal/kv"
 	"lugward/internal/record"
 )
 
 var term = kv.Compare{Key: "t/lead", ModRevision: 1}
 
-// queue is a state service's client that lets the test decide what becomes of
+// txnQueue is a state service's client that lets the test decide what becomes of
 // each write.
-type queue struct{ list []*kv.Txn }
+type txnQueue struct{ list []*kv.Txn }
 
-func (q *queue) Submit(txn *kv.Txn, _ time.Duration) { q.list = append(q.list, txn) }
+func (q *txnQueue) Submit(txn *kv.Txn, _ time.Duration) { q.list = append(q.list, txn) }
 
 // next takes the next transaction that has something to write.
-func (q *queue) next(t *testing.T) *kv.Txn {
+func (q *txnQueue) next(t *testing.T) *kv.Txn {
 	t.Helper()
 	for len(q.list) > 0 {
 		txn := q.list[0]
@@ -33,13 +34,18 @@
 	return nil
 }
 
-// carryOut applies a write as the state service would, and reports its outcome.
-func carryOut(table *Table, txn *kv.Txn, revision uint64) {
-	for _, w := range txn.Writes {
-		kind, rest := splitKey(w.Key)
-		table.HandleChange(kind, rest, w.Data, revision)
+// commit applies a write as the state service would, and reports its outcome.
+func commit(table *Table, txn *kv.Txn, revision uint64) {
+	commitAt(table, txn, revision, 0)
+}
+
+// commitAt is commit at a monotonic time.
+func commitAt(table *Table, txn *kv.Txn, revision uint64, now event.Time) {
+	for _, write := range txn.Writes {
+		kind, rest := splitKey(write.Key)
+		table.HandleChange(kind, rest, write.Data, revision)
 	}
-	txn.Done(kv.Result{Outcome: kv.Committed, Revision: revision})
+	txn.Done(kv.Result{Outcome: kv.Committed, Revision: revision, Now: now})
 }
 
 // splitKey splits a key into the kind of what is stored there and the rest.
@@ -67,82 +73,111 @@
 func newJob(t *testing.T, n int) (*Table, *Job) {
 	t.Helper()
 	table := newTable(12)
-	job := &Job{ID: "req-1", Ready: true, Spec: Spec{TaskCount: n, CPUs: 1, Zone: -1}}
+	job := &Job{ID: "req-1", Ready: true, Spec: Spec{TaskCount: n, CPUs: 1, Zone: AnyZone}}
 	nameSpec(table.Names, &job.Spec)
 	table.HandleChange(record.KindJob, job.ID, EncodeJob(table.Names, job), 1)
 	return table, table.Job(job.ID)
 }
 
-// line is a change of a stored key, for tests that replay changes in another order.
-type line struct {
-	kind    record.Kind
-	rest    string
-	data    []byte
-	version uint64
+// change is a change of a stored key, for tests that replay changes in another order.
+type change struct {
+	kind        record.Kind
+	rest        string
+	data        []byte
+	modRevision uint64
 }
 
 // fixture is a table together with what is stored.
 type fixture struct {
 	*Table
 	revision uint64
-	log      []line
+	log      []change
 }
 
 func newFixture() *fixture {
-	r := &fixture{Table: newTable(4)}
-	r.SetNow(time.Second)
-	r.SetClock(time.Second, time.Unix(1000, 0)) // monotonic time 0 is 999 s
-	return r
+	f := &fixture{Table: newTable(4)}
+	f.SetNow(time.Second)
+	f.SetClock(time.Second, time.Unix(1000, 0)) // monotonic time 0 is 999 s
+	return f
 }
 
-func (r *fixture) write(kind record.Kind, rest string, data []byte) {
-	r.revision++
-	r.log = append(r.log, line{kind, rest, data, r.revision})
-	r.HandleChange(kind, rest, data, r.revision)
+// store stores a key and has the table take the change.
+func (f *fixture) store(kind record.Kind, rest string, data []byte) {
+	f.revision++
+	f.log = append(f.log, change{kind, rest, data, f.revision})
+	f.HandleChange(kind, rest, data, f.revision)
+}
+
+// commit applies a write as the state service would, and reports its outcome.
+func (f *fixture) commit(txn *kv.Txn) {
+	f.revision++
+	for _, write := range txn.Writes {
+		kind, rest := splitKey(write.Key)
+		f.log = append(f.log, change{kind, rest, write.Data, f.revision})
+	}
+	commit(f.Table, txn, f.revision)
 }
 
+// replay returns the table of another controller that sees the same changes.
+func (f *fixture) replay() *fixture {
+	other := newFixture()
+	for _, stored := range f.log {
+		other.HandleChange(stored.kind, stored.rest, stored.data, stored.modRevision)
+	}
+	other.revision = f.revision
+	other.log = f.log
+	return other
+}
+
+// allJobs is a condition that all jobs meet.
+func allJobs(*Job) bool { return true }
+
+// id returns the ID of the job with a number.
 func id(n int) string { return fmt.Sprintf("req-%06d", n) }
 
-// job stores a held job below others, or one that is ready if there are none.
-func (r *fixture) job(n int, set func(*Job), up ...int) *Job {
+// addJob stores a held job with the given upstream jobs, or one that is ready if there
+// are none.
+func (f *fixture) addJob(n int, modify func(*Job), upstream ...int) *Job {
 	job := &Job{
 		ID:    id(n),
 		Owner: "n0",
-		Ready: len(up) == 0,
-		Spec:  Spec{TaskCount: 1, CPUs: 1, Priority: Normal, Zone: -1, EstimatedRuntime: 10},
+		Ready: len(upstream) == 0,
+		Spec:  Spec{TaskCount: 1, CPUs: 1, Priority: Normal, Zone: AnyZone, EstimatedRuntime: 10},
 	}
-	nameSpec(r.Names, &job.Spec)
-	for _, u := range up {
-		job.Upstream = append(job.Upstream, id(u))
+	nameSpec(f.Names, &job.Spec)
+	for _, number := range upstream {
+		job.Upstream = append(job.Upstream, id(number))
 	}
-	if set != nil {
-		set(job)
+	if modify != nil {
+		modify(job)
 	}
-	r.write(record.KindJob, job.ID, EncodeJob(r.Names, job))
-	return r.Job(job.ID)
+	f.store(record.KindJob, job.ID, EncodeJob(f.Names, job))
+	return f.Job(job.ID)
 }
 
-// listInParts has a job's upstream jobs listed in other keys.
-func (j *Job) listInParts(parts int, modRevision uint64) {
+// usePages has a job's upstream jobs stored in pages.
+func (j *Job) usePages(pages int, modRevision uint64) {
 	j.Upstream = nil
-	j.UpstreamPages = parts
+	j.UpstreamPages = pages
 	j.SubmissionRevision = modRevision
 }
 
-func (r *fixture) final(n int, p Phase) {
+// storeTerminal stores the terminal record of a job.
+func (f *fixture) storeTerminal(n int, phase Phase) {
 	job := &Job{Spec: Spec{TaskCount: 1}}
-	r.write(record.KindTerminal, id(n), EncodeTerminal(p, job))
+	f.store(record.KindTerminal, id(n), EncodeTerminal(phase, job))
 }
 
+// idsOf returns the numbers of jobs.
 func idsOf(list []*Job) string {
-	s := make([]string, 0, len(list))
+	numbers := make([]string, 0, len(list))
 	for _, job := range list {
-		s = append(s, strings.TrimLeft(strings.TrimPrefix(job.ID, "req-"), "0"))
+		numbers = append(numbers, strings.TrimLeft(strings.TrimPrefix(job.ID, "req-"), "0"))
 	}
-	return strings.Join(s, " ")
+	return strings.Join(numbers, " ")
 }
 
-func (r *fixture) upstreamCancelledIDs() string { return idsOf(inOrder(r.graph.upstreamCancelled)) }
+func (f *fixture) upstreamCancelledIDs() string { return idsOf(inOrder(f.graph.upstreamCancelled)) }
 
 func expect(t *testing.T, what, got, want string) {
 	t.Helper()
--- a/internal/pipeline/production_test.go
+++ b/internal/pipeline/production_test.go
@@ -11,26 +11,26 @@
 	"lugward/internal/record"
 )
 
-// stored reads keys as the version in production has written them, one a line:
+// readChanges reads keys as the version in production has written them, one a line:
 // revision, key, value (none: dropped). They were taken down from a run of it.
-func stored(t *testing.T, file string) (list []line) {
+func readChanges(t *testing.T, file string) (list []change) {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/" + file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range strings.Split(strings.TrimRight(string(raw), "\n"), "\n") {
-		f := strings.Split(s, "\t")
-		modRevision, err := strconv.ParseUint(f[0], 10, 64)
-		if err != nil || len(f) != 3 {
-			t.Fatalf("%q", s)
+	for _, line := range strings.Split(strings.TrimRight(string(raw), "\n"), "\n") {
+		columns := strings.Split(line, "\t")
+		modRevision, err := strconv.ParseUint(columns[0], 10, 64)
+		if err != nil || len(columns) != 3 {
+			t.Fatalf("%q", line)
 		}
-		var l line
-		l.kind, l.rest = splitKey(f[1])
-		if l.version = modRevision; f[2] != "" {
-			l.data = []byte(f[2])
+		var stored change
+		stored.kind, stored.rest = splitKey(columns[1])
+		if stored.modRevision = modRevision; columns[2] != "" {
+			stored.data = []byte(columns[2])
 		}
-		list = append(list, l)
+		list = append(list, stored)
 	}
 	return list
 }
@@ -40,50 +40,24 @@
 func TestProductionRecords(t *testing.T) {
 	table := newTable(12)
 	seen := map[record.Kind]int{}
-	most := 0
-	for _, l := range stored(t, "production_store.txt") {
-		table.HandleChange(l.kind, l.rest, l.data, l.version)
-		if l.data == nil {
+	mostActive := 0
+	for _, stored := range readChanges(t, "production_store.txt") {
+		table.HandleChange(stored.kind, stored.rest, stored.data, stored.modRevision)
+		if stored.data == nil {
 			continue
 		}
-		seen[l.kind]++
-		switch l.kind {
+		seen[stored.kind]++
+		switch stored.kind {
 		case record.KindJob:
-			job := table.Job(l.rest)
-			if job == nil || !job.Ready || job.ModRevision != l.version || job.ReadyRevision != l.version || job.EffectivePriority != job.Priority {
-				t.Fatalf("%s is read as %+v", l.rest, job)
-			}
-			if got := EncodeJob(table.Names, job); !bytes.Equal(got, l.data) {
-				t.Errorf("%s becomes %s", l.data, got)
-			}
+			checkJobRecord(t, table, stored)
 		case record.KindRun:
-			id, chunk, _ := strings.Cut(l.rest, "/")
-			job := table.Job(id)
-			c, _ := strconv.Atoi(chunk)
-			active := make([]*Assignment, 0, len(job.segments[c].assignments))
-			for _, assignment := range job.segments[c].assignments {
-				if !assignment.durable {
-					t.Errorf("%s: an entry is not stored", l.rest)
-				}
-				active = append(active, assignment)
-			}
-			most = max(most, len(active))
-			run := record.Run{Attempt: job.segments[c].attempt, Done: job.segments[c].done, Active: table.assignmentRecords(active)}
-			if got := run.Encode(); !bytes.Equal(got, l.data) {
-				t.Errorf("%s becomes %s", l.data, got)
-			}
+			mostActive = max(mostActive, checkRunRecord(t, table, stored))
 		case record.KindTerminal:
-			if _, err := record.DecodeTerminal(l.data); err != nil {
-				t.Fatalf("%s: %v", l.data, err)
-			}
-			terminal, _ := table.Terminal.Get(l.rest)
-			if got := EncodeTerminal(terminal.Phase, &Job{Spec: Spec{TaskCount: terminal.TaskCount}}); !bytes.Equal(got, l.data) {
-				t.Errorf("%s becomes %s", l.data, got)
-			}
+			checkTerminalRecord(t, table, stored)
 		}
 	}
-	if seen[record.KindJob] < 5 || seen[record.KindRun] < 10 || seen[record.KindTerminal] < 4 || most < 40 {
-		t.Errorf("seen %v, at most %d entries", seen, most)
+	if seen[record.KindJob] < 5 || seen[record.KindRun] < 10 || seen[record.KindTerminal] < 4 || mostActive < 40 {
+		t.Errorf("seen %v, at most %d assignments", seen, mostActive)
 	}
 	if len(table.byID) != 0 {
 		t.Errorf("%d jobs are left", len(table.byID))
@@ -95,6 +69,53 @@
 	}
 }
 
+// checkJobRecord checks the job that a stored record has led to.
+func checkJobRecord(t *testing.T, table *Table, stored change) {
+	t.Helper()
+	job := table.Job(stored.rest)
+	if job == nil || !job.Ready || job.ModRevision != stored.modRevision || job.ReadyRevision != stored.modRevision || job.EffectivePriority != job.Priority {
+		t.Fatalf("%s is read as %+v", stored.rest, job)
+	}
+	if got := EncodeJob(table.Names, job); !bytes.Equal(got, stored.data) {
+		t.Errorf("%s becomes %s", stored.data, got)
+	}
+}
+
+// checkRunRecord checks the segment that a stored record has led to. It returns the number
+// of its assignments.
+func checkRunRecord(t *testing.T, table *Table, stored change) int {
+	t.Helper()
+	id, index, ok := record.SplitNumbered(stored.rest)
+	if !ok {
+		t.Fatalf("key %q", stored.rest)
+	}
+	segment := &table.Job(id).segments[index]
+	active := make([]*Assignment, 0, len(segment.assignments))
+	for _, assignment := range segment.assignments {
+		if !assignment.durable {
+			t.Errorf("%s: an assignment is not stored", stored.rest)
+		}
+		active = append(active, assignment)
+	}
+	run := record.Run{Attempt: segment.attempt, Done: segment.done, Active: table.assignmentRecords(active)}
+	if got := run.Encode(); !bytes.Equal(got, stored.data) {
+		t.Errorf("%s becomes %s", stored.data, got)
+	}
+	return len(active)
+}
+
+// checkTerminalRecord checks what a stored record has led to.
+func checkTerminalRecord(t *testing.T, table *Table, stored change) {
+	t.Helper()
+	if _, err := record.DecodeTerminal(stored.data); err != nil {
+		t.Fatalf("%s: %v", stored.data, err)
+	}
+	terminal, _ := table.Terminal.Get(stored.rest)
+	if got := EncodeTerminal(terminal.Phase, &Job{Spec: Spec{TaskCount: terminal.TaskCount}}); !bytes.Equal(got, stored.data) {
+		t.Errorf("%s becomes %s", stored.data, got)
+	}
+}
+
 // A job's record is decoded into the same specification, with the indices of the names.
 func TestJobRecordRoundTrip(t *testing.T) {
 	names := &Names{}
--- a/internal/pipeline/retry_test.go
+++ b/internal/pipeline/retry_test.go
@@ -127,9 +127,9 @@
 		table.RecordFailure(entry, time.Second)
 		table.RecordTermination(entry)
 	}
-	writes := &queue{}
-	table.FlushRetries(time.Second, term, writes)
-	carryOut(table, writes.next(t), 7)
+	txns := &txnQueue{}
+	table.FlushRetries(time.Second, term, txns)
+	commit(table, txns.next(t), 7)
 	table.Reset()
 	if job.Failures() != 1 || !job.BackingOff(2*time.Second) || job.StartableCount() != 1 {
 		t.Errorf("the new leader finds %d failures, %d tasks to try", job.Failures(), job.StartableCount())
@@ -152,12 +152,12 @@
 	}
 
 	table.ClearFailures(job)
-	table.FlushRetries(time.Minute, term, writes)
-	txn := writes.next(t)
+	table.FlushRetries(time.Minute, term, txns)
+	txn := txns.next(t)
 	if len(txn.Writes) != 1 || txn.Writes[0].Data != nil || txn.Writes[0].Key != record.RetryKey(job.ID) {
 		t.Errorf("%+v is written", txn.Writes)
 	}
-	carryOut(table, txn, 9)
+	commit(table, txn, 9)
 	table.Reset()
 	if job.AtFault() {
 		t.Error("the success is forgotten")
@@ -170,21 +170,21 @@
 	table, job := newJob(t, 2)
 	table.HandleChange(record.KindRetry, job.ID, []byte(`{"n":2,"u":1}`), 5)
 	table.HandleChange(record.KindTerminal, job.ID, EncodeTerminal(Cancelled, job), 6)
-	writes := &queue{}
-	table.CollectGarbage(0, term, writes, 10)
-	for len(writes.list) > 0 {
-		carryOut(table, writes.next(t), 7)
+	txns := &txnQueue{}
+	table.CollectGarbage(0, term, txns, 10)
+	for len(txns.list) > 0 {
+		commit(table, txns.next(t), 7)
 	}
-	table.CollectGarbage(0, term, writes, 10)
-	table.CollectGarbage(0, term, writes, 10) // the first is under way
-	if len(writes.list) != 1 {
-		t.Fatalf("%d drops", len(writes.list))
+	table.CollectGarbage(0, term, txns, 10)
+	table.CollectGarbage(0, term, txns, 10) // the first is under way
+	if len(txns.list) != 1 {
+		t.Fatalf("%d drops", len(txns.list))
 	}
-	drop := writes.next(t)
+	drop := txns.next(t)
 	if drop.Priority != kv.PriorityCleanup || drop.Writes[0].Key != record.RetryKey(job.ID) || drop.Compares[1].ModRevision != 5 {
 		t.Errorf("%+v", drop)
 	}
-	carryOut(table, drop, 8)
+	commit(table, drop, 8)
 	if len(table.storedRetries) != 0 {
 		t.Error("the record is still there")
 	}
--- a/internal/pipeline/segment_encoding_test.go
+++ b/internal/pipeline/segment_encoding_test.go
@@ -10,19 +10,19 @@
 	"lugward/internal/record"
 )
 
-// limited returns a table whose state service will take values of 2 KiB, with a
+// newLimitedTable returns a table whose state service will take values of 2 KiB, with a
 // job of 128 tasks that fill a segment.
-func limited(t *testing.T, shape Shape) (*Table, *Job) {
+func newLimitedTable(t *testing.T, shape Shape) (*Table, *Job) {
 	t.Helper()
 	table, _ := newJob(t, 1)
 	table.config.ValueLimit = 2048
 	table.config.ControllerLabels = []string{"n0", "n1"}
-	job := &Job{ID: "req-2", Ready: true, Spec: Spec{TaskCount: 128, Shape: shape, CPUs: 1, Zone: -1}}
+	job := &Job{ID: "req-2", Ready: true, Spec: Spec{TaskCount: 128, Shape: shape, CPUs: 1, Zone: AnyZone}}
 	table.HandleChange(record.KindJob, job.ID, EncodeJob(table.Names, job), 2)
 	return table, table.Job(job.ID)
 }
 
-func place(table *Table, job *Job, n int) {
+func assignTasks(table *Table, job *Job, n int) {
 	attempt := uint64(0)
 	if job.Shape == Gang {
 		attempt = 1
@@ -32,7 +32,7 @@
 	}
 }
 
-func durable(job *Job) (n int) {
+func countDurable(job *Job) (n int) {
 	for assignment := range job.Assignments() {
 		if assignment.durable {
 			n++
@@ -41,69 +41,80 @@
 	return n
 }
 
+// flusher flushes a table every two seconds and carries out its writes.
+type flusher struct {
+	*testing.T
+	table *Table
+	txns  txnQueue
+	now   time.Duration
+}
+
+func (f *flusher) flush() {
+	f.now += 2 * time.Second
+	f.table.Flush(f.now, term, &f.txns)
+}
+
+// flushWritten flushes, carries out the write and returns what it has stored.
+func (f *flusher) flushWritten(revision uint64) string {
+	f.Helper()
+	f.flush()
+	txn := f.txns.next(f.T)
+	data := string(txn.Writes[0].Data)
+	if len(data) > f.table.config.ValueLimit {
+		f.Fatalf("%d bytes", len(data))
+	}
+	commitAt(f.table, txn, revision, f.now)
+	return data
+}
+
+// flushNothing flushes and checks that no write has anything to say.
+func (f *flusher) flushNothing() {
+	f.Helper()
+	f.flush()
+	for len(f.txns.list) > 0 {
+		txn := f.txns.list[0]
+		f.txns.list = f.txns.list[1:]
+		if txn.Build(txn) {
+			f.Fatal("written again with nothing new in it")
+		}
+		txn.Done(kv.Result{Outcome: kv.Aborted, Now: f.now})
+	}
+}
+
 // While some controllers may not read the compact form, what does not fit waits;
 // it is not written over and over, and goes on once all of them do.
 func TestLargeRecordWaits(t *testing.T) {
-	table, job := limited(t, Array)
+	table, job := newLimitedTable(t, Array)
 	table.HandleChange(record.KindVersion, "n0", record.Version, 3)
-	writes := &queue{}
-	place(table, job, 128)
-	now := time.Duration(0)
-	flush := func() {
-		now += 2 * time.Second
-		table.Flush(now, term, writes)
-	}
-	written := func(revision uint64) string {
-		txn := writes.next(t)
-		data := string(txn.Writes[0].Data)
-		if len(data) > table.config.ValueLimit {
-			t.Fatalf("%d bytes", len(data))
-		}
-		for _, w := range txn.Writes {
-			kind, rest := splitKey(w.Key)
-			table.HandleChange(kind, rest, w.Data, revision)
-		}
-		txn.Done(kv.Result{Outcome: kv.Committed, Revision: revision, Now: now})
-		return data
-	}
-	flush()
-	if data := written(4); !strings.Contains(data, `"a":[[`) {
+	assignTasks(table, job, 128)
+	flusher := &flusher{T: t, table: table}
+	if data := flusher.flushWritten(4); !strings.Contains(data, `"a":[[`) {
 		t.Errorf("not plain: %s", data)
 	}
-	part := durable(job)
-	if part < 60 || part > 120 || job.ActiveCount() != 128 || job.UnplacedCount() != 0 {
-		t.Errorf("%d of %d stored, %d to place", part, job.ActiveCount(), job.UnplacedCount())
+	fitting := countDurable(job)
+	if fitting < 60 || fitting > 120 || job.ActiveCount() != 128 || job.UnplacedCount() != 0 {
+		t.Errorf("%d of %d stored, %d to place", fitting, job.ActiveCount(), job.UnplacedCount())
 	}
 	for range 5 {
-		flush()
-		for len(writes.list) > 0 {
-			txn := writes.list[0]
-			writes.list = writes.list[1:]
-			if txn.Build(txn) {
-				t.Fatal("written again with nothing new in it")
-			}
-			txn.Done(kv.Result{Outcome: kv.Aborted, Now: now})
-		}
+		flusher.flushNothing()
 	}
-	// Capacity comes free: others take it.
+	// Completed tasks make room: others take it.
 	for task := range 10 {
 		table.RecordCompletion(job, task)
 	}
-	flush()
-	written(5)
-	if got := durable(job); got <= part-10 || job.ActiveCount() != 118 {
+	flusher.flushWritten(5)
+	if got := countDurable(job); got <= fitting-10 || job.ActiveCount() != 118 {
 		t.Errorf("%d of %d stored", got, job.ActiveCount())
 	}
 	table.HandleChange(record.KindVersion, "n1", record.Version, 6)
-	flush()
-	if data := written(7); !strings.Contains(data, `"a":"`) {
+	if data := flusher.flushWritten(7); !strings.Contains(data, `"a":"`) {
 		t.Errorf("not compact: %s", data)
 	}
-	if durable(job) != 118 || job.DoneCount() != 10 {
-		t.Errorf("%d stored, %d done", durable(job), job.DoneCount())
+	if countDurable(job) != 118 || job.DoneCount() != 10 {
+		t.Errorf("%d stored, %d done", countDurable(job), job.DoneCount())
 	}
-	flush()
-	if len(writes.list) != 0 {
+	flusher.flush()
+	if len(flusher.txns.list) != 0 {
 		t.Error("written again with nothing changed")
 	}
 }
@@ -111,47 +122,47 @@
 // Once the larger limit counts again what is compact is written plain, without
 // any other change.
 func TestExpandRecords(t *testing.T) {
-	table, job := limited(t, Array)
+	table, job := newLimitedTable(t, Array)
 	for _, l := range table.config.ControllerLabels {
 		table.HandleChange(record.KindVersion, l, record.Version, 3)
 	}
-	writes := &queue{}
-	place(table, job, 128)
-	table.Flush(0, term, writes)
-	carryOut(table, writes.next(t), 4)
+	txns := &txnQueue{}
+	assignTasks(table, job, 128)
+	table.Flush(0, term, txns)
+	commit(table, txns.next(t), 4)
 	table.ExpandRecords(2)
-	if table.Flush(time.Second, term, writes); len(writes.list) != 0 || table.CompactCount() != 1 {
-		t.Errorf("%d writes, %d compact", len(writes.list), table.CompactCount())
+	if table.Flush(time.Second, term, txns); len(txns.list) != 0 || table.CompactCount() != 1 {
+		t.Errorf("%d writes, %d compact", len(txns.list), table.CompactCount())
 	}
 	table.config.ValueLimit = 4096
 	table.ExpandRecords(2)
-	table.Flush(time.Second, term, writes)
-	carryOut(table, writes.next(t), 5)
+	table.Flush(time.Second, term, txns)
+	commit(table, txns.next(t), 5)
 	table.ExpandRecords(2)
-	if table.Flush(2*time.Second, term, writes); len(writes.list) != 0 || table.CompactCount() != 0 || durable(job) != 128 {
-		t.Errorf("%d writes, %d compact, %d stored", len(writes.list), table.CompactCount(), durable(job))
+	if table.Flush(2*time.Second, term, txns); len(txns.list) != 0 || table.CompactCount() != 0 || countDurable(job) != 128 {
+		t.Errorf("%d writes, %d compact, %d stored", len(txns.list), table.CompactCount(), countDurable(job))
 	}
 }
 
 // A gang is placed whole or not at all.
 func TestLargeGangWaits(t *testing.T) {
-	table, job := limited(t, Gang)
-	writes := &queue{}
-	place(table, job, 128)
-	table.Flush(0, term, writes)
-	if txn := writes.list[0]; txn.Build(txn) {
+	table, job := newLimitedTable(t, Gang)
+	txns := &txnQueue{}
+	assignTasks(table, job, 128)
+	table.Flush(0, term, txns)
+	if txn := txns.list[0]; txn.Build(txn) {
 		t.Fatalf("written: %s", txn.Writes[0].Data)
 	} else {
 		txn.Done(kv.Result{Outcome: kv.Aborted})
 	}
-	writes.list = nil
+	txns.list = nil
 	for _, l := range table.config.ControllerLabels {
 		table.HandleChange(record.KindVersion, l, record.Version, 3)
 	}
-	table.Flush(2*time.Second, term, writes)
-	carryOut(table, writes.next(t), 4)
-	if durable(job) != 128 {
-		t.Errorf("%d stored", durable(job))
+	table.Flush(2*time.Second, term, txns)
+	commit(table, txns.next(t), 4)
+	if countDurable(job) != 128 {
+		t.Errorf("%d stored", countDurable(job))
 	}
 }
 
@@ -166,31 +177,31 @@
 		if all {
 			table.HandleChange(record.KindVersion, "n0", record.Version, 1)
 		}
-		l := stored(t, "production_large.txt")[0]
-		if len(l.data) <= table.config.ValueLimit {
+		stored := readChanges(t, "production_large.txt")[0]
+		if len(stored.data) <= table.config.ValueLimit {
 			t.Fatal("the record is not large")
 		}
-		table.HandleChange(l.kind, l.rest, l.data, l.version)
-		id, _, _ := strings.Cut(l.rest, "/")
-		job := &Job{ID: id, Ready: true, Spec: Spec{TaskCount: 10_000, Zone: -1}}
+		table.HandleChange(stored.kind, stored.rest, stored.data, stored.modRevision)
+		id, _, _ := strings.Cut(stored.rest, "/")
+		job := &Job{ID: id, Ready: true, Spec: Spec{TaskCount: 10_000, Zone: AnyZone}}
 		nameSpec(table.Names, &job.Spec)
-		table.HandleChange(record.KindJob, id, EncodeJob(table.Names, job), l.version)
+		table.HandleChange(record.KindJob, id, EncodeJob(table.Names, job), stored.modRevision)
 		j := table.Job(id)
-		before := durable(j)
+		before := countDurable(j)
 		var one *Assignment
 		for assignment := range j.Assignments() {
 			one = assignment
 		}
 		table.RecordCompletion(j, one.Task)
-		writes := &queue{}
-		table.Flush(0, term, writes)
-		txn := writes.next(t)
+		txns := &txnQueue{}
+		table.Flush(0, term, txns)
+		txn := txns.next(t)
 		if size := len(txn.Writes[0].Data); (size <= table.config.ValueLimit) != all || size > 4096 {
 			t.Errorf("%d bytes, all new: %v", size, all)
 		}
-		carryOut(table, txn, l.version+1)
-		if durable(j) != before-1 || j.DoneCount() != 1 {
-			t.Errorf("%d of %d entries, %d done", durable(j), before, j.DoneCount())
+		commit(table, txn, stored.modRevision+1)
+		if countDurable(j) != before-1 || j.DoneCount() != 1 {
+			t.Errorf("%d of %d entries, %d done", countDurable(j), before, j.DoneCount())
 		}
 	}
 }
@@ -199,36 +210,36 @@
 // it of a run record, a completion, a readiness or a cancelled one.
 func TestMalformedWrites(t *testing.T) {
 	everything := func(*Job) bool { return true }
-	for what, begin := range map[string]func(r *fixture){
-		"run record":     func(r *fixture) { r.Assign(r.Job(id(1)), 0, 0, 0, 0) },
-		"done mark":      func(r *fixture) { r.RecordCompletion(r.Job(id(1)), 0) },
-		"ready mark":     func(r *fixture) { r.final(1, Done) },
-		"cancelled mark": func(r *fixture) { r.final(1, Cancelled) },
-		"clean-up":       func(r *fixture) { r.final(3, Cancelled) },
+	for what, begin := range map[string]func(f *fixture){
+		"run record":     func(f *fixture) { f.Assign(f.Job(id(1)), 0, 0, 0, 0) },
+		"done mark":      func(f *fixture) { f.RecordCompletion(f.Job(id(1)), 0) },
+		"ready mark":     func(f *fixture) { f.storeTerminal(1, Done) },
+		"cancelled mark": func(f *fixture) { f.storeTerminal(1, Cancelled) },
+		"clean-up":       func(f *fixture) { f.storeTerminal(3, Cancelled) },
 	} {
-		r := newFixture()
-		r.Names.Machines.Index("i-1")
-		r.job(1, nil)
-		r.job(2, nil, 1)
-		r.job(3, nil)
-		begin(r)
-		writes := &queue{}
+		f := newFixture()
+		f.Names.Machines.Index("i-1")
+		f.addJob(1, nil)
+		f.addJob(2, nil, 1)
+		f.addJob(3, nil)
+		begin(f)
+		txns := &txnQueue{}
 		attempts := 0
 		const minutes = 10
 		for now := time.Duration(0); now < minutes*time.Minute; now += 50 * time.Millisecond {
 			if what == "ready mark" {
-				r.WriteReadiness(now, writes, everything)
+				f.WriteReadiness(now, txns, everything)
 			}
 			if what == "cancelled mark" {
-				r.WriteCancellations(now, writes, everything)
+				f.WriteCancellations(now, txns, everything)
 			}
 			if what == "clean-up" {
-				r.CollectGarbage(now, term, writes, 1)
+				f.CollectGarbage(now, term, txns, 1)
 			}
-			r.Flush(now, term, writes)
-			for len(writes.list) > 0 {
-				txn := writes.list[0]
-				writes.list = writes.list[1:]
+			f.Flush(now, term, txns)
+			for len(txns.list) > 0 {
+				txn := txns.list[0]
+				txns.list = txns.list[1:]
 				if txn.Build == nil || txn.Build(txn) {
 					attempts++
 					txn.Done(kv.Result{Outcome: kv.Rejected, Now: now})
--- a/internal/pipeline/terminal_records_test.go
+++ b/internal/pipeline/terminal_records_test.go
@@ -11,7 +11,7 @@
 
 // A mark is found by its job's ID and by no other, whatever the ID looks like, and is
 // what it was.
-func TestFinals(t *testing.T) {
+func TestTerminalRecords(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		id := rapid.OneOf(
 			rapid.StringMatching("req-[0-9]{1,19}"),
@@ -43,7 +43,7 @@
 }
 
 // Marks are kept for ever: what each takes decides for how long a controller can run.
-func TestFinalsMemory(t *testing.T) {
+func TestTerminalRecordsMemory(t *testing.T) {
 	const marks, limit = 300_000, 48
 	heap := func() uint64 {
 		runtime.GC()
--- a/internal/pipeline/termination.go
+++ b/internal/pipeline/termination.go
@@ -24,7 +24,7 @@
 	return true, nil
 }
 
-// endJob takes over a terminal record in the job's own state.
+// maybeEnd takes over a terminal record in the job's own state.
 func (t *Table) endJob(job *Job, phase Phase) {
 	job.TerminalPhase = phase
 	t.unlink(job)
--- a/internal/pipeline/unknown_fields_test.go
+++ b/internal/pipeline/unknown_fields_test.go
@@ -36,14 +36,14 @@
 	table.Names.Machines.Index("i-2")
 	table.Names.Machines.Index("i-3")
 	table.Names.Machines.Index("i-4")
-	writes := &queue{}
-	table.Flush(0, term, writes)
-	txn := writes.next(t)
+	txns := &txnQueue{}
+	table.Flush(0, term, txns)
+	txn := txns.next(t)
 	check("run", txn.Writes[0].Data)
 
 	table.HandleChange(record.KindRetry, job.ID, []byte(`{"n":1,`+unknown+`}`), 7)
 	table.BackOff(job, time.Second)
-	writes = &queue{}
-	table.FlushRetries(time.Second, term, writes)
-	check("retry", writes.next(t).Writes[0].Data)
+	txns = &txnQueue{}
+	table.FlushRetries(time.Second, term, txns)
+	check("retry", txns.next(t).Writes[0].Data)
 }
--- a/internal/simtest/controller.go
+++ b/internal/simtest/controller.go
@@ -147,7 +147,7 @@
 	process.carryOut(replies, calls, frames)
 }
 
-// carryOut carries out the effects of a step.
+// commit carries out the effects of a step.
 func (process *controllerProcess) carryOut(replies []event.Reply, calls []event.Call, frames []event.PeerFrame) {
 	process.observeEffects(replies, calls, frames)
 	incarnation := process.incarnation
