--- a/internal/autoscaler/task_waves_test.go
+++ b/internal/autoscaler/task_waves_test.go
@@ -32,7 +32,8 @@
 			waves := taskWaves{}
 			got := 0
 			for range test.jobs {
-				job := &pipeline.Job{EffectiveDeadline: test.deadline, Spec: pipeline.Spec{Shape: test.shape, TaskCount: test.waiting}}
+				job := &pipeline.Job{Spec: pipeline.Spec{Shape: test.shape, TaskCount: test.waiting}}
+				job.EffectiveDeadline = test.deadline
 				got += waves.slots(job, test.waiting, seconds, test.runtime)
 			}
 			if got != test.want {
--- a/internal/pipeline/assignment.go
+++ b/internal/pipeline/assignment.go
@@ -27,9 +27,9 @@
 	pending          PendingWrite
 	phase            TaskPhase
 	evicting         bool       // to be stopped, to run elsewhere
+	missedHeartbeats int32      // in a row, that do not show the task; small, as there are many assignments
 	gracePeriod      float64    // of that stop, in seconds
 	startSequence    uint64     // sequence of the heartbeat whose answer last carried the start
-	missedHeartbeats int        // heartbeats in a row that do not show the task
 	startedAt        event.Time // when first seen on its machine, 0 before
 	placedAt         event.Time // when it was decided, 0: by a leader before
 }
@@ -124,7 +124,7 @@
 // should. It returns how many in a row did not.
 func (a *Assignment) RecordMissedHeartbeat() int {
 	a.missedHeartbeats++
-	return a.missedHeartbeats
+	return int(a.missedHeartbeats)
 }
 
 // ClearMissedHeartbeats records that a heartbeat shows the task.
--- a/internal/pipeline/cancellation.go
+++ b/internal/pipeline/cancellation.go
@@ -2,8 +2,8 @@
 
 import (
 	"slices"
-	"time"
 
+	"lugward/internal/event"
 	"lugward/internal/kv"
 	"lugward/internal/record"
 )
@@ -47,7 +47,7 @@
 
 // WriteCancellations queues, a few at a time, the terminal records of jobs of ours
 // below a cancelled one. The answers to users do not wait for them.
-func (t *Table) WriteCancellations(now time.Duration, submitter TxnSubmitter, ours func(*Job) bool) {
+func (t *Table) WriteCancellations(now event.Time, submitter TxnSubmitter, ours func(*Job) bool) {
 	graph := &t.graph
 	if len(graph.cancelQueue) == 0 || graph.cancellationWritesInFlight >= maxCancellationWrites {
 		return
@@ -64,7 +64,7 @@
 }
 
 // writeCancellation queues the terminal record of a job and the deletion of its job record.
-func (t *Table) writeCancellation(job *Job, now time.Duration, submitter TxnSubmitter) {
+func (t *Table) writeCancellation(job *Job, now event.Time, submitter TxnSubmitter) {
 	job.submitRecordWrite(&t.graph.cancellationWritesInFlight, now, submitter, &kv.Txn{
 		Priority: kv.PriorityProgress,
 		Writes:   []kv.Write{{Key: record.TerminalKey(job.ID), Data: EncodeTerminal(Cancelled, job)}, {Key: record.JobKey(job.ID)}},
--- a/internal/pipeline/completion.go
+++ b/internal/pipeline/completion.go
@@ -1,8 +1,7 @@
 package pipeline
 
 import (
-	"time"
-
+	"lugward/internal/event"
 	"lugward/internal/kv"
 	"lugward/internal/record"
 )
@@ -43,7 +42,7 @@
 // queueCompletion queues the terminal record of a complete job. It is all that users and
 // dependent jobs wait for: the job's other records are deleted by CollectGarbage, after
 // everything else. It reports whether the terminal record is due or in flight.
-func (t *Table) queueCompletion(job *Job, now time.Duration, term kv.Compare, submitter TxnSubmitter) bool {
+func (t *Table) queueCompletion(job *Job, now event.Time, term kv.Compare, submitter TxnSubmitter) bool {
 	if job.terminalWriteInFlight {
 		return true
 	}
--- a/internal/pipeline/completion_test.go
+++ b/internal/pipeline/completion_test.go
@@ -59,8 +59,9 @@
 // The writes of jobs of the lowest priority go behind those of others.
 func TestWriteRank(t *testing.T) {
 	for priority, want := range map[Priority]bool{Idle: false, Normal: true, High: true, Production: true} {
-		job := &Job{EffectivePriority: priority}
-		if got := job.writeRank() > (&Job{EffectivePriority: Idle}).writeRank(); got != want {
+		job, idle := &Job{}, &Job{}
+		job.EffectivePriority, idle.EffectivePriority = priority, Idle
+		if got := job.writeRank() > idle.writeRank(); got != want {
 			t.Errorf("priority %d before the lowest: %v", priority, got)
 		}
 	}
--- a/internal/pipeline/flush.go
+++ b/internal/pipeline/flush.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"lugward/internal/event"
 	"lugward/internal/kv"
 	"lugward/internal/record"
 )
@@ -16,7 +17,7 @@
 // Flush queues a write of every run record that differs from what is stored, and
 // the terminal record of every job that is complete. term is the condition that our
 // term holds.
-func (t *Table) Flush(now time.Duration, term kv.Compare, submitter TxnSubmitter) {
+func (t *Table) Flush(now event.Time, term kv.Compare, submitter TxnSubmitter) {
 	if len(t.unsaved) == 0 {
 		return
 	}
@@ -32,7 +33,7 @@
 
 // flushSegments queues the writes of a job's segments that are due. It reports whether
 // any segment still differs from what is stored.
-func (t *Table) flushSegments(job *Job, now time.Duration, term kv.Compare, submitter TxnSubmitter) (unsaved bool) {
+func (t *Table) flushSegments(job *Job, now event.Time, term kv.Compare, submitter TxnSubmitter) (unsaved bool) {
 	for index := range job.segments {
 		segment := &job.segments[index]
 		if !segment.unsaved {
@@ -60,7 +61,7 @@
 // queueSegmentWrite queues the write of a segment. Its content is decided when it is
 // sent, so a job's tasks share one write however many of them change meanwhile. A write
 // with the priority of placements may overtake one without.
-func (t *Table) queueSegmentWrite(job *Job, index int, now time.Duration, term kv.Compare, submitter TxnSubmitter) {
+func (t *Table) queueSegmentWrite(job *Job, index int, now event.Time, term kv.Compare, submitter TxnSubmitter) {
 	segment := &job.segments[index]
 	if segment.placementQueued || (segment.progressQueued && !segment.unsentPlacement) {
 		return // the queued write will carry whatever has changed by then
--- a/internal/pipeline/garbage_collection.go
+++ b/internal/pipeline/garbage_collection.go
@@ -1,15 +1,14 @@
 package pipeline
 
 import (
-	"time"
-
+	"lugward/internal/event"
 	"lugward/internal/kv"
 	"lugward/internal/record"
 )
 
 // CollectGarbage deletes the records that finished jobs leave behind, once no task of
 // theirs can be on a machine; of at most limit jobs at a time.
-func (t *Table) CollectGarbage(now time.Duration, term kv.Compare, submitter TxnSubmitter, limit int) {
+func (t *Table) CollectGarbage(now event.Time, term kv.Compare, submitter TxnSubmitter, limit int) {
 	t.deleteOrphanedRetries(now, term, submitter, limit)
 	for job := range t.AllJobs() {
 		if limit == 0 {
@@ -33,7 +32,7 @@
 }
 
 // deletable reports whether the records of a job may be deleted now.
-func (j *Job) deletable(now time.Duration) bool {
+func (j *Job) deletable(now event.Time) bool {
 	return j.TerminalPhase != Queued && !j.deletionInFlight && j.activeCount == 0 && now >= j.nextRecordWrite
 }
 
--- a/internal/pipeline/graph.go
+++ b/internal/pipeline/graph.go
@@ -11,10 +11,9 @@
 // readiness is stored. Only held jobs have edges here: once a job is ready, all its
 // upstream jobs are done.
 type graph struct {
-	dependents map[string]map[*Job]bool  // by upstream ID: the held jobs that wait for it
-	releasable map[*Job]bool             // held jobs whose upstream jobs are all done
-	stale      map[*Job]bool             // effective values are to be derived or passed on
-	pages      map[string]*upstreamPages // stored lists of upstream jobs, by job ID
+	dependents map[string]map[*Job]bool // by upstream ID: the held jobs that wait for it
+	releasable map[*Job]bool            // held jobs whose upstream jobs are all done
+	stale      map[*Job]bool            // effective values are to be derived or passed on
 
 	// upstreamCancelled are the jobs below a cancelled one whose own terminal record
 	// is not stored; cancelQueue has them in the order in which they get it.
@@ -23,7 +22,6 @@
 
 	readinessWritesInFlight    int
 	cancellationWritesInFlight int
-	pageDeletionsInFlight      int
 }
 
 // graphLinks is a job's place in the graph. A job is linked while it is held and
@@ -45,7 +43,6 @@
 		dependents:        map[string]map[*Job]bool{},
 		releasable:        map[*Job]bool{},
 		stale:             map[*Job]bool{},
-		pages:             map[string]*upstreamPages{},
 		upstreamCancelled: map[*Job]bool{},
 	}
 }
@@ -95,7 +92,7 @@
 	if job.linked || job.upstreamCancelled || job.Ready || job.ModRevision == 0 || job.TerminalPhase != Queued {
 		return
 	}
-	list, complete := t.upstreamList(job)
+	list, complete := t.pages.list(job)
 	if !complete {
 		return
 	}
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -110,17 +110,11 @@
 	// ready if its record has no such time.
 	ReadySince event.Time
 
-	// EffectivePriority and EffectiveDeadline are the job's own, or those of the
-	// unfinished jobs that depend on it if they ask for more. They are derived as the
-	// graph changes and never stored.
-	EffectivePriority Priority
-	EffectiveDeadline event.Time
-	Chained           bool // it has upstream jobs, or had dependent ones
-
 	ModRevision   uint64    // of the job record, 0: none is stored
 	TerminalPhase Phase     // Done or Cancelled once the terminal record is stored, else Queued
 	segments      []segment // its run records, by index
 
+	inherited
 	taskCounts
 	graphLinks
 	recordWrites
@@ -128,6 +122,16 @@
 	leaderState
 }
 
+// inherited is what dependent jobs ask of a job. It is derived as the graph changes and
+// never stored.
+type inherited struct {
+	// EffectivePriority and EffectiveDeadline are the job's own, or those of the
+	// unfinished jobs that depend on it if they ask for more.
+	EffectivePriority Priority
+	EffectiveDeadline event.Time
+	Chained           bool // it has upstream jobs, or had dependent ones
+}
+
 // recordWrites is what a controller knows of the writes of a job's readiness, cancellation
 // and completion, and of the deletion of its records.
 type recordWrites struct {
--- a/internal/pipeline/leadership.go
+++ b/internal/pipeline/leadership.go
@@ -6,8 +6,8 @@
 		t.resetJob(job)
 	}
 	clear(t.unsaved)
-	clear(t.unsavedRetries)
-	clear(t.retryDeletionsInFlight)
+	clear(t.retries.unsaved)
+	clear(t.retries.deletionsInFlight)
 	clear(t.endedWithTasks)
 	for job := range t.AllJobs() {
 		// All tasks are logged as done and the leader that logged it has lost its
--- a/internal/pipeline/readiness.go
+++ b/internal/pipeline/readiness.go
@@ -56,7 +56,7 @@
 
 // WriteReadiness queues the writes that make held jobs of ours ready, as all of their
 // upstream jobs are done.
-func (t *Table) WriteReadiness(now time.Duration, submitter TxnSubmitter, ours func(*Job) bool) {
+func (t *Table) WriteReadiness(now event.Time, submitter TxnSubmitter, ours func(*Job) bool) {
 	if len(t.graph.releasable) == 0 || t.graph.readinessWritesInFlight >= maxReadinessWrites {
 		return
 	}
@@ -70,7 +70,7 @@
 	}
 }
 
-func (t *Table) writeReadiness(job *Job, now time.Duration, submitter TxnSubmitter) {
+func (t *Table) writeReadiness(job *Job, now event.Time, submitter TxnSubmitter) {
 	ready := *job
 	ready.Ready = true
 	ready.ReadyAt = t.UnixMS(now)
--- a/internal/pipeline/record_write.go
+++ b/internal/pipeline/record_write.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"lugward/internal/event"
 	"lugward/internal/kv"
 	"lugward/internal/record"
 )
@@ -24,7 +25,7 @@
 // TxnSubmitter queues transactions, each to be given up at a monotonic time; *kv.Client
 // is one.
 type TxnSubmitter interface {
-	Submit(txn *kv.Txn, expires time.Duration)
+	Submit(txn *kv.Txn, expires event.Time)
 }
 
 // delayRecordWrite delays the next write of a job's records after one had an outcome. A
@@ -46,14 +47,14 @@
 }
 
 // mayWriteRecord reports whether the job's readiness or cancellation may be written now.
-func (j *Job) mayWriteRecord(now time.Duration) bool {
+func (j *Job) mayWriteRecord(now event.Time) bool {
 	return !j.recordWriteInFlight && now >= j.nextRecordWrite
 }
 
 // submitRecordWrite queues the writes of a job's readiness or cancellation on condition of
 // the job's record as the replica shows it and of no terminal record, so that of several
 // controllers only one succeeds; inFlight counts such writes.
-func (j *Job) submitRecordWrite(inFlight *int, now time.Duration, submitter TxnSubmitter, txn *kv.Txn) {
+func (j *Job) submitRecordWrite(inFlight *int, now event.Time, submitter TxnSubmitter, txn *kv.Txn) {
 	j.recordWriteInFlight = true
 	*inFlight++
 	txn.Rank = j.writeRank()
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -2,14 +2,10 @@
 
 import (
 	"hash/fnv"
-	"maps"
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"lugward/internal/event"
-	"lugward/internal/kv"
-	"lugward/internal/record"
 )
 
 const (
@@ -32,12 +28,6 @@
 	maxDoublings = 8
 )
 
-// storedRetry is a retry state as the replica shows it.
-type storedRetry struct {
-	record.Retry
-	modRevision uint64
-}
-
 // retryState is what a job's failures so far mean for its next attempt. Failures
 // and notBefore are stored; the rest is the leader's and ends with its term.
 type retryState struct {
@@ -52,21 +42,6 @@
 	nextWrite     event.Time         // no write before
 }
 
-// retryRecords is what is stored of all jobs' retry states, and their writes.
-type retryRecords struct {
-	storedRetries          map[string]storedRetry // by job ID
-	unsavedRetries         map[*Job]bool          // whose retry state differs from what is stored
-	retryDeletionsInFlight map[string]bool        // by job ID, whose record's deletion is under way
-}
-
-func newRetryRecords() retryRecords {
-	return retryRecords{
-		storedRetries:          map[string]storedRetry{},
-		unsavedRetries:         map[*Job]bool{},
-		retryDeletionsInFlight: map[string]bool{},
-	}
-}
-
 // AtFault reports whether the job itself has failed, on several machines or
 // repeatedly on its only one, and not succeeded since. Its retries are probes: one
 // task at a time, a gang as a whole.
@@ -105,7 +80,7 @@
 
 // RecordFailure records that a task of the job ended with an error, on a machine
 // that is not known to be faulty. It reports whether the job is at fault itself.
-func (t *Table) RecordFailure(assignment *Assignment, now time.Duration) (atFault bool) {
+func (t *Table) RecordFailure(assignment *Assignment, now event.Time) (atFault bool) {
 	job := assignment.Job
 	avoided := job.AvoidsMachine(assignment.Machine, now)
 	if job.retry.avoid == nil {
@@ -163,7 +138,7 @@
 }
 
 // BackOff counts a failed attempt of a job that is at fault and pauses it.
-func (t *Table) BackOff(job *Job, now time.Duration) {
+func (t *Table) BackOff(job *Job, now event.Time) {
 	job.retry.failures++
 	job.retry.probe = nil
 	job.retry.notBefore = now + retryPause(job.ID, job.retry.failures)
@@ -205,137 +180,3 @@
 	t.RequestRound()
 	t.noteRetryChanged(job)
 }
-
-func (t *Table) noteRetryChanged(job *Job) {
-	job.retry.unsaved = true
-	t.unsavedRetries[job] = true
-}
-
-// onRetry takes a retry record of the replica.
-func (t *Table) onRetry(id string, data []byte, modRevision uint64) error {
-	if data == nil {
-		delete(t.storedRetries, id)
-	} else {
-		retry, err := record.DecodeRetry(data)
-		if err != nil {
-			return err
-		}
-		t.storedRetries[id] = storedRetry{retry, modRevision}
-	}
-	if job := t.byID[id]; job != nil {
-		t.loadRetry(job)
-	}
-	return nil
-}
-
-// loadRetry takes over the stored retry state of a job, unless this controller, as
-// the leader, knows a newer one. Times of a clock that is ahead are bounded by the
-// longest pause.
-func (t *Table) loadRetry(job *Job) {
-	if job.retry.unsaved {
-		return
-	}
-	stored := t.storedRetries[job.ID]
-	job.retry.failures = stored.Failures
-	job.retry.notBefore = 0
-	if stored.NotBefore != 0 && t.clockOffset != 0 {
-		job.retry.notBefore = min(event.Time(stored.NotBefore*int64(time.Millisecond)-t.clockOffset), t.now+retryCap)
-	}
-}
-
-// resetRetry drops what only a leader knows of a job's failures.
-func (t *Table) resetRetry(job *Job) {
-	job.retry = retryState{}
-	t.loadRetry(job)
-}
-
-// FlushRetries queues the writes of retry states that have changed. term is the
-// condition that our term holds.
-func (t *Table) FlushRetries(now time.Duration, term kv.Compare, submitter TxnSubmitter) {
-	if len(t.unsavedRetries) == 0 {
-		return
-	}
-	for _, job := range slices.SortedFunc(maps.Keys(t.unsavedRetries), byReadiness) {
-		if !job.retry.unsaved || job.TerminalPhase != Queued {
-			delete(t.unsavedRetries, job)
-			continue
-		}
-		if !job.retry.writeInFlight && now >= job.retry.nextWrite {
-			t.writeRetry(job, now, term, submitter)
-		}
-	}
-}
-
-// writeRetry queues the write of a job's retry state. Its content is decided
-// when it is sent.
-func (t *Table) writeRetry(job *Job, now time.Duration, term kv.Compare, submitter TxnSubmitter) {
-	job.retry.writeInFlight = true
-	written := 0
-	txn := &kv.Txn{Priority: kv.PriorityProgress, Rank: job.writeRank(), BuildKey: record.RetryKey(job.ID)}
-	txn.Build = func(txn *kv.Txn) bool {
-		stored := t.storedRetries[job.ID]
-		if !job.retry.unsaved || job.TerminalPhase != Queued || (job.retry.failures == 0 && stored.modRevision == 0) {
-			job.retry.unsaved = false
-			return false
-		}
-		written = job.retry.failures
-		txn.Compares = []kv.Compare{
-			term,
-			{Key: record.JobKey(job.ID), ModRevision: job.ModRevision},
-			{Key: record.TerminalKey(job.ID)},
-			{Key: record.RetryKey(job.ID), ModRevision: stored.modRevision},
-		}
-		txn.Writes = []kv.Write{{Key: record.RetryKey(job.ID), Data: t.encodeRetry(job)}}
-		return true
-	}
-	txn.Done = func(result kv.Result) {
-		job.retry.writeInFlight = false
-		if result.Outcome == kv.Committed && job.retry.failures == written {
-			job.retry.unsaved = false
-		}
-		job.retry.nextWrite = result.Now + retryWait
-	}
-	submitter.Submit(txn, now+writeTimeout)
-}
-
-// encodeRetry returns the stored form of a job's retry state, nil if there is
-// nothing to be kept.
-func (t *Table) encodeRetry(job *Job) []byte {
-	if job.retry.failures == 0 {
-		return nil
-	}
-	retry := record.Retry{
-		Failures:  job.retry.failures,
-		NotBefore: t.UnixMS(job.retry.notBefore),
-		Unknown:   t.storedRetries[job.ID].Unknown,
-	}
-	return retry.Encode()
-}
-
-// orphanedRetries lists retry records of jobs that have ended and are deleted, as a
-// leader of an earlier version leaves them behind; at most limit.
-func (t *Table) orphanedRetries(limit int) []string {
-	var list []string
-	for id := range t.storedRetries {
-		if t.Terminal.Has(id) && t.byID[id] == nil && !t.retryDeletionsInFlight[id] {
-			list = append(list, id)
-		}
-	}
-	slices.Sort(list)
-	return list[:min(limit, len(list))]
-}
-
-// deleteOrphanedRetries deletes the retry records of jobs that have ended.
-func (t *Table) deleteOrphanedRetries(now time.Duration, term kv.Compare, submitter TxnSubmitter, limit int) {
-	for _, id := range t.orphanedRetries(limit) {
-		key := record.RetryKey(id)
-		condition := kv.Compare{Key: key, ModRevision: t.storedRetries[id].modRevision}
-		t.retryDeletionsInFlight[id] = true
-		submitter.Submit(&kv.Txn{
-			Priority: kv.PriorityCleanup,
-			Compares: []kv.Compare{term, condition},
-			Writes:   []kv.Write{{Key: key}},
-			Done:     func(kv.Result) { delete(t.retryDeletionsInFlight, id) },
-		}, now+writeTimeout)
-	}
-}
--- a/internal/pipeline/retry_test.go
+++ b/internal/pipeline/retry_test.go
@@ -185,7 +185,7 @@
 		t.Errorf("%+v", drop)
 	}
 	commit(table, drop, 8)
-	if len(table.storedRetries) != 0 {
+	if len(table.retries.stored) != 0 {
 		t.Error("the record is still there")
 	}
 }
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -1,9 +1,6 @@
 package pipeline
 
 import (
-	"iter"
-
-	"lugward/internal/event"
 	"lugward/internal/record"
 )
 
@@ -32,18 +29,17 @@
 	Terminal TerminalRecords
 
 	config         Config
-	now            event.Time // of the input that is being handled
-	clockOffset    int64      // Unix time in ns at monotonic time 0; 0: not known yet
-	roundRequested bool       // something that placement depends on has changed
-
-	jobs        []*Job // by index; nil: the index is free
-	freeIndexes []int  // of jobs
-	byID        map[string]*Job
-	graph       graph
+	roundRequested bool // something that placement depends on has changed
+
+	clock
+	jobIndex
 	machineIndex
+	graph   graph
+	pages   upstreamPageIndex
+	retries retryRecords
+
 	usageByTeam    map[int]Usage // by team, what its assignments take
 	endedWithTasks map[*Job]bool // with a terminal record while tasks may be on machines
-	retryRecords
 
 	unsaved    map[*Job]bool   // some segment differs from what is stored, or the job's completion is due
 	segmentLen int             // tasks per run record
@@ -66,12 +62,13 @@
 		Names:          config.Names,
 		Terminal:       newTerminalRecords(),
 		config:         config,
-		byID:           map[string]*Job{},
-		graph:          newGraph(),
+		jobIndex:       jobIndex{byID: map[string]*Job{}},
 		machineIndex:   machineIndex{changed: map[int]bool{}},
+		graph:          newGraph(),
+		pages:          upstreamPageIndex{byJob: map[string]*upstreamPages{}},
+		retries:        newRetryRecords(),
 		usageByTeam:    map[int]Usage{},
 		endedWithTasks: map[*Job]bool{},
-		retryRecords:   newRetryRecords(),
 		unsaved:        map[*Job]bool{},
 		segmentLen:     max(minSegmentLen, min(maxSegmentLen, config.LayoutValueBytes/bytesPerTask)),
 		upgraded:       map[string]bool{},
@@ -81,12 +78,6 @@
 // ValueLimit bounds the values that are written, in bytes.
 func (t *Table) ValueLimit() int { return t.config.ValueLimit }
 
-// SetNow sets the time of the input that is being handled.
-func (t *Table) SetNow(now event.Time) { t.now = now }
-
-// Now returns the time of the input that is being handled.
-func (t *Table) Now() event.Time { return t.now }
-
 // RequestRound notes that something that placement depends on has changed, so that the
 // scheduler looks at all jobs again soon.
 func (t *Table) RequestRound() { t.roundRequested = true }
@@ -97,21 +88,6 @@
 // ClearRoundRequest notes that a round begins.
 func (t *Table) ClearRoundRequest() { t.roundRequested = false }
 
-// Job returns an unfinished job, or one that is finished but not cleaned up.
-func (t *Table) Job(id string) *Job { return t.byID[id] }
-
-// AllJobs returns the unfinished jobs and those that are finished but not cleaned up,
-// in the order of their indices.
-func (t *Table) AllJobs() iter.Seq[*Job] {
-	return func(yield func(*Job) bool) {
-		for _, job := range t.jobs {
-			if job != nil && !yield(job) {
-				return
-			}
-		}
-	}
-}
-
 // HandleChange takes one change of the replica; data is nil if the key was deleted.
 func (t *Table) HandleChange(kind record.Kind, rest string, data []byte, modRevision uint64) {
 	changed, err := t.applyChange(kind, rest, data, modRevision)
@@ -155,12 +131,12 @@
 	if job := t.byID[id]; job != nil {
 		return job
 	}
-	job := &Job{ID: id, Spec: Spec{Zone: AnyZone}, EffectiveDeadline: NoDeadline}
+	job := &Job{ID: id, Spec: Spec{Zone: AnyZone}}
+	job.EffectiveDeadline = NoDeadline
 	job.segmentLen = t.segmentLen
 	job.deadlineAt = NoDeadline
 	job.propagatedDeadline = NoDeadline
-	t.assignIndex(job)
-	t.byID[id] = job
+	t.add(job)
 	if terminal, ok := t.Terminal.Get(id); ok {
 		job.TerminalPhase = terminal.Phase
 	}
@@ -168,19 +144,6 @@
 	return job
 }
 
-// assignIndex gives a new job an index that is free.
-func (t *Table) assignIndex(job *Job) {
-	last := len(t.freeIndexes) - 1
-	if last < 0 {
-		job.Index = len(t.jobs)
-		t.jobs = append(t.jobs, job)
-		return
-	}
-	job.Index = t.freeIndexes[last]
-	t.freeIndexes = t.freeIndexes[:last]
-	t.jobs[job.Index] = job
-}
-
 // forget removes a job of which no key is left.
 func (t *Table) forget(job *Job) {
 	if job.ModRevision != 0 || job.activeCount > 0 {
@@ -191,13 +154,11 @@
 			return
 		}
 	}
-	delete(t.byID, job.ID)
 	delete(t.unsaved, job)
-	delete(t.unsavedRetries, job)
+	delete(t.retries.unsaved, job)
 	delete(t.endedWithTasks, job)
 	delete(t.graph.stale, job)
-	t.jobs[job.Index] = nil
-	t.freeIndexes = append(t.freeIndexes, job.Index)
+	t.remove(job)
 }
 
 // onJob takes a job's record of the replica.
--- a/internal/pipeline/upstream_pages.go
+++ b/internal/pipeline/upstream_pages.go
@@ -33,43 +33,44 @@
 	firstSeen event.Time // when page 0 showed, or any if it has none
 }
 
-// onUpstreamPage takes a page of the replica.
-func (t *Table) onUpstreamPage(id string, number int, data []byte, modRevision uint64) error {
-	pages := t.graph.pages[id]
-	if data == nil {
-		if pages != nil {
-			delete(pages.byNumber, number)
-			if len(pages.byNumber) == 0 {
-				delete(t.graph.pages, id)
-			}
-		}
-		return nil
-	}
-	ids, err := record.DecodeUpstreamPage(data)
-	if err != nil {
-		ids = nil // damaged: it counts as a page, so that it is deleted with the others
-	}
+// upstreamPageIndex holds the stored lists of upstream jobs.
+type upstreamPageIndex struct {
+	byJob             map[string]*upstreamPages // by job ID
+	deletionsInFlight int
+}
+
+// set adds or replaces a page of a job's list.
+func (i *upstreamPageIndex) set(id string, number int, page upstreamPage, now event.Time) {
+	pages := i.byJob[id]
 	if pages == nil {
-		pages = &upstreamPages{byNumber: map[int]upstreamPage{}, firstSeen: t.now}
-		t.graph.pages[id] = pages
+		pages = &upstreamPages{byNumber: map[int]upstreamPage{}, firstSeen: now}
+		i.byJob[id] = pages
 	}
 	if number == 0 {
-		pages.firstSeen = t.now
+		pages.firstSeen = now
 	}
-	pages.byNumber[number] = upstreamPage{modRevision, ids}
-	if job := t.byID[id]; job != nil {
-		t.linkIfComplete(job)
+	pages.byNumber[number] = page
+}
+
+// remove removes a page of a job's list.
+func (i *upstreamPageIndex) remove(id string, number int) {
+	pages := i.byJob[id]
+	if pages == nil {
+		return
+	}
+	delete(pages.byNumber, number)
+	if len(pages.byNumber) == 0 {
+		delete(i.byJob, id)
 	}
-	return err
 }
 
-// upstreamList returns the whole list of a job's upstream jobs; false: pages of it
-// are missing, or are still those of an earlier attempt to submit the job.
-func (t *Table) upstreamList(job *Job) (list []string, complete bool) {
+// list returns the whole list of a job's upstream jobs; false: pages of it are missing,
+// or are still those of an earlier attempt to submit the job.
+func (i *upstreamPageIndex) list(job *Job) (list []string, complete bool) {
 	if job.UpstreamPages == 0 {
 		return slices.Clone(job.Upstream), true
 	}
-	pages := t.graph.pages[job.ID]
+	pages := i.byJob[job.ID]
 	if pages == nil {
 		return nil, false
 	}
@@ -83,6 +84,23 @@
 	return list, true
 }
 
+// onUpstreamPage takes a page of the replica.
+func (t *Table) onUpstreamPage(id string, number int, data []byte, modRevision uint64) error {
+	if data == nil {
+		t.pages.remove(id, number)
+		return nil
+	}
+	ids, err := record.DecodeUpstreamPage(data)
+	if err != nil {
+		ids = nil // damaged: it counts as a page, so that it is deleted with the others
+	}
+	t.pages.set(id, number, upstreamPage{modRevision, ids}, t.now)
+	if job := t.byID[id]; job != nil {
+		t.linkIfComplete(job)
+	}
+	return err
+}
+
 // belongsTo reports whether a page was written by the attempt that submitted a job, not
 // by an earlier one.
 func (p *upstreamPage) belongsTo(job *Job, number int) bool {
@@ -94,8 +112,8 @@
 
 // SubmissionAttempt returns the revision of page 0 of a job's list, which identifies the
 // attempt to submit the job, and for how long the page has shown; 0: there is none.
-func (t *Table) SubmissionAttempt(id string, now time.Duration) (modRevision uint64, shown time.Duration) {
-	pages := t.graph.pages[id]
+func (t *Table) SubmissionAttempt(id string, now event.Time) (modRevision uint64, shown time.Duration) {
+	pages := t.pages.byJob[id]
 	if pages == nil {
 		return 0, 0
 	}
@@ -104,16 +122,16 @@
 
 // DeleteStaleUpstreamPages deletes the lists that nobody needs: those of jobs that are
 // ready or have ended, and those that failed attempts to submit left behind.
-func (t *Table) DeleteStaleUpstreamPages(now time.Duration, term kv.Compare, submitter TxnSubmitter) {
-	if len(t.graph.pages) == 0 || t.graph.pageDeletionsInFlight > 0 {
+func (t *Table) DeleteStaleUpstreamPages(now event.Time, term kv.Compare, submitter TxnSubmitter) {
+	if len(t.pages.byJob) == 0 || t.pages.deletionsInFlight > 0 {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(t.graph.pages)) {
+	for _, id := range slices.Sorted(maps.Keys(t.pages.byJob)) {
 		if t.pagesNeeded(id, now) {
 			continue
 		}
-		for _, number := range t.graph.pages[id].deletable() {
-			if t.graph.pageDeletionsInFlight >= maxPageDeletions {
+		for _, number := range t.pages.byJob[id].deletable() {
+			if t.pages.deletionsInFlight >= maxPageDeletions {
 				return
 			}
 			t.deletePage(id, number, now, term, submitter)
@@ -129,14 +147,14 @@
 
 // pagesNeeded reports whether a list belongs to a held job, or to an attempt to
 // submit one that may still succeed.
-func (t *Table) pagesNeeded(id string, now time.Duration) bool {
+func (t *Table) pagesNeeded(id string, now event.Time) bool {
 	if t.Terminal.Has(id) {
 		return false
 	}
 	if t.accepted(id) {
 		return !t.byID[id].Ready
 	}
-	return now-t.graph.pages[id].firstSeen < orphanTimeout
+	return now-t.pages.byJob[id].firstSeen < orphanTimeout
 }
 
 // deletable returns the pages that may be deleted now: page 0 first and alone, so
@@ -151,9 +169,9 @@
 // deletePage queues the deletion of a page on condition of its revision, and without
 // a record of the job on condition that there is still none: a late attempt that
 // has just made the job accepted keeps its list.
-func (t *Table) deletePage(id string, number int, now time.Duration, term kv.Compare, submitter TxnSubmitter) {
+func (t *Table) deletePage(id string, number int, now event.Time, term kv.Compare, submitter TxnSubmitter) {
 	key := record.UpstreamPageKey(id, number)
-	revision := t.graph.pages[id].byNumber[number].modRevision
+	revision := t.pages.byJob[id].byNumber[number].modRevision
 	conditions := []kv.Compare{term}
 	if number != 0 {
 		conditions = append(conditions, kv.Compare{Key: record.UpstreamPageKey(id, 0)})
@@ -162,11 +180,11 @@
 	if !t.accepted(id) {
 		conditions = append(conditions, kv.Compare{Key: record.JobKey(id)})
 	}
-	t.graph.pageDeletionsInFlight++
+	t.pages.deletionsInFlight++
 	submitter.Submit(&kv.Txn{
 		Priority: kv.PriorityProgress,
 		Compares: conditions,
 		Writes:   []kv.Write{{Key: key}},
-		Done:     func(kv.Result) { t.graph.pageDeletionsInFlight-- },
+		Done:     func(kv.Result) { t.pages.deletionsInFlight-- },
 	}, now+writeTimeout)
 }
--- a/internal/pipeline/upstream_pages_test.go
+++ b/internal/pipeline/upstream_pages_test.go
@@ -44,7 +44,7 @@
 	for _, k := range []string{"/0", "/1", "/2"} {
 		f.store(record.KindUpstreamPage, id(2)+k, part) // left behind
 	}
-	first := f.graph.pages[id(2)].byNumber[0].modRevision
+	first := f.pages.byJob[id(2)].byNumber[0].modRevision
 	f.store(record.KindUpstreamPage, id(3)+"/0", part)
 	held := f.addJob(3, func(job *Job) { job.usePages(1, f.revision) }, 1)
 	txns := &txnQueue{}
@@ -65,7 +65,7 @@
 	}
 	commit(f.Table, txns.next(t), f.revision+2)
 	commit(f.Table, txns.next(t), f.revision+3)
-	if f.graph.pages[id(2)] != nil || !held.linked {
+	if f.pages.byJob[id(2)] != nil || !held.linked {
 		t.Error("not all dropped, or too much")
 	}
 	ready := *held
@@ -76,7 +76,7 @@
 	f.store(record.KindJob, held.ID, EncodeJob(f.Names, &ready))
 	f.DeleteStaleUpstreamPages(2*time.Minute, term, txns)
 	commit(f.Table, txns.next(t), f.revision+1)
-	if len(f.graph.pages) != 0 {
+	if len(f.pages.byJob) != 0 {
 		t.Error("the list of a ready job is kept")
 	}
 }
