--- a/internal/pipeline/completion_test.go
+++ b/internal/pipeline/completion_test.go
@@ -18,24 +18,24 @@
 	}
 	txns := &txnQueue{}
 	table.Flush(0, term, txns)
-	mark := txns.next(t)
-	if len(mark.Writes) != 1 || mark.Writes[0].Key != record.TerminalKey(job.ID) || mark.Priority != kv.PriorityProgress {
-		t.Fatalf("%+v is written", mark.Writes)
+	txn := txns.next(t)
+	if len(txn.Writes) != 1 || txn.Writes[0].Key != record.TerminalKey(job.ID) || txn.Priority != kv.PriorityProgress {
+		t.Fatalf("%+v is written", txn.Writes)
 	}
-	commit(table, mark, 3)
+	commit(table, txn, 3)
 	if used := table.TeamUsage(job.Team); job.Phase() != Done || job.ActiveCount() != 0 || used.CPUs != 0 {
-		t.Errorf("%v with %d entries, the team uses %v", job.Phase(), job.ActiveCount(), used)
+		t.Errorf("%v with %d assignments, the team uses %v", job.Phase(), job.ActiveCount(), used)
 	}
 	table.Flush(1, term, txns)
 	if len(txns.list) != 0 {
 		t.Error("the record is written once more")
 	}
 	table.CollectGarbage(1, term, txns, 10)
-	drop := txns.next(t)
-	if drop.Priority != kv.PriorityCleanup || len(drop.Writes) != 2 {
-		t.Errorf("%+v", drop)
+	deletion := txns.next(t)
+	if deletion.Priority != kv.PriorityCleanup || len(deletion.Writes) != 2 {
+		t.Errorf("%+v", deletion)
 	}
-	commit(table, drop, 4)
+	commit(table, deletion, 4)
 	if table.Job(job.ID) != nil {
 		t.Error("the job is still held")
 	}
@@ -52,7 +52,7 @@
 	table.Flush(0, term, txns)
 	commit(table, txns.next(t), 3)
 	if job.Phase() != Done || job.ActiveCount() != 1 || len(table.TakeTerminatedJobs()) != 1 {
-		t.Errorf("%v with %d entries", job.Phase(), job.ActiveCount())
+		t.Errorf("%v with %d assignments", job.Phase(), job.ActiveCount())
 	}
 }
 
@@ -78,8 +78,8 @@
 		table.HandleChange(record.KindTerminal, "req-1", []byte(`{"p":"done","n":1}`), 2)
 		txns := &txnQueue{}
 		table.WriteReadiness(0, txns, func(*Job) bool { return true })
-		if mark, want := txns.next(t), table.Job(job.ID).writeRank(); mark.Rank != want || mark.Priority != kv.PriorityPlacement {
-			t.Errorf("priority %d: rank %d, not %d", priority, mark.Rank, want)
+		if txn, want := txns.next(t), table.Job(job.ID).writeRank(); txn.Rank != want || txn.Priority != kv.PriorityPlacement {
+			t.Errorf("priority %d: rank %d, not %d", priority, txn.Rank, want)
 		}
 	}
 }
--- a/internal/pipeline/fixture_test.go
+++ b/internal/pipeline/fixture_test.go
@@ -34,6 +34,22 @@
 	return nil
 }
 
+// rejectAll has the state service reject every transaction that has something to write. It
+// returns their number.
+func (q *txnQueue) rejectAll(now event.Time) (rejected int) {
+	for len(q.list) > 0 {
+		txn := q.list[0]
+		q.list = q.list[1:]
+		if txn.Build == nil || txn.Build(txn) {
+			rejected++
+			txn.Done(kv.Result{Outcome: kv.Rejected, Now: now})
+		} else {
+			txn.Done(kv.Result{Outcome: kv.Aborted, Now: now})
+		}
+	}
+	return rejected
+}
+
 // commit applies a write as the state service would, and reports its outcome.
 func commit(table *Table, txn *kv.Txn, revision uint64) {
 	commitAt(table, txn, revision, 0)
--- a/internal/pipeline/flush_test.go
+++ b/internal/pipeline/flush_test.go
@@ -8,8 +8,8 @@
 	"lugward/internal/record"
 )
 
-// A leader that ends between the last task's mark and the job's leaves a job
-// on which nothing is due any more: its successor must mark it.
+// A leader that ends between the writes of the last task's completion and of the job's
+// leaves a job on which nothing is due any more: its successor must complete it.
 func TestNewLeaderCompletesJob(t *testing.T) {
 	table, job := newJob(t, 2)
 	table.HandleChange(record.KindRun, "req-1/0", []byte(`{"t":1,"d":"Aw"}`), 2)
@@ -18,7 +18,7 @@
 	table.Flush(0, term, txns)
 	commit(table, txns.next(t), 3)
 	if terminal, _ := table.Terminal.Get("req-1"); terminal.Phase != Done || job.Phase() != Done {
-		t.Errorf("the job is %v, its mark %v", job.Phase(), terminal)
+		t.Errorf("the job is %v, its terminal record %v", job.Phase(), terminal)
 	}
 }
 
@@ -32,12 +32,12 @@
 	txns.next(t).Done(kv.Result{Outcome: kv.Unknown, Now: time.Second})
 	table.RecordTermination(assignment)
 	if job.ActiveCount() != 1 {
-		t.Error("the entry is given up while its write may still be carried out")
+		t.Error("the assignment is given up while its write may still be carried out")
 	}
 	table.Flush(2*time.Second, term, txns)
 	commit(table, txns.next(t), 3)
 	if job.ActiveCount() != 0 || job.UnplacedCount() != 1 {
-		t.Errorf("%d entries, %d tasks to place", job.ActiveCount(), job.UnplacedCount())
+		t.Errorf("%d assignments, %d tasks to place", job.ActiveCount(), job.UnplacedCount())
 	}
 }
 
--- a/internal/pipeline/graph_test.go
+++ b/internal/pipeline/graph_test.go
@@ -65,7 +65,7 @@
 	f.addJob(7, nil, 4, 5)
 	f.addJob(8, nil, 7)
 	expect(t, "upstream cancelled", f.upstreamCancelledIDs(), "2 3 4 7 8")
-	// Once it has its own mark, jobs below it follow from that.
+	// Once its own terminal record is stored, its dependents follow from that.
 	f.storeTerminal(7, Cancelled)
 	f.store(record.KindJob, id(7), nil)
 	f.addJob(9, nil, 7)
@@ -144,7 +144,7 @@
 	job.usePages(2, modRevision)
 }
 
-// maybeEnd marks a job as cancelled, or as done if all its upstream jobs are done.
+// maybeEnd cancels a job, or completes it if all its upstream jobs are done.
 func (f *fixture) maybeEnd(n int, cancel bool) {
 	job := f.Job(id(n))
 	if f.Terminal.Has(id(n)) || job == nil {
--- a/internal/pipeline/record_write_test.go
+++ b/internal/pipeline/record_write_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"lugward/internal/event"
 	"lugward/internal/kv"
 	"lugward/internal/record"
 )
@@ -146,3 +147,58 @@
 		t.Errorf("%d written, %d left", written, len(f.graph.releasable))
 	}
 }
+
+// A write that the state service rejects is tried ever less often.
+func TestRejectedWrites(t *testing.T) {
+	const minutes = 10
+	for _, test := range []struct {
+		name  string
+		begin func(f *fixture)
+		write func(f *fixture, now event.Time, txns *txnQueue) // beside Flush
+	}{
+		{
+			name:  "run record",
+			begin: func(f *fixture) { f.Assign(f.Job(id(1)), 0, 0, 0, 0) },
+		},
+		{
+			name:  "completion",
+			begin: func(f *fixture) { f.RecordCompletion(f.Job(id(1)), 0) },
+		},
+		{
+			name:  "readiness",
+			begin: func(f *fixture) { f.storeTerminal(1, Done) },
+			write: func(f *fixture, now event.Time, txns *txnQueue) { f.WriteReadiness(now, txns, allJobs) },
+		},
+		{
+			name:  "cancellation",
+			begin: func(f *fixture) { f.storeTerminal(1, Cancelled) },
+			write: func(f *fixture, now event.Time, txns *txnQueue) { f.WriteCancellations(now, txns, allJobs) },
+		},
+		{
+			name:  "garbage collection",
+			begin: func(f *fixture) { f.storeTerminal(3, Cancelled) },
+			write: func(f *fixture, now event.Time, txns *txnQueue) { f.CollectGarbage(now, term, txns, 1) },
+		},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			f := newFixture()
+			f.Names.Machines.Index("i-1")
+			f.addJob(1, nil)
+			f.addJob(2, nil, 1)
+			f.addJob(3, nil)
+			test.begin(f)
+			txns := &txnQueue{}
+			attempts := 0
+			for now := event.Time(0); now < minutes*time.Minute; now += 50 * time.Millisecond {
+				if test.write != nil {
+					test.write(f, now, txns)
+				}
+				f.Flush(now, term, txns)
+				attempts += txns.rejectAll(now)
+			}
+			if attempts < 5 || attempts > 2*minutes+8 {
+				t.Errorf("%d tries in %d minutes", attempts, minutes)
+			}
+		})
+	}
+}
--- a/internal/pipeline/retry_test.go
+++ b/internal/pipeline/retry_test.go
@@ -15,15 +15,15 @@
 // with a single task.
 func TestJobBacksOffOnce(t *testing.T) {
 	table, job := newJob(t, 8)
-	entries := make([]*Assignment, 0, 6)
+	assignments := make([]*Assignment, 0, 6)
 	for task := range 6 {
-		entries = append(entries, table.Assign(job, task, task/2, 0, 1))
+		assignments = append(assignments, table.Assign(job, task, task/2, 0, 1))
 	}
 	for i, want := range []int{0, 0, 1, 1, 1, 1} {
-		if atFault := table.RecordFailure(entries[i], time.Second); atFault != (want > 0) || job.Failures() != want {
+		if atFault := table.RecordFailure(assignments[i], time.Second); atFault != (want > 0) || job.Failures() != want {
 			t.Errorf("task %d: at fault %v, %d failures, not %d", i, atFault, job.Failures(), want)
 		}
-		table.RecordTermination(entries[i])
+		table.RecordTermination(assignments[i])
 	}
 	if !job.BackingOff(time.Second) || job.Schedulable(time.Second) {
 		t.Error("the job is tried again at once")
@@ -71,16 +71,16 @@
 	job.Shape = Gang
 	fail := func(now time.Duration) {
 		attempt := job.MaxAttempt() + 1
-		entries := make([]*Assignment, 0, 3)
+		assignments := make([]*Assignment, 0, 3)
 		for task := range 3 {
-			entries = append(entries, table.Assign(job, task, task, attempt, now))
+			assignments = append(assignments, table.Assign(job, task, task, attempt, now))
 		}
-		for _, entry := range entries {
-			table.RecordFailure(entry, now)
+		for _, assignment := range assignments {
+			table.RecordFailure(assignment, now)
 			job.terminating = true // as the whole gang is stopped with its first task
 		}
-		for _, entry := range entries {
-			table.RecordTermination(entry)
+		for _, assignment := range assignments {
+			table.RecordTermination(assignment)
 		}
 		job.terminating = false
 	}
@@ -123,9 +123,9 @@
 	table, job := newJob(t, 4)
 	table.SetClock(0, time.UnixMilli(1_000_000))
 	for machine := range 2 {
-		entry := table.Assign(job, machine, machine, 0, 1)
-		table.RecordFailure(entry, time.Second)
-		table.RecordTermination(entry)
+		assignment := table.Assign(job, machine, machine, 0, 1)
+		table.RecordFailure(assignment, time.Second)
+		table.RecordTermination(assignment)
 	}
 	txns := &txnQueue{}
 	table.FlushRetries(time.Second, term, txns)
@@ -164,7 +164,7 @@
 	}
 }
 
-// The record of a job that is over goes, be it that a leader of the version before
+// The record of a job that has ended is deleted, be it that a leader of the version before
 // ended the job: that one does not know such records.
 func TestRetryRecordGoes(t *testing.T) {
 	table, job := newJob(t, 2)
@@ -178,19 +178,19 @@
 	table.CollectGarbage(0, term, txns, 10)
 	table.CollectGarbage(0, term, txns, 10) // the first is under way
 	if len(txns.list) != 1 {
-		t.Fatalf("%d drops", len(txns.list))
+		t.Fatalf("%d deletions", len(txns.list))
 	}
-	drop := txns.next(t)
-	if drop.Priority != kv.PriorityCleanup || drop.Writes[0].Key != record.RetryKey(job.ID) || drop.Compares[1].ModRevision != 5 {
-		t.Errorf("%+v", drop)
+	deletion := txns.next(t)
+	if deletion.Priority != kv.PriorityCleanup || deletion.Writes[0].Key != record.RetryKey(job.ID) || deletion.Compares[1].ModRevision != 5 {
+		t.Errorf("%+v", deletion)
 	}
-	commit(table, drop, 8)
+	commit(table, deletion, 8)
 	if len(table.retries.stored) != 0 {
 		t.Error("the record is still there")
 	}
 }
 
-// An array of which some tasks fail everywhere: its probes take turns over the open
+// An array of which some tasks fail everywhere: its probes take turns over the unplaced
 // tasks, so that one that works is found and the job goes on.
 func TestProbesTakeTurns(t *testing.T) {
 	table, job := newJob(t, 5)
@@ -220,10 +220,10 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	for step := range 2000 {
 		task := rng.IntN(job.TaskCount)
-		entry := job.Assignment(task)
+		assignment := job.Assignment(task)
 		switch {
-		case entry != nil:
-			table.RecordTermination(entry)
+		case assignment != nil:
+			table.RecordTermination(assignment)
 		case job.Unplaced(task) && rng.IntN(20) > 0:
 			table.Assign(job, task, 0, 0, 1)
 		case rng.IntN(100) == 0:
--- a/internal/pipeline/segment_encoding_test.go
+++ b/internal/pipeline/segment_encoding_test.go
@@ -123,8 +123,8 @@
 // any other change.
 func TestExpandRecords(t *testing.T) {
 	table, job := newLimitedTable(t, Array)
-	for _, l := range table.config.ControllerLabels {
-		table.HandleChange(record.KindVersion, l, record.Version, 3)
+	for _, label := range table.config.ControllerLabels {
+		table.HandleChange(record.KindVersion, label, record.Version, 3)
 	}
 	txns := &txnQueue{}
 	assignTasks(table, job, 128)
@@ -156,8 +156,8 @@
 		txn.Done(kv.Result{Outcome: kv.Aborted})
 	}
 	txns.list = nil
-	for _, l := range table.config.ControllerLabels {
-		table.HandleChange(record.KindVersion, l, record.Version, 3)
+	for _, label := range table.config.ControllerLabels {
+		table.HandleChange(record.KindVersion, label, record.Version, 3)
 	}
 	table.Flush(2*time.Second, term, txns)
 	commit(table, txns.next(t), 4)
@@ -170,86 +170,50 @@
 // and made smaller by the next change, also while another may not read the
 // compact form: by then all do, else the larger limit still counts.
 func TestLargerRecordStored(t *testing.T) {
-	for _, all := range []bool{true, false} {
-		table := newTable(4)
-		table.config.ValueLimit = 2048
-		table.config.ControllerLabels = []string{"n0"}
-		if all {
-			table.HandleChange(record.KindVersion, "n0", record.Version, 1)
-		}
-		stored := readChanges(t, "production_large.txt")[0]
-		if len(stored.data) <= table.config.ValueLimit {
-			t.Fatal("the record is not large")
-		}
-		table.HandleChange(stored.kind, stored.rest, stored.data, stored.modRevision)
-		id, _, _ := strings.Cut(stored.rest, "/")
-		job := &Job{ID: id, Ready: true, Spec: Spec{TaskCount: 10_000, Zone: AnyZone}}
-		nameSpec(table.Names, &job.Spec)
-		table.HandleChange(record.KindJob, id, EncodeJob(table.Names, job), stored.modRevision)
-		j := table.Job(id)
-		before := countDurable(j)
-		var one *Assignment
-		for assignment := range j.Assignments() {
-			one = assignment
-		}
-		table.RecordCompletion(j, one.Task)
-		txns := &txnQueue{}
-		table.Flush(0, term, txns)
-		txn := txns.next(t)
-		if size := len(txn.Writes[0].Data); (size <= table.config.ValueLimit) != all || size > 4096 {
-			t.Errorf("%d bytes, all new: %v", size, all)
-		}
-		commit(table, txn, stored.modRevision+1)
-		if countDurable(j) != before-1 || j.DoneCount() != 1 {
-			t.Errorf("%d of %d entries, %d done", countDurable(j), before, j.DoneCount())
-		}
-	}
-}
-
-// A write that the state service calls malformed is tried ever less often, be
-// it of a run record, a completion, a readiness or a cancelled one.
-func TestMalformedWrites(t *testing.T) {
-	everything := func(*Job) bool { return true }
-	for what, begin := range map[string]func(f *fixture){
-		"run record":     func(f *fixture) { f.Assign(f.Job(id(1)), 0, 0, 0, 0) },
-		"done mark":      func(f *fixture) { f.RecordCompletion(f.Job(id(1)), 0) },
-		"ready mark":     func(f *fixture) { f.storeTerminal(1, Done) },
-		"cancelled mark": func(f *fixture) { f.storeTerminal(1, Cancelled) },
-		"clean-up":       func(f *fixture) { f.storeTerminal(3, Cancelled) },
+	for _, test := range []struct {
+		name     string
+		upgraded bool
+	}{
+		{"all controllers read the compact form", true},
+		{"another controller may not read it", false},
 	} {
-		f := newFixture()
-		f.Names.Machines.Index("i-1")
-		f.addJob(1, nil)
-		f.addJob(2, nil, 1)
-		f.addJob(3, nil)
-		begin(f)
-		txns := &txnQueue{}
-		attempts := 0
-		const minutes = 10
-		for now := time.Duration(0); now < minutes*time.Minute; now += 50 * time.Millisecond {
-			if what == "ready mark" {
-				f.WriteReadiness(now, txns, everything)
+		t.Run(test.name, func(t *testing.T) {
+			table := newTable(4)
+			table.config.ValueLimit = 2048
+			table.config.ControllerLabels = []string{"n0"}
+			if test.upgraded {
+				table.HandleChange(record.KindVersion, "n0", record.Version, 1)
 			}
-			if what == "cancelled mark" {
-				f.WriteCancellations(now, txns, everything)
+			stored := readChanges(t, "production_large.txt")[0]
+			if len(stored.data) <= table.config.ValueLimit {
+				t.Fatal("the record is not large")
 			}
-			if what == "clean-up" {
-				f.CollectGarbage(now, term, txns, 1)
+			job := storeLargeJob(table, stored)
+			before := countDurable(job)
+			for assignment := range job.Assignments() {
+				table.RecordCompletion(job, assignment.Task)
+				break
 			}
-			f.Flush(now, term, txns)
-			for len(txns.list) > 0 {
-				txn := txns.list[0]
-				txns.list = txns.list[1:]
-				if txn.Build == nil || txn.Build(txn) {
-					attempts++
-					txn.Done(kv.Result{Outcome: kv.Rejected, Now: now})
-				} else {
-					txn.Done(kv.Result{Outcome: kv.Aborted, Now: now})
-				}
+			txns := &txnQueue{}
+			table.Flush(0, term, txns)
+			txn := txns.next(t)
+			if size := len(txn.Writes[0].Data); (size <= table.config.ValueLimit) != test.upgraded || size > testValueBytes {
+				t.Errorf("%d bytes", size)
 			}
-		}
-		if attempts < 5 || attempts > 2*minutes+8 {
-			t.Errorf("%s: %d tries in %d minutes", what, attempts, minutes)
-		}
+			commit(table, txn, stored.modRevision+1)
+			if countDurable(job) != before-1 || job.DoneCount() != 1 {
+				t.Errorf("%d of %d assignments, %d done", countDurable(job), before, job.DoneCount())
+			}
+		})
 	}
 }
+
+// storeLargeJob has a table take a run record and the record of its job.
+func storeLargeJob(table *Table, run change) *Job {
+	table.HandleChange(run.kind, run.rest, run.data, run.modRevision)
+	id, _, _ := strings.Cut(run.rest, "/")
+	job := &Job{ID: id, Ready: true, Spec: Spec{TaskCount: 10_000, Zone: AnyZone}}
+	nameSpec(table.Names, &job.Spec)
+	table.HandleChange(record.KindJob, id, EncodeJob(table.Names, job), run.modRevision)
+	return table.Job(id)
+}
--- a/internal/pipeline/terminal_records_test.go
+++ b/internal/pipeline/terminal_records_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// A mark is found by its job's ID and by no other, whatever the ID looks like, and is
+// A record is found by its job's ID and by no other, whatever the ID looks like, and is
 // what it was.
 func TestTerminalRecords(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -42,7 +42,7 @@
 	})
 }
 
-// Marks are kept for ever: what each takes decides for how long a controller can run.
+// Terminal records are kept for ever: what each takes decides for how long a controller can run.
 func TestTerminalRecordsMemory(t *testing.T) {
 	const marks, limit = 300_000, 48
 	heap := func() uint64 {
@@ -57,8 +57,8 @@
 		finals.add(fmt.Sprintf("req-%06d", i), TerminalRecord{Phase: Done, TaskCount: i % 1000})
 	}
 	each := float64(heap()-before) / marks
-	t.Logf("%.1f bytes a mark", each)
+	t.Logf("%.1f bytes a record", each)
 	if terminal, ok := finals.Get("req-000412"); !ok || terminal.TaskCount != 412 || each > limit {
-		t.Errorf("%.1f bytes a mark, %+v", each, terminal)
+		t.Errorf("%.1f bytes a record, %+v", each, terminal)
 	}
 }
--- a/internal/pipeline/unknown_fields_test.go
+++ b/internal/pipeline/unknown_fields_test.go
@@ -30,7 +30,7 @@
 
 	table.HandleChange(record.KindRun, "req-1/0", []byte(`{"t":1,`+unknown+`,"a":[[0,1,"i-1"]]}`), 6)
 	if job.ActiveCount() != 1 {
-		t.Fatalf("%d entries", job.ActiveCount())
+		t.Fatalf("%d assignments", job.ActiveCount())
 	}
 	table.Assign(job, 1, 3, 0, 1)
 	table.Names.Machines.Index("i-2")
--- a/internal/pipeline/upstream_pages_test.go
+++ b/internal/pipeline/upstream_pages_test.go
@@ -17,20 +17,20 @@
 	f.addJob(2, nil)
 	f.storeTerminal(1, Cancelled)
 	f.storeTerminal(2, Done)
-	p := func(n int) []byte { return record.EncodeUpstreamPages([]string{id(n)}, 4096)[0] }
-	f.store(record.KindUpstreamPage, id(5)+"/0", p(1)) // abandoned
-	f.store(record.KindUpstreamPage, id(5)+"/1", p(1))
+	page := func(n int) []byte { return record.EncodeUpstreamPages([]string{id(n)}, 4096)[0] }
+	f.store(record.KindUpstreamPage, id(5)+"/0", page(1)) // abandoned
+	f.store(record.KindUpstreamPage, id(5)+"/1", page(1))
 	old := f.revision
 	f.revision += 10
 	job := f.addJob(5, func(job *Job) { job.usePages(2, old+3) }, 9)
 	if job.linked || job.upstreamCancelled || len(f.Releasable()) != 0 {
 		t.Fatal("linked by an abandoned list")
 	}
-	f.HandleChange(record.KindUpstreamPage, id(5)+"/0", p(2), old+3)
+	f.HandleChange(record.KindUpstreamPage, id(5)+"/0", page(2), old+3)
 	if job.linked {
 		t.Fatal("linked by half a list")
 	}
-	f.HandleChange(record.KindUpstreamPage, id(5)+"/1", p(2), old+4)
+	f.HandleChange(record.KindUpstreamPage, id(5)+"/1", page(2), old+4)
 	expect(t, "held", idsOf(f.Releasable()), "5")
 	// The list may go once it is ready; what was linked stays linked till then.
 	f.HandleChange(record.KindUpstreamPage, id(5)+"/0", nil, f.revision+1)
@@ -39,34 +39,34 @@
 
 func TestDeleteStalePages(t *testing.T) {
 	f := newFixture()
-	part := record.EncodeUpstreamPages([]string{id(1)}, 4096)[0]
+	page := record.EncodeUpstreamPages([]string{id(1)}, 4096)[0]
 	f.addJob(1, nil)
 	for _, k := range []string{"/0", "/1", "/2"} {
-		f.store(record.KindUpstreamPage, id(2)+k, part) // left behind
+		f.store(record.KindUpstreamPage, id(2)+k, page) // left behind
 	}
 	first := f.pages.byJob[id(2)].byNumber[0].modRevision
-	f.store(record.KindUpstreamPage, id(3)+"/0", part)
+	f.store(record.KindUpstreamPage, id(3)+"/0", page)
 	held := f.addJob(3, func(job *Job) { job.usePages(1, f.revision) }, 1)
 	txns := &txnQueue{}
 	f.DeleteStaleUpstreamPages(time.Minute, term, txns)
 	if len(txns.list) != 0 {
-		t.Fatalf("%d drops of what is young or needed", len(txns.list))
+		t.Fatalf("%d deletions of what is young or needed", len(txns.list))
 	}
 	f.DeleteStaleUpstreamPages(2*time.Minute, term, txns)
 	f.DeleteStaleUpstreamPages(2*time.Minute, term, txns)
 	if len(txns.list) != 1 || txns.list[0].Writes[0].Key != record.UpstreamPageKey(id(2), 0) ||
 		!slices.Contains(txns.list[0].Compares, kv.Compare{Key: record.UpstreamPageKey(id(2), 0), ModRevision: first}) || !slices.Contains(txns.list[0].Compares, kv.Compare{Key: record.JobKey(id(2))}) {
-		t.Fatalf("%d drops", len(txns.list))
+		t.Fatalf("%d deletions", len(txns.list))
 	}
 	commit(f.Table, txns.next(t), f.revision+1)
 	f.DeleteStaleUpstreamPages(2*time.Minute, term, txns)
 	if len(txns.list) != 2 || !slices.Contains(txns.list[0].Compares, kv.Compare{Key: record.UpstreamPageKey(id(2), 0)}) {
-		t.Fatalf("%d drops", len(txns.list))
+		t.Fatalf("%d deletions", len(txns.list))
 	}
 	commit(f.Table, txns.next(t), f.revision+2)
 	commit(f.Table, txns.next(t), f.revision+3)
 	if f.pages.byJob[id(2)] != nil || !held.linked {
-		t.Error("not all dropped, or too much")
+		t.Error("not all deleted, or too much")
 	}
 	ready := *held
 	ready.Ready = true
