--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -76,7 +76,7 @@
 	if task.assignment.Pending() != pipeline.NoPendingWrite && !cancelled {
 		return
 	}
-	if termination := terminationOf(task.assignment); termination.due {
+	if termination := terminationOf(task.assignment); termination.required {
 		response.terminations = append(response.terminations, terminateCommand(task.Task, task.Attempt, termination.gracePeriod))
 	}
 }
@@ -96,7 +96,7 @@
 // respondToUnlisted decides what to do with a stored assignment that the heartbeat
 // lacks.
 func (r *Registry) respondToUnlisted(response *response, assignment *pipeline.Assignment) {
-	if terminationOf(assignment).due {
+	if terminationOf(assignment).required {
 		// A worker has one heartbeat in flight and carries out no late response: a
 		// start that this heartbeat does not show will not happen.
 		if response.tokenConfirmed {
--- a/internal/worker/direct_command.go
+++ b/internal/worker/direct_command.go
@@ -23,10 +23,16 @@
 	announcedTo *Machine
 }
 
+// directCalls are the direct commands in flight.
+type directCalls struct {
+	inFlight      map[uint64]directCall // by call
+	announcements int                   // of these
+}
+
 // sendCommand sends a direct command.
 func (r *Registry) sendCommand(machine *Machine, command directCommand, call directCall, out *event.Effects) {
 	body, _ := json.Marshal(command)
-	r.calls[out.Call(machine.addr, http.MethodPost, pathDirectCommand, body, directCommandTimeout)] = call
+	r.calls.inFlight[out.Call(machine.addr, http.MethodPost, pathDirectCommand, body, directCommandTimeout)] = call
 }
 
 // AnnounceToken tells a machine our fencing token by a direct command without commands
@@ -44,26 +50,26 @@
 	machine.lastAnnouncement = now
 	incarnation := max(machine.incarnation, firstIncarnation)
 	command := directCommand{leadership.FencingToken(), incarnation, []Command{}}
-	r.announcing++
+	r.calls.announcements++
 	r.sendCommand(machine, command, directCall{announcedTo: machine}, out)
 }
 
 // Announcing counts the announcements in flight.
-func (r *Registry) Announcing() int { return r.announcing }
+func (r *Registry) Announcing() int { return r.calls.announcements }
 
 // HandleCallResult takes the outcome of a direct command; it tells whether the call was
 // the registry's. The worker's next heartbeat tells what became of a command. Only an
 // announcement that named the wrong incarnation is repeated with the right one, once.
 func (r *Registry) HandleCallResult(done event.CallResult, leadership Leadership, out *event.Effects) bool {
-	call, ok := r.calls[done.ID]
+	call, ok := r.calls.inFlight[done.ID]
 	if !ok {
 		return false
 	}
-	delete(r.calls, done.ID)
+	delete(r.calls.inFlight, done.ID)
 	if call.announcedTo == nil {
 		return true
 	}
-	r.announcing--
+	r.calls.announcements--
 	if done.Status != http.StatusConflict {
 		return true
 	}
--- a/internal/worker/failure_detector.go
+++ b/internal/worker/failure_detector.go
@@ -1,6 +1,8 @@
 package worker
 
 import (
+	"iter"
+	"log/slog"
 	"maps"
 	"slices"
 	"time"
@@ -29,13 +31,25 @@
 	failureScanInterval = time.Second
 )
 
-// taskFailed takes in a task that ended with an error. Either the machine or the job
-// is at fault: the job is if it also fails elsewhere, the machine if several jobs fail
-// there that work elsewhere. Until one of these is proven, the job tries another
-// machine at once and the machine is used as before.
-func (r *Registry) taskFailed(machine *Machine, assignment *pipeline.Assignment, now event.Time) {
+// failureDetector tells from failed tasks whether machines or jobs are at fault: the
+// job is if it also fails elsewhere, the machine if several jobs fail there that work
+// elsewhere. Until one of these is proven, the job tries another machine at once and
+// the machine is used as before.
+type failureDetector struct {
+	jobs      *pipeline.Table
+	machineAt func(index int) *Machine // nil: there is none
+	log       *slog.Logger
+	suspects  map[int]bool // machines with failed jobs
+	scannedAt event.Time
+}
+
+// reset drops what only a leader knows.
+func (d *failureDetector) reset() { clear(d.suspects) }
+
+// taskFailed takes in a task that ended with an error.
+func (d *failureDetector) taskFailed(machine *Machine, assignment *pipeline.Assignment, now event.Time) {
 	job := assignment.Job
-	r.log.Info("task failed", "job", job.ID, "machine", machine.Name)
+	d.log.Info("task failed", "job", job.ID, "machine", machine.Name)
 	if machine.failedJobs == nil {
 		machine.failedJobs = map[string]event.Time{}
 	}
@@ -43,20 +57,20 @@
 		machine.failingSince = now
 	}
 	machine.failedJobs[job.ID] = runTime(assignment, now)
-	r.suspects[machine.Index] = true
+	d.suspects[machine.Index] = true
 	failures := job.Failures()
-	r.jobs.RecordFailure(assignment, now)
+	d.jobs.RecordFailure(assignment, now)
 	if job.Failures() > failures {
-		r.log.Info("job backing off", "job", job.ID, "failures", job.Failures())
+		d.log.Info("job backing off", "job", job.ID, "failures", job.Failures())
 	}
 }
 
 // taskSucceeded takes in a task that completed: neither the machine nor the job
 // is at fault.
-func (r *Registry) taskSucceeded(machine *Machine, job *pipeline.Job) {
+func (d *failureDetector) taskSucceeded(machine *Machine, job *pipeline.Job) {
 	clear(machine.failedJobs)
-	delete(r.suspects, machine.Index)
-	r.jobs.ClearFailures(job)
+	delete(d.suspects, machine.Index)
+	d.jobs.ClearFailures(job)
 }
 
 // runTime is for how long a task has been seen running.
@@ -72,32 +86,39 @@
 	return assignment.Phase() == pipeline.TaskRunning && runTime(assignment, now) >= needed
 }
 
-// scanFailures looks at the machines on which tasks have failed. Without any it
-// costs nothing.
-func (r *Registry) scanFailures(now event.Time) {
-	if now-r.failureScanAt < failureScanInterval {
-		return
-	}
-	r.failureScanAt = now
-	for _, index := range slices.Sorted(maps.Keys(r.suspects)) {
-		machine := r.MachineAt(index)
-		if machine == nil || machine.quarantined {
-			delete(r.suspects, index)
-			continue
+// machinesAtFault iterates over the machines that are found to be at fault. It looks at
+// those on which tasks have failed, once in failureScanInterval; without any it costs
+// nothing.
+func (d *failureDetector) machinesAtFault(now event.Time) iter.Seq[*Machine] {
+	return func(yield func(*Machine) bool) {
+		if now-d.scannedAt < failureScanInterval {
+			return
 		}
-		proven := r.provenFailures(machine, now) >= minFailedJobs
-		if proven || r.unprovenFailures(machine, now) >= minUnprovenJobs {
-			r.quarantine(machine)
+		d.scannedAt = now
+		for _, index := range slices.Sorted(maps.Keys(d.suspects)) {
+			machine := d.machineAt(index)
+			if machine == nil || machine.quarantined {
+				delete(d.suspects, index)
+				continue
+			}
+			if d.atFault(machine, now) && !yield(machine) {
+				return
+			}
 		}
 	}
 }
 
+// atFault tells whether enough jobs have failed on a machine to blame it.
+func (d *failureDetector) atFault(machine *Machine, now event.Time) bool {
+	return d.provenFailures(machine, now) >= minFailedJobs || d.unprovenFailures(machine, now) >= minUnprovenJobs
+}
+
 // provenFailures counts the jobs that failed on a machine though they work
 // elsewhere.
-func (r *Registry) provenFailures(machine *Machine, now event.Time) (count int) {
+func (d *failureDetector) provenFailures(machine *Machine, now event.Time) (count int) {
 	for id, ran := range machine.failedJobs {
-		job := r.jobs.Job(id)
-		if job != nil && !job.AtFault() && r.worksElsewhere(job, machine, ran, now) {
+		job := d.jobs.Job(id)
+		if job != nil && !job.AtFault() && d.worksElsewhere(job, machine, ran, now) {
 			count++
 		}
 	}
@@ -106,12 +127,12 @@
 
 // unprovenFailures counts the jobs that failed on a machine and nowhere else, once
 // the first failure is long enough ago.
-func (r *Registry) unprovenFailures(machine *Machine, now event.Time) (count int) {
+func (d *failureDetector) unprovenFailures(machine *Machine, now event.Time) (count int) {
 	if now-machine.failingSince < unprovenTime {
 		return 0
 	}
 	for id := range machine.failedJobs {
-		if job := r.jobs.Job(id); job != nil && job.FailedOnlyOn(machine.Index) {
+		if job := d.jobs.Job(id); job != nil && job.FailedOnlyOn(machine.Index) {
 			count++
 		}
 	}
@@ -120,7 +141,7 @@
 
 // worksElsewhere tells whether tasks of a job have completed, or have been running
 // on other machines for longer than one ran on this machine before it failed.
-func (r *Registry) worksElsewhere(job *pipeline.Job, machine *Machine, ran, now event.Time) bool {
+func (d *failureDetector) worksElsewhere(job *pipeline.Job, machine *Machine, ran, now event.Time) bool {
 	if job.DoneCount() > 0 {
 		return true
 	}
@@ -132,24 +153,18 @@
 	return works
 }
 
-// quarantine takes a machine at fault out of use: what runs there is evicted, and the
-// machine is released when it is empty.
-func (r *Registry) quarantine(machine *Machine) {
-	r.log.Info("machine quarantined", "machine", machine.Name, "failed_jobs", len(machine.failedJobs))
-	machine.quarantined = true
-	machine.draining = true
+// clearFailures forgets the failures of jobs that failed on a machine at fault and
+// nowhere else.
+func (d *failureDetector) clearFailures(machine *Machine) {
 	for _, id := range slices.Sorted(maps.Keys(machine.failedJobs)) {
-		if job := r.jobs.Job(id); job != nil && job.FailedOnlyOn(machine.Index) {
-			r.jobs.ClearFailures(job)
+		if job := d.jobs.Job(id); job != nil && job.FailedOnlyOn(machine.Index) {
+			d.jobs.ClearFailures(job)
 		}
 	}
-	for _, assignment := range r.sortedAssignments(machine) {
-		r.Evict(assignment, GracePeriod(assignment.Job))
-	}
 }
 
 // checkService ends the probing of a service whose replica goes on running.
-func (r *Registry) checkService(job *pipeline.Job, now event.Time) {
+func (d *failureDetector) checkService(job *pipeline.Job, now event.Time) {
 	if !job.AtFault() || job.Shape != pipeline.Daemon {
 		return
 	}
@@ -158,6 +173,6 @@
 		works = works || runsFor(assignment, serviceWorkingTime, now)
 	}
 	if works {
-		r.jobs.ClearFailures(job)
+		d.jobs.ClearFailures(job)
 	}
 }
--- a/internal/worker/reachability.go
+++ b/internal/worker/reachability.go
@@ -44,7 +44,7 @@
 		// still served by the leader before us.
 		machine.unconfirmedHeartbeats++
 	case now-machine.firstHeartbeat > r.heartbeatTimeout:
-		r.markUnreachable(machine, now)
+		r.recordUnreachable(machine, now)
 	}
 }
 
@@ -73,16 +73,16 @@
 			continue
 		}
 		if assignment.RecordMissedHeartbeat() >= maxMissedStarts {
-			r.markUnreachable(machine, now)
+			r.recordUnreachable(machine, now)
 			return
 		}
 	}
 }
 
-// markUnreachable notes that our responses do not reach a machine: what it never
+// recordUnreachable records that our responses do not reach a machine: what it never
 // started is evicted, once a heartbeat proves that it will not start. What runs goes on:
 // it may complete before its lease expires, and we may be wrong.
-func (r *Registry) markUnreachable(machine *Machine, now event.Time) {
+func (r *Registry) recordUnreachable(machine *Machine, now event.Time) {
 	r.log.Info("machine unreachable: heartbeat responses do not arrive",
 		"machine", machine.Name,
 		"tasks", len(r.jobs.OnMachine(machine.Index)))
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -1,10 +1,8 @@
 package worker
 
 import (
-	"cmp"
 	"iter"
 	"log/slog"
-	"slices"
 	"time"
 
 	"lugward/internal/event"
@@ -21,36 +19,41 @@
 	Log              *slog.Logger
 }
 
-// Registry is the table of machines.
+// Registry is the table of machines. It is not safe for concurrent use.
 type Registry struct {
 	names            *pipeline.Names
 	jobs             *pipeline.Table
 	heartbeatTimeout time.Duration
 	log              *slog.Logger
 
-	machines      []*Machine            // by index, nil if there is none
-	count         int                   // of the machines
-	calls         map[uint64]directCall // in flight, by call
-	announcing    int                   // of these, the announcements
-	terminating   map[int]bool          // machines on which a task is to be terminated
-	suspects      map[int]bool          // machines with failed jobs
-	runtimeRatio  map[int]float64       // runtime against estimate, by class
-	scannedAt     event.Time
-	failureScanAt event.Time
+	machines []*Machine // by index, nil if there is none
+	count    int        // of the machines
+
+	failures    failureDetector
+	runtimes    runtimeRatios
+	calls       directCalls
+	terminating map[int]bool // machines on which a task is to be terminated
+	scannedAt   event.Time   // when the machines in use were last scanned
 }
 
 // New returns an empty registry.
 func New(cfg Config) *Registry {
-	return &Registry{
+	r := &Registry{
 		names:            cfg.Names,
 		jobs:             cfg.Jobs,
 		heartbeatTimeout: cfg.HeartbeatTimeout,
 		log:              cfg.Log,
-		calls:            map[uint64]directCall{},
+		runtimes:         runtimeRatios{},
+		calls:            directCalls{inFlight: map[uint64]directCall{}},
 		terminating:      map[int]bool{},
-		suspects:         map[int]bool{},
-		runtimeRatio:     map[int]float64{},
 	}
+	r.failures = failureDetector{
+		jobs:      cfg.Jobs,
+		machineAt: r.MachineAt,
+		log:       cfg.Log,
+		suspects:  map[int]bool{},
+	}
+	return r
 }
 
 // All iterates over the machines in the order of their indices.
@@ -67,7 +70,8 @@
 // Len is the number of machines.
 func (r *Registry) Len() int { return r.count }
 
-// Add returns a machine by name, adding it when new.
+// Add returns a machine by name, adding it when it is new. A new machine counts as idle
+// since now.
 func (r *Registry) Add(name string, now event.Time) *Machine {
 	index := r.names.Machines.Index(name)
 	for len(r.machines) <= index {
@@ -115,47 +119,5 @@
 	r.machines = nil
 	r.count = 0
 	clear(r.terminating)
-	clear(r.suspects)
-}
-
-// sortedAssignments lists the assignments of a machine by job, in the order of
-// readiness, and task.
-func (r *Registry) sortedAssignments(machine *Machine) []*pipeline.Assignment {
-	assignments := r.jobs.OnMachine(machine.Index)
-	if len(assignments) == 0 {
-		return nil
-	}
-	sorted := slices.Clone(assignments)
-	slices.SortFunc(sorted, func(a, b *pipeline.Assignment) int {
-		return cmp.Or(cmp.Compare(a.Job.ReadyRevision, b.Job.ReadyRevision), cmp.Compare(a.Task, b.Task))
-	})
-	return sorted
-}
-
-// AllStored tells whether nothing that concerns the machine is being stored: a
-// response given now would not be followed by another in a moment.
-func (r *Registry) AllStored(machine int) bool {
-	for _, assignment := range r.jobs.OnMachine(machine) {
-		if !assignment.Stored() {
-			return false
-		}
-	}
-	return true
-}
-
-// Idle tells whether a usable machine reports no task and has none to start yet.
-func (r *Registry) Idle(heartbeat *Heartbeat) bool {
-	if len(heartbeat.Tasks) > 0 {
-		return false
-	}
-	machine := r.Lookup(heartbeat.Machine)
-	if machine == nil || !machine.reachable() || machine.leaving() {
-		return false
-	}
-	for _, assignment := range r.jobs.OnMachine(machine.Index) {
-		if assignment.Durable() {
-			return false
-		}
-	}
-	return true
+	r.failures.reset()
 }
--- a/internal/worker/runtime_estimate.go
+++ b/internal/worker/runtime_estimate.go
@@ -16,8 +16,32 @@
 	ratioWeight = 0.1
 )
 
-// recordRuntime learns from a completion how long a class runs, measured in its
-// owners' estimates, and whether a machine is slow.
+// runtimeRatios is how long the tasks of a class run, measured in their owners'
+// estimates, by class. On some days estimates are mostly too high or mostly too low.
+type runtimeRatios map[int]float64
+
+// of returns the ratio of a class, 1 where none of its tasks has completed.
+func (r runtimeRatios) of(class int) float64 {
+	if ratio, known := r[class]; known {
+		return ratio
+	}
+	return 1
+}
+
+// observe takes in the ratio of a task that has completed.
+func (r runtimeRatios) observe(class int, ratio float64) {
+	usual := r.of(class)
+	r[class] = usual + ratioWeight*(ratio-usual)
+}
+
+// ExpectedRuntime is what a job's task usually takes, in seconds: its owner's estimate,
+// corrected by what its class took lately.
+func (r *Registry) ExpectedRuntime(job *pipeline.Job) float64 {
+	return job.EstimatedRuntime * r.runtimes.of(job.Class)
+}
+
+// recordRuntime learns from a completion how long a class runs and whether a machine is
+// slow.
 func (r *Registry) recordRuntime(machine *Machine, assignment *pipeline.Assignment, now event.Time) {
 	job := assignment.Job
 	if job.EstimatedRuntime <= 0 || assignment.StartedAt() == 0 {
@@ -25,16 +49,12 @@
 	}
 	took := (now - assignment.StartedAt()).Seconds()
 	ratio := took / job.EstimatedRuntime
-	usual, known := r.runtimeRatio[job.Class]
-	if !known {
-		usual = 1
-	}
-	if ratio > slowFactor*usual {
+	if ratio > slowFactor*r.runtimes.of(job.Class) {
 		r.recordSlowJob(machine, job)
 	} else {
 		clear(machine.slowJobs)
 	}
-	r.runtimeRatio[job.Class] = usual + ratioWeight*(ratio-usual)
+	r.runtimes.observe(job.Class, ratio)
 }
 
 // recordSlowJob counts a job that took far longer on a machine than its class does.
@@ -47,14 +67,3 @@
 		r.log.Info("machine excluded as slow", "machine", machine.Name)
 	}
 }
-
-// ExpectedRuntime is what a job's task usually takes, in seconds: its owner's
-// estimate, corrected by what its class took lately. On some days estimates are
-// mostly too high or mostly too low.
-func (r *Registry) ExpectedRuntime(job *pipeline.Job) float64 {
-	ratio, known := r.runtimeRatio[job.Class]
-	if !known {
-		return job.EstimatedRuntime
-	}
-	return job.EstimatedRuntime * ratio
-}
--- a/internal/worker/termination.go
+++ b/internal/worker/termination.go
@@ -16,7 +16,7 @@
 
 // termination is whether a task is to be terminated, and how.
 type termination struct {
-	due         bool
+	required    bool
 	gracePeriod float64 // seconds that the task gets to save a checkpoint
 }
 
@@ -24,9 +24,9 @@
 // ended, with a grace period where it is evicted.
 func terminationOf(assignment *pipeline.Assignment) termination {
 	if assignment.Job.TerminalPhase != pipeline.Queued {
-		return termination{due: true}
+		return termination{required: true}
 	}
-	return termination{due: assignment.Evicting(), gracePeriod: assignment.GracePeriod()}
+	return termination{required: assignment.Evicting(), gracePeriod: assignment.GracePeriod()}
 }
 
 // terminateSoon notes that a task is to be terminated.
@@ -34,8 +34,9 @@
 	r.terminating[assignment.Machine] = true
 }
 
-// sendDueTerminations sends the terminations that are due to all workers.
-func (r *Registry) sendDueTerminations(now event.Time, leadership Leadership, out *event.Effects) {
+// sendTerminations sends all workers the terminations that cannot wait for their next
+// heartbeats.
+func (r *Registry) sendTerminations(now event.Time, leadership Leadership, out *event.Effects) {
 	for _, job := range r.jobs.TakeTerminatedJobs() {
 		for assignment := range job.Assignments() {
 			r.terminateSoon(assignment)
@@ -43,23 +44,23 @@
 	}
 	for _, index := range slices.Sorted(maps.Keys(r.terminating)) {
 		machine := r.MachineAt(index)
-		if machine == nil || !r.sendTerminations(machine, now, leadership, out) {
+		if machine == nil || !r.sendTerminationsTo(machine, now, leadership, out) {
 			delete(r.terminating, index)
 		}
 	}
 }
 
-// sendTerminations sends a worker the terminations that cannot wait for its next
+// sendTerminationsTo sends a worker the terminations that cannot wait for its next
 // heartbeat. Carried out late they do no harm: they name an attempt, and attempts are
 // not reused. It tells whether a task on the machine is still to be terminated.
-func (r *Registry) sendTerminations(machine *Machine, now event.Time, leadership Leadership, out *event.Effects) (more bool) {
-	due := now-machine.lastTerminations >= terminationInterval
-	ready := due && machine.lastHeartbeat != 0 && machine.addr != ""
+func (r *Registry) sendTerminationsTo(machine *Machine, now event.Time, leadership Leadership, out *event.Effects) (more bool) {
+	intervalOver := now-machine.lastTerminations >= terminationInterval
+	ready := intervalOver && machine.lastHeartbeat != 0 && machine.addr != ""
 	var commands []Command
 	for _, assignment := range r.jobs.OnMachine(machine.Index) {
 		termination := terminationOf(assignment)
-		more = more || termination.due
-		if ready && termination.due && assignment.Stored() && notTerminating(assignment) {
+		more = more || termination.required
+		if ready && termination.required && assignment.Stored() && notTerminating(assignment) {
 			commands = append(commands, terminateCommand(taskName(assignment), assignment.Attempt, termination.gracePeriod))
 		}
 	}
--- a/internal/worker/tick.go
+++ b/internal/worker/tick.go
@@ -13,17 +13,17 @@
 // terminated and lets gangs start again whose old attempt has ended. Machines on
 // which nothing is to be terminated cost nothing.
 func (r *Registry) Tick(now event.Time, leadership Leadership, out *event.Effects) {
-	r.sendDueTerminations(now, leadership, out)
+	r.sendTerminations(now, leadership, out)
 	if now-r.scannedAt < scanInterval {
 		return
 	}
 	r.scannedAt = now
-	r.scanFailures(now)
+	r.quarantineMachines(now)
 	for index := range r.jobs.MachinesInUse() {
 		r.checkExpired(index, now, leadership)
 	}
 	for job := range r.jobs.AllJobs() {
-		r.checkService(job, now)
+		r.failures.checkService(job, now)
 		r.jobs.FinishTermination(job)
 	}
 }
