--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -41,15 +41,16 @@
 	machineSweep periodic
 }
 
-// handleChange routes a change of the replica to the part that owns the key.
-func (c *Controller) handleChange(key string, data []byte, version uint64) {
+// handleChange routes a change of the replica to the part that owns the key. data is
+// nil when the key was deleted.
+func (c *Controller) handleChange(key string, data []byte, modRevision uint64) {
 	kind, rest := kv.SplitKey(key)
 	switch kind {
 	case election.KeyPrefix:
-		c.election.HandleChange(key, data, version)
+		c.election.HandleChange(key, data, modRevision)
 	case autoscaler.MachineTypesKeyPrefix, autoscaler.DecommissionKeyPrefix:
 		c.autoscaler.HandleChange(kind, rest, data)
 	default:
-		c.jobs.HandleChange(record.Kind(kind), rest, data, version)
+		c.jobs.HandleChange(record.Kind(kind), rest, data, modRevision)
 	}
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -115,13 +115,16 @@
 
 // expectsWorkerHeartbeats tells whether there are workers that should send heartbeats.
 func (c *Controller) expectsWorkerHeartbeats() bool {
-	expected := c.autoscaler.HasUnregisteredMachines()
+	if c.autoscaler.HasUnregisteredMachines() {
+		return true
+	}
 	for range c.jobs.MachinesInUse() {
-		expected = true
-		break
+		return true
 	}
 	for machine := range c.workers.All() {
-		expected = expected || machine.LastHeartbeat() > 0
+		if machine.LastHeartbeat() > 0 {
+			return true
+		}
 	}
-	return expected
+	return false
 }
--- a/internal/controller/load_log.go
+++ b/internal/controller/load_log.go
@@ -8,7 +8,7 @@
 	"lugward/internal/scheduler"
 )
 
-// taskLoad counts the work of the unfinished jobs.
+// taskLoad counts the tasks of the unfinished jobs.
 type taskLoad struct {
 	jobsUnplaced  int // with tasks that are not placed
 	tasksUnplaced int
@@ -24,7 +24,7 @@
 	freeGPUs float64
 }
 
-// countTasks counts the work of the unfinished jobs among the given ones.
+// countTasks counts the tasks of those of the given jobs that are unfinished.
 func countTasks(jobs iter.Seq[*pipeline.Job]) taskLoad {
 	var load taskLoad
 	for job := range jobs {
--- a/internal/controller/pending_heartbeats_test.go
+++ b/internal/controller/pending_heartbeats_test.go
@@ -36,40 +36,64 @@
 	}
 }
 
-func TestPendingHeartbeatQueues(t *testing.T) {
-	tests := []struct {
-		name                 string
-		change               func(p *pendingHeartbeats, list []*pendingHeartbeat)
-		overdue, overdueIdle int // machine, 0: none
-		all                  []int
-	}{
-		{"all wait", func(*pendingHeartbeats, []*pendingHeartbeat) {}, 1, 0, []int{1, 2, 3}},
-		{"oldest answered", func(p *pendingHeartbeats, list []*pendingHeartbeat) { p.markAnswered(list[0]) }, 2, 0, []int{2, 3}},
-		{"oldest idle", func(p *pendingHeartbeats, list []*pendingHeartbeat) { p.markIdle(list[0]) }, 2, 1, []int{1, 2, 3}},
-		{"idle twice", func(p *pendingHeartbeats, list []*pendingHeartbeat) {
-			p.markIdle(list[2])
-			p.markIdle(list[2])
-		}, 1, 3, []int{1, 2, 3}},
-		{"idle, then answered", func(p *pendingHeartbeats, list []*pendingHeartbeat) {
-			p.markIdle(list[1])
-			p.markAnswered(list[1])
-		}, 1, 0, []int{1, 3}},
-		{"all answered", func(p *pendingHeartbeats, list []*pendingHeartbeat) {
-			for _, pending := range list {
-				p.markAnswered(pending)
-			}
-		}, 0, 0, nil},
-	}
+// queueTests change the three heartbeats that wait, of the machines 1, 2 and 3.
+var queueTests = []struct {
+	name        string
+	change      func(p *pendingHeartbeats, list []*pendingHeartbeat)
+	overdue     int   // machine of the next overdue heartbeat, 0: none
+	overdueIdle int   // the same, of idle machines
+	all         []int // machines of all that wait
+}{
+	{"all wait", func(*pendingHeartbeats, []*pendingHeartbeat) {}, 1, 0, []int{1, 2, 3}},
+	{"oldest answered", func(p *pendingHeartbeats, list []*pendingHeartbeat) { p.markAnswered(list[0]) }, 2, 0, []int{2, 3}},
+	{"oldest idle", func(p *pendingHeartbeats, list []*pendingHeartbeat) { p.markIdle(list[0]) }, 2, 1, []int{1, 2, 3}},
+	{"idle twice", func(p *pendingHeartbeats, list []*pendingHeartbeat) {
+		p.markIdle(list[2])
+		p.markIdle(list[2])
+	}, 1, 3, []int{1, 2, 3}},
+	{"idle, then answered", func(p *pendingHeartbeats, list []*pendingHeartbeat) {
+		p.markIdle(list[1])
+		p.markAnswered(list[1])
+	}, 1, 0, []int{1, 3}},
+	{"all answered", func(p *pendingHeartbeats, list []*pendingHeartbeat) {
+		for _, pending := range list {
+			p.markAnswered(pending)
+		}
+	}, 0, 0, nil},
+}
+
+// threePending returns the heartbeats of the machines 1, 2 and 3, as a test changes them.
+func threePending(t *testing.T, change func(*pendingHeartbeats, []*pendingHeartbeat)) *pendingHeartbeats {
+	t.Helper()
+	p := newPendingHeartbeats(100)
+	change(&p, []*pendingHeartbeat{addPending(t, &p, 1), addPending(t, &p, 2), addPending(t, &p, 3)})
+	return &p
+}
+
+func TestOverduePendingHeartbeats(t *testing.T) {
 	machineOf := func(pending *pendingHeartbeat) int {
 		if pending == nil {
 			return 0
 		}
 		return pending.machine
 	}
-	for _, test := range tests {
+	for _, test := range queueTests {
+		t.Run(test.name, func(t *testing.T) {
+			p := threePending(t, test.change)
+			if got := machineOf(p.nextOverdue(longAfter)); got != test.overdue {
+				t.Errorf("overdue of machine %d, want %d", got, test.overdue)
+			}
+			if got := machineOf(p.nextOverdueIdle(longAfter)); got != test.overdueIdle {
+				t.Errorf("overdue idle of machine %d, want %d", got, test.overdueIdle)
+			}
+		})
+	}
+}
+
+func TestAllPendingHeartbeats(t *testing.T) {
+	for _, test := range queueTests {
 		t.Run(test.name, func(t *testing.T) {
-			p := newPendingHeartbeats(100)
-			test.change(&p, []*pendingHeartbeat{addPending(t, &p, 1), addPending(t, &p, 2), addPending(t, &p, 3)})
+			p := threePending(t, test.change)
 			var all []int
 			for pending := range p.all() {
 				all = append(all, pending.machine)
@@ -82,16 +106,6 @@
 				t.Errorf("%d count as idle after all were answered", p.idleCount)
 			}
 		})
-		t.Run(test.name+", heads", func(t *testing.T) {
-			p := newPendingHeartbeats(100)
-			test.change(&p, []*pendingHeartbeat{addPending(t, &p, 1), addPending(t, &p, 2), addPending(t, &p, 3)})
-			if got := machineOf(p.nextOverdue(longAfter)); got != test.overdue {
-				t.Errorf("overdue of machine %d, want %d", got, test.overdue)
-			}
-			if got := machineOf(p.nextOverdueIdle(longAfter)); got != test.overdueIdle {
-				t.Errorf("overdue idle of machine %d, want %d", got, test.overdueIdle)
-			}
-		})
 	}
 }
 
