--- a/internal/simtest/checker_upstream.go
+++ b/internal/simtest/checker_upstream.go
@@ -33,11 +33,9 @@
 
 // hasDoneRecord tells whether the state service holds the record that a job is done.
 func (world *World) hasDoneRecord(id string) bool {
-	var f struct {
-		Phase string `json:"p"`
-	}
-	_ = json.Unmarshal(world.stateService.keys["f/"+id].data, &f)
-	return f.Phase == jobDone
+	var record terminalRecord
+	_ = json.Unmarshal(world.stateService.keys[terminalKeyPrefix+id].data, &record)
+	return record.Phase == jobDone
 }
 
 // unfinishedUpstream names a job that a job needs and that is not done yet, or "".
--- a/internal/simtest/checker_upstream_test.go
+++ b/internal/simtest/checker_upstream_test.go
@@ -22,7 +22,7 @@
 		job.completed[i] = true
 	}
 	if marked {
-		world.stateService.putValue("f/"+job.id, `{"p":"done","n":1}`)
+		world.stateService.putTerminalRecord(job.id, jobDone)
 	}
 }
 
@@ -87,7 +87,7 @@
 		act: func(chain *jobChain) {
 			completeJob(chain.world, chain.first, false)
 			chain.cancel(chain.first)
-			chain.world.stateService.putValue("f/"+chain.first.id, `{"p":"cancelled","n":1}`)
+			chain.world.stateService.putTerminalRecord(chain.first.id, jobCancelled)
 			chain.start(chain.second)
 		},
 	},
--- a/internal/simtest/cloud.go
+++ b/internal/simtest/cloud.go
@@ -140,13 +140,13 @@
 	switch {
 	case err != nil:
 		answer(400, nil)
-	case parsed.Path == "/machine_types":
+	case parsed.Path == machineTypesPath:
 		answer(200, cloud.offered())
-	case parsed.Path == "/rentals" && method == "GET":
+	case parsed.Path == machinesPath && method == "GET":
 		answer(200, cloud.list(parsed.Query()))
-	case parsed.Path == "/rentals":
+	case parsed.Path == machinesPath:
 		answer(cloud.provision(body))
-	case parsed.Path == "/rentals/return":
+	case parsed.Path == releasePath:
 		answer(cloud.release(body), nil)
 	default:
 		answer(404, nil)
--- a/internal/simtest/commands_pipelines.go
+++ b/internal/simtest/commands_pipelines.go
@@ -70,11 +70,9 @@
 
 // ownerOf names the controller that owns a job.
 func ownerOf(world *World, arguments Arguments) string {
-	var r struct {
-		Owner string `json:"o"`
-	}
-	_ = json.Unmarshal(world.stateService.keys["j/"+arguments["id"]].data, &r)
-	return r.Owner
+	var record ownerRecord
+	_ = json.Unmarshal(world.stateService.keys[jobKeyPrefix+arguments["id"]].data, &record)
+	return record.Owner
 }
 
 // startOrder tells whether a job began before another.
@@ -106,7 +104,7 @@
 			world.checker.cancelRequests[id] = true
 		}
 		world.checker.acknowledgedPhase[id] = phase
-		world.stateService.putValue("f/"+id, fmt.Sprintf(`{"p":%q,"n":1}`, phase))
+		world.stateService.putTerminalRecord(id, phase)
 	}
 	world.stateService.notifyWatchers()
 }
--- a/internal/simtest/fixtures_test.go
+++ b/internal/simtest/fixtures_test.go
@@ -18,8 +18,11 @@
 func startOnNewMachine(world *World, job *jobRecord, index int, machine machineIdentity) *taskAssignment {
 	worker := &fakeWorker{world: world, machineIdentity: machine, up: true, assignments: map[string]*taskAssignment{}}
 	world.workers[machine.addr] = worker
-	assignment := &taskAssignment{worker: worker, job: job, name: fmt.Sprintf("%s/%d", job.id, index), index: index, attempt: 1, phase: taskRunning}
+	assignment := &taskAssignment{worker: worker, job: job, name: taskName(job.id, index), index: index, attempt: 1, phase: taskRunning}
 	worker.assignments[assignment.name] = assignment
 	world.checker.checkStart(assignment)
 	return assignment
 }
+
+// taskName is the name of a task of a job.
+func taskName(id string, index int) string { return fmt.Sprintf("%s/%d", id, index) }
--- a/internal/simtest/jobs.go
+++ b/internal/simtest/jobs.go
@@ -15,21 +15,32 @@
 
 // jobSpec is what a job asks for.
 type jobSpec struct {
-	id                 string
-	team, class        string
-	shape              string
-	taskCount          int
-	resources                   // of each task
-	machineTypes       []string // nil: any
-	zone               string   // "": any
-	sameZone, scatter  bool
-	allowSpot          bool
+	id          string
+	team, class string
+	shape       string
+	taskCount   int
+	resources   // of each task
+	jobPlacement
 	checkpointInterval time.Duration // 0: it stores no checkpoints
 	checkpointDuration time.Duration
 	runTime            time.Duration // of each task
 	imageFetchTime     time.Duration
-	broken             bool // fails on every machine
-	brokenTask         int  // 1 + the number of the only task that fails on every machine, 0: none
+	jobFailures
+}
+
+// jobPlacement is where tasks of a job may run.
+type jobPlacement struct {
+	machineTypes []string // nil: any
+	zone         string   // "": any
+	sameZone     bool     // all tasks run in one zone
+	scatter      bool     // at most half of the tasks run in one zone
+	allowSpot    bool
+}
+
+// jobFailures tell which tasks fail on every machine.
+type jobFailures struct {
+	broken     bool // all
+	brokenTask int  // 1 + the number of the only one, 0: none
 }
 
 // jobSubmission is what its user has done with a job.
--- a/internal/simtest/network.go
+++ b/internal/simtest/network.go
@@ -7,28 +7,40 @@
 // fakeNetwork is a stand-in of the network between controllers, workers, users, the state
 // service and the cloud. Faults that concern some requests are given as their share.
 type fakeNetwork struct {
-	world        *World
+	world *World
+	linkState
+	packetFaults
+	requestDelays
+	refusedWhenCut      float64 // requests to controllers over cut links that fail at once
+	workerSockets       int     // workers that a controller has sockets for, 0: for all
+	unreachableMachines int     // so many of the machines that boot next are unreachable
+}
+
+// linkState is which links are there.
+type linkState struct {
 	cutLinks     map[link]bool // packets wait until the link is back
 	droppedLinks map[link]bool // packets are lost
 	heldPackets  []heldPacket  // on links that are cut
-	lossShare    float64       // packets that are lost on any link
+}
 
+// packetFaults lose and repeat what is sent.
+type packetFaults struct {
+	lossShare       float64       // packets that are lost on any link
 	lateRepeatShare float64       // calls to the state service and the cloud that are carried out once more, late
 	duplicateShare  float64       // heartbeats of which a copy comes later, to any controller
 	duplicateDelay  time.Duration // by at most this
+}
 
+// requestDelays let requests arrive or be answered late.
+type requestDelays struct {
 	lateWrites        float64       // transactions that get no answer and are carried out late
 	delayedHeartbeats float64       // heartbeats that arrive seconds late, maybe elsewhere
 	delayedCommands   float64       // direct commands that arrive, or whose answers arrive, seconds late
 	slowStateService  time.Duration // within which the state service answers
-
-	refusedWhenCut      float64 // requests to controllers over cut links that fail at once
-	workerSockets       int     // workers that a controller has sockets for, 0: for all
-	unreachableMachines int     // so many of the machines that boot next are unreachable
 }
 
 func newNetwork(world *World) *fakeNetwork {
-	return &fakeNetwork{world: world, cutLinks: map[link]bool{}, droppedLinks: map[link]bool{}}
+	return &fakeNetwork{world: world, linkState: linkState{cutLinks: map[link]bool{}, droppedLinks: map[link]bool{}}}
 }
 
 // link is a direction between two parties, by their names.
--- a/internal/simtest/protocol.go
+++ b/internal/simtest/protocol.go
@@ -45,8 +45,13 @@
 	heartbeatPath     = "/hello"
 	directCommandPath = "/do"
 	jobsPath          = "/submissions"
+	keysPath          = "/keys"
 	transactionPath   = "/commit"
 	watchPath         = "/follow"
+	leasesPath        = "/leases"
+	machineTypesPath  = "/machine_types"
+	machinesPath      = "/rentals"
+	releasePath       = "/rentals/return"
 )
 
 // errorResponse is an answer that something went wrong.
@@ -241,3 +246,31 @@
 	Data        json.RawMessage `json:"data,omitempty"`
 	ModRevision uint64          `json:"stamp"`
 }
+
+// Keys of the state service that controllers write.
+const (
+	leaderKey         = "t/lead"
+	jobKeyPrefix      = "j/"
+	runKeyPrefix      = "r/" // runs of a job's tasks
+	upstreamKeyPrefix = "u/" // lists of upstream jobs
+	terminalKeyPrefix = "f/" // with the ID of a job that is over
+)
+
+// leaderRecord is what a leader writes of itself.
+type leaderRecord struct {
+	Label string `json:"l"`
+}
+
+// ownerRecord is the part of a job's record that names the controller that owns it.
+type ownerRecord struct {
+	Owner string `json:"o"`
+}
+
+// terminalRecord is what is kept of a job that is over.
+type terminalRecord struct {
+	Phase     string `json:"p"`
+	TaskCount int    `json:"n"`
+}
+
+// optionalSubmissionFields may be absent from a submission.
+var optionalSubmissionFields = []string{"flavors", "yard", "due_s"}
--- a/internal/simtest/random_jobs_test.go
+++ b/internal/simtest/random_jobs_test.go
@@ -138,7 +138,7 @@
 		}
 	}
 	if left := world.waitForMachinesReleased(); left != "" {
-		reporter.Errorf("seed %d: nothing runs, and these machines are kept: %s\n%s", seed, left, strings.Join(world.listKeys("r/"), "\n"))
+		reporter.Errorf("seed %d: nothing runs, and these machines are kept: %s\n%s", seed, left, strings.Join(world.listKeys(runKeyPrefix), "\n"))
 	}
 	if verdict := world.Verdict(); verdict != "kept" {
 		reporter.Errorf("seed %d: %s", seed, verdict)
@@ -147,7 +147,7 @@
 
 // storedOf is what the state service holds of a job.
 func (world *World) storedOf(id string) string {
-	return strings.Join(append(world.listKeys("j/"+id), world.listKeys("r/"+id)...), "\n")
+	return strings.Join(append(world.listKeys(jobKeyPrefix+id), world.listKeys(runKeyPrefix+id)...), "\n")
 }
 
 // waitForMachinesReleased plays until all machines are given back, for five minutes at most,
--- a/internal/simtest/random_pipelines_test.go
+++ b/internal/simtest/random_pipelines_test.go
@@ -59,7 +59,7 @@
 	play.untilOver()
 	play.checkEnds()
 	world.Run(150 * time.Second)
-	for _, prefix := range []string{"j/", "r/", "u/"} {
+	for _, prefix := range []string{jobKeyPrefix, runKeyPrefix, upstreamKeyPrefix} {
 		if keys := world.listKeys(prefix); len(keys) > 0 {
 			play.Errorf("seed %d: left behind: %.300s", seed, strings.Join(keys, "\n"))
 		}
@@ -131,7 +131,7 @@
 		play.lower()
 	}
 	if world.random.IntN(3) == 0 {
-		world.stateService.delayedPrefix = []string{"f/", "j/", "u/"}[world.random.IntN(3)]
+		world.stateService.delayedPrefix = []string{terminalKeyPrefix, jobKeyPrefix, upstreamKeyPrefix}[world.random.IntN(3)]
 		world.stateService.writeDelay = seconds(2 + world.random.Float64()*10)
 		world.stateService.writesToDelay = 1 + world.random.IntN(2)
 	}
--- a/internal/simtest/state_service.go
+++ b/internal/simtest/state_service.go
@@ -54,16 +54,16 @@
 		return
 	}
 	switch {
-	case parsed.Path == "/keys" && method == "GET":
+	case parsed.Path == keysPath && method == "GET":
 		answer(200, service.listKeys(parsed.Query()))
 	case parsed.Path == transactionPath && method == "POST":
 		if !service.delayMatchingWrite(body) {
 			answer(service.commit(body))
 		}
-	case parsed.Path == "/leases" && method == "POST":
+	case parsed.Path == leasesPath && method == "POST":
 		answer(service.grantLease(body))
-	case strings.HasPrefix(parsed.Path, "/leases/"):
-		answer(service.changeLease(method, strings.TrimPrefix(parsed.Path, "/leases/")), nil)
+	case strings.HasPrefix(parsed.Path, leasesPath+"/"):
+		answer(service.changeLease(method, strings.TrimPrefix(parsed.Path, leasesPath+"/")), nil)
 	case parsed.Path == watchPath:
 		service.watch(parsed.Query(), answer)
 	default:
@@ -162,3 +162,9 @@
 	service.keys[key] = storedValue{data: json.RawMessage(data), modRevision: service.revision}
 	service.log = append(service.log, changeEvent{Write: key, Data: json.RawMessage(data), ModRevision: service.revision})
 }
+
+// putTerminalRecord stores what is kept of a job of one task that is over.
+func (service *fakeStateService) putTerminalRecord(id, phase string) {
+	record, _ := json.Marshal(terminalRecord{Phase: phase, TaskCount: 1})
+	service.putValue(terminalKeyPrefix+id, string(record))
+}
--- a/internal/simtest/users_invalid.go
+++ b/internal/simtest/users_invalid.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"slices"
 	"sort"
 	"time"
 )
@@ -82,9 +83,9 @@
 	var submitted map[string]json.RawMessage
 	_ = json.Unmarshal(users.registerJob(arguments), &submitted)
 	var fields []string
-	for f := range submitted {
-		if f != "flavors" && f != "yard" && f != "due_s" {
-			fields = append(fields, f)
+	for field := range submitted {
+		if !slices.Contains(optionalSubmissionFields, field) {
+			fields = append(fields, field)
 		}
 	}
 	sort.Strings(fields)
--- a/internal/simtest/worker_hang_test.go
+++ b/internal/simtest/worker_hang_test.go
@@ -109,7 +109,7 @@
 	list := make([]*fakeWorker, 0, 2)
 	for i, name := range []string{"i-a", "i-b"} {
 		worker := newWorker(world, smallMachine(name, "a"))
-		worker.executeCommands([]taskCommand{{Verb: "start", Task: "req-000001/" + string(rune('0'+i)), Attempt: 1}})
+		worker.executeCommands([]taskCommand{{Verb: "start", Task: taskName("req-000001", i), Attempt: 1}})
 		list = append(list, worker)
 	}
 	world.Run(time.Second)
--- a/internal/simtest/worker_tasks_test.go
+++ b/internal/simtest/worker_tasks_test.go
@@ -9,7 +9,7 @@
 // startOnAll starts one attempt of a job's tasks, each on a machine of its own.
 func startOnAll(machines []*fakeWorker, attempt uint64) {
 	for i, worker := range machines {
-		worker.executeCommands([]taskCommand{{Verb: "start", Task: "req-000001/" + string(rune('0'+i)), Attempt: attempt}})
+		worker.executeCommands([]taskCommand{{Verb: "start", Task: taskName("req-000001", i), Attempt: attempt}})
 	}
 }
 
@@ -30,7 +30,7 @@
 // exitCauses are what the two tasks ended with, or their phases.
 func exitCauses(machines []*fakeWorker) (list [2]string) {
 	for i, worker := range machines {
-		if task := worker.assignments["req-000001/"+string(rune('0'+i))]; task != nil {
+		if task := worker.assignments[taskName("req-000001", i)]; task != nil {
 			list[i] = task.phase
 			if task.phase == "exited" {
 				list[i] = task.cause
@@ -84,7 +84,7 @@
 	startOnAll(machines, 1)
 	world.Run(time.Second)
 	stop := func(i int) {
-		machines[i].executeCommands([]taskCommand{{Verb: "stop", Task: "req-000001/" + string(rune('0'+i)), Attempt: 1}})
+		machines[i].executeCommands([]taskCommand{{Verb: "stop", Task: taskName("req-000001", i), Attempt: 1}})
 	}
 	stop(0)
 	stop(0)
@@ -99,7 +99,7 @@
 func TestMachineState(t *testing.T) {
 	world := New(1, 1, io.Discard)
 	world.controllers[0].kill()
-	world.cloud.serve("POST", "/rentals", []byte(`{"hire":"h","flavor":"small","yard":"a","number":2}`), func(int, any) {})
+	world.cloud.serve("POST", machinesPath, []byte(`{"hire":"h","flavor":"small","yard":"a","number":2}`), func(int, any) {})
 	if got := runCommand(t, world, "provisioned", Arguments{}); got != "2" {
 		t.Errorf("%s machines provisioned, want 2", got)
 	}
--- a/internal/simtest/world.go
+++ b/internal/simtest/world.go
@@ -1,6 +1,12 @@
-// Package simtest plays whole scenarios in virtual time: several controllers against
-// stand-ins of the state service, the cloud and the workers, written from
-// their published protocols, with a checker that watches the rules.
+// Package simtest plays whole clusters in virtual time: several controllers against stand-ins
+// of the state service, the cloud, workers, users and the network, written from their
+// published protocols, under faults that a scenario or a random draw causes.
+//
+// A World holds one deployment. Its Checker watches what must hold at any time, for example
+// that no task runs on two machines, from what workers do and what users are answered.
+// Scenarios are text files in testdata; their commands are listed in the files commands_*.go.
+// The same seed gives the same run: all random draws come from one source, in the order in
+// which events are played.
 package simtest
 
 import (
@@ -14,7 +20,6 @@
 	"time"
 
 	"lugward/internal/config"
-	"lugward/internal/simtest/eventqueue"
 )
 
 const (
@@ -28,9 +33,7 @@
 
 // World is one simulated deployment.
 type World struct {
-	now    time.Duration // virtual time since the world began
-	events eventqueue.Queue
-	random *rand.Rand
+	virtualTime
 	config *config.Platform
 
 	controllers  []*controllerProcess
@@ -88,7 +91,7 @@
 		options.Tune(cfg)
 	}
 	world := &World{
-		random:          rand.New(rand.NewPCG(options.Seed, 1)),
+		virtualTime:     virtualTime{random: rand.New(rand.NewPCG(options.Seed, 1))},
 		config:          cfg,
 		workers:         map[string]*fakeWorker{},
 		jobs:            map[string]*jobRecord{},
@@ -124,10 +127,8 @@
 
 // leader is the controller that the state service shows as leader, nil if there is none.
 func (world *World) leader() *controllerProcess {
-	var record struct {
-		Label string `json:"l"`
-	}
-	_ = json.Unmarshal(world.stateService.keys["t/lead"].data, &record)
+	var record leaderRecord
+	_ = json.Unmarshal(world.stateService.keys[leaderKey].data, &record)
 	return world.controller(record.Label)
 }
 
