--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// start lets the worker start a task. If it was there before it was lost with the
-// worker's incarnation.
+// start adds the start of a task. One that was seen on the machine before was lost with
+// the worker's incarnation.
 func (r *response) start(assignment *pipeline.Assignment) {
 	r.starts = append(r.starts, startCommand(assignment))
 	assignment.RecordStartCommand(r.heartbeat.Sequence)
--- a/internal/worker/failure_detector_test.go
+++ b/internal/worker/failure_detector_test.go
@@ -37,7 +37,7 @@
 func TestMachineAtFaultIsQuarantined(t *testing.T) {
 	c := newCluster(0)
 	other := c.submit("req-9", pipeline.Array, 1)
-	c.run(t, other, 0, "i-1")
+	c.run(t, other, "i-1")
 	for n := range 2 {
 		job := c.submit(fmt.Sprint("req-", n), pipeline.Array, 1)
 		c.fail(t, job, 0, "i-1")
@@ -45,7 +45,7 @@
 			t.Errorf("%s does not try another machine at once", job.ID)
 		}
 		c.jobs.HandleChange(record.KindRun, job.ID+"/0", []byte(`{"t":1}`), 5)
-		c.run(t, job, 0, "i-2")
+		c.run(t, job, "i-2")
 	}
 	c.wait(time.Second)
 	if c.Add("i-1", c.now).Quarantined() {
@@ -77,7 +77,7 @@
 	if !job.AtFault() || job.StartableCount() != 1 {
 		t.Fatalf("%d failures, %d to try", job.Failures(), job.StartableCount())
 	}
-	c.run(t, job, 0, "i-3")
+	c.run(t, job, "i-3")
 	c.wait(worker.ServiceWorkingTime)
 	c.wait(time.Second)
 	if job.AtFault() || job.StartableCount() != 1 {
--- a/internal/worker/fixture_test.go
+++ b/internal/worker/fixture_test.go
@@ -81,11 +81,11 @@
 	}
 }
 
-// run lets a task start on a machine and run there.
-func (c *cluster) run(t *testing.T, job *pipeline.Job, task int, machine string) {
+// run lets the first task of a job start on a machine and run there.
+func (c *cluster) run(t *testing.T, job *pipeline.Job, machine string) {
 	t.Helper()
-	c.start(job, task, machine)
-	c.heartbeat(t, machine, job, task, "running", "")
+	c.start(job, 0, machine)
+	c.heartbeat(t, machine, job, 0, "running", "")
 }
 
 // fail lets a task start on a machine and fail there.
--- a/internal/worker/heartbeat_handling_test.go
+++ b/internal/worker/heartbeat_handling_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"lugward/internal/pipeline"
 	"lugward/internal/worker"
 	"lugward/internal/worker/workertest"
 )
@@ -66,3 +67,23 @@
 		t.Errorf("the error is of another heartbeat: %v", err)
 	}
 }
+
+// Handling a heartbeat that says what the last one said allocates nothing: it is what
+// the program does most often.
+func TestHandleHeartbeatAllocatesNothing(t *testing.T) {
+	c := newCluster(0)
+	job := c.submit("req-1", pipeline.Array, 1)
+	c.run(t, job, "i-1")
+	heartbeat := workertest.Heartbeat("i-1", c.now)
+	heartbeat.Sequence = c.sequence
+	heartbeat.Tasks = []worker.TaskStatus{{Task: "req-1/0", Attempt: job.Assignment(0).Attempt, Phase: "running"}}
+	allocations := testing.AllocsPerRun(100, func() {
+		heartbeat.Sequence++
+		if err := c.HandleHeartbeat(heartbeat, c.now, leader); err != nil {
+			t.Fatal(err)
+		}
+	})
+	if allocations != 0 {
+		t.Errorf("%v allocations", allocations)
+	}
+}
