--- a/internal/controller/build.go
+++ b/internal/controller/build.go
@@ -75,13 +75,13 @@
 		ValueLimit:       c.maxValueBytes(),
 		TxnOps:           state.Lasting().TxnOps,
 		ControllerLabels: sortedLabels(c.cfg),
-		OnRefusedRecord:  c.logRefusedRecord,
+		OnRefusedRecord:  c.logIgnoredRecord,
 	})
 }
 
-// logRefusedRecord logs a record of the state service that cannot be decoded.
-func (c *Controller) logRefusedRecord(key string, err error) {
-	c.log.Warn("stored record refused", "key", key, "err", err)
+// logIgnoredRecord logs that a stored record was ignored, as it cannot be decoded.
+func (c *Controller) logIgnoredRecord(key string, err error) {
+	c.log.Warn("stored record ignored", "key", key, "error", err)
 }
 
 // newStore builds the client of the state service.
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -70,7 +70,7 @@
 func (c *Controller) HandleFrame(now event.Time, in event.PeerFrame, out *event.Effects) {
 	frame, err := peer.Decode(in.Data)
 	if err != nil {
-		c.log.Debug("malformed peer frame", "err", err)
+		c.log.Debug("peer frame ignored", "error", err)
 		return
 	}
 	for i, p := range c.peers.list {
--- a/internal/controller/inputs_test.go
+++ b/internal/controller/inputs_test.go
@@ -53,7 +53,7 @@
 	c := newTestController(t)
 	frame := peer.Append(nil, &peer.Frame{Kind: peer.Relay, Label: "c", ID: 5, Body: []byte(testHeartbeat)})
 	var out event.Effects
-	c.HandleFrame(time.Second, event.PeerFrame{Data: frame}, &out)
+	c.HandleFrame(time.Second, event.PeerFrame{Peer: event.UnknownPeer, Data: frame}, &out)
 	if len(out.Frames) != 1 || out.Frames[0].Peer != 1 {
 		t.Fatalf("frames %+v, want one to peer 1", out.Frames)
 	}
@@ -70,7 +70,7 @@
 		"malformed":     []byte("none"),
 	} {
 		var out event.Effects
-		c.HandleFrame(time.Second, event.PeerFrame{Data: frame}, &out)
+		c.HandleFrame(time.Second, event.PeerFrame{Peer: event.UnknownPeer, Data: frame}, &out)
 		if len(out.Frames)+len(out.Replies)+len(out.Calls) != 0 {
 			t.Errorf("%s: effects %+v", name, out)
 		}
--- a/internal/controller/leader_work.go
+++ b/internal/controller/leader_work.go
@@ -170,7 +170,7 @@
 		return
 	}
 	for _, machine := range c.scheduler.Consolidate(now, lastRound, c.leadership.budget.start()) {
-		c.log.Info("machine drained for consolidation", "machine", machine.Name)
+		c.log.Info("draining machine for consolidation", "machine", machine.Name)
 	}
 }
 
--- a/internal/controller/protocol.go
+++ b/internal/controller/protocol.go
@@ -33,7 +33,7 @@
 func (c *Controller) encode(response any) []byte {
 	body, err := json.Marshal(response)
 	if err != nil {
-		c.log.Error("response cannot be encoded", "err", err)
+		c.log.Error("response cannot be encoded", "error", err)
 		return nil
 	}
 	return body
