--- a/internal/api/feasibility.go
+++ b/internal/api/feasibility.go
@@ -36,9 +36,6 @@
 	return &infeasibleError{badField{Field: field, Value: value, Expected: expected}}
 }
 
-// anyZone is the zone of a job that does not name one.
-const anyZone = -1
-
 // resolvePlacement looks up the zone and the machine types that the submission
 // names. Machine types that the cloud does not offer are left out.
 func (s *Server) resolvePlacement(spec *pipeline.Spec, sub *submission) error {
@@ -87,7 +84,7 @@
 		}
 		fits = true
 		for _, zone := range machineType.Zones {
-			if spec.Zone == anyZone || zone == spec.Zone {
+			if spec.AllowsZone(zone) {
 				usable[zone] = true
 			}
 		}
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -156,7 +156,7 @@
 // of a submission that names them all as upstream jobs.
 func (n *node) upstreamList(first, count int) string {
 	n.t.Helper()
-	job := &pipeline.Job{ID: "", Ready: true, Spec: pipeline.Spec{TaskCount: 1, CPUs: 1, Zone: anyZone}}
+	job := &pipeline.Job{ID: "", Ready: true, Spec: pipeline.Spec{TaskCount: 1, CPUs: 1, Zone: pipeline.AnyZone}}
 	names := &pipeline.Names{}
 	job.Class, job.Team, job.Image = names.Classes.Index("c"), names.Teams.Index("red"), names.Images.Index("b")
 	record := pipeline.EncodeJob(names, job)
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -158,7 +158,7 @@
 		GPUs:               *sub.GPUs,
 		Memory:             *sub.MemoryGB,
 		ImageGB:            *sub.ImageGB,
-		Zone:               anyZone,
+		Zone:               pipeline.AnyZone,
 		SameZone:           *sub.SameZone,
 		SpreadZones:        *sub.SpreadZones,
 		AllowSpot:          *sub.AllowSpot,
--- a/internal/autoscaler/scale_out_test.go
+++ b/internal/autoscaler/scale_out_test.go
@@ -31,7 +31,7 @@
 			ids := []string{"req-1", "req-2", "req-3"}
 			blocked := make([]*pipeline.Job, 0, len(ids))
 			for i, id := range ids {
-				job := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{TaskCount: 4, CPUs: 1, Memory: 1, Zone: -1}}
+				job := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{TaskCount: 4, CPUs: 1, Memory: 1, Zone: pipeline.AnyZone}}
 				f.jobs.HandleChange(record.KindJob, id, pipeline.EncodeJob(f.names, job), uint64(i+1))
 				blocked = append(blocked, f.jobs.Job(id))
 			}
--- a/internal/pipeline/completion_test.go
+++ b/internal/pipeline/completion_test.go
@@ -51,7 +51,7 @@
 	txns := &txnQueue{}
 	table.Flush(0, term, txns)
 	commit(table, txns.next(t), 3)
-	if job.Phase() != Done || job.ActiveCount() != 1 || len(table.TakeTerminatedJobs()) != 1 {
+	if job.Phase() != Done || job.ActiveCount() != 1 || len(table.TakeEndedJobs()) != 1 {
 		t.Errorf("%v with %d assignments", job.Phase(), job.ActiveCount())
 	}
 }
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -71,6 +71,9 @@
 	return slices.Contains(s.MachineTypes, machineType)
 }
 
+// AllowsZone reports whether the job may use a zone.
+func (s *Spec) AllowsZone(zone int) bool { return s.Zone == AnyZone || s.Zone == zone }
+
 // IsGang reports whether several tasks run together or not at all.
 func (s *Spec) IsGang() bool { return s.Shape == Gang && s.TaskCount > 1 }
 
--- a/internal/pipeline/termination.go
+++ b/internal/pipeline/job_end.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// TakeTerminatedJobs returns, once each, the jobs that have ended while tasks of theirs
+// TakeEndedJobs returns, once each, the jobs that have ended while tasks of theirs
 // may be on machines.
-func (t *Table) TakeTerminatedJobs() []*Job {
+func (t *Table) TakeEndedJobs() []*Job {
 	list := make([]*Job, 0, len(t.endedWithTasks))
 	for job := range t.endedWithTasks {
 		list = append(list, job)
--- a/internal/pipeline/job_record.go
+++ b/internal/pipeline/job_record.go
@@ -34,7 +34,7 @@
 	for _, machineType := range job.MachineTypes {
 		stored.MachineTypes = append(stored.MachineTypes, names.MachineTypes.Name(machineType))
 	}
-	if job.Zone >= 0 {
+	if job.Zone != AnyZone {
 		stored.Zone = names.Zones.Name(job.Zone)
 	}
 	return stored.Encode()
--- a/internal/pipeline/machine_index.go
+++ b/internal/pipeline/machine_index.go
@@ -15,7 +15,7 @@
 }
 
 // OnMachine returns the assignments of a machine, as they are now: what is removed
-// meanwhile stays in the list that was returned.
+// meanwhile stays in the list that was returned. The list must not be changed.
 func (m *machineIndex) OnMachine(machine int) []*Assignment {
 	if machine < 0 || machine >= len(m.byMachine) {
 		return nil
--- a/internal/pipeline/priority_inheritance.go
+++ b/internal/pipeline/priority_inheritance.go
@@ -14,19 +14,24 @@
 // so whatever a job inherits is settled before it.
 type youngestFirst []*Job
 
+// Len returns the number of jobs.
 func (h youngestFirst) Len() int { return len(h) }
 
+// Less orders the jobs by acceptance, the youngest first.
 func (h youngestFirst) Less(a, b int) bool {
-	if x, y := h[a].acceptedAt(), h[b].acceptedAt(); x != y {
-		return x > y
+	if revisionA, revisionB := h[a].acceptedAt(), h[b].acceptedAt(); revisionA != revisionB {
+		return revisionA > revisionB
 	}
 	return h[a].ID > h[b].ID
 }
 
+// Swap swaps two jobs.
 func (h youngestFirst) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
+// Push appends a job, for container/heap.
 func (h *youngestFirst) Push(x any) { *h = append(*h, x.(*Job)) }
 
+// Pop removes the last job, for container/heap.
 func (h *youngestFirst) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -50,19 +55,19 @@
 	if len(stale) == 0 {
 		return
 	}
-	h := make(youngestFirst, 0, len(stale))
+	queue := make(youngestFirst, 0, len(stale))
 	for job := range stale {
-		h = append(h, job)
+		queue = append(queue, job)
 	}
-	heap.Init(&h)
+	heap.Init(&queue)
 	push := func(job *Job) {
 		if !stale[job] {
 			stale[job] = true
-			heap.Push(&h, job)
+			heap.Push(&queue, job)
 		}
 	}
-	for len(h) > 0 {
-		job := heap.Pop(&h).(*Job)
+	for len(queue) > 0 {
+		job := heap.Pop(&queue).(*Job)
 		delete(stale, job)
 		if t.byID[job.ID] != job {
 			continue // its records are deleted
--- a/internal/pipeline/record_write_test.go
+++ b/internal/pipeline/record_write_test.go
@@ -187,18 +187,23 @@
 			f.addJob(2, nil, 1)
 			f.addJob(3, nil)
 			test.begin(f)
-			txns := &txnQueue{}
-			attempts := 0
-			for now := event.Time(0); now < minutes*time.Minute; now += 50 * time.Millisecond {
-				if test.write != nil {
-					test.write(f, now, txns)
-				}
-				f.Flush(now, term, txns)
-				attempts += txns.rejectAll(now)
-			}
-			if attempts < 5 || attempts > 2*minutes+8 {
+			if attempts := f.rejectedAttempts(test.write, minutes*time.Minute); attempts < 5 || attempts > 2*minutes+8 {
 				t.Errorf("%d tries in %d minutes", attempts, minutes)
 			}
 		})
 	}
 }
+
+// rejectedAttempts counts the writes that are tried in a time while all are rejected. write,
+// if set, queues writes beside Flush.
+func (f *fixture) rejectedAttempts(write func(*fixture, event.Time, *txnQueue), end event.Time) (attempts int) {
+	txns := &txnQueue{}
+	for now := event.Time(0); now < end; now += 50 * time.Millisecond {
+		if write != nil {
+			write(f, now, txns)
+		}
+		f.Flush(now, term, txns)
+		attempts += txns.rejectAll(now)
+	}
+	return attempts
+}
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -58,7 +58,7 @@
 	if c.MachineType == nil || !spec.Allows(c.MachineType.Index) {
 		return false
 	}
-	zoneAllowed := spec.Zone < 0 || spec.Zone == c.Zone
+	zoneAllowed := spec.AllowsZone(c.Zone)
 	spotAllowed := spec.AllowSpot || !c.Spot
 	return zoneAllowed && spotAllowed
 }
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -107,7 +107,7 @@
 			TaskCount:        1,
 			CPUs:             8,
 			Memory:           1,
-			Zone:             -1,
+			Zone:             pipeline.AnyZone,
 			Priority:         pipeline.Normal,
 			EstimatedRuntime: 10,
 		},
--- a/internal/scheduler/machine_type.go
+++ b/internal/scheduler/machine_type.go
@@ -39,5 +39,5 @@
 	if spec.CPUs > t.CPUs || spec.GPUs > t.GPUs || spec.Memory > t.Memory {
 		return false
 	}
-	return spec.Zone < 0 || slices.Contains(t.Zones, spec.Zone)
+	return spec.Zone == pipeline.AnyZone || slices.Contains(t.Zones, spec.Zone)
 }
--- a/internal/worker/fixture_test.go
+++ b/internal/worker/fixture_test.go
@@ -42,7 +42,7 @@
 
 // submit stores a job that is ready.
 func (c *cluster) submit(id string, shape pipeline.Shape, tasks int) *pipeline.Job {
-	job := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{Shape: shape, TaskCount: tasks, Zone: -1}}
+	job := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{Shape: shape, TaskCount: tasks, Zone: pipeline.AnyZone}}
 	job.Class = c.names.Classes.Index("c")
 	job.Team = c.names.Teams.Index("t")
 	job.Image = c.names.Images.Index("b")
--- a/internal/worker/termination.go
+++ b/internal/worker/termination.go
@@ -37,7 +37,7 @@
 // sendTerminations sends all workers the terminations that cannot wait for their next
 // heartbeats.
 func (r *Registry) sendTerminations(now event.Time, leadership Leadership, out *event.Effects) {
-	for _, job := range r.jobs.TakeTerminatedJobs() {
+	for _, job := range r.jobs.TakeEndedJobs() {
 		for assignment := range job.Assignments() {
 			r.terminateSoon(assignment)
 		}
