--- a/internal/autoscaler/token_announcements.go
+++ b/internal/autoscaler/token_announcements.go
@@ -46,7 +46,7 @@
 		if !t.awaitsToken(machine, now) {
 			continue
 		}
-		if t.workers.Announcing() >= t.maxInFlight {
+		if t.workers.AnnouncementsInFlight() >= t.maxInFlight {
 			t.incomplete = true
 			return
 		}
--- a/internal/autoscaler/token_announcements_test.go
+++ b/internal/autoscaler/token_announcements_test.go
@@ -32,8 +32,8 @@
 	for range 100 {
 		var out event.Effects
 		f.Tick(now, workertest.Leader{}, kv.Compare{}, &out)
-		if f.workers.Announcing() > limit {
-			t.Fatalf("%d announcements at a time", f.workers.Announcing())
+		if f.workers.AnnouncementsInFlight() > limit {
+			t.Fatalf("%d announcements at a time", f.workers.AnnouncementsInFlight())
 		}
 		for _, call := range out.Calls {
 			if call.Path == "/do" {
@@ -43,7 +43,7 @@
 		}
 		now += 50 * time.Millisecond
 	}
-	if len(told) != machines || f.workers.Announcing() != 0 {
-		t.Errorf("%d of %d machines told within 5 s, %d announcements in flight", len(told), machines, f.workers.Announcing())
+	if len(told) != machines || f.workers.AnnouncementsInFlight() != 0 {
+		t.Errorf("%d of %d machines told within 5 s, %d announcements in flight", len(told), machines, f.workers.AnnouncementsInFlight())
 	}
 }
--- a/internal/worker/direct_command.go
+++ b/internal/worker/direct_command.go
@@ -54,8 +54,9 @@
 	r.sendCommand(machine, command, directCall{announcedTo: machine}, out)
 }
 
-// Announcing counts the announcements in flight.
-func (r *Registry) Announcing() int { return r.calls.announcements }
+// AnnouncementsInFlight counts the announcements of our fencing token that have no
+// outcome yet.
+func (r *Registry) AnnouncementsInFlight() int { return r.calls.announcements }
 
 // HandleCallResult takes the outcome of a direct command; it tells whether the call was
 // the registry's. The worker's next heartbeat tells what became of a command. Only an
