--- a/internal/simtest/checker_answers.go
+++ b/internal/simtest/checker_answers.go
@@ -1,6 +1,7 @@
 package simtest
 
 import (
+	"net/http"
 	"time"
 )
 
@@ -12,7 +13,7 @@
 	switch {
 	case isAccepted(status):
 		checker.checkPhase(id, status, phase, older)
-	case known && !older && (status == 404 || status == 400 || status == 422):
+	case known && !older && (status == http.StatusNotFound || status == http.StatusBadRequest || status == http.StatusUnprocessableEntity):
 		checker.reportViolation("forgotten: %s answered %d", id, status)
 	}
 }
@@ -65,7 +66,7 @@
 
 // checkPoll notes whether a request about an accepted job was answered.
 func (checker *Checker) checkPoll(id string, status int) {
-	if _, ok := checker.answeredAt[id]; status == 200 || !ok {
+	if _, ok := checker.answeredAt[id]; status == http.StatusOK || !ok {
 		checker.answeredAt[id] = checker.world.now
 	}
 	if checker.acknowledgedPhase[id] == "" || checker.cancelRequested(id) || checker.faultsOverAt == 0 {
@@ -82,8 +83,8 @@
 // checkRefusal checks the status of an invalid request: the expected one, or an
 // undecided one where the controller cannot decide yet.
 func (checker *Checker) checkRefusal(id string, want, status int) {
-	undecided := status == 0 || status == 503 || status == 429 || status == 504
-	mustDecide := want == 400 && status == 503
+	undecided := status == 0 || status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusGatewayTimeout
+	mustDecide := want == http.StatusBadRequest && status == http.StatusServiceUnavailable
 	if status != want && (!undecided || mustDecide) {
 		checker.reportViolation("refused wrongly: %s answered %d for %d", id, status, want)
 	}
--- a/internal/simtest/checker_upstream.go
+++ b/internal/simtest/checker_upstream.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"slices"
 )
 
@@ -77,7 +78,7 @@
 // checkUpstreamAnswer checks an answer against the jobs that its job needs.
 func (checker *Checker) checkUpstreamAnswer(id string, status int, phase string) {
 	job := checker.world.jobs[id]
-	if status == 201 {
+	if status == http.StatusCreated {
 		for _, up := range job.upstream {
 			upstream := checker.world.jobs[up]
 			if up == id || upstream == nil || !upstream.submitted || upstream.shape == shapeDaemon {
@@ -85,7 +86,7 @@
 			}
 		}
 	}
-	if status == 200 && (phase == jobQueued || phase == jobRunning) {
+	if status == http.StatusOK && (phase == jobQueued || phase == jobRunning) {
 		for _, up := range checker.world.allUpstream(id) {
 			if since, ok := checker.cancelAcknowledgedAt[up]; ok && checker.overdue(since) {
 				checker.reportViolation("orphaned: %s called %s %s after %s was cancelled", id, phase, checker.world.now-since, up)
--- a/internal/simtest/cloud.go
+++ b/internal/simtest/cloud.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"maps"
+	"net/http"
 	"net/url"
 	"slices"
 	"strconv"
@@ -129,27 +130,27 @@
 // serve answers a request.
 func (cloud *fakeCloud) serve(method, target string, body []byte, answer answerFunc) {
 	if cloud.down {
-		answer(503, unavailable)
+		answer(http.StatusServiceUnavailable, unavailable)
 		return
 	}
 	if !cloud.requests.take(cloud.world.now, cloud.world.config.Settings.Cloud.RPS, cloudBurst, 1) {
-		answer(429, nil)
+		answer(http.StatusTooManyRequests, nil)
 		return
 	}
 	parsed, err := url.Parse(target)
 	switch {
 	case err != nil:
-		answer(400, nil)
+		answer(http.StatusBadRequest, nil)
 	case parsed.Path == machineTypesPath:
-		answer(200, cloud.offered())
+		answer(http.StatusOK, cloud.offered())
 	case parsed.Path == machinesPath && method == "GET":
-		answer(200, cloud.list(parsed.Query()))
+		answer(http.StatusOK, cloud.list(parsed.Query()))
 	case parsed.Path == machinesPath:
 		answer(cloud.provision(body))
 	case parsed.Path == releasePath:
 		answer(cloud.release(body), nil)
 	default:
-		answer(404, nil)
+		answer(http.StatusNotFound, nil)
 	}
 }
 
@@ -218,10 +219,10 @@
 	var request provisionRequest
 	if json.Unmarshal(body, &request) != nil || !request.isValid() {
 		cloud.world.reportLimitViolation("bad request for machines %s", body)
-		return 400, nil
+		return http.StatusBadRequest, nil
 	}
 	if got, ok := cloud.provisionedByRequest[request.ID]; ok {
-		return 200, machineNames{got}
+		return http.StatusOK, machineNames{got}
 	}
 	count := request.Number
 	key := capacityKey(request.MachineType, request.Zone, request.Spot)
@@ -230,14 +231,14 @@
 		cloud.available[key] -= count
 	}
 	if count == 0 {
-		return 503, errorResponse{"no capacity"}
+		return http.StatusServiceUnavailable, errorResponse{"no capacity"}
 	}
 	var got []string
 	for range count {
 		got = append(got, cloud.addMachine(request.MachineType, request.Zone, request.Spot, machineTypes[request.MachineType].boot))
 	}
 	cloud.provisionedByRequest[request.ID] = got
-	return 200, machineNames{got}
+	return http.StatusOK, machineNames{got}
 }
 
 // release takes machines back and returns the status of the answer.
@@ -245,7 +246,7 @@
 	var names machineNames
 	if json.Unmarshal(body, &names) != nil || len(names.Machines) > maxReleased {
 		cloud.world.reportLimitViolation("bad request to release machines %s", body)
-		return 400
+		return http.StatusBadRequest
 	}
 	for _, name := range names.Machines {
 		if cloud.machines[name] != nil {
@@ -253,5 +254,5 @@
 		}
 		cloud.terminate(name)
 	}
-	return 200
+	return http.StatusOK
 }
--- a/internal/simtest/commands_jobs.go
+++ b/internal/simtest/commands_jobs.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"maps"
+	"net/http"
 	"strconv"
 	"strings"
 )
@@ -130,7 +131,7 @@
 func statusAndPhase(status int, phase string) string { return fmt.Sprintf("%d %s", status, phase) }
 
 // isAccepted tells whether the status of an answer means that a job is accepted.
-func isAccepted(status int) bool { return status == 200 || status == 201 }
+func isAccepted(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
 
 // jobID is the ID of a job by its number.
 func jobID(number int) string { return fmt.Sprintf("req-%06d", number) }
--- a/internal/simtest/commands_polls.go
+++ b/internal/simtest/commands_polls.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"time"
 )
 
@@ -69,7 +70,7 @@
 			world.network.request(process, request, func(status int, body []byte) {
 				world.checker.checkAnswer(asked, id, status, phaseIn(body))
 				world.checker.checkPoll(id, status)
-				if status == 200 {
+				if status == http.StatusOK {
 					answered++
 				}
 			})
--- a/internal/simtest/controller_calls.go
+++ b/internal/simtest/controller_calls.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"strings"
 	"time"
 
@@ -66,7 +67,7 @@
 // callStateService lets the state service answer a call, unless it refuses this controller.
 func (process *controllerProcess) callStateService(call event.Call, answer answerFunc) {
 	if process.denied {
-		answer(503, unavailable)
+		answer(http.StatusServiceUnavailable, unavailable)
 		return
 	}
 	process.world.stateService.serve(call.Method, call.Path, call.Body, func(status int, response any) {
--- a/internal/simtest/network_requests.go
+++ b/internal/simtest/network_requests.go
@@ -1,6 +1,7 @@
 package simtest
 
 import (
+	"net/http"
 	"time"
 
 	"lugward/internal/event"
@@ -116,7 +117,7 @@
 	crowded = process.world.network.workerSockets > 0 && len(process.connectedWorkers) > process.world.network.workerSockets
 	answer := process.pendingRequests[request]
 	process.pendingRequests[request] = func(status int, body []byte) {
-		if crowded || status == 421 {
+		if crowded || status == http.StatusMisdirectedRequest {
 			delete(process.connectedWorkers, worker)
 		}
 		answer(status, body)
--- a/internal/simtest/random_pipelines_test.go
+++ b/internal/simtest/random_pipelines_test.go
@@ -31,7 +31,7 @@
 	world.watchInvariants()
 	world.startRandomFaults()
 	world.addFinishedJobs(Arguments{"from": "5000", "count": "400"})
-	playPipelines(reporter, world, seed, len(next) > 0, nil)
+	playPipelines(reporter, world, seed, len(next) > 0)
 }
 
 // pipelinePlay is a play of random pipelines.
@@ -39,16 +39,16 @@
 	errorReporter
 	world     *World
 	seed      uint64
-	open      []string // accepted jobs
+	accepted  []string
 	all       []string // those too whose answer nobody waited for
 	next      int      // number of the next job
 	announced bool     // the state service will lower its limits
 	lowered   bool
 }
 
-// playPipelines goes on with jobs that were accepted, and with new ones.
-func playPipelines(reporter errorReporter, world *World, seed uint64, announced bool, open []string) {
-	play := &pipelinePlay{errorReporter: reporter, world: world, seed: seed, open: open, all: append([]string(nil), open...), announced: announced}
+// playPipelines plays five pipelines, and checks how they end once all faults are over.
+func playPipelines(reporter errorReporter, world *World, seed uint64, announced bool) {
+	play := &pipelinePlay{errorReporter: reporter, world: world, seed: seed, announced: announced}
 	for range 5 {
 		play.onePipeline()
 	}
@@ -64,8 +64,8 @@
 			play.Errorf("seed %d: left behind: %.300s", seed, strings.Join(keys, "\n"))
 		}
 	}
-	if v := world.Verdict(); v != "kept" {
-		play.Errorf("seed %d: %s", seed, v)
+	if verdict := world.Verdict(); verdict != "kept" {
+		play.Errorf("seed %d: %s", seed, verdict)
 	}
 }
 
@@ -106,7 +106,7 @@
 	status, _ := play.world.users.Submit(arguments)
 	switch status {
 	case 200, 201:
-		play.open = append(play.open, arguments["id"])
+		play.accepted = append(play.accepted, arguments["id"])
 		return arguments["id"], true
 	case 503, 429, 0:
 	default:
@@ -167,8 +167,8 @@
 				awaits = append(awaits, stages[len(stages)-1-rng.IntN(min(len(stages), 3))])
 			}
 		}
-		if len(play.open) > 0 && rng.IntN(4) == 0 {
-			awaits = append(awaits, play.open[rng.IntN(len(play.open))])
+		if len(play.accepted) > 0 && rng.IntN(4) == 0 {
+			awaits = append(awaits, play.accepted[rng.IntN(len(play.accepted))])
 		}
 		if id, ok := play.submit(awaits); ok {
 			stages = append(stages, id)
--- a/internal/simtest/state_leases.go
+++ b/internal/simtest/state_leases.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"sort"
 	"strconv"
 	"strings"
@@ -26,12 +27,12 @@
 		DurationMS int `json:"life_ms"`
 	}
 	if json.Unmarshal(body, &request) != nil || request.DurationMS < minLeaseMS || request.DurationMS > maxLeaseMS {
-		return 400, nil
+		return http.StatusBadRequest, nil
 	}
 	service.lastLease++
 	duration := time.Duration(request.DurationMS) * time.Millisecond
 	service.leases[service.lastLease] = &grantedLease{duration, service.world.now + duration}
-	return 200, leaseResponse{service.lastLease}
+	return http.StatusOK, leaseResponse{service.lastLease}
 }
 
 // changeLease extends or ends the lease that a path names.
@@ -41,16 +42,16 @@
 	lease := service.leases[id]
 	switch {
 	case lease == nil:
-		return 404
+		return http.StatusNotFound
 	case method == "DELETE":
 		lease.expiresAt = service.world.now
 		service.expireLeases()
-		return 200
+		return http.StatusOK
 	case action == "extend":
 		lease.expiresAt = service.world.now + lease.duration
-		return 200
+		return http.StatusOK
 	}
-	return 400
+	return http.StatusBadRequest
 }
 
 // expireLeases ends leases that ran out.
--- a/internal/simtest/state_limits.go
+++ b/internal/simtest/state_limits.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -76,7 +77,7 @@
 		}
 	}
 	service.tooLargeAttempts[what] = attempts
-	return 400, nil
+	return http.StatusBadRequest, nil
 }
 
 // reportEndlessRetries notes that a write is tried again and again; the first one is reported.
--- a/internal/simtest/state_service.go
+++ b/internal/simtest/state_service.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"net/url"
 	"sort"
 	"strconv"
@@ -39,23 +40,23 @@
 // serve answers a request, at once or (for a watch) later.
 func (service *fakeStateService) serve(method, target string, body []byte, answer answerFunc) {
 	if service.down {
-		answer(503, unavailable)
+		answer(http.StatusServiceUnavailable, unavailable)
 		return
 	}
 	service.expireLeases()
 	if !service.requests.take(service.world.now, service.currentLimits().requestsPerSecond, stateBurst, 1) {
 		service.refusedForRate++
-		answer(429, nil)
+		answer(http.StatusTooManyRequests, nil)
 		return
 	}
 	parsed, err := url.Parse(target)
 	if err != nil {
-		answer(400, nil)
+		answer(http.StatusBadRequest, nil)
 		return
 	}
 	switch {
 	case parsed.Path == keysPath && method == "GET":
-		answer(200, service.listKeys(parsed.Query()))
+		answer(http.StatusOK, service.listKeys(parsed.Query()))
 	case parsed.Path == transactionPath && method == "POST":
 		if !service.delayMatchingWrite(body) {
 			answer(service.commit(body))
@@ -67,7 +68,7 @@
 	case parsed.Path == watchPath:
 		service.watch(parsed.Query(), answer)
 	default:
-		answer(404, nil)
+		answer(http.StatusNotFound, nil)
 	}
 }
 
@@ -108,11 +109,11 @@
 	}
 	if !service.writes.take(service.world.now, limits.writesPerSecond, stateBurst, float64(len(txn.Then))) {
 		service.refusedForRate++
-		return 429, nil
+		return http.StatusTooManyRequests, nil
 	}
 	for _, operation := range txn.Then {
 		if operation.LeaseID != 0 && service.leases[operation.LeaseID] == nil {
-			return 400, errorResponse{"no such lease"}
+			return http.StatusBadRequest, errorResponse{"no such lease"}
 		}
 		if float64(len(operation.Data)) > limits.valueKB*1024 {
 			return service.refuseTooLarge(operation.Write, "a value of %s of %d bytes", operation.Write, len(operation.Data))
@@ -125,7 +126,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		return 409, conflictResponse{service.revision, failed}
+		return http.StatusConflict, conflictResponse{service.revision, failed}
 	}
 	if len(txn.Then) > 0 {
 		service.revision++
@@ -141,7 +142,7 @@
 		service.log = append(service.log, changeEvent{Write: operation.Write, Data: operation.Data, ModRevision: service.revision})
 	}
 	service.notifyWatchers()
-	return 200, committedResponse{service.revision}
+	return http.StatusOK, committedResponse{service.revision}
 }
 
 // setOutage starts or ends an outage; after it every lease has its full time.
--- a/internal/simtest/state_watch.go
+++ b/internal/simtest/state_watch.go
@@ -1,6 +1,7 @@
 package simtest
 
 import (
+	"net/http"
 	"net/url"
 	"sort"
 	"strconv"
@@ -30,11 +31,11 @@
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
 	wait, _ := strconv.Atoi(query.Get("wait_ms"))
 	if from+logKept < service.revision || from < service.oldest {
-		answer(410, nil)
+		answer(http.StatusGone, nil)
 		return
 	}
 	if from < service.revision || wait == 0 {
-		answer(200, service.changesAfter(from))
+		answer(http.StatusOK, service.changesAfter(from))
 		return
 	}
 	watch := &watcher{from: from, answer: answer}
@@ -42,7 +43,7 @@
 	service.world.schedule(time.Duration(wait)*time.Millisecond, func() {
 		if !watch.answered {
 			watch.answered = true
-			answer(200, service.changesAfter(watch.from))
+			answer(http.StatusOK, service.changesAfter(watch.from))
 		}
 	})
 }
@@ -63,7 +64,7 @@
 		}
 		if service.revision > watcher.from && !service.down {
 			watcher.answered = true
-			watcher.answer(200, service.changesAfter(watcher.from))
+			watcher.answer(http.StatusOK, service.changesAfter(watcher.from))
 		} else {
 			service.watchers = append(service.watchers, watcher)
 		}
--- a/internal/simtest/users.go
+++ b/internal/simtest/users.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"time"
 )
 
@@ -71,11 +72,8 @@
 		asked := users.world.now
 		status, phase := users.requestAndWait(users.chooseEntryController(), request)
 		users.world.checker.checkAnswer(asked, id, status, phase)
-		if job := users.world.jobs[id]; job != nil && job.firstAnsweredAt == 0 {
-			job.firstAnsweredAt = max(users.world.now, 1)
-		}
-		switch status {
-		case 200, 201, 400, 404, 422:
+		users.noteAnswered(id)
+		if isDecided(status) {
 			return status, phase
 		}
 		if users.world.now >= end {
@@ -105,3 +103,15 @@
 	users.world.checker.cancelRequests[id] = true
 	return users.requestUntilAnswered(id, cancelRequest(id))
 }
+
+// isDecided tells whether the status of an answer is one that users do not ask again after.
+func isDecided(status int) bool {
+	return isAccepted(status) || status == http.StatusBadRequest || status == http.StatusNotFound || status == http.StatusUnprocessableEntity
+}
+
+// noteAnswered notes when the user of a job first got an answer.
+func (users *fakeUsers) noteAnswered(id string) {
+	if job := users.world.jobs[id]; job != nil && job.firstAnsweredAt == 0 {
+		job.firstAnsweredAt = max(users.world.now, 1) // 0 means never
+	}
+}
--- a/internal/simtest/users_background.go
+++ b/internal/simtest/users_background.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"time"
 )
 
@@ -26,7 +27,7 @@
 	users.world.checker.cancelRequests[id] = true
 	users.retryRequest(cancelRequest(id), func(asked time.Duration, status int, phase string) bool {
 		users.world.checker.checkAnswer(asked, id, status, phase)
-		return status == 200 || status == 404
+		return status == http.StatusOK || status == http.StatusNotFound
 	})
 }
 
@@ -45,26 +46,26 @@
 		return
 	}
 	users.retryRequest(submitRequest(job.body), func(asked time.Duration, status int, phase string) bool {
-		if status == 201 {
+		if status == http.StatusCreated {
 			users.world.checker.reportViolation("accepted: %s once more, it was %s", id, users.world.checker.acknowledgedPhase[id])
 		}
 		users.world.checker.checkAnswer(asked, id, status, phase)
-		return status == 200
+		return status == http.StatusOK
 	})
 }
 
+// noAnswerYet is what is recorded of a request before it is answered.
+const noAnswerYet = "none yet"
+
 // requestRecorded repeats a request as users do, without anybody waiting for it; the last
-// answer goes to w.answers.
+// answer goes to recordedAnswers.
 func (users *fakeUsers) requestRecorded(id, key string, request httpRequest) {
-	users.recordedAnswers[key] = "none yet"
+	users.recordedAnswers[key] = noAnswerYet
 	end := users.world.now + userRetry
 	users.retryRequest(request, func(asked time.Duration, status int, phase string) bool {
 		users.world.checker.checkAnswer(asked, id, status, phase)
-		if job := users.world.jobs[id]; job != nil && job.firstAnsweredAt == 0 {
-			job.firstAnsweredAt = max(users.world.now, 1)
-		}
-		switch status {
-		case 200, 201, 400, 404, 422:
+		users.noteAnswered(id)
+		if isDecided(status) {
 			users.recordedAnswers[key] = fmt.Sprintf("%d %s", status, phase)
 			return true
 		}
@@ -75,26 +76,28 @@
 	})
 }
 
-// submitRecorded and cancelRecorded ask without waiting for the answer.
+// submitRecorded submits a job without waiting for the answer, which is recorded.
 func (users *fakeUsers) submitRecorded(arguments Arguments) {
 	body := users.registerJob(arguments)
 	users.world.jobs[arguments["id"]].submitted = true
 	users.requestRecorded(arguments["id"], "submit "+arguments["id"], submitRequest(body))
 }
 
+// cancelRecorded cancels a job without waiting for the answer, which is recorded.
 func (users *fakeUsers) cancelRecorded(id string) {
 	users.world.checker.cancelRequests[id] = true
 	users.requestRecorded(id, "cancel "+id, cancelRequest(id))
 }
 
-// waitForRecordedAnswers waits until every request that was not waited for is answered.
+// waitForRecordedAnswers plays until every request whose answer is recorded is answered, and
+// tells whether that is so within the time.
 func (users *fakeUsers) waitForRecordedAnswers(within time.Duration) bool {
 	for end := users.world.now + within; users.world.now < end; users.world.Run(100 * time.Millisecond) {
-		open := false
-		for _, v := range users.recordedAnswers {
-			open = open || v == "none yet"
+		pending := false
+		for _, answer := range users.recordedAnswers {
+			pending = pending || answer == noAnswerYet
 		}
-		if !open {
+		if !pending {
 			return true
 		}
 	}
--- a/internal/simtest/users_crowd.go
+++ b/internal/simtest/users_crowd.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"maps"
 	"math"
+	"net/http"
 	"time"
 )
 
@@ -42,7 +43,7 @@
 	users.world.network.request(users.chooseEntryController(), submitRequest(body), func(status int, answer []byte) {
 		users.world.checker.checkAnswer(asked, job.id, status, phaseIn(answer))
 		result.slowest = max(result.slowest, users.world.now-asked)
-		if status == 503 {
+		if status == http.StatusServiceUnavailable {
 			result.refused++
 			result.refusedTime += users.world.now - asked
 		}
--- a/internal/simtest/users_invalid.go
+++ b/internal/simtest/users_invalid.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"slices"
 	"sort"
 	"time"
@@ -55,8 +56,8 @@
 	for _, request := range []httpRequest{pollRequest(id), cancelRequest(id)} {
 		users.retryRequest(request, func(asked time.Duration, status int, phase string) bool {
 			users.world.checker.checkAnswer(asked, id, status, phase)
-			users.world.checker.checkRefusal(id, 404, status)
-			return status == 404
+			users.world.checker.checkRefusal(id, http.StatusNotFound, status)
+			return status == http.StatusNotFound
 		})
 	}
 }
@@ -74,7 +75,7 @@
 	case 3:
 		arguments["types"], arguments["gpus"] = "small", "1"
 	}
-	users.submitRefused(arguments["id"], users.registerJob(arguments), 422)
+	users.submitRefused(arguments["id"], users.registerJob(arguments), http.StatusUnprocessableEntity)
 }
 
 // submitIncomplete submits a job without one of its fields.
@@ -91,7 +92,7 @@
 	sort.Strings(fields)
 	delete(submitted, fields[users.world.random.IntN(len(fields))])
 	body, _ := json.Marshal(submitted)
-	users.submitRefused(arguments["id"], body, 400)
+	users.submitRefused(arguments["id"], body, http.StatusBadRequest)
 }
 
 // submitRefused submits a job until it is refused with the status that is wanted.
--- a/internal/simtest/worker_commands.go
+++ b/internal/simtest/worker_commands.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 )
 
 // serve answers a request of a controller: a direct command or an inspection.
@@ -18,17 +19,17 @@
 		var request commandRequest
 		if json.Unmarshal(body, &request) != nil || request.FencingToken == nil || request.Incarnation == nil {
 			worker.world.reportLimitViolation("bad direct command %s", body)
-			answer(400, nil)
+			answer(http.StatusBadRequest, nil)
 			return
 		}
 		if *request.FencingToken < worker.fencingToken || *request.Incarnation != worker.incarnation {
-			answer(409, worker.buildHeartbeat())
+			answer(http.StatusConflict, worker.buildHeartbeat())
 			return
 		}
 		worker.learnFencingToken(*request.FencingToken)
 		worker.executeCommands(request.Commands)
 	}
-	answer(200, worker.buildHeartbeat())
+	answer(http.StatusOK, worker.buildHeartbeat())
 }
 
 // executeCommands carries out commands, each once however often it comes.
--- a/internal/simtest/worker_heartbeat.go
+++ b/internal/simtest/worker_heartbeat.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"time"
 )
 
@@ -84,10 +85,10 @@
 	}
 	var answer heartbeatResponse
 	_ = json.Unmarshal(body, &answer)
-	if status == 421 && worker.redirect(answer.Leader) {
+	if status == http.StatusMisdirectedRequest && worker.redirect(answer.Leader) {
 		return
 	}
-	if status != 200 {
+	if status != http.StatusOK {
 		worker.target = (worker.target + 1) % len(worker.world.controllers)
 		worker.nextHeartbeat = worker.world.now + time.Second
 		return
