--- a/internal/pipeline/production_test.go
+++ b/internal/pipeline/production_test.go
@@ -97,7 +97,7 @@
 		}
 		active = append(active, assignment)
 	}
-	run := record.Run{Attempt: segment.attempt, Done: segment.done, Active: table.assignmentRecords(active)}
+	run := record.Run{Attempt: segment.attempt, Done: segment.done, Active: table.assignmentRecords(active, nil)}
 	if got := run.Encode(); !bytes.Equal(got, stored.data) {
 		t.Errorf("%s becomes %s", stored.data, got)
 	}
--- a/internal/pipeline/segment_encoding.go
+++ b/internal/pipeline/segment_encoding.go
@@ -14,30 +14,35 @@
 // known to read it. Placements that are not stored yet are left out until they fit,
 // those of a gang all together; taken are those that are not left out.
 func (t *Table) fit(job *Job, segment *segment, content segmentContent) (data []byte, taken []*Assignment) {
-	slices.SortFunc(content.placements, func(a, b *Assignment) int { return cmp.Compare(a.Task, b.Task) })
-	active := t.assignmentRecords(content.active)
-	placements := t.assignmentRecords(content.placements)
+	placements := content.placements
 	encode := func(count int) []byte {
-		return t.encodeSegment(segment, content.done, slices.Concat(active, placements[:count]))
+		return t.encodeSegment(segment, content.done, t.assignmentRecords(content.active, placements[:count]))
 	}
 	data = encode(len(placements))
 	if len(data) <= t.config.ValueLimit || len(placements) == 0 {
-		return data, content.placements
+		return data, placements
 	}
+	slices.SortFunc(placements, func(a, b *Assignment) int { return cmp.Compare(a.Task, b.Task) })
 	count := 0
 	if job.Shape != Gang {
 		count = sort.Search(len(placements), func(count int) bool { return len(encode(count+1)) > t.config.ValueLimit })
 	}
-	return encode(count), content.placements[:count]
+	return encode(count), placements[:count]
 }
 
-// assignmentRecords returns the stored form of assignments.
-func (t *Table) assignmentRecords(assignments []*Assignment) []record.Assignment {
-	list := make([]record.Assignment, len(assignments))
-	for i, assignment := range assignments {
-		list[i] = record.Assignment{Task: assignment.Task, Attempt: assignment.Attempt, Machine: t.Names.Machines.Name(assignment.Machine)}
+// assignmentRecords returns the stored form of the assignments in two lists.
+func (t *Table) assignmentRecords(first, second []*Assignment) []record.Assignment {
+	records := make([]record.Assignment, 0, len(first)+len(second))
+	for _, assignments := range [...][]*Assignment{first, second} {
+		for _, assignment := range assignments {
+			records = append(records, record.Assignment{
+				Task:    assignment.Task,
+				Attempt: assignment.Attempt,
+				Machine: t.Names.Machines.Name(assignment.Machine),
+			})
+		}
 	}
-	return list
+	return records
 }
 
 // encodeSegment encodes a segment's record, plain if it fits or must be plain.
@@ -100,6 +105,11 @@
 // fitsPlain reports whether a segment as it is fits in the plain format.
 func (t *Table) fitsPlain(segment *segment) bool {
 	assignments := slices.Collect(maps.Values(segment.assignments))
-	run := record.Run{Attempt: segment.attempt, Done: segment.done, Active: t.assignmentRecords(assignments), Unknown: segment.unknown}
+	run := record.Run{
+		Attempt: segment.attempt,
+		Done:    segment.done,
+		Active:  t.assignmentRecords(assignments, nil),
+		Unknown: segment.unknown,
+	}
 	return len(run.Encode()) <= t.config.ValueLimit
 }
