--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// cancelAfterBarrier cancels a job that the local replica does not show: another
+// cancelAfterBarrier cancels a job that the watch cache does not show: another
 // controller may have accepted it a moment ago, which only a read barrier tells.
 func (s *Server) cancelAfterBarrier(c cancellation) {
 	s.store.Barrier(func(now event.Time, err error, out *event.Effects) {
@@ -78,7 +78,7 @@
 	})
 }
 
-// retryCancel tries again, with a local replica that is newer by a read barrier.
+// retryCancel tries again, with a watch cache that is newer by a read barrier.
 func (s *Server) retryCancel(now event.Time, c cancellation, out *event.Effects) {
 	c.retries++
 	s.cancel(now, c, out)
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -15,9 +15,9 @@
 	"lugward/internal/scheduler"
 )
 
-// node is the API of one controller. Its watch is never answered, so it sees
+// testController is the API of one controller. Its watch is never answered, so it sees
 // what others have stored only after a read barrier.
-type node struct {
+type testController struct {
 	t       *testing.T
 	service *fakeStore
 	server  *Server
@@ -29,9 +29,9 @@
 	replies map[uint64]event.Reply
 }
 
-func newNode(t *testing.T, s *fakeStore, label string) *node {
+func newController(t *testing.T, s *fakeStore, label string) *testController {
 	t.Helper()
-	n := &node{t: t, service: s, replies: map[uint64]event.Reply{}, now: time.Second}
+	n := &testController{t: t, service: s, replies: map[uint64]event.Reply{}, now: time.Second}
 	names := &pipeline.Names{}
 	names.Zones.Index("a")
 	n.jobs = pipeline.NewTable(pipeline.Config{Names: names, LayoutValueBytes: valueBytes, TxnOps: txnOps})
@@ -60,7 +60,7 @@
 }
 
 // run lets time pass.
-func (n *node) run(d time.Duration) {
+func (n *testController) run(d time.Duration) {
 	n.t.Helper()
 	for end := n.now + d; n.now < end; n.now += 10 * time.Millisecond {
 		n.jobs.SetNow(n.now)
@@ -72,7 +72,7 @@
 }
 
 // perform carries out the effects until there are none.
-func (n *node) perform() {
+func (n *testController) perform() {
 	n.t.Helper()
 	for len(n.out.Calls)+len(n.out.Replies) > 0 {
 		calls, replies := n.out.Calls, n.out.Replies
@@ -92,7 +92,7 @@
 }
 
 // start sends a request and returns the connection that its answer will come on.
-func (n *node) start(method, path, body string) uint64 {
+func (n *testController) start(method, path, body string) uint64 {
 	n.t.Helper()
 	n.conn++
 	n.server.Handle(n.now, event.Request{Conn: n.conn, Method: method, Path: path, Body: []byte(body)}, &n.out)
@@ -102,7 +102,7 @@
 }
 
 // send sends a request and returns its answer, or none if none came in time.
-func (n *node) send(method, path, body string) event.Reply {
+func (n *testController) send(method, path, body string) event.Reply {
 	n.t.Helper()
 	conn := n.start(method, path, body)
 	n.run(2 * time.Second)
@@ -115,23 +115,23 @@
 "bundle":"b","image_gb":1,"same_place":false,"scatter":false,"loaners":false,"expect_s":10,"snapshot_every_s":0,"snapshot_s":0,"due_s":100%s}`, id, more)
 }
 
-func (n *node) submit(id int, more string) event.Reply {
+func (n *testController) submit(id int, more string) event.Reply {
 	n.t.Helper()
 	return n.send("POST", "/submissions", body(id, more))
 }
 
-func (n *node) poll(id int) event.Reply {
+func (n *testController) poll(id int) event.Reply {
 	n.t.Helper()
 	return n.send("GET", fmt.Sprintf("/submissions/req-%d", id), "")
 }
 
-func (n *node) cancel(id int) event.Reply {
+func (n *testController) cancel(id int) event.Reply {
 	n.t.Helper()
 	return n.send("POST", fmt.Sprintf("/submissions/req-%d/cancel", id), "")
 }
 
 // expect checks a reply; phase may be empty.
-func (n *node) expect(what string, r event.Reply, status int, phase string) {
+func (n *testController) expect(what string, r event.Reply, status int, phase string) {
 	n.t.Helper()
 	var job jobStatus
 	if len(r.Body) > 0 {
@@ -152,9 +152,9 @@
 // writes reports whether a transaction writes a key.
 func writes(txn, key string) bool { return strings.Contains(txn, `"write":"`+key+`"`) }
 
-// upstreamList stores so many jobs, shows them to the node and returns the field
+// upstreamList stores so many jobs, shows them to the controller and returns the field
 // of a submission that names them all as upstream jobs.
-func (n *node) upstreamList(first, count int) string {
+func (n *testController) upstreamList(first, count int) string {
 	n.t.Helper()
 	job := &pipeline.Job{ID: "", Ready: true, Spec: pipeline.Spec{TaskCount: 1, CPUs: 1, Zone: pipeline.AnyZone}}
 	names := &pipeline.Names{}
--- a/internal/api/paged_submission_test.go
+++ b/internal/api/paged_submission_test.go
@@ -15,7 +15,7 @@
 // the record last, on condition of the first page.
 func TestPagedSubmission(t *testing.T) {
 	s := newFakeStore(t)
-	n := newNode(t, s, "n0")
+	n := newController(t, s, "n0")
 	list := n.upstreamList(1_000_000, 5000)
 	n.expect("long list", n.submit(1, list), 201, "queued")
 	pages := s.upstreamPages()
@@ -28,8 +28,8 @@
 	if s.keys["j/req-1"].modRevision <= s.keys[fmt.Sprintf("u/req-1/%d", len(pages)-1)].modRevision {
 		t.Error("the record is not last")
 	}
-	// Another node reads it; the last of the list decides.
-	m := newNode(t, s, "n1")
+	// Another controller reads it; the last of the list decides.
+	m := newController(t, s, "n1")
 	m.expect("elsewhere", m.poll(1), 200, "queued")
 	s.put("f/req-1004999", terminalRecord(pipeline.Cancelled))
 	m.expect("downstream of a cancelled one", m.poll(1), 200, "cancelled")
@@ -76,7 +76,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newFakeStore(t)
-			n := newNode(t, s, "n0")
+			n := newController(t, s, "n0")
 			list := n.upstreamList(1_000_000, 1500)
 			interrupted := s.interrupt(c.key, c.delay)
 			status := n.submit(1, list).Status
@@ -101,11 +101,11 @@
 	}
 }
 
-// expectWholeList checks that another node knows the last job of req-1's list:
+// expectWholeList checks that another controller knows the last job of req-1's list:
 // when that one is cancelled, req-1 is.
 func expectWholeList(t *testing.T, s *fakeStore, last string) {
 	t.Helper()
-	m := newNode(t, s, "n1")
+	m := newController(t, s, "n1")
 	m.poll(1)
 	s.put("f/"+last, terminalRecord(pipeline.Cancelled))
 	m.expect("elsewhere", m.poll(1), 200, "cancelled")
@@ -114,7 +114,7 @@
 // TestRepeatAtOnce: a repeat that comes before anything is stored gets 503.
 func TestRepeatAtOnce(t *testing.T) {
 	s := newFakeStore(t)
-	n := newNode(t, s, "n0")
+	n := newController(t, s, "n0")
 	list := n.upstreamList(1_000_000, 1500)
 	r := event.Request{Method: "POST", Path: "/submissions", Body: []byte(body(1, list))}
 	for r.Conn = 1001; r.Conn <= 1002; r.Conn++ {
@@ -125,20 +125,20 @@
 	n.expect("repeat", n.replies[1002], 503, "")
 }
 
-// TestConcurrentSubmissions: two nodes get the same long submission. There is one
+// TestConcurrentSubmissions: two controllers get the same long submission. There is one
 // attempt at a time, and one that was left unfinished is replaced, even by one
 // with another list.
 func TestConcurrentSubmissions(t *testing.T) {
 	s := newFakeStore(t)
-	n, m := newNode(t, s, "n0"), newNode(t, s, "n1")
+	n, m := newController(t, s, "n0"), newController(t, s, "n1")
 	list := n.upstreamList(1_000_000, 1500)
 	m.poll(1_000_000)
 	s.delay = func(txn string) bool { return writes(txn, "u/req-1/1") }
 	first := n.start("POST", "/submissions", body(1, list))
 	n.run(100 * time.Millisecond)
-	n.expect("same node", n.submit(1, list), 503, "")
+	n.expect("same controller", n.submit(1, list), 503, "")
 	m.poll(1) // shows it the first page
-	m.expect("other node", m.submit(1, list), 503, "")
+	m.expect("other controller", m.submit(1, list), 503, "")
 	if r := n.replies[first]; r.Status != 503 {
 		t.Errorf("the first gets %d", r.Status)
 	}
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -28,11 +28,11 @@
 		{"longer word", "GET", "/submissionsx", "", 405},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n := newNode(t, newFakeStore(t), "n0")
+			n := newController(t, newFakeStore(t), "n0")
 			n.expect(c.path, n.send(c.method, c.path, c.body), c.status, "")
 		})
 	}
-	n := newNode(t, newFakeStore(t), "n0")
+	n := newController(t, newFakeStore(t), "n0")
 	if n.server.Handle(n.now, event.Request{Conn: 1, Method: "GET", Path: "/other"}, &n.out) || len(n.out.Replies) != 0 {
 		t.Error("a request for another path was taken")
 	}
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -38,7 +38,7 @@
 }
 
 // accepted returns a job whose record is stored, or nil. A record that the local
-// replica does not show yet does not count.
+// watch cache does not show yet does not count.
 func (s *Server) accepted(id string) *pipeline.Job {
 	if j := s.jobs.Job(id); j != nil && j.ModRevision != 0 {
 		return j
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// status returns the encoded status of a job as the local replica has it, nil if it
+// status returns the encoded status of a job as the watch cache has it, nil if it
 // shows no such job.
 func (s *Server) status(id string) []byte {
 	if status := s.terminalStatus(id); status != nil {
--- a/internal/api/submission_test.go
+++ b/internal/api/submission_test.go
@@ -39,7 +39,7 @@
 			422, "job can never run: scatter: expected two usable zones at least, and tasks that may run in both, found true"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n := newNode(t, newFakeStore(t), "n0")
+			n := newController(t, newFakeStore(t), "n0")
 			text := strings.Replace(body(1, ""), c.old, c.new, 1)
 			n.expect("submission", n.send("POST", "/submissions", text), c.status, "")
 			sub, err := parseSubmission([]byte(text))
@@ -60,7 +60,7 @@
 
 // TestMachineTypesUnknown: before the cloud has been asked nothing can be said.
 func TestMachineTypesUnknown(t *testing.T) {
-	n := newNode(t, newFakeStore(t), "n0")
+	n := newController(t, newFakeStore(t), "n0")
 	n.server.machineTypes = &scheduler.MachineTypes{}
 	n.expect("submission", n.submit(1, ""), 503, "")
 }
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -78,7 +78,7 @@
 }
 
 // acceptAfterBarrier accepts a job if a read barrier shows all of its upstream
-// jobs: the local replica may lag behind the controllers that accepted them.
+// jobs: the watch cache may lag behind the controllers that accepted them.
 func (s *Server) acceptAfterBarrier(conn uint64, j *pipeline.Job, upstream []string) {
 	s.answerAfterBarrier(conn, j.ID, func(now event.Time, out *event.Effects) {
 		if err := s.checkUpstream(upstream); err != nil {
--- a/internal/api/upstream.go
+++ b/internal/api/upstream.go
@@ -9,7 +9,7 @@
 // the job's record. It is added after the record's size has been checked.
 const pagesRevisionBytes = 32
 
-// checkUpstream returns an *infeasibleError unless the local replica shows that a
+// checkUpstream returns an *infeasibleError unless the watch cache shows that a
 // new job may depend on all of a list: jobs that have been accepted, and that end
 // (not daemons). The new job itself is not accepted, so it cannot be among them.
 func (s *Server) checkUpstream(upstream []string) error {
--- a/internal/api/upstream_test.go
+++ b/internal/api/upstream_test.go
@@ -10,7 +10,7 @@
 // TestUpstreamLists: lists of upstream jobs, well-formed and not, and repeats.
 func TestUpstreamLists(t *testing.T) {
 	s := newFakeStore(t)
-	n := newNode(t, s, "n0")
+	n := newController(t, s, "n0")
 	n.expect("no list", n.submit(1, ``), 201, "queued")
 	n.expect("null", n.submit(2, `,"awaits":null`), 201, "queued")
 	n.expect("empty", n.submit(3, `,"awaits":[]`), 201, "queued")
@@ -32,17 +32,17 @@
 	for _, list := range []string{`["req-99"]`, `["req-4"]`, `[]`, `7`} {
 		n.expect("retry "+list, n.submit(4, `,"awaits":`+list), 200, "queued")
 	}
-	// So it is on another node, and when the job is over.
-	m := newNode(t, s, "n1")
+	// So it is on another controller, and when the job is over.
+	m := newController(t, s, "n1")
 	n.expect("retry elsewhere", m.submit(4, `,"awaits":["req-99"]`), 200, "queued")
 	s.put("f/req-4", terminalRecord(pipeline.Cancelled))
-	n.expect("retry when over", newNode(t, s, "n2").submit(4, `,"awaits":7`), 200, "cancelled")
+	n.expect("retry when over", newController(t, s, "n2").submit(4, `,"awaits":7`), 200, "cancelled")
 }
 
 // TestUpstreamDaemon: a daemon never ends, so no job may depend on it.
 func TestUpstreamDaemon(t *testing.T) {
 	s := newFakeStore(t)
-	n := newNode(t, s, "n0")
+	n := newController(t, s, "n0")
 	daemon := strings.Replace(body(1, ""), "array", "daemon", 1)
 	n.expect("daemon", n.send("POST", "/submissions", daemon), 201, "queued")
 	n.expect("downstream of it", n.submit(2, `,"awaits":["req-1"]`), 422, "")
@@ -51,21 +51,21 @@
 	n.expect("downstream of one that has ended", n.submit(2, `,"awaits":["req-1"]`), 422, "")
 }
 
-// TestUpstreamNotSeenYet: what the local replica does not show may have been accepted
+// TestUpstreamNotSeenYet: what the watch cache does not show may have been accepted
 // elsewhere a moment ago. Only a barrier tells; without one there is no 400 or 422.
 func TestUpstreamNotSeenYet(t *testing.T) {
 	s := newFakeStore(t)
-	n, m := newNode(t, s, "n0"), newNode(t, s, "n1")
+	n, m := newController(t, s, "n0"), newController(t, s, "n1")
 	n.expect("upstream", n.submit(1, ""), 201, "queued")
 	s.down = true
 	n.expect("accepted, in an outage", m.submit(2, `,"awaits":["req-1"]`), 503, "")
 	n.expect("unknown, in an outage", m.submit(2, `,"awaits":["req-9"]`), 503, "")
 	n.expect("malformed, in an outage", m.submit(2, `,"awaits":["x"]`), 503, "")
 	s.down = false
-	o := newNode(t, s, "n2")
+	o := newController(t, s, "n2")
 	n.submit(3, "") // o has not seen its record
 	if o.jobs.Job("req-3") != nil {
-		t.Fatal("the replica is not behind")
+		t.Fatal("the watch cache is not behind")
 	}
 	n.expect("behind", o.submit(2, `,"awaits":["req-1","req-3"]`), 201, "queued")
 	n.expect("not there", o.submit(4, `,"awaits":["req-5"]`), 422, "")
@@ -74,7 +74,7 @@
 // TestUpstreamEnded: upstream jobs that have ended, done or cancelled.
 func TestUpstreamEnded(t *testing.T) {
 	s := newFakeStore(t)
-	n := newNode(t, s, "n0")
+	n := newController(t, s, "n0")
 	for id := range 3 {
 		n.expect("upstream", n.submit(1+id, ""), 201, "queued")
 	}
@@ -89,8 +89,8 @@
 	n.expect("downstream", n.submit(6, `,"awaits":["req-5"]`), 201, "queued")
 	n.expect("beside", n.submit(7, `,"awaits":["req-3"]`), 201, "queued")
 	n.expect("cancel", n.cancel(2), 200, "cancelled")
-	// Judged by its ancestors on every node, before any terminal record of its own.
-	for _, m := range []*node{n, newNode(t, s, "n1")} {
+	// Judged by its ancestors on every controller, before any terminal record of its own.
+	for _, m := range []*testController{n, newController(t, s, "n1")} {
 		n.expect("downstream of a cancelled one", m.poll(6), 200, "cancelled")
 		n.expect("cancelled by its user, too", m.cancel(6), 200, "cancelled")
 		n.expect("beside it", m.poll(7), 200, "queued")
@@ -103,7 +103,7 @@
 // downstream jobs.
 func TestCancelLosesToDone(t *testing.T) {
 	s := newFakeStore(t)
-	n := newNode(t, s, "n0")
+	n := newController(t, s, "n0")
 	n.submit(1, "")
 	n.submit(2, `,"awaits":["req-1"]`)
 	s.put("f/req-1", terminalRecord(pipeline.Done))
@@ -115,16 +115,16 @@
 }
 
 // TestSubmissionMeetsCancellation: a submission and the cancellation of its
-// upstream job go through two nodes that do not see each other's writes yet.
+// upstream job go through two controllers that do not see each other's writes yet.
 func TestSubmissionMeetsCancellation(t *testing.T) {
 	s := newFakeStore(t)
-	n, m := newNode(t, s, "n0"), newNode(t, s, "n1")
+	n, m := newController(t, s, "n0"), newController(t, s, "n1")
 	n.submit(1, "")
 	m.poll(1)
 	n.expect("cancel", n.cancel(1), 200, "cancelled")
 	if r := m.submit(2, `,"awaits":["req-1"]`); r.Status != 201 {
 		t.Fatalf("%d", r.Status)
 	}
-	n.expect("on the node of the submission", m.poll(2), 200, "cancelled")
-	n.expect("on the node of the cancellation", n.poll(2), 200, "cancelled")
+	n.expect("on the controller of the submission", m.poll(2), 200, "cancelled")
+	n.expect("on the controller of the cancellation", n.poll(2), 200, "cancelled")
 }
--- a/internal/controller/build.go
+++ b/internal/controller/build.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// staleAfter is how old the replica may become before it is read again.
+	// staleAfter is how old the watch cache may become before it is read again.
 	staleAfter = 3 * time.Second
-	// refreshesPerGrace: a leader answers heartbeats only while its replica is
-	// fresher than the grace, so the replica is read again after a quarter of it.
+	// refreshesPerGrace: a leader answers heartbeats only while its watch cache is
+	// fresher than the grace, so the watch cache is read again after a quarter of it.
 	refreshesPerGrace = 4
 	// A machine is unresponsive after this many heartbeat intervals and this margin.
 	heartbeatTimeoutIntervals = 2.5
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -41,7 +41,7 @@
 	machineSweep periodic
 }
 
-// handleChange routes a change of the replica to the part that owns the key. data is
+// handleChange routes a change of the watch cache to the part that owns the key. data is
 // nil when the key was deleted.
 func (c *Controller) handleChange(key string, data []byte, modRevision uint64) {
 	kind, rest := kv.SplitKey(key)
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -13,7 +13,7 @@
 
 // stateService is what the verdict on our health needs to know of the state service.
 type stateService interface {
-	// Synced tells whether the replica is complete.
+	// Synced tells whether the watch cache is complete.
 	Synced() bool
 	// Unavailable tells whether the last request found the service unavailable.
 	Unavailable() bool
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -30,7 +30,7 @@
 		peers *peerTable
 		want  bool
 	}{
-		{"replica is not complete", fakeState{false, false, testNow}, testPeers(), false},
+		{"watch cache is not complete", fakeState{false, false, testNow}, testPeers(), false},
 		{"state service available", fakeState{true, false, 0}, testPeers(served), true},
 		{"refused a moment ago", refused(peerHeartbeatTimeout), testPeers(served), true},
 		{"refused while a peer is served", refused(peerHeartbeatTimeout + 1), testPeers(dead, served), false},
--- a/internal/controller/inputs_test.go
+++ b/internal/controller/inputs_test.go
@@ -32,7 +32,7 @@
 		want    int // status
 	}{
 		{"unknown path", event.Request{Method: "GET", Path: "/none"}, httpwire.StatusNotFound},
-		{"health before the replica is complete", event.Request{Method: "GET", Path: pathHealth}, httpwire.StatusServiceUnavailable},
+		{"health before the watch cache is complete", event.Request{Method: "GET", Path: pathHealth}, httpwire.StatusServiceUnavailable},
 		{"heartbeat with another method", event.Request{Method: "GET", Path: pathWorkerHeartbeat}, httpwire.StatusMethodNotAllowed},
 		{"malformed heartbeat", event.Request{Method: methodPost, Path: pathWorkerHeartbeat, Body: []byte("{")}, httpwire.StatusBadRequest},
 		{"heartbeat while nobody leads", event.Request{Method: methodPost, Path: pathWorkerHeartbeat, Body: []byte(testHeartbeat)}, httpwire.StatusMisdirectedRequest},
--- a/internal/controller/version_test.go
+++ b/internal/controller/version_test.go
@@ -28,7 +28,7 @@
 	}{
 		{"it is missing", fakeVersionStore{synced: true}, true, 1},
 		{"it is stored already", fakeVersionStore{synced: true, modRevision: 7}, true, 0},
-		{"replica is not complete", fakeVersionStore{}, true, 0},
+		{"watch cache is not complete", fakeVersionStore{}, true, 0},
 		{"nobody leads", fakeVersionStore{synced: true}, false, 0},
 	}
 	for _, test := range tests {
@@ -55,7 +55,7 @@
 		writes int // so far
 		failed bool
 	}{
-		{"replica is complete", begin, 0, false},
+		{"watch cache is complete", begin, 0, false},
 		{"not yet", firstAt - 1, 0, false},
 		{"first attempt", firstAt, 1, false},
 		{"in flight", firstAt + time.Hour, 1, true},
--- a/internal/election/term_test.go
+++ b/internal/election/term_test.go
@@ -10,7 +10,7 @@
 	"lugward/internal/httpwire"
 )
 
-// TestLeaderOnceCacheCaughtUp: a node that replaces its own term from before a
+// TestLeaderOnceCacheCaughtUp: a controller that replaces its own term from before a
 // restart reads all keys page by page and may lack what that term wrote last. It
 // starts nothing, and answers nobody, until its cache shows all that came before
 // the new term.
@@ -68,7 +68,7 @@
 			h.tick(start)
 			h.respondWith(start, "/leases/7/extend", httpwire.StatusNotFound, `{}`)
 		}, ReasonLeaseExpired},
-		{"the store is silent for the grace", func(h *harness) {
+		{"the store does not answer for the grace", func(h *harness) {
 			h.tick(start + h.cfg.Grace)
 		}, ReasonGraceOver},
 		{"resigned", func(h *harness) {
--- a/internal/kv/batch.go
+++ b/internal/kv/batch.go
@@ -155,7 +155,7 @@
 }
 
 // borrowableOps returns the limit on writes for a transaction that has more of
-// them than this node's share of the rate ever holds: once the bucket is full and
+// them than this controller's share of the rate ever holds: once the bucket is full and
 // nothing is before the transaction, it goes and the rest is owed. Otherwise it
 // would wait for ever.
 func (b *batchBuilder) borrowableOps(txn *Txn) int {
--- a/internal/kv/batch_test.go
+++ b/internal/kv/batch_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// TestTxnLargerThanRateShare: where a node's share of the rate holds fewer writes
+// TestTxnLargerThanRateShare: where a controller's share of the rate holds fewer writes
 // than one transaction has, the transaction is sent once the bucket is full, and
 // the rest is owed.
 func TestTxnLargerThanRateShare(t *testing.T) {
--- a/internal/kv/call.go
+++ b/internal/kv/call.go
@@ -95,7 +95,7 @@
 }
 
 // neverInContact lies before any time at which a request can have been sent, so
-// that a node that has just started does not count as recently in contact.
+// that a controller that has just started does not count as recently in contact.
 const neverInContact event.Time = -time.Hour
 
 func newHealth() health { return health{lastContact: neverInContact} }
--- a/internal/kv/fair_shares.go
+++ b/internal/kv/fair_shares.go
@@ -1,13 +1,13 @@
 package kv
 
-// Claim is one node's claim on a rate that several nodes share.
+// Claim is one controller's claim on a rate that several controllers share.
 type Claim struct {
 	Demand float64 // per second
 	Weight float64
 }
 
 // FairShares divides a rate among the claims by weighted max-min fairness: no
-// node gets more than its demand while the demand of another is not met, and
+// controller gets more than its demand while the demand of another is not met, and
 // among those whose demand is not met the weights decide. What nobody demands is
 // divided by weight as well, so that a sudden need is met. It returns the shares
 // in the order of the claims.
--- a/internal/kv/rates.go
+++ b/internal/kv/rates.go
@@ -12,7 +12,7 @@
 	Writes   float64
 }
 
-// rateLimiter is this node's share of the store's rates, and what it used of it.
+// rateLimiter is this controller's share of the store's rates, and what it used of it.
 type rateLimiter struct {
 	requests, writes         tokenBucket
 	requestMeter, writeMeter rateMeter
@@ -47,7 +47,7 @@
 	}
 }
 
-// SetRateShare changes this node's share of the rates. Watches and barriers are
+// SetRateShare changes this controller's share of the rates. Watches and barriers are
 // paced so that they leave requests for transactions and leases.
 func (c *Client) SetRateShare(share Rates) {
 	c.rates.requests.rate = share.Requests
@@ -57,7 +57,7 @@
 	c.barrier.interval = c.watch.interval
 }
 
-// Demand returns the rates that this node could use: its recent use, and the
+// Demand returns the rates that this controller could use: its recent use, and the
 // writes that wait as if they were sent within a second.
 func (c *Client) Demand(now event.Time) Rates {
 	waiting := 0.0
@@ -74,8 +74,8 @@
 
 // QueueDelay estimates how long a new transaction waits for its turn, in seconds.
 type QueueDelay struct {
-	AtTotalRate float64 // at best: if all of the store's rate were this node's
-	AtOwnShare  float64 // at this node's present share of the rate
+	AtTotalRate float64 // at best: if all of the store's rate were this controller's
+	AtOwnShare  float64 // at this controller's present share of the rate
 }
 
 // QueueDelay estimates the delay of a new transaction of a priority by the number
--- a/internal/kv/scan_test.go
+++ b/internal/kv/scan_test.go
@@ -7,7 +7,7 @@
 	"lugward/internal/event"
 )
 
-// TestRescanAfterResponseTooLarge: a node that was away for so long that the
+// TestRescanAfterResponseTooLarge: a controller that was away for so long that the
 // changes since then are more than it takes at once reads all keys page by page;
 // asking for the same changes again would never end.
 func TestRescanAfterResponseTooLarge(t *testing.T) {
--- a/internal/kv/txn.go
+++ b/internal/kv/txn.go
@@ -18,9 +18,9 @@
 )
 
 // exceedsShare reports whether transactions of this priority are sent beyond this
-// node's share of the rates, which is then owed. Terms and cancellations are:
-// where many nodes share a small rate, a share may be less than the two writes
-// that a term takes, and no node would ever lead.
+// controller's share of the rates, which is then owed. Terms and cancellations are:
+// where many controllers share a small rate, a share may be less than the two writes
+// that a term takes, and no controller would ever lead.
 func (p Priority) exceedsShare() bool { return p <= PriorityCancellation }
 
 // Write is one write of a transaction.
--- a/internal/kv/watch_cache.go
+++ b/internal/kv/watch_cache.go
@@ -6,7 +6,7 @@
 	"lugward/internal/event"
 )
 
-// watchCache is this node's view of all keys of the store. It holds their mod
+// watchCache is this controller's view of all keys of the store. It holds their mod
 // revisions; their values go to onChange, in the order of the mod revisions for
 // each key.
 type watchCache struct {
