--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -31,7 +31,7 @@
 	Jobs    *pipeline.Table
 	Workers *worker.Registry
 	Store   *kv.Client
-	Log     *slog.Logger
+	Logger  *slog.Logger
 
 	MaxValueBytes    int           // size of the largest value that the state service accepts
 	CloudAddr        string        // host and port of the cloud's API
@@ -72,7 +72,7 @@
 		jobs:          cfg.Jobs,
 		store:         cfg.Store,
 		cloud:         a.cloud,
-		log:           cfg.Log,
+		log:           cfg.Logger,
 		maxValueBytes: cfg.MaxValueBytes,
 	}
 	a.booting = &bootingMachines{
@@ -93,7 +93,7 @@
 		names:   cfg.Names,
 		workers: cfg.Workers,
 		booting: a.booting,
-		log:     cfg.Log,
+		log:     cfg.Logger,
 	}
 	a.decommissions = &decommissions{
 		store:       cfg.Store,
@@ -119,7 +119,7 @@
 		names:            cfg.Names,
 		workers:          cfg.Workers,
 		booting:          a.booting,
-		log:              cfg.Log,
+		log:              cfg.Logger,
 		heartbeatTimeout: cfg.HeartbeatTimeout,
 	}
 	a.announcer = &tokenAnnouncer{
@@ -149,7 +149,7 @@
 		booting:          a.booting,
 		partitions:       a.partitions,
 		decommissions:    a.decommissions,
-		log:              cfg.Log,
+		log:              cfg.Logger,
 		heartbeatTimeout: cfg.HeartbeatTimeout,
 		idleTimeout:      cfg.IdleTimeout,
 	}
@@ -187,7 +187,7 @@
 	}
 }
 
-// HandleCallResult takes the outcome of a call. It tells whether the call was the
+// HandleCallResult takes the outcome of a call. It reports whether the call was the
 // autoscaler's.
 func (a *Autoscaler) HandleCallResult(now event.Time, result event.CallResult) bool {
 	return a.cloud.handleResult(now, result)
@@ -256,7 +256,7 @@
 // pointer refers to is updated in place.
 func (a *Autoscaler) MachineTypes() *scheduler.MachineTypes { return &a.catalog.types }
 
-// ReplanRequested tells whether a response of the cloud calls for another plan at
+// ReplanRequested reports whether a response of the cloud calls for another plan at
 // once.
 func (a *Autoscaler) ReplanRequested() bool { return a.provisioner.replanRequested }
 
@@ -268,16 +268,16 @@
 	return requested
 }
 
-// Released tells whether a machine was released in this term, by its name: a heartbeat
+// Released reports whether a machine was released in this term, by its name: a heartbeat
 // of it that arrives now was sent before.
 func (a *Autoscaler) Released(machine string) bool {
 	_, released := a.decommissions.releasedAt(machine)
 	return released
 }
 
-// IsBooting tells whether a machine is expected to register, by its index.
+// IsBooting reports whether a machine is expected to register, by its index.
 func (a *Autoscaler) IsBooting(machine int) bool { return a.booting.get(machine) != nil }
 
-// HasUnregisteredMachines tells whether the cloud lists a machine as running that has
+// HasUnregisteredMachines reports whether the cloud lists a machine as running that has
 // sent us no heartbeat.
 func (a *Autoscaler) HasUnregisteredMachines() bool { return a.booting.anyRunning() }
--- a/internal/autoscaler/booting.go
+++ b/internal/autoscaler/booting.go
@@ -55,13 +55,13 @@
 	}
 }
 
-// isRunning tells whether the cloud lists a machine as running that has not registered.
+// isRunning reports whether the cloud lists a machine as running that has not registered.
 func (b *bootingMachines) isRunning(index int) bool {
 	booting := b.byIndex[index]
 	return booting != nil && booting.running
 }
 
-// anyRunning tells whether the cloud lists any machine as running that has not
+// anyRunning reports whether the cloud lists any machine as running that has not
 // registered.
 func (b *bootingMachines) anyRunning() bool {
 	for _, booting := range b.byIndex {
@@ -80,7 +80,7 @@
 	}
 }
 
-// isOverdue tells whether a machine is not to be counted on any more.
+// isOverdue reports whether a machine is not to be counted on any more.
 func (b *bootingMachines) isOverdue(booting *bootingMachine, now event.Time) bool {
 	machineType := b.catalog.get(booting.pool.machineType)
 	return machineType != nil && !booting.running && now-booting.since > b.bootTimes.timeout(machineType, overdueFactor)
--- a/internal/autoscaler/capacity_forecast.go
+++ b/internal/autoscaler/capacity_forecast.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// hasMachineFor tells whether a task of a job fits on one of the machines once it is
+// hasMachineFor reports whether a task of a job fits on one of the machines once it is
 // empty.
 func (f *capacityForecast) hasMachineFor(job *pipeline.Job) bool {
 	return slices.ContainsFunc(f.capacities, func(capacity *scheduler.Capacity) bool {
@@ -72,7 +72,7 @@
 	return left
 }
 
-// isUsable tells whether tasks of a job may be placed on a machine.
+// isUsable reports whether tasks of a job may be placed on a machine.
 func (f *capacityForecast) isUsable(job *pipeline.Job, capacity *scheduler.Capacity, zone int) bool {
 	if capacity == nil || !capacity.Matches(&job.Spec) {
 		return false
@@ -80,7 +80,7 @@
 	if capacity.Machine != nil && job.AvoidsMachine(capacity.Machine.Index, f.now) {
 		return false
 	}
-	return zone == anyZone || capacity.Zone == zone
+	return zone == pipeline.AnyZone || capacity.Zone == zone
 }
 
 // missing is how many of a job's tasks find no capacity in a zone; it may be negative.
--- a/internal/autoscaler/cloud_client.go
+++ b/internal/autoscaler/cloud_client.go
@@ -49,7 +49,7 @@
 	c.pending = map[uint64]pendingRequest{}
 }
 
-// ready refills the token bucket and tells whether a request may be sent now.
+// ready refills the token bucket and reports whether a request may be sent now.
 func (c *cloudClient) ready(now event.Time) bool {
 	if now < c.pausedUntil {
 		return false
@@ -83,7 +83,7 @@
 }
 
 // handleResult passes the outcome of a call on to the handler of its request. It
-// tells whether the call was a request of this client.
+// reports whether the call was a request of this client.
 func (c *cloudClient) handleResult(now event.Time, result event.CallResult) bool {
 	request, ok := c.pending[result.ID]
 	if !ok {
--- a/internal/autoscaler/decommission.go
+++ b/internal/autoscaler/decommission.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// isLeaving tells whether the decommission of a machine is stored or being completed.
+// isLeaving reports whether the decommission of a machine is stored or being completed.
 func (d *decommissions) isLeaving(machine string) bool {
 	return d.stored[machine] || d.releasing[machine]
 }
@@ -148,7 +148,7 @@
 	d.released[name] = now
 	d.releasing[name] = true // no second request while the stored decommission is deleted
 	d.store.Submit(&kv.Txn{
-		Priority: kv.PriorityCleanup,
+		Priority: kv.PriorityGarbageCollection,
 		Compares: []kv.Compare{term},
 		Writes:   []kv.Write{{Key: decommissionKey(name)}},
 		Done:     func(kv.Result) { delete(d.releasing, name) },
--- a/internal/autoscaler/fixture_test.go
+++ b/internal/autoscaler/fixture_test.go
@@ -41,7 +41,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	names := &pipeline.Names{}
 	jobs := pipeline.NewTable(pipeline.Config{Names: names, LayoutValueBytes: testValueBytes, TxnOps: testTxnOps})
-	workers := worker.New(worker.Config{Names: names, Jobs: jobs, Log: log})
+	workers := worker.New(worker.Config{Names: names, Jobs: jobs, Logger: log})
 	cfg.Names = names
 	cfg.Jobs = jobs
 	cfg.Workers = workers
@@ -50,7 +50,7 @@
 		Limits:   kv.Limits{TxnOps: testTxnOps, Rates: kv.Rates{Requests: testRPS, Writes: testWriteRPS}},
 		OnChange: func(string, []byte, uint64) {},
 	})
-	cfg.Log = log
+	cfg.Logger = log
 	cfg.CloudAddr = "cloud"
 	cfg.CloudRPS = testRPS
 	return &fixture{Autoscaler: New(cfg), names: names, jobs: jobs, workers: workers}
--- a/internal/autoscaler/machine_list.go
+++ b/internal/autoscaler/machine_list.go
@@ -60,7 +60,7 @@
 	return max(listInterval, time.Duration(seconds*float64(time.Second)))
 }
 
-// due tells whether a page is to be asked for.
+// due reports whether a page is to be asked for.
 func (r *machineListReader) due(now event.Time) bool {
 	if r.inFlight {
 		return false
--- a/internal/autoscaler/machine_pool.go
+++ b/internal/autoscaler/machine_pool.go
@@ -20,9 +20,6 @@
 	overdueCostFactor = 3.0
 )
 
-// anyZone stands for no restriction to a zone.
-const anyZone = -1
-
 // machinePool is what the cloud provisions machines from: a machine type in a zone, as
 // spot machines or not.
 type machinePool struct {
@@ -62,7 +59,7 @@
 	job          *pipeline.Job
 	tasks        int
 	tasksPerZone map[int]int         // tasks of the job that are in each zone already
-	zone         int                 // the only one allowed, or anyZone
+	zone         int                 // the only one allowed, or pipeline.AnyZone
 	needed       map[machinePool]int // machines that the plan asks for already
 }
 
@@ -106,7 +103,7 @@
 
 // evaluate tells what a pool costs for a query, and whether it can be used.
 func (s *poolSelector) evaluate(query poolQuery, pool machinePool) (candidate poolCandidate, usable bool) {
-	otherZone := query.zone != anyZone && pool.zone != query.zone
+	otherZone := query.zone != pipeline.AnyZone && pool.zone != query.zone
 	if s.provisioner.backingOff(pool, s.now) || otherZone || s.partitions.isPartitioned(pool.zone) {
 		return poolCandidate{}, false
 	}
--- a/internal/autoscaler/machine_pool_test.go
+++ b/internal/autoscaler/machine_pool_test.go
@@ -33,7 +33,7 @@
 			f.booting.byIndex[8] = &bootingMachine{pool: machinePool{spot: true}, since: test.since}
 			plan := f.planner.newPlan(5*statedBootTime, f.newScheduler("t", 0))
 			job := &pipeline.Job{Spec: pipeline.Spec{TaskCount: 1, CPUs: 1, Zone: pipeline.AnyZone, AllowSpot: true}}
-			query := poolQuery{job: job, tasks: 1, zone: anyZone}
+			query := poolQuery{job: job, tasks: 1, zone: pipeline.AnyZone}
 			if got, found := plan.pools.cheapest(query); !found || got.pool.machineType != test.want {
 				t.Errorf("machines of %+v are asked for, not of type %d", got, test.want)
 			}
--- a/internal/autoscaler/partitions.go
+++ b/internal/autoscaler/partitions.go
@@ -24,7 +24,7 @@
 // reset forgets all partitions.
 func (d *partitionDetector) reset() { d.partitioned = nil }
 
-// isPartitioned tells whether a zone is partitioned from this controller.
+// isPartitioned reports whether a zone is partitioned from this controller.
 func (d *partitionDetector) isPartitioned(zone int) bool { return d.partitioned[zone] }
 
 // runningByZone lists the machines of each zone that are up, unresponsive ones
--- a/internal/autoscaler/provisioning.go
+++ b/internal/autoscaler/provisioning.go
@@ -71,7 +71,7 @@
 	p.backoffs[pool] = poolBackoff{until: now + duration, duration: duration}
 }
 
-// backingOff tells whether a pool is not to be asked now.
+// backingOff reports whether a pool is not to be asked now.
 func (p *provisioner) backingOff(pool machinePool, now event.Time) bool {
 	return now < p.backoffs[pool].until
 }
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// hasTasks tells whether tasks may be on a machine.
+// hasTasks reports whether tasks may be on a machine.
 func (s *scaleIn) hasTasks(machine *worker.Machine) bool {
 	return len(s.jobs.OnMachine(machine.Index)) > 0
 }
@@ -119,7 +119,7 @@
 	}
 }
 
-// isLost tells whether a registered machine has missed heartbeats for so long that it
+// isLost reports whether a registered machine has missed heartbeats for so long that it
 // is not expected to come back.
 func isLost(machine *worker.Machine, now event.Time, partitioned bool) bool {
 	timeout := heartbeatLossTimeout
@@ -129,7 +129,7 @@
 	return now-machine.LastHeartbeat() > timeout
 }
 
-// isUnused tells whether a machine without tasks is of no more use.
+// isUnused reports whether a machine without tasks is of no more use.
 func (s *scaleIn) isUnused(machine *worker.Machine, now event.Time) bool {
 	if machine.UnknownTasks() > 0 {
 		return false // they have not been terminated yet
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -95,7 +95,7 @@
 	return forecast
 }
 
-// isExpected tells whether a booting machine is expected to register soon.
+// isExpected reports whether a booting machine is expected to register soon.
 func (p *planner) isExpected(index int, booting *bootingMachine, now event.Time) bool {
 	machine := p.workers.MachineAt(index)
 	if machine == nil || machine.Decommissioning() || machine.LastHeartbeat() != 0 {
@@ -123,7 +123,7 @@
 // addJob places the waiting tasks of a job, first on machines that are up or coming,
 // then on machines to be asked for.
 func (p *plan) addJob(job *pipeline.Job) {
-	left, ok := p.tasksWithinQuota(job)
+	left, ok := p.tasksWithinLimit(job)
 	if !ok {
 		return
 	}
@@ -140,10 +140,10 @@
 	p.addMachines(job, left, tasksPerZone, zone)
 }
 
-// tasksWithinQuota returns how many tasks of a job wait for capacity that its team's
+// tasksWithinLimit returns how many tasks of a job wait for capacity that its team's
 // limit lets them have, beside what the plan provides for the team's other jobs. ok
 // is false where the job is to get nothing.
-func (p *plan) tasksWithinQuota(job *pipeline.Job) (tasks int, ok bool) {
+func (p *plan) tasksWithinLimit(job *pipeline.Job) (tasks int, ok bool) {
 	committed := p.committed[job.Team]
 	tasks = min(job.StartableCount(), p.scheduler.TasksWithinLimitBeside(job, committed))
 	if job.Shape == pipeline.Gang && tasks < job.StartableCount() {
@@ -191,10 +191,10 @@
 
 // onlyZone returns the zone to which a job that must stay in one is bound: the one
 // where its tasks may still be, else the one where the missing machines cost least. It
-// is anyZone where the job may use several. ok is false where there is none.
+// is pipeline.AnyZone where the job may use several. ok is false where there is none.
 func (p *plan) onlyZone(job *pipeline.Job, tasksPerZone map[int]int, tasks int) (zone int, ok bool) {
 	if !job.SameZone {
-		return anyZone, true
+		return pipeline.AnyZone, true
 	}
 	if len(tasksPerZone) > 0 {
 		zone = slices.Sorted(maps.Keys(tasksPerZone))[0]
--- a/internal/autoscaler/token_announcements.go
+++ b/internal/autoscaler/token_announcements.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// awaitsToken tells whether a machine that is up has not confirmed our fencing token
+// awaitsToken reports whether a machine that is up has not confirmed our fencing token
 // though it has had time to.
 func (t *tokenAnnouncer) awaitsToken(machine *worker.Machine, now event.Time) bool {
 	if machine.LastHeartbeat() != 0 {
--- a/internal/controller/build.go
+++ b/internal/controller/build.go
@@ -121,7 +121,7 @@
 		Names:            c.names,
 		Jobs:             c.jobs,
 		HeartbeatTimeout: c.workerHeartbeatTimeout(),
-		Log:              c.log,
+		Logger:           c.log,
 	})
 }
 
@@ -133,7 +133,7 @@
 		Jobs:             c.jobs,
 		Workers:          c.workers,
 		Store:            c.store,
-		Log:              c.log,
+		Logger:           c.log,
 		MaxValueBytes:    c.maxValueBytes(),
 		CloudAddr:        c.cfg.Services.Cloud,
 		CloudRPS:         settings.Cloud.RPS,
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -13,9 +13,9 @@
 
 // stateService is what the verdict on our health needs to know of the state service.
 type stateService interface {
-	// Synced tells whether the watch cache is complete.
+	// Synced reports whether the watch cache is complete.
 	Synced() bool
-	// Unavailable tells whether the last request found the service unavailable.
+	// Unavailable reports whether the last request found the service unavailable.
 	Unavailable() bool
 	// LastContact is when the last request that the service executed was sent.
 	LastContact() event.Time
@@ -30,7 +30,7 @@
 	}
 }
 
-// isHealthy tells whether users should be sent to this controller. One that is
+// isHealthy reports whether users should be sent to this controller. One that is
 // refused by the state service while a peer is served is not healthy, nor is one that
 // is cut off: users' connections stay where they are while a controller is healthy, so
 // they would learn nothing about their jobs. In an outage that all controllers share
--- a/internal/controller/job_records.go
+++ b/internal/controller/job_records.go
@@ -17,7 +17,7 @@
 	c.jobs.WriteCancellations(now, c.store, responsible)
 }
 
-// isResponsibleFor tells whether we write the records of a job: we own it or, as
+// isResponsibleFor reports whether we write the records of a job: we own it or, as
 // leader, its owner cannot, as its heartbeats do not arrive or say that it does not
 // reach the state service.
 func (c *Controller) isResponsibleFor(job *pipeline.Job) bool {
--- a/internal/controller/leader_work.go
+++ b/internal/controller/leader_work.go
@@ -57,10 +57,10 @@
 	}
 }
 
-// isDue tells whether the work is due.
+// isDue reports whether the work is due.
 func (p *periodic) isDue(now event.Time) bool { return now-p.lastRun >= p.interval }
 
-// takeDue tells whether the work is due, and notes it as done now if so.
+// takeDue reports whether the work is due, and notes it as done now if so.
 func (p *periodic) takeDue(now event.Time) bool {
 	if !p.isDue(now) {
 		return false
@@ -123,7 +123,7 @@
 	}
 }
 
-// isRoundDue tells whether it is time for a scheduling round: soon after a change,
+// isRoundDue reports whether it is time for a scheduling round: soon after a change,
 // rarely without one.
 func (c *Controller) isRoundDue(now event.Time) bool {
 	elapsed := now - c.leadership.schedule.roundAt
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -68,12 +68,12 @@
 	return l.lastWorkerHeartbeat + noWorkerHeartbeatTimeout
 }
 
-// mayAct tells whether we lead and tasks may be started.
+// mayAct reports whether we lead and tasks may be started.
 func (c *Controller) mayAct(now event.Time) bool {
 	return c.leadership.active && c.election.IsLeader(now)
 }
 
-// mayAnswerWorkers tells whether we may accept and answer the heartbeats of workers
+// mayAnswerWorkers reports whether we may accept and answer the heartbeats of workers
 // as leader: also in the grace after the lease of our term.
 func (c *Controller) mayAnswerWorkers(now event.Time) bool {
 	return c.leadership.active && c.election.MayRenewWorkerLeases(now)
@@ -113,7 +113,7 @@
 	c.shareRates(now)
 }
 
-// expectsWorkerHeartbeats tells whether there are workers that should send heartbeats.
+// expectsWorkerHeartbeats reports whether there are workers that should send heartbeats.
 func (c *Controller) expectsWorkerHeartbeats() bool {
 	if c.autoscaler.HasUnregisteredMachines() {
 		return true
--- a/internal/controller/machine_sweep.go
+++ b/internal/controller/machine_sweep.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// refersToMachine tells whether a machine's index is in use.
+// refersToMachine reports whether a machine's index is in use.
 func (c *Controller) refersToMachine(index int) bool {
 	known := c.workers.MachineAt(index) != nil || c.autoscaler.IsBooting(index)
 	return known || len(c.jobs.OnMachine(index)) > 0 || c.heartbeats.pending.get(index) != nil
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -51,7 +51,7 @@
 	return labels
 }
 
-// isAlive tells whether a peer's heartbeats arrive. Judged as of our last own
+// isAlive reports whether a peer's heartbeats arrive. Judged as of our last own
 // heartbeat, it does not change because we stood still.
 func (t *peerTable) isAlive(p *peerState) bool {
 	return t.heartbeatSentAt-p.receivedAt < peerHeartbeatTimeout
@@ -68,7 +68,7 @@
 	return index, ok
 }
 
-// reachesState tells whether the peer with a label is alive and says that it reaches
+// reachesState reports whether the peer with a label is alive and says that it reaches
 // the state service.
 func (t *peerTable) reachesState(label string) bool {
 	for _, p := range t.list {
@@ -96,7 +96,7 @@
 	return labels[int(hash.Sum32())%len(labels)], true
 }
 
-// takeHeartbeatDue tells whether our next heartbeat to the peers is due, and notes it
+// takeHeartbeatDue reports whether our next heartbeat to the peers is due, and notes it
 // as sent if so.
 func (t *peerTable) takeHeartbeatDue(now event.Time) bool {
 	if now-t.heartbeatSentAt < peerHeartbeatInterval {
--- a/internal/controller/pending_heartbeats.go
+++ b/internal/controller/pending_heartbeats.go
@@ -68,7 +68,7 @@
 // get returns the heartbeat of a machine that waits, nil if there is none.
 func (p *pendingHeartbeats) get(machine int) *pendingHeartbeat { return p.byMachine[machine] }
 
-// empty tells whether no heartbeat waits.
+// empty reports whether no heartbeat waits.
 func (p *pendingHeartbeats) empty() bool { return len(p.byMachine) == 0 }
 
 // markAnswered takes a heartbeat off those that wait.
@@ -158,10 +158,10 @@
 	p.idleQueue = nil
 }
 
-// waits tells whether the heartbeat still has to be answered.
+// waits reports whether the heartbeat still has to be answered.
 func (p *pendingHeartbeat) waits() bool { return !p.answered }
 
-// waitsInQueue tells whether the heartbeat waits for heartbeatAnswerTimeout.
+// waitsInQueue reports whether the heartbeat waits for heartbeatAnswerTimeout.
 func (p *pendingHeartbeat) waitsInQueue() bool { return !p.answered && !p.idle }
 
 // head returns the first heartbeat of a queue that still belongs there, nil if there
--- a/internal/controller/redirect.go
+++ b/internal/controller/redirect.go
@@ -10,7 +10,7 @@
 // controller, which sees by the fencing token that the leader has served it and relays
 // its heartbeats: so the sockets of all controllers carry workers, where else the
 // worker would have to dial the leader anew for each heartbeat. One that is back soon
-// is served here, as that controller does not reach us or has ended. It tells whether
+// is served here, as that controller does not reach us or has ended. It reports whether
 // the worker was sent away; what its heartbeat says comes again with the next one.
 func (c *Controller) redirectToRelayingPeer(now event.Time, request event.Request, heartbeat *worker.Heartbeat, out *event.Effects) bool {
 	if !request.ConnectionLimitReached || heartbeat.FencingToken != c.election.FencingToken() {
--- a/internal/controller/version.go
+++ b/internal/controller/version.go
@@ -21,7 +21,7 @@
 
 // versionStore is what the publication of our version needs of the state service.
 type versionStore interface {
-	// Synced tells whether the watch cache is complete.
+	// Synced reports whether the watch cache is complete.
 	Synced() bool
 	// ModRevision is the modification revision of a key, 0 if it is absent.
 	ModRevision(key string) uint64
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -26,7 +26,7 @@
 	relayID uint64 // the peer's number of the relayed heartbeat
 }
 
-// relayed tells whether the heartbeat came through a peer.
+// relayed reports whether the heartbeat came through a peer.
 func (t replyTarget) relayed() bool { return t.relayID != 0 }
 
 // handleWorkerHeartbeat handles a heartbeat that a worker has sent to us.
--- a/internal/controller/worker_routes.go
+++ b/internal/controller/worker_routes.go
@@ -59,7 +59,7 @@
 	return route
 }
 
-// relaying tells whether the worker's heartbeats are being relayed.
+// relaying reports whether the worker's heartbeats are being relayed.
 func (r *workerRoute) relaying() bool { return r.relayingSince != 0 }
 
 // next decides what to do with the worker's next heartbeat, and notes it. leftLeader
--- a/internal/kv/txn.go
+++ b/internal/kv/txn.go
@@ -12,8 +12,8 @@
 	PrioritySubmission
 	PriorityPlacement
 	PriorityProgress
-	// PriorityCleanup is for what nobody waits for.
-	PriorityCleanup
+	// PriorityGarbageCollection is for what nobody waits for.
+	PriorityGarbageCollection
 	priorityCount
 )
 
--- a/internal/kv/txn_queue_test.go
+++ b/internal/kv/txn_queue_test.go
@@ -15,7 +15,7 @@
 		priority Priority
 		rank     int
 	}{
-		{"cleanup", PriorityCleanup, 9},
+		{"cleanup", PriorityGarbageCollection, 9},
 		{"low", PriorityProgress, 0},
 		{"first", PriorityProgress, 1},
 		{"second", PriorityProgress, 1},
--- a/internal/pipeline/completion_test.go
+++ b/internal/pipeline/completion_test.go
@@ -32,7 +32,7 @@
 	}
 	table.CollectGarbage(1, term, txns, 10)
 	deletion := txns.next(t)
-	if deletion.Priority != kv.PriorityCleanup || len(deletion.Writes) != 2 {
+	if deletion.Priority != kv.PriorityGarbageCollection || len(deletion.Writes) != 2 {
 		t.Errorf("%+v", deletion)
 	}
 	commit(table, deletion, 4)
--- a/internal/pipeline/retry_records.go
+++ b/internal/pipeline/retry_records.go
@@ -158,7 +158,7 @@
 		condition := kv.Compare{Key: key, ModRevision: t.retries.stored[id].modRevision}
 		t.retries.deletionsInFlight[id] = true
 		submitter.Submit(&kv.Txn{
-			Priority: kv.PriorityCleanup,
+			Priority: kv.PriorityGarbageCollection,
 			Compares: []kv.Compare{term, condition},
 			Writes:   []kv.Write{{Key: key}},
 			Done:     func(kv.Result) { delete(t.retries.deletionsInFlight, id) },
--- a/internal/pipeline/retry_test.go
+++ b/internal/pipeline/retry_test.go
@@ -181,7 +181,7 @@
 		t.Fatalf("%d deletions", len(txns.list))
 	}
 	deletion := txns.next(t)
-	if deletion.Priority != kv.PriorityCleanup || deletion.Writes[0].Key != record.RetryKey(job.ID) || deletion.Compares[1].ModRevision != 5 {
+	if deletion.Priority != kv.PriorityGarbageCollection || deletion.Writes[0].Key != record.RetryKey(job.ID) || deletion.Compares[1].ModRevision != 5 {
 		t.Errorf("%+v", deletion)
 	}
 	commit(table, deletion, 8)
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -126,7 +126,7 @@
 	return job, nil
 }
 
-// check tells whether the lists of a record are complete and its tasks at least one.
+// check reports whether the lists of a record are complete and its tasks at least one.
 func (s *storedJob) check() error {
 	if len(s.Resources) != resourceCount {
 		return &DecodeError{KindJob, "u", fmt.Errorf("%w: %d", ErrLength, len(s.Resources))}
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -40,9 +40,9 @@
 	names.Images.Index("b")
 	jobs := pipeline.NewTable(pipeline.Config{Names: names, LayoutValueBytes: 4096, TxnOps: 12})
 	workers := worker.New(worker.Config{
-		Names: names,
-		Jobs:  jobs,
-		Log:   slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Names:  names,
+		Jobs:   jobs,
+		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	s := &site{
 		Scheduler: New(Config{
--- a/internal/simtest/arguments.go
+++ b/internal/simtest/arguments.go
@@ -40,7 +40,7 @@
 	return value
 }
 
-// has tells whether an argument is given.
+// has reports whether an argument is given.
 func (arguments Arguments) has(key string) bool { _, ok := arguments[key]; return ok }
 
 // parameter documents an argument of a command and checks its values.
--- a/internal/simtest/checker_answers.go
+++ b/internal/simtest/checker_answers.go
@@ -57,7 +57,7 @@
 	checker.acknowledgedPhase[id] = phase
 }
 
-// isFinal tells whether a job that is in this phase stays in it.
+// isFinal reports whether a job that is in this phase stays in it.
 func isFinal(phase string) bool { return phase == jobDone || phase == jobCancelled }
 
 // maxUnanswered is how long a job may go without an answer once all faults
@@ -77,7 +77,7 @@
 	}
 }
 
-// isOver tells whether the last answer showed a job as done or cancelled.
+// isOver reports whether the last answer showed a job as done or cancelled.
 func (checker *Checker) isOver(id string) bool { return isFinal(checker.acknowledgedPhase[id]) }
 
 // checkRefusal checks the status of an invalid request: the expected one, or an
--- a/internal/simtest/checker_cancellation.go
+++ b/internal/simtest/checker_cancellation.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// cancelRequested tells whether the user of a job, or of one that it needs, asked to
+// cancelRequested reports whether the user of a job, or of one that it needs, asked to
 // cancel it and was not answered that it is done.
 func (checker *Checker) cancelRequested(id string) bool {
 	if checker.cancelRequests[id] {
@@ -30,7 +30,7 @@
 	return since, ok
 }
 
-// overdue tells whether a cancellation acknowledged then must be complete by now.
+// overdue reports whether a cancellation acknowledged then must be complete by now.
 func (checker *Checker) overdue(since time.Duration) bool {
 	return checker.world.now-since > seconds(checker.world.config.Settings.Workers.CancelS)
 }
--- a/internal/simtest/checker_capacity.go
+++ b/internal/simtest/checker_capacity.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// writesExhausted tells whether lately as much was written as a service may
+// writesExhausted reports whether lately as much was written as a service may
 // that leaves a part of the rate for what is in flight.
 func (checker *Checker) writesExhausted() bool {
 	const moments, most = int(capacityWindow / invariantCheckInterval), 0.75
@@ -121,7 +121,7 @@
 	return used
 }
 
-// couldStart tells whether a job waits though its next task, or all those of a gang,
+// couldStart reports whether a job waits though its next task, or all those of a gang,
 // could be started on these machine capacities.
 func (checker *Checker) couldStart(job *jobRecord, capacities []freeCapacity, used map[string]teamUsage) bool {
 	onMachine, inZone := checker.tasksOnMachines(job)
@@ -163,7 +163,7 @@
 	return indices, inZone
 }
 
-// withinLimit tells whether so many more tasks of a job leave its team within its limit.
+// withinLimit reports whether so many more tasks of a job leave its team within its limit.
 func (checker *Checker) withinLimit(job *jobRecord, tasks int, used teamUsage) bool {
 	count := float64(tasks)
 	for _, team := range checker.world.config.Settings.Teams {
@@ -197,7 +197,7 @@
 	return placeable
 }
 
-// fitsInZones tells whether the tasks that could be placed in each zone are enough, under
+// fitsInZones reports whether the tasks that could be placed in each zone are enough, under
 // what the job demands of zones.
 func (job *jobRecord) fitsInZones(needed int, inZone, placeable map[string]int) bool {
 	sum := 0
--- a/internal/simtest/checker_upstream.go
+++ b/internal/simtest/checker_upstream.go
@@ -32,7 +32,7 @@
 	return list
 }
 
-// hasDoneRecord tells whether the state service holds the record that a job is done.
+// hasDoneRecord reports whether the state service holds the record that a job is done.
 func (world *World) hasDoneRecord(id string) bool {
 	var record terminalRecord
 	_ = json.Unmarshal(world.stateService.keys[terminalKeyPrefix+id].data, &record)
@@ -53,7 +53,7 @@
 	return "", ""
 }
 
-// waitsForUpstream tells whether a job waits for others, or would for ever.
+// waitsForUpstream reports whether a job waits for others, or would for ever.
 func (checker *Checker) waitsForUpstream(id string) bool {
 	upstream, _ := checker.unfinishedUpstream(id)
 	return upstream != ""
--- a/internal/simtest/cloud.go
+++ b/internal/simtest/cloud.go
@@ -24,7 +24,7 @@
 	return resources{min(r.cpus, other.cpus), min(r.gpus, other.gpus), min(r.memory, other.memory)}
 }
 
-// covers tells whether there is enough of each resource.
+// covers reports whether there is enough of each resource.
 func (r resources) covers(needed resources) bool {
 	return r.cpus >= needed.cpus && r.gpus >= needed.gpus && r.memory >= needed.memory
 }
@@ -208,7 +208,7 @@
 	maxReleased    = 100
 )
 
-// isValid tells whether the cloud would carry out the request.
+// isValid reports whether the cloud would carry out the request.
 func (request provisionRequest) isValid() bool {
 	_, known := machineTypes[request.MachineType]
 	return known && request.ID != "" && request.Number >= 1 && request.Number <= maxProvisioned
--- a/internal/simtest/commands_jobs.go
+++ b/internal/simtest/commands_jobs.go
@@ -130,7 +130,7 @@
 // statusAndPhase is how commands print an answer.
 func statusAndPhase(status int, phase string) string { return fmt.Sprintf("%d %s", status, phase) }
 
-// isAccepted tells whether the status of an answer means that a job is accepted.
+// isAccepted reports whether the status of an answer means that a job is accepted.
 func isAccepted(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
 
 // jobID is the ID of a job by its number.
--- a/internal/simtest/commands_pipelines.go
+++ b/internal/simtest/commands_pipelines.go
@@ -75,7 +75,7 @@
 	return record.Owner
 }
 
-// startOrder tells whether a job began before another.
+// startOrder reports whether a job began before another.
 func startOrder(world *World, arguments Arguments, _ string) (string, error) {
 	first, second := world.jobs[arguments["id"]], world.jobs[arguments["before"]]
 	switch {
--- a/internal/simtest/commands_races.go
+++ b/internal/simtest/commands_races.go
@@ -46,7 +46,7 @@
 // race lets so many pairs meet, each a little later against the other: a job is
 // cancelled and, from before to after it, one that needs it is submitted
 // ("submit"), or a job is cancelled about when its last task ends, while another
-// waits for it ("done"). It tells whether each pair ended alike.
+// waits for it ("done"). It reports whether each pair ended alike.
 func (world *World) race(arguments Arguments) string {
 	first, count, step := int(arguments.number("from", "1")), int(arguments.number("count", "20")), arguments.duration("step", "10ms")
 	for i := range count {
--- a/internal/simtest/controller_calls.go
+++ b/internal/simtest/controller_calls.go
@@ -77,7 +77,7 @@
 	})
 }
 
-// withheldFromStateService tells whether a call to the state service gets no answer because
+// withheldFromStateService reports whether a call to the state service gets no answer because
 // of a fault of this controller's.
 func (process *controllerProcess) withheldFromStateService(call event.Call) bool {
 	return process.delayTransaction(call) || process.watchBlocked && strings.HasPrefix(call.Path, watchPath)
--- a/internal/simtest/jobs.go
+++ b/internal/simtest/jobs.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// alwaysFails tells whether a task of the job fails on every machine.
+// alwaysFails reports whether a task of the job fails on every machine.
 func (job *jobRecord) alwaysFails(index int) bool { return job.broken || index+1 == job.brokenTask }
 
 // markStarted notes when the job first ran.
@@ -91,7 +91,7 @@
 	return ids
 }
 
-// allows tells whether a task of the job may run on a machine, wherever its others are.
+// allows reports whether a task of the job may run on a machine, wherever its others are.
 func (job *jobRecord) allows(worker *fakeWorker) bool {
 	if job.machineTypes != nil && !slices.Contains(job.machineTypes, worker.machineType) {
 		return false
@@ -105,5 +105,5 @@
 // maxTasksPerZone is how many tasks of a scattered job may run in a zone.
 func (job *jobRecord) maxTasksPerZone() int { return (job.taskCount + 1) / 2 }
 
-// canSucceed tells whether the job may be accepted and not all of its tasks always fail.
+// canSucceed reports whether the job may be accepted and not all of its tasks always fail.
 func (job *jobRecord) canSucceed() bool { return !job.broken && job.expectedRefusal == 0 }
--- a/internal/simtest/network.go
+++ b/internal/simtest/network.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// isUnreachable tells whether some controller and the machine can't talk.
+// isUnreachable reports whether some controller and the machine can't talk.
 func (network *fakeNetwork) isUnreachable(worker *fakeWorker) bool {
 	for _, process := range network.world.controllers {
 		for _, direction := range []link{{process.name, worker.name}, {worker.name, process.name}} {
--- a/internal/simtest/network_requests.go
+++ b/internal/simtest/network_requests.go
@@ -106,7 +106,7 @@
 	})
 }
 
-// connectWorker notes that a worker is connected to a controller, and tells whether that is
+// connectWorker notes that a worker is connected to a controller, and reports whether that is
 // more than it has sockets for: the connection then ends with the answer, as it does
 // where the worker is sent elsewhere.
 func (process *controllerProcess) connectWorker(worker string, request uint64) (crowded bool) {
--- a/internal/simtest/rate_limit.go
+++ b/internal/simtest/rate_limit.go
@@ -19,7 +19,7 @@
 	updatedAt time.Duration
 }
 
-// take tells whether so many more are allowed now; a burst is as many as come in that many
+// take reports whether so many more are allowed now; a burst is as many as come in that many
 // seconds at the rate.
 func (bucket *leakyBucket) take(now time.Duration, rate, burstSeconds, count float64) bool {
 	bucket.used = max(0, bucket.used-rate*(now-bucket.updatedAt).Seconds())
--- a/internal/simtest/users.go
+++ b/internal/simtest/users.go
@@ -104,7 +104,7 @@
 	return users.requestUntilAnswered(id, cancelRequest(id))
 }
 
-// isDecided tells whether the status of an answer is one that users do not ask again after.
+// isDecided reports whether the status of an answer is one that users do not ask again after.
 func isDecided(status int) bool {
 	return isAccepted(status) || status == http.StatusBadRequest || status == http.StatusNotFound || status == http.StatusUnprocessableEntity
 }
--- a/internal/simtest/users_background.go
+++ b/internal/simtest/users_background.go
@@ -90,7 +90,7 @@
 }
 
 // waitForRecordedAnswers plays until every request whose answer is recorded is answered, and
-// tells whether that is so within the time.
+// reports whether that is so within the time.
 func (users *fakeUsers) waitForRecordedAnswers(within time.Duration) bool {
 	for end := users.world.now + within; users.world.now < end; users.world.Run(100 * time.Millisecond) {
 		pending := false
--- a/internal/simtest/worker.go
+++ b/internal/simtest/worker.go
@@ -123,7 +123,7 @@
 	worker.world.schedule(duration, func() { worker.heartbeatsBlocked = false })
 }
 
-// isHealthy tells whether no fault and no reclaim notice keeps the machine from running tasks
+// isHealthy reports whether no fault and no reclaim notice keeps the machine from running tasks
 // as it should.
 func (worker *fakeWorker) isHealthy() bool {
 	return worker.up && !worker.hung && !worker.heartbeatsBlocked && worker.reclaimAt == 0 && worker.slowdown <= 0 && !worker.faulty
--- a/internal/simtest/worker_gang.go
+++ b/internal/simtest/worker_gang.go
@@ -43,13 +43,13 @@
 	assignment.after(wait, func() { assignment.worker.exitTask(assignment, causeIncomplete, false) })
 }
 
-// isComplete tells whether all tasks of the gang are there.
+// isComplete reports whether all tasks of the gang are there.
 func (gang *gangRun) isComplete() bool { return len(gang.members) == gang.job.taskCount }
 
-// isRunning tells whether the gang has started and lost no task yet.
+// isRunning reports whether the gang has started and lost no task yet.
 func (gang *gangRun) isRunning() bool { return gang.started && !gang.over }
 
-// anyResponsive tells whether a task of the gang is on a machine that does not hang.
+// anyResponsive reports whether a task of the gang is on a machine that does not hang.
 func (gang *gangRun) anyResponsive() bool {
 	for _, member := range gang.members {
 		if !member.worker.hung {
--- a/internal/simtest/worker_hang.go
+++ b/internal/simtest/worker_hang.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// certainlyLost tells whether the tasks are certain not to go on: the machine hangs
+// certainlyLost reports whether the tasks are certain not to go on: the machine hangs
 // and has outlived its lease.
 func (worker *fakeWorker) certainlyLost() bool { return worker.hung && worker.leaseExpired() }
 
--- a/internal/simtest/worker_heartbeat.go
+++ b/internal/simtest/worker_heartbeat.go
@@ -9,7 +9,7 @@
 // heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 const heartbeatTimeout = 4 * time.Second
 
-// heartbeatDue tells whether it is time for a heartbeat.
+// heartbeatDue reports whether it is time for a heartbeat.
 func (worker *fakeWorker) heartbeatDue() bool {
 	if worker.world.now >= worker.nextHeartbeat {
 		return true
@@ -101,7 +101,7 @@
 	worker.executeCommands(answer.Commands)
 }
 
-// redirect lets the next heartbeat go to the leader, soon. It tells whether that is
+// redirect lets the next heartbeat go to the leader, soon. It reports whether that is
 // another controller.
 func (worker *fakeWorker) redirect(leader string) bool {
 	for i, process := range worker.world.controllers {
@@ -138,7 +138,7 @@
 	worker.changed = true
 }
 
-// leaseExpired tells whether the last answered heartbeat was sent too long ago.
+// leaseExpired reports whether the last answered heartbeat was sent too long ago.
 func (worker *fakeWorker) leaseExpired() bool {
 	return worker.world.now-worker.leaseStart > seconds(worker.world.config.Settings.Workers.LeaseS)
 }
--- a/internal/simtest/worker_tasks.go
+++ b/internal/simtest/worker_tasks.go
@@ -20,7 +20,7 @@
 	generation       int           // outdates scheduled events
 }
 
-// onMachine tells whether the task executes.
+// onMachine reports whether the task executes.
 func (assignment *taskAssignment) onMachine() bool {
 	return assignment.phase == taskWaiting || assignment.phase == taskRunning || assignment.phase == taskSaving
 }
@@ -55,7 +55,7 @@
 	assignment.after(wait, func() { worker.runTask(assignment) })
 }
 
-// hasCapacity tells whether another task of a job fits on the machine.
+// hasCapacity reports whether another task of a job fits on the machine.
 func (worker *fakeWorker) hasCapacity(job *jobRecord) bool {
 	free := machineTypes[worker.machineType].resources
 	for _, assignment := range worker.assignments {
@@ -109,7 +109,7 @@
 // failureDelay is how long a task that fails runs before it exits.
 const failureDelay = 300 * time.Millisecond
 
-// fails tells whether a task can only fail: because of its job or its machine.
+// fails reports whether a task can only fail: because of its job or its machine.
 func (assignment *taskAssignment) fails() bool {
 	return assignment.job.alwaysFails(assignment.index) || assignment.worker.faulty
 }
--- a/internal/worker/assignments.go
+++ b/internal/worker/assignments.go
@@ -21,7 +21,7 @@
 	return sorted
 }
 
-// AllStored tells whether nothing that concerns the machine is being stored: a
+// AllStored reports whether nothing that concerns the machine is being stored: a
 // response given now would not be followed by another in a moment.
 func (r *Registry) AllStored(machine int) bool {
 	for _, assignment := range r.jobs.OnMachine(machine) {
@@ -32,7 +32,7 @@
 	return true
 }
 
-// Idle tells whether a usable machine reports no task and has none to start yet.
+// Idle reports whether a usable machine reports no task and has none to start yet.
 func (r *Registry) Idle(heartbeat *Heartbeat) bool {
 	if len(heartbeat.Tasks) > 0 {
 		return false
--- a/internal/worker/direct_command.go
+++ b/internal/worker/direct_command.go
@@ -58,7 +58,7 @@
 // outcome yet.
 func (r *Registry) AnnouncementsInFlight() int { return r.calls.announcements }
 
-// HandleCallResult takes the outcome of a direct command; it tells whether the call was
+// HandleCallResult takes the outcome of a direct command; it reports whether the call was
 // the registry's. The worker's next heartbeat tells what became of a command. Only an
 // announcement that named the wrong incarnation is repeated with the right one, once.
 func (r *Registry) HandleCallResult(done event.CallResult, leadership Leadership, out *event.Effects) bool {
--- a/internal/worker/export_test.go
+++ b/internal/worker/export_test.go
@@ -10,5 +10,5 @@
 // ParseHeartbeat decodes a heartbeat without looking at earlier ones.
 var ParseHeartbeat = parseHeartbeat
 
-// Quarantined tells whether the machine is taken out of use as it is at fault.
+// Quarantined reports whether the machine is taken out of use as it is at fault.
 func (m *Machine) Quarantined() bool { return m.quarantined }
--- a/internal/worker/failure_detector.go
+++ b/internal/worker/failure_detector.go
@@ -81,7 +81,7 @@
 	return now - assignment.StartedAt()
 }
 
-// runsFor tells whether a task is running and has been for a time.
+// runsFor reports whether a task is running and has been for a time.
 func runsFor(assignment *pipeline.Assignment, needed, now event.Time) bool {
 	return assignment.Phase() == pipeline.TaskRunning && runTime(assignment, now) >= needed
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-// atFault tells whether enough jobs have failed on a machine to blame it.
+// atFault reports whether enough jobs have failed on a machine to blame it.
 func (d *failureDetector) atFault(machine *Machine, now event.Time) bool {
 	return d.provenFailures(machine, now) >= minFailedJobs || d.unprovenFailures(machine, now) >= minUnprovenJobs
 }
@@ -139,7 +139,7 @@
 	return count
 }
 
-// worksElsewhere tells whether tasks of a job have completed, or have been running
+// worksElsewhere reports whether tasks of a job have completed, or have been running
 // on other machines for longer than one ran on this machine before it failed.
 func (d *failureDetector) worksElsewhere(job *pipeline.Job, machine *Machine, ran, now event.Time) bool {
 	if job.DoneCount() > 0 {
--- a/internal/worker/fixture_test.go
+++ b/internal/worker/fixture_test.go
@@ -35,7 +35,7 @@
 		Names:            names,
 		Jobs:             jobs,
 		HeartbeatTimeout: heartbeatTimeout,
-		Log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Logger:           slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	return &cluster{Registry: registry, names: names, jobs: jobs, now: time.Second}
 }
--- a/internal/worker/heartbeat.go
+++ b/internal/worker/heartbeat.go
@@ -36,10 +36,10 @@
 	}
 }
 
-// lists tells whether a heartbeat shows a task.
+// lists reports whether a heartbeat shows a task.
 func (h *Heartbeat) lists(task string) bool {
 	return slices.ContainsFunc(h.Tasks, func(status TaskStatus) bool { return status.Task == task })
 }
 
-// exited tells whether the task has exited.
+// exited reports whether the task has exited.
 func (t *TaskStatus) exited() bool { return t.Phase == phaseExited }
--- a/internal/worker/heartbeat_handling.go
+++ b/internal/worker/heartbeat_handling.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// isStale tells whether a heartbeat is not newer than the last one.
+// isStale reports whether a heartbeat is not newer than the last one.
 func (c *contact) isStale(heartbeat *Heartbeat) bool {
 	if heartbeat.Incarnation != c.incarnation {
 		return heartbeat.Incarnation < c.incarnation
@@ -55,7 +55,7 @@
 	return heartbeat.Sequence <= c.sequence
 }
 
-// incarnationExpired tells whether the lease of a heartbeat's incarnation has expired
+// incarnationExpired reports whether the lease of a heartbeat's incarnation has expired
 // since the last response to it.
 func (c *contact) incarnationExpired(heartbeat *Heartbeat, now event.Time, leadership Leadership) bool {
 	if heartbeat.Incarnation != c.incarnation || c.lastResponse <= 0 {
--- a/internal/worker/heartbeat_parser.go
+++ b/internal/worker/heartbeat_parser.go
@@ -107,9 +107,9 @@
 
 func isDigit(char byte) bool { return char >= '0' && char <= '9' }
 
-// endsNumber tells whether a number in an object may end before a character. A
+// endsNumber reports whether a number in an object may end before a character. A
 // fraction or an exponent continues it.
 func endsNumber(char byte) bool { return char == ',' || char == '}' }
 
-// hasLeadingZero tells whether digits are no number in JSON.
+// hasLeadingZero reports whether digits are no number in JSON.
 func hasLeadingZero(digits []byte) bool { return len(digits) > 1 && digits[0] == '0' }
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -49,7 +49,7 @@
 // reachability is whether our responses reach the worker. Its heartbeats may go on
 // arriving where they do not.
 type reachability struct {
-	// tokenConfirmed tells whether a heartbeat carried our fencing token.
+	// tokenConfirmed reports whether a heartbeat carried our fencing token.
 	tokenConfirmed bool
 	// unreachableSince is since when our responses seem not to arrive, 0: they do.
 	unreachableSince       event.Time
@@ -88,24 +88,24 @@
 	lastAnnouncement event.Time
 }
 
-// Schedulable tells whether a machine can take tasks now. A machine that has sent no
+// Schedulable reports whether a machine can take tasks now. A machine that has sent no
 // heartbeat for heartbeatTimeout cannot.
 func (m *Machine) Schedulable(now event.Time, heartbeatTimeout time.Duration) bool {
 	responsive := m.lastHeartbeat > 0 && now-m.lastHeartbeat < heartbeatTimeout
 	return responsive && m.known && m.reachable() && m.accepting(now) && m.healthy()
 }
 
-// reachable tells whether our responses reach the worker.
+// reachable reports whether our responses reach the worker.
 func (r *reachability) reachable() bool {
 	return r.tokenConfirmed && r.unreachableSince == 0
 }
 
-// leaving tells whether the machine is to be released or reclaimed.
+// leaving reports whether the machine is to be released or reclaimed.
 func (l *lifecycle) leaving() bool {
 	return l.decommissioning || l.reclaimAt != 0
 }
 
-// accepting tells whether nothing forbids another task.
+// accepting reports whether nothing forbids another task.
 func (m *Machine) accepting(now event.Time) bool {
 	if m.leaving() || m.draining {
 		return false
@@ -113,7 +113,7 @@
 	return m.unknownTasks == 0 && now >= m.unavailableUntil
 }
 
-// healthy tells whether tasks run on the machine as they do elsewhere.
+// healthy reports whether tasks run on the machine as they do elsewhere.
 func (h *health) healthy() bool {
 	return !h.quarantined && len(h.slowJobs) < maxSlowJobs
 }
@@ -159,10 +159,10 @@
 // Zone is the index of the machine's zone, -1 if it is not known.
 func (m *Machine) Zone() int { return m.zone }
 
-// Spot tells whether the cloud may reclaim the machine.
+// Spot reports whether the cloud may reclaim the machine.
 func (m *Machine) Spot() bool { return m.spot }
 
-// Known tells whether the machine's type and zone are known.
+// Known reports whether the machine's type and zone are known.
 func (m *Machine) Known() bool { return m.known }
 
 // LastHeartbeat is when the last heartbeat was taken in this term, 0 if none was.
@@ -178,16 +178,16 @@
 // RelayedAt is when a heartbeat last came through another controller, 0: never.
 func (m *Machine) RelayedAt() event.Time { return m.relayedAt }
 
-// TokenConfirmed tells whether a heartbeat has carried the fencing token of this term.
+// TokenConfirmed reports whether a heartbeat has carried the fencing token of this term.
 func (m *Machine) TokenConfirmed() bool { return m.tokenConfirmed }
 
 // UnreachableSince is since when responses seem not to reach the worker, 0: they do.
 func (m *Machine) UnreachableSince() event.Time { return m.unreachableSince }
 
-// Decommissioning tells whether the machine is to be released, or is released.
+// Decommissioning reports whether the machine is to be released, or is released.
 func (m *Machine) Decommissioning() bool { return m.decommissioning }
 
-// Draining tells whether the machine is to be released once it is empty.
+// Draining reports whether the machine is to be released once it is empty.
 func (m *Machine) Draining() bool { return m.draining }
 
 // ReclaimAt is when the cloud reclaims the machine, 0: it has given no notice.
@@ -202,5 +202,5 @@
 // UnknownTasks is how many tasks are on the machine that no assignment explains.
 func (m *Machine) UnknownTasks() int { return m.unknownTasks }
 
-// HasImage tells whether the machine has fetched an image, by the image's index.
+// HasImage reports whether the machine has fetched an image, by the image's index.
 func (m *Machine) HasImage(image int) bool { return m.images[image] }
--- a/internal/worker/reachability.go
+++ b/internal/worker/reachability.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// UnreachableBeyondLease tells whether a machine has been unreachable for so long
+// UnreachableBeyondLease reports whether a machine has been unreachable for so long
 // that its tasks have terminated with its lease.
 func (r *Registry) UnreachableBeyondLease(machine *Machine, now event.Time, leadership Leadership) bool {
 	if machine.unreachableSince == 0 {
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -16,7 +16,7 @@
 	// HeartbeatTimeout is how long a machine may send no heartbeat before it counts as
 	// unresponsive.
 	HeartbeatTimeout time.Duration
-	Log              *slog.Logger
+	Logger           *slog.Logger
 }
 
 // Registry is the table of machines. It is not safe for concurrent use.
@@ -42,7 +42,7 @@
 		names:            cfg.Names,
 		jobs:             cfg.Jobs,
 		heartbeatTimeout: cfg.HeartbeatTimeout,
-		log:              cfg.Log,
+		log:              cfg.Logger,
 		runtimes:         runtimeRatios{},
 		calls:            directCalls{inFlight: map[uint64]directCall{}},
 		terminating:      map[int]bool{},
@@ -50,7 +50,7 @@
 	r.failures = failureDetector{
 		jobs:      cfg.Jobs,
 		machineAt: r.MachineAt,
-		log:       cfg.Log,
+		log:       cfg.Logger,
 		suspects:  map[int]bool{},
 	}
 	return r
--- a/internal/worker/task_status.go
+++ b/internal/worker/task_status.go
@@ -38,7 +38,7 @@
 	return found
 }
 
-// newCompletion tells whether a task without an assignment has completed though its
+// newCompletion reports whether a task without an assignment has completed though its
 // job does not know that yet. The result counts, whichever attempt it came from.
 func (t *reportedTask) newCompletion() bool {
 	if !t.exited() || t.Cause != causeCompleted || t.job == nil {
--- a/internal/worker/termination.go
+++ b/internal/worker/termination.go
@@ -52,7 +52,7 @@
 
 // sendTerminationsTo sends a worker the terminations that cannot wait for its next
 // heartbeat. Carried out late they do no harm: they name an attempt, and attempts are
-// not reused. It tells whether a task on the machine is still to be terminated.
+// not reused. It reports whether a task on the machine is still to be terminated.
 func (r *Registry) sendTerminationsTo(machine *Machine, now event.Time, leadership Leadership, out *event.Effects) (more bool) {
 	intervalOver := now-machine.lastTerminations >= terminationInterval
 	ready := intervalOver && machine.lastHeartbeat != 0 && machine.addr != ""
@@ -73,7 +73,7 @@
 	return more
 }
 
-// notTerminating tells whether a worker that has a task has not begun to terminate it.
+// notTerminating reports whether a worker that has a task has not begun to terminate it.
 func notTerminating(assignment *pipeline.Assignment) bool {
 	return assignment.Phase() != pipeline.TaskUnseen && assignment.Phase() < pipeline.TaskCheckpointing
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -13,7 +13,7 @@
 type Leadership interface {
 	// FencingToken is the token of our term.
 	FencingToken() uint64
-	// IsLeader tells whether tasks may be started now.
+	// IsLeader reports whether tasks may be started now.
 	IsLeader(now event.Time) bool
 	// ObserveFencingToken takes in a token that a worker has shown.
 	ObserveFencingToken(token uint64)
