--- a/cmd/limits/main.go
+++ b/cmd/limits/main.go
@@ -17,6 +17,7 @@
 	"fmt"
 	"io"
 	"os"
+	"slices"
 	"strings"
 )
 
@@ -71,8 +72,8 @@
 	if err := flags.Parse(args); err != nil {
 		return arguments{}, err
 	}
-	switch flags.NArg() {
-	case 1, 2:
+	named := !slices.Contains(flags.Args(), "") // an unset variable of a shell is no path
+	if n := flags.NArg(); named && (n == 1 || n == 2) {
 		return arguments{site: flags.Arg(0), report: flags.Arg(1)}, nil
 	}
 	return arguments{}, errors.New("usage: limits SITE.toml [REPORT.json]")
--- a/cmd/limits/main_test.go
+++ b/cmd/limits/main_test.go
@@ -160,6 +160,7 @@
 		{"site and report", []string{"a", "b"}, arguments{site: "a", report: "b"}, ""},
 		{"none", nil, arguments{}, "usage: limits SITE.toml [REPORT.json]"},
 		{"too many", []string{"a", "b", "c"}, arguments{}, "usage: limits SITE.toml [REPORT.json]"},
+		{"empty report", []string{"a", ""}, arguments{}, "usage: limits SITE.toml [REPORT.json]"},
 		{"help", []string{"--help"}, arguments{}, flag.ErrHelp.Error()},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/pipeline/assignment.go
+++ b/internal/pipeline/assignment.go
@@ -14,7 +14,7 @@
 	Machine int
 	Attempt uint64
 
-	durable bool // the replica shows it
+	durable bool // the watch cache shows it
 	written bool // part of a write that was or may still be carried out
 	omitted bool // left out of a write that is under way
 
@@ -57,7 +57,7 @@
 	TaskExited
 )
 
-// Durable reports whether the state service has the assignment, as the replica shows.
+// Durable reports whether the state service has the assignment, as the watch cache shows.
 func (a *Assignment) Durable() bool { return a.durable }
 
 // Stored reports whether the state service has the assignment as it is, without a
--- a/internal/pipeline/completion.go
+++ b/internal/pipeline/completion.go
@@ -51,7 +51,7 @@
 	}
 	for index := range job.segments {
 		if now < job.segments[index].nextWrite {
-			return true // the replica does not show what was written last
+			return true // the watch cache does not show what was written last
 		}
 	}
 	job.terminalWriteInFlight = true
@@ -65,7 +65,7 @@
 	return true
 }
 
-// buildTerminalWrite fills in the terminal record. It requires the job's record as the replica
+// buildTerminalWrite fills in the terminal record. It requires the job's record as the watch cache
 // shows it and no terminal record, so it loses against a cancellation that came first.
 func (j *Job) buildTerminalWrite(txn *kv.Txn, term kv.Compare) bool {
 	if !j.complete() {
--- a/internal/pipeline/flush.go
+++ b/internal/pipeline/flush.go
@@ -141,7 +141,7 @@
 }
 
 // failed keeps the pending write. If the failed one was carried out unseen, its
-// retry conflicts until the replica shows it, then builds on it.
+// retry conflicts until the watch cache shows it, then builds on it.
 func (w *segmentWrite) failed(result kv.Result) {
 	segment := w.segment()
 	segment.nextWrite = result.Now + retryAfter(result, &segment.rejectedWrites)
@@ -193,7 +193,7 @@
 }
 
 // buildSegmentWrite fills in the write of a segment as things stand. It requires the
-// stored revision to be the one that the replica shows, and no placement is written
+// stored revision to be the one that the watch cache shows, and no placement is written
 // once the job has its terminal record.
 func (t *Table) buildSegmentWrite(txn *kv.Txn, job *Job, index int, term kv.Compare) bool {
 	segment := &job.segments[index]
--- a/internal/pipeline/garbage_collection.go
+++ b/internal/pipeline/garbage_collection.go
@@ -37,7 +37,7 @@
 }
 
 // recordDeletion returns the deletion of a job's records, each on condition of the
-// revision that the replica shows. Segments beyond the limit on writes follow later.
+// revision that the watch cache shows. Segments beyond the limit on writes follow later.
 func (t *Table) recordDeletion(job *Job, term kv.Compare) *kv.Txn {
 	txn := &kv.Txn{Priority: kv.PriorityGarbageCollection, Compares: []kv.Compare{term}}
 	remove := func(key string, modRevision uint64) {
--- a/internal/pipeline/job_end.go
+++ b/internal/pipeline/job_end.go
@@ -2,7 +2,7 @@
 
 import "lugward/internal/record"
 
-// onTerminal takes a terminal record of the replica. It reports whether the record is
+// onTerminal takes a terminal record of the watch cache. It reports whether the record is
 // new: it never changes, and may be shown twice.
 func (t *Table) onTerminal(id string, data []byte) (isNew bool, err error) {
 	if data == nil || t.Terminal.Has(id) {
@@ -24,7 +24,7 @@
 	return true, nil
 }
 
-// maybeEnd takes over a terminal record in the job's own state.
+// endJob takes over a terminal record in the job's own state.
 func (t *Table) endJob(job *Job, phase Phase) {
 	job.TerminalPhase = phase
 	t.unlink(job)
--- a/internal/pipeline/job_index.go
+++ b/internal/pipeline/job_index.go
@@ -2,7 +2,7 @@
 
 import "iter"
 
-// jobIndex holds the jobs by ID and by indei. The index of a job that is removed serves
+// jobIndex holds the jobs by ID and by index. The index of a job that is removed serves
 // another, so that indices stay dense.
 type jobIndex struct {
 	byID        map[string]*Job
@@ -40,7 +40,7 @@
 	i.jobs[job.Index] = job
 }
 
-// remove removes a job and frees its indei.
+// remove removes a job and frees its index.
 func (i *jobIndex) remove(job *Job) {
 	delete(i.byID, job.ID)
 	i.jobs[job.Index] = nil
--- a/internal/pipeline/record_write.go
+++ b/internal/pipeline/record_write.go
@@ -12,7 +12,7 @@
 	// writeTimeout is how long a queued write waits for the write rate before it
 	// is given up and queued anew.
 	writeTimeout = 20 * time.Second
-	// retryWait is the pause after a write that failed: the replica needs
+	// retryWait is the pause after a write that failed: the watch cache needs
 	// about that long to show what the state service holds.
 	retryWait = 200 * time.Millisecond
 	// maxRetryWait bounds the pause after writes that the state service rejects.
@@ -52,7 +52,7 @@
 }
 
 // submitRecordWrite queues the writes of a job's readiness or cancellation on condition of
-// the job's record as the replica shows it and of no terminal record, so that of several
+// the job's record as the watch cache shows it and of no terminal record, so that of several
 // controllers only one succeeds; inFlight counts such writes.
 func (j *Job) submitRecordWrite(inFlight *int, now event.Time, submitter TxnSubmitter, txn *kv.Txn) {
 	j.recordWriteInFlight = true
--- a/internal/pipeline/record_write_test.go
+++ b/internal/pipeline/record_write_test.go
@@ -10,7 +10,7 @@
 	"lugward/internal/record"
 )
 
-// Several controllers may write that a job is ready: only the replica shows that one of
+// Several controllers may write that a job is ready: only the watch cache shows that one of
 // them succeeded, and a write that lost is retried after a pause.
 func TestReadinessWrite(t *testing.T) {
 	f := newFixture()
--- a/internal/pipeline/retry_records.go
+++ b/internal/pipeline/retry_records.go
@@ -10,7 +10,7 @@
 	"lugward/internal/record"
 )
 
-// storedRetry is a retry state as the replica shows it.
+// storedRetry is a retry state as the watch cache shows it.
 type storedRetry struct {
 	record.Retry
 	modRevision uint64
@@ -37,7 +37,7 @@
 	t.retries.unsaved[job] = true
 }
 
-// onRetry takes a retry record of the replica.
+// onRetry takes a retry record of the watch cache.
 func (t *Table) onRetry(id string, data []byte, modRevision uint64) error {
 	if data == nil {
 		delete(t.retries.stored, id)
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -23,7 +23,7 @@
 	OnRefusedRecord func(key string, err error)
 }
 
-// Table is the replica of the graph with the leader's pending writes.
+// Table is the watch cache of the graph with the leader's pending writes.
 type Table struct {
 	Names    *Names
 	Terminal TerminalRecords
@@ -88,7 +88,7 @@
 // ClearRoundRequest notes that a round begins.
 func (t *Table) ClearRoundRequest() { t.roundRequested = false }
 
-// HandleChange takes one change of the replica; data is nil if the key was deleted.
+// HandleChange takes one change of the watch cache; data is nil if the key was deleted.
 func (t *Table) HandleChange(kind record.Kind, rest string, data []byte, modRevision uint64) {
 	changed, err := t.applyChange(kind, rest, data, modRevision)
 	if err != nil && t.config.OnRefusedRecord != nil {
@@ -99,7 +99,7 @@
 	}
 }
 
-// applyChange takes a change of the replica. It reports whether the change may matter
+// applyChange takes a change of the watch cache. It reports whether the change may matter
 // to placement. An error means that the record cannot be decoded.
 func (t *Table) applyChange(kind record.Kind, rest string, data []byte, modRevision uint64) (changed bool, err error) {
 	switch kind {
@@ -161,7 +161,7 @@
 	t.remove(job)
 }
 
-// onJob takes a job's record of the replica.
+// onJob takes a job's record of the watch cache.
 func (t *Table) onJob(id string, data []byte, modRevision uint64) error {
 	if data == nil {
 		t.onJobDeleted(id)
--- a/internal/pipeline/upstream_pages.go
+++ b/internal/pipeline/upstream_pages.go
@@ -84,7 +84,7 @@
 	return list, true
 }
 
-// onUpstreamPage takes a page of the replica.
+// onUpstreamPage takes a page of the watch cache.
 func (t *Table) onUpstreamPage(id string, number int, data []byte, modRevision uint64) error {
 	if data == nil {
 		t.pages.remove(id, number)
--- a/internal/record/compact.go
+++ b/internal/record/compact.go
@@ -211,8 +211,15 @@
 	return active, nil
 }
 
-// compactError names the part of a compact list that breaks the grammar.
-func compactError(part string) error { return fmt.Errorf("%w: %q", ErrCompactText, part) }
+// maxQuotedBytes bounds what an error quotes of a compact list: a damaged one may be as
+// long as a value of the store.
+const maxQuotedBytes = 64
+
+// compactError names the part of a compact list that breaks the grammar, by its first
+// bytes.
+func compactError(part string) error {
+	return fmt.Errorf("%w: %q", ErrCompactText, part[:min(len(part), maxQuotedBytes)])
+}
 
 // parseRule reads the rule of a whole record.
 func parseRule(text string) (attemptRule, error) {
--- a/internal/simtest/random_faults_test.go
+++ b/internal/simtest/random_faults_test.go
@@ -282,7 +282,7 @@
 func TestSeedsThatBroke(t *testing.T) {
 	for _, seed := range []uint64{
 		27732, // all machines terminated: every leader yields before its proof of silence
-		25980, // a term begins before the replica holds what was stored before it
+		25980, // a term begins before the watch cache holds what was stored before it
 	} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRandomJobs(t, seed) })
 	}
