--- a/internal/api/feasibility.go
+++ b/internal/api/feasibility.go
@@ -77,7 +77,7 @@
 // usableZones reports whether a task fits a machine type at all, and the number
 // of zones that offer such types.
 func (s *Server) usableZones(spec *pipeline.Spec) (fits bool, zones int) {
-	usable := map[int]bool{}
+	usable := map[pipeline.ZoneIndex]bool{}
 	for _, machineType := range *s.machineTypes {
 		if !machineType.CanRun(spec) {
 			continue
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -41,7 +41,7 @@
 		n.jobs.HandleChange(record.Kind(kind), rest, data, modRevision)
 	}
 	n.client = kv.New(kv.Config{Addr: "s", Limits: limits, StaleAfter: time.Hour, OnChange: onChange})
-	machineTypes := &scheduler.MachineTypes{{Index: names.MachineTypes.Index("m"), CPUs: 8, Memory: 32, Zones: []int{0}}}
+	machineTypes := &scheduler.MachineTypes{{Index: names.MachineTypes.Index("m"), CPUs: 8, Memory: 32, Zones: []pipeline.ZoneIndex{0}}}
 	n.server = New(Config{
 		Label:         label,
 		Teams:         []config.Team{{Name: "red"}, {Name: "small", CPUsMax: 2, GPUsMax: 1}},
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -77,7 +77,7 @@
 	}
 	a.booting = &bootingMachines{
 		catalog:   a.catalog,
-		bootTimes: &bootTimes{catalog: a.catalog, histories: map[int]*bootHistory{}},
+		bootTimes: &bootTimes{catalog: a.catalog, histories: map[pipeline.MachineTypeIndex]*bootHistory{}},
 	}
 	a.connectCloud(cfg)
 	a.connectWorkers(cfg)
@@ -276,7 +276,9 @@
 }
 
 // IsBooting reports whether a machine is expected to register, by its index.
-func (a *Autoscaler) IsBooting(machine int) bool { return a.booting.get(machine) != nil }
+func (a *Autoscaler) IsBooting(machine pipeline.MachineIndex) bool {
+	return a.booting.get(machine) != nil
+}
 
 // HasUnregisteredMachines reports whether the cloud lists a machine as running that has
 // sent us no heartbeat.
--- a/internal/autoscaler/boot_times.go
+++ b/internal/autoscaler/boot_times.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/pipeline"
 	"lugward/internal/scheduler"
 )
 
@@ -56,11 +57,11 @@
 // bootTimes estimates how long machines take to boot.
 type bootTimes struct {
 	catalog   *machineTypeCatalog
-	histories map[int]*bootHistory // by machine type
+	histories map[pipeline.MachineTypeIndex]*bootHistory // by machine type
 }
 
 // record records how long a machine of a type took to boot.
-func (b *bootTimes) record(machineType int, took time.Duration) {
+func (b *bootTimes) record(machineType pipeline.MachineTypeIndex, took time.Duration) {
 	known := b.catalog.get(machineType)
 	if known == nil || known.BootTime <= 0 {
 		return
--- a/internal/autoscaler/booting.go
+++ b/internal/autoscaler/booting.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"lugward/internal/event"
+	"lugward/internal/pipeline"
 	"lugward/internal/worker"
 )
 
@@ -24,16 +25,16 @@
 	catalog   *machineTypeCatalog
 	bootTimes *bootTimes
 
-	byIndex map[int]*bootingMachine // by machine
+	byIndex map[pipeline.MachineIndex]*bootingMachine // by machine
 }
 
 // reset forgets all machines.
 func (b *bootingMachines) reset() {
-	b.byIndex = map[int]*bootingMachine{}
+	b.byIndex = map[pipeline.MachineIndex]*bootingMachine{}
 }
 
 // get returns a machine by its index, nil where it is not booting.
-func (b *bootingMachines) get(index int) *bootingMachine { return b.byIndex[index] }
+func (b *bootingMachines) get(index pipeline.MachineIndex) *bootingMachine { return b.byIndex[index] }
 
 // add adds a machine or replaces what was known of it.
 func (b *bootingMachines) add(machine *worker.Machine, booting *bootingMachine) {
@@ -41,12 +42,12 @@
 }
 
 // remove forgets a machine by its index.
-func (b *bootingMachines) remove(index int) { delete(b.byIndex, index) }
+func (b *bootingMachines) remove(index pipeline.MachineIndex) { delete(b.byIndex, index) }
 
 // all iterates over the machines in the order of their indices. They may be removed
 // meanwhile.
-func (b *bootingMachines) all() iter.Seq2[int, *bootingMachine] {
-	return func(yield func(int, *bootingMachine) bool) {
+func (b *bootingMachines) all() iter.Seq2[pipeline.MachineIndex, *bootingMachine] {
+	return func(yield func(pipeline.MachineIndex, *bootingMachine) bool) {
 		for _, index := range slices.Sorted(maps.Keys(b.byIndex)) {
 			if !yield(index, b.byIndex[index]) {
 				return
@@ -56,7 +57,7 @@
 }
 
 // isRunning reports whether the cloud lists a machine as running that has not registered.
-func (b *bootingMachines) isRunning(index int) bool {
+func (b *bootingMachines) isRunning(index pipeline.MachineIndex) bool {
 	booting := b.byIndex[index]
 	return booting != nil && booting.running
 }
--- a/internal/autoscaler/capacity_forecast.go
+++ b/internal/autoscaler/capacity_forecast.go
@@ -12,9 +12,9 @@
 // asked for now is up. Tasks are placed on it for planning only.
 type capacityForecast struct {
 	now             event.Time
-	capacities      []*scheduler.Capacity       // of machines that are up, booting or asked for; nil where the type is not known
-	booting         map[int]*scheduler.Capacity // those of booting machines, by machine
-	releasedSeconds float64                     // capacity of tasks that end within so many seconds is free
+	capacities      []*scheduler.Capacity                         // of machines that are up, booting or asked for; nil where the type is not known
+	booting         map[pipeline.MachineIndex]*scheduler.Capacity // those of booting machines, by machine
+	releasedSeconds float64                                       // capacity of tasks that end within so many seconds is free
 }
 
 // add adds the capacity of a machine that is asked for.
@@ -23,7 +23,7 @@
 }
 
 // addBooting adds the capacity of a booting machine.
-func (f *capacityForecast) addBooting(machine int, capacity *scheduler.Capacity) {
+func (f *capacityForecast) addBooting(machine pipeline.MachineIndex, capacity *scheduler.Capacity) {
 	f.booting[machine] = capacity
 	if capacity != nil {
 		f.add(capacity)
@@ -53,7 +53,7 @@
 
 // place places tasks of a job in a zone, or in any. It updates the tasks in each zone
 // and returns how many tasks are left.
-func (f *capacityForecast) place(job *pipeline.Job, tasks int, tasksPerZone map[int]int, zone int) (left int) {
+func (f *capacityForecast) place(job *pipeline.Job, tasks int, tasksPerZone scheduler.ZoneCounts, zone pipeline.ZoneIndex) (left int) {
 	left = tasks
 	for _, capacity := range f.capacities {
 		if left == 0 {
@@ -73,7 +73,7 @@
 }
 
 // isUsable reports whether tasks of a job may be placed on a machine.
-func (f *capacityForecast) isUsable(job *pipeline.Job, capacity *scheduler.Capacity, zone int) bool {
+func (f *capacityForecast) isUsable(job *pipeline.Job, capacity *scheduler.Capacity, zone pipeline.ZoneIndex) bool {
 	if capacity == nil || !capacity.Matches(&job.Spec) {
 		return false
 	}
@@ -84,7 +84,7 @@
 }
 
 // missing is how many of a job's tasks find no capacity in a zone; it may be negative.
-func (f *capacityForecast) missing(job *pipeline.Job, tasks, zone int) int {
+func (f *capacityForecast) missing(job *pipeline.Job, tasks int, zone pipeline.ZoneIndex) int {
 	missing := tasks
 	for _, capacity := range f.capacities {
 		if capacity != nil && capacity.Zone == zone && capacity.Matches(&job.Spec) {
--- a/internal/autoscaler/fixture_test.go
+++ b/internal/autoscaler/fixture_test.go
@@ -72,7 +72,7 @@
 		Jobs:             f.jobs,
 		Workers:          f.workers,
 		MachineTypes:     f.MachineTypes(),
-		Teams:            map[int]config.Team{f.names.Teams.Index(team): {CPUsMax: maxCPUs}},
+		Teams:            map[pipeline.TeamIndex]config.Team{f.names.Teams.Index(team): {CPUsMax: maxCPUs}},
 		HeartbeatTimeout: testHeartbeatTimeout,
 	})
 }
--- a/internal/autoscaler/machine_pool.go
+++ b/internal/autoscaler/machine_pool.go
@@ -23,8 +23,8 @@
 // machinePool is what the cloud provisions machines from: a machine type in a zone, as
 // spot machines or not.
 type machinePool struct {
-	machineType int
-	zone        int
+	machineType pipeline.MachineTypeIndex
+	zone        pipeline.ZoneIndex
 	spot        bool
 }
 
@@ -58,9 +58,9 @@
 type poolQuery struct {
 	job          *pipeline.Job
 	tasks        int
-	tasksPerZone map[int]int         // tasks of the job that are in each zone already
-	zone         int                 // the only one allowed, or pipeline.AnyZone
-	needed       map[machinePool]int // machines that the plan asks for already
+	tasksPerZone scheduler.ZoneCounts // tasks of the job that are in each zone already
+	zone         pipeline.ZoneIndex   // the only one allowed, or pipeline.AnyZone
+	needed       map[machinePool]int  // machines that the plan asks for already
 }
 
 // poolCandidate is a pool that has machines for a query.
--- a/internal/autoscaler/machine_pool_test.go
+++ b/internal/autoscaler/machine_pool_test.go
@@ -17,7 +17,7 @@
 		name       string
 		since      event.Time
 		otherPrice float64
-		want       int
+		want       pipeline.MachineTypeIndex
 	}{
 		{name: "boots as stated", since: 4 * statedBootTime, otherPrice: 2, want: own},
 		{name: "overdue", since: time.Second, otherPrice: 2, want: other},
@@ -26,8 +26,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t, Config{})
 			f.catalog.types = scheduler.MachineTypes{
-				{Index: own, CPUs: 4, Price: 1, SpotPrice: 1, BootTime: statedBootTime.Seconds(), Zones: []int{0}},
-				{Index: other, CPUs: 4, Price: test.otherPrice, SpotPrice: test.otherPrice, BootTime: statedBootTime.Seconds(), Zones: []int{0}},
+				{Index: own, CPUs: 4, Price: 1, SpotPrice: 1, BootTime: statedBootTime.Seconds(), Zones: []pipeline.ZoneIndex{0}},
+				{Index: other, CPUs: 4, Price: test.otherPrice, SpotPrice: test.otherPrice, BootTime: statedBootTime.Seconds(), Zones: []pipeline.ZoneIndex{0}},
 			}
 			f.booting.byIndex[7] = &bootingMachine{since: test.since}
 			f.booting.byIndex[8] = &bootingMachine{pool: machinePool{spot: true}, since: test.since}
--- a/internal/autoscaler/machine_types.go
+++ b/internal/autoscaler/machine_types.go
@@ -37,7 +37,7 @@
 }
 
 // get returns a machine type, or nil where it is not known.
-func (c *machineTypeCatalog) get(index int) *scheduler.MachineType {
+func (c *machineTypeCatalog) get(index pipeline.MachineTypeIndex) *scheduler.MachineType {
 	return c.types.Get(index)
 }
 
@@ -84,7 +84,7 @@
 func (c *machineTypeCatalog) apply(list wireMachineTypes) {
 	for i := range list.MachineTypes {
 		machineType := list.MachineTypes[i].machineType(c.names)
-		for len(c.types) <= machineType.Index {
+		for pipeline.MachineTypeIndex(len(c.types)) <= machineType.Index {
 			c.types = append(c.types, nil)
 		}
 		c.types[machineType.Index] = machineType
--- a/internal/autoscaler/partitions.go
+++ b/internal/autoscaler/partitions.go
@@ -18,19 +18,19 @@
 	log              *slog.Logger
 	heartbeatTimeout time.Duration
 
-	partitioned map[int]bool // by zone
+	partitioned map[pipeline.ZoneIndex]bool // by zone
 }
 
 // reset forgets all partitions.
 func (d *partitionDetector) reset() { d.partitioned = nil }
 
 // isPartitioned reports whether a zone is partitioned from this controller.
-func (d *partitionDetector) isPartitioned(zone int) bool { return d.partitioned[zone] }
+func (d *partitionDetector) isPartitioned(zone pipeline.ZoneIndex) bool { return d.partitioned[zone] }
 
 // runningByZone lists the machines of each zone that are up, unresponsive ones
 // included.
-func (d *partitionDetector) runningByZone() map[int][]*worker.Machine {
-	zones := map[int][]*worker.Machine{}
+func (d *partitionDetector) runningByZone() map[pipeline.ZoneIndex][]*worker.Machine {
+	zones := map[pipeline.ZoneIndex][]*worker.Machine{}
 	for machine := range d.workers.All() {
 		if machine.Decommissioning() {
 			continue
@@ -44,8 +44,8 @@
 
 // update finds the zones that are partitioned now, given the running machines of each
 // zone.
-func (d *partitionDetector) update(zones map[int][]*worker.Machine, now event.Time) {
-	partitioned := map[int]bool{}
+func (d *partitionDetector) update(zones map[pipeline.ZoneIndex][]*worker.Machine, now event.Time) {
+	partitioned := map[pipeline.ZoneIndex]bool{}
 	for zone, machines := range zones {
 		lost := d.countLost(machines, now)
 		// A single lost machine says nothing of its zone.
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -22,8 +22,8 @@
 type scan struct {
 	now        event.Time
 	leadership worker.Leadership
-	term       kv.Compare                // condition of all writes
-	zones      map[int][]*worker.Machine // the running machines of each zone
+	term       kv.Compare                               // condition of all writes
+	zones      map[pipeline.ZoneIndex][]*worker.Machine // the running machines of each zone
 }
 
 // scaleIn decides which machines are decommissioned.
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -36,11 +36,11 @@
 	idleTimeout time.Duration
 
 	forecast       *capacityForecast
-	preempting     []*pipeline.Assignment // tasks that are being stopped
-	preemptedTasks map[*pipeline.Job]int  // how many of them a job has: they need capacity again
-	committed      map[int]pipeline.Usage // by team: what this plan provides capacity for
-	waves          taskWaves              // of short tasks
-	needed         map[machinePool]int    // machines to be asked for
+	preempting     []*pipeline.Assignment                // tasks that are being stopped
+	preemptedTasks map[*pipeline.Job]int                 // how many of them a job has: they need capacity again
+	committed      map[pipeline.TeamIndex]pipeline.Usage // by team: what this plan provides capacity for
+	waves          taskWaves                             // of short tasks
+	needed         map[machinePool]int                   // machines to be asked for
 }
 
 // newPlan returns a plan with the capacity of all machines that are or will be up.
@@ -68,7 +68,7 @@
 		forecast:       p.forecast(now, capacities),
 		preempting:     preempting,
 		preemptedTasks: preemptedTasks,
-		committed:      map[int]pipeline.Usage{},
+		committed:      map[pipeline.TeamIndex]pipeline.Usage{},
 		waves:          taskWaves{},
 		needed:         map[machinePool]int{},
 	}
@@ -80,7 +80,7 @@
 	forecast := &capacityForecast{
 		now:        now,
 		capacities: capacities,
-		booting:    map[int]*scheduler.Capacity{},
+		booting:    map[pipeline.MachineIndex]*scheduler.Capacity{},
 	}
 	for index, booting := range p.booting.all() {
 		if p.isExpected(index, booting, now) {
@@ -96,7 +96,7 @@
 }
 
 // isExpected reports whether a booting machine is expected to register soon.
-func (p *planner) isExpected(index int, booting *bootingMachine, now event.Time) bool {
+func (p *planner) isExpected(index pipeline.MachineIndex, booting *bootingMachine, now event.Time) bool {
 	machine := p.workers.MachineAt(index)
 	if machine == nil || machine.Decommissioning() || machine.LastHeartbeat() != 0 {
 		return false
@@ -158,7 +158,7 @@
 }
 
 // addMachines places tasks on machines to be asked for.
-func (p *plan) addMachines(job *pipeline.Job, left int, tasksPerZone map[int]int, zone int) {
+func (p *plan) addMachines(job *pipeline.Job, left int, tasksPerZone scheduler.ZoneCounts, zone pipeline.ZoneIndex) {
 	for left > 0 {
 		best, found := p.pools.cheapest(poolQuery{job: job, tasks: left, tasksPerZone: tasksPerZone, zone: zone, needed: p.needed})
 		if !found {
@@ -192,7 +192,7 @@
 // onlyZone returns the zone to which a job that must stay in one is bound: the one
 // where its tasks may still be, else the one where the missing machines cost least. It
 // is pipeline.AnyZone where the job may use several. ok is false where there is none.
-func (p *plan) onlyZone(job *pipeline.Job, tasksPerZone map[int]int, tasks int) (zone int, ok bool) {
+func (p *plan) onlyZone(job *pipeline.Job, tasksPerZone scheduler.ZoneCounts, tasks int) (zone pipeline.ZoneIndex, ok bool) {
 	if !job.SameZone {
 		return pipeline.AnyZone, true
 	}
@@ -201,7 +201,7 @@
 		return zone, len(tasksPerZone) == 1 && zone >= 0
 	}
 	least := math.Inf(1)
-	for candidate := range p.zoneCount {
+	for candidate := range pipeline.ZoneIndex(p.zoneCount) {
 		cost, possible := p.costInZone(job, tasksPerZone, tasks, candidate)
 		if possible && cost < least {
 			least = cost
@@ -213,7 +213,7 @@
 }
 
 // costInZone is what the machines cost per hour that a job's tasks lack in a zone.
-func (p *plan) costInZone(job *pipeline.Job, tasksPerZone map[int]int, tasks, zone int) (cost float64, possible bool) {
+func (p *plan) costInZone(job *pipeline.Job, tasksPerZone scheduler.ZoneCounts, tasks int, zone pipeline.ZoneIndex) (cost float64, possible bool) {
 	missing := p.forecast.missing(job, tasks, zone)
 	if missing <= 0 {
 		return 0, true
--- a/internal/autoscaler/task_waves.go
+++ b/internal/autoscaler/task_waves.go
@@ -16,7 +16,7 @@
 // taskWaves counts, per class and within one plan, the slots for short tasks that run
 // in waves, one after the other. Fractions add up over jobs, so that many small jobs
 // share a slot as one large job does.
-type taskWaves map[int]float64
+type taskWaves map[pipeline.ClassIndex]float64
 
 // slots returns for how many of a job's waiting tasks there is to be a slot once a
 // machine that is provisioned now is up. A machine pays off only if it has work for as
--- a/internal/controller/build.go
+++ b/internal/controller/build.go
@@ -56,8 +56,8 @@
 }
 
 // indexTeams returns the settings of the teams by their index.
-func (c *Controller) indexTeams() map[int]config.Team {
-	teams := map[int]config.Team{}
+func (c *Controller) indexTeams() map[pipeline.TeamIndex]config.Team {
+	teams := map[pipeline.TeamIndex]config.Team{}
 	for _, team := range c.cfg.Settings.Teams {
 		teams[c.names.Teams.Index(team.Name)] = team
 	}
@@ -146,7 +146,7 @@
 }
 
 // newScheduler builds the scheduler.
-func (c *Controller) newScheduler(teams map[int]config.Team) *scheduler.Scheduler {
+func (c *Controller) newScheduler(teams map[pipeline.TeamIndex]config.Team) *scheduler.Scheduler {
 	return scheduler.New(scheduler.Config{
 		Jobs:              c.jobs,
 		Workers:           c.workers,
--- a/internal/controller/machine_sweep.go
+++ b/internal/controller/machine_sweep.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/pipeline"
 )
 
 // machineSweepInterval is the time between two sweeps for machines that are gone. A
@@ -18,7 +19,7 @@
 		return
 	}
 	c.heartbeats.parser.Retain(func(name string) bool { return c.workers.Lookup(name) != nil })
-	for index := range c.names.Machines.Len() {
+	for index := range pipeline.MachineIndex(c.names.Machines.Len()) {
 		if c.names.Machines.Used(index) && !c.refersToMachine(index) {
 			c.jobs.ForgetMachine(index)
 			c.names.Machines.Release(index)
@@ -27,7 +28,7 @@
 }
 
 // refersToMachine reports whether a machine's index is in use.
-func (c *Controller) refersToMachine(index int) bool {
+func (c *Controller) refersToMachine(index pipeline.MachineIndex) bool {
 	known := c.workers.MachineAt(index) != nil || c.autoscaler.IsBooting(index)
 	return known || len(c.jobs.OnMachine(index)) > 0 || c.heartbeats.pending.get(index) != nil
 }
--- a/internal/controller/pending_heartbeats.go
+++ b/internal/controller/pending_heartbeats.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/pipeline"
 	"lugward/internal/worker"
 )
 
@@ -26,7 +27,7 @@
 type pendingHeartbeat struct {
 	replyTo    replyTarget
 	heartbeat  *worker.Heartbeat
-	machine    int // index
+	machine    pipeline.MachineIndex // index
 	receivedAt event.Time
 	idle       bool // its machine is idle, so it waits for idleHeartbeatAnswerTimeout
 	answered   bool
@@ -37,19 +38,19 @@
 // so one is reviewed only when something about its machine has changed, when a
 // scheduling round is over, or when its timeout has passed.
 type pendingHeartbeats struct {
-	byMachine map[int]*pendingHeartbeat
+	byMachine map[pipeline.MachineIndex]*pendingHeartbeat
 	// Queues by time, oldest first. A heartbeat that is answered, or has moved to
 	// the queue of idle machines, leaves a queue when it comes to the head.
-	queue        []*pendingHeartbeat // due after heartbeatAnswerTimeout
-	idleQueue    []*pendingHeartbeat // due after idleHeartbeatAnswerTimeout
-	idleCount    int                 // unanswered ones in idleQueue
-	idleLimit    int                 // of idleCount, so that sockets are left for others
-	toReview     []int               // machines whose heartbeats are to be reviewed
-	roundAwaited bool                // at the last review a change waited for its round
+	queue        []*pendingHeartbeat     // due after heartbeatAnswerTimeout
+	idleQueue    []*pendingHeartbeat     // due after idleHeartbeatAnswerTimeout
+	idleCount    int                     // unanswered ones in idleQueue
+	idleLimit    int                     // of idleCount, so that sockets are left for others
+	toReview     []pipeline.MachineIndex // machines whose heartbeats are to be reviewed
+	roundAwaited bool                    // at the last review a change waited for its round
 }
 
 func newPendingHeartbeats(idleLimit int) pendingHeartbeats {
-	return pendingHeartbeats{byMachine: map[int]*pendingHeartbeat{}, idleLimit: idleLimit}
+	return pendingHeartbeats{byMachine: map[pipeline.MachineIndex]*pendingHeartbeat{}, idleLimit: idleLimit}
 }
 
 // add adds a heartbeat. It returns the one that the same machine has sent before, if
@@ -66,7 +67,9 @@
 }
 
 // get returns the heartbeat of a machine that waits, nil if there is none.
-func (p *pendingHeartbeats) get(machine int) *pendingHeartbeat { return p.byMachine[machine] }
+func (p *pendingHeartbeats) get(machine pipeline.MachineIndex) *pendingHeartbeat {
+	return p.byMachine[machine]
+}
 
 // empty reports whether no heartbeat waits.
 func (p *pendingHeartbeats) empty() bool { return len(p.byMachine) == 0 }
@@ -94,7 +97,7 @@
 
 // takeToReview returns the machines whose heartbeats are to be reviewed: those of new
 // heartbeats and those that have changed.
-func (p *pendingHeartbeats) takeToReview(changed []int) []int {
+func (p *pendingHeartbeats) takeToReview(changed []pipeline.MachineIndex) []pipeline.MachineIndex {
 	machines := p.toReview
 	p.toReview = nil
 	return append(machines, changed...)
@@ -102,7 +105,7 @@
 
 // appendAfterRound appends the machines of the heartbeats that waited for a
 // scheduling round, if that is over.
-func (p *pendingHeartbeats) appendAfterRound(machines []int, roundRequested bool) []int {
+func (p *pendingHeartbeats) appendAfterRound(machines []pipeline.MachineIndex, roundRequested bool) []pipeline.MachineIndex {
 	roundOver := p.roundAwaited && !roundRequested
 	p.roundAwaited = roundRequested
 	if !roundOver {
--- a/internal/controller/pending_heartbeats_test.go
+++ b/internal/controller/pending_heartbeats_test.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"lugward/internal/pipeline"
+
 	"slices"
 	"testing"
 	"time"
@@ -10,7 +12,7 @@
 const longAfter = time.Hour
 
 // addPending adds a heartbeat of a machine to those that wait.
-func addPending(t *testing.T, p *pendingHeartbeats, machine int) *pendingHeartbeat {
+func addPending(t *testing.T, p *pendingHeartbeats, machine pipeline.MachineIndex) *pendingHeartbeat {
 	t.Helper()
 	pending := &pendingHeartbeat{machine: machine, receivedAt: time.Duration(machine) * time.Second}
 	if replaced := p.add(pending); replaced != nil {
@@ -40,21 +42,21 @@
 var queueTests = []struct {
 	name        string
 	change      func(p *pendingHeartbeats, list []*pendingHeartbeat)
-	overdue     int   // machine of the next overdue heartbeat, 0: none
-	overdueIdle int   // the same, of idle machines
-	all         []int // machines of all that wait
+	overdue     pipeline.MachineIndex   // machine of the next overdue heartbeat, 0: none
+	overdueIdle pipeline.MachineIndex   // the same, of idle machines
+	all         []pipeline.MachineIndex // machines of all that wait
 }{
-	{"all wait", func(*pendingHeartbeats, []*pendingHeartbeat) {}, 1, 0, []int{1, 2, 3}},
-	{"oldest answered", func(p *pendingHeartbeats, list []*pendingHeartbeat) { p.markAnswered(list[0]) }, 2, 0, []int{2, 3}},
-	{"oldest idle", func(p *pendingHeartbeats, list []*pendingHeartbeat) { p.markIdle(list[0]) }, 2, 1, []int{1, 2, 3}},
+	{"all wait", func(*pendingHeartbeats, []*pendingHeartbeat) {}, 1, 0, []pipeline.MachineIndex{1, 2, 3}},
+	{"oldest answered", func(p *pendingHeartbeats, list []*pendingHeartbeat) { p.markAnswered(list[0]) }, 2, 0, []pipeline.MachineIndex{2, 3}},
+	{"oldest idle", func(p *pendingHeartbeats, list []*pendingHeartbeat) { p.markIdle(list[0]) }, 2, 1, []pipeline.MachineIndex{1, 2, 3}},
 	{"idle twice", func(p *pendingHeartbeats, list []*pendingHeartbeat) {
 		p.markIdle(list[2])
 		p.markIdle(list[2])
-	}, 1, 3, []int{1, 2, 3}},
+	}, 1, 3, []pipeline.MachineIndex{1, 2, 3}},
 	{"idle, then answered", func(p *pendingHeartbeats, list []*pendingHeartbeat) {
 		p.markIdle(list[1])
 		p.markAnswered(list[1])
-	}, 1, 0, []int{1, 3}},
+	}, 1, 0, []pipeline.MachineIndex{1, 3}},
 	{"all answered", func(p *pendingHeartbeats, list []*pendingHeartbeat) {
 		for _, pending := range list {
 			p.markAnswered(pending)
@@ -71,7 +73,7 @@
 }
 
 func TestOverduePendingHeartbeats(t *testing.T) {
-	machineOf := func(pending *pendingHeartbeat) int {
+	machineOf := func(pending *pendingHeartbeat) pipeline.MachineIndex {
 		if pending == nil {
 			return 0
 		}
@@ -94,7 +96,7 @@
 	for _, test := range queueTests {
 		t.Run(test.name, func(t *testing.T) {
 			p := threePending(t, test.change)
-			var all []int
+			var all []pipeline.MachineIndex
 			for pending := range p.all() {
 				all = append(all, pending.machine)
 				p.markAnswered(pending) // as the caller does
@@ -113,7 +115,7 @@
 	p := newPendingHeartbeats(100)
 	addPending(t, &p, 1)
 	p.markIdle(addPending(t, &p, 2))
-	if got := p.takeToReview([]int{9}); !slices.Equal(got, []int{1, 2, 9}) {
+	if got := p.takeToReview([]pipeline.MachineIndex{9}); !slices.Equal(got, []pipeline.MachineIndex{1, 2, 9}) {
 		t.Errorf("to review %v; want the new ones and what changed", got)
 	}
 	if got := p.takeToReview(nil); len(got) != 0 {
@@ -122,12 +124,12 @@
 	steps := []struct {
 		name           string
 		roundRequested bool
-		want           []int
+		want           []pipeline.MachineIndex
 	}{
 		{"no round was awaited", false, nil},
 		{"a round is awaited", true, nil},
 		{"it is still awaited", true, nil},
-		{"it is over", false, []int{1}},
+		{"it is over", false, []pipeline.MachineIndex{1}},
 		{"none is awaited any more", false, nil},
 	}
 	for _, step := range steps {
--- a/internal/intern/intern_test.go
+++ b/internal/intern/intern_test.go
@@ -4,7 +4,7 @@
 
 // TestTable: indices count from 0, stay with their names, and Lookup adds none.
 func TestTable(t *testing.T) {
-	var table Table
+	var table Table[int]
 	if _, ok := table.Lookup("a"); ok || table.Len() != 0 {
 		t.Fatal("an empty table knows a name")
 	}
@@ -26,7 +26,7 @@
 // TestRelease: a released name's index serves the next new name, and the name gets an index like
 // any other when it comes again.
 func TestRelease(t *testing.T) {
-	var names Table
+	var names Table[int]
 	for _, name := range []string{"a", "b", "c"} {
 		names.Index(name)
 	}
--- a/internal/pipeline/assignment.go
+++ b/internal/pipeline/assignment.go
@@ -11,7 +11,7 @@
 type Assignment struct {
 	Job     *Job
 	Task    int
-	Machine int
+	Machine MachineIndex
 	Attempt uint64
 
 	durable bool // the watch cache shows it
--- a/internal/pipeline/assignments.go
+++ b/internal/pipeline/assignments.go
@@ -4,7 +4,7 @@
 
 // Assign records the pending write to start a task on a machine. The start may be sent
 // once the assignment is durable. Attempt 0 stands for the next one of the segment.
-func (t *Table) Assign(job *Job, task, machine int, attempt uint64, now event.Time) *Assignment {
+func (t *Table) Assign(job *Job, task int, machine MachineIndex, attempt uint64, now event.Time) *Assignment {
 	segment := t.segment(job, task/t.segmentLen)
 	if attempt == 0 {
 		attempt = segment.attempt + 1
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -4,7 +4,6 @@
 	"slices"
 
 	"lugward/internal/event"
-	"lugward/internal/intern"
 	"lugward/internal/record"
 )
 
@@ -41,19 +40,20 @@
 )
 
 // AnyZone is the zone of a job that may run in any.
-const AnyZone = -1
+const AnyZone ZoneIndex = -1
 
 // Spec is what a job asks for, with names as dense indices.
 type Spec struct {
-	Class, Team        int
+	Class              ClassIndex
+	Team               TeamIndex
 	Shape              Shape
 	Priority           Priority
 	TaskCount          int
 	CPUs, GPUs, Memory float64 // of each task
-	Image              int
+	Image              ImageIndex
 	ImageGB            float64
-	MachineTypes       []int // nil: any
-	Zone               int   // AnyZone: any
+	MachineTypes       []MachineTypeIndex // nil: any
+	Zone               ZoneIndex          // AnyZone: any
 	SameZone           bool
 	SpreadZones        bool
 	AllowSpot          bool
@@ -64,7 +64,7 @@
 }
 
 // Allows reports whether the job may use a machine type.
-func (s *Spec) Allows(machineType int) bool {
+func (s *Spec) Allows(machineType MachineTypeIndex) bool {
 	if s.MachineTypes == nil {
 		return true
 	}
@@ -72,7 +72,7 @@
 }
 
 // AllowsZone reports whether the job may use a zone.
-func (s *Spec) AllowsZone(zone int) bool { return s.Zone == AnyZone || s.Zone == zone }
+func (s *Spec) AllowsZone(zone ZoneIndex) bool { return s.Zone == AnyZone || s.Zone == zone }
 
 // IsGang reports whether several tasks run together or not at all.
 func (s *Spec) IsGang() bool { return s.Shape == Gang && s.TaskCount > 1 }
@@ -80,11 +80,6 @@
 // CountsAllTasks reports whether all tasks count together against the team's limit.
 func (s *Spec) CountsAllTasks() bool { return s.Shape != Array }
 
-// Names are the tables that map names to the indices used everywhere else.
-type Names struct {
-	Classes, Teams, Images, MachineTypes, Zones, Machines intern.Table
-}
-
 // Job is a vertex of a pipeline: what its record says, and what the table derives.
 type Job struct {
 	ID    string
--- /dev/null
+++ b/internal/pipeline/names.go
@@ -0,0 +1,32 @@
+package pipeline
+
+import "lugward/internal/intern"
+
+// ClassIndex is the index of a job class in Names.
+type ClassIndex int
+
+// TeamIndex is the index of a team in Names.
+type TeamIndex int
+
+// ImageIndex is the index of an image in Names.
+type ImageIndex int
+
+// MachineTypeIndex is the index of a machine type in Names.
+type MachineTypeIndex int
+
+// ZoneIndex is the index of a zone in Names.
+type ZoneIndex int
+
+// MachineIndex is the index of a machine in Names. That of a machine that is gone serves
+// another one; the indices of other tables are never reused.
+type MachineIndex int
+
+// Names are the tables that map names to the indices used everywhere else.
+type Names struct {
+	Classes      intern.Table[ClassIndex]
+	Teams        intern.Table[TeamIndex]
+	Images       intern.Table[ImageIndex]
+	MachineTypes intern.Table[MachineTypeIndex]
+	Zones        intern.Table[ZoneIndex]
+	Machines     intern.Table[MachineIndex]
+}
--- a/internal/pipeline/production_test.go
+++ b/internal/pipeline/production_test.go
@@ -121,7 +121,7 @@
 	names := &Names{}
 	job := &Job{ID: "req-1", Owner: "n2", Upstream: []string{"req-2", "req-3"}, Ready: true, SubmittedAt: 1_700_000_000_123, ReadyAt: 1_700_000_060_456, Spec: Spec{
 		Class: names.Classes.Index("c"), Team: names.Teams.Index("t"), Image: names.Images.Index("b"), Shape: Gang, Priority: High, TaskCount: 7, CPUs: 1.5, GPUs: 2, Memory: 3,
-		ImageGB: 4.5, MachineTypes: []int{names.MachineTypes.Index("x"), names.MachineTypes.Index("y")}, Zone: names.Zones.Index("z"), SameZone: true, AllowSpot: true,
+		ImageGB: 4.5, MachineTypes: []MachineTypeIndex{names.MachineTypes.Index("x"), names.MachineTypes.Index("y")}, Zone: names.Zones.Index("z"), SameZone: true, AllowSpot: true,
 		EstimatedRuntime: 10, CheckpointInterval: 20, CheckpointDuration: 30, Deadline: 40}}
 	check := func() {
 		t.Helper()
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -34,12 +34,12 @@
 	failures  int // failed attempts in a row of a job that is at fault itself
 	notBefore event.Time
 
-	failedOn      map[int]bool       // machines on which it has failed since it last succeeded
-	avoid         map[int]event.Time // by machine where it failed: until when it stays away
-	probe         *Assignment        // the one task that tries again
-	unsaved       bool               // differs from what is stored
-	writeInFlight bool               // a write of it is queued or under way
-	nextWrite     event.Time         // no write before
+	failedOn      map[MachineIndex]bool       // machines on which it has failed since it last succeeded
+	avoid         map[MachineIndex]event.Time // by machine where it failed: until when it stays away
+	probe         *Assignment                 // the one task that tries again
+	unsaved       bool                        // differs from what is stored
+	writeInFlight bool                        // a write of it is queued or under way
+	nextWrite     event.Time                  // no write before
 }
 
 // AtFault reports whether the job itself has failed, on several machines or
@@ -55,7 +55,9 @@
 
 // AvoidsMachine reports whether the job stays away from a machine because a task of it
 // failed there less than avoidTime before.
-func (j *Job) AvoidsMachine(machine int, now event.Time) bool { return j.retry.avoid[machine] > now }
+func (j *Job) AvoidsMachine(machine MachineIndex, now event.Time) bool {
+	return j.retry.avoid[machine] > now
+}
 
 // probing reports whether the task that tries again is being started or running.
 func (j *Job) probing() bool {
@@ -84,7 +86,7 @@
 	job := assignment.Job
 	avoided := job.AvoidsMachine(assignment.Machine, now)
 	if job.retry.avoid == nil {
-		job.retry.avoid = map[int]event.Time{}
+		job.retry.avoid = map[MachineIndex]event.Time{}
 	}
 	job.retry.avoid[assignment.Machine] = now + avoidTime
 	switch {
@@ -101,7 +103,7 @@
 		// The machines are not to blame, and a probe that found all of them
 		// avoided would have another one provisioned: it only goes elsewhere
 		// than the last one did.
-		job.retry.avoid = map[int]event.Time{assignment.Machine: now + avoidTime}
+		job.retry.avoid = map[MachineIndex]event.Time{assignment.Machine: now + avoidTime}
 	}
 	return job.AtFault()
 }
@@ -110,9 +112,9 @@
 // another one failed there less than avoidTime before. It reports whether the job
 // itself is the likely cause: tasks have failed on several machines, or one after
 // the other on the only one.
-func (j *Job) failsEverywhere(machine int, avoided bool) bool {
+func (j *Job) failsEverywhere(machine MachineIndex, avoided bool) bool {
 	if j.retry.failedOn == nil {
-		j.retry.failedOn = map[int]bool{}
+		j.retry.failedOn = map[MachineIndex]bool{}
 	}
 	// Tasks that fail together prove no more than one of them; where others of the
 	// job run elsewhere, the machine is as likely to be at fault.
@@ -122,7 +124,7 @@
 }
 
 // activeElsewhere reports whether tasks of the job may be on other machines.
-func (j *Job) activeElsewhere(machine int) bool {
+func (j *Job) activeElsewhere(machine MachineIndex) bool {
 	for assignment := range j.Assignments() {
 		if assignment.Machine != machine {
 			return true
@@ -133,7 +135,7 @@
 
 // FailedOnlyOn reports whether a machine is the only one on which tasks of the job
 // have failed since one succeeded.
-func (j *Job) FailedOnlyOn(machine int) bool {
+func (j *Job) FailedOnlyOn(machine MachineIndex) bool {
 	return len(j.retry.failedOn) == 1 && j.retry.failedOn[machine]
 }
 
@@ -160,7 +162,7 @@
 }
 
 // ForgetMachine discards what jobs remember of a machine that is gone.
-func (t *Table) ForgetMachine(machine int) {
+func (t *Table) ForgetMachine(machine MachineIndex) {
 	for job := range t.AllJobs() {
 		delete(job.retry.avoid, machine)
 		delete(job.retry.failedOn, machine)
--- a/internal/pipeline/retry_test.go
+++ b/internal/pipeline/retry_test.go
@@ -17,7 +17,7 @@
 	table, job := newJob(t, 8)
 	assignments := make([]*Assignment, 0, 6)
 	for task := range 6 {
-		assignments = append(assignments, table.Assign(job, task, task/2, 0, 1))
+		assignments = append(assignments, table.Assign(job, task, MachineIndex(task/2), 0, 1))
 	}
 	for i, want := range []int{0, 0, 1, 1, 1, 1} {
 		if atFault := table.RecordFailure(assignments[i], time.Second); atFault != (want > 0) || job.Failures() != want {
@@ -73,7 +73,7 @@
 		attempt := job.MaxAttempt() + 1
 		assignments := make([]*Assignment, 0, 3)
 		for task := range 3 {
-			assignments = append(assignments, table.Assign(job, task, task, attempt, now))
+			assignments = append(assignments, table.Assign(job, task, MachineIndex(task), attempt, now))
 		}
 		for _, assignment := range assignments {
 			table.RecordFailure(assignment, now)
@@ -123,7 +123,7 @@
 	table, job := newJob(t, 4)
 	table.SetClock(0, time.UnixMilli(1_000_000))
 	for machine := range 2 {
-		assignment := table.Assign(job, machine, machine, 0, 1)
+		assignment := table.Assign(job, machine, MachineIndex(machine), 0, 1)
 		table.RecordFailure(assignment, time.Second)
 		table.RecordTermination(assignment)
 	}
@@ -195,7 +195,7 @@
 func TestProbesTakeTurns(t *testing.T) {
 	table, job := newJob(t, 5)
 	table.RecordCompletion(job, 1) // never tried again
-	for _, machine := range []int{0, 1} {
+	for _, machine := range []MachineIndex{0, 1} {
 		assignment := table.Assign(job, 0, machine, 0, 1)
 		table.RecordFailure(assignment, time.Second)
 		table.RecordTermination(assignment)
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -38,8 +38,8 @@
 	pages   upstreamPageIndex
 	retries retryRecords
 
-	usageByTeam    map[int]Usage // by team, what its assignments take
-	endedWithTasks map[*Job]bool // with a terminal record while tasks may be on machines
+	usageByTeam    map[TeamIndex]Usage // by team, what its assignments take
+	endedWithTasks map[*Job]bool       // with a terminal record while tasks may be on machines
 
 	unsaved    map[*Job]bool   // some segment differs from what is stored, or the job's completion is due
 	segmentLen int             // tasks per run record
@@ -63,11 +63,11 @@
 		Terminal:       newTerminalRecords(),
 		config:         config,
 		jobIndex:       jobIndex{byID: map[string]*Job{}},
-		machineIndex:   machineIndex{changed: map[int]bool{}},
+		machineIndex:   machineIndex{changed: map[MachineIndex]bool{}},
 		graph:          newGraph(),
 		pages:          upstreamPageIndex{byJob: map[string]*upstreamPages{}},
 		retries:        newRetryRecords(),
-		usageByTeam:    map[int]Usage{},
+		usageByTeam:    map[TeamIndex]Usage{},
 		endedWithTasks: map[*Job]bool{},
 		unsaved:        map[*Job]bool{},
 		segmentLen:     max(minSegmentLen, min(maxSegmentLen, config.LayoutValueBytes/bytesPerTask)),
--- a/internal/pipeline/usage.go
+++ b/internal/pipeline/usage.go
@@ -10,7 +10,7 @@
 }
 
 // TeamUsage returns what a team's tasks may be using.
-func (t *Table) TeamUsage(team int) Usage { return t.usageByTeam[team] }
+func (t *Table) TeamUsage(team TeamIndex) Usage { return t.usageByTeam[team] }
 
 // recountUsage counts all assignments of a job by its spec as it is now, so many times:
 // -1 before the spec changes, 1 after.
--- a/internal/pipeline/zone_selector.go
+++ b/internal/pipeline/zone_selector.go
@@ -7,10 +7,10 @@
 }
 
 // OnlyZone returns a selector that allows a single zone.
-func OnlyZone(zone int) ZoneSelector { return ZoneSelector{zone: int32(zone), single: true} }
+func OnlyZone(zone ZoneIndex) ZoneSelector { return ZoneSelector{zone: int32(zone), single: true} }
 
 // IsSingle reports whether the selector allows a single zone.
 func (z ZoneSelector) IsSingle() bool { return z.single }
 
 // Allows reports whether a zone is allowed.
-func (z ZoneSelector) Allows(zone int) bool { return !z.single || int(z.zone) == zone }
+func (z ZoneSelector) Allows(zone ZoneIndex) bool { return !z.single || ZoneIndex(z.zone) == zone }
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -16,7 +16,7 @@
 type Capacity struct {
 	Machine     *worker.Machine // nil: not up yet
 	MachineType *MachineType
-	Zone        int
+	Zone        pipeline.ZoneIndex
 	Spot        bool
 	FreeCPUs    float64
 	FreeGPUs    float64
@@ -95,7 +95,7 @@
 // cachedCapacity returns what is free on a machine, computed anew only if something
 // has changed there: most machines are unchanged from one round to the next.
 func (s *Scheduler) cachedCapacity(machine *worker.Machine, machineType *MachineType) *Capacity {
-	for len(s.capacityCache) <= machine.Index {
+	for pipeline.MachineIndex(len(s.capacityCache)) <= machine.Index {
 		s.capacityCache = append(s.capacityCache, Capacity{})
 	}
 	cached := &s.capacityCache[machine.Index]
--- a/internal/scheduler/limit_test.go
+++ b/internal/scheduler/limit_test.go
@@ -26,7 +26,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			s := newSite(t)
 			otherTeam := s.jobs.Names.Teams.Index("u")
-			s.cfg.Teams = map[int]config.Team{s.jobs.Names.Teams.Index("t"): {CPUsMax: test.limitCPUs}}
+			s.cfg.Teams = map[pipeline.TeamIndex]config.Team{s.jobs.Names.Teams.Index("t"): {CPUsMax: test.limitCPUs}}
 			s.addJob("req-1", func(j *pipeline.Job) { j.Team = otherTeam })
 			s.setRunRecord("req-1", firstTaskOnMachine, 9)
 			for _, id := range []string{"req-2", "req-3"} {
--- a/internal/scheduler/machine_type.go
+++ b/internal/scheduler/machine_type.go
@@ -8,23 +8,23 @@
 
 // MachineType is a machine type as the cloud describes it.
 type MachineType struct {
-	Index     int // of its name
+	Index     pipeline.MachineTypeIndex // of its name
 	CPUs      float64
 	GPUs      float64
-	Memory    float64 // GB
-	Price     float64 // per hour
-	SpotPrice float64 // per hour, of a spot machine
-	BootTime  float64 // seconds from the request until the worker is up
-	FetchRate float64 // of images, GB per second
-	Zones     []int   // where it is available
+	Memory    float64              // GB
+	Price     float64              // per hour
+	SpotPrice float64              // per hour, of a spot machine
+	BootTime  float64              // seconds from the request until the worker is up
+	FetchRate float64              // of images, GB per second
+	Zones     []pipeline.ZoneIndex // where it is available
 }
 
 // MachineTypes holds the machine types by index, nil where unknown.
 type MachineTypes []*MachineType
 
 // Get returns a type, or nil.
-func (t MachineTypes) Get(index int) *MachineType {
-	if index < 0 || index >= len(t) {
+func (t MachineTypes) Get(index pipeline.MachineTypeIndex) *MachineType {
+	if index < 0 || index >= pipeline.MachineTypeIndex(len(t)) {
 		return nil
 	}
 	return t[index]
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -49,7 +49,7 @@
 func TestPreemptsForQuota(t *testing.T) {
 	s := newSite(t)
 	team, otherTeam := s.jobs.Names.Teams.Index("t"), s.jobs.Names.Teams.Index("u")
-	s.cfg.Teams = map[int]config.Team{team: {CPUs: 8}, otherTeam: {CPUs: 4}}
+	s.cfg.Teams = map[pipeline.TeamIndex]config.Team{team: {CPUs: 8}, otherTeam: {CPUs: 4}}
 	claimant := s.addJob("req-1", nil)
 	ofOtherTeam := func(j *pipeline.Job) { j.Team, j.CPUs = otherTeam, 4 }
 	within := s.addJob("req-2", ofOtherTeam)
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -33,7 +33,7 @@
 }
 
 // usageByTeam sums up what tasks use, by index of the team's name.
-type usageByTeam map[int]pipeline.Usage
+type usageByTeam map[pipeline.TeamIndex]pipeline.Usage
 
 // add counts one task of a job.
 func (u usageByTeam) add(job *pipeline.Job) {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -15,10 +15,10 @@
 type Config struct {
 	Jobs              *pipeline.Table
 	Workers           *worker.Registry
-	MachineTypes      *MachineTypes       // may change between rounds
-	Teams             map[int]config.Team // quotas and limits, by index of the team's name
-	HeartbeatInterval event.Time          // between two heartbeats of a worker
-	HeartbeatTimeout  event.Time          // a machine without a heartbeat for this long gets no new task
+	MachineTypes      *MachineTypes                      // may change between rounds
+	Teams             map[pipeline.TeamIndex]config.Team // quotas and limits, by index of the team's name
+	HeartbeatInterval event.Time                         // between two heartbeats of a worker
+	HeartbeatTimeout  event.Time                         // a machine without a heartbeat for this long gets no new task
 }
 
 // Budget reports whether the processor time for a round is used up. A nil Budget
--- a/internal/scheduler/zone_constraints.go
+++ b/internal/scheduler/zone_constraints.go
@@ -8,11 +8,11 @@
 )
 
 // unknownZone is the zone of a machine that is not known.
-const unknownZone = -1
+const unknownZone pipeline.ZoneIndex = -1
 
 // ZoneCounts counts tasks of a job by zone. Tasks on machines that are not known
 // count under a negative zone.
-type ZoneCounts map[int]int
+type ZoneCounts map[pipeline.ZoneIndex]int
 
 // TasksByZone counts, per zone, the tasks of a job that may be on machines there.
 func (s *Scheduler) TasksByZone(job *pipeline.Job) ZoneCounts {
@@ -35,7 +35,7 @@
 
 // singleZone returns the zone where all of the tasks are, known only where it is a
 // single one whose machines are known.
-func (z ZoneCounts) singleZone() (zone int, known bool) {
+func (z ZoneCounts) singleZone() (zone pipeline.ZoneIndex, known bool) {
 	if len(z) != 1 {
 		return unknownZone, false
 	}
@@ -48,7 +48,7 @@
 // TasksAllowedInZone is how many more tasks of a job its spread constraint allows in a
 // zone: half of the job. A new leader does not know yet where a machine is that has
 // not sent a heartbeat: its tasks count in every zone.
-func TasksAllowedInZone(job *pipeline.Job, placed ZoneCounts, zone int) int {
+func TasksAllowedInZone(job *pipeline.Job, placed ZoneCounts, zone pipeline.ZoneIndex) int {
 	if !job.SpreadZones {
 		return math.MaxInt32
 	}
@@ -79,8 +79,8 @@
 
 // zoneWithMostCapacity is the zone that holds most of the wanted tasks, of equal ones
 // that of the most suitable machine.
-func zoneWithMostCapacity(job *pipeline.Job, machines []*Capacity, wanted int) int {
-	fits := map[int]int{}
+func zoneWithMostCapacity(job *pipeline.Job, machines []*Capacity, wanted int) pipeline.ZoneIndex {
+	fits := map[pipeline.ZoneIndex]int{}
 	for _, capacity := range machines {
 		fits[capacity.Zone] += capacity.Fits(&job.Spec)
 	}
--- a/internal/worker/assignments.go
+++ b/internal/worker/assignments.go
@@ -23,7 +23,7 @@
 
 // AllStored reports whether nothing that concerns the machine is being stored: a
 // response given now would not be followed by another in a moment.
-func (r *Registry) AllStored(machine int) bool {
+func (r *Registry) AllStored(machine pipeline.MachineIndex) bool {
 	for _, assignment := range r.jobs.OnMachine(machine) {
 		if !assignment.Stored() {
 			return false
--- a/internal/worker/failure_detector.go
+++ b/internal/worker/failure_detector.go
@@ -37,9 +37,9 @@
 // the machine is used as before.
 type failureDetector struct {
 	jobs      *pipeline.Table
-	machineAt func(index int) *Machine // nil: there is none
+	machineAt func(index pipeline.MachineIndex) *Machine // nil: there is none
 	log       *slog.Logger
-	suspects  map[int]bool // machines with failed jobs
+	suspects  map[pipeline.MachineIndex]bool // machines with failed jobs
 	scannedAt event.Time
 }
 
--- a/internal/worker/heartbeat_handling.go
+++ b/internal/worker/heartbeat_handling.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/pipeline"
 )
 
 // HandleHeartbeat takes a heartbeat in. It returns a RefusedError for one that tells
@@ -67,7 +68,7 @@
 // updateMachine takes in what a heartbeat says of its machine.
 func (r *Registry) updateMachine(machine *Machine, heartbeat *Heartbeat, now event.Time) {
 	if heartbeat.Incarnation != machine.incarnation && machine.incarnation != 0 {
-		machine.images = map[int]bool{}
+		machine.images = map[pipeline.ImageIndex]bool{}
 		r.log.Info("worker began a new incarnation", "machine", heartbeat.Machine, "incarnation", heartbeat.Incarnation)
 	}
 	if machine.lastHeartbeat != 0 && now-machine.lastHeartbeat > r.heartbeatTimeout {
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"lugward/internal/event"
+	"lugward/internal/pipeline"
 )
 
 // unknown stands for a machine type or zone that is not known yet.
@@ -12,8 +13,8 @@
 // Machine is a machine of the cloud with its worker. Its state changes only by the
 // methods of this package; other packages read it.
 type Machine struct {
-	Index int    // in pipeline.Names.Machines
-	Name  string // in the cloud
+	Index pipeline.MachineIndex // in pipeline.Names.Machines
+	Name  string                // in the cloud
 
 	addr string // of the worker, "" if not known
 	description
@@ -27,8 +28,8 @@
 
 // description is what the machine is.
 type description struct {
-	machineType int
-	zone        int
+	machineType pipeline.MachineTypeIndex
+	zone        pipeline.ZoneIndex
 	spot        bool
 	known       bool // machine type and zone are known
 }
@@ -66,10 +67,10 @@
 
 // usage is what the machine is used for.
 type usage struct {
-	idleSince    event.Time   // when it last had tasks
-	reservedAt   event.Time   // when capacity was last reserved for a job that waits
-	unknownTasks int          // tasks on it that no assignment explains
-	images       map[int]bool // that it has fetched
+	idleSince    event.Time                   // when it last had tasks
+	reservedAt   event.Time                   // when capacity was last reserved for a job that waits
+	unknownTasks int                          // tasks on it that no assignment explains
+	images       map[pipeline.ImageIndex]bool // that it has fetched
 }
 
 // health is what its tasks show of the machine. Jobs go by ID, as an index serves
@@ -120,7 +121,7 @@
 
 // Describe records what the machine is: the indices of its type and its zone, and
 // whether the cloud may reclaim it.
-func (m *Machine) Describe(machineType, zone int, spot bool) {
+func (m *Machine) Describe(machineType pipeline.MachineTypeIndex, zone pipeline.ZoneIndex, spot bool) {
 	m.machineType = machineType
 	m.zone = zone
 	m.spot = spot
@@ -154,10 +155,10 @@
 func (m *Machine) StartDecommission() { m.decommissioning = true }
 
 // MachineType is the index of the machine's type, -1 if it is not known.
-func (m *Machine) MachineType() int { return m.machineType }
+func (m *Machine) MachineType() pipeline.MachineTypeIndex { return m.machineType }
 
 // Zone is the index of the machine's zone, -1 if it is not known.
-func (m *Machine) Zone() int { return m.zone }
+func (m *Machine) Zone() pipeline.ZoneIndex { return m.zone }
 
 // Spot reports whether the cloud may reclaim the machine.
 func (m *Machine) Spot() bool { return m.spot }
@@ -203,4 +204,4 @@
 func (m *Machine) UnknownTasks() int { return m.unknownTasks }
 
 // HasImage reports whether the machine has fetched an image, by the image's index.
-func (m *Machine) HasImage(image int) bool { return m.images[image] }
+func (m *Machine) HasImage(image pipeline.ImageIndex) bool { return m.images[image] }
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -32,8 +32,8 @@
 	failures    failureDetector
 	runtimes    runtimeRatios
 	calls       directCalls
-	terminating map[int]bool // machines on which a task is to be terminated
-	scannedAt   event.Time   // when the machines in use were last scanned
+	terminating map[pipeline.MachineIndex]bool // machines on which a task is to be terminated
+	scannedAt   event.Time                     // when the machines in use were last scanned
 }
 
 // New returns an empty registry.
@@ -45,13 +45,13 @@
 		log:              cfg.Logger,
 		runtimes:         runtimeRatios{},
 		calls:            directCalls{inFlight: map[uint64]directCall{}},
-		terminating:      map[int]bool{},
+		terminating:      map[pipeline.MachineIndex]bool{},
 	}
 	r.failures = failureDetector{
 		jobs:      cfg.Jobs,
 		machineAt: r.MachineAt,
 		log:       cfg.Logger,
-		suspects:  map[int]bool{},
+		suspects:  map[pipeline.MachineIndex]bool{},
 	}
 	return r
 }
@@ -74,7 +74,7 @@
 // since now.
 func (r *Registry) Add(name string, now event.Time) *Machine {
 	index := r.names.Machines.Index(name)
-	for len(r.machines) <= index {
+	for pipeline.MachineIndex(len(r.machines)) <= index {
 		r.machines = append(r.machines, nil)
 	}
 	if r.machines[index] == nil {
@@ -82,7 +82,7 @@
 			Index:       index,
 			Name:        name,
 			description: description{machineType: unknown, zone: unknown},
-			usage:       usage{idleSince: now, images: map[int]bool{}},
+			usage:       usage{idleSince: now, images: map[pipeline.ImageIndex]bool{}},
 		}
 		r.count++
 	}
@@ -107,8 +107,8 @@
 }
 
 // MachineAt returns a machine by index, or nil.
-func (r *Registry) MachineAt(index int) *Machine {
-	if index < 0 || index >= len(r.machines) {
+func (r *Registry) MachineAt(index pipeline.MachineIndex) *Machine {
+	if index < 0 || index >= pipeline.MachineIndex(len(r.machines)) {
 		return nil
 	}
 	return r.machines[index]
--- a/internal/worker/runtime_estimate.go
+++ b/internal/worker/runtime_estimate.go
@@ -18,10 +18,10 @@
 
 // runtimeRatios is how long the tasks of a class run, measured in their owners'
 // estimates, by class. On some days estimates are mostly too high or mostly too low.
-type runtimeRatios map[int]float64
+type runtimeRatios map[pipeline.ClassIndex]float64
 
 // of returns the ratio of a class, 1 where none of its tasks has completed.
-func (r runtimeRatios) of(class int) float64 {
+func (r runtimeRatios) of(class pipeline.ClassIndex) float64 {
 	if ratio, known := r[class]; known {
 		return ratio
 	}
@@ -29,7 +29,7 @@
 }
 
 // observe takes in the ratio of a task that has completed.
-func (r runtimeRatios) observe(class int, ratio float64) {
+func (r runtimeRatios) observe(class pipeline.ClassIndex, ratio float64) {
 	usual := r.of(class)
 	r[class] = usual + ratioWeight*(ratio-usual)
 }
--- a/internal/worker/termination.go
+++ b/internal/worker/termination.go
@@ -80,7 +80,7 @@
 
 // checkExpired clears a machine whose tasks have terminated because its lease has
 // expired.
-func (r *Registry) checkExpired(index int, now event.Time, leadership Leadership) {
+func (r *Registry) checkExpired(index pipeline.MachineIndex, now event.Time, leadership Leadership) {
 	machine := r.MachineAt(index)
 	if machine == nil {
 		machine = r.Add(r.names.Machines.Name(index), now)
