--- a/internal/controller/build.go
+++ b/internal/controller/build.go
@@ -17,20 +17,22 @@
 )
 
 const (
-	// staleAfter is how old the watch cache may become before it is read again.
-	staleAfter = 3 * time.Second
-	// refreshesPerGrace: a leader answers heartbeats only while its watch cache is
-	// fresher than the grace, so the watch cache is read again after a quarter of it.
-	refreshesPerGrace = 4
-	// A machine is unresponsive after this many heartbeat intervals and this margin.
+	// watchCacheMaxAge is the age at which the watch cache is refreshed.
+	watchCacheMaxAge = 3 * time.Second
+	// refreshesPerGracePeriod is how often the watch cache is refreshed within a grace
+	// period at least. A leader answers heartbeats only while its watch cache is newer
+	// than the grace period.
+	refreshesPerGracePeriod = 4
+	// A machine is unresponsive once no heartbeat has arrived for
+	// heartbeatTimeoutIntervals heartbeat intervals plus heartbeatTimeoutMargin.
 	heartbeatTimeoutIntervals = 2.5
 	heartbeatTimeoutMargin    = time.Second
 
 	bytesPerKB = 1024
 )
 
-// New builds a controller. clock bounds scheduling rounds and may be nil: they are not
-// bounded then.
+// New creates a controller. clock measures the duration of scheduling rounds; if it is
+// nil, their duration is not limited.
 func New(cfg *config.Platform, log *slog.Logger, clock func() time.Duration) *Controller {
 	c := &Controller{
 		cfg:          cfg,
@@ -51,11 +53,11 @@
 	c.autoscaler = c.newAutoscaler()
 	c.scheduler = c.newScheduler(teams)
 	c.api = c.newAPI()
-	c.shareRates(0)
+	c.updateRateShare(0)
 	return c
 }
 
-// indexTeams returns the settings of the teams by their index.
+// indexTeams returns the settings of the teams by team index.
 func (c *Controller) indexTeams() map[pipeline.TeamIndex]config.Team {
 	teams := map[pipeline.TeamIndex]config.Team{}
 	for _, team := range c.cfg.Settings.Teams {
@@ -64,9 +66,9 @@
 	return teams
 }
 
-// newJobs builds the table of jobs. The layout of run records follows from the present
-// limit on values, which is all that the version in production knows; sizes and rates
-// keep within the limits to come as well.
+// newJobs creates the job table. The layout of run records is derived from the current
+// value size limit, because the version in production knows no other limit. Record
+// sizes and transactions also comply with the announced future limits.
 func (c *Controller) newJobs() *pipeline.Table {
 	state := &c.cfg.Settings.State
 	return pipeline.NewTable(pipeline.Config{
@@ -79,12 +81,14 @@
 	})
 }
 
-// logIgnoredRecord logs that a stored record was ignored, as it cannot be decoded.
+// logIgnoredRecord logs that a record in the state service cannot be decoded and is
+// ignored.
 func (c *Controller) logIgnoredRecord(key string, err error) {
-	c.log.Warn("stored record ignored", "key", key, "error", err)
+	c.log.Warn("ignoring stored record that cannot be decoded", "key", key, "error", err)
 }
 
-// newStore builds the client of the state service.
+// newStore creates the client of the state service. The client lowers its rates to the
+// announced future limits once these take effect.
 func (c *Controller) newStore() *kv.Client {
 	state := &c.cfg.Settings.State
 	lasting := state.Lasting()
@@ -95,14 +99,14 @@
 			Rates:     kv.Rates{Requests: state.RPS, Writes: state.WriteRPS},
 			NextRates: kv.Rates{Requests: lasting.RPS, Writes: lasting.WriteRPS},
 		},
-		StaleAfter:      min(staleAfter, c.gracePeriod()/refreshesPerGrace),
+		StaleAfter:      min(watchCacheMaxAge, c.gracePeriod()/refreshesPerGracePeriod),
 		ImmutablePrefix: record.TerminalKey(""),
 		OnChange:        c.handleChange,
 		Logger:          c.log,
 	})
 }
 
-// newElection builds our part in the election of the leader.
+// newElection creates this controller's participant in the leader election.
 func (c *Controller) newElection() *election.Election {
 	return election.New(election.Config{
 		Label:       c.cfg.Label,
@@ -115,7 +119,7 @@
 	})
 }
 
-// newWorkers builds the registry of workers.
+// newWorkers creates the worker registry.
 func (c *Controller) newWorkers() *worker.Registry {
 	return worker.New(worker.Config{
 		Names:            c.names,
@@ -125,7 +129,7 @@
 	})
 }
 
-// newAutoscaler builds the part that provisions and releases machines.
+// newAutoscaler creates the autoscaler, which provisions and releases machines.
 func (c *Controller) newAutoscaler() *autoscaler.Autoscaler {
 	settings := &c.cfg.Settings
 	return autoscaler.New(autoscaler.Config{
@@ -145,7 +149,7 @@
 	})
 }
 
-// newScheduler builds the scheduler.
+// newScheduler creates the scheduler.
 func (c *Controller) newScheduler(teams map[pipeline.TeamIndex]config.Team) *scheduler.Scheduler {
 	return scheduler.New(scheduler.Config{
 		Jobs:              c.jobs,
@@ -157,7 +161,7 @@
 	})
 }
 
-// newAPI builds the server for the requests of users.
+// newAPI creates the server for user requests.
 func (c *Controller) newAPI() *api.Server {
 	return api.New(api.Config{
 		Label:         c.cfg.Label,
@@ -172,23 +176,26 @@
 	})
 }
 
-// maxValueBytes is the largest value that we write to the state service.
+// maxValueBytes returns the maximum size of a value that this controller writes to the
+// state service.
 func (c *Controller) maxValueBytes() int {
 	return int(c.cfg.Settings.State.Lasting().ValueKB * bytesPerKB)
 }
 
-// workerLease is the lease that an answered heartbeat gives a worker.
+// workerLease returns the duration for which an answered heartbeat renews the lease of
+// its worker.
 func (c *Controller) workerLease() time.Duration {
 	return config.Seconds(c.cfg.Settings.Workers.LeaseS)
 }
 
-// gracePeriod is how long a leader goes on to answer workers without the state service.
+// gracePeriod returns how long a leader continues to answer workers while it cannot
+// reach the state service.
 func (c *Controller) gracePeriod() time.Duration {
 	return election.GracePeriod(config.Seconds(c.cfg.Settings.Workers.CancelS), c.workerLease())
 }
 
-// workerHeartbeatTimeout is how long a worker may send no heartbeat before nothing more
-// is placed on its machine.
+// workerHeartbeatTimeout returns how long after a worker's last heartbeat its machine
+// becomes unresponsive. No tasks are placed on an unresponsive machine.
 func (c *Controller) workerHeartbeatTimeout() time.Duration {
 	return config.Seconds(heartbeatTimeoutIntervals*c.cfg.Settings.Workers.HeartbeatS) + heartbeatTimeoutMargin
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,7 @@
-// Package controller connects the parts of a controller: it routes each input to the
-// part that handles it. It is a state machine without clock, goroutine or
-// socket: inputs and the time come in, effects go out.
+// Package controller combines the components of a controller and routes each input to
+// the component that handles it. It is a deterministic state machine: it reads no
+// clock, starts no goroutines and opens no sockets. The caller passes in the inputs and
+// the time and carries out the effects.
 package controller
 
 import (
@@ -17,14 +18,14 @@
 	"lugward/internal/worker"
 )
 
-// Controller is one controller. It is not safe for concurrent use: the caller hands
-// it one input at a time, with times that never decrease.
+// Controller is the state machine of one controller. It is not safe for concurrent use:
+// the caller passes one input at a time, with times that never decrease.
 type Controller struct {
 	cfg   *config.Platform
 	log   *slog.Logger
 	names *pipeline.Names
 
-	// The parts that inputs are routed to.
+	// The components that handle the inputs.
 	store      *kv.Client
 	election   *election.Election
 	jobs       *pipeline.Table
@@ -41,8 +42,8 @@
 	machineSweep periodic
 }
 
-// handleChange routes a change of the watch cache to the part that owns the key. data is
-// nil when the key was deleted.
+// handleChange routes a change in the watch cache to the component that owns the key.
+// data is nil if the key was deleted.
 func (c *Controller) handleChange(key string, data []byte, modRevision uint64) {
 	kind, rest := kv.SplitKey(key)
 	switch kind {
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -7,8 +7,8 @@
 	"lugward/internal/worker"
 )
 
-// forwarding is what a follower keeps to bring workers, or their heartbeats, to the
-// leader.
+// forwarding is the state that a follower keeps to redirect workers to the leader and to
+// relay their heartbeats.
 type forwarding struct {
 	routes workerRoutes
 	relays pendingRelays
@@ -18,33 +18,35 @@
 	return forwarding{relays: newPendingRelays()}
 }
 
-// forwardToLeader brings a worker's heartbeat to the leader. A worker that the leader
-// has not served is redirected first; if it comes back soon it could not reach the
-// leader, and its heartbeats are relayed over the peer link. So a partition between
-// two zones costs no worker its lease as long as one controller reaches both sides.
-// The leader treats relayed heartbeats like any other; a late one is merely old.
+// forwardToLeader redirects a worker to the leader or relays its heartbeat to the
+// leader. A worker that the leader has not served is redirected first. If it returns
+// soon, it could not reach the leader, and its heartbeats are relayed over the peer
+// link. Thus no worker loses its lease in a partition between two zones as long as one
+// controller reaches both sides. The leader handles relayed heartbeats like direct ones.
+// A relayed heartbeat that arrives late does no harm: it is handled like any outdated
+// heartbeat.
 func (c *Controller) forwardToLeader(now event.Time, request event.Request, heartbeat *worker.Heartbeat, out *event.Effects) {
 	leaderToken := c.election.LeaderFencingToken()
 	leader, leaderAlive := c.peers.aliveByLabel(c.election.Leader())
 	c.forwarding.routes.beginTerm(leaderToken)
-	route := c.forwarding.routes.of(heartbeat.Machine)
+	route := c.forwarding.routes.getOrCreate(heartbeat.Machine)
 	wasRelaying := route.relaying()
-	leftLeader := heartbeat.FencingToken != 0 && heartbeat.FencingToken == leaderToken
-	switch route.next(now, leftLeader, leaderAlive) {
+	servedByLeader := heartbeat.FencingToken != 0 && heartbeat.FencingToken == leaderToken
+	switch route.nextAction(now, servedByLeader, leaderAlive) {
 	case redirectToLeader:
 		c.redirectToLeader(request.Conn, out)
 	case relayToLeader:
 		if !wasRelaying {
-			c.log.Info("relaying worker heartbeats", "machine", heartbeat.Machine, "leader", c.peers.list[leader].label)
+			c.log.Info("relaying heartbeats of worker to leader", "machine", heartbeat.Machine, "leader", c.peers.list[leader].label)
 		}
-		c.relay(now, request, leader, out)
-	case nameNoLeader:
+		c.relayHeartbeat(now, request, leader, out)
+	case replyWithoutLeader:
 		out.Reply(request.Conn, httpwire.StatusMisdirectedRequest, nil)
 	}
 }
 
-// relay sends a worker's heartbeat to the leader over the peer link.
-func (c *Controller) relay(now event.Time, request event.Request, leader int, out *event.Effects) {
+// relayHeartbeat sends a worker's heartbeat to the leader over the peer link.
+func (c *Controller) relayHeartbeat(now event.Time, request event.Request, leader int, out *event.Effects) {
 	out.SendFrame(leader, peer.Append(nil, &peer.Frame{
 		Kind:  peer.Relay,
 		Label: c.cfg.Label,
@@ -53,17 +55,18 @@
 	}))
 }
 
-// handleRelayAck passes the leader's answer to a relayed heartbeat on to its worker.
-// An answer that comes after the relay has expired is ignored.
+// handleRelayAck sends the leader's answer to a relayed heartbeat to the worker. It
+// ignores an answer that arrives after the relay has expired.
 func (c *Controller) handleRelayAck(frame *peer.Frame, out *event.Effects) {
-	if relay, ok := c.forwarding.relays.take(frame.ID); ok {
+	if relay, ok := c.forwarding.relays.remove(frame.ID); ok {
 		c.respond(replyTarget{conn: relay.conn}, int(frame.Status), frame.Body, out)
 	}
 }
 
-// expireRelays answers the workers whose relayed heartbeat got no answer in time.
+// expireRelays replies with 503 to the workers whose relayed heartbeats the leader has
+// not answered within relayTimeout.
 func (c *Controller) expireRelays(now event.Time, out *event.Effects) {
-	for _, relay := range c.forwarding.relays.takeExpired(now) {
+	for _, relay := range c.forwarding.relays.drainExpired(now) {
 		out.ReplyUnavailable(relay.conn, retryAfterSeconds)
 	}
 }
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -7,17 +7,18 @@
 	"lugward/internal/httpwire"
 )
 
-// isolatedAfter: a controller that has reached neither the state service nor a
-// peer for this long takes itself to be cut off from the network.
-const isolatedAfter = 5 * time.Second
+// isolationTimeout is how long a controller must have reached neither the state service
+// nor a peer before it considers itself isolated from the network.
+const isolationTimeout = 5 * time.Second
 
-// stateService is what the verdict on our health needs to know of the state service.
+// stateService is the state service's status that isHealthy needs.
 type stateService interface {
 	// Synced reports whether the watch cache is complete.
 	Synced() bool
-	// Unavailable reports whether the last request found the service unavailable.
+	// Unavailable reports whether the service was unavailable for the last request.
 	Unavailable() bool
-	// LastContact is when the last request that the service executed was sent.
+	// LastContact returns the time at which the last request that the service executed
+	// was sent.
 	LastContact() event.Time
 }
 
@@ -30,17 +31,18 @@
 	}
 }
 
-// isHealthy reports whether users should be sent to this controller. One that is
-// refused by the state service while a peer is served is not healthy, nor is one that
-// is cut off: users' connections stay where they are while a controller is healthy, so
-// they would learn nothing about their jobs. In an outage that all controllers share
-// they stay healthy, and service resumes at once after it.
+// isHealthy reports whether user requests should be routed to this controller. A
+// controller is unhealthy if its requests to the state service fail while those of a
+// peer succeed, or if it is isolated. Users stay connected to a controller as long as it
+// is healthy, so if it stayed healthy in these cases, they would get no information about
+// their jobs. In an outage that affects all controllers they stay healthy, so that
+// service resumes immediately after it.
 func isHealthy(now event.Time, state stateService, peers *peerTable) bool {
 	if !state.Synced() {
 		return false
 	}
-	withoutState := now - state.LastContact()
-	if !state.Unavailable() || withoutState <= peerHeartbeatTimeout {
+	sinceContact := now - state.LastContact()
+	if !state.Unavailable() || sinceContact <= peerHeartbeatTimeout {
 		return true
 	}
 	anyAlive := false
@@ -53,6 +55,6 @@
 			return false
 		}
 	}
-	isolated := len(peers.list) > 0 && !anyAlive && withoutState > isolatedAfter
+	isolated := len(peers.list) > 0 && !anyAlive && sinceContact > isolationTimeout
 	return !isolated
 }
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -8,7 +8,7 @@
 	"lugward/internal/peer"
 )
 
-// fakeState is a state service as one controller sees it.
+// fakeState is the status of the state service as one controller sees it.
 type fakeState struct {
 	synced      bool
 	unavailable bool
@@ -32,17 +32,17 @@
 	}{
 		{"watch cache is not complete", fakeState{false, false, testNow}, testPeers(), false},
 		{"state service available", fakeState{true, false, 0}, testPeers(served), true},
-		{"refused a moment ago", refused(peerHeartbeatTimeout), testPeers(served), true},
-		{"refused while a peer is served", refused(peerHeartbeatTimeout + 1), testPeers(dead, served), false},
-		{"outage that all share", refused(time.Minute), testPeers(dead, unserved), true},
-		{"no peer heard, not for long", refused(isolatedAfter), testPeers(dead), true},
-		{"no peer heard for long", refused(isolatedAfter + 1), testPeers(dead), false},
-		{"outage without peers", refused(time.Minute), testPeers(), true},
+		{"unavailable for no longer than the peer timeout", refused(peerHeartbeatTimeout), testPeers(served), true},
+		{"unavailable while a peer reaches it", refused(peerHeartbeatTimeout + 1), testPeers(dead, served), false},
+		{"unavailable for all controllers", refused(time.Minute), testPeers(dead, unserved), true},
+		{"no peer alive until the isolation timeout", refused(isolationTimeout), testPeers(dead), true},
+		{"no peer alive after the isolation timeout", refused(isolationTimeout + 1), testPeers(dead), false},
+		{"unavailable, no peers configured", refused(time.Minute), testPeers(), true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := isHealthy(testNow, test.state, test.peers); got != test.want {
-				t.Errorf("healthy %v, want %v", got, test.want)
+				t.Errorf("isHealthy = %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -8,12 +8,12 @@
 	"lugward/internal/peer"
 )
 
-// SetWallClock sets the time of day that belongs to a time of the monotonic clock.
-// Stored times are times of day, since monotonic clocks of other processes have
-// other starts.
+// SetWallClock sets the wall-clock time that corresponds to a monotonic time. Persisted
+// times are wall-clock times, because the monotonic clocks of different processes do
+// not have the same origin.
 func (c *Controller) SetWallClock(now event.Time, wall time.Time) { c.jobs.SetClock(now, wall) }
 
-// Tick does what is due at the given time.
+// Tick runs the work that is due at the given time.
 func (c *Controller) Tick(now event.Time, out *event.Effects) {
 	c.jobs.SetNow(now)
 	c.store.Tick(now, out)
@@ -21,17 +21,18 @@
 	c.updateLeadership(now, out)
 	c.sendPeerHeartbeat(now, out)
 	c.expireRelays(now, out)
-	c.forgetGoneMachines(now)
+	c.sweepMachines(now)
 	c.version.tick(now, c.store, c.election.Leader() != "")
 	c.writeReadinessAndCancellations(now)
 	c.api.Tick(now, out)
-	if !c.actAsLeader(now, out) && !c.leadership.active {
+	if !c.runLeaderWork(now, out) && !c.leadership.active {
 		c.autoscaler.RefreshMachineTypes(now, out)
 	}
 	c.answerHeartbeats(now, out)
 }
 
-// HandleRequest takes an HTTP request. It is answered once, at once or later.
+// HandleRequest handles an HTTP request. Each request gets exactly one reply, either
+// immediately or in the effects of a later input.
 func (c *Controller) HandleRequest(now event.Time, request event.Request, out *event.Effects) {
 	switch {
 	case request.Path == pathHealth:
@@ -45,32 +46,33 @@
 	}
 }
 
-// HandleCallResult takes the outcome of a call of ours.
+// HandleCallResult handles the result of a call that this controller made.
 func (c *Controller) HandleCallResult(now event.Time, result event.CallResult, out *event.Effects) {
 	c.jobs.SetNow(now)
 	switch {
 	case c.store.HandleCallResult(now, result, out):
-		c.handleStateChange(now, out)
+		c.handleStateResponse(now, out)
 	case c.autoscaler.HandleCallResult(now, result):
 	default:
 		c.workers.HandleCallResult(result, c.election, out)
 	}
 }
 
-// handleStateChange acts on what an answer of the state service has changed: the term
-// may have begun or ended, and writes that heartbeats wait for may be stored.
-func (c *Controller) handleStateChange(now event.Time, out *event.Effects) {
+// handleStateResponse runs the work that a response of the state service may have
+// enabled: a term may have begun or ended, and writes that the answers to heartbeats
+// wait for may have been committed.
+func (c *Controller) handleStateResponse(now event.Time, out *event.Effects) {
 	c.updateLeadership(now, out)
-	c.actAsLeader(now, out)
+	c.runLeaderWork(now, out)
 	c.answerHeartbeats(now, out)
 }
 
-// HandleFrame takes a frame from another controller. Frames of unknown controllers
-// are ignored.
+// HandleFrame handles a frame from another controller. It ignores malformed frames and
+// frames from unknown controllers.
 func (c *Controller) HandleFrame(now event.Time, in event.PeerFrame, out *event.Effects) {
 	frame, err := peer.Decode(in.Data)
 	if err != nil {
-		c.log.Debug("peer frame ignored", "error", err)
+		c.log.Debug("ignoring malformed peer frame", "error", err)
 		return
 	}
 	for i, p := range c.peers.list {
@@ -80,7 +82,7 @@
 	}
 }
 
-// handleFrame routes the frame of a peer by its kind.
+// handleFrame routes a peer's frame by its kind. from is the index of the peer.
 func (c *Controller) handleFrame(now event.Time, from int, frame *peer.Frame, out *event.Effects) {
 	switch frame.Kind {
 	case peer.Heartbeat:
--- a/internal/controller/inputs_test.go
+++ b/internal/controller/inputs_test.go
@@ -11,8 +11,8 @@
 	"lugward/internal/peer"
 )
 
-// newTestController returns the controller a of three. Its state service has not
-// answered yet.
+// newTestController returns controller a of the controllers a, b and c. The state service
+// has not answered any of its requests.
 func newTestController(t *testing.T) *Controller {
 	t.Helper()
 	cfg := &config.Platform{Label: "a", Seeds: []config.Seed{{Label: "b"}, {Label: "c"}}}
@@ -35,7 +35,7 @@
 		{"health before the watch cache is complete", event.Request{Method: "GET", Path: pathHealth}, httpwire.StatusServiceUnavailable},
 		{"heartbeat with another method", event.Request{Method: "GET", Path: pathWorkerHeartbeat}, httpwire.StatusMethodNotAllowed},
 		{"malformed heartbeat", event.Request{Method: methodPost, Path: pathWorkerHeartbeat, Body: []byte("{")}, httpwire.StatusBadRequest},
-		{"heartbeat while nobody leads", event.Request{Method: methodPost, Path: pathWorkerHeartbeat, Body: []byte(testHeartbeat)}, httpwire.StatusMisdirectedRequest},
+		{"heartbeat while there is no leader", event.Request{Method: methodPost, Path: pathWorkerHeartbeat, Body: []byte(testHeartbeat)}, httpwire.StatusMisdirectedRequest},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 			test.request.Conn = 7
 			newTestController(t).HandleRequest(time.Second, test.request, &out)
 			if len(out.Replies) != 1 || out.Replies[0].Conn != 7 || out.Replies[0].Status != test.want {
-				t.Errorf("replies %+v, want one with status %d", out.Replies, test.want)
+				t.Errorf("got replies %+v, want one to connection 7 with status %d", out.Replies, test.want)
 			}
 		})
 	}
@@ -55,11 +55,11 @@
 	var out event.Effects
 	c.HandleFrame(time.Second, event.PeerFrame{Peer: event.UnknownPeer, Data: frame}, &out)
 	if len(out.Frames) != 1 || out.Frames[0].Peer != 1 {
-		t.Fatalf("frames %+v, want one to peer 1", out.Frames)
+		t.Fatalf("got frames %+v, want one to peer 1", out.Frames)
 	}
 	answer, err := peer.Decode(out.Frames[0].Data)
 	if err != nil || answer.Kind != peer.RelayAck || answer.ID != 5 || answer.Status != httpwire.StatusServiceUnavailable {
-		t.Errorf("answer %+v (%v), want that relay 5 is unavailable", answer, err)
+		t.Errorf("got frame %+v, error %v; want a RelayAck with ID 5 and status 503", answer, err)
 	}
 }
 
@@ -72,7 +72,7 @@
 		var out event.Effects
 		c.HandleFrame(time.Second, event.PeerFrame{Peer: event.UnknownPeer, Data: frame}, &out)
 		if len(out.Frames)+len(out.Replies)+len(out.Calls) != 0 {
-			t.Errorf("%s: effects %+v", name, out)
+			t.Errorf("%s: got effects %+v, want none", name, out)
 		}
 	}
 }
--- a/internal/controller/job_records.go
+++ b/internal/controller/job_records.go
@@ -5,9 +5,9 @@
 	"lugward/internal/pipeline"
 )
 
-// writeReadinessAndCancellations writes that held jobs are ready and that jobs below a
-// cancelled one are cancelled. Each write requires the record as it was, so two
-// controllers that write the same one do no harm.
+// writeReadinessAndCancellations marks held jobs as ready and jobs downstream of a
+// cancelled job as cancelled in the state service. Each write is conditional on the
+// record being unchanged, so two controllers may safely write the same record.
 func (c *Controller) writeReadinessAndCancellations(now event.Time) {
 	if !c.store.Synced() {
 		return
@@ -17,9 +17,9 @@
 	c.jobs.WriteCancellations(now, c.store, responsible)
 }
 
-// isResponsibleFor reports whether we write the records of a job: we own it or, as
-// leader, its owner cannot, as its heartbeats do not arrive or say that it does not
-// reach the state service.
+// isResponsibleFor reports whether this controller writes the records of a job. It does
+// if it owns the job. As leader it also does if the owner's heartbeats do not arrive or
+// report that the owner cannot reach the state service.
 func (c *Controller) isResponsibleFor(job *pipeline.Job) bool {
 	if job.Owner == c.cfg.Label {
 		return true
--- a/internal/controller/leader_work.go
+++ b/internal/controller/leader_work.go
@@ -15,33 +15,35 @@
 	provisioningInterval      = time.Second
 	consolidationInterval     = 2 * time.Second
 	garbageCollectionInterval = time.Second
-	loadLogInterval           = 10 * time.Second
-	// idleRoundInterval is the time between two rounds while nothing changes:
-	// waiting times grow, and so do the rights that depend on them.
+	statsLogInterval          = 10 * time.Second
+	// idleRoundInterval is the time between two scheduling rounds while nothing
+	// changes. Rounds are still needed then, because the precedence of jobs depends on
+	// their waiting time.
 	idleRoundInterval = 2 * time.Second
 )
 
 const (
-	// garbageCollectedJobs bounds the jobs whose records one garbage collection
-	// touches, so that it leaves the write rate to users and placements.
-	garbageCollectedJobs = 8
-	// evictionMargin is the time for a command to stop to reach its worker and for
-	// the answer to come back.
+	// garbageCollectionJobLimit is the maximum number of jobs whose records one garbage
+	// collection deletes or rewrites. It leaves most of the write rate to user requests
+	// and placements.
+	garbageCollectionJobLimit = 8
+	// evictionMargin is the time that an evict command needs to reach its worker and
+	// the response to return.
 	evictionMargin = 4 * time.Second
 )
 
-// leaderSchedule holds when each part of the leader's periodic work was last done. It
-// lasts from one term to the next.
+// leaderSchedule records when each part of the leader's periodic work last ran. It is
+// not reset when a term ends.
 type leaderSchedule struct {
 	workers           periodic
 	provisioning      periodic
 	consolidation     periodic
 	garbageCollection periodic
-	loadLog           periodic
-	roundAt           event.Time // of the last scheduling round
+	statsLog          periodic
+	lastRoundAt       event.Time // start of the last scheduling round
 }
 
-// periodic is work that is done at an interval.
+// periodic tracks work that runs at a fixed interval.
 type periodic struct {
 	interval time.Duration
 	lastRun  event.Time
@@ -53,15 +55,16 @@
 		provisioning:      periodic{interval: provisioningInterval},
 		consolidation:     periodic{interval: consolidationInterval},
 		garbageCollection: periodic{interval: garbageCollectionInterval},
-		loadLog:           periodic{interval: loadLogInterval},
+		statsLog:          periodic{interval: statsLogInterval},
 	}
 }
 
-// isDue reports whether the work is due.
+// isDue reports whether the interval has passed since the last run.
 func (p *periodic) isDue(now event.Time) bool { return now-p.lastRun >= p.interval }
 
-// takeDue reports whether the work is due, and notes it as done now if so.
-func (p *periodic) takeDue(now event.Time) bool {
+// startIfDue reports whether the work is due. If so, it records now as the time of the
+// last run.
+func (p *periodic) startIfDue(now event.Time) bool {
 	if !p.isDue(now) {
 		return false
 	}
@@ -69,19 +72,20 @@
 	return true
 }
 
-// actAsLeader does what is due of the leader's work and sends what it has queued. It
-// does nothing and returns false if we may not act as leader.
-func (c *Controller) actAsLeader(now event.Time, out *event.Effects) bool {
-	if !c.mayAct(now) {
+// runLeaderWork runs the leader's work that is due and sends the queued requests to the
+// state service. It does nothing and returns false if this controller may not act as
+// leader.
+func (c *Controller) runLeaderWork(now event.Time, out *event.Effects) bool {
+	if !c.mayActAsLeader(now) {
 		return false
 	}
-	c.directWorkers(now, out)
-	c.scaleMachines(now, out)
+	c.tickWorkers(now, out)
+	c.tickAutoscaler(now, out)
 	if c.isRoundDue(now) {
 		c.runRound(now, out)
 	}
 	c.consolidate(now)
-	c.logLoad(now)
+	c.logStats(now)
 	c.jobs.Flush(now, c.election.TermCompare(), c.store)
 	c.jobs.FlushRetries(now, c.election.TermCompare(), c.store)
 	c.collectGarbage(now)
@@ -89,9 +93,10 @@
 	return true
 }
 
-// directWorkers stops tasks and finds those that have terminated.
-func (c *Controller) directWorkers(now event.Time, out *event.Effects) {
-	if !c.leadership.schedule.workers.takeDue(now) {
+// tickWorkers sends terminations to workers, detects tasks that have terminated and
+// evicts tasks from machines that are about to be reclaimed.
+func (c *Controller) tickWorkers(now event.Time, out *event.Effects) {
+	if !c.leadership.schedule.workers.startIfDue(now) {
 		return
 	}
 	c.workers.Tick(now, c.election, out)
@@ -99,7 +104,7 @@
 }
 
 // evictBeforeReclaim evicts tasks that save checkpoints from machines that the cloud
-// is about to reclaim, while there is still time for the last save.
+// is about to reclaim, while there is still time to save a last checkpoint.
 func (c *Controller) evictBeforeReclaim(now event.Time) {
 	for machine := range c.workers.All() {
 		if machine.ReclaimAt() == 0 {
@@ -115,31 +120,33 @@
 	}
 }
 
-// scaleMachines releases machines and finds those that are lost.
-func (c *Controller) scaleMachines(now event.Time, out *event.Effects) {
+// tickAutoscaler releases machines and detects lost ones. It requests a scheduling
+// round if the autoscaler needs a new provisioning plan, because the plan is made after
+// a round.
+func (c *Controller) tickAutoscaler(now event.Time, out *event.Effects) {
 	c.autoscaler.Tick(now, c.election, c.election.TermCompare(), out)
 	if c.autoscaler.ReplanRequested() {
 		c.jobs.RequestRound()
 	}
 }
 
-// isRoundDue reports whether it is time for a scheduling round: soon after a change,
-// rarely without one.
+// isRoundDue reports whether a scheduling round is due. The interval between rounds is
+// short if a round was requested because of a change, and idleRoundInterval otherwise.
 func (c *Controller) isRoundDue(now event.Time) bool {
-	elapsed := now - c.leadership.schedule.roundAt
+	elapsed := now - c.leadership.schedule.lastRoundAt
 	if c.jobs.RoundRequested() && elapsed >= time.Duration(c.cfg.Operator.Scheduler.Round) {
 		return true
 	}
 	return elapsed >= idleRoundInterval
 }
 
-// runRound decides what runs where and, when that is due, what to provision for the
-// jobs that did not fit.
+// runRound runs a scheduling round. If provisioning is due or a new plan was requested,
+// it then provisions machines for the jobs that could not be placed.
 func (c *Controller) runRound(now event.Time, out *event.Effects) {
 	schedule := &c.leadership.schedule
-	schedule.roundAt = now
+	schedule.lastRoundAt = now
 	c.jobs.ClearRoundRequest()
-	c.leadership.rounds++
+	c.leadership.roundCount++
 	result := c.scheduler.Round(now, c.leadership.budget.start())
 	c.leadership.lastRound = result
 	if replan := c.autoscaler.TakeReplanRequest(); replan || schedule.provisioning.isDue(now) {
@@ -148,13 +155,14 @@
 	}
 }
 
-// roundBudget is the processor time that the scheduler has for one round.
+// roundBudget limits the time that the scheduler spends on one round.
 type roundBudget struct {
-	clock func() time.Duration // nil: rounds are not bounded
+	clock func() time.Duration // rounds are not limited if nil
 	limit time.Duration
 }
 
-// start starts the time of a round.
+// start returns a budget whose time begins now. It returns nil, which means no limit, if
+// there is no clock.
 func (b *roundBudget) start() scheduler.Budget {
 	if b.clock == nil {
 		return nil
@@ -163,10 +171,11 @@
 	return func() bool { return b.clock()-begin > b.limit }
 }
 
-// consolidate moves tasks off machines that can be released then.
+// consolidate evicts the tasks of machines whose tasks all fit on other machines in use,
+// so that the emptied machines can be released.
 func (c *Controller) consolidate(now event.Time) {
 	lastRound := c.leadership.lastRound
-	if lastRound.Capacities == nil || !c.leadership.schedule.consolidation.takeDue(now) {
+	if lastRound.Capacities == nil || !c.leadership.schedule.consolidation.startIfDue(now) {
 		return
 	}
 	for _, machine := range c.scheduler.Consolidate(now, lastRound, c.leadership.budget.start()) {
@@ -174,14 +183,14 @@
 	}
 }
 
-// collectGarbage deletes or rewrites a few records that are no longer needed as they
-// are.
+// collectGarbage deletes records that are no longer needed and rewrites compact records
+// in the plain format, a limited number at a time.
 func (c *Controller) collectGarbage(now event.Time) {
-	if !c.leadership.schedule.garbageCollection.takeDue(now) {
+	if !c.leadership.schedule.garbageCollection.startIfDue(now) {
 		return
 	}
 	term := c.election.TermCompare()
-	c.jobs.CollectGarbage(now, term, c.store, garbageCollectedJobs)
-	c.jobs.ExpandRecords(garbageCollectedJobs)
+	c.jobs.CollectGarbage(now, term, c.store, garbageCollectionJobLimit)
+	c.jobs.ExpandRecords(garbageCollectionJobLimit)
 	c.jobs.DeleteStaleUpstreamPages(now, term, c.store)
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -8,59 +8,61 @@
 	"lugward/internal/scheduler"
 )
 
-// noWorkerHeartbeatTimeout: a leader that gets no worker's heartbeat for this long
-// resigns, as another controller may be able to reach the workers.
+// noWorkerHeartbeatTimeout is how long a leader continues to lead without receiving any
+// worker heartbeat. After that it resigns, because another controller may be able to
+// reach the workers.
 const noWorkerHeartbeatTimeout = 12 * time.Second
 
-// leadership is what a controller keeps as leader. It is active from the moment that
-// our term is taken up here until its end is noticed here.
+// leadership is the state that a controller keeps as leader. It is active from beginTerm
+// until endTerm. These may run later than the beginning and the end of the term in the
+// state service.
 type leadership struct {
 	active              bool
-	lastWorkerHeartbeat event.Time // when a worker's heartbeat last came
-	// resignedWithoutHeartbeats: we resigned our last term because no worker's
-	// heartbeat came, and no worker has sent us one since.
+	lastWorkerHeartbeat event.Time // arrival of the last heartbeat of any worker; initially the beginning of the term
+	// resignedWithoutHeartbeats means that this controller resigned its last term
+	// because no worker heartbeat arrived, and that none has arrived since.
 	resignedWithoutHeartbeats bool
 	schedule                  leaderSchedule
 	budget                    roundBudget
-	rounds                    int                   // scheduling rounds since the process began
-	lastRound                 scheduler.RoundResult // of this term, empty before its first round
+	roundCount                int                   // scheduling rounds since the process started
+	lastRound                 scheduler.RoundResult // last round of this term, empty before the first
 }
 
 func newLeadership(budget roundBudget) leadership {
 	return leadership{schedule: newLeaderSchedule(), budget: budget}
 }
 
-// taskExpiry tells when the tasks of machines that do not answer have terminated.
+// taskExpiry computes when the tasks on unresponsive machines have terminated.
 type taskExpiry interface {
-	// TasksExpireAt is when the tasks of a machine have terminated at the latest,
-	// given when a heartbeat of it was last answered.
+	// TasksExpireAt returns the latest time at which the tasks on a machine terminate,
+	// given the time at which a heartbeat of the machine was last answered.
 	TasksExpireAt(lastAnswer event.Time) event.Time
 }
 
-// begin takes up a term.
+// begin resets the state for a new term.
 func (l *leadership) begin(now event.Time) {
 	l.active = true
 	l.lastRound = scheduler.RoundResult{}
 	l.lastWorkerHeartbeat = now
 }
 
-// end lays down a term.
+// end drops the state of the term that has ended.
 func (l *leadership) end() {
 	l.active = false
 	l.lastRound = scheduler.RoundResult{}
 }
 
-// observeWorker notes that a worker's heartbeat has come.
-func (l *leadership) observeWorker(now event.Time) {
+// recordWorkerHeartbeat records the arrival of a worker's heartbeat.
+func (l *leadership) recordWorkerHeartbeat(now event.Time) {
 	l.lastWorkerHeartbeat = now
 	l.resignedWithoutHeartbeats = false
 }
 
-// heartbeatDeadline is until when a leader waits for a worker's heartbeat. A leader
-// that resigned for want of heartbeats and has had none since keeps its next term
-// until the leases of unresponsive workers have expired: the workers may all be gone,
-// and further resignations would put off the proof that their tasks have terminated
-// for ever.
+// heartbeatDeadline returns the time at which the leader resigns unless a worker's
+// heartbeat arrives. A leader that resigned its last term because no heartbeats arrived,
+// and has received none since, keeps its next term until the leases of unresponsive
+// workers have expired. All workers may be gone, and further resignations would postpone
+// indefinitely the time at which their tasks are known to have terminated.
 func (l *leadership) heartbeatDeadline(expiry taskExpiry) event.Time {
 	if l.resignedWithoutHeartbeats {
 		return expiry.TasksExpireAt(l.lastWorkerHeartbeat) + noWorkerHeartbeatTimeout
@@ -68,19 +70,20 @@
 	return l.lastWorkerHeartbeat + noWorkerHeartbeatTimeout
 }
 
-// mayAct reports whether we lead and tasks may be started.
-func (c *Controller) mayAct(now event.Time) bool {
+// mayActAsLeader reports whether this controller is leader and may start tasks.
+func (c *Controller) mayActAsLeader(now event.Time) bool {
 	return c.leadership.active && c.election.IsLeader(now)
 }
 
-// mayAnswerWorkers reports whether we may accept and answer the heartbeats of workers
-// as leader: also in the grace after the lease of our term.
+// mayAnswerWorkers reports whether this controller may process and answer the heartbeats
+// of workers as leader. It may also do so in the grace period after the lease of its
+// term.
 func (c *Controller) mayAnswerWorkers(now event.Time) bool {
 	return c.leadership.active && c.election.MayRenewWorkerLeases(now)
 }
 
-// updateLeadership takes up a term that has begun and lays down one that has ended. A
-// leader that gets no heartbeats of workers resigns.
+// updateLeadership handles the beginning and the end of a term. It resigns the term if
+// no heartbeats of workers have arrived by the deadline although some are expected.
 func (c *Controller) updateLeadership(now event.Time, out *event.Effects) {
 	if c.election.TakeTermStart() {
 		c.beginTerm(now)
@@ -95,25 +98,26 @@
 	}
 }
 
-// beginTerm starts to lead.
+// beginTerm initializes the components for a new term of this controller.
 func (c *Controller) beginTerm(now event.Time) {
 	c.leadership.begin(now)
 	c.jobs.Reset()
 	c.workers.Reset()
 	c.autoscaler.BeginTerm(now, c.election.FencingToken())
-	c.shareRates(now)
+	c.updateRateShare(now)
 }
 
-// endTerm drops what is known or planned as leader only.
+// endTerm drops the state that only a leader keeps.
 func (c *Controller) endTerm(now event.Time) {
 	c.leadership.end()
 	c.jobs.Reset()
 	c.workers.Reset()
 	c.autoscaler.Reset()
-	c.shareRates(now)
+	c.updateRateShare(now)
 }
 
-// expectsWorkerHeartbeats reports whether there are workers that should send heartbeats.
+// expectsWorkerHeartbeats reports whether any worker should be sending heartbeats: a
+// machine is running but unregistered, is in use or has sent a heartbeat before.
 func (c *Controller) expectsWorkerHeartbeats() bool {
 	if c.autoscaler.HasUnregisteredMachines() {
 		return true
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -7,7 +7,7 @@
 	"lugward/internal/event"
 )
 
-// fakeExpiry lets tasks terminate after a fixed time without an answer.
+// fakeExpiry is a taskExpiry whose tasks expire a fixed time after the last answer.
 type fakeExpiry time.Duration
 
 func (e fakeExpiry) TasksExpireAt(lastAnswer event.Time) event.Time {
@@ -24,12 +24,12 @@
 		change func(l *leadership)
 		want   event.Time
 	}{
-		{"term has begun", leadership{}, func(*leadership) {}, begin + noWorkerHeartbeatTimeout},
-		{"heartbeat came", leadership{}, func(l *leadership) { l.observeWorker(observed) }, observed + noWorkerHeartbeatTimeout},
-		{"resigned without heartbeats", leadership{resignedWithoutHeartbeats: true}, func(*leadership) {},
+		{"no heartbeat in the term", leadership{}, func(*leadership) {}, begin + noWorkerHeartbeatTimeout},
+		{"heartbeat received", leadership{}, func(l *leadership) { l.recordWorkerHeartbeat(observed) }, observed + noWorkerHeartbeatTimeout},
+		{"resigned without heartbeats, no heartbeat since", leadership{resignedWithoutHeartbeats: true}, func(*leadership) {},
 			begin + time.Minute + noWorkerHeartbeatTimeout},
-		{"resigned, then a heartbeat came", leadership{resignedWithoutHeartbeats: true},
-			func(l *leadership) { l.observeWorker(observed) }, observed + noWorkerHeartbeatTimeout},
+		{"resigned without heartbeats, then heartbeat received", leadership{resignedWithoutHeartbeats: true},
+			func(l *leadership) { l.recordWorkerHeartbeat(observed) }, observed + noWorkerHeartbeatTimeout},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 			l.begin(begin)
 			test.change(&l)
 			if got := l.heartbeatDeadline(lease); got != test.want {
-				t.Errorf("deadline %v, want %v", got, test.want)
+				t.Errorf("heartbeatDeadline = %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -52,13 +52,13 @@
 		{time.Second - 1, false},
 		{time.Second, true},
 		{time.Second, false},
-		{5 * time.Second, true}, // late
+		{5 * time.Second, true}, // overdue
 		{6*time.Second - 1, false},
 		{6 * time.Second, true},
 	}
 	for _, step := range steps {
-		if got := work.takeDue(step.now); got != step.want {
-			t.Errorf("at %v due %v, want %v", step.now, got, step.want)
+		if got := work.startIfDue(step.now); got != step.want {
+			t.Errorf("startIfDue(%v) = %v, want %v", step.now, got, step.want)
 		}
 	}
 }
--- a/internal/controller/load_log.go
+++ b/internal/controller/load_log.go
@@ -8,25 +8,25 @@
 	"lugward/internal/scheduler"
 )
 
-// taskLoad counts the tasks of the unfinished jobs.
-type taskLoad struct {
-	jobsUnplaced  int // with tasks that are not placed
+// taskCounts are the numbers of tasks of unfinished jobs.
+type taskCounts struct {
+	jobsUnplaced  int // jobs that have unplaced tasks
 	tasksUnplaced int
-	notDurable    int // placed, but not stored yet
+	notPersisted  int // placed, but the assignment is not persisted yet
 	evicting      int
-	byPhase       [pipeline.TaskExited + 1]int // placed, by their phase
+	byPhase       [pipeline.TaskExited + 1]int // placed tasks by phase
 }
 
-// machineLoad counts the machines that the last round could use.
-type machineLoad struct {
+// machineCounts are the numbers of machines that the last scheduling round could use.
+type machineCounts struct {
 	usable   int
 	idle     int
 	freeGPUs float64
 }
 
-// countTasks counts the tasks of those of the given jobs that are unfinished.
-func countTasks(jobs iter.Seq[*pipeline.Job]) taskLoad {
-	var load taskLoad
+// countTasks counts the tasks of the unfinished jobs among the given jobs.
+func countTasks(jobs iter.Seq[*pipeline.Job]) taskCounts {
+	var load taskCounts
 	for job := range jobs {
 		if job.TerminalPhase != pipeline.Queued {
 			continue
@@ -42,20 +42,20 @@
 	return load
 }
 
-// count counts a task that is placed.
-func (l *taskLoad) count(assignment *pipeline.Assignment) {
+// count adds a placed task to the counts.
+func (l *taskCounts) count(assignment *pipeline.Assignment) {
 	l.byPhase[assignment.Phase()]++
 	if assignment.Evicting() {
 		l.evicting++
 	}
 	if !assignment.Durable() {
-		l.notDurable++
+		l.notPersisted++
 	}
 }
 
-// countMachines counts the machines with the given capacities.
-func countMachines(capacities []*scheduler.Capacity) machineLoad {
-	var load machineLoad
+// countMachines counts the machines to which the given capacities belong.
+func countMachines(capacities []*scheduler.Capacity) machineCounts {
+	var load machineCounts
 	for _, capacity := range capacities {
 		load.usable++
 		if !capacity.InUse {
@@ -66,9 +66,10 @@
 	return load
 }
 
-// logLoad logs now and then how much work there is and what is done about it.
-func (c *Controller) logLoad(now event.Time) {
-	if !c.leadership.schedule.loadLog.takeDue(now) {
+// logStats periodically logs the numbers of unplaced and placed tasks, the machines, and
+// the load of the scheduler and the state service.
+func (c *Controller) logStats(now event.Time) {
+	if !c.leadership.schedule.statsLog.startIfDue(now) {
 		return
 	}
 	tasks := countTasks(c.jobs.AllJobs())
@@ -77,7 +78,7 @@
 	c.log.Info("load",
 		"jobs_unplaced", tasks.jobsUnplaced,
 		"tasks_unplaced", tasks.tasksUnplaced,
-		"tasks_not_durable", tasks.notDurable,
+		"tasks_not_durable", tasks.notPersisted,
 		"tasks_starting", tasks.byPhase[pipeline.TaskUnseen],
 		"tasks_pulling", tasks.byPhase[pipeline.TaskPulling],
 		"tasks_waiting_for_gang", tasks.byPhase[pipeline.TaskWaitingForGang],
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -13,23 +13,24 @@
 
 const (
 	peerHeartbeatInterval = 500 * time.Millisecond
-	// peerHeartbeatTimeout: a peer without a heartbeat for this long is not alive.
+	// peerHeartbeatTimeout is the time without a heartbeat after which a peer is no
+	// longer considered alive.
 	peerHeartbeatTimeout = 2 * time.Second
-	// neverReceived is the time of the last heartbeat of a peer that has sent none.
+	// neverReceived is the initial receivedAt of a peer that has not sent a heartbeat.
 	neverReceived = -time.Hour
 )
 
-// peerTable is what we know of the other controllers.
+// peerTable holds the state of the other controllers, as seen by this controller.
 type peerTable struct {
 	list            []*peerState // in the order of the engine's list of peers
-	heartbeatSentAt event.Time   // when we last sent ours to all of them
+	heartbeatSentAt event.Time   // when this controller last sent a heartbeat to all peers
 }
 
-// peerState is what we know of another controller.
+// peerState is the state of another controller, as seen by this controller.
 type peerState struct {
 	label      string
-	receivedAt event.Time // when its last heartbeat came
-	heartbeat  peer.Frame // the last one; meaningful while the peer is alive
+	receivedAt event.Time // arrival of its last heartbeat
+	heartbeat  peer.Frame // its last heartbeat; valid only while the peer is alive
 }
 
 func newPeerTable(seeds []config.Seed) peerTable {
@@ -40,7 +41,7 @@
 	return table
 }
 
-// sortedLabels returns the labels of all controllers, ours included.
+// sortedLabels returns the sorted labels of all controllers, including this one.
 func sortedLabels(cfg *config.Platform) []string {
 	labels := make([]string, 0, len(cfg.Seeds)+1)
 	labels = append(labels, cfg.Label)
@@ -51,14 +52,15 @@
 	return labels
 }
 
-// isAlive reports whether a peer's heartbeats arrive. Judged as of our last own
-// heartbeat, it does not change because we stood still.
+// isAlive reports whether a peer's heartbeats arrive. Their age is measured at the time
+// at which this controller last sent a heartbeat, not now: if this controller was
+// suspended, peers do not appear dead because of it.
 func (t *peerTable) isAlive(p *peerState) bool {
 	return t.heartbeatSentAt-p.receivedAt < peerHeartbeatTimeout
 }
 
-// aliveByLabel returns the index of the peer with a label. ok is false if there is
-// none or it is not alive.
+// aliveByLabel returns the index of the peer with the given label. ok is false if there
+// is no such peer or it is not alive.
 func (t *peerTable) aliveByLabel(label string) (index int, ok bool) {
 	for i, p := range t.list {
 		if p.label == label && t.isAlive(p) {
@@ -68,8 +70,8 @@
 	return index, ok
 }
 
-// reachesState reports whether the peer with a label is alive and says that it reaches
-// the state service.
+// reachesState reports whether the peer with the given label is alive and reports that
+// it reaches the state service.
 func (t *peerTable) reachesState(label string) bool {
 	for _, p := range t.list {
 		if p.label == label {
@@ -79,9 +81,10 @@
 	return false
 }
 
-// relayFor picks, among the peers that are alive, the one that relays for a machine,
-// so that machines are spread evenly. ok is false if none is alive.
-func (t *peerTable) relayFor(machine string) (label string, ok bool) {
+// relayingPeerFor selects the peer that relays the heartbeats of a machine. It chooses
+// among the peers that are alive by a hash of the machine's name, which spreads the
+// machines evenly. ok is false if no peer is alive.
+func (t *peerTable) relayingPeerFor(machine string) (label string, ok bool) {
 	var labels []string
 	for _, p := range t.list {
 		if t.isAlive(p) {
@@ -96,9 +99,9 @@
 	return labels[int(hash.Sum32())%len(labels)], true
 }
 
-// takeHeartbeatDue reports whether our next heartbeat to the peers is due, and notes it
-// as sent if so.
-func (t *peerTable) takeHeartbeatDue(now event.Time) bool {
+// startHeartbeatIfDue reports whether this controller's next heartbeat to the peers is
+// due. If so, it records now as the time at which it was sent.
+func (t *peerTable) startHeartbeatIfDue(now event.Time) bool {
 	if now-t.heartbeatSentAt < peerHeartbeatInterval {
 		return false
 	}
@@ -106,19 +109,19 @@
 	return true
 }
 
-// sendPeerHeartbeat sends, when it is due, our view of the cluster to all peers.
+// sendPeerHeartbeat sends this controller's status to all peers if a heartbeat is due.
 func (c *Controller) sendPeerHeartbeat(now event.Time, out *event.Effects) {
-	if !c.peers.takeHeartbeatDue(now) {
+	if !c.peers.startHeartbeatIfDue(now) {
 		return
 	}
-	own := c.shareRates(now)
+	demand := c.updateRateShare(now)
 	heartbeat := peer.Frame{
 		Kind:     peer.Heartbeat,
 		Label:    c.cfg.Label,
 		StateOK:  c.store.Synced() && !c.store.Unavailable(),
 		IsLeader: c.leadership.active,
-		Requests: saturate(own.Requests),
-		Writes:   saturate(own.Writes),
+		Requests: saturate(demand.Requests),
+		Writes:   saturate(demand.Writes),
 	}
 	if c.leadership.active {
 		heartbeat.FencingToken = c.election.FencingToken()
@@ -129,10 +132,12 @@
 	}
 }
 
-// saturate converts a rate for the frame, which has 16 bits for it.
+// saturate converts a rate to the 16-bit field of a frame. Larger rates become the
+// maximum value.
 func saturate(rate float64) uint16 { return uint16(min(rate, math.MaxUint16)) }
 
-// handlePeerHeartbeat takes in a peer's view of the cluster.
+// handlePeerHeartbeat records the status in a peer's heartbeat. from is the index of the
+// peer.
 func (c *Controller) handlePeerHeartbeat(now event.Time, from int, frame *peer.Frame) {
 	p := c.peers.list[from]
 	p.receivedAt = now
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -10,15 +10,15 @@
 	"lugward/internal/peer"
 )
 
-// testNow is when our last heartbeat to the peers was sent.
+// testNow is the time at which the local controller last sent a heartbeat to the peers.
 const testNow = time.Hour
 
-// testPeer is a peer from which a heartbeat came at testNow less the given age.
+// testPeer returns a peer whose last heartbeat arrived the given age before testNow.
 func testPeer(label string, age time.Duration, heartbeat peer.Frame) *peerState {
 	return &peerState{label: label, receivedAt: testNow - age, heartbeat: heartbeat}
 }
 
-// testPeers is what we know of the given peers.
+// testPeers returns a peer table with the given peers.
 func testPeers(peers ...*peerState) *peerTable {
 	return &peerTable{list: peers, heartbeatSentAt: testNow}
 }
@@ -26,11 +26,11 @@
 func TestPeerIsAlive(t *testing.T) {
 	tests := []struct {
 		name string
-		age  time.Duration // of its last heartbeat
+		age  time.Duration // age of the last heartbeat
 		want bool
 	}{
-		{"heartbeat just came", 0, true},
-		{"heartbeat came after ours", -time.Second, true},
+		{"heartbeat has just arrived", 0, true},
+		{"heartbeat arrived after the last one was sent", -time.Second, true},
 		{"heartbeat within the timeout", peerHeartbeatTimeout - 1, true},
 		{"heartbeat too old", peerHeartbeatTimeout, false},
 	}
@@ -38,14 +38,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			p := testPeer("b", test.age, peer.Frame{})
 			if got := testPeers(p).isAlive(p); got != test.want {
-				t.Errorf("alive %v, want %v", got, test.want)
+				t.Errorf("isAlive = %v, want %v", got, test.want)
 			}
 		})
 	}
 	t.Run("no heartbeat yet", func(t *testing.T) {
 		table := newPeerTable([]config.Seed{{Label: "b"}})
 		if table.isAlive(table.list[0]) {
-			t.Error("a peer that was never heard of is alive")
+			t.Error("isAlive = true for a peer that has sent no heartbeat, want false")
 		}
 	})
 }
@@ -72,10 +72,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			index, alive := peers.aliveByLabel(test.label)
 			if alive != test.alive || (alive && index != test.index) {
-				t.Errorf("index %d, alive %v; want %d, %v", index, alive, test.index, test.alive)
+				t.Errorf("aliveByLabel(%q) = %d, %v; want %d, %v", test.label, index, alive, test.index, test.alive)
 			}
 			if got := peers.reachesState(test.label); got != test.reachesState {
-				t.Errorf("reaches the state service %v, want %v", got, test.reachesState)
+				t.Errorf("reachesState(%q) = %v, want %v", test.label, got, test.reachesState)
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 	tests := []struct {
 		name  string
 		peers *peerTable
-		want  []string // labels that machines are spread over
+		want  []string // labels of the peers that the machines are assigned to
 	}{
 		{"no peers", testPeers(), nil},
 		{"none alive", testPeers(dead), nil},
@@ -99,12 +99,12 @@
 			count := map[string]int{}
 			for i := range machines {
 				machine := fmt.Sprintf("m-%d", i)
-				label, ok := test.peers.relayFor(machine)
+				label, ok := test.peers.relayingPeerFor(machine)
 				if ok != (len(test.want) > 0) {
-					t.Fatalf("found %v", ok)
+					t.Fatalf("relayingPeerFor(%q): ok = %v, want %v", machine, ok, len(test.want) > 0)
 				}
-				if again, _ := test.peers.relayFor(machine); again != label {
-					t.Errorf("machine %s goes to %s, then to %s", machine, label, again)
+				if again, _ := test.peers.relayingPeerFor(machine); again != label {
+					t.Errorf("second relayingPeerFor(%q) = %q, want %q as in the first call", machine, again, label)
 				}
 				if ok {
 					count[label]++
@@ -112,11 +112,11 @@
 			}
 			for label, n := range count {
 				if !slices.Contains(test.want, label) || n < machines/len(test.want)/2 {
-					t.Errorf("%d of %d machines go to %s", n, machines, label)
+					t.Errorf("%d of %d machines are assigned to %q, want at least %d, to peers of %v", n, machines, label, machines/len(test.want)/2, test.want)
 				}
 			}
 			if len(count) != len(test.want) {
-				t.Errorf("machines go to %v, want %v", count, test.want)
+				t.Errorf("machines are assigned to peers %v, want %v", count, test.want)
 			}
 		})
 	}
@@ -126,20 +126,20 @@
 	var peers peerTable
 	var sent []time.Duration
 	for now := time.Duration(0); now <= 3*peerHeartbeatInterval; now += peerHeartbeatInterval / 4 {
-		if peers.takeHeartbeatDue(now) {
+		if peers.startHeartbeatIfDue(now) {
 			sent = append(sent, now)
 		}
 	}
 	want := []time.Duration{peerHeartbeatInterval, 2 * peerHeartbeatInterval, 3 * peerHeartbeatInterval}
 	if !slices.Equal(sent, want) {
-		t.Errorf("sent at %v, want %v", sent, want)
+		t.Errorf("heartbeats are sent at %v, want %v", sent, want)
 	}
 }
 
 func TestSaturate(t *testing.T) {
 	for rate, want := range map[float64]uint16{0: 0, 12.9: 12, 65535: 65535, 1e9: 65535} {
 		if got := saturate(rate); got != want {
-			t.Errorf("%g becomes %d, want %d", rate, got, want)
+			t.Errorf("saturate(%g) = %d, want %d", rate, got, want)
 		}
 	}
 }
--- a/internal/controller/pending_heartbeats.go
+++ b/internal/controller/pending_heartbeats.go
@@ -10,51 +10,52 @@
 )
 
 const (
-	// heartbeatAnswerTimeout: a worker's heartbeat is answered when its consequences
-	// are stored, or after this. A write takes milliseconds; a slow one is not
-	// waited for.
+	// heartbeatAnswerTimeout is how long the answer to a worker's heartbeat waits until
+	// the resulting changes are persisted. A write takes milliseconds; the answer does
+	// not wait for slower writes.
 	heartbeatAnswerTimeout = 400 * time.Millisecond
-	// idleHeartbeatAnswerTimeout is how long the heartbeat of a machine without tasks
-	// waits: nothing can change there, and a start that is decided meanwhile need
-	// not wait for the next heartbeat. The worker waits for 4 s.
+	// idleHeartbeatAnswerTimeout is how long the answer to the heartbeat of a machine
+	// without tasks waits. The state of such a machine cannot change, and a task that is
+	// assigned to it meanwhile starts with this answer instead of the next one. It is
+	// below the 4 s that the worker waits for an answer.
 	idleHeartbeatAnswerTimeout = 2500 * time.Millisecond
-	// idleSocketDivisor: waiting heartbeats of idle machines take 1/4 of all sockets
-	// at most, as other machines may need the rest.
+	// idleSocketDivisor limits the pending heartbeats of idle machines to 1/4 of all
+	// sockets, because other machines may need the rest.
 	idleSocketDivisor = 4
 )
 
-// pendingHeartbeat is a worker's heartbeat that was accepted and is not answered yet.
+// pendingHeartbeat is a worker's heartbeat that has been processed but not answered yet.
 type pendingHeartbeat struct {
 	replyTo    replyTarget
 	heartbeat  *worker.Heartbeat
-	machine    pipeline.MachineIndex // index
+	machine    pipeline.MachineIndex
 	receivedAt event.Time
-	idle       bool // its machine is idle, so it waits for idleHeartbeatAnswerTimeout
+	idle       bool // the machine is idle, so the answer may wait for idleHeartbeatAnswerTimeout
 	answered   bool
 }
 
-// pendingHeartbeats are the heartbeats of workers that wait for their answers, one
-// for each machine at most. With a thousand machines some hundred wait at any time,
-// so one is reviewed only when something about its machine has changed, when a
-// scheduling round is over, or when its timeout has passed.
+// pendingHeartbeats holds the heartbeats of workers that have not been answered yet, at
+// most one per machine. With a thousand machines, about a hundred are pending at any
+// time. To limit the work, a heartbeat is checked only when something about its machine
+// has changed, when a scheduling round has finished, or when its timeout has passed.
 type pendingHeartbeats struct {
 	byMachine map[pipeline.MachineIndex]*pendingHeartbeat
-	// Queues by time, oldest first. A heartbeat that is answered, or has moved to
-	// the queue of idle machines, leaves a queue when it comes to the head.
-	queue        []*pendingHeartbeat     // due after heartbeatAnswerTimeout
-	idleQueue    []*pendingHeartbeat     // due after idleHeartbeatAnswerTimeout
-	idleCount    int                     // unanswered ones in idleQueue
-	idleLimit    int                     // of idleCount, so that sockets are left for others
-	toReview     []pipeline.MachineIndex // machines whose heartbeats are to be reviewed
-	roundAwaited bool                    // at the last review a change waited for its round
+	// Queues in the order of arrival, oldest first. A heartbeat that has been answered
+	// or has moved to idleQueue is removed from a queue only when it reaches the head.
+	queue             []*pendingHeartbeat     // due after heartbeatAnswerTimeout
+	idleQueue         []*pendingHeartbeat     // due after idleHeartbeatAnswerTimeout
+	idleCount         int                     // unanswered heartbeats in idleQueue
+	idleLimit         int                     // maximum of idleCount, which leaves sockets for other machines
+	toCheck           []pipeline.MachineIndex // machines whose heartbeats have to be checked
+	roundWasRequested bool                    // whether a scheduling round was requested at the last check
 }
 
 func newPendingHeartbeats(idleLimit int) pendingHeartbeats {
 	return pendingHeartbeats{byMachine: map[pipeline.MachineIndex]*pendingHeartbeat{}, idleLimit: idleLimit}
 }
 
-// add adds a heartbeat. It returns the one that the same machine has sent before, if
-// that still waited; the caller answers it.
+// add adds a heartbeat. If an earlier heartbeat of the same machine is still pending, it
+// is removed and returned, and the caller has to answer it.
 func (p *pendingHeartbeats) add(pending *pendingHeartbeat) (replaced *pendingHeartbeat) {
 	replaced = p.byMachine[pending.machine]
 	if replaced != nil {
@@ -62,19 +63,19 @@
 	}
 	p.byMachine[pending.machine] = pending
 	p.queue = append(p.queue, pending)
-	p.toReview = append(p.toReview, pending.machine)
+	p.toCheck = append(p.toCheck, pending.machine)
 	return replaced
 }
 
-// get returns the heartbeat of a machine that waits, nil if there is none.
+// get returns the pending heartbeat of a machine, or nil if there is none.
 func (p *pendingHeartbeats) get(machine pipeline.MachineIndex) *pendingHeartbeat {
 	return p.byMachine[machine]
 }
 
-// empty reports whether no heartbeat waits.
+// empty reports whether no heartbeat is pending.
 func (p *pendingHeartbeats) empty() bool { return len(p.byMachine) == 0 }
 
-// markAnswered takes a heartbeat off those that wait.
+// markAnswered marks a heartbeat as answered, so that it is no longer pending.
 func (p *pendingHeartbeats) markAnswered(pending *pendingHeartbeat) {
 	pending.answered = true
 	if pending.idle {
@@ -85,7 +86,8 @@
 	}
 }
 
-// markIdle lets a heartbeat wait for idleHeartbeatAnswerTimeout.
+// markIdle marks the machine of a heartbeat as idle and extends the heartbeat's timeout
+// to idleHeartbeatAnswerTimeout.
 func (p *pendingHeartbeats) markIdle(pending *pendingHeartbeat) {
 	if pending.idle {
 		return
@@ -95,24 +97,24 @@
 	p.idleQueue = append(p.idleQueue, pending)
 }
 
-// takeToReview returns the machines whose heartbeats are to be reviewed: those of new
-// heartbeats and those that have changed.
-func (p *pendingHeartbeats) takeToReview(changed []pipeline.MachineIndex) []pipeline.MachineIndex {
-	machines := p.toReview
-	p.toReview = nil
+// drainToCheck returns the machines whose heartbeats have to be checked, and clears the
+// list: the machines with new heartbeats, followed by the given changed machines.
+func (p *pendingHeartbeats) drainToCheck(changed []pipeline.MachineIndex) []pipeline.MachineIndex {
+	machines := p.toCheck
+	p.toCheck = nil
 	return append(machines, changed...)
 }
 
-// appendAfterRound appends the machines of the heartbeats that waited for a
-// scheduling round, if that is over.
+// appendAfterRound appends the machines whose heartbeats waited for a scheduling round,
+// if that round has run since the last call.
 func (p *pendingHeartbeats) appendAfterRound(machines []pipeline.MachineIndex, roundRequested bool) []pipeline.MachineIndex {
-	roundOver := p.roundAwaited && !roundRequested
-	p.roundAwaited = roundRequested
+	roundOver := p.roundWasRequested && !roundRequested
+	p.roundWasRequested = roundRequested
 	if !roundOver {
 		return machines
 	}
 	for _, pending := range p.queue {
-		if pending.waitsInQueue() {
+		if pending.belongsInQueue() {
 			machines = append(machines, pending.machine)
 		}
 	}
@@ -120,19 +122,20 @@
 }
 
 // nextOverdue returns the oldest heartbeat that has waited for heartbeatAnswerTimeout
-// and was not found to be of an idle machine, nil if there is none.
+// and is not marked as idle, or nil if there is none.
 func (p *pendingHeartbeats) nextOverdue(now event.Time) *pendingHeartbeat {
-	oldest := head(&p.queue, (*pendingHeartbeat).waitsInQueue)
+	oldest := trimHead(&p.queue, (*pendingHeartbeat).belongsInQueue)
 	if oldest == nil || now-oldest.receivedAt < heartbeatAnswerTimeout {
 		return nil
 	}
 	return oldest
 }
 
-// nextOverdueIdle returns the oldest heartbeat of an idle machine, if it has waited for
-// idleHeartbeatAnswerTimeout or more of them wait than may, else nil.
+// nextOverdueIdle returns the oldest heartbeat of an idle machine if it has waited for
+// idleHeartbeatAnswerTimeout or if the number of idle heartbeats exceeds idleLimit. It
+// returns nil otherwise.
 func (p *pendingHeartbeats) nextOverdueIdle(now event.Time) *pendingHeartbeat {
-	oldest := head(&p.idleQueue, (*pendingHeartbeat).waits)
+	oldest := trimHead(&p.idleQueue, (*pendingHeartbeat).isUnanswered)
 	if oldest == nil {
 		return nil
 	}
@@ -142,12 +145,13 @@
 	return oldest
 }
 
-// all iterates over the heartbeats that wait. They may be answered meanwhile.
+// all iterates over the pending heartbeats. The caller may mark them as answered during
+// the iteration.
 func (p *pendingHeartbeats) all() iter.Seq[*pendingHeartbeat] {
 	return func(yield func(*pendingHeartbeat) bool) {
 		for _, queue := range [][]*pendingHeartbeat{p.queue, p.idleQueue} {
 			for _, pending := range queue {
-				if pending.waits() && !yield(pending) {
+				if pending.isUnanswered() && !yield(pending) {
 					return
 				}
 			}
@@ -155,27 +159,28 @@
 	}
 }
 
-// dropQueues empties the queues once all heartbeats are answered.
-func (p *pendingHeartbeats) dropQueues() {
+// clearQueues empties the queues. All heartbeats must have been answered.
+func (p *pendingHeartbeats) clearQueues() {
 	p.queue = nil
 	p.idleQueue = nil
 }
 
-// waits reports whether the heartbeat still has to be answered.
-func (p *pendingHeartbeat) waits() bool { return !p.answered }
+// isUnanswered reports whether the heartbeat still has to be answered.
+func (p *pendingHeartbeat) isUnanswered() bool { return !p.answered }
 
-// waitsInQueue reports whether the heartbeat waits for heartbeatAnswerTimeout.
-func (p *pendingHeartbeat) waitsInQueue() bool { return !p.answered && !p.idle }
+// belongsInQueue reports whether the heartbeat still belongs in queue: it is unanswered
+// and its machine is not marked as idle.
+func (p *pendingHeartbeat) belongsInQueue() bool { return !p.answered && !p.idle }
 
-// head returns the first heartbeat of a queue that still belongs there, nil if there
-// is none, and drops those before it.
-func head(queue *[]*pendingHeartbeat, belongs func(*pendingHeartbeat) bool) *pendingHeartbeat {
+// trimHead removes the heartbeats at the head of a queue that no longer belong there. It
+// returns the first one that remains, or nil if the queue is empty.
+func trimHead(queue *[]*pendingHeartbeat, belongs func(*pendingHeartbeat) bool) *pendingHeartbeat {
 	for len(*queue) > 0 {
 		first := (*queue)[0]
 		if belongs(first) {
 			return first
 		}
-		(*queue)[0] = nil // for the garbage collector
+		(*queue)[0] = nil // release the heartbeat for garbage collection
 		*queue = (*queue)[1:]
 	}
 	return nil
--- a/internal/controller/pending_heartbeats_test.go
+++ b/internal/controller/pending_heartbeats_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// longAfter is when any heartbeat of these tests has waited for long enough.
+// longAfter is a time at which all heartbeats in these tests are overdue.
 const longAfter = time.Hour
 
-// addPending adds a heartbeat of a machine to those that wait.
+// addPending adds a heartbeat of a machine that has no pending heartbeat yet.
 func addPending(t *testing.T, p *pendingHeartbeats, machine pipeline.MachineIndex) *pendingHeartbeat {
 	t.Helper()
 	pending := &pendingHeartbeat{machine: machine, receivedAt: time.Duration(machine) * time.Second}
 	if replaced := p.add(pending); replaced != nil {
-		t.Fatalf("the heartbeat of machine %d replaces another", machine)
+		t.Fatalf("add of the heartbeat of machine %d replaced %+v, want nil", machine, replaced)
 	}
 	return pending
 }
@@ -27,29 +27,29 @@
 	p.markIdle(first)
 	second := &pendingHeartbeat{machine: 1}
 	if replaced := p.add(second); replaced != first || !first.answered {
-		t.Errorf("replaced %v, answered %v; want the first, answered", replaced, first.answered)
+		t.Errorf("add replaced %v, answered %v; want the first heartbeat %v, answered", replaced, first.answered, first)
 	}
 	if p.get(1) != second || p.idleCount != 0 {
-		t.Errorf("waiting %v, %d idle; want the second, none idle", p.get(1), p.idleCount)
+		t.Errorf("got pending heartbeat %v, idle count %d; want the second heartbeat %v, 0", p.get(1), p.idleCount, second)
 	}
 	p.markAnswered(second)
 	if !p.empty() {
-		t.Error("a heartbeat waits after both were answered")
+		t.Error("empty = false after both heartbeats were answered, want true")
 	}
 }
 
-// queueTests change the three heartbeats that wait, of the machines 1, 2 and 3.
+// queueTests change the pending heartbeats of the machines 1, 2 and 3.
 var queueTests = []struct {
 	name        string
 	change      func(p *pendingHeartbeats, list []*pendingHeartbeat)
-	overdue     pipeline.MachineIndex   // machine of the next overdue heartbeat, 0: none
-	overdueIdle pipeline.MachineIndex   // the same, of idle machines
-	all         []pipeline.MachineIndex // machines of all that wait
+	overdue     pipeline.MachineIndex   // machine of the next overdue heartbeat, 0 if there is none
+	overdueIdle pipeline.MachineIndex   // machine of the next overdue idle heartbeat, 0 if there is none
+	all         []pipeline.MachineIndex // machines of all pending heartbeats
 }{
-	{"all wait", func(*pendingHeartbeats, []*pendingHeartbeat) {}, 1, 0, []pipeline.MachineIndex{1, 2, 3}},
+	{"all pending", func(*pendingHeartbeats, []*pendingHeartbeat) {}, 1, 0, []pipeline.MachineIndex{1, 2, 3}},
 	{"oldest answered", func(p *pendingHeartbeats, list []*pendingHeartbeat) { p.markAnswered(list[0]) }, 2, 0, []pipeline.MachineIndex{2, 3}},
 	{"oldest idle", func(p *pendingHeartbeats, list []*pendingHeartbeat) { p.markIdle(list[0]) }, 2, 1, []pipeline.MachineIndex{1, 2, 3}},
-	{"idle twice", func(p *pendingHeartbeats, list []*pendingHeartbeat) {
+	{"marked as idle twice", func(p *pendingHeartbeats, list []*pendingHeartbeat) {
 		p.markIdle(list[2])
 		p.markIdle(list[2])
 	}, 1, 3, []pipeline.MachineIndex{1, 2, 3}},
@@ -64,7 +64,8 @@
 	}, 0, 0, nil},
 }
 
-// threePending returns the heartbeats of the machines 1, 2 and 3, as a test changes them.
+// threePending returns pending heartbeats of the machines 1, 2 and 3, after applying the
+// change of a test to them.
 func threePending(t *testing.T, change func(*pendingHeartbeats, []*pendingHeartbeat)) *pendingHeartbeats {
 	t.Helper()
 	p := newPendingHeartbeats(100)
@@ -83,10 +84,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			p := threePending(t, test.change)
 			if got := machineOf(p.nextOverdue(longAfter)); got != test.overdue {
-				t.Errorf("overdue of machine %d, want %d", got, test.overdue)
+				t.Errorf("nextOverdue returned heartbeat of machine %d, want %d", got, test.overdue)
 			}
 			if got := machineOf(p.nextOverdueIdle(longAfter)); got != test.overdueIdle {
-				t.Errorf("overdue idle of machine %d, want %d", got, test.overdueIdle)
+				t.Errorf("nextOverdueIdle returned heartbeat of machine %d, want %d", got, test.overdueIdle)
 			}
 		})
 	}
@@ -102,10 +103,10 @@
 				p.markAnswered(pending) // as the caller does
 			}
 			if !slices.Equal(all, test.all) {
-				t.Errorf("waiting: machines %v, want %v", all, test.all)
+				t.Errorf("all returned heartbeats of machines %v, want %v", all, test.all)
 			}
 			if p.idleCount != 0 {
-				t.Errorf("%d count as idle after all were answered", p.idleCount)
+				t.Errorf("idleCount = %d after all heartbeats were answered, want 0", p.idleCount)
 			}
 		})
 	}
@@ -115,26 +116,26 @@
 	p := newPendingHeartbeats(100)
 	addPending(t, &p, 1)
 	p.markIdle(addPending(t, &p, 2))
-	if got := p.takeToReview([]pipeline.MachineIndex{9}); !slices.Equal(got, []pipeline.MachineIndex{1, 2, 9}) {
-		t.Errorf("to review %v; want the new ones and what changed", got)
+	if got := p.drainToCheck([]pipeline.MachineIndex{9}); !slices.Equal(got, []pipeline.MachineIndex{1, 2, 9}) {
+		t.Errorf("drainToCheck = %v, want [1 2 9]: machines with new heartbeats, then changed ones", got)
 	}
-	if got := p.takeToReview(nil); len(got) != 0 {
-		t.Errorf("to review again %v", got)
+	if got := p.drainToCheck(nil); len(got) != 0 {
+		t.Errorf("second drainToCheck = %v, want none", got)
 	}
 	steps := []struct {
 		name           string
 		roundRequested bool
 		want           []pipeline.MachineIndex
 	}{
-		{"no round was awaited", false, nil},
-		{"a round is awaited", true, nil},
-		{"it is still awaited", true, nil},
-		{"it is over", false, []pipeline.MachineIndex{1}},
-		{"none is awaited any more", false, nil},
+		{"no round requested", false, nil},
+		{"round requested", true, nil},
+		{"round still requested", true, nil},
+		{"round finished", false, []pipeline.MachineIndex{1}},
+		{"no further round requested", false, nil},
 	}
 	for _, step := range steps {
 		if got := p.appendAfterRound(nil, step.roundRequested); !slices.Equal(got, step.want) {
-			t.Errorf("%s: machines %v, want %v", step.name, got, step.want)
+			t.Errorf("%s: appendAfterRound = %v, want %v", step.name, got, step.want)
 		}
 	}
 }
@@ -148,11 +149,11 @@
 		waited    time.Duration
 		want      bool
 	}{
-		{"in time", false, 1, heartbeatAnswerTimeout - 1, false},
+		{"before the timeout", false, 1, heartbeatAnswerTimeout - 1, false},
 		{"overdue", false, 1, heartbeatAnswerTimeout, true},
-		{"idle, in time", true, 1, idleHeartbeatAnswerTimeout - 1, false},
+		{"idle, before the timeout", true, 1, idleHeartbeatAnswerTimeout - 1, false},
 		{"idle, overdue", true, 1, idleHeartbeatAnswerTimeout, true},
-		{"idle, more than may wait", true, 0, 0, true},
+		{"idle, above the limit of idle heartbeats", true, 0, 0, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -164,10 +165,10 @@
 			}
 			got, gotIdle := p.nextOverdue(begin+test.waited), p.nextOverdueIdle(begin+test.waited)
 			if (got != nil) != (test.want && !test.idle) {
-				t.Errorf("overdue: %v", got)
+				t.Errorf("nextOverdue = %v, want a heartbeat: %v", got, test.want && !test.idle)
 			}
 			if (gotIdle != nil) != (test.want && test.idle) {
-				t.Errorf("overdue and idle: %v", gotIdle)
+				t.Errorf("nextOverdueIdle = %v, want a heartbeat: %v", gotIdle, test.want && test.idle)
 			}
 		})
 	}
--- a/internal/controller/pending_relays.go
+++ b/internal/controller/pending_relays.go
@@ -8,45 +8,46 @@
 	"lugward/internal/event"
 )
 
-// relayTimeout is how long the leader may take to answer a relayed heartbeat.
+// relayTimeout is how long a controller waits for the leader's answer to a relayed
+// heartbeat.
 const relayTimeout = 3 * time.Second
 
-// pendingRelays are the workers' heartbeats that we have relayed to the leader and
-// that it has not answered yet.
+// pendingRelays holds the heartbeats of workers that this controller has relayed to the
+// leader and that the leader has not answered yet.
 type pendingRelays struct {
 	byID   map[uint64]pendingRelay
-	lastID uint64 // numbers start at 1
+	lastID uint64 // IDs start at 1
 }
 
 // pendingRelay is a relayed heartbeat that the leader has not answered yet.
 type pendingRelay struct {
-	conn  uint64 // of the worker
-	since event.Time
+	conn      uint64     // ID of the worker's connection
+	relayedAt event.Time // when the heartbeat was relayed
 }
 
 func newPendingRelays() pendingRelays {
 	return pendingRelays{byID: map[uint64]pendingRelay{}}
 }
 
-// add notes a heartbeat that is being relayed and returns its number.
+// add records a relayed heartbeat and returns its ID.
 func (p *pendingRelays) add(conn uint64, now event.Time) (id uint64) {
 	p.lastID++
-	p.byID[p.lastID] = pendingRelay{conn: conn, since: now}
+	p.byID[p.lastID] = pendingRelay{conn: conn, relayedAt: now}
 	return p.lastID
 }
 
-// take removes a relay that was answered. ok is false if it has expired.
-func (p *pendingRelays) take(id uint64) (relay pendingRelay, ok bool) {
+// remove removes an answered relay and returns it. ok is false if it has expired.
+func (p *pendingRelays) remove(id uint64) (relay pendingRelay, ok bool) {
 	relay, ok = p.byID[id]
 	delete(p.byID, id)
 	return relay, ok
 }
 
-// takeExpired removes the relays that got no answer in time and returns them, oldest
-// first.
-func (p *pendingRelays) takeExpired(now event.Time) (expired []pendingRelay) {
+// drainExpired removes the relays that were not answered within relayTimeout and returns
+// them, oldest first.
+func (p *pendingRelays) drainExpired(now event.Time) (expired []pendingRelay) {
 	for _, id := range slices.Sorted(maps.Keys(p.byID)) {
-		if relay := p.byID[id]; now-relay.since > relayTimeout {
+		if relay := p.byID[id]; now-relay.relayedAt > relayTimeout {
 			delete(p.byID, id)
 			expired = append(expired, relay)
 		}
--- a/internal/controller/pending_relays_test.go
+++ b/internal/controller/pending_relays_test.go
@@ -13,23 +13,23 @@
 	second := relays.add(12, begin+time.Second)
 	third := relays.add(13, begin+time.Second)
 	if first != 1 || second != 2 || third != 3 {
-		t.Errorf("numbers %d, %d and %d; want 1, 2 and 3", first, second, third)
+		t.Errorf("got relay IDs %d, %d and %d, want 1, 2 and 3", first, second, third)
 	}
-	if relay, ok := relays.take(second); !ok || relay.conn != 12 {
-		t.Errorf("took %+v, %v; want connection 12", relay, ok)
+	if relay, ok := relays.remove(second); !ok || relay.conn != 12 {
+		t.Errorf("remove(%d) = %+v, %v; want connection 12, true", second, relay, ok)
 	}
-	if _, ok := relays.take(second); ok {
-		t.Error("a relay is answered twice")
+	if _, ok := relays.remove(second); ok {
+		t.Error("second remove of an answered relay: ok = true, want false")
 	}
-	if expired := relays.takeExpired(begin + relayTimeout); len(expired) != 0 {
-		t.Errorf("expired in time: %+v", expired)
+	if expired := relays.drainExpired(begin + relayTimeout); len(expired) != 0 {
+		t.Errorf("drainExpired = %+v at the timeout, want none", expired)
 	}
 	relays.add(14, begin+relayTimeout)
-	want := []pendingRelay{{conn: 11, since: begin}, {conn: 13, since: begin + time.Second}}
-	if expired := relays.takeExpired(begin + time.Second + relayTimeout + 1); !slices.Equal(expired, want) {
-		t.Errorf("expired %+v, want %+v", expired, want)
+	want := []pendingRelay{{conn: 11, relayedAt: begin}, {conn: 13, relayedAt: begin + time.Second}}
+	if expired := relays.drainExpired(begin + time.Second + relayTimeout + 1); !slices.Equal(expired, want) {
+		t.Errorf("drainExpired = %+v, want %+v", expired, want)
 	}
-	if _, ok := relays.take(first); ok {
-		t.Error("an expired relay is answered")
+	if _, ok := relays.remove(first); ok {
+		t.Error("remove of an expired relay: ok = true, want false")
 	}
 }
--- a/internal/controller/protocol.go
+++ b/internal/controller/protocol.go
@@ -6,15 +6,15 @@
 	"lugward/internal/worker"
 )
 
-// The HTTP paths and methods that the controller serves itself. The paths of the
-// API for users belong to package api.
+// The HTTP paths and methods that this package serves. The paths of the user API belong
+// to package api.
 const (
 	pathHealth          = "/healthz"
 	pathWorkerHeartbeat = "/hello"
 	methodPost          = "POST"
 )
 
-// retryAfterSeconds is when a client that we cannot serve should come back.
+// retryAfterSeconds is the Retry-After value of replies with status 503.
 const retryAfterSeconds = 1
 
 // heartbeatResponse is the body of the answer to a worker's heartbeat.
@@ -23,17 +23,18 @@
 	Commands     []worker.Command `json:"orders"`
 }
 
-// redirectResponse tells a worker which controller to send its heartbeats to.
+// redirectResponse is the body of a redirect. It names the controller to which the
+// worker should send its heartbeats.
 type redirectResponse struct {
 	Controller string `json:"steward"`
 }
 
-// encode returns the JSON of the body of a response. The types above cannot fail to
-// encode; should one ever do, the failure is logged and the body is empty.
+// encode returns a response body as JSON. The response types above can always be
+// encoded; if encoding fails nevertheless, the error is logged and the body is empty.
 func (c *Controller) encode(response any) []byte {
 	body, err := json.Marshal(response)
 	if err != nil {
-		c.log.Error("response cannot be encoded", "error", err)
+		c.log.Error("failed to encode response body", "error", err)
 		return nil
 	}
 	return body
--- a/internal/controller/rate_share.go
+++ b/internal/controller/rate_share.go
@@ -6,53 +6,56 @@
 	"lugward/internal/peer"
 )
 
-// How the controllers share the request rates of the state service: each is sure of a
-// part, the rest goes where it is needed, to the leader first.
+// The controllers share the request rates of the state service. Each controller is
+// guaranteed a share of each rate. The rest is divided by demand, and the leader's
+// demand has a higher weight.
 const (
-	// requestsShare is the part of the request rate that is shared out: the rest is
-	// left for what other controllers still have in flight. Writes are shared out
-	// whole, as one that is refused is sent again at once.
+	// requestsShare is the fraction of the request rate that is divided among the
+	// controllers. The rest is reserved for requests that other controllers still have
+	// in flight. The write rate is divided completely, because a refused write is
+	// retried immediately.
 	requestsShare = 0.9
-	// guaranteedShare is the part of a rate that is divided evenly, whatever the
-	// controllers could use.
+	// guaranteedShare is the fraction of a rate that is divided evenly among the
+	// controllers, regardless of their demand.
 	guaranteedShare = 0.25
-	// demandMargin: a controller may use this many times what it used lately, so that
-	// its use can grow.
+	// demandMargin is the factor by which a claim exceeds the recent demand of its
+	// controller, so that the use of the rate can grow.
 	demandMargin = 1.3
-	// leaderWeight is the weight of the leader's claim; a follower's is 1.
+	// Weights of the claims of the leader and of the other controllers.
 	leaderWeight   = 3
 	followerWeight = 1
 )
 
-// rateClaimant is a controller's view of one rate that all controllers share.
+// rateClaimant is this controller's view of a rate that all controllers share.
 type rateClaimant struct {
-	rate      float64 // of all controllers together, per second
+	rate      float64 // total for all controllers, per second
 	ownDemand float64 // per second
 	leads     bool
 }
 
-// shareRates sets our part of the state service's rates by what each controller could
-// use. It returns what we could use ourselves.
-func (c *Controller) shareRates(now event.Time) kv.Rates {
-	own := c.store.Demand(now)
+// updateRateShare sets this controller's share of the state service's rates according to
+// the demand of all controllers. It returns this controller's own demand.
+func (c *Controller) updateRateShare(now event.Time) kv.Rates {
+	demand := c.store.Demand(now)
 	total := c.store.TotalRates()
-	requests := rateClaimant{requestsShare * total.Requests, own.Requests, c.leadership.active}
-	writes := rateClaimant{total.Writes, own.Writes, c.leadership.active}
+	requests := rateClaimant{requestsShare * total.Requests, demand.Requests, c.leadership.active}
+	writes := rateClaimant{total.Writes, demand.Writes, c.leadership.active}
 	c.store.SetRateShare(kv.Rates{
 		Requests: requests.share(&c.peers, func(f *peer.Frame) uint16 { return f.Requests }),
 		Writes:   writes.share(&c.peers, func(f *peer.Frame) uint16 { return f.Writes }),
 	})
-	return own
+	return demand
 }
 
-// share returns our part of the rate. demandOf is what a peer's heartbeat says that
-// it could use.
+// share returns this controller's share of the rate. demandOf returns the demand that a
+// peer's heartbeat reports.
 func (r rateClaimant) share(peers *peerTable, demandOf func(*peer.Frame) uint16) float64 {
 	return kv.FairShares(r.rate, r.claims(peers, demandOf))[0]
 }
 
-// claims lists the claims of all controllers, ours first. A peer that is not alive
-// counts with its guaranteed part, as it may use that without our knowing.
+// claims returns the claims of all controllers, starting with this controller's. The
+// claim of a peer that is not alive is its guaranteed share, because the peer may still
+// be running and use it.
 func (r rateClaimant) claims(peers *peerTable, demandOf func(*peer.Frame) uint16) []kv.Claim {
 	guaranteed := guaranteedShare * r.rate / float64(len(peers.list)+1)
 	claims := make([]kv.Claim, 0, len(peers.list)+1)
@@ -71,7 +74,7 @@
 	return claims
 }
 
-// claimWeight is the weight of a controller's claim.
+// claimWeight returns the weight of a controller's claim.
 func claimWeight(leads bool) float64 {
 	if leads {
 		return leaderWeight
--- a/internal/controller/rate_share_test.go
+++ b/internal/controller/rate_share_test.go
@@ -13,7 +13,7 @@
 func writesOf(f *peer.Frame) uint16 { return f.Writes }
 
 func TestRateClaims(t *testing.T) {
-	const guaranteed = 10 // of a rate of 120 for three controllers
+	const guaranteed = 10 // guaranteed share of a rate of 120 with three controllers
 	dead := testPeer("b", time.Minute, peer.Frame{Writes: 500, IsLeader: true})
 	idle := testPeer("c", 0, peer.Frame{})
 	leader := testPeer("d", 0, peer.Frame{Writes: 100, IsLeader: true})
@@ -25,17 +25,17 @@
 		want     []kv.Claim
 	}{
 		{"all idle", rateClaimant{rate: 120}, testPeers(idle, idle), []kv.Claim{follower, follower, follower}},
-		{"we lead and need more", rateClaimant{120, 100, true}, testPeers(idle, idle),
+		{"local controller leads and needs more", rateClaimant{120, 100, true}, testPeers(idle, idle),
 			[]kv.Claim{{Demand: 100 * demandMargin, Weight: leaderWeight}, follower, follower}},
 		{"a peer leads and needs more", rateClaimant{120, 1, false}, testPeers(idle, leader),
 			[]kv.Claim{follower, follower, {Demand: 100 * demandMargin, Weight: leaderWeight}}},
-		{"a peer that is not alive keeps its guaranteed part", rateClaimant{120, 1, false}, testPeers(dead, idle),
+		{"a peer that is not alive keeps its guaranteed share", rateClaimant{120, 1, false}, testPeers(dead, idle),
 			[]kv.Claim{follower, follower, follower}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.claimant.claims(test.peers, writesOf); !slices.Equal(got, test.want) {
-				t.Errorf("claims %+v, want %+v", got, test.want)
+				t.Errorf("claims = %+v, want %+v", got, test.want)
 			}
 		})
 	}
@@ -46,6 +46,6 @@
 	claimant := rateClaimant{rate: 120, ownDemand: 1000, leads: true}
 	got := claimant.share(testPeers(idle, idle), writesOf)
 	if want := 100.0; math.Abs(got-want) > 1e-9 {
-		t.Errorf("share %g, want all but the guaranteed parts of the others, %g", got, want)
+		t.Errorf("share = %g, want %g: the rate without the guaranteed shares of the other controllers", got, want)
 	}
 }
--- a/internal/controller/redirect.go
+++ b/internal/controller/redirect.go
@@ -6,12 +6,15 @@
 	"lugward/internal/worker"
 )
 
-// redirectToRelayingPeer sends a worker that the leader has no socket for to another
-// controller, which sees by the fencing token that the leader has served it and relays
-// its heartbeats: so the sockets of all controllers carry workers, where else the
-// worker would have to dial the leader anew for each heartbeat. One that is back soon
-// is served here, as that controller does not reach us or has ended. It reports whether
-// the worker was sent away; what its heartbeat says comes again with the next one.
+// redirectToRelayingPeer redirects a worker to another controller if the leader has no
+// socket left for it. The other controller sees from the fencing token that the leader
+// has served the worker, and relays its heartbeats. This uses the sockets of all
+// controllers; otherwise the worker would have to open a new connection to the leader
+// for each heartbeat. A worker that returns within redirectWindow is served by the
+// leader, because the other controller cannot reach the leader or has terminated.
+//
+// It reports whether the worker was redirected. The heartbeat is then dropped, since the
+// next one repeats its content.
 func (c *Controller) redirectToRelayingPeer(now event.Time, request event.Request, heartbeat *worker.Heartbeat, out *event.Effects) bool {
 	if !request.ConnectionLimitReached || heartbeat.FencingToken != c.election.FencingToken() {
 		return false
@@ -23,7 +26,7 @@
 	if machine.RedirectedAt() != 0 && now-machine.RedirectedAt() < redirectWindow {
 		return false
 	}
-	label, ok := c.peers.relayFor(heartbeat.Machine)
+	label, ok := c.peers.relayingPeerFor(heartbeat.Machine)
 	if !ok {
 		return false
 	}
@@ -32,7 +35,8 @@
 	return true
 }
 
-// redirectToLeader tells a worker which controller leads, if that is known.
+// redirectToLeader redirects a worker to the leader, or replies without naming a
+// controller if no other controller is known to lead.
 func (c *Controller) redirectToLeader(conn uint64, out *event.Effects) {
 	leader := c.election.Leader()
 	if leader == "" || leader == c.cfg.Label {
@@ -42,7 +46,7 @@
 	c.redirectTo(leader, conn, out)
 }
 
-// redirectTo tells a worker which controller to send its heartbeats to.
+// redirectTo redirects a worker to the controller with the given label.
 func (c *Controller) redirectTo(label string, conn uint64, out *event.Effects) {
 	out.Reply(conn, httpwire.StatusMisdirectedRequest, c.encode(redirectResponse{Controller: label}))
 }
--- a/internal/controller/version.go
+++ b/internal/controller/version.go
@@ -10,55 +10,56 @@
 )
 
 const (
-	// versionStagger is the time between the version records of two controllers, so
-	// that a common start of all does not write them at once.
+	// versionStagger is the time between the first attempts of two controllers to write
+	// their version records. It spreads the writes if all controllers start together.
 	versionStagger = time.Second
-	// versionRetryInterval is the time between two attempts to store the version.
+	// versionRetryInterval is the time between two attempts to write the version record.
 	versionRetryInterval = 5 * time.Second
-	// versionWriteTimeout is how long a write of the version may wait for its turn.
+	// versionWriteTimeout is how long a write of the version record may stay queued.
 	versionWriteTimeout = time.Minute
 )
 
-// versionStore is what the publication of our version needs of the state service.
+// versionStore is the part of the state service's client that versionPublication uses.
 type versionStore interface {
 	// Synced reports whether the watch cache is complete.
 	Synced() bool
-	// ModRevision is the modification revision of a key, 0 if it is absent.
+	// ModRevision returns the modification revision of a key, or 0 if the key is absent.
 	ModRevision(key string) uint64
 	// Submit queues a transaction that expires at the given time.
 	Submit(txn *kv.Txn, expires event.Time)
 }
 
-// versionPublication tells the other controllers, by a record in the state service,
-// which version of the program we run.
+// versionPublication writes the version of this controller's program to a record in the
+// state service, for the other controllers to read.
 type versionPublication struct {
-	key          string
-	firstAttempt time.Duration // from when the record can be written at all
-	inFlight     bool
-	nextAt       event.Time // of the next attempt; 0: none is planned yet
+	key               string
+	firstAttemptDelay time.Duration // delay from the time at which the record could first be written
+	inFlight          bool
+	nextAttemptAt     event.Time // time of the next attempt, zero if none is planned yet
 }
 
-// newVersionPublication returns the publication for a controller, given the labels of
-// all controllers.
+// newVersionPublication returns the version publication of the controller with the given
+// label. labels are the sorted labels of all controllers.
 func newVersionPublication(label string, labels []string) versionPublication {
 	position := slices.Index(labels, label)
 	return versionPublication{
-		key:          record.VersionKey(label),
-		firstAttempt: versionRetryInterval + versionStagger*time.Duration(position),
+		key:               record.VersionKey(label),
+		firstAttemptDelay: versionRetryInterval + versionStagger*time.Duration(position),
 	}
 }
 
-// tick stores the version, once. It is not urgent: after a start of all controllers,
-// terms and users go first.
+// tick writes the version record if it does not exist and an attempt is due. The write
+// has a low priority: after a start of all controllers, the election and user requests
+// take precedence.
 func (v *versionPublication) tick(now event.Time, store versionStore, hasLeader bool) {
 	stored := store.ModRevision(v.key) != 0
 	if v.inFlight || stored || !store.Synced() || !hasLeader {
 		return
 	}
-	if v.nextAt == 0 {
-		v.nextAt = now + v.firstAttempt
+	if v.nextAttemptAt == 0 {
+		v.nextAttemptAt = now + v.firstAttemptDelay
 	}
-	if now < v.nextAt {
+	if now < v.nextAttemptAt {
 		return
 	}
 	v.inFlight = true
@@ -66,12 +67,13 @@
 		Priority: kv.PriorityProgress,
 		Compares: []kv.Compare{{Key: v.key}},
 		Writes:   []kv.Write{{Key: v.key, Data: record.Version}},
-		Done:     v.written,
+		Done:     v.handleWriteResult,
 	}, now+versionWriteTimeout)
 }
 
-// written takes the result of a write: one that failed is repeated later.
-func (v *versionPublication) written(result kv.Result) {
+// handleWriteResult handles the result of a write and schedules the next attempt, which
+// is made only if the write failed.
+func (v *versionPublication) handleWriteResult(result kv.Result) {
 	v.inFlight = false
-	v.nextAt = result.Now + versionRetryInterval
+	v.nextAttemptAt = result.Now + versionRetryInterval
 }
--- a/internal/controller/version_test.go
+++ b/internal/controller/version_test.go
@@ -8,7 +8,7 @@
 	"lugward/internal/kv"
 )
 
-// fakeVersionStore takes the writes of a version.
+// fakeVersionStore records the submitted writes of a version record.
 type fakeVersionStore struct {
 	synced      bool
 	modRevision uint64
@@ -24,12 +24,12 @@
 		name      string
 		store     fakeVersionStore
 		hasLeader bool
-		want      int // writes
+		want      int // number of writes
 	}{
-		{"it is missing", fakeVersionStore{synced: true}, true, 1},
-		{"it is stored already", fakeVersionStore{synced: true, modRevision: 7}, true, 0},
+		{"record is missing", fakeVersionStore{synced: true}, true, 1},
+		{"record exists", fakeVersionStore{synced: true, modRevision: 7}, true, 0},
 		{"watch cache is not complete", fakeVersionStore{}, true, 0},
-		{"nobody leads", fakeVersionStore{synced: true}, false, 0},
+		{"there is no leader", fakeVersionStore{synced: true}, false, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -38,7 +38,7 @@
 				version.tick(now, &test.store, test.hasLeader)
 			}
 			if got := len(test.store.submitted); got != test.want {
-				t.Errorf("%d writes, want %d", got, test.want)
+				t.Errorf("tick submitted %d writes, want %d", got, test.want)
 			}
 		})
 	}
@@ -52,20 +52,20 @@
 	steps := []struct {
 		name   string
 		now    event.Time
-		writes int // so far
+		writes int // number of writes so far
 		failed bool
 	}{
 		{"watch cache is complete", begin, 0, false},
-		{"not yet", firstAt - 1, 0, false},
+		{"before the first attempt", firstAt - 1, 0, false},
 		{"first attempt", firstAt, 1, false},
 		{"in flight", firstAt + time.Hour, 1, true},
-		{"pause", firstAt + time.Hour + versionRetryInterval - 1, 1, false},
+		{"before the second attempt", firstAt + time.Hour + versionRetryInterval - 1, 1, false},
 		{"second attempt", firstAt + time.Hour + versionRetryInterval, 2, false},
 	}
 	for _, step := range steps {
 		version.tick(step.now, store, true)
 		if got := len(store.submitted); got != step.writes {
-			t.Errorf("%s: %d writes, want %d", step.name, got, step.writes)
+			t.Errorf("%s: tick submitted %d writes, want %d", step.name, got, step.writes)
 		}
 		if step.failed {
 			store.submitted[len(store.submitted)-1].Done(kv.Result{Now: step.now})
--- a/internal/controller/work_counters.go
+++ b/internal/controller/work_counters.go
@@ -1,23 +1,23 @@
 package controller
 
-// WorkCounters counts what was done for the inputs since the process began. It is to
-// grow with what changes, not with the number of machines and tasks.
+// WorkCounters counts the work done since the process started. The work should grow with
+// the number of changes, not with the number of machines and tasks.
 type WorkCounters struct {
-	WorkerHeartbeats     int // that workers sent to this controller
-	BytesDecoded         int // of workers' heartbeats that were decoded
-	BytesUnchanged       int // of workers' heartbeats that were only compared
-	Rounds               int // of the scheduler
-	CapacitiesRecomputed int // machines whose capacity was computed anew
-	MachineIndices       int // that are or were in use; those of machines that are gone serve others
+	WorkerHeartbeats     int // heartbeats that workers sent to this controller, without relayed ones
+	BytesDecoded         int // bytes of worker heartbeats that were decoded
+	BytesUnchanged       int // bytes of worker heartbeats that were compared and found unchanged
+	Rounds               int // scheduling rounds
+	CapacitiesRecomputed int // recomputations of a machine's free capacity
+	MachineIndices       int // machine indices allocated; those of machines that are gone are reused
 }
 
-// WorkCounters returns the counts since the process began.
+// WorkCounters returns the counters since the process started.
 func (c *Controller) WorkCounters() WorkCounters {
 	return WorkCounters{
 		WorkerHeartbeats:     c.heartbeats.received,
 		BytesDecoded:         c.heartbeats.parser.DecodedBytes,
 		BytesUnchanged:       c.heartbeats.parser.UnchangedBytes,
-		Rounds:               c.leadership.rounds,
+		Rounds:               c.leadership.roundCount,
 		CapacitiesRecomputed: c.scheduler.CapacitiesRecomputed(),
 		MachineIndices:       c.names.Machines.Len(),
 	}
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -7,29 +7,29 @@
 	"lugward/internal/worker"
 )
 
-// workerHeartbeats is what is kept of the heartbeats of workers.
+// workerHeartbeats is the state for handling the heartbeats of workers.
 type workerHeartbeats struct {
 	parser   worker.HeartbeatParser
 	pending  pendingHeartbeats
-	received int // that workers have sent to this controller, relayed ones left out
+	received int // heartbeats that workers sent to this controller, without relayed ones
 }
 
 func newWorkerHeartbeats(maxConnections int) workerHeartbeats {
 	return workerHeartbeats{pending: newPendingHeartbeats(maxConnections / idleSocketDivisor)}
 }
 
-// replyTarget is where the answer to a worker's heartbeat goes: to a connection of
-// ours or, for a heartbeat that a peer has relayed, back through that peer.
+// replyTarget is the destination of the answer to a worker's heartbeat: a connection of
+// this controller or, for a relayed heartbeat, the peer that relayed it.
 type replyTarget struct {
-	conn    uint64 // of ours, if relayID is 0
+	conn    uint64 // ID of the connection to this controller, if relayID is 0
 	peer    int    // index of the relaying peer, if relayID is not 0
-	relayID uint64 // the peer's number of the relayed heartbeat
+	relayID uint64 // the peer's ID of the relayed heartbeat, 0 if it was not relayed
 }
 
-// relayed reports whether the heartbeat came through a peer.
+// relayed reports whether the heartbeat was relayed by a peer.
 func (t replyTarget) relayed() bool { return t.relayID != 0 }
 
-// handleWorkerHeartbeat handles a heartbeat that a worker has sent to us.
+// handleWorkerHeartbeat handles a heartbeat that a worker sent to this controller.
 func (c *Controller) handleWorkerHeartbeat(now event.Time, request event.Request, out *event.Effects) {
 	if request.Method != methodPost {
 		out.Reply(request.Conn, httpwire.StatusMethodNotAllowed, nil)
@@ -50,11 +50,11 @@
 	if c.redirectToRelayingPeer(now, request, heartbeat, out) {
 		return
 	}
-	c.acceptWorkerHeartbeat(now, replyTarget{conn: request.Conn}, heartbeat, out)
+	c.handleHeartbeatAsLeader(now, replyTarget{conn: request.Conn}, heartbeat, out)
 }
 
-// handleRelayedHeartbeat handles, as leader, a worker's heartbeat that a peer has
-// relayed.
+// handleRelayedHeartbeat handles a worker's heartbeat that a peer has relayed. It replies
+// with 503 if this controller does not lead. from is the index of the peer.
 func (c *Controller) handleRelayedHeartbeat(now event.Time, from int, frame *peer.Frame, out *event.Effects) {
 	replyTo := replyTarget{peer: from, relayID: frame.ID}
 	heartbeat, err := c.heartbeats.parser.Parse(frame.Body)
@@ -62,12 +62,12 @@
 		c.respond(replyTo, httpwire.StatusServiceUnavailable, nil, out)
 		return
 	}
-	c.acceptWorkerHeartbeat(now, replyTo, heartbeat, out)
+	c.handleHeartbeatAsLeader(now, replyTo, heartbeat, out)
 }
 
-// acceptWorkerHeartbeat applies a worker's heartbeat as leader, whichever way it
-// came. Its answer follows when its consequences are stored.
-func (c *Controller) acceptWorkerHeartbeat(now event.Time, replyTo replyTarget, heartbeat *worker.Heartbeat, out *event.Effects) {
+// handleHeartbeatAsLeader handles a direct or relayed heartbeat of a worker as leader. The
+// heartbeat is answered once the resulting changes are persisted.
+func (c *Controller) handleHeartbeatAsLeader(now event.Time, replyTo replyTarget, heartbeat *worker.Heartbeat, out *event.Effects) {
 	if c.autoscaler.Released(heartbeat.Machine) || c.workers.HandleHeartbeat(heartbeat, now, c.election) != nil {
 		c.respond(replyTo, httpwire.StatusServiceUnavailable, nil, out)
 		return
@@ -75,16 +75,17 @@
 	if replyTo.relayed() {
 		c.workers.RecordRelay(heartbeat.Machine, now)
 	}
-	c.leadership.observeWorker(now)
-	c.awaitAnswer(now, replyTo, heartbeat, out)
-	if !c.actAsLeader(now, out) {
+	c.leadership.recordWorkerHeartbeat(now)
+	c.addPendingHeartbeat(now, replyTo, heartbeat, out)
+	if !c.runLeaderWork(now, out) {
 		c.store.Tick(now, out)
 	}
 	c.answerHeartbeats(now, out)
 }
 
-// awaitAnswer lets a heartbeat wait for its answer.
-func (c *Controller) awaitAnswer(now event.Time, replyTo replyTarget, heartbeat *worker.Heartbeat, out *event.Effects) {
+// addPendingHeartbeat adds a heartbeat to the pending ones. It replies with 503 to an
+// earlier heartbeat of the same machine that is still pending.
+func (c *Controller) addPendingHeartbeat(now event.Time, replyTo replyTarget, heartbeat *worker.Heartbeat, out *event.Effects) {
 	replaced := c.heartbeats.pending.add(&pendingHeartbeat{
 		replyTo:    replyTo,
 		heartbeat:  heartbeat,
@@ -92,13 +93,13 @@
 		receivedAt: now,
 	})
 	if replaced != nil {
-		// The worker has sent a newer heartbeat, so it no longer waits for the
-		// answer to the older one, whose list of tasks proves nothing any more.
+		// The worker has sent a newer heartbeat, so it no longer waits for the answer to
+		// the older one. The task list of the older one is outdated and proves nothing.
 		c.respond(replaced.replyTo, httpwire.StatusServiceUnavailable, nil, out)
 	}
 }
 
-// respond sends an answer to wherever its heartbeat came from.
+// respond sends the answer to a heartbeat to its reply target.
 func (c *Controller) respond(to replyTarget, status int, body []byte, out *event.Effects) {
 	switch {
 	case to.relayed():
--- a/internal/controller/worker_routes.go
+++ b/internal/controller/worker_routes.go
@@ -7,40 +7,43 @@
 )
 
 const (
-	// redirectWindow: a worker that is back within this time after it was
-	// redirected could not reach the controller that it was redirected to.
+	// redirectWindow is the time within which the return of a redirected worker means
+	// that it could not reach the controller that it was redirected to.
 	redirectWindow = 20 * time.Second
-	// relayDuration is how long a worker's heartbeats are relayed before it is
-	// redirected again, to find out whether it reaches the leader by then.
+	// relayDuration is how long a worker's heartbeats are relayed before the worker is
+	// redirected again, in case it can reach the leader by then.
 	relayDuration = 45 * time.Second
 )
 
-// workerRoutes is how a follower has served each worker during one term.
+// workerRoutes records how a follower has routed the heartbeats of each worker during
+// one term.
 type workerRoutes struct {
 	token     uint64                  // fencing token of the term
 	byMachine map[string]*workerRoute // nil before the first term
 }
 
-// workerRoute is how a follower has served a worker during one term.
+// workerRoute records how a follower has routed the heartbeats of a worker during one
+// term.
 type workerRoute struct {
 	servedAt      event.Time // when it was last redirected or relayed
-	relayingSince event.Time // 0: its heartbeats are not relayed
+	relayingSince event.Time // zero if its heartbeats are not being relayed
 }
 
-// routeAction is what a follower does with a worker's heartbeat.
+// routeAction is the action of a follower on a worker's heartbeat.
 type routeAction uint8
 
 const (
-	// redirectToLeader names the leader to the worker.
+	// redirectToLeader redirects the worker to the leader.
 	redirectToLeader routeAction = iota
 	// relayToLeader sends the heartbeat to the leader over the peer link.
 	relayToLeader
-	// nameNoLeader lets the worker try another controller.
-	nameNoLeader
+	// replyWithoutLeader rejects the heartbeat without naming the leader, so that the
+	// worker tries another controller.
+	replyWithoutLeader
 )
 
-// beginTerm forgets what was found in the term before, if the term with the given
-// token is another.
+// beginTerm discards the routes of the previous term if the given token belongs to a new
+// term.
 func (r *workerRoutes) beginTerm(token uint64) {
 	if r.byMachine != nil && r.token == token {
 		return
@@ -49,8 +52,9 @@
 	r.byMachine = map[string]*workerRoute{}
 }
 
-// of returns the route of a worker in this term.
-func (r *workerRoutes) of(machine string) *workerRoute {
+// getOrCreate returns the route of a worker in this term. It creates the route for the
+// first heartbeat of the worker.
+func (r *workerRoutes) getOrCreate(machine string) *workerRoute {
 	route := r.byMachine[machine]
 	if route == nil {
 		route = &workerRoute{servedAt: -redirectWindow}
@@ -62,18 +66,19 @@
 // relaying reports whether the worker's heartbeats are being relayed.
 func (r *workerRoute) relaying() bool { return r.relayingSince != 0 }
 
-// next decides what to do with the worker's next heartbeat, and notes it. leftLeader
-// tells that the leader has served the worker in this term, leaderAlive that we can
-// reach the leader.
-func (r *workerRoute) next(now event.Time, leftLeader, leaderAlive bool) routeAction {
-	// A worker that was served by the leader has left it for want of an answer: to
-	// send it back first would cost it seconds in which nothing starts there.
-	missesLeader := leftLeader || now-r.servedAt < redirectWindow
-	relayedLongEnough := r.relaying() && now-r.relayingSince > relayDuration
+// nextAction returns the action for the worker's next heartbeat and records it.
+// servedByLeader means that the leader has served the worker in this term, leaderAlive
+// that this controller can reach the leader.
+func (r *workerRoute) nextAction(now event.Time, servedByLeader, leaderAlive bool) routeAction {
+	// A worker that the leader has served contacts another controller only because the
+	// leader did not answer. Redirecting it to the leader first would cost seconds in
+	// which no task can start on its machine.
+	leaderUnreachable := servedByLeader || now-r.servedAt < redirectWindow
+	relayExpired := r.relaying() && now-r.relayingSince > relayDuration
 	switch {
-	case missesLeader && !leaderAlive:
-		return nameNoLeader
-	case !missesLeader || relayedLongEnough:
+	case leaderUnreachable && !leaderAlive:
+		return replyWithoutLeader
+	case !leaderUnreachable || relayExpired:
 		r.servedAt = now
 		r.relayingSince = 0
 		return redirectToLeader
--- a/internal/controller/worker_routes_test.go
+++ b/internal/controller/worker_routes_test.go
@@ -8,36 +8,36 @@
 func TestWorkerRoute(t *testing.T) {
 	const now = time.Hour
 	tests := []struct {
-		name        string
-		route       workerRoute
-		leftLeader  bool
-		leaderAlive bool
-		want        routeAction
-		relaying    bool // afterwards
+		name           string
+		route          workerRoute
+		servedByLeader bool
+		leaderAlive    bool
+		want           routeAction
+		relaying       bool // whether heartbeats are being relayed afterwards
 	}{
 		{"first heartbeat", workerRoute{servedAt: -redirectWindow}, false, true, redirectToLeader, false},
 		{"first heartbeat, leader not alive", workerRoute{servedAt: -redirectWindow}, false, false, redirectToLeader, false},
-		{"back at once", workerRoute{servedAt: now - time.Second}, false, true, relayToLeader, true},
-		{"back at once, leader not alive", workerRoute{servedAt: now - time.Second}, false, false, nameNoLeader, false},
-		{"back after the window", workerRoute{servedAt: now - redirectWindow}, false, true, redirectToLeader, false},
-		{"left the leader", workerRoute{servedAt: -redirectWindow}, true, true, relayToLeader, true},
-		{"left a leader that is not alive", workerRoute{servedAt: -redirectWindow}, true, false, nameNoLeader, false},
-		{"being relayed", workerRoute{servedAt: now - time.Second, relayingSince: now - relayDuration}, false, true, relayToLeader, true},
-		{"relayed long enough", workerRoute{servedAt: now - time.Second, relayingSince: now - relayDuration - 1}, false, true, redirectToLeader, false},
-		{"relayed, leader not alive any more", workerRoute{servedAt: now - time.Second, relayingSince: now - time.Minute}, false, false, nameNoLeader, true},
+		{"returns within the window", workerRoute{servedAt: now - time.Second}, false, true, relayToLeader, true},
+		{"returns within the window, leader not alive", workerRoute{servedAt: now - time.Second}, false, false, replyWithoutLeader, false},
+		{"returns after the window", workerRoute{servedAt: now - redirectWindow}, false, true, redirectToLeader, false},
+		{"served by the leader before", workerRoute{servedAt: -redirectWindow}, true, true, relayToLeader, true},
+		{"served by the leader before, leader not alive", workerRoute{servedAt: -redirectWindow}, true, false, replyWithoutLeader, false},
+		{"relayed for relayDuration", workerRoute{servedAt: now - time.Second, relayingSince: now - relayDuration}, false, true, relayToLeader, true},
+		{"relayed for longer than relayDuration", workerRoute{servedAt: now - time.Second, relayingSince: now - relayDuration - 1}, false, true, redirectToLeader, false},
+		{"relayed, leader no longer alive", workerRoute{servedAt: now - time.Second, relayingSince: now - time.Minute}, false, false, replyWithoutLeader, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			route := test.route
-			if got := route.next(now, test.leftLeader, test.leaderAlive); got != test.want {
-				t.Errorf("action %d, want %d", got, test.want)
+			if got := route.nextAction(now, test.servedByLeader, test.leaderAlive); got != test.want {
+				t.Errorf("nextAction = %d, want %d", got, test.want)
 			}
 			if route.relaying() != test.relaying {
-				t.Errorf("relaying %v, want %v", route.relaying(), test.relaying)
+				t.Errorf("relaying = %v, want %v", route.relaying(), test.relaying)
 			}
-			served := test.want != nameNoLeader
+			served := test.want != replyWithoutLeader
 			if (route.servedAt == now) != served {
-				t.Errorf("served at %v; a worker counts as served when it is redirected or relayed", route.servedAt)
+				t.Errorf("servedAt = %v, updated %v, want %v: it is updated for a redirect and for a relay", route.servedAt, !served, served)
 			}
 		})
 	}
@@ -47,9 +47,9 @@
 	route := workerRoute{servedAt: time.Hour}
 	begin := time.Hour + time.Second
 	for _, now := range []time.Duration{begin, begin + 5*time.Second, begin + 10*time.Second} {
-		route.next(now, false, true)
+		route.nextAction(now, false, true)
 		if route.relayingSince != begin {
-			t.Errorf("relaying since %v, want %v", route.relayingSince, begin)
+			t.Errorf("relayingSince = %v, want %v", route.relayingSince, begin)
 		}
 	}
 }
@@ -57,14 +57,14 @@
 func TestRoutesLastForOneTerm(t *testing.T) {
 	var routes workerRoutes
 	routes.beginTerm(0) // before a leader is known
-	route := routes.of("m-1")
+	route := routes.getOrCreate("m-1")
 	route.servedAt = time.Hour
 	routes.beginTerm(0)
-	if routes.of("m-1") != route {
-		t.Error("a route is forgotten within its term")
+	if routes.getOrCreate("m-1") != route {
+		t.Error("beginTerm with the same token discarded the route, want it kept")
 	}
 	routes.beginTerm(1)
-	if got := routes.of("m-1").servedAt; got != -redirectWindow {
-		t.Errorf("served at %v in a new term, want never", got)
+	if got := routes.getOrCreate("m-1").servedAt; got != -redirectWindow {
+		t.Errorf("servedAt = %v in a new term, want %v", got, -redirectWindow)
 	}
 }
