--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -5,26 +5,26 @@
 	"lugward/internal/kv"
 )
 
-// notScheduled is the campaign time of a controller that has not seen the term
-// free.
+// notScheduled is the value of candidacy.campaignAt while no campaign is scheduled.
 const notScheduled event.Time = -1
 
-// candidacy paces the campaigns of a controller that holds no term.
+// candidacy schedules the campaigns of a controller that holds no term.
 type candidacy struct {
-	campaignAt event.Time // when the term was seen free, plus our stagger, or notScheduled
-	notBefore  event.Time // no campaign before this time
-	inFlight   bool       // a campaign is under way
+	campaignAt event.Time // when the term was first observed free plus the stagger, or notScheduled
+	notBefore  event.Time // earliest start of the next campaign
+	inFlight   bool       // a campaign is in progress
 }
 
-// campaign is one attempt to take the term.
+// campaign is one attempt to acquire the term.
 type campaign struct {
-	sentAt   event.Time // when the lease was asked for, from which it counts
-	leasedAt event.Time // when it was granted
+	sentAt   event.Time // when the lease was requested; its duration is counted from here
+	leasedAt event.Time // when the lease was granted
 	leaseID  uint64
 	token    uint64 // fencing token of the term
 }
 
-// campaignIfDue begins a campaign when the term has been free for our stagger.
+// campaignIfDue begins a campaign once the term has been free for the stagger of this
+// controller.
 func (e *Election) campaignIfDue(now event.Time, out *event.Effects) {
 	if e.candidacy.inFlight || !e.store.Synced() || now < e.candidacy.notBefore {
 		return
@@ -40,38 +40,38 @@
 	}
 }
 
-// termIsFree reports whether the term can be taken. A term key with our own label
-// is left from before a restart: that process has ended, so it can be replaced at
-// once.
+// termIsFree reports whether the term can be acquired. A term key with the label of
+// this controller was written before a restart. That process has exited, so the key
+// can be replaced immediately.
 func (e *Election) termIsFree() bool {
 	return e.observed.leader == "" || e.observed.leader == e.cfg.Label
 }
 
-// requestLease begins a campaign: it asks for the lease of the term.
+// requestLease begins a campaign by requesting the lease of the term.
 func (e *Election) requestLease(now event.Time, out *event.Effects) {
 	e.candidacy.inFlight = true
 	sentAt := now
 	e.store.GrantLease(now, e.cfg.TermLease, out, func(now event.Time, leaseID uint64, err error, out *event.Effects) {
 		if err != nil {
-			e.campaignFailed(now, err.Error())
+			e.handleCampaignFailure(now, err.Error())
 			return
 		}
 		if !e.termIsFree() {
 			e.store.RevokeLease(now, leaseID, out)
-			e.campaignFailed(now, "another controller holds the term")
+			e.handleCampaignFailure(now, "another controller holds the term")
 			return
 		}
 		e.submitTerm(campaign{
 			sentAt:   sentAt,
 			leasedAt: now,
 			leaseID:  leaseID,
-			token:    max(e.observed.latestToken, e.observed.leaderToken, e.observed.highestToken) + 1,
+			token:    max(e.observed.latestToken, e.observed.leaderToken, e.observed.highestReportedToken) + 1,
 		})
 	})
 }
 
-// submitTerm writes the term key and the token key, provided that neither has
-// changed.
+// submitTerm writes the term key and the token key in one transaction, which fails if
+// either key has changed.
 func (e *Election) submitTerm(c campaign) {
 	data := termRecord{Label: e.cfg.Label, FencingToken: c.token}.encode()
 	e.store.Submit(&kv.Txn{
@@ -86,9 +86,9 @@
 		},
 		Done: func(result kv.Result) {
 			if result.Outcome != kv.Committed {
-				// An unknown outcome may leave a term that nobody holds; it
-				// ends with its lease.
-				e.campaignFailed(result.Now, "transaction "+result.Outcome.String())
+				// If the outcome is unknown, the term key may exist although no
+				// controller holds the term. It is deleted when its lease expires.
+				e.handleCampaignFailure(result.Now, "term transaction: "+result.Outcome.String())
 				return
 			}
 			e.candidacy.inFlight = false
@@ -97,14 +97,15 @@
 	}, c.leasedAt+e.cfg.TermLease/campaignsPerLease)
 }
 
-// campaignFailed allows the next campaign after a pause.
-func (e *Election) campaignFailed(now event.Time, reason string) {
+// handleCampaignFailure handles a failed campaign: the next one may begin after
+// campaignRetryDelay.
+func (e *Election) handleCampaignFailure(now event.Time, reason string) {
 	e.log.Debug("campaign failed", "reason", reason)
 	e.candidacy.inFlight = false
-	e.candidacy.notBefore = max(e.candidacy.notBefore, now+campaignInterval)
+	e.candidacy.notBefore = max(e.candidacy.notBefore, now+campaignRetryDelay)
 }
 
-// beginTerm takes up the term that a campaign has won.
+// beginTerm begins the term that a campaign has acquired.
 func (e *Election) beginTerm(c campaign, modRevision uint64) {
 	e.term.leaseID = c.leaseID
 	e.term.modRevision = modRevision
@@ -113,6 +114,6 @@
 	e.term.renewAt = c.leasedAt
 	e.term.leasedAt = c.leasedAt
 	e.term.startPending = true
-	// Brings the cache up to the beginning of the term.
+	// Makes the cache catch up with the beginning of the term.
 	e.store.Barrier(func(event.Time, error, *event.Effects) {})
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,16 +1,17 @@
 // Package election decides which controller leads.
 //
-// A term is the time for which one controller is leader. It holds the term key,
-// which is bound to a lease in the key-value store, and its number, the fencing
-// token, is written to a second key in the same transaction. Workers obey the
-// highest token that they have seen. Every write of a leader compares the mod
-// revision of the term key (TermCompare), so the writes of a deposed leader fail,
-// however late they are executed.
+// A term is the period in which one controller is the leader. To begin a term, a
+// controller writes two keys in one transaction: the term key, which is bound to a
+// lease in the key-value store, and the token key, which holds the number of the
+// term, the fencing token. Workers obey the highest token that they have seen. Every
+// write of a leader compares the mod revision of the term key (TermCompare), so the
+// writes of a deposed leader fail, however late they are executed.
 //
-// A controller that holds a term (HoldsTerm) is leader (IsLeader) while its lease
-// is alive for certain and its cache shows everything that was written before the
-// term. After that it goes on renewing the leases of workers for a grace period
-// (MayRenewWorkerLeases) before it steps down.
+// A controller that holds a term (HoldsTerm) is the leader (IsLeader) while its lease
+// is guaranteed to be valid and its cache contains everything that was written before
+// the term. When the lease can no longer be relied on, the controller keeps renewing
+// the leases of workers for a grace period (MayRenewWorkerLeases) and then steps
+// down.
 package election
 
 import (
@@ -21,13 +22,13 @@
 	"lugward/internal/kv"
 )
 
-// Config are the settings of an Election.
+// Config holds the settings of an Election.
 type Config struct {
-	Label       string        // of this controller
-	Position    int           // our place among the controllers, to stagger campaigns
+	Label       string        // label of this controller
+	Position    int           // index of this controller among all controllers; staggers campaigns
 	TermLease   time.Duration // lease of the term key
-	WorkerLease time.Duration // for which a worker goes on after an answered heartbeat
-	// Grace is how long after the last renewal of the term's lease a leader goes on
+	WorkerLease time.Duration // how long a worker keeps its tasks running after an answered heartbeat
+	// Grace is how long after the last renewal of the term lease a leader keeps
 	// answering heartbeats; see GracePeriod.
 	Grace time.Duration
 
@@ -35,8 +36,8 @@
 	Logger *slog.Logger
 }
 
-// Election is one controller's view of the term. It is driven by Tick and by the
-// responses of the store. It is not safe for concurrent use.
+// Election takes part in the leader election on behalf of one controller. It is driven
+// by Tick and by the responses of the store. It is not safe for concurrent use.
 type Election struct {
 	cfg   Config
 	store *kv.Client
@@ -47,16 +48,17 @@
 	term      term
 }
 
-// observed is what the cache and the messages of others say about the term.
+// observed is the state of the term as seen in the cache and in the messages of
+// workers and other controllers.
 type observed struct {
-	leader          string // label in the term key, "" if the key does not exist
-	leaderToken     uint64 // fencing token in the term key
-	termModRevision uint64 // of the term key, 0 if it does not exist
-	latestToken     uint64 // value of the token key
-	highestToken    uint64 // of the messages of workers and peers
+	leader               string // label in the term key, empty if the key does not exist
+	leaderToken          uint64 // fencing token in the term key
+	termModRevision      uint64 // mod revision of the term key, zero if the key does not exist
+	latestToken          uint64 // fencing token in the token key
+	highestReportedToken uint64 // highest fencing token in messages of workers and peers
 }
 
-// New returns an election that has seen nothing yet.
+// New returns an election that has not observed any term.
 func New(cfg Config) *Election {
 	return &Election{
 		cfg:       cfg,
@@ -66,12 +68,12 @@
 	}
 }
 
-// HandleChange takes a change of a key of KeyPrefix; data is nil when the key was
+// HandleChange handles a change of a key under KeyPrefix; data is nil if the key was
 // deleted.
 func (e *Election) HandleChange(key string, data []byte, modRevision uint64) {
 	record, err := decodeTermRecord(data)
 	if err != nil {
-		e.log.Debug("term record ignored", "key", key, "error", err)
+		e.log.Debug("ignored malformed term record", "key", key, "error", err)
 		return
 	}
 	switch key {
@@ -79,13 +81,15 @@
 		if data == nil {
 			modRevision = 0
 		}
-		e.termKeyChanged(record, modRevision)
+		e.handleTermKeyChange(record, modRevision)
 	case tokenKey:
 		e.observed.latestToken = record.FencingToken
 	}
 }
 
-func (e *Election) termKeyChanged(record termRecord, modRevision uint64) {
+// handleTermKeyChange handles a change of the term key. A leader whose key was replaced or
+// deleted steps down.
+func (e *Election) handleTermKeyChange(record termRecord, modRevision uint64) {
 	e.observed.leader = record.Label
 	e.observed.leaderToken = record.FencingToken
 	e.observed.termModRevision = modRevision
@@ -95,23 +99,23 @@
 	}
 }
 
-// Leader returns the label of the controller that holds the term, "" if the cache
-// shows none.
+// Leader returns the label in the cached term key, or "" if the key does not exist.
 func (e *Election) Leader() string { return e.observed.leader }
 
-// LeaderFencingToken returns the fencing token of the term that the cache shows.
+// LeaderFencingToken returns the fencing token in the cached term key.
 func (e *Election) LeaderFencingToken() uint64 { return e.observed.leaderToken }
 
-// ObserveFencingToken notes a fencing token in a message of a worker or
-// controller.
+// ObserveFencingToken records a fencing token that a worker or another controller
+// has sent.
 func (e *Election) ObserveFencingToken(token uint64) {
-	e.observed.highestToken = max(e.observed.highestToken, token)
+	e.observed.highestReportedToken = max(e.observed.highestReportedToken, token)
 }
 
-// Tick keeps our term, or campaigns for the next one.
+// Tick maintains the term of this controller, or campaigns for the next term if it
+// holds none.
 func (e *Election) Tick(now event.Time, out *event.Effects) {
 	if e.HoldsTerm() {
-		e.keepTerm(now, out)
+		e.maintainTerm(now, out)
 	} else {
 		e.campaignIfDue(now, out)
 	}
--- a/internal/election/harness_test.go
+++ b/internal/election/harness_test.go
@@ -11,8 +11,8 @@
 	"lugward/internal/kv"
 )
 
-// harness is an election on a client of the key-value store, whose calls the test
-// answers.
+// harness runs an election on a client of the key-value store. The test responds to the
+// client's calls.
 type harness struct {
 	*Election
 	t   *testing.T
@@ -42,13 +42,14 @@
 	return h
 }
 
-// respond answers the oldest call whose path begins with the given text by 200.
+// respond responds to the oldest call whose path begins with the given prefix with
+// status 200.
 func (h *harness) respond(now event.Time, path, body string) {
 	h.t.Helper()
 	h.respondWith(now, path, httpwire.StatusOK, body)
 }
 
-// respondWith answers the oldest call whose path begins with the given text.
+// respondWith responds to the oldest call whose path begins with the given prefix.
 func (h *harness) respondWith(now event.Time, path string, status int, body string) {
 	h.t.Helper()
 	for i, call := range h.out.Calls {
@@ -59,9 +60,11 @@
 			return
 		}
 	}
-	h.t.Fatalf("no call of %s", path)
+	h.t.Fatalf("no call in flight with path prefix %s", path)
 }
 
+// tick runs the election between two ticks of the client, so that the client sends the
+// requests of the election.
 func (h *harness) tick(now event.Time) {
 	h.store.Tick(now, &h.out)
 	h.Tick(now, &h.out)
@@ -82,7 +85,7 @@
 	h.respond(now, "/follow", `{"epoch":7,"log":[{"write":"t/lead","data":{"l":"n0","f":1},"stamp":7},`+
 		`{"write":"t/count","data":{"l":"n0","f":1},"stamp":7}]}`)
 	if !h.TakeTermStart() || !h.IsLeader(now) {
-		t.Fatal("has not become leader")
+		t.Fatal("the controller did not become leader")
 	}
 	return h
 }
--- a/internal/election/protocol.go
+++ b/internal/election/protocol.go
@@ -6,29 +6,30 @@
 const (
 	// KeyPrefix is the first segment of all keys of this package.
 	KeyPrefix = "t"
-	// termKey exists while a controller holds a term; it is bound to the lease of
+	// termKey exists while a controller holds a term. It is bound to the lease of
 	// that term.
 	termKey = "t/lead"
-	// tokenKey holds the fencing token of the latest term and outlives it.
+	// tokenKey holds the fencing token of the latest term. It is not bound to a lease
+	// and remains after the term has ended.
 	tokenKey = "t/count"
 )
 
-// termRecord is the value of both keys.
+// termRecord is the value of both the term key and the token key.
 type termRecord struct {
-	Label        string `json:"l"` // of the controller that leads
+	Label        string `json:"l"` // label of the leader
 	FencingToken uint64 `json:"f"`
 }
 
 func (r termRecord) encode() []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // a string and a number can be encoded
+		panic(err) // unreachable: a string and an integer can always be encoded
 	}
 	return data
 }
 
-// decodeTermRecord decodes the value of a key; a deleted key, whose data is nil,
-// gives an empty record.
+// decodeTermRecord decodes the value of a key. It returns an empty record for a
+// deleted key, whose data is nil.
 func decodeTermRecord(data []byte) (termRecord, error) {
 	var record termRecord
 	if data == nil {
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -7,86 +7,88 @@
 	"lugward/internal/kv"
 )
 
-// term is the term that this controller holds or has held last. It is held while
-// both leaseID and modRevision are set. The other fields outlast it: a write or a
-// response of it may still be under way.
+// term is the current or last term of this controller. The controller holds it while
+// both leaseID and modRevision are set. The other fields keep their values after the
+// term has ended, because writes and responses of the term may still be in flight.
 type term struct {
-	leaseID      uint64     // lease of the term key
-	modRevision  uint64     // of the term key, as we have written it
-	token        uint64     // fencing token
-	leasedAt     event.Time // when its lease was granted; the term before had ended by then
-	validUntil   event.Time // until then the lease is alive for certain
-	renewAt      event.Time
-	renewing     bool // a renewal is in flight
-	startPending bool // TakeTermStart has not reported it yet
+	leaseID         uint64     // lease of the term key
+	modRevision     uint64     // mod revision of the term key as written by this controller
+	token           uint64     // fencing token
+	leasedAt        event.Time // when the lease was granted; the previous term had ended by then
+	validUntil      event.Time // the lease is guaranteed to be valid before this time
+	renewAt         event.Time // when the next renewal is due
+	renewalInFlight bool       // a renewal is in flight
+	startPending    bool       // TakeTermStart has not reported the term yet
 }
 
-// StepDownReason says in the log why a leader has stepped down.
+// StepDownReason is the reason for which a leader has stepped down, as it is logged.
 type StepDownReason string
 
 // The reasons for stepping down.
 const (
-	// ReasonGraceOver means that the store has not answered for longer than the
-	// grace, or that another leader was heard of within it.
-	ReasonGraceOver      StepDownReason = "grace period over"
+	// ReasonGraceExpired means that the store has not responded for longer than the
+	// grace period, or that a higher fencing token was seen within the grace period.
+	ReasonGraceExpired   StepDownReason = "grace period expired"
 	ReasonLeaseExpired   StepDownReason = "lease expired"
 	ReasonTermKeyChanged StepDownReason = "term key changed"
-	// ReasonNoHeartbeats means that no worker reaches this leader.
+	// ReasonNoHeartbeats means that the leader received no heartbeats from workers.
 	ReasonNoHeartbeats StepDownReason = "no worker heartbeats"
 )
 
-// HoldsTerm reports whether this controller holds a term at all, be it only in
-// grace.
+// HoldsTerm reports whether this controller holds a term, including its grace period.
 func (e *Election) HoldsTerm() bool { return e.term.leaseID != 0 && e.term.modRevision != 0 }
 
-// FencingToken returns the number of our present or last term.
+// FencingToken returns the fencing token of the current or last term of this
+// controller.
 func (e *Election) FencingToken() uint64 { return e.term.token }
 
-// TermCompare returns the compare that every write of a leader carries.
+// TermCompare returns the compare that every write of a leader must include.
 func (e *Election) TermCompare() kv.Compare {
 	return kv.Compare{Key: termKey, ModRevision: e.term.modRevision}
 }
 
-// IsLeader reports whether this controller may act as leader, and so start tasks:
-// its lease is alive for certain and its cache shows all that was written before
-// the term.
+// IsLeader reports whether this controller may act as leader, which includes starting
+// tasks: its lease is guaranteed to be valid and its cache contains everything that
+// was written before the term.
 func (e *Election) IsLeader(now event.Time) bool {
-	return e.cacheShowsTerm() && now < e.term.validUntil
+	return e.cacheCaughtUp() && now < e.term.validUntil
 }
 
-// MayRenewWorkerLeases reports whether heartbeats may be answered with 200, which
-// renews the lease of the worker: while this controller is leader and, with
-// nothing started, in the grace after that.
+// MayRenewWorkerLeases reports whether this controller may answer heartbeats with
+// status 200, which renews the lease of the worker. This is allowed while it is leader
+// and during the grace period that follows, in which no tasks are started.
 func (e *Election) MayRenewWorkerLeases(now event.Time) bool {
-	return e.cacheShowsTerm() && e.termLasts(now)
+	return e.cacheCaughtUp() && e.withinTermOrGrace(now)
 }
 
-// cacheShowsTerm reports whether we hold a term and the cache shows everything up
-// to its beginning. A controller that replaces its own term from before a
-// restart, or has just read all keys page by page, would otherwise miss what the
-// term before wrote last, and place other tasks on the same capacity and quota.
-func (e *Election) cacheShowsTerm() bool {
+// cacheCaughtUp reports whether this controller holds a term and its cache contains
+// everything up to the beginning of that term. Without this check, a controller that
+// replaces its own term from before a restart, or that has just read all keys page by
+// page, could miss the last writes of the previous term and place other tasks on the
+// same capacity and quota.
+func (e *Election) cacheCaughtUp() bool {
 	return e.HoldsTerm() && e.store.Revision() >= e.term.modRevision
 }
 
-// termLasts reports whether our term, or its grace, goes on.
-func (e *Election) termLasts(now event.Time) bool {
-	// Each 200 keeps the tasks of that worker alive. A cancellation that another
-	// controller has confirmed may be missing from our cache for no longer than
-	// the grace, whatever the lease says.
+// withinTermOrGrace reports whether now is within the term of this controller or its grace
+// period.
+func (e *Election) withinTermOrGrace(now event.Time) bool {
+	// Each response with status 200 keeps the tasks of that worker running. The cache
+	// may lack a cancellation that another controller has confirmed, so it must not be
+	// stale for longer than the grace period, even if the lease is valid.
 	if now >= e.store.FreshUntil()+e.cfg.Grace {
 		return false
 	}
 	if now < e.term.validUntil {
 		return true
 	}
-	return now < e.graceEnd() && e.observed.highestToken <= e.term.token
+	return now < e.graceEnd() && e.observed.highestReportedToken <= e.term.token
 }
 
-// TakeTermStart reports, once for each term, that a term has begun and the cache
-// has caught up with it.
+// TakeTermStart reports whether a new term has begun and the cache has caught up with
+// it. It returns true once for each term.
 func (e *Election) TakeTermStart() bool {
-	if !e.term.startPending || (e.HoldsTerm() && !e.cacheShowsTerm()) {
+	if !e.term.startPending || (e.HoldsTerm() && !e.cacheCaughtUp()) {
 		return false
 	}
 	e.term.startPending = false
@@ -96,32 +98,32 @@
 	return e.HoldsTerm()
 }
 
-// Resign ends our term early, for another controller to take: this one does not
-// campaign for a while.
+// Resign ends the term of this controller early, so that another controller can
+// become leader. This controller does not campaign again for resignBackoff.
 func (e *Election) Resign(now event.Time, reason StepDownReason, out *event.Effects) {
 	if !e.HoldsTerm() {
 		return
 	}
 	e.store.RevokeLease(now, e.term.leaseID, out)
-	e.candidacy.notBefore = now + resignPause
+	e.candidacy.notBefore = now + resignBackoff
 	e.stepDown(reason)
 }
 
-// stepDown notes that we do not hold a term any more.
+// stepDown ends the term locally: this controller no longer holds it.
 func (e *Election) stepDown(reason StepDownReason) {
 	e.log.Info("stepped down as leader", "token", e.term.token, "reason", string(reason))
 	e.term.leaseID = 0
 	e.term.modRevision = 0
 }
 
-// keepTerm steps down when the term has run out, and renews its lease when that
-// is due.
-func (e *Election) keepTerm(now event.Time, out *event.Effects) {
-	if !e.termLasts(now) {
-		e.stepDown(ReasonGraceOver)
+// maintainTerm steps down if the term and its grace period have ended, and renews the
+// lease when a renewal is due.
+func (e *Election) maintainTerm(now event.Time, out *event.Effects) {
+	if !e.withinTermOrGrace(now) {
+		e.stepDown(ReasonGraceExpired)
 		return
 	}
-	if !e.term.renewing && now >= e.term.renewAt {
+	if !e.term.renewalInFlight && now >= e.term.renewAt {
 		e.renew(now, out)
 	}
 }
@@ -129,11 +131,12 @@
 // renewal is a request to renew the lease of a term.
 type renewal struct {
 	sentAt event.Time
-	token  uint64 // of the term
+	token  uint64 // fencing token of the term
 }
 
+// renew sends a request to renew the lease of the term.
 func (e *Election) renew(now event.Time, out *event.Effects) {
-	e.term.renewing = true
+	e.term.renewalInFlight = true
 	r := renewal{sentAt: now, token: e.term.token}
 	timeout := e.cfg.TermLease / renewalsPerLease
 	e.store.RenewLease(now, e.term.leaseID, timeout, out, func(now event.Time, err error, _ *event.Effects) {
@@ -141,11 +144,11 @@
 	})
 }
 
-// handleRenewal takes the result of a renewal. The lease counts from when the
-// request was sent, as the response may have been late.
+// handleRenewal handles the result of a renewal. The duration of the lease is counted
+// from when the request was sent, because the response may have been delayed.
 func (e *Election) handleRenewal(now event.Time, r renewal, err error) {
-	e.term.renewing = false
-	e.log.Debug("term lease renewal", "error", err, "after", now-r.sentAt, "token", r.token)
+	e.term.renewalInFlight = false
+	e.log.Debug("term lease renewal finished", "error", err, "after", now-r.sentAt, "token", r.token)
 	if r.token != e.term.token || !e.HoldsTerm() {
 		return
 	}
--- a/internal/election/term_test.go
+++ b/internal/election/term_test.go
@@ -10,10 +10,11 @@
 	"lugward/internal/httpwire"
 )
 
-// TestLeaderOnceCacheCaughtUp: a controller that replaces its own term from before a
-// restart reads all keys page by page and may lack what that term wrote last. It
-// starts nothing, and answers nobody, until its cache shows all that came before
-// the new term.
+// TestLeaderOnceCacheCaughtUp checks that a controller does not act as leader before its
+// cache contains everything that was written before its term. A controller that replaces
+// its own term from before a restart reads all keys page by page, so its cache may lack
+// the last writes of the old term. Until it has caught up, it neither starts tasks nor
+// answers heartbeats.
 func TestLeaderOnceCacheCaughtUp(t *testing.T) {
 	h := newHarness(t)
 	h.tick(0)
@@ -24,33 +25,33 @@
 	h.tick(now)
 	h.respond(now, "/leases", `{"tether":7}`)
 	h.tick(now)
-	// A placement of the process before was executed late, at revision 6.
+	// A placement of the process before the restart was executed late, at revision 6.
 	h.respond(now, "/commit", `{"epoch":7}`)
 	if !h.HoldsTerm() {
-		t.Fatal("the term was not taken")
+		t.Fatal("HoldsTerm() = false after the term transaction, want true")
 	}
 	if h.IsLeader(now) || h.MayRenewWorkerLeases(now) || h.TakeTermStart() {
-		t.Error("acts on a cache that lacks what was written before its term")
+		t.Error("the controller acts as leader although its cache lacks writes from before its term")
 	}
 	h.tick(now)
 	if !h.HoldsTerm() {
-		t.Error("stepped down while the cache catches up")
+		t.Error("the controller stepped down while its cache was catching up")
 	}
 	now += time.Millisecond
 	h.respond(now, "/follow", `{"epoch":7,"log":[{"write":"r/req-1/0","data":{},"stamp":6},`+
 		`{"write":"t/lead","data":{"l":"n0","f":2},"stamp":7},{"write":"t/count","data":{"l":"n0","f":2},"stamp":7}]}`)
 	if !h.IsLeader(now) || !h.MayRenewWorkerLeases(now) {
-		t.Error("does not act, though the cache is complete")
+		t.Error("the controller does not act as leader although its cache has caught up")
 	}
 	if !h.TakeTermStart() {
-		t.Error("the term does not begin, though the cache is complete")
+		t.Error("the start of the term was not reported although the cache has caught up")
 	}
 	if h.TakeTermStart() {
-		t.Error("the term begins twice")
+		t.Error("the start of the term was reported twice")
 	}
 }
 
-// TestStepDown: each reason for stepping down ends the term and is logged.
+// TestStepDown checks that each reason for stepping down ends the term and is logged.
 func TestStepDown(t *testing.T) {
 	const start event.Time = time.Second
 	for _, test := range []struct {
@@ -58,19 +59,19 @@
 		end  func(h *harness)
 		want StepDownReason
 	}{
-		{"another controller has the term key", func(h *harness) {
+		{"another controller holds the term key", func(h *harness) {
 			h.HandleChange(termKey, []byte(`{"l":"n1","f":2}`), 8)
 		}, ReasonTermKeyChanged},
 		{"the term key was deleted", func(h *harness) {
 			h.HandleChange(termKey, nil, 8)
 		}, ReasonTermKeyChanged},
-		{"the lease is gone", func(h *harness) {
+		{"the lease was not found", func(h *harness) {
 			h.tick(start)
 			h.respondWith(start, "/leases/7/extend", httpwire.StatusNotFound, `{}`)
 		}, ReasonLeaseExpired},
-		{"the store does not answer for the grace", func(h *harness) {
+		{"the store does not respond for the grace period", func(h *harness) {
 			h.tick(start + h.cfg.Grace)
-		}, ReasonGraceOver},
+		}, ReasonGraceExpired},
 		{"resigned", func(h *harness) {
 			h.Resign(start, ReasonNoHeartbeats, &h.out)
 		}, ReasonNoHeartbeats},
@@ -79,42 +80,42 @@
 			h := newLeader(t, start)
 			test.end(h)
 			if h.HoldsTerm() || h.IsLeader(start) || h.MayRenewWorkerLeases(start) {
-				t.Error("still holds the term")
+				t.Error("the controller still holds the term or acts as leader")
 			}
 			if want := fmt.Sprintf("reason=%q", test.want); !strings.Contains(h.log.String(), want) {
-				t.Errorf("log lacks %s: %s", want, h.log.String())
+				t.Errorf("log does not contain %s: %s", want, h.log.String())
 			}
 		})
 	}
 }
 
-// TestGrace: after its lease a leader that the store does not answer starts
-// nothing, but renews the leases of workers until the grace is over.
+// TestGrace checks that a leader that gets no responses from the store starts no tasks
+// after its lease, but renews the leases of workers until the end of the grace period.
 func TestGrace(t *testing.T) {
 	const start event.Time = time.Second
 	h := newLeader(t, start)
 	for _, test := range []struct {
 		name                string
-		after               time.Duration // the last contact with the store
+		after               time.Duration // since the last response of the store
 		leader, renewLeases bool
 	}{
 		{"within the lease", 3700 * time.Millisecond, true, true},
-		{"after the part of the lease that is relied on", 3800 * time.Millisecond, false, true},
-		{"at the end of the grace, less the margin of the lease", 9799 * time.Millisecond, false, true},
-		{"after the grace", 9800 * time.Millisecond, false, false},
+		{"after the reliable part of the lease", 3800 * time.Millisecond, false, true},
+		{"at the end of the grace period less the lease margin", 9799 * time.Millisecond, false, true},
+		{"after the grace period", 9800 * time.Millisecond, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			now := start + test.after
 			if got := h.IsLeader(now); got != test.leader {
-				t.Errorf("leader: %v", got)
+				t.Errorf("IsLeader() = %v, want %v", got, test.leader)
 			}
 			if got := h.MayRenewWorkerLeases(now); got != test.renewLeases {
-				t.Errorf("renews leases of workers: %v", got)
+				t.Errorf("MayRenewWorkerLeases() = %v, want %v", got, test.renewLeases)
 			}
 		})
 	}
 	h.ObserveFencingToken(h.FencingToken() + 1)
 	if now := start + 5*time.Second; h.MayRenewWorkerLeases(now) {
-		t.Error("renews leases of workers in its grace although there is a later term")
+		t.Error("MayRenewWorkerLeases() = true in the grace period although a later term was observed, want false")
 	}
 }
--- a/internal/election/timing_test.go
+++ b/internal/election/timing_test.go
@@ -11,13 +11,13 @@
 		cancellation, workerLease time.Duration
 		want                      time.Duration
 	}{
-		{"whole margin", 30 * time.Second, 10 * time.Second, 15990 * time.Millisecond},
-		{"half of the little time left", 16 * time.Second, 10 * time.Second, 2995 * time.Millisecond},
-		{"no time left", 10 * time.Second, 10 * time.Second, 0},
+		{"full margin", 30 * time.Second, 10 * time.Second, 15990 * time.Millisecond},
+		{"half of the remaining time", 16 * time.Second, 10 * time.Second, 2995 * time.Millisecond},
+		{"no time remaining", 10 * time.Second, 10 * time.Second, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := GracePeriod(test.cancellation, test.workerLease); got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("GracePeriod(%v, %v) = %v, want %v", test.cancellation, test.workerLease, got, test.want)
 			}
 		})
 	}
--- a/internal/worker/assignments.go
+++ b/internal/worker/assignments.go
@@ -7,8 +7,8 @@
 	"lugward/internal/pipeline"
 )
 
-// sortedAssignments lists the assignments of a machine by job, in the order of
-// readiness, and task.
+// sortedAssignments returns the assignments of a machine, ordered by the revision at
+// which their jobs became ready and then by task number.
 func (r *Registry) sortedAssignments(machine *Machine) []*pipeline.Assignment {
 	assignments := r.jobs.OnMachine(machine.Index)
 	if len(assignments) == 0 {
@@ -21,8 +21,9 @@
 	return sorted
 }
 
-// AllStored reports whether nothing that concerns the machine is being stored: a
-// response given now would not be followed by another in a moment.
+// AllStored reports whether all assignments of the machine are persisted without a
+// pending write. Otherwise a response sent now could not contain the commands that
+// become possible shortly afterwards, once those writes are committed.
 func (r *Registry) AllStored(machine pipeline.MachineIndex) bool {
 	for _, assignment := range r.jobs.OnMachine(machine) {
 		if !assignment.Stored() {
@@ -32,7 +33,9 @@
 	return true
 }
 
-// Idle reports whether a usable machine reports no task and has none to start yet.
+// Idle reports whether a heartbeat lists no tasks and its machine has no persisted
+// assignment. Machines that are not reachable or are about to be released or reclaimed are
+// not considered idle.
 func (r *Registry) Idle(heartbeat *Heartbeat) bool {
 	if len(heartbeat.Tasks) > 0 {
 		return false
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -5,40 +5,45 @@
 	"lugward/internal/pipeline"
 )
 
+// startCommand returns the command to start the task of an assignment.
 func startCommand(assignment *pipeline.Assignment) Command {
 	return Command{Verb: verbStart, Task: taskName(assignment), Attempt: assignment.Attempt}
 }
 
-// terminateCommand ends a task, which gets some seconds to save a checkpoint.
+// terminateCommand returns the command to terminate a task. The task has gracePeriod
+// seconds to save a checkpoint.
 func terminateCommand(task string, attempt uint64, gracePeriod float64) Command {
 	return Command{Verb: verbTerminate, Task: task, Attempt: attempt, GracePeriod: &gracePeriod}
 }
 
+// reapCommand returns the command to forget a task that has exited.
 func reapCommand(task *TaskStatus) Command {
 	return Command{Verb: verbReap, Task: task.Task, Attempt: task.Attempt}
 }
 
-// response is the response to a heartbeat while it is put together.
+// response collects the commands of the response to a heartbeat.
 type response struct {
-	machine        *Machine
-	heartbeat      *Heartbeat
-	tokenConfirmed bool // the heartbeat carries our fencing token: it proves what it does not list
-	mayStart       bool
-	listed         map[*pipeline.Assignment]bool // in the heartbeat
+	machine   *Machine
+	heartbeat *Heartbeat
+	// tokenConfirmed reports whether the heartbeat carries the fencing token of this term.
+	// Only then does it prove that a task that it does not list is not on the machine.
+	tokenConfirmed bool
+	mayStart       bool                          // whether tasks may be started now
+	listed         map[*pipeline.Assignment]bool // assignments that the heartbeat lists
 
 	reaps        []Command
 	terminations []Command
 	starts       []Command
 }
 
-// commands lists the commands, reaps first: a start is refused while another attempt
-// is listed.
+// commands returns the commands of the response. Reaps come first, because a worker
+// refuses to start a task while it lists another attempt of it.
 func (r *response) commands() []Command {
 	return append(append(r.reaps, r.terminations...), r.starts...)
 }
 
-// Commands returns the commands for the response to a heartbeat that was taken, as
-// things stand now.
+// Commands returns the commands for the response to a heartbeat that HandleHeartbeat has
+// accepted, according to the current state of the assignments.
 func (r *Registry) Commands(heartbeat *Heartbeat, now event.Time, leadership Leadership) []Command {
 	response := &response{
 		machine:        r.Add(heartbeat.Machine, now),
@@ -49,7 +54,7 @@
 	}
 	response.machine.unknownTasks = 0
 	for i := range heartbeat.Tasks {
-		r.respondToTask(response, r.find(response.machine, &heartbeat.Tasks[i]))
+		r.respondToTask(response, r.resolveTask(response.machine, &heartbeat.Tasks[i]))
 	}
 	for _, assignment := range r.sortedAssignments(response.machine) {
 		if !response.listed[assignment] && assignment.Stored() {
@@ -60,7 +65,7 @@
 	return response.commands()
 }
 
-// respondToTask decides what to do with a task that the heartbeat lists.
+// respondToTask adds the command, if any, for a task that the heartbeat lists.
 func (r *Registry) respondToTask(response *response, task reportedTask) {
 	if task.assignment == nil {
 		respondToUnknown(response, task)
@@ -70,8 +75,8 @@
 	if task.exited() {
 		return
 	}
-	// A cancelled job's task is terminated whatever write is pending: one that was
-	// taken to have terminated may hang and go on.
+	// A task of a cancelled job is terminated even if a write is pending. The task may
+	// have been recorded as terminated although its machine only hung and then continued.
 	cancelled := task.assignment.Job.TerminalPhase == pipeline.Cancelled
 	if task.assignment.Pending() != pipeline.NoPendingWrite && !cancelled {
 		return
@@ -81,10 +86,10 @@
 	}
 }
 
-// respondToUnknown decides what to do with a listed task that no assignment explains.
+// respondToUnknown adds the command, if any, for a listed task without an assignment.
 func respondToUnknown(response *response, task reportedTask) {
 	switch {
-	case task.newCompletion(): // reaped once it is stored
+	case task.newCompletion(): // reaped once the completion is committed
 	case task.exited():
 		response.reaps = append(response.reaps, reapCommand(task.TaskStatus))
 	default:
@@ -93,12 +98,13 @@
 	}
 }
 
-// respondToUnlisted decides what to do with a stored assignment that the heartbeat
-// lacks.
+// respondToUnlisted starts the task of a persisted assignment that the heartbeat does
+// not list, or records that the task has terminated.
 func (r *Registry) respondToUnlisted(response *response, assignment *pipeline.Assignment) {
 	if terminationOf(assignment).required {
-		// A worker has one heartbeat in flight and carries out no late response: a
-		// start that this heartbeat does not show will not happen.
+		// A worker has one heartbeat in flight and ignores late responses. A start
+		// command that has had no effect by this heartbeat will therefore never be
+		// carried out.
 		if response.tokenConfirmed {
 			r.jobs.RecordTermination(assignment)
 		}
@@ -107,17 +113,17 @@
 	lost := assignment.Phase() >= pipeline.TaskWaitingForGang && response.tokenConfirmed
 	switch {
 	case lost && assignment.Job.IsGang():
-		// The rest of the gang cannot go on.
-		r.terminateGang(assignment.Job)
+		// The other tasks of the gang cannot continue.
+		r.evictGang(assignment.Job)
 		r.jobs.RecordTermination(assignment)
 	case response.mayStart:
-		response.start(assignment)
+		response.addStart(assignment)
 	}
 }
 
-// start adds the start of a task. One that was seen on the machine before was lost with
-// the worker's incarnation.
-func (r *response) start(assignment *pipeline.Assignment) {
+// addStart adds the command to start the task of an assignment. A task that an earlier
+// heartbeat listed was lost with the previous incarnation of the worker.
+func (r *response) addStart(assignment *pipeline.Assignment) {
 	r.starts = append(r.starts, startCommand(assignment))
 	assignment.RecordStartCommand(r.heartbeat.Sequence)
 	r.machine.images[assignment.Job.Image] = true
--- a/internal/worker/commands_test.go
+++ b/internal/worker/commands_test.go
@@ -9,16 +9,17 @@
 	"lugward/internal/worker/workertest"
 )
 
-// A cancelled job's task that goes on, on a machine that hung, is told to terminate
-// whatever write is pending, even if it was taken to have terminated.
+// A task of a cancelled job that continues on a machine that hung must be terminated
+// even if a write of its assignment is pending, including the write that clears the
+// assignment because the task was recorded as terminated.
 func TestTaskOfCancelledJobIsTerminated(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		pending pipeline.PendingWrite
 	}{
 		{"no write is pending", pipeline.NoPendingWrite},
-		{"its termination is being stored", pipeline.PendingClear},
-		{"its completion is being stored", pipeline.PendingDone},
+		{"the write of its termination is pending", pipeline.PendingClear},
+		{"the write of its completion is pending", pipeline.PendingDone},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newCluster(0)
@@ -38,7 +39,7 @@
 			}
 			got := c.Commands(heartbeat, c.now, leader)
 			if len(got) != 1 || got[0].Verb != "stop" || got[0].Task != "req-1/0" || *got[0].GracePeriod != 0 {
-				t.Errorf("commands %+v", got)
+				t.Errorf("Commands returned %+v, want a single stop of req-1/0 with grace period 0", got)
 			}
 		})
 	}
--- a/internal/worker/direct_command.go
+++ b/internal/worker/direct_command.go
@@ -9,37 +9,39 @@
 )
 
 const (
-	announceInterval     = 10 * time.Second // between two announcements to a machine
+	announceInterval     = 10 * time.Second // minimum time between two announcements to a machine
 	directCommandTimeout = 3 * time.Second
 )
 
-// firstIncarnation is the first incarnation of a worker.
+// firstIncarnation is the number of the first incarnation of a worker.
 const firstIncarnation = 1
 
-// directCall is a direct command in flight: one outside of the responses to heartbeats.
+// directCall is a direct command in flight. Direct commands are sent to a worker outside
+// of the responses to its heartbeats.
 type directCall struct {
-	// announcedTo is the machine that our fencing token is announced to; nil where a
-	// refusal changes nothing.
+	// announcedTo is the machine to which the fencing token is announced. It is nil if a
+	// refusal of the command needs no action.
 	announcedTo *Machine
 }
 
-// directCalls are the direct commands in flight.
+// directCalls holds the direct commands in flight.
 type directCalls struct {
-	inFlight      map[uint64]directCall // by call
-	announcements int                   // of these
+	inFlight      map[uint64]directCall // by call ID
+	announcements int                   // number of announcements in inFlight
 }
 
-// sendCommand sends a direct command.
+// sendCommand sends a direct command to the worker of a machine.
 func (r *Registry) sendCommand(machine *Machine, command directCommand, call directCall, out *event.Effects) {
 	body, _ := json.Marshal(command)
 	r.calls.inFlight[out.Call(machine.addr, http.MethodPost, pathDirectCommand, body, directCommandTimeout)] = call
 }
 
-// AnnounceToken tells a machine our fencing token by a direct command without commands
-// to tasks. A leader that lost the state service and the other controllers, but not its
-// workers, may answer them for its whole grace period. Workers that know a higher
-// fencing token show it in their next heartbeat, which ends that, and come to us. The
-// proof that tasks have terminated does not rest on it.
+// AnnounceToken sends a machine the fencing token of this term in a direct command with
+// an empty list of commands. A previous leader that has lost its connections to the state
+// service and the other controllers, but not to its workers, may answer their heartbeats
+// for its whole grace period. A worker that knows a higher fencing token includes it in
+// its next heartbeat. The previous leader then stops answering, and the worker turns to
+// this controller. The proof that tasks have terminated does not depend on announcements.
 func (r *Registry) AnnounceToken(machine *Machine, now event.Time, leadership Leadership, out *event.Effects) {
 	if machine.addr == "" {
 		return
@@ -54,13 +56,14 @@
 	r.sendCommand(machine, command, directCall{announcedTo: machine}, out)
 }
 
-// AnnouncementsInFlight counts the announcements of our fencing token that have no
-// outcome yet.
+// AnnouncementsInFlight returns the number of announcements of the fencing token whose
+// outcome is not known yet.
 func (r *Registry) AnnouncementsInFlight() int { return r.calls.announcements }
 
-// HandleCallResult takes the outcome of a direct command; it reports whether the call was
-// the registry's. The worker's next heartbeat tells what became of a command. Only an
-// announcement that named the wrong incarnation is repeated with the right one, once.
+// HandleCallResult handles the outcome of a direct command. It reports whether the call
+// belongs to the registry. Outcomes are ignored, because the next heartbeat of the worker
+// shows the effect of a command. The exception is an announcement with the wrong
+// incarnation: it is repeated once with the right one.
 func (r *Registry) HandleCallResult(done event.CallResult, leadership Leadership, out *event.Effects) bool {
 	call, ok := r.calls.inFlight[done.ID]
 	if !ok {
--- a/internal/worker/export_test.go
+++ b/internal/worker/export_test.go
@@ -1,14 +1,14 @@
 package worker
 
-// For the tests, which are a package of their own as they share package workertest
-// with others.
+// Exported for the tests. They are in the external package worker_test because package
+// workertest, which they share with other packages, imports this package.
 const (
-	MinWorkingTime     = minWorkingTime
-	ServiceWorkingTime = serviceWorkingTime
+	MinHealthyRuntime     = minHealthyRuntime
+	ServiceHealthyRuntime = serviceHealthyRuntime
 )
 
-// ParseHeartbeat decodes a heartbeat without looking at earlier ones.
+// ParseHeartbeat decodes a heartbeat without using the cache of a HeartbeatParser.
 var ParseHeartbeat = parseHeartbeat
 
-// Quarantined reports whether the machine is taken out of use as it is at fault.
+// Quarantined reports whether the machine is quarantined because it is at fault.
 func (m *Machine) Quarantined() bool { return m.quarantined }
--- a/internal/worker/failure_detector.go
+++ b/internal/worker/failure_detector.go
@@ -12,83 +12,92 @@
 )
 
 const (
-	// So many different jobs that fail on a machine and work elsewhere show that the
-	// machine is at fault: with one, chance or the job's own fault is as likely.
-	minFailedJobs = 2
-	// Where nothing else is free the jobs that failed there can't show that they
-	// work elsewhere, and a machine at fault, always empty, draws all of them. So many
-	// that failed nowhere else, for so long without a task that completed, show that
-	// the machine is at fault as well.
-	minUnprovenJobs = 3
-	unprovenTime    = 15 * time.Second
-	// A task that runs on another machine for this long, and for so many times as
-	// long as it ran on the one where it failed, works there.
-	minWorkingTime    = 15 * time.Second
-	workingTimeFactor = 2
-	// A replica runs until its service is cancelled: after this long the service is
-	// no more at fault.
-	serviceWorkingTime  = time.Minute
+	// minJobsWorkingElsewhere is the number of different jobs that must fail on a
+	// machine and work on other machines before the machine is considered at fault. With
+	// a single job, chance or a fault of the job is as likely a cause.
+	minJobsWorkingElsewhere = 2
+	// minJobsFailedOnlyHere and minFailingTime apply if no other machine has free
+	// capacity. The failed jobs then cannot be seen to work on another machine, and the
+	// machine at fault, which is always empty, attracts all of them. A machine is
+	// therefore also considered at fault if minJobsFailedOnlyHere jobs have failed on
+	// this machine only and no task has completed there for minFailingTime since the
+	// first of these failures.
+	minJobsFailedOnlyHere = 3
+	minFailingTime        = 15 * time.Second
+	// minHealthyRuntime and healthyRuntimeFactor determine when a job that failed on one
+	// machine works on another: a task must run there for minHealthyRuntime, and for
+	// healthyRuntimeFactor times as long as a task ran on the first machine before it
+	// failed.
+	minHealthyRuntime    = 15 * time.Second
+	healthyRuntimeFactor = 2
+	// serviceHealthyRuntime is how long a replica must run until its service is no longer
+	// considered at fault. A completion cannot show this, because a replica runs until
+	// its service is cancelled.
+	serviceHealthyRuntime = time.Minute
+	// failureScanInterval is the minimum time between two scans of the machines with
+	// failed jobs.
 	failureScanInterval = time.Second
 )
 
-// failureDetector tells from failed tasks whether machines or jobs are at fault: the
-// job is if it also fails elsewhere, the machine if several jobs fail there that work
-// elsewhere. Until one of these is proven, the job tries another machine at once and
-// the machine is used as before.
+// failureDetector determines from failed tasks whether machines or jobs are at fault. A job
+// is at fault if it fails on several machines. A machine is at fault if several jobs fail
+// there that work on other machines. Until either is proven, the job is retried immediately
+// on another machine and the machine remains in use.
 type failureDetector struct {
 	jobs      *pipeline.Table
-	machineAt func(index pipeline.MachineIndex) *Machine // nil: there is none
+	machineAt func(index pipeline.MachineIndex) *Machine // returns nil for an unknown machine
 	log       *slog.Logger
 	suspects  map[pipeline.MachineIndex]bool // machines with failed jobs
-	scannedAt event.Time
+	scannedAt event.Time                     // when the suspects were last scanned
 }
 
-// reset drops what only a leader knows.
+// reset clears the state that only a leader maintains.
 func (d *failureDetector) reset() { clear(d.suspects) }
 
-// taskFailed takes in a task that ended with an error.
-func (d *failureDetector) taskFailed(machine *Machine, assignment *pipeline.Assignment, now event.Time) {
+// handleTaskFailure handles the failure of a task.
+func (d *failureDetector) handleTaskFailure(machine *Machine, assignment *pipeline.Assignment, now event.Time) {
 	job := assignment.Job
-	d.log.Info("task failed", "job", job.ID, "machine", machine.Name)
+	d.log.Info("task failed", "job", job.ID, "task", assignment.Task, "machine", machine.Name)
 	if machine.failedJobs == nil {
 		machine.failedJobs = map[string]event.Time{}
 	}
 	if len(machine.failedJobs) == 0 {
 		machine.failingSince = now
 	}
-	machine.failedJobs[job.ID] = runTime(assignment, now)
+	machine.failedJobs[job.ID] = runningTime(assignment, now)
 	d.suspects[machine.Index] = true
 	failures := job.Failures()
 	d.jobs.RecordFailure(assignment, now)
 	if job.Failures() > failures {
-		d.log.Info("job backing off", "job", job.ID, "failures", job.Failures())
+		d.log.Info("job failed repeatedly, backing off before the next attempt", "job", job.ID, "failures", job.Failures())
 	}
 }
 
-// taskSucceeded takes in a task that completed: neither the machine nor the job
-// is at fault.
-func (d *failureDetector) taskSucceeded(machine *Machine, job *pipeline.Job) {
+// handleTaskSuccess handles the completion of a task, which shows that neither the machine
+// nor the job is at fault.
+func (d *failureDetector) handleTaskSuccess(machine *Machine, job *pipeline.Job) {
 	clear(machine.failedJobs)
 	delete(d.suspects, machine.Index)
 	d.jobs.ClearFailures(job)
 }
 
-// runTime is for how long a task has been seen running.
-func runTime(assignment *pipeline.Assignment, now event.Time) event.Time {
+// runningTime returns the time since the task of an assignment was first seen on its
+// machine, or zero if it was not seen yet.
+func runningTime(assignment *pipeline.Assignment, now event.Time) event.Time {
 	if assignment.StartedAt() == 0 {
 		return 0
 	}
 	return now - assignment.StartedAt()
 }
 
-// runsFor reports whether a task is running and has been for a time.
-func runsFor(assignment *pipeline.Assignment, needed, now event.Time) bool {
-	return assignment.Phase() == pipeline.TaskRunning && runTime(assignment, now) >= needed
+// hasRunFor reports whether the task of an assignment is running and has been seen on its
+// machine for at least the needed time.
+func hasRunFor(assignment *pipeline.Assignment, needed, now event.Time) bool {
+	return assignment.Phase() == pipeline.TaskRunning && runningTime(assignment, now) >= needed
 }
 
-// machinesAtFault iterates over the machines that are found to be at fault. It looks at
-// those on which tasks have failed, once in failureScanInterval; without any it costs
-// nothing.
+// machinesAtFault iterates over the machines that are at fault. At most once per
+// failureScanInterval, it scans the machines on which tasks have failed.
 func (d *failureDetector) machinesAtFault(now event.Time) iter.Seq[*Machine] {
 	return func(yield func(*Machine) bool) {
 		if now-d.scannedAt < failureScanInterval {
@@ -108,27 +117,27 @@
 	}
 }
 
-// atFault reports whether enough jobs have failed on a machine to blame it.
+// atFault reports whether enough jobs have failed on a machine to consider it at fault.
 func (d *failureDetector) atFault(machine *Machine, now event.Time) bool {
-	return d.provenFailures(machine, now) >= minFailedJobs || d.unprovenFailures(machine, now) >= minUnprovenJobs
+	return d.countWorkingElsewhere(machine, now) >= minJobsWorkingElsewhere || d.countFailedOnlyHere(machine, now) >= minJobsFailedOnlyHere
 }
 
-// provenFailures counts the jobs that failed on a machine though they work
-// elsewhere.
-func (d *failureDetector) provenFailures(machine *Machine, now event.Time) (count int) {
-	for id, ran := range machine.failedJobs {
+// countWorkingElsewhere counts the jobs that have failed on a machine but work on other
+// machines.
+func (d *failureDetector) countWorkingElsewhere(machine *Machine, now event.Time) (count int) {
+	for id, failedAfter := range machine.failedJobs {
 		job := d.jobs.Job(id)
-		if job != nil && !job.AtFault() && d.worksElsewhere(job, machine, ran, now) {
+		if job != nil && !job.AtFault() && d.worksElsewhere(job, machine, failedAfter, now) {
 			count++
 		}
 	}
 	return count
 }
 
-// unprovenFailures counts the jobs that failed on a machine and nowhere else, once
-// the first failure is long enough ago.
-func (d *failureDetector) unprovenFailures(machine *Machine, now event.Time) (count int) {
-	if now-machine.failingSince < unprovenTime {
+// countFailedOnlyHere counts the jobs that have failed on this machine only. It returns zero
+// until minFailingTime has passed since the first failure.
+func (d *failureDetector) countFailedOnlyHere(machine *Machine, now event.Time) (count int) {
+	if now-machine.failingSince < minFailingTime {
 		return 0
 	}
 	for id := range machine.failedJobs {
@@ -139,22 +148,23 @@
 	return count
 }
 
-// worksElsewhere reports whether tasks of a job have completed, or have been running
-// on other machines for longer than one ran on this machine before it failed.
-func (d *failureDetector) worksElsewhere(job *pipeline.Job, machine *Machine, ran, now event.Time) bool {
+// worksElsewhere reports whether a task of a job has completed or has been running on
+// another machine for long enough. failedAfter is how long a task of the job ran on this
+// machine before it failed.
+func (d *failureDetector) worksElsewhere(job *pipeline.Job, machine *Machine, failedAfter, now event.Time) bool {
 	if job.DoneCount() > 0 {
 		return true
 	}
-	needed := max(minWorkingTime, workingTimeFactor*ran)
+	needed := max(minHealthyRuntime, healthyRuntimeFactor*failedAfter)
 	works := false
 	for assignment := range job.Assignments() {
-		works = works || (assignment.Machine != machine.Index && runsFor(assignment, needed, now))
+		works = works || (assignment.Machine != machine.Index && hasRunFor(assignment, needed, now))
 	}
 	return works
 }
 
-// clearFailures forgets the failures of jobs that failed on a machine at fault and
-// nowhere else.
+// clearFailures clears the failures of the jobs that have failed only on a machine that is
+// at fault.
 func (d *failureDetector) clearFailures(machine *Machine) {
 	for _, id := range slices.Sorted(maps.Keys(machine.failedJobs)) {
 		if job := d.jobs.Job(id); job != nil && job.FailedOnlyOn(machine.Index) {
@@ -163,14 +173,15 @@
 	}
 }
 
-// checkService ends the probing of a service whose replica goes on running.
-func (d *failureDetector) checkService(job *pipeline.Job, now event.Time) {
+// clearRecoveredService clears the failures of a service at fault once one of its replicas
+// has run for serviceHealthyRuntime.
+func (d *failureDetector) clearRecoveredService(job *pipeline.Job, now event.Time) {
 	if !job.AtFault() || job.Shape != pipeline.Daemon {
 		return
 	}
 	works := false
 	for assignment := range job.Assignments() {
-		works = works || runsFor(assignment, serviceWorkingTime, now)
+		works = works || hasRunFor(assignment, serviceHealthyRuntime, now)
 	}
 	if works {
 		d.jobs.ClearFailures(job)
--- a/internal/worker/failure_detector_test.go
+++ b/internal/worker/failure_detector_test.go
@@ -10,30 +10,31 @@
 	"lugward/internal/worker"
 )
 
-// Jobs that fail wherever they run never show that a machine is at fault, however many
-// of them have failed there.
-func TestFailingJobsSpareMachines(t *testing.T) {
+// Jobs that fail on every machine must not cause a machine to be considered at fault, no
+// matter how many of them have failed there.
+func TestFailingJobsDoNotQuarantineMachines(t *testing.T) {
 	c := newCluster(0)
 	for n := range 5 {
 		job := c.submit(fmt.Sprint("req-", n), pipeline.Array, 2)
 		for task, machine := range []string{"i-1", "i-2"} {
 			c.fail(t, job, task, machine)
 		}
-		c.wait(time.Second)
+		c.advance(time.Second)
 		if !job.AtFault() {
-			t.Errorf("%s is not at fault", job.ID)
+			t.Errorf("job %s: AtFault() = false, want true", job.ID)
 		}
 	}
-	c.wait(time.Minute)
+	c.advance(time.Minute)
 	for _, name := range []string{"i-1", "i-2"} {
 		if machine := c.Add(name, c.now); machine.Quarantined() || machine.Draining() || machine.Decommissioning() {
-			t.Errorf("%s is taken to be at fault", name)
+			t.Errorf("machine %s: quarantined %v, draining %v, decommissioning %v, want all false", name,
+				machine.Quarantined(), machine.Draining(), machine.Decommissioning())
 		}
 	}
 }
 
-// A machine on which several jobs fail that work elsewhere is quarantined: what runs
-// there is evicted. Before that is proven it is used like any other.
+// A machine is quarantined, and its tasks are evicted, if several jobs fail there that work
+// on other machines. Until that is proven, the machine is used like any other.
 func TestMachineAtFaultIsQuarantined(t *testing.T) {
 	c := newCluster(0)
 	other := c.submit("req-9", pipeline.Array, 1)
@@ -42,30 +43,30 @@
 		job := c.submit(fmt.Sprint("req-", n), pipeline.Array, 1)
 		c.fail(t, job, 0, "i-1")
 		if job.BackingOff(c.now) || !job.AvoidsMachine(c.Add("i-1", c.now).Index, c.now) {
-			t.Errorf("%s does not try another machine at once", job.ID)
+			t.Errorf("job %s is not retried immediately on another machine", job.ID)
 		}
 		c.jobs.HandleChange(record.KindRun, job.ID+"/0", []byte(`{"t":1}`), 5)
 		c.run(t, job, "i-2")
 	}
-	c.wait(time.Second)
+	c.advance(time.Second)
 	if c.Add("i-1", c.now).Quarantined() {
-		t.Error("two failures are no proof yet")
+		t.Error("machine i-1 is quarantined before its jobs have run long enough on i-2")
 	}
-	c.wait(worker.MinWorkingTime)
+	c.advance(worker.MinHealthyRuntime)
 	atFault := c.Add("i-1", c.now)
 	if !atFault.Quarantined() || !atFault.Draining() {
-		t.Error("the machine is not taken out of use")
+		t.Errorf("machine i-1: quarantined %v, draining %v, want both true", atFault.Quarantined(), atFault.Draining())
 	}
 	if assignment := other.Assignment(0); assignment == nil || !assignment.Evicting() {
-		t.Error("what runs there is not evicted")
+		t.Error("the running task on the quarantined machine is not being evicted")
 	}
 	if c.Add("i-2", c.now).Quarantined() {
-		t.Error("the healthy machine is quarantined")
+		t.Error("the healthy machine i-2 is quarantined")
 	}
 }
 
-// A replica that goes on running shows that its service is not at fault; nothing
-// of a service ever completes.
+// A replica that keeps running shows that its service is no longer at fault. A completion
+// cannot show it, because the tasks of a service never complete.
 func TestServiceWorksAgain(t *testing.T) {
 	c := newCluster(0)
 	job := c.submit("req-1", pipeline.Daemon, 2)
@@ -73,14 +74,16 @@
 		c.fail(t, job, task, machine)
 	}
 	c.jobs.HandleChange(record.KindRun, job.ID+"/0", []byte(`{"t":2}`), 5)
-	c.wait(time.Minute)
+	c.advance(time.Minute)
 	if !job.AtFault() || job.StartableCount() != 1 {
-		t.Fatalf("%d failures, %d to try", job.Failures(), job.StartableCount())
+		t.Fatalf("before a replica runs: %d failures, %d startable tasks, want failures and 1 startable task",
+			job.Failures(), job.StartableCount())
 	}
 	c.run(t, job, "i-3")
-	c.wait(worker.ServiceWorkingTime)
-	c.wait(time.Second)
+	c.advance(worker.ServiceHealthyRuntime)
+	c.advance(time.Second)
 	if job.AtFault() || job.StartableCount() != 1 {
-		t.Errorf("%d failures, %d to try", job.Failures(), job.StartableCount())
+		t.Errorf("after a replica has run: %d failures, %d startable tasks, want 0 failures and 1 startable task",
+			job.Failures(), job.StartableCount())
 	}
 }
--- a/internal/worker/fixture_test.go
+++ b/internal/worker/fixture_test.go
@@ -16,10 +16,10 @@
 
 var _ worker.Leadership = workertest.Leader{}
 
-// leader is the leadership in all tests.
+// leader is the leadership that all tests use.
 var leader = workertest.Leader{}
 
-// cluster is a registry with jobs whose tasks the test lets run and fail.
+// cluster is a registry with a table of jobs. Its methods simulate tasks that run and fail.
 type cluster struct {
 	*worker.Registry
 	names    *pipeline.Names
@@ -40,7 +40,7 @@
 	return &cluster{Registry: registry, names: names, jobs: jobs, now: time.Second}
 }
 
-// submit stores a job that is ready.
+// submit adds a job that is ready to the table of jobs.
 func (c *cluster) submit(id string, shape pipeline.Shape, tasks int) *pipeline.Job {
 	job := &pipeline.Job{ID: id, Ready: true, Spec: pipeline.Spec{Shape: shape, TaskCount: tasks, Zone: pipeline.AnyZone}}
 	job.Class = c.names.Classes.Index("c")
@@ -50,7 +50,7 @@
 	return c.jobs.Job(id)
 }
 
-// start puts a task on a machine as a stored assignment.
+// start assigns a task to a machine and persists the assignment.
 func (c *cluster) start(job *pipeline.Job, task int, machine string) {
 	index := c.Add(machine, c.now).Index
 	c.jobs.Assign(job, task, index, job.MaxAttempt()+1, c.now)
@@ -65,7 +65,7 @@
 	c.jobs.HandleChange(record.KindRun, job.ID+"/0", run.Encode(), 2)
 }
 
-// heartbeat lets the worker of a machine report one task.
+// heartbeat handles a heartbeat of a machine that lists one task.
 func (c *cluster) heartbeat(t *testing.T, machine string, job *pipeline.Job, task int, phase, cause string) {
 	t.Helper()
 	c.sequence++
@@ -81,21 +81,22 @@
 	}
 }
 
-// run lets the first task of a job start on a machine and run there.
+// run starts the first task of a job on a machine and reports it as running.
 func (c *cluster) run(t *testing.T, job *pipeline.Job, machine string) {
 	t.Helper()
 	c.start(job, 0, machine)
 	c.heartbeat(t, machine, job, 0, "running", "")
 }
 
-// fail lets a task start on a machine and fail there.
+// fail starts a task on a machine and reports that it has failed.
 func (c *cluster) fail(t *testing.T, job *pipeline.Job, task int, machine string) {
 	t.Helper()
 	c.start(job, task, machine)
 	c.heartbeat(t, machine, job, task, "exited", "error")
 }
 
-func (c *cluster) wait(duration time.Duration) {
+// advance advances the clock and ticks the registry.
+func (c *cluster) advance(duration time.Duration) {
 	c.now += duration
 	c.jobs.SetNow(c.now)
 	c.Tick(c.now, leader, &event.Effects{})
--- a/internal/worker/heartbeat.go
+++ b/internal/worker/heartbeat.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// parseHeartbeat decodes and checks a heartbeat. Its errors are those of package json
-// and MissingFieldError.
+// parseHeartbeat decodes a heartbeat and checks its required fields. It returns an error of
+// package json or a MissingFieldError.
 func parseHeartbeat(body []byte) (*Heartbeat, error) {
 	heartbeat := &Heartbeat{}
 	if err := json.Unmarshal(body, heartbeat); err != nil {
@@ -19,8 +19,8 @@
 	return heartbeat, nil
 }
 
-// missingField returns the name of a field that is not there though every heartbeat has
-// it, "" if there is none.
+// missingField returns the name of the first required field without a value, or "" if there
+// is none.
 func (h *Heartbeat) missingField() string {
 	switch {
 	case h.Machine == "":
@@ -36,7 +36,7 @@
 	}
 }
 
-// lists reports whether a heartbeat shows a task.
+// lists reports whether a heartbeat lists a task.
 func (h *Heartbeat) lists(task string) bool {
 	return slices.ContainsFunc(h.Tasks, func(status TaskStatus) bool { return status.Task == task })
 }
--- a/internal/worker/heartbeat_handling.go
+++ b/internal/worker/heartbeat_handling.go
@@ -7,8 +7,8 @@
 	"lugward/internal/pipeline"
 )
 
-// HandleHeartbeat takes a heartbeat in. It returns a RefusedError for one that tells
-// nothing of the present state of its machine.
+// HandleHeartbeat handles a heartbeat. It returns a RefusedError if the heartbeat does not
+// describe the current state of its machine.
 func (r *Registry) HandleHeartbeat(heartbeat *Heartbeat, now event.Time, leadership Leadership) error {
 	machine := r.Add(heartbeat.Machine, now)
 	if reason := machine.checkCurrent(heartbeat, now, leadership); reason != nil {
@@ -24,24 +24,26 @@
 	for i := range heartbeat.Tasks {
 		r.handleTaskStatus(machine, &heartbeat.Tasks[i], now)
 	}
-	// The tasks come before the question whether our responses arrive: what the
-	// heartbeat shows is there, whatever a copy that came before did not show.
+	// The tasks are handled before the check whether responses arrive: a task that this
+	// heartbeat lists is on the machine, even if a copied heartbeat that arrived earlier
+	// did not list it.
 	r.checkReachable(machine, heartbeat, now, leadership)
 	return nil
 }
 
-// RecordRelay records that the last heartbeat of a machine came through another
-// controller: the machine does not reach us itself.
+// RecordRelay records that the last heartbeat of a machine was relayed by another
+// controller, because the machine cannot reach this controller directly.
 func (r *Registry) RecordRelay(name string, now event.Time) {
 	r.Add(name, now).relayedAt = now
 }
 
-// checkCurrent returns the reason for which a heartbeat is refused, nil if it is not.
-func (c *contact) checkCurrent(heartbeat *Heartbeat, now event.Time, leadership Leadership) error {
+// checkCurrent returns the reason for which a heartbeat is refused, or nil if it is
+// accepted.
+func (s *heartbeatState) checkCurrent(heartbeat *Heartbeat, now event.Time, leadership Leadership) error {
 	switch {
-	case c.isStale(heartbeat):
+	case s.isStale(heartbeat):
 		return ErrStale
-	case c.incarnationExpired(heartbeat, now, leadership):
+	case s.incarnationExpired(heartbeat, now, leadership):
 		return ErrIncarnationExpired
 	default:
 		return nil
@@ -49,33 +51,33 @@
 }
 
 // isStale reports whether a heartbeat is not newer than the last one.
-func (c *contact) isStale(heartbeat *Heartbeat) bool {
-	if heartbeat.Incarnation != c.incarnation {
-		return heartbeat.Incarnation < c.incarnation
+func (s *heartbeatState) isStale(heartbeat *Heartbeat) bool {
+	if heartbeat.Incarnation != s.incarnation {
+		return heartbeat.Incarnation < s.incarnation
 	}
-	return heartbeat.Sequence <= c.sequence
+	return heartbeat.Sequence <= s.sequence
 }
 
 // incarnationExpired reports whether the lease of a heartbeat's incarnation has expired
 // since the last response to it.
-func (c *contact) incarnationExpired(heartbeat *Heartbeat, now event.Time, leadership Leadership) bool {
-	if heartbeat.Incarnation != c.incarnation || c.lastResponse <= 0 {
+func (s *heartbeatState) incarnationExpired(heartbeat *Heartbeat, now event.Time, leadership Leadership) bool {
+	if heartbeat.Incarnation != s.incarnation || s.lastResponse <= 0 {
 		return false
 	}
-	return now >= leadership.TasksExpireAt(max(c.lastResponse, c.lastHeartbeat))
+	return now >= leadership.TasksExpireAt(max(s.lastResponse, s.lastHeartbeat))
 }
 
-// updateMachine takes in what a heartbeat says of its machine.
+// updateMachine records what a heartbeat reports about its machine.
 func (r *Registry) updateMachine(machine *Machine, heartbeat *Heartbeat, now event.Time) {
 	if heartbeat.Incarnation != machine.incarnation && machine.incarnation != 0 {
 		machine.images = map[pipeline.ImageIndex]bool{}
-		r.log.Info("worker began a new incarnation", "machine", heartbeat.Machine, "incarnation", heartbeat.Incarnation)
+		r.log.Info("worker started a new incarnation", "machine", heartbeat.Machine, "incarnation", heartbeat.Incarnation)
 	}
 	if machine.lastHeartbeat != 0 && now-machine.lastHeartbeat > r.heartbeatTimeout {
 		machine.reconnectedAt = now
 	}
 	if machine.lastHeartbeat == 0 {
-		machine.idleSince = now // it was not idle while it booted
+		machine.idleSince = now // the boot time does not count as idle time
 		machine.firstHeartbeat = now
 		r.jobs.RequestRound()
 	}
@@ -87,7 +89,7 @@
 	r.updateReclaim(machine, heartbeat, now)
 }
 
-// updateReclaim takes in whether the cloud is about to reclaim a machine.
+// updateReclaim records whether the cloud has announced that it will reclaim a machine.
 func (r *Registry) updateReclaim(machine *Machine, heartbeat *Heartbeat, now event.Time) {
 	switch {
 	case heartbeat.ReclaimIn == nil:
--- a/internal/worker/heartbeat_handling_test.go
+++ b/internal/worker/heartbeat_handling_test.go
@@ -10,27 +10,28 @@
 	"lugward/internal/worker/workertest"
 )
 
-// TestHeartbeatsAreTakenInOrder: which heartbeats are taken, in the order in which they
-// arrive, for what reason others are refused, and whether the machine can be used then.
-func TestHeartbeatsAreTakenInOrder(t *testing.T) {
+// TestHeartbeatsAreHandledInOrder checks for a series of heartbeats which ones are accepted,
+// for which reason the others are refused, and whether the machine is schedulable after
+// each of them.
+func TestHeartbeatsAreHandledInOrder(t *testing.T) {
 	const timeout = 13 * time.Second
 	c := newCluster(timeout)
 	for _, step := range []struct {
 		name                  string
-		at                    time.Duration // in seconds
+		at                    time.Duration // arrival time, as a number of seconds
 		incarnation, sequence uint64
 		token                 uint64
 		refused               error
 		usable                bool
 	}{
-		{"the first of a term may be a copy: nothing is placed there", 1, 1, 7, 4, nil, false},
-		{"our response arrived", 2, 1, 8, 5, nil, true},
-		{"a copy", 3, 1, 8, 5, worker.ErrStale, true},
-		{"a copy from before our term", 4, 1, 6, 4, worker.ErrStale, true},
-		{"the next", 9, 1, 9, 5, nil, true},
-		{"delayed: that incarnation ended 32 s after our last response", 50, 1, 10, 5, worker.ErrIncarnationExpired, false},
-		{"however many there are of it", 51, 1, 30, 5, worker.ErrIncarnationExpired, false},
-		{"the machine itself, in its next incarnation", 52, 2, 31, 5, nil, true},
+		{"first of the term, may be a copy: not schedulable", 1, 1, 7, 4, nil, false},
+		{"response has arrived", 2, 1, 8, 5, nil, true},
+		{"copy", 3, 1, 8, 5, worker.ErrStale, true},
+		{"copy from before the term", 4, 1, 6, 4, worker.ErrStale, true},
+		{"next sequence", 9, 1, 9, 5, nil, true},
+		{"delayed: the incarnation expired 32 s after the last response", 50, 1, 10, 5, worker.ErrIncarnationExpired, false},
+		{"another heartbeat of the expired incarnation", 51, 1, 30, 5, worker.ErrIncarnationExpired, false},
+		{"next incarnation of the worker", 52, 2, 31, 5, nil, true},
 	} {
 		t.Run(step.name, func(t *testing.T) {
 			now := step.at * time.Second
@@ -40,20 +41,20 @@
 			heartbeat.FencingToken = step.token
 			err := c.HandleHeartbeat(heartbeat, now, leader)
 			if !errors.Is(err, step.refused) {
-				t.Errorf("refused with %v, not %v", err, step.refused)
+				t.Errorf("HandleHeartbeat returned error %v, want %v", err, step.refused)
 			}
 			checkRefused(t, err, heartbeat)
 			if err == nil {
 				c.Commands(heartbeat, now, leader)
 			}
 			if usable := c.Add("i-1", now).Schedulable(now, timeout); usable != step.usable {
-				t.Errorf("usable %v", usable)
+				t.Errorf("Schedulable() = %v, want %v", usable, step.usable)
 			}
 		})
 	}
 }
 
-// checkRefused checks that an error names the heartbeat that was refused.
+// checkRefused checks that an error, if any, is a RefusedError for the given heartbeat.
 func checkRefused(t *testing.T, err error, heartbeat *worker.Heartbeat) {
 	t.Helper()
 	if err == nil {
@@ -61,15 +62,15 @@
 	}
 	var refused *worker.RefusedError
 	if !errors.As(err, &refused) {
-		t.Fatalf("%v is no RefusedError", err)
+		t.Fatalf("error is a %T (%v), want a RefusedError", err, err)
 	}
 	if refused.Machine != heartbeat.Machine || refused.Incarnation != heartbeat.Incarnation || refused.Sequence != heartbeat.Sequence {
-		t.Errorf("the error is of another heartbeat: %v", err)
+		t.Errorf("error names another heartbeat: %v", err)
 	}
 }
 
-// Handling a heartbeat that says what the last one said allocates nothing: it is what
-// the program does most often.
+// Handling a heartbeat with the same content as the last one must not allocate memory,
+// because it is the most frequent operation of a controller.
 func TestHandleHeartbeatAllocatesNothing(t *testing.T) {
 	c := newCluster(0)
 	job := c.submit("req-1", pipeline.Array, 1)
@@ -84,6 +85,6 @@
 		}
 	})
 	if allocations != 0 {
-		t.Errorf("%v allocations", allocations)
+		t.Errorf("HandleHeartbeat made %v allocations, want 0", allocations)
 	}
 }
--- a/internal/worker/heartbeat_parser.go
+++ b/internal/worker/heartbeat_parser.go
@@ -5,15 +5,16 @@
 	"strconv"
 )
 
-// maxCachedHeartbeats bounds what malformed heartbeats can make a parser keep.
+// maxCachedHeartbeats limits the cache of a parser, which malformed heartbeats could
+// otherwise fill without bound.
 const maxCachedHeartbeats = 1 << 14
 
-// HeartbeatParser parses heartbeats. Most say what the last one of their machine said,
-// but for the sequence: their text is compared, not decoded again. The zero value is
-// ready for use.
+// HeartbeatParser parses heartbeats. Most heartbeats differ from the last one of their
+// machine only in the sequence. Their text is compared with the last one instead of being
+// decoded again. The zero value is ready to use.
 type HeartbeatParser struct {
-	last map[string]*cachedHeartbeat // by the text before the sequence's digits
-	keys map[string]string           // in last, by machine
+	cached    map[string]*cachedHeartbeat // last heartbeats, by the text before the sequence's digits
+	cacheKeys map[string]string           // keys of cached, by machine
 
 	// DecodedBytes counts the bytes that were decoded.
 	DecodedBytes int
@@ -27,13 +28,13 @@
 	after     []byte // the text after the sequence's digits
 }
 
-// Parse parses and checks a heartbeat. What it returns shares its list of tasks with
-// other heartbeats that say the same. Its errors are those of package json and
+// Parse parses and checks a heartbeat. The result shares its list of tasks with other
+// heartbeats of the same content. Parse returns an error of package json or a
 // MissingFieldError.
 func (p *HeartbeatParser) Parse(body []byte) (*Heartbeat, error) {
 	text, ok := splitSequence(body)
 	if ok {
-		last := p.last[string(text.before)]
+		last := p.cached[string(text.before)]
 		if last != nil && bytes.Equal(last.after, text.after) {
 			p.UnchangedBytes += len(body)
 			heartbeat := last.heartbeat
@@ -47,29 +48,29 @@
 		return nil, err
 	}
 	if ok && heartbeat.Sequence == text.sequence {
-		p.remember(heartbeat, text)
+		p.cache(heartbeat, text)
 	}
 	return heartbeat, nil
 }
 
-// remember keeps a heartbeat in place of the last one of its machine.
-func (p *HeartbeatParser) remember(heartbeat *Heartbeat, text heartbeatText) {
-	if p.last == nil || len(p.last) >= maxCachedHeartbeats {
-		p.last = map[string]*cachedHeartbeat{}
-		p.keys = map[string]string{}
+// cache caches a heartbeat in place of the last one of its machine.
+func (p *HeartbeatParser) cache(heartbeat *Heartbeat, text heartbeatText) {
+	if p.cached == nil || len(p.cached) >= maxCachedHeartbeats {
+		p.cached = map[string]*cachedHeartbeat{}
+		p.cacheKeys = map[string]string{}
 	}
-	delete(p.last, p.keys[heartbeat.Machine])
+	delete(p.cached, p.cacheKeys[heartbeat.Machine])
 	key := string(text.before)
-	p.keys[heartbeat.Machine] = key
-	p.last[key] = &cachedHeartbeat{*heartbeat, bytes.Clone(text.after)}
+	p.cacheKeys[heartbeat.Machine] = key
+	p.cached[key] = &cachedHeartbeat{*heartbeat, bytes.Clone(text.after)}
 }
 
-// Retain forgets the last heartbeats of all machines but those that keep names.
+// Retain removes the cached heartbeats of all machines for which keep returns false.
 func (p *HeartbeatParser) Retain(keep func(machine string) bool) {
-	for machine, key := range p.keys {
+	for machine, key := range p.cacheKeys {
 		if !keep(machine) {
-			delete(p.last, key)
-			delete(p.keys, machine)
+			delete(p.cached, key)
+			delete(p.cacheKeys, machine)
 		}
 	}
 }
@@ -83,8 +84,8 @@
 
 var sequenceFieldBytes = []byte(sequenceField)
 
-// splitSequence splits the text of a heartbeat. ok is false where the sequence can't be
-// found without decoding the text.
+// splitSequence splits the text of a heartbeat at its sequence. ok is false if the sequence
+// cannot be located without decoding the text.
 func splitSequence(body []byte) (text heartbeatText, ok bool) {
 	field := bytes.Index(body, sequenceFieldBytes)
 	if field < 0 || bytes.Contains(body[field+1:], sequenceFieldBytes) {
@@ -107,9 +108,10 @@
 
 func isDigit(char byte) bool { return char >= '0' && char <= '9' }
 
-// endsNumber reports whether a number in an object may end before a character. A
-// fraction or an exponent continues it.
+// endsNumber reports whether a character can follow an integer in a JSON object. A fraction
+// or an exponent would continue the number.
 func endsNumber(char byte) bool { return char == ',' || char == '}' }
 
-// hasLeadingZero reports whether digits are no number in JSON.
+// hasLeadingZero reports whether digits have a leading zero, which JSON does not allow in a
+// number.
 func hasLeadingZero(digits []byte) bool { return len(digits) > 1 && digits[0] == '0' }
--- a/internal/worker/protocol.go
+++ b/internal/worker/protocol.go
@@ -7,11 +7,11 @@
 	"lugward/internal/pipeline"
 )
 
-// The protocol between controllers and workers. Its names for things stand only in
-// this file.
+// The protocol between controllers and workers. The field names and values of the protocol
+// are defined only in this file.
 
-// Heartbeat is what a worker sends of itself, its machine and its tasks. The heartbeats
-// of a machine are ordered by incarnation and sequence.
+// Heartbeat is the periodic message of a worker about itself, its machine and its tasks.
+// The heartbeats of a machine are ordered by incarnation and sequence.
 type Heartbeat struct {
 	Machine      string       `json:"host"`
 	Addr         string       `json:"addr"`
@@ -20,17 +20,17 @@
 	Spot         bool         `json:"loaners"`
 	Incarnation  uint64       `json:"tenure"`
 	Sequence     uint64       `json:"tick"`
-	FencingToken uint64       `json:"fence"`    // the highest that the worker has seen
-	ReclaimIn    *float64     `json:"recall_s"` // seconds until the cloud reclaims the machine, nil: no notice
+	FencingToken uint64       `json:"fence"`    // highest fencing token that the worker has seen
+	ReclaimIn    *float64     `json:"recall_s"` // seconds until the cloud reclaims the machine, nil without a notice
 	Tasks        []TaskStatus `json:"shards"`
 }
 
-// TaskStatus is a task in a heartbeat.
+// TaskStatus is the status of a task in a heartbeat.
 type TaskStatus struct {
 	Task             string `json:"shard"`
 	Attempt          uint64 `json:"try"`
 	Phase            string `json:"phase"`
-	Cause            string `json:"cause"` // of its end, "" before
+	Cause            string `json:"cause"` // why the task has exited, empty before
 	CheckpointStored bool   `json:"stored"`
 }
 
@@ -39,7 +39,7 @@
 	Verb        string   `json:"verb"`
 	Task        string   `json:"shard"`
 	Attempt     uint64   `json:"try"`
-	GracePeriod *float64 `json:"wind_down_s,omitempty"` // of a termination, in seconds
+	GracePeriod *float64 `json:"wind_down_s,omitempty"` // grace period of a termination in seconds
 }
 
 // directCommand is the body of a request with commands to a worker.
@@ -49,10 +49,10 @@
 	Commands     []Command `json:"orders"`
 }
 
-// pathDirectCommand is the path of a worker that takes direct commands.
+// pathDirectCommand is the HTTP path at which a worker accepts direct commands.
 const pathDirectCommand = "/do"
 
-// Fields of a heartbeat that every heartbeat has.
+// Required fields of a heartbeat.
 const (
 	fieldMachine     = "host"
 	fieldMachineType = "flavor"
@@ -60,7 +60,7 @@
 	fieldIncarnation = "tenure"
 )
 
-// sequenceField precedes the digits of the sequence in the text of a heartbeat.
+// sequenceField is the text that precedes the digits of the sequence in a heartbeat.
 const sequenceField = `"tick":`
 
 // Verbs of commands.
@@ -70,19 +70,19 @@
 	verbReap      = "reap" // forget a task that has exited
 )
 
-// Causes of a task's end.
+// Causes of the exit of a task.
 const (
 	causeCompleted    = "done"
 	causeFailed       = "error"
-	causeNoCapacity   = "full"    // the worker has no capacity
-	causeTaskConflict = "in_use"  // another attempt is on the worker
-	causeUnknownImage = "unknown" // nobody has uploaded the image
+	causeNoCapacity   = "full"    // the worker lacks free capacity
+	causeTaskConflict = "in_use"  // another attempt of the task is on the worker
+	causeUnknownImage = "unknown" // the image has not been uploaded
 )
 
 // phaseExited is the phase of a task that has exited.
 const phaseExited = "exited"
 
-// phases maps the phases of tasks.
+// phases maps the phases in heartbeats to task phases.
 var phases = map[string]pipeline.TaskPhase{
 	"pulling":   pipeline.TaskPulling,
 	"waiting":   pipeline.TaskWaitingForGang,
@@ -91,8 +91,8 @@
 	phaseExited: pipeline.TaskExited,
 }
 
-// ParseTaskName splits a task's name into its job and its number. ok is false for
-// text that is no task's name.
+// ParseTaskName splits the name of a task into the job ID and the task number. ok is false
+// if name is not a valid task name.
 func ParseTaskName(name string) (job string, task int, ok bool) {
 	slash := strings.LastIndexByte(name, '/')
 	if slash < 0 {
@@ -102,7 +102,7 @@
 	return name[:slash], task, err == nil && task >= 0
 }
 
-// taskName is the name of a task.
+// taskName returns the name of the task of an assignment.
 func taskName(assignment *pipeline.Assignment) string {
 	return assignment.Job.ID + "/" + strconv.Itoa(assignment.Task)
 }
--- a/internal/worker/reachability.go
+++ b/internal/worker/reachability.go
@@ -8,18 +8,21 @@
 )
 
 const (
-	// A start that so many heartbeats in a row do not show did not arrive. A fencing
-	// token that so many do not carry may not have arrived either.
+	// maxMissedStarts is the number of consecutive heartbeats without a started task
+	// from which the start command is considered lost. It is also the number of
+	// heartbeats without the fencing token of this term that are tolerated, because the
+	// token may not have arrived either.
 	maxMissedStarts = 3
-	// unreachableMargin is added to the lease of an unreachable machine, for clock
-	// drift and delays.
+	// unreachableMargin is added to the lease of an unreachable machine to allow for
+	// clock drift and delays.
 	unreachableMargin = 3 * time.Second
 )
 
-// checkReachable finds out whether our responses reach a machine; that its heartbeats
-// reach us does not show it. A machine is used once a heartbeat carries our fencing
-// token, which also tells a heartbeat of this term from a copy of an older one, and no
-// more once it does not carry out its commands.
+// checkReachable determines whether the responses of this controller reach a machine. The
+// arrival of its heartbeats does not prove this. A machine becomes schedulable once a
+// heartbeat carries the fencing token of this term, which also distinguishes the heartbeat
+// from a copy sent in an earlier term. It is no longer schedulable once it does not carry
+// out its commands.
 func (r *Registry) checkReachable(machine *Machine, heartbeat *Heartbeat, now event.Time, leadership Leadership) {
 	switch {
 	case !machine.tokenConfirmed:
@@ -31,7 +34,7 @@
 	}
 }
 
-// checkToken looks whether a machine has taken up our fencing token.
+// checkToken checks whether a machine has received the fencing token of this term.
 func (r *Registry) checkToken(machine *Machine, heartbeat *Heartbeat, now event.Time, leadership Leadership) {
 	switch {
 	case heartbeat.FencingToken == leadership.FencingToken():
@@ -40,29 +43,30 @@
 		r.jobs.RequestRound()
 	case machine.unreachableSince != 0 || machine.lastResponse == 0:
 	case machine.unconfirmedHeartbeats < maxMissedStarts:
-		// Our first response may have gone to a copy, while the machine itself was
-		// still served by the leader before us.
+		// The first response may have been sent to a copy of a heartbeat while the
+		// previous leader was still answering the machine.
 		machine.unconfirmedHeartbeats++
 	case now-machine.firstHeartbeat > r.heartbeatTimeout:
 		r.recordUnreachable(machine, now)
 	}
 }
 
-// checkReconnected looks whether the incarnation of an unreachable machine has outlived
-// its lease: a response has renewed it.
+// checkReconnected checks whether an unreachable machine is reachable again. This is the
+// case if its worker still has the same incarnation after the lease of that incarnation
+// should have expired, because only a response can have renewed the lease.
 func (r *Registry) checkReconnected(machine *Machine, now event.Time, leadership Leadership) {
 	outlived := now-machine.unreachableSince > leadership.MaxWorkerLease()+unreachableMargin
 	if machine.incarnation != machine.unreachableIncarnation || !outlived {
 		r.evictUnstarted(machine)
 		return
 	}
-	r.log.Info("machine reachable again", "machine", machine.Name)
+	r.log.Info("machine reachable again: its worker lease was renewed", "machine", machine.Name)
 	machine.unreachableSince = 0
 	r.jobs.RequestRound()
 }
 
-// checkStarts looks whether the tasks that a machine was commanded to start show up in
-// its heartbeats.
+// checkStarts checks whether the heartbeats of a machine list the tasks that it was
+// commanded to start.
 func (r *Registry) checkStarts(machine *Machine, heartbeat *Heartbeat, now event.Time) {
 	for _, assignment := range r.jobs.OnMachine(machine.Index) {
 		if !assignment.AwaitsStart(heartbeat.Sequence) {
@@ -79,11 +83,12 @@
 	}
 }
 
-// recordUnreachable records that our responses do not reach a machine: what it never
-// started is evicted, once a heartbeat proves that it will not start. What runs goes on:
-// it may complete before its lease expires, and we may be wrong.
+// recordUnreachable records that responses do not reach a machine. Tasks that it has not
+// started are evicted, which takes effect once a heartbeat proves that they will not start.
+// Running tasks are not evicted: they may complete before the lease expires, and the machine
+// may be reachable after all.
 func (r *Registry) recordUnreachable(machine *Machine, now event.Time) {
-	r.log.Info("machine unreachable: heartbeat responses do not arrive",
+	r.log.Info("machine unreachable: its heartbeats show that responses do not arrive",
 		"machine", machine.Name,
 		"tasks", len(r.jobs.OnMachine(machine.Index)))
 	machine.unreachableSince = now
@@ -91,7 +96,7 @@
 	r.evictUnstarted(machine)
 }
 
-// evictUnstarted evicts the tasks that a machine has not started.
+// evictUnstarted evicts the assigned tasks that no heartbeat of a machine has listed.
 func (r *Registry) evictUnstarted(machine *Machine) {
 	for _, assignment := range r.sortedAssignments(machine) {
 		if assignment.Phase() == pipeline.TaskUnseen {
@@ -100,8 +105,8 @@
 	}
 }
 
-// UnreachableBeyondLease reports whether a machine has been unreachable for so long
-// that its tasks have terminated with its lease.
+// UnreachableBeyondLease reports whether a machine has been unreachable for so long that
+// its lease has expired and its tasks have terminated.
 func (r *Registry) UnreachableBeyondLease(machine *Machine, now event.Time, leadership Leadership) bool {
 	if machine.unreachableSince == 0 {
 		return false
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -9,11 +9,11 @@
 	"lugward/internal/pipeline"
 )
 
-// Config is what a registry is built from.
+// Config holds the settings of a Registry.
 type Config struct {
 	Names *pipeline.Names
 	Jobs  *pipeline.Table
-	// HeartbeatTimeout is how long a machine may send no heartbeat before it counts as
+	// HeartbeatTimeout is the time without a heartbeat after which a machine is considered
 	// unresponsive.
 	HeartbeatTimeout time.Duration
 	Logger           *slog.Logger
@@ -26,26 +26,26 @@
 	heartbeatTimeout time.Duration
 	log              *slog.Logger
 
-	machines []*Machine // by index, nil if there is none
-	count    int        // of the machines
+	machines []*Machine // by index; nil for an index without a machine
+	count    int        // number of machines
 
-	failures    failureDetector
-	runtimes    runtimeRatios
-	calls       directCalls
-	terminating map[pipeline.MachineIndex]bool // machines on which a task is to be terminated
-	scannedAt   event.Time                     // when the machines in use were last scanned
+	failures            failureDetector
+	runtimes            runtimeRatios
+	calls               directCalls
+	pendingTerminations map[pipeline.MachineIndex]bool // machines with a task that must be terminated
+	scannedAt           event.Time                     // when the machines in use were last scanned
 }
 
 // New returns an empty registry.
 func New(cfg Config) *Registry {
 	r := &Registry{
-		names:            cfg.Names,
-		jobs:             cfg.Jobs,
-		heartbeatTimeout: cfg.HeartbeatTimeout,
-		log:              cfg.Logger,
-		runtimes:         runtimeRatios{},
-		calls:            directCalls{inFlight: map[uint64]directCall{}},
-		terminating:      map[pipeline.MachineIndex]bool{},
+		names:               cfg.Names,
+		jobs:                cfg.Jobs,
+		heartbeatTimeout:    cfg.HeartbeatTimeout,
+		log:                 cfg.Logger,
+		runtimes:            runtimeRatios{},
+		calls:               directCalls{inFlight: map[uint64]directCall{}},
+		pendingTerminations: map[pipeline.MachineIndex]bool{},
 	}
 	r.failures = failureDetector{
 		jobs:      cfg.Jobs,
@@ -67,11 +67,11 @@
 	}
 }
 
-// Len is the number of machines.
+// Len returns the number of machines.
 func (r *Registry) Len() int { return r.count }
 
-// Add returns a machine by name, adding it when it is new. A new machine counts as idle
-// since now.
+// Add returns the machine with the given name and adds it if it does not exist. A new
+// machine is idle from now on.
 func (r *Registry) Add(name string, now event.Time) *Machine {
 	index := r.names.Machines.Index(name)
 	for pipeline.MachineIndex(len(r.machines)) <= index {
@@ -89,7 +89,8 @@
 	return r.machines[index]
 }
 
-// Remove forgets a machine that the cloud has taken back.
+// Remove removes a machine that was returned to the cloud or reclaimed by it. It does
+// nothing if the machine was removed before, even if it was added again since.
 func (r *Registry) Remove(machine *Machine) {
 	if r.MachineAt(machine.Index) == machine {
 		r.machines[machine.Index] = nil
@@ -97,7 +98,7 @@
 	}
 }
 
-// Lookup returns a machine by name, or nil; unlike Add it adds none.
+// Lookup returns the machine with the given name, or nil if it does not exist.
 func (r *Registry) Lookup(name string) *Machine {
 	index, ok := r.names.Machines.Lookup(name)
 	if !ok {
@@ -106,7 +107,7 @@
 	return r.MachineAt(index)
 }
 
-// MachineAt returns a machine by index, or nil.
+// MachineAt returns the machine with the given index, or nil if it does not exist.
 func (r *Registry) MachineAt(index pipeline.MachineIndex) *Machine {
 	if index < 0 || index >= pipeline.MachineIndex(len(r.machines)) {
 		return nil
@@ -114,10 +115,10 @@
 	return r.machines[index]
 }
 
-// Reset drops what only a leader knows.
+// Reset clears the state that only a leader maintains.
 func (r *Registry) Reset() {
 	r.machines = nil
 	r.count = 0
-	clear(r.terminating)
+	clear(r.pendingTerminations)
 	r.failures.reset()
 }
--- a/internal/worker/registry_test.go
+++ b/internal/worker/registry_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// The registry iterates over its machines in the order of their indices, without those
-// that were removed; one that was removed is not removed again in place of its
-// successor.
+// The registry iterates over its machines in the order of their indices and skips removed
+// machines. Removing a machine for a second time must not remove a newer machine of the same
+// name.
 func TestRegistryIteratesInOrder(t *testing.T) {
 	c := newCluster(0)
 	check := func(when string, want ...string) {
@@ -17,10 +17,10 @@
 			names = append(names, machine.Name)
 		}
 		if !slices.Equal(names, want) || c.Len() != len(want) {
-			t.Errorf("%s: machines %v, %d of them, not %v", when, names, c.Len(), want)
+			t.Errorf("%s: All() = %v, Len() = %d, want %v", when, names, c.Len(), want)
 		}
 	}
-	check("at first")
+	check("in a new registry")
 	for _, name := range []string{"i-2", "i-1", "i-3"} {
 		c.Add(name, c.now)
 	}
@@ -30,7 +30,7 @@
 	check("after one is removed", "i-2", "i-3")
 	c.Add("i-1", c.now)
 	c.Remove(removed)
-	check("after it is added anew", "i-2", "i-1", "i-3")
+	check("after it is added again and the removed machine is removed twice", "i-2", "i-1", "i-3")
 	c.Reset()
 	check("after a reset")
 }
--- a/internal/worker/runtime_estimate.go
+++ b/internal/worker/runtime_estimate.go
@@ -6,64 +6,66 @@
 )
 
 const (
-	// A machine on which this many jobs in a row took slowFactor times what their
-	// class takes gets no more tasks. One job says little: estimates are often
-	// wrong by half.
+	// maxSlowJobs is the number of consecutive slow jobs after which a machine is
+	// assigned no more tasks. A job is slow if its runtime exceeds slowFactor times the
+	// usual runtime of its class. A single job is not sufficient, because estimates are
+	// often wrong by half.
 	maxSlowJobs = 3
 	slowFactor  = 1.8
-	// ratioWeight is the weight of a new completion in a class's ratio of runtime to
-	// estimate.
+	// ratioWeight is the weight of a new completion in the moving average of a class's
+	// ratio of runtime to estimate.
 	ratioWeight = 0.1
 )
 
-// runtimeRatios is how long the tasks of a class run, measured in their owners'
-// estimates, by class. On some days estimates are mostly too high or mostly too low.
+// runtimeRatios holds the ratio of the measured to the estimated runtime of tasks by class.
+// It corrects the users' estimates, which are mostly too high or mostly too low on some
+// days.
 type runtimeRatios map[pipeline.ClassIndex]float64
 
-// of returns the ratio of a class, 1 where none of its tasks has completed.
-func (r runtimeRatios) of(class pipeline.ClassIndex) float64 {
+// get returns the ratio of a class, or 1 if none of its tasks has completed.
+func (r runtimeRatios) get(class pipeline.ClassIndex) float64 {
 	if ratio, known := r[class]; known {
 		return ratio
 	}
 	return 1
 }
 
-// observe takes in the ratio of a task that has completed.
-func (r runtimeRatios) observe(class pipeline.ClassIndex, ratio float64) {
-	usual := r.of(class)
+// record records the ratio of a completed task in the moving average of its class.
+func (r runtimeRatios) record(class pipeline.ClassIndex, ratio float64) {
+	usual := r.get(class)
 	r[class] = usual + ratioWeight*(ratio-usual)
 }
 
-// ExpectedRuntime is what a job's task usually takes, in seconds: its owner's estimate,
-// corrected by what its class took lately.
+// ExpectedRuntime returns the expected runtime of a job's tasks in seconds: the user's
+// estimate, corrected by the runtime ratio of recent tasks of its class.
 func (r *Registry) ExpectedRuntime(job *pipeline.Job) float64 {
-	return job.EstimatedRuntime * r.runtimes.of(job.Class)
+	return job.EstimatedRuntime * r.runtimes.get(job.Class)
 }
 
-// recordRuntime learns from a completion how long a class runs and whether a machine is
-// slow.
+// recordRuntime records the runtime of a completed task for its class, and whether the
+// machine was slow.
 func (r *Registry) recordRuntime(machine *Machine, assignment *pipeline.Assignment, now event.Time) {
 	job := assignment.Job
 	if job.EstimatedRuntime <= 0 || assignment.StartedAt() == 0 {
 		return
 	}
-	took := (now - assignment.StartedAt()).Seconds()
-	ratio := took / job.EstimatedRuntime
-	if ratio > slowFactor*r.runtimes.of(job.Class) {
+	runtime := (now - assignment.StartedAt()).Seconds()
+	ratio := runtime / job.EstimatedRuntime
+	if ratio > slowFactor*r.runtimes.get(job.Class) {
 		r.recordSlowJob(machine, job)
 	} else {
 		clear(machine.slowJobs)
 	}
-	r.runtimes.observe(job.Class, ratio)
+	r.runtimes.record(job.Class, ratio)
 }
 
-// recordSlowJob counts a job that took far longer on a machine than its class does.
+// recordSlowJob records a job that ran far longer on a machine than is usual for its class.
 func (r *Registry) recordSlowJob(machine *Machine, job *pipeline.Job) {
 	if machine.slowJobs == nil {
 		machine.slowJobs = map[string]bool{}
 	}
 	machine.slowJobs[job.ID] = true
 	if len(machine.slowJobs) == maxSlowJobs {
-		r.log.Info("machine excluded as slow", "machine", machine.Name)
+		r.log.Info("machine excluded from scheduling: consecutive jobs were slow", "machine", machine.Name)
 	}
 }
--- a/internal/worker/task_status.go
+++ b/internal/worker/task_status.go
@@ -7,19 +7,20 @@
 	"lugward/internal/pipeline"
 )
 
-// refusedPause is how long nothing is placed on a machine whose worker refused a task.
-const refusedPause = 4 * time.Second
+// refusalBackoff is how long no tasks are placed on a machine after its worker has refused
+// a task.
+const refusalBackoff = 4 * time.Second
 
-// reportedTask is a task of a heartbeat with the job and assignment that it belongs to.
+// reportedTask is a task in a heartbeat together with its job and assignment.
 type reportedTask struct {
 	*TaskStatus
-	job        *pipeline.Job        // nil: not known
-	assignment *pipeline.Assignment // nil: none for this attempt on this machine
-	number     int
+	job        *pipeline.Job        // nil if the job or the task number does not exist
+	assignment *pipeline.Assignment // nil if this attempt is not assigned to this machine
+	number     int                  // task number within the job
 }
 
-// find finds what a reported task belongs to.
-func (r *Registry) find(machine *Machine, status *TaskStatus) reportedTask {
+// resolveTask looks up the job and the assignment of a reported task.
+func (r *Registry) resolveTask(machine *Machine, status *TaskStatus) reportedTask {
 	found := reportedTask{TaskStatus: status}
 	id, number, ok := ParseTaskName(status.Task)
 	if !ok {
@@ -38,8 +39,8 @@
 	return found
 }
 
-// newCompletion reports whether a task without an assignment has completed though its
-// job does not know that yet. The result counts, whichever attempt it came from.
+// newCompletion reports whether a reported task without an assignment has completed and
+// the completion is not recorded yet. The result is valid for any attempt of the task.
 func (t *reportedTask) newCompletion() bool {
 	if !t.exited() || t.Cause != causeCompleted || t.job == nil {
 		return false
@@ -47,18 +48,18 @@
 	return t.job.TerminalPhase == pipeline.Queued && !t.job.IsDone(t.number)
 }
 
-// handleTaskStatus takes in what a heartbeat says of a task.
+// handleTaskStatus handles the status of a task in a heartbeat.
 func (r *Registry) handleTaskStatus(machine *Machine, status *TaskStatus, now event.Time) {
-	task := r.find(machine, status)
+	task := r.resolveTask(machine, status)
 	switch {
 	case task.assignment != nil:
 		r.updateAssignment(machine, task.assignment, status, now)
 	case task.newCompletion():
-		r.jobs.RecordCompletion(task.job, task.number) // reaped once it is stored
+		r.jobs.RecordCompletion(task.job, task.number) // reaped once the completion is committed
 	}
 }
 
-// updateAssignment takes in what a heartbeat says of a task with an assignment.
+// updateAssignment records the status of a task with an assignment.
 func (r *Registry) updateAssignment(machine *Machine, assignment *pipeline.Assignment, status *TaskStatus, now event.Time) {
 	phase := phases[status.Phase]
 	if started := assignment.RecordPhase(phase, now); started {
@@ -68,10 +69,11 @@
 		machine.images[assignment.Job.Image] = true
 	}
 	if phase == pipeline.TaskExited {
-		r.taskExited(machine, assignment, status.Cause, now)
+		r.handleTaskExit(machine, assignment, status.Cause, now)
 	}
 }
 
+// logStart logs that a task has started on its machine.
 func (r *Registry) logStart(machine *Machine, assignment *pipeline.Assignment, now event.Time) {
 	job := assignment.Job
 	r.log.Debug("task started",
@@ -84,53 +86,53 @@
 		"since_ready", now-job.ReadySince)
 }
 
-// taskExited takes in that a task has exited. It has completed, or its assignment is
-// cleared so that it can run again.
-func (r *Registry) taskExited(machine *Machine, assignment *pipeline.Assignment, cause string, now event.Time) {
+// handleTaskExit handles the exit of a task. It records the completion of the task, or clears
+// its assignment so that the task can run again.
+func (r *Registry) handleTaskExit(machine *Machine, assignment *pipeline.Assignment, cause string, now event.Time) {
 	job := assignment.Job
 	r.jobs.RequestRound()
-	r.jobs.NoteMachineChanged(machine.Index) // what the task used is free again
+	r.jobs.NoteMachineChanged(machine.Index) // the resources of the task are free again
 	if job.TerminalPhase != pipeline.Queued || job.IsDone(assignment.Task) {
-		// Nothing of it is to be recorded any more. A new leader finds such
-		// assignments where the one before it wrote the job's terminal record and did
-		// not get to drop the job's other records: left as it is, the assignment would
-		// keep its machine for ever.
+		// The result of the task is no longer needed. A new leader finds such an
+		// assignment if the previous leader wrote the job's terminal record but did not
+		// delete the other records of the job. Without the termination, the assignment
+		// would occupy its machine forever.
 		r.jobs.RecordTermination(assignment)
 		return
 	}
 	if cause == causeCompleted {
-		r.taskCompleted(machine, assignment, now)
+		r.handleTaskCompletion(machine, assignment, now)
 		return
 	}
 	r.handleExitCause(machine, assignment, cause, now)
 	if job.IsGang() {
-		r.terminateGang(job)
+		r.evictGang(job)
 	}
 	r.jobs.RecordTermination(assignment)
 }
 
-// handleExitCause takes in why a task has not completed.
+// handleExitCause handles the cause for which a task has exited without completing.
 func (r *Registry) handleExitCause(machine *Machine, assignment *pipeline.Assignment, cause string, now event.Time) {
 	switch cause {
 	case causeFailed:
 		if assignment.Pending() == pipeline.NoPendingWrite {
-			r.failures.taskFailed(machine, assignment, now)
+			r.failures.handleTaskFailure(machine, assignment, now)
 		}
 	case causeNoCapacity, causeTaskConflict:
-		machine.unavailableUntil = now + refusedPause
+		machine.unavailableUntil = now + refusalBackoff
 	case causeUnknownImage:
-		// Another attempt would fail as well until its user has uploaded the image.
+		// Further attempts fail, too, until the user has uploaded the image.
 		if !assignment.Job.BackingOff(now) {
 			r.jobs.BackOff(assignment.Job, now)
 		}
 	}
 }
 
-// taskCompleted takes in that a task has completed. The tasks of a gang complete
-// together: when one has, all have.
-func (r *Registry) taskCompleted(machine *Machine, assignment *pipeline.Assignment, now event.Time) {
+// handleTaskCompletion handles the completion of a task. The tasks of a gang complete together, so
+// the completion of one is recorded for all of them.
+func (r *Registry) handleTaskCompletion(machine *Machine, assignment *pipeline.Assignment, now event.Time) {
 	job := assignment.Job
-	r.failures.taskSucceeded(machine, job)
+	r.failures.handleTaskSuccess(machine, job)
 	if assignment.Pending() == pipeline.NoPendingWrite {
 		r.recordRuntime(machine, assignment, now)
 	}
--- a/internal/worker/termination.go
+++ b/internal/worker/termination.go
@@ -10,18 +10,18 @@
 	"lugward/internal/pipeline"
 )
 
-// terminationInterval is the time between two direct commands with terminations to a
-// worker.
+// terminationInterval is the minimum time between two direct commands with terminations to
+// the same worker.
 const terminationInterval = time.Second
 
-// termination is whether a task is to be terminated, and how.
+// termination describes whether a task must be terminated, and with which grace period.
 type termination struct {
 	required    bool
-	gracePeriod float64 // seconds that the task gets to save a checkpoint
+	gracePeriod float64 // seconds in which the task may save a checkpoint
 }
 
-// terminationOf returns whether a task is to be terminated: at once where its job has
-// ended, with a grace period where it is evicted.
+// terminationOf returns whether the task of an assignment must be terminated: without a
+// grace period if its job has ended, and with one if the task is being evicted.
 func terminationOf(assignment *pipeline.Assignment) termination {
 	if assignment.Job.TerminalPhase != pipeline.Queued {
 		return termination{required: true}
@@ -29,30 +29,31 @@
 	return termination{required: assignment.Evicting(), gracePeriod: assignment.GracePeriod()}
 }
 
-// terminateSoon notes that a task is to be terminated.
-func (r *Registry) terminateSoon(assignment *pipeline.Assignment) {
-	r.terminating[assignment.Machine] = true
+// requestTermination requests a direct command that terminates the task of an assignment.
+func (r *Registry) requestTermination(assignment *pipeline.Assignment) {
+	r.pendingTerminations[assignment.Machine] = true
 }
 
-// sendTerminations sends all workers the terminations that cannot wait for their next
-// heartbeats.
+// sendTerminations sends direct commands with the required terminations to all workers, so
+// that the terminations are not delayed until the next heartbeats.
 func (r *Registry) sendTerminations(now event.Time, leadership Leadership, out *event.Effects) {
 	for _, job := range r.jobs.TakeEndedJobs() {
 		for assignment := range job.Assignments() {
-			r.terminateSoon(assignment)
+			r.requestTermination(assignment)
 		}
 	}
-	for _, index := range slices.Sorted(maps.Keys(r.terminating)) {
+	for _, index := range slices.Sorted(maps.Keys(r.pendingTerminations)) {
 		machine := r.MachineAt(index)
 		if machine == nil || !r.sendTerminationsTo(machine, now, leadership, out) {
-			delete(r.terminating, index)
+			delete(r.pendingTerminations, index)
 		}
 	}
 }
 
-// sendTerminationsTo sends a worker the terminations that cannot wait for its next
-// heartbeat. Carried out late they do no harm: they name an attempt, and attempts are
-// not reused. It reports whether a task on the machine is still to be terminated.
+// sendTerminationsTo sends a worker a direct command with the required terminations. It is
+// safe if the worker executes the command late, because a termination names an attempt and
+// attempt numbers are not reused. It reports whether a task on the machine must still be
+// terminated.
 func (r *Registry) sendTerminationsTo(machine *Machine, now event.Time, leadership Leadership, out *event.Effects) (more bool) {
 	intervalOver := now-machine.lastTerminations >= terminationInterval
 	ready := intervalOver && machine.lastHeartbeat != 0 && machine.addr != ""
@@ -73,34 +74,36 @@
 	return more
 }
 
-// notTerminating reports whether a worker that has a task has not begun to terminate it.
+// notTerminating reports whether the worker has listed the task of an assignment and has
+// not begun to terminate it.
 func notTerminating(assignment *pipeline.Assignment) bool {
 	return assignment.Phase() != pipeline.TaskUnseen && assignment.Phase() < pipeline.TaskCheckpointing
 }
 
-// checkExpired clears a machine whose tasks have terminated because its lease has
-// expired.
-func (r *Registry) checkExpired(index pipeline.MachineIndex, now event.Time, leadership Leadership) {
+// recordTerminationIfExpired records the termination of all tasks on a machine if its lease
+// has expired.
+func (r *Registry) recordTerminationIfExpired(index pipeline.MachineIndex, now event.Time, leadership Leadership) {
 	machine := r.MachineAt(index)
 	if machine == nil {
 		machine = r.Add(r.names.Machines.Name(index), now)
 	}
-	// A heartbeat that is taken and has no response yet counts, too: what is placed on
-	// the machine meanwhile is not lost with its old incarnation.
+	// A heartbeat that was handled and has no response yet counts, too, so that tasks
+	// placed on the machine in the meantime are not lost with its old incarnation.
 	lastContact := max(machine.lastResponse, machine.lastHeartbeat)
 	if now >= leadership.TasksExpireAt(lastContact) {
 		r.RecordTermination(machine)
 	}
 }
 
-// RecordTermination clears everything on a machine that is proven to run nothing.
+// RecordTermination records that all tasks on a machine have terminated. It must be called
+// only if this is proven.
 func (r *Registry) RecordTermination(machine *Machine) {
 	if machine.lastHeartbeat != 0 {
-		r.log.Info("all tasks on machine terminated", "machine", machine.Name, "tasks", len(r.jobs.OnMachine(machine.Index)))
+		r.log.Info("recorded all tasks on machine as terminated", "machine", machine.Name, "tasks", len(r.jobs.OnMachine(machine.Index)))
 	}
 	for _, assignment := range r.sortedAssignments(machine) {
 		if assignment.Job.IsGang() {
-			r.terminateGang(assignment.Job)
+			r.evictGang(assignment.Job)
 		}
 		r.jobs.RecordTermination(assignment)
 	}
--- a/internal/worker/tick.go
+++ b/internal/worker/tick.go
@@ -6,12 +6,13 @@
 	"lugward/internal/event"
 )
 
-// scanInterval is the time between two scans of all machines in use.
+// scanInterval is the minimum time between two scans of the machines in use.
 const scanInterval = 250 * time.Millisecond
 
-// Tick sends terminations straight to workers, finds machines whose tasks have surely
-// terminated and lets gangs start again whose old attempt has ended. Machines on
-// which nothing is to be terminated cost nothing.
+// Tick sends direct commands with terminations to workers. Once per scanInterval, it also
+// quarantines machines at fault, records the termination of tasks on machines whose lease
+// has expired, and lets gangs start again whose previous attempt has terminated. Machines
+// without assignments are not scanned.
 func (r *Registry) Tick(now event.Time, leadership Leadership, out *event.Effects) {
 	r.sendTerminations(now, leadership, out)
 	if now-r.scannedAt < scanInterval {
@@ -20,10 +21,10 @@
 	r.scannedAt = now
 	r.quarantineMachines(now)
 	for index := range r.jobs.MachinesInUse() {
-		r.checkExpired(index, now, leadership)
+		r.recordTerminationIfExpired(index, now, leadership)
 	}
 	for job := range r.jobs.AllJobs() {
-		r.failures.checkService(job, now)
+		r.failures.clearRecoveredService(job, now)
 		r.jobs.FinishTermination(job)
 	}
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,6 +1,7 @@
-// Package worker is the registry of machines: it takes the heartbeats of their workers,
-// decides which commands these get, tells faults of machines from faults of jobs, and
-// proves that tasks have terminated on machines whose heartbeats are missed.
+// Package worker implements the registry of machines. It handles the heartbeats of workers,
+// determines the commands that are sent to them, distinguishes faults of machines from
+// faults of jobs, and proves that tasks have terminated on machines that no longer send
+// heartbeats.
 package worker
 
 import (
@@ -9,17 +10,17 @@
 	"lugward/internal/event"
 )
 
-// Leadership is what the registry needs to know of the leadership.
+// Leadership is the part of the leader election that the registry uses.
 type Leadership interface {
-	// FencingToken is the token of our term.
+	// FencingToken returns the fencing token of the term of this controller.
 	FencingToken() uint64
 	// IsLeader reports whether tasks may be started now.
 	IsLeader(now event.Time) bool
-	// ObserveFencingToken takes in a token that a worker has shown.
+	// ObserveFencingToken records a fencing token that a worker has sent.
 	ObserveFencingToken(token uint64)
-	// TasksExpireAt is when the tasks of a machine have terminated at the latest,
-	// given when a heartbeat of it last got a response.
+	// TasksExpireAt returns the time at which the tasks of a machine have terminated at
+	// the latest, given the time of the last response to one of its heartbeats.
 	TasksExpireAt(lastResponse event.Time) event.Time
-	// MaxWorkerLease is the longest lease that a response gives a worker.
+	// MaxWorkerLease returns the longest duration of a worker's lease after a response.
 	MaxWorkerLease() time.Duration
 }
--- a/internal/worker/workertest/workertest.go
+++ b/internal/worker/workertest/workertest.go
@@ -1,5 +1,5 @@
-// Package workertest has what tests of several packages need of machines: a fake
-// leadership and heartbeats of a worker.
+// Package workertest provides a fake leadership and heartbeats of workers for the tests of
+// several packages.
 package workertest
 
 import (
@@ -9,38 +9,40 @@
 	"lugward/internal/worker"
 )
 
-// FencingToken is the token of the term of Leader.
+// FencingToken is the fencing token of the term of Leader.
 const FencingToken = 5
 
-// WorkerLease is the lease that Leader gives to workers.
+// WorkerLease is the lease of a worker after a response of Leader.
 const WorkerLease = 30 * time.Second
 
-// expiryMargin is how long after the end of its lease a task has surely terminated.
+// expiryMargin is how long after the expiry of a worker's lease its tasks are considered
+// terminated.
 const expiryMargin = 2 * time.Second
 
-// Leader is the leadership of a controller that has always led. It implements
+// Leader is the leadership of a controller that is always the leader. It implements
 // worker.Leadership.
 type Leader struct{}
 
-// FencingToken is the token of its term.
+// FencingToken returns the fencing token of the term.
 func (Leader) FencingToken() uint64 { return FencingToken }
 
-// IsLeader allows tasks to be started at any time.
+// IsLeader returns true at any time.
 func (Leader) IsLeader(event.Time) bool { return true }
 
 // ObserveFencingToken ignores the tokens of workers.
 func (Leader) ObserveFencingToken(uint64) {}
 
-// MaxWorkerLease is the lease of a worker.
+// MaxWorkerLease returns WorkerLease.
 func (Leader) MaxWorkerLease() time.Duration { return WorkerLease }
 
-// TasksExpireAt is a little after the end of the lease that a response renewed.
+// TasksExpireAt returns expiryMargin after the expiry of the lease that a response renewed.
 func (Leader) TasksExpireAt(lastResponse event.Time) event.Time {
 	return lastResponse + WorkerLease + expiryMargin
 }
 
-// Heartbeat returns a heartbeat of a worker without tasks that has confirmed the token
-// of Leader. Of two heartbeats of a machine the one with the greater time is the newer.
+// Heartbeat returns a heartbeat of a worker without tasks that has received the fencing
+// token of Leader. Its sequence is derived from now, so the heartbeat with the later time is
+// the newer one.
 func Heartbeat(machine string, now event.Time) *worker.Heartbeat {
 	return &worker.Heartbeat{
 		Machine:      machine,
