--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -9,27 +9,27 @@
 	"lugward/internal/worker"
 )
 
-// tolerance is allowed in comparisons of amounts, which are decimal numbers.
+// tolerance absorbs floating-point rounding in comparisons of resource amounts.
 const tolerance = 1e-6
 
-// Capacity is what is free on a machine.
+// Capacity is the free capacity of a machine.
 type Capacity struct {
-	Machine     *worker.Machine // nil: not up yet
+	Machine     *worker.Machine // nil if the machine is not up yet
 	MachineType *MachineType
 	Zone        pipeline.ZoneIndex
 	Spot        bool
 	FreeCPUs    float64
 	FreeGPUs    float64
 	FreeMemory  float64 // GB
-	InUse       bool    // tasks are on it
+	InUse       bool    // tasks are assigned to the machine or capacity is allocated
 
-	evicting       []*pipeline.Assignment // its tasks that are being evicted
-	releases       []expectedRelease      // by its tasks, the earliest first
-	releasesListed bool                   // releases are filled in
-	changes        uint32                 // of the machine's assignments when it was computed
+	evicting          []*pipeline.Assignment // tasks of the machine that are being evicted
+	releases          []expectedRelease      // expected releases by the machine's tasks, earliest first
+	releasesListed    bool                   // expectedReleases has filled in releases
+	assignmentChanges uint32                 // change count of the machine's assignments when this was computed
 }
 
-// Fits returns how many tasks of a job fit.
+// Fits returns how many tasks with the given spec fit into the free capacity.
 func (c *Capacity) Fits(spec *pipeline.Spec) int {
 	count := math.MaxInt32
 	if spec.CPUs > 0 {
@@ -44,16 +44,16 @@
 	return max(count, 0)
 }
 
-// fitsEmpty reports whether a task would fit if nothing else ran on the machine.
-func (c *Capacity) fitsEmpty(spec *pipeline.Spec) bool {
+// fitsWhenEmpty reports whether a task would fit if the machine were empty.
+func (c *Capacity) fitsWhenEmpty(spec *pipeline.Spec) bool {
 	machineType := c.MachineType
 	return spec.CPUs <= machineType.CPUs+tolerance &&
 		spec.GPUs <= machineType.GPUs+tolerance &&
 		spec.Memory <= machineType.Memory+tolerance
 }
 
-// Matches reports whether the machine is of a type and in a zone that the job allows,
-// and no spot machine unless the job allows those.
+// Matches reports whether the machine satisfies the job's constraints on machine type,
+// zone and spot machines.
 func (c *Capacity) Matches(spec *pipeline.Spec) bool {
 	if c.MachineType == nil || !spec.Allows(c.MachineType.Index) {
 		return false
@@ -63,12 +63,13 @@
 	return zoneAllowed && spotAllowed
 }
 
-// accepts reports whether a task of a job may be placed on a machine that is up.
+// accepts reports whether a task of a job may be placed on the machine, which must be
+// up: it matches the job's constraints and the job does not avoid it.
 func (c *Capacity) accepts(job *pipeline.Job, now event.Time) bool {
 	return c.Matches(&job.Spec) && !job.AvoidsMachine(c.Machine.Index, now)
 }
 
-// Allocate uses capacity for a number of tasks.
+// Allocate subtracts the resources of count tasks from the free capacity.
 func (c *Capacity) Allocate(spec *pipeline.Spec, count int) {
 	tasks := float64(count)
 	c.FreeCPUs -= tasks * spec.CPUs
@@ -77,39 +78,40 @@
 	c.InUse = true
 }
 
-// release gives back what a task used.
+// release adds the resources of one task to the free capacity.
 func (c *Capacity) release(spec *pipeline.Spec) {
 	c.FreeCPUs += spec.CPUs
 	c.FreeGPUs += spec.GPUs
 	c.FreeMemory += spec.Memory
 }
 
-// price is what the machine costs per hour.
-func (c *Capacity) price() float64 {
+// hourlyPrice returns the hourly price of the machine.
+func (c *Capacity) hourlyPrice() float64 {
 	if c.Spot {
 		return c.MachineType.SpotPrice
 	}
 	return c.MachineType.Price
 }
 
-// cachedCapacity returns what is free on a machine, computed anew only if something
-// has changed there: most machines are unchanged from one round to the next.
+// cachedCapacity returns the free capacity of a machine. It is recomputed only if the
+// machine, its type or its assignments have changed, since most machines do not change
+// from one round to the next.
 func (s *Scheduler) cachedCapacity(machine *worker.Machine, machineType *MachineType) *Capacity {
 	for pipeline.MachineIndex(len(s.capacityCache)) <= machine.Index {
 		s.capacityCache = append(s.capacityCache, Capacity{})
 	}
 	cached := &s.capacityCache[machine.Index]
 	changes := s.jobs.Changes(machine.Index)
-	current := cached.Machine == machine && cached.MachineType == machineType && cached.changes == changes
+	current := cached.Machine == machine && cached.MachineType == machineType && cached.assignmentChanges == changes
 	if !current {
 		s.counters.capacitiesRecomputed++
 		*cached = s.computeCapacity(machine, machineType)
-		cached.changes = changes
+		cached.assignmentChanges = changes
 	}
 	return cached
 }
 
-// computeCapacity subtracts what the tasks on a machine use.
+// computeCapacity returns the capacity of a machine less the resources of its tasks.
 func (s *Scheduler) computeCapacity(machine *worker.Machine, machineType *MachineType) Capacity {
 	capacity := Capacity{
 		Machine:     machine,
@@ -120,19 +122,20 @@
 	}
 	for _, task := range s.jobs.OnMachine(machine.Index) {
 		if task.Phase() == pipeline.TaskExited {
-			continue // it uses nothing any more; only its record is still to change
+			continue // an exited task uses no resources; only its record is not updated yet
 		}
 		capacity.Allocate(&task.Job.Spec, 1)
 		if task.Evicting() {
 			capacity.evicting = append(capacity.evicting, task)
 		}
 	}
-	// A round appends to its copy: that must not reach the cached one.
+	// A round appends to evicting in its copy. Clipping the slice keeps those appends
+	// out of the cached one.
 	capacity.evicting = slices.Clip(capacity.evicting)
 	return capacity
 }
 
-// machineCapacities lists what is free on the machines that are up.
+// machineCapacities lists the free capacity of the schedulable machines.
 func (s *Scheduler) machineCapacities(now event.Time) []*Capacity {
 	all := make([]Capacity, 0, s.workers.Len())
 	for machine := range s.workers.All() {
--- a/internal/scheduler/consolidation.go
+++ b/internal/scheduler/consolidation.go
@@ -9,37 +9,38 @@
 	"lugward/internal/worker"
 )
 
-// minConsolidationGain is the least time, in seconds, for which a machine would stay
-// busy without consolidation: below it, moving its tasks costs more than it saves.
-const minConsolidationGain = 25.0
+// minConsolidationGainSeconds is the least time for which a machine must be expected to
+// stay busy without consolidation. Below it, moving the machine's tasks costs more than
+// it saves.
+const minConsolidationGainSeconds = 25.0
 
-// consolidation is the state of one pass of consolidation.
+// consolidation is the state of one consolidation pass.
 type consolidation struct {
 	*Scheduler
 	now     event.Time
-	targets []*Capacity // what is free on the machines that may take tasks, the first choice first
-	// receiving are the machines to which tasks of a drained one are to move: they
-	// are not drained in the same pass.
-	receiving map[*worker.Machine]bool
+	targets []*Capacity // free capacity of the machines that may receive tasks, preferred first
+	// receivesTasks contains the machines to which the tasks of a drained machine are
+	// planned to move. They are not drained in the same pass.
+	receivesTasks map[*worker.Machine]bool
 }
 
-// Consolidate finds machines whose tasks all fit on other busy ones, evicts those
-// tasks with time to save a checkpoint, and marks the machines as draining so that
-// they are released once empty. last is the result of the last round. It returns the
-// machines.
-func (s *Scheduler) Consolidate(now event.Time, last RoundResult, budget Budget) (drained []*worker.Machine) {
+// Consolidate finds machines whose tasks all fit on other busy machines. It evicts those
+// tasks with a grace period for a checkpoint and marks the machines as draining, so that
+// they are released once empty. It returns the drained machines. lastRound is the result
+// of the last round.
+func (s *Scheduler) Consolidate(now event.Time, lastRound RoundResult, budget Budget) (drained []*worker.Machine) {
 	c := consolidation{
-		Scheduler: s,
-		now:       now,
-		targets:   consolidationTargets(last.Capacities),
-		receiving: map[*worker.Machine]bool{},
+		Scheduler:     s,
+		now:           now,
+		targets:       consolidationTargets(lastRound.Capacities),
+		receivesTasks: map[*worker.Machine]bool{},
 	}
-	blocked := append(slices.Clone(last.Blocked), c.reserveForEvicted()...)
-	for i, source := range c.sources(last.Capacities, blocked) {
+	blocked := append(slices.Clone(lastRound.Blocked), c.reserveForEvicted()...)
+	for i, source := range c.sources(lastRound.Capacities, blocked) {
 		if i > 0 && budget.exhausted() {
 			break
 		}
-		if c.receiving[source.Machine] || !c.planMoves(source) {
+		if c.receivesTasks[source.Machine] || !c.planMoves(source) {
 			continue
 		}
 		s.drain(source.Machine)
@@ -48,16 +49,16 @@
 	return drained
 }
 
-// compareForDraining puts the most expensive machines first, of equal ones the
-// emptiest.
+// compareForDraining orders machines by descending hourly price, then by descending share
+// of free CPUs.
 func compareForDraining(a, b *Capacity) int {
 	freeA := a.FreeCPUs / a.MachineType.CPUs
 	freeB := b.FreeCPUs / b.MachineType.CPUs
-	return cmp.Or(cmp.Compare(b.price(), a.price()), cmp.Compare(freeB, freeA))
+	return cmp.Or(cmp.Compare(b.hourlyPrice(), a.hourlyPrice()), cmp.Compare(freeB, freeA))
 }
 
-// consolidationTargets lists copies of what is free on the machines that may take
-// tasks of others, in the reverse order of draining: the cheapest and fullest first.
+// consolidationTargets returns copies of the capacities of the machines that may receive
+// tasks, in the reverse order of draining: cheapest and fullest first.
 func consolidationTargets(capacities []*Capacity) []*Capacity {
 	var targets []*Capacity
 	for _, capacity := range capacities {
@@ -70,27 +71,27 @@
 	return targets
 }
 
-// sources lists the machines that may be drained, in the order of draining: none of a
-// type on which a blocked job could run.
+// sources lists the machines that may be drained, in the order of draining. It omits
+// machines of a type on which a blocked job could run.
 func (c *consolidation) sources(capacities []*Capacity, blocked []*pipeline.Job) []*Capacity {
-	wanted := map[*MachineType]bool{}
+	needed := map[*MachineType]bool{}
 	for _, capacity := range capacities {
 		matches := func(job *pipeline.Job) bool { return capacity.Matches(&job.Spec) }
-		if !wanted[capacity.MachineType] && slices.ContainsFunc(blocked, matches) {
-			wanted[capacity.MachineType] = true
+		if !needed[capacity.MachineType] && slices.ContainsFunc(blocked, matches) {
+			needed[capacity.MachineType] = true
 		}
 	}
 	sources := slices.DeleteFunc(slices.Clone(capacities), func(capacity *Capacity) bool {
-		return wanted[capacity.MachineType] || !c.mayDrain(capacity)
+		return needed[capacity.MachineType] || !c.mayDrain(capacity)
 	})
 	slices.SortStableFunc(sources, compareForDraining)
 	return sources
 }
 
-// reserveForEvicted allocates what the tasks need that are being evicted to run
-// elsewhere: they are placed again only once they have terminated, and until then
-// every pass would count the same free capacity anew and drain machines whose tasks
-// fit nowhere. It returns the jobs of those that find no capacity.
+// reserveForEvicted allocates capacity on the targets for the tasks that are being evicted
+// to run elsewhere. Such a task is placed again only once it has terminated. Without the
+// allocation, every pass until then would count the same free capacity again and drain
+// machines whose tasks fit nowhere. It returns the jobs of the tasks that do not fit.
 func (c *consolidation) reserveForEvicted() (blocked []*pipeline.Job) {
 	for machine := range c.workers.All() {
 		for _, task := range c.jobs.OnMachine(machine.Index) {
@@ -110,7 +111,8 @@
 	return blocked
 }
 
-// drain evicts the tasks of a machine and keeps new ones off it.
+// drain evicts the tasks of a machine and marks it as draining, so that it gets no new
+// tasks.
 func (s *Scheduler) drain(machine *worker.Machine) {
 	for _, task := range s.jobs.OnMachine(machine.Index) {
 		s.workers.Evict(task, worker.GracePeriod(task.Job))
@@ -118,25 +120,25 @@
 	machine.StartDraining()
 }
 
-// mayDrain reports whether every task of a machine can save its work and move, and
-// whether that is worth it.
+// mayDrain reports whether a busy machine is not draining yet, all of its tasks can move,
+// and the longest of them is expected to run for more than minConsolidationGainSeconds.
 func (c *consolidation) mayDrain(capacity *Capacity) bool {
 	if !capacity.InUse || capacity.Machine == nil || capacity.Machine.Draining() {
 		return false
 	}
 	longest := 0.0
 	for _, task := range c.jobs.OnMachine(capacity.Machine.Index) {
-		if !canMove(task, c.now) {
+		if !isMovable(task, c.now) {
 			return false
 		}
 		longest = max(longest, c.remainingRuntime(task, c.now))
 	}
-	return longest > minConsolidationGain
+	return longest > minConsolidationGainSeconds
 }
 
-// canMove reports whether a running task can save a checkpoint and go on elsewhere
-// without loss.
-func canMove(task *pipeline.Assignment, now event.Time) bool {
+// isMovable reports whether a running task can save a checkpoint and resume on another
+// machine without loss, after its start has counted for the user.
+func isMovable(task *pipeline.Assignment, now event.Time) bool {
 	job := task.Job
 	running := task.Phase() == pipeline.TaskRunning && !task.Evicting()
 	if !running || !task.Stored() {
@@ -145,17 +147,17 @@
 	if job.CheckpointInterval == 0 || job.IsGang() {
 		return false
 	}
-	return now-task.StartedAt() >= startCountsAfter
+	return now-task.StartedAt() >= minCountedRuntime
 }
 
-// move is a task that is to move to a target.
+// move is the planned move of one task of a job to a target.
 type move struct {
 	target *Capacity
 	job    *pipeline.Job
 }
 
-// planMoves finds a target for each task of a machine, the largest first, and reports
-// whether all have one. If so, what they need there stays allocated.
+// planMoves finds a target for each task of a machine, largest task first, and reports
+// whether all tasks have one. If so, their capacity stays allocated on the targets.
 func (c *consolidation) planMoves(source *Capacity) bool {
 	tasks := slices.Clone(c.jobs.OnMachine(source.Machine.Index))
 	slices.SortFunc(tasks, func(a, b *pipeline.Assignment) int {
@@ -164,30 +166,31 @@
 	moves := make([]move, 0, len(tasks))
 	for _, task := range tasks {
 		i := slices.IndexFunc(c.targets, func(target *Capacity) bool {
-			return c.mayMove(task.Job, source, target)
+			return c.canMoveTo(task.Job, source, target)
 		})
 		if i < 0 {
-			undo(moves)
+			undoMoves(moves)
 			return false
 		}
 		c.targets[i].Allocate(&task.Job.Spec, 1)
 		moves = append(moves, move{c.targets[i], task.Job})
 	}
 	for _, move := range moves {
-		c.receiving[move.target.Machine] = true
+		c.receivesTasks[move.target.Machine] = true
 	}
 	return true
 }
 
-// undo gives back what moves have allocated.
-func undo(moves []move) {
+// undoMoves releases the capacity that moves have allocated.
+func undoMoves(moves []move) {
 	for _, move := range moves {
 		move.target.release(&move.job.Spec)
 	}
 }
 
-// mayMove reports whether a task of a job can move from one machine to another.
-func (c *consolidation) mayMove(job *pipeline.Job, source, target *Capacity) bool {
+// canMoveTo reports whether a task of a job can move from source to target. A job with a
+// spread or zone affinity constraint stays in its zone.
+func (c *consolidation) canMoveTo(job *pipeline.Job, source, target *Capacity) bool {
 	if target.Machine == source.Machine || target.Machine.Draining() {
 		return false
 	}
--- a/internal/scheduler/consolidation_test.go
+++ b/internal/scheduler/consolidation_test.go
@@ -8,14 +8,14 @@
 	"lugward/internal/pipeline"
 )
 
-// Machines of eight CPUs with one task of four each: two tasks fit on one machine. A
-// pass drains as many machines as the others can take the tasks of, and the next one,
-// two seconds later, none: what the first has evicted has not terminated yet, and its
-// capacity is reserved. Passes that counted that capacity once more drained 77 machines
-// in four seconds, and 232 tasks fitted nowhere.
+// Consolidation reserves capacity for tasks that are evicted but not placed again yet.
+// Each machine has eight CPUs and one task of four, so the first pass drains half of the
+// machines. The next pass, two seconds later, must drain none, since the evicted tasks
+// have not terminated. Passes that counted the same free capacity again drained 77
+// machines in four seconds, and 232 tasks did not fit anywhere.
 func TestConsolidateReservesForEvicted(t *testing.T) {
 	const machines = 6
-	s := newSite(t)
+	s := newCluster(t)
 	recordRunning := func() {
 		for job := range s.jobs.AllJobs() {
 			for task := range job.Assignments() {
@@ -35,22 +35,22 @@
 	recordRunning()
 	first := s.Consolidate(s.now, RoundResult{Capacities: s.machineCapacities(s.now)}, nil)
 	if len(first) != machines/2 {
-		t.Fatalf("%d of %d machines drained, not half of them", len(first), machines)
+		t.Fatalf("first pass drained %d of %d machines, want half of them", len(first), machines)
 	}
 	second := s.Consolidate(s.now, RoundResult{Capacities: s.machineCapacities(s.now)}, nil)
 	if len(second) != 0 {
-		t.Errorf("%d more machines drained while the tasks of the first ones are not placed yet", len(second))
+		t.Errorf("second pass drained %d machines before the evicted tasks are placed again, want 0", len(second))
 	}
-	waiting := s.addJob("req-9", func(j *pipeline.Job) { j.CPUs = 1 })
-	s.jobs.Reset() // nothing is evicted any more
+	blockedJob := s.addJob("req-9", func(j *pipeline.Job) { j.CPUs = 1 })
+	s.jobs.Reset() // discards the evictions
 	recordRunning()
 	for _, machine := range first {
-		// As a machine that is drained never takes tasks again, another takes its place.
+		// A drained machine never gets tasks again, so a new machine replaces it.
 		s.workers.Remove(machine)
 		s.heartbeat(machine.Name)
 	}
-	blocked := RoundResult{Blocked: []*pipeline.Job{waiting}, Capacities: s.machineCapacities(s.now)}
+	blocked := RoundResult{Blocked: []*pipeline.Job{blockedJob}, Capacities: s.machineCapacities(s.now)}
 	if third := s.Consolidate(s.now, blocked, nil); len(third) != 0 {
-		t.Errorf("%d machines drained of a type on which a job waits", len(third))
+		t.Errorf("third pass drained %d machines of a type on which a blocked job could run, want 0", len(third))
 	}
 }
--- a/internal/scheduler/expected_release.go
+++ b/internal/scheduler/expected_release.go
@@ -9,32 +9,33 @@
 	"lugward/internal/pipeline"
 )
 
-// minRemainingShare is the least share of its expected runtime for which a running
-// task is expected to run on, as estimates are often wrong.
+// minRemainingShare is the lower bound of a running task's estimated remaining runtime,
+// as a share of its expected runtime. Estimates are often wrong, so a task may run longer
+// than expected.
 const minRemainingShare = 0.3
 
-// expectedRelease is when a task is expected to free what it uses.
+// expectedRelease is the time at which a task is expected to free its resources.
 type expectedRelease struct {
 	task  *pipeline.Assignment
-	after float64 // seconds
+	after float64 // seconds from now
 }
 
-// sortReleases sorts the earliest to the front.
+// sortReleases sorts releases by time, earliest first.
 func sortReleases(releases []expectedRelease) {
 	slices.SortFunc(releases, func(a, b expectedRelease) int {
 		return cmp.Or(cmp.Compare(a.after, b.after), compareAssignments(a.task, b.task))
 	})
 }
 
-// compareAssignments orders assignments by job, in the order of readiness, and task.
+// compareAssignments orders assignments by the readiness of their jobs, then by task.
 func compareAssignments(a, b *pipeline.Assignment) int {
 	return cmp.Or(cmp.Compare(a.Job.ReadyRevision, b.Job.ReadyRevision), cmp.Compare(a.Task, b.Task))
 }
 
-// remainingRuntime estimates how long a task still runs, in seconds.
+// remainingRuntime estimates the remaining runtime of a task in seconds.
 func (s *Scheduler) remainingRuntime(task *pipeline.Assignment, now event.Time) float64 {
 	if task.Job.Shape == pipeline.Daemon {
-		return math.Inf(1) // until it is cancelled
+		return math.Inf(1) // a daemon runs until it is cancelled
 	}
 	expected := s.workers.ExpectedRuntime(task.Job)
 	if task.StartedAt() == 0 {
@@ -43,9 +44,10 @@
 	return max(expected-secondsSince(task.StartedAt(), now), minRemainingShare*expected)
 }
 
-// ProjectedCapacities lists what is free on the machines that are up once the tasks
-// that are being evicted have terminated; those that are to run again are returned.
-// ReleaseWithin then adds what is released later.
+// ProjectedCapacities lists the free capacity of the schedulable machines as it will be
+// once all tasks that are being evicted have terminated. It also returns the evicted
+// tasks of unfinished jobs, which must be placed again. Releases that are expected later
+// are added by ReleaseWithin.
 func (s *Scheduler) ProjectedCapacities(now event.Time) (capacities []*Capacity, evicting []*pipeline.Assignment) {
 	capacities = s.machineCapacities(now)
 	for _, capacity := range capacities {
@@ -55,7 +57,7 @@
 				evicting = append(evicting, task)
 			}
 			switch {
-			case task.Phase() == pipeline.TaskExited: // it was not counted
+			case task.Phase() == pipeline.TaskExited: // its resources were not subtracted
 			case task.Evicting() || finished || task.Pending() != pipeline.NoPendingWrite:
 				capacity.release(&task.Job.Spec)
 			default:
@@ -68,8 +70,8 @@
 	return capacities, evicting
 }
 
-// ReleaseWithin frees the capacity of tasks that are expected to end within so many
-// seconds.
+// ReleaseWithin adds the resources of the tasks that are expected to exit within the given
+// number of seconds to the free capacity.
 func (c *Capacity) ReleaseWithin(seconds float64) {
 	for len(c.releases) > 0 && c.releases[0].after <= seconds {
 		c.release(&c.releases[0].task.Job.Spec)
@@ -77,8 +79,8 @@
 	}
 }
 
-// expectedReleases lists when the tasks of a machine are expected to free what they
-// use, the earliest first. The list is made when it is first needed in a round.
+// expectedReleases lists the expected releases of the tasks on a machine, earliest first.
+// The list is computed when it is first needed in a round.
 func (s *Scheduler) expectedReleases(capacity *Capacity, now event.Time) []expectedRelease {
 	if capacity.releasesListed {
 		return capacity.releases
@@ -86,7 +88,7 @@
 	capacity.releasesListed = true
 	for _, task := range s.jobs.OnMachine(capacity.Machine.Index) {
 		if task.Phase() == pipeline.TaskExited {
-			continue // it was not counted
+			continue // its resources were not subtracted
 		}
 		after := s.remainingRuntime(task, now)
 		if task.Evicting() {
@@ -98,9 +100,9 @@
 	return capacity.releases
 }
 
-// fitsAfter estimates in how many seconds a task of the job fits on a machine. It is
-// infinite where none will.
-func (s *Scheduler) fitsAfter(job *pipeline.Job, capacity *Capacity, now event.Time) float64 {
+// timeUntilFit estimates the time in seconds until a task of the job fits on a machine. It
+// returns +Inf if a task will not fit there.
+func (s *Scheduler) timeUntilFit(job *pipeline.Job, capacity *Capacity, now event.Time) float64 {
 	if capacity.Fits(&job.Spec) > 0 {
 		return 0
 	}
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -15,24 +15,26 @@
 )
 
 const (
-	// failedOnce is a retry record of a job that is at fault.
+	// failedOnce is the retry record of a job at fault with one failed attempt.
 	failedOnce = `{"n":1}`
-	// firstTaskElsewhere is a run record whose first task runs on an unknown machine.
-	firstTaskElsewhere = `{"t":1,"a":[[0,1,"i-9"]]}`
-	// firstTaskOnMachine is a run record whose first task runs on the site's machine.
+	// firstTaskOnUnknownMachine is a run record that assigns the first task to an unknown
+	// machine.
+	firstTaskOnUnknownMachine = `{"t":1,"a":[[0,1,"i-9"]]}`
+	// firstTaskOnMachine is a run record that assigns the first task to the fixture's
+	// machine.
 	firstTaskOnMachine = `{"t":1,"a":[[0,1,"i-1"]]}`
-	// firstTaskDone is a run record whose first task is done.
+	// firstTaskDone is a run record in which the first task is done.
 	firstTaskDone = `{"t":1,"d":"AQ"}`
 )
 
-// site is a scheduler with one machine of eight CPUs.
-type site struct {
+// cluster is a scheduler with one machine, i-1, of eight CPUs.
+type cluster struct {
 	*Scheduler
-	revision uint64 // of the last job record
+	revision uint64 // revision of the last job record
 	now      time.Duration
 }
 
-func newSite(tb testing.TB) *site {
+func newCluster(tb testing.TB) *cluster {
 	tb.Helper()
 	names := &pipeline.Names{}
 	names.Classes.Index("c")
@@ -44,7 +46,7 @@
 		Jobs:   jobs,
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
-	s := &site{
+	s := &cluster{
 		Scheduler: New(Config{
 			Jobs:             jobs,
 			Workers:          workers,
@@ -58,12 +60,12 @@
 	return s
 }
 
-// fullSite returns a site whose machines run two tasks of four CPUs each, with jobs
-// that wait, each of so many tasks.
-func fullSite(tb testing.TB, machines, waitingJobs, tasks int) *site {
+// newFullCluster returns a cluster with the given number of machines, each of which runs
+// two tasks of four CPUs. It adds queuedJobs jobs, each with the given number of tasks.
+func newFullCluster(tb testing.TB, machines, queuedJobs, tasks int) *cluster {
 	tb.Helper()
-	s := newSite(tb)
-	s.workers.Reset() // without the machine of the site
+	s := newCluster(tb)
+	s.workers.Reset() // removes the fixture's machine
 	for i := range machines {
 		name := fmt.Sprintf("i-%05d", i)
 		s.heartbeat(name)
@@ -77,7 +79,7 @@
 			task.RecordPhase(pipeline.TaskRunning, s.now-time.Duration(i%90)*time.Second)
 		}
 	}
-	for i := range waitingJobs {
+	for i := range queuedJobs {
 		s.addJob(fmt.Sprintf("req-%d", 200_000+i), func(j *pipeline.Job) {
 			j.CPUs, j.TaskCount = 3+float64(i%20)/20, tasks
 		})
@@ -85,21 +87,23 @@
 	return s
 }
 
-// heartbeat handles a heartbeat of a machine of the first type that runs no tasks. A
-// machine that is new is added. A second heartbeat at the same time is refused and
+// heartbeat handles a heartbeat from a machine of the first type that runs no tasks. It
+// adds the machine if it is new. A second heartbeat at the same time is rejected and
 // changes nothing.
-func (s *site) heartbeat(machine string) {
+func (s *cluster) heartbeat(machine string) {
 	_ = s.workers.HandleHeartbeat(workertest.Heartbeat(machine, s.now), s.now, workertest.Leader{})
 }
 
-// setTime sets the time, at which the site's machine has just sent a heartbeat.
-func (s *site) setTime(now time.Duration) {
+// advanceTo moves the clock to now and handles a heartbeat of the fixture's machine, so
+// that the machine remains schedulable.
+func (s *cluster) advanceTo(now time.Duration) {
 	s.now = now
 	s.heartbeat("i-1")
 }
 
-// addJob adds a ready job of one task of eight CPUs, changed by modify.
-func (s *site) addJob(id string, modify func(*pipeline.Job)) *pipeline.Job {
+// addJob adds a ready job with one task of eight CPUs. modify, if not nil, changes the
+// job before it is added.
+func (s *cluster) addJob(id string, modify func(*pipeline.Job)) *pipeline.Job {
 	job := &pipeline.Job{
 		ID:    id,
 		Ready: true,
@@ -120,24 +124,24 @@
 	return s.jobs.Job(id)
 }
 
-// setRunRecord stores the only run record of a job.
-func (s *site) setRunRecord(id, stored string, revision uint64) {
-	s.jobs.HandleChange(record.KindRun, id+"/0", []byte(stored), revision)
+// setRunRecord handles a change of the only run record of a job.
+func (s *cluster) setRunRecord(id, data string, revision uint64) {
+	s.jobs.HandleChange(record.KindRun, id+"/0", []byte(data), revision)
 }
 
-// setRetryRecord stores the retry record of a job.
-func (s *site) setRetryRecord(id, stored string, revision uint64) {
-	s.jobs.HandleChange(record.KindRetry, id, []byte(stored), revision)
+// setRetryRecord handles a change of the retry record of a job.
+func (s *cluster) setRetryRecord(id, data string, revision uint64) {
+	s.jobs.HandleChange(record.KindRetry, id, []byte(data), revision)
 }
 
-// newRound returns a round of the site without a budget.
-func (s *site) newRound() *round { return s.Scheduler.newRound(s.now, nil) }
+// newRound returns a round with an unlimited budget.
+func (s *cluster) newRound() *round { return s.Scheduler.newRound(s.now, nil) }
 
-// runRound runs a round without a budget.
-func (s *site) runRound() { s.Round(s.now, nil) }
+// runRound runs a round with an unlimited budget.
+func (s *cluster) runRound() { s.Round(s.now, nil) }
 
-// jobOrder returns the IDs of the ready jobs in their order.
-func (s *site) jobOrder() string {
+// jobOrder returns the IDs of the ready jobs in scheduling order, separated by spaces.
+func (s *cluster) jobOrder() string {
 	jobs := s.jobs.ReadyJobs()
 	sortJobs(jobs, s.now)
 	ids := make([]string, 0, len(jobs))
@@ -147,8 +151,9 @@
 	return strings.Join(ids, " ")
 }
 
-// heldBy modifies a job so that it waits for another.
-func heldBy(upstream string, priority pipeline.Priority, deadline float64) func(*pipeline.Job) {
+// withUpstream returns a function that modifies a job so that it is held until an upstream
+// job is done.
+func withUpstream(upstream string, priority pipeline.Priority, deadline float64) func(*pipeline.Job) {
 	return func(j *pipeline.Job) {
 		j.Ready, j.Upstream, j.Priority, j.Deadline = false, []string{upstream}, priority, deadline
 	}
--- a/internal/scheduler/job_order.go
+++ b/internal/scheduler/job_order.go
@@ -9,51 +9,51 @@
 	"lugward/internal/pipeline"
 )
 
-// The rules of order. Jobs are scheduled by
+// Scheduling order. Jobs are scheduled by
 //
 //  1. effective priority,
 //  2. precedence (see the constants of that type),
 //  3. whether their pipeline's deadline is at risk,
 //  4. the order in which they became ready.
 
-// precedence orders jobs of the same priority, the greatest first.
+// precedence orders jobs of the same effective priority, highest first.
 type precedence int
 
 const (
-	// readyOrder is for jobs without a reason to go first.
+	// readyOrder is the default: the job is scheduled in the order of readiness.
 	readyOrder precedence = iota
-	// startOverdue is for jobs of which no task has been placed for startOverdueAfter:
-	// a job that has started makes progress without a further task, this one does not.
+	// startOverdue is for jobs that have been ready for startOverdueAfter without a
+	// placed task. A job that has started makes progress without further tasks; one
+	// that has not started does not.
 	startOverdue
-	// gangOverdue is for gangs that have waited for startOverdueAfter, as long as any
-	// of their tasks waits: a gang needs much capacity at once, and makes no progress
-	// until it is complete.
+	// gangOverdue is for gangs that have been ready for startOverdueAfter and still have
+	// unassigned tasks. A gang needs much capacity at once and makes no progress until
+	// it is complete.
 	gangOverdue
-	// withinQuota is for jobs within their team's quota: that share is guaranteed.
+	// withinQuota is for jobs within their team's quota, which is guaranteed.
 	withinQuota
 )
 
-// startOverdueAfter is how long a job waits to start in the order of readiness. The
-// objective for the largest jobs is a start within four minutes; in a full site the
-// running tasks need most of that to end, and work that became ready before keeps
-// coming onto the machines that are free first: small jobs, and preempted tasks.
+// startOverdueAfter is how long a job that has not started is scheduled in the order of
+// readiness. The objective for the largest jobs is a start within four minutes. In a full
+// cluster the running tasks need most of that time to exit, and tasks that became ready
+// earlier (of small jobs, or preempted) keep taking the machines that are free first.
 const startOverdueAfter = time.Minute
 
-// A deadline is at risk if what is left of the time is less than runtimeMargin times
-// the expected runtime, as estimates are often wrong by half and more, and
-// startMargin.
+// A deadline is at risk if the time left is less than startMargin plus runtimeMargin
+// times the expected runtime. Estimates of the runtime are often wrong by half or more.
 const (
 	runtimeMargin = 2.0
 	startMargin   = 20 * time.Second
 )
 
-// sortJobs sorts jobs that are in the order of readiness by the rules of order.
+// sortJobs sorts jobs into scheduling order. They must be in the order of readiness.
 func sortJobs(jobs []*pipeline.Job, now event.Time) {
 	slices.SortStableFunc(jobs, func(a, b *pipeline.Job) int { return compareJobs(a, b, now) })
 }
 
-// compareJobs is negative where job a is scheduled before job b whatever the order
-// of readiness.
+// compareJobs compares two jobs in scheduling order. It returns 0 if only the order of
+// readiness decides.
 func compareJobs(a, b *pipeline.Job, now event.Time) int {
 	if a.EffectivePriority != b.EffectivePriority {
 		return cmp.Compare(b.EffectivePriority, a.EffectivePriority)
@@ -75,8 +75,8 @@
 	}
 }
 
-// precedenceOf returns the precedence of a job that waits. A job at fault is never
-// overdue, as it cannot start wherever it is placed.
+// precedenceOf returns the precedence of a queued job. A job at fault is never overdue,
+// since it cannot start on any machine.
 func precedenceOf(job *pipeline.Job, now event.Time) precedence {
 	switch {
 	case job.WithinQuota():
@@ -90,13 +90,13 @@
 	}
 }
 
-// deadlineAtRisk reports whether a job of a pipeline has little more time left than
-// it and its longest path to the deadline are expected to take.
+// deadlineAtRisk reports whether the time until a pipeline job's effective deadline, which
+// allows for the longest path of downstream jobs, is less than the job is expected to need.
 func deadlineAtRisk(job *pipeline.Job, now event.Time) bool {
 	if !job.Chained || job.EffectiveDeadline == pipeline.NoDeadline {
 		return false
 	}
-	left := job.EffectiveDeadline - now
+	remaining := job.EffectiveDeadline - now
 	needed := startMargin + time.Duration(runtimeMargin*job.EstimatedRuntime*nanosecondsPerSecond)
-	return left < needed
+	return remaining < needed
 }
--- a/internal/scheduler/limit.go
+++ b/internal/scheduler/limit.go
@@ -12,13 +12,14 @@
 }
 
 // TasksWithinLimitBeside returns how many more tasks of the job its team's limit allows
-// if the team also uses what is committed to other jobs: else each of many jobs would
-// be given all that the limit leaves.
-func (s *Scheduler) TasksWithinLimitBeside(job *pipeline.Job, committed pipeline.Usage) int {
+// in addition to the team's usage and the resources that are reserved for the team's
+// other jobs. Without counting those, each of many jobs could get all that the limit
+// still allows.
+func (s *Scheduler) TasksWithinLimitBeside(job *pipeline.Job, reserved pipeline.Usage) int {
 	team := s.cfg.Teams[job.Team]
 	usage := s.jobs.TeamUsage(job.Team)
-	usage.CPUs += committed.CPUs
-	usage.GPUs += committed.GPUs
+	usage.CPUs += reserved.CPUs
+	usage.GPUs += reserved.GPUs
 	count := math.MaxInt32
 	if team.CPUsMax > 0 && job.CPUs > 0 {
 		count = min(count, int((team.CPUsMax-usage.CPUs+tolerance)/job.CPUs))
--- a/internal/scheduler/limit_test.go
+++ b/internal/scheduler/limit_test.go
@@ -7,13 +7,13 @@
 	"lugward/internal/pipeline"
 )
 
-// All jobs of a team together get reservations for what its limit leaves, not each of
-// them; a gang that the limit does not allow as a whole gets none.
+// The reservations of all jobs of a team together stay within its limit. A gang that the
+// limit does not allow as a whole gets none.
 func TestReservationsWithinLimit(t *testing.T) {
 	tests := []struct {
 		name      string
 		shape     pipeline.Shape
-		tasks     int // of each of two jobs
+		tasks     int // number of tasks of each of the two jobs
 		limitCPUs float64
 		want      int
 	}{
@@ -24,7 +24,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s := newSite(t)
+			s := newCluster(t)
 			otherTeam := s.jobs.Names.Teams.Index("u")
 			s.cfg.Teams = map[pipeline.TeamIndex]config.Team{s.jobs.Names.Teams.Index("t"): {CPUsMax: test.limitCPUs}}
 			s.addJob("req-1", func(j *pipeline.Job) { j.Team = otherTeam })
@@ -34,7 +34,7 @@
 			}
 			s.runRound()
 			if got := s.ReservationCount(); got != test.want {
-				t.Errorf("%d tasks reserved, not %d", got, test.want)
+				t.Errorf("ReservationCount = %d, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -7,17 +7,17 @@
 	"lugward/internal/pipeline"
 )
 
-// placement puts some tasks of a job on a machine.
+// placement is a number of tasks of a job to assign to a machine.
 type placement struct {
 	capacity *Capacity
 	tasks    int
 }
 
-// place puts as many tasks of a job as it may on machines, by bin packing. A gang is
-// placed as a whole or not at all, but tasks of a gang that has started are placed as
-// soon as there is capacity for them.
-func (r *round) place(job *pipeline.Job) {
-	wanted := r.tasksToPlace(job)
+// placeJob assigns as many tasks of a job as fit, by bin packing. A gang that has not
+// started is placed as a whole or not at all. Tasks of a gang that has started are
+// placed as soon as there is capacity for them.
+func (r *round) placeJob(job *pipeline.Job) {
+	wanted := r.placeableTasks(job)
 	if wanted == 0 {
 		return
 	}
@@ -27,22 +27,23 @@
 	}
 	placed := r.TasksByZone(job)
 	if job.SameZone {
-		machines = inSingleZone(job, machines, placed, wanted)
+		machines = limitToSingleZone(job, machines, placed, wanted)
 	}
-	placements, left := fillMachines(job, machines, placed, wanted)
-	if job.Shape == pipeline.Gang && left > 0 && job.ActiveCount() == 0 {
+	placements, remaining := fillMachines(job, machines, placed, wanted)
+	if job.Shape == pipeline.Gang && remaining > 0 && job.ActiveCount() == 0 {
 		return
 	}
 	attempt := nextAttempt(job)
 	for _, placement := range placements {
-		r.placeTasks(job, placement, attempt)
+		r.assignTasks(job, placement, attempt)
 	}
 }
 
-// tasksToPlace is how many tasks of a job are to be placed within its team's limit:
-// of a gang all or none. Tasks of a gang's current attempt stay where they are; while
-// there are any of an older one, the gang is being terminated and not scheduled.
-func (s *Scheduler) tasksToPlace(job *pipeline.Job) int {
+// placeableTasks returns how many tasks of a job may be placed within its team's limit:
+// for a gang, all of them or none. Tasks of a gang's current attempt stay where they are.
+// While tasks of an older attempt remain, the gang is being terminated and is not
+// scheduled.
+func (s *Scheduler) placeableTasks(job *pipeline.Job) int {
 	startable := job.StartableCount()
 	allowed := s.tasksWithinLimit(job)
 	if job.Shape == pipeline.Gang && allowed < startable {
@@ -51,7 +52,7 @@
 	return min(startable, allowed)
 }
 
-// rankMachines lists the machines on which a task fits now, the most suitable first.
+// rankMachines lists the machines on which a task of the job fits now, best score first.
 func (r *round) rankMachines(job *pipeline.Job) []*Capacity {
 	type scored struct {
 		capacity *Capacity
@@ -72,27 +73,29 @@
 	return ranked
 }
 
-// fillMachines divides tasks among machines in their order, within the spread
-// constraint. It returns how many are left and counts the others in placed.
-func fillMachines(job *pipeline.Job, machines []*Capacity, placed ZoneCounts, wanted int) (placements []placement, left int) {
-	left = wanted
+// fillMachines distributes the wanted number of tasks over the machines in order, within
+// the spread constraint. It adds the distributed tasks to placed and returns how many
+// remain.
+func fillMachines(job *pipeline.Job, machines []*Capacity, placed ZoneCounts, wanted int) (placements []placement, remaining int) {
+	remaining = wanted
 	for _, capacity := range machines {
-		tasks := min(left, capacity.Fits(&job.Spec), TasksAllowedInZone(job, placed, capacity.Zone))
+		tasks := min(remaining, capacity.Fits(&job.Spec), TasksAllowedInZone(job, placed, capacity.Zone))
 		if tasks <= 0 {
 			continue
 		}
 		placed[capacity.Zone] += tasks
 		placements = append(placements, placement{capacity, tasks})
-		left -= tasks
-		if left == 0 {
+		remaining -= tasks
+		if remaining == 0 {
 			break
 		}
 	}
-	return placements, left
+	return placements, remaining
 }
 
-// nextAttempt is the number of the attempt that tasks placed next belong to: the
-// tasks of a gang share theirs. 0: each task counts its own.
+// nextAttempt returns the attempt number for the tasks that are placed next. The tasks
+// of a gang share one attempt number. For other jobs it returns 0, so that each
+// assignment gets the next attempt of its segment.
 func nextAttempt(job *pipeline.Job) uint64 {
 	switch {
 	case job.Shape != pipeline.Gang:
@@ -104,15 +107,16 @@
 	}
 }
 
-// placeTasks carries out a placement.
-func (r *round) placeTasks(job *pipeline.Job, placement placement, attempt uint64) {
+// assignTasks allocates the capacity of a placement and assigns the next unassigned tasks
+// of the job to its machine.
+func (r *round) assignTasks(job *pipeline.Job, placement placement, attempt uint64) {
 	placement.capacity.Allocate(&job.Spec, placement.tasks)
 	for range placement.tasks {
 		r.jobs.Assign(job, nextTask(job), placement.capacity.Machine.Index, attempt, r.now)
 	}
 }
 
-// nextTask is the waiting task of a job that is placed next.
+// nextTask returns the index of the unassigned task of a job to place next.
 func nextTask(job *pipeline.Job) int {
 	if job.AtFault() && job.Shape != pipeline.Gang {
 		return job.ProbeTask()
--- a/internal/scheduler/preemption_victims.go
+++ b/internal/scheduler/preemption_victims.go
@@ -10,24 +10,23 @@
 )
 
 const (
-	// startCountsAfter is how long a task must run for its start to count for its
-	// user.
-	startCountsAfter = 30 * time.Second
-	// relocationCost is what it costs in seconds to evict a task, move it and fetch
-	// its image, beside its checkpoint.
-	relocationCost = 10.0
-	// uncountedStartCost is what it costs in seconds that a start does not count for
-	// its user because an eviction follows too soon.
-	uncountedStartCost = 20.0
+	// minCountedRuntime is how long a task must run for its start to count for the user.
+	minCountedRuntime = 30 * time.Second
+	// relocationCostSeconds is the cost in seconds of evicting a task, moving it and fetching
+	// its image again, without its checkpoint.
+	relocationCostSeconds = 10.0
+	// uncountedStartCostSeconds is the cost in seconds of evicting a task so early that its
+	// start does not count for the user.
+	uncountedStartCostSeconds = 20.0
 )
 
-// victimCandidate is a task that may be preempted, and what that costs.
+// victimCandidate is a task that may be preempted, with the cost of its eviction.
 type victimCandidate struct {
 	task *pipeline.Assignment
 	cost float64 // seconds of work lost or delayed
 }
 
-// compareVictims puts the cheapest first, of equal ones that of the youngest job.
+// compareVictims orders candidates by cost, then by their jobs, most recently ready first.
 func compareVictims(a, b victimCandidate) int {
 	return cmp.Or(
 		cmp.Compare(a.cost, b.cost),
@@ -36,14 +35,14 @@
 	)
 }
 
-// cheapestVictims finds tasks to preempt on a machine until the job fits, those that
-// lose least first, beside the victims that are claimed already. cost is in seconds of
-// work lost or delayed. free is what is left once the tasks that are being evicted have
-// terminated.
+// cheapestVictims finds tasks to preempt on a machine, cheapest first, until a task of
+// the job fits. It does not choose victims that are claimed already. free is the free
+// capacity once the tasks that are being evicted have terminated. cost is in seconds of
+// work lost or delayed. victims is nil if preemption cannot free enough capacity.
 func (r *round) cheapestVictims(job *pipeline.Job, free Capacity, claimed victimSet) (victims []*pipeline.Assignment, cost float64) {
 	candidates := r.scratch.victims[:0]
 	for _, task := range r.jobs.OnMachine(free.Machine.Index) {
-		if !claimed[task] && mayBeVictim(task) && !isProtectedStart(task, r.now) && r.mayPreempt(job, task) {
+		if !claimed[task] && isPreemptible(task) && !isProtectedStart(task, r.now) && r.mayPreempt(job, task) {
 			candidates = append(candidates, victimCandidate{task, evictionCost(task, r.now)})
 		}
 	}
@@ -62,26 +61,26 @@
 	return nil, 0
 }
 
-// mayBeVictim reports whether a task can be preempted at all. Gangs cannot: all of
-// their tasks would lose their places for the sake of one.
-func mayBeVictim(task *pipeline.Assignment) bool {
+// isPreemptible reports whether a task can be preempted by any job. Tasks of gangs cannot,
+// since evicting one of them evicts the whole gang.
+func isPreemptible(task *pipeline.Assignment) bool {
 	if task.Evicting() || task.Pending() != pipeline.NoPendingWrite {
 		return false
 	}
 	return task.Job.TerminalPhase == pipeline.Queued && !task.Job.IsGang()
 }
 
-// evictionCost is what it costs to evict a task, in seconds of work lost or delayed.
+// evictionCost returns the cost of evicting a task, in seconds of work lost or delayed.
 func evictionCost(task *pipeline.Assignment, now event.Time) float64 {
-	cost := task.Job.CheckpointDuration + relocationCost
+	cost := task.Job.CheckpointDuration + relocationCostSeconds
 	if task.StartedAt() == 0 {
 		return cost
 	}
 	if task.Job.CheckpointInterval == 0 {
-		cost += secondsSince(task.StartedAt(), now) // all of it is lost
+		cost += secondsSince(task.StartedAt(), now) // without checkpoints all work is lost
 	}
-	if now-task.StartedAt() < startCountsAfter {
-		cost += uncountedStartCost
+	if now-task.StartedAt() < minCountedRuntime {
+		cost += uncountedStartCostSeconds
 	}
 	return cost
 }
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -5,15 +5,15 @@
 	"lugward/internal/pipeline"
 )
 
-// A team's quota (config.Team.CPUs and GPUs) is the share that it is guaranteed: its
-// jobs go first up to the quota, may preempt what other teams run beyond theirs, and
-// may use more while that is free. A team's limit (CPUsMax and GPUsMax) is the most
-// that it may use at all; see limit.go.
+// A team's quota (config.Team.CPUs and GPUs) is its guaranteed use. Jobs within the quota
+// are scheduled first and may preempt tasks that other teams run beyond their quotas. A
+// team may use more than its quota while capacity is free. A team's limit (CPUsMax and
+// GPUsMax) is its maximum use; see limit.go.
 
-// updateQuotas finds the jobs that are within their team's quota: those that fit there
-// together with the team's earlier unfinished jobs. It also finds the lowest priority
-// that runs.
-func (r *round) updateQuotas(unfinished []*pipeline.Job) {
+// updateQuotaStatus updates which jobs are within their team's quota: those that fit into
+// it together with the team's earlier unfinished jobs. It also updates
+// lowestRunningPriority.
+func (r *round) updateQuotaStatus(unfinished []*pipeline.Job) {
 	byTeam := usageByTeam{}
 	r.lowestRunningPriority = pipeline.Production
 	for _, job := range unfinished {
@@ -27,9 +27,9 @@
 	}
 }
 
-// isWithinQuota reports whether a job is within its team's quota, given what it uses
-// together with the team's earlier jobs. A job must use a resource that the team has a
-// quota of; other resources do not count.
+// isWithinQuota reports whether a job is within its team's quota. usage is the usage of
+// the job and the team's earlier jobs. Only resources that the team has a quota for
+// count, and the job must use at least one of them.
 func isWithinQuota(job *pipeline.Job, team config.Team, usage pipeline.Usage) bool {
 	usesCPUs := team.CPUs > 0 && job.CPUs > 0
 	usesGPUs := team.GPUs > 0 && job.GPUs > 0
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -9,19 +9,20 @@
 	"lugward/internal/worker"
 )
 
-// maxReservations bounds the reservations of one round: jobs further back in the
-// order wait for later rounds. A gang whose reservation begins within the bound gets
-// it as a whole.
+// maxReservations limits the reservations of one round. Jobs further back in the queue
+// get theirs in later rounds. A gang whose reservations start below the limit gets all
+// of them.
 const maxReservations = 64
 
-// reservation is capacity on a machine that one task of a job waits for.
+// reservation is capacity on a machine that is reserved for one unassigned task of a job.
 type reservation struct {
 	job     *pipeline.Job
 	machine *worker.Machine
 }
 
-// reserve reserves capacity for a number of tasks of a job that found none: what will
-// be free first. Jobs behind it can still be backfilled onto what does not delay it.
+// reserve reserves the capacity that becomes free first for a number of tasks of a job
+// that do not fit now. Jobs behind it can still be backfilled onto the other capacity,
+// which does not delay it.
 func (r *round) reserve(job *pipeline.Job, tasks int) {
 	if tasks <= 0 || r.reservationCount >= maxReservations {
 		return
@@ -31,7 +32,7 @@
 	}
 	slots, zone := r.earliestSlots(job, tasks)
 	if job.IsGang() && job.ActiveCount() == 0 && len(slots) < tasks {
-		return // it never fits on the machines that are up: others may use them
+		return // the gang can never fit on the machines that are up, so it must not block other jobs
 	}
 	if zone.IsSingle() && len(slots) == tasks {
 		job.ReserveZone(zone)
@@ -42,15 +43,16 @@
 	}
 }
 
-// reserveTask reserves capacity that is not free yet for a task that waits for it.
+// reserveTask reserves capacity on a machine for one unassigned task of a job.
 func (r *round) reserveTask(job *pipeline.Job, capacity *Capacity) {
 	capacity.Allocate(&job.Spec, 1)
-	r.reserved.add(job)
+	r.reservedUsage.add(job)
 	capacity.Machine.Reserve(r.now)
 	r.interruption.reservations = append(r.interruption.reservations, reservation{job, capacity.Machine})
 }
 
-// restoreReservations allocates what an interrupted round reserved.
+// restoreReservations allocates the reservations of an interrupted round again, except
+// those of machines that are no longer schedulable and of jobs without startable tasks.
 func (r *round) restoreReservations(reservations []reservation) {
 	if len(reservations) == 0 {
 		return
@@ -64,15 +66,15 @@
 		job := reservation.job
 		if capacity != nil && job.StartableCount() > 0 && job.TerminalPhase == pipeline.Queued {
 			capacity.Allocate(&job.Spec, 1)
-			r.reserved.add(job)
+			r.reservedUsage.add(job)
 		}
 	}
 }
 
-// earliestSlots finds the slots that come free first, and returns the zone that they
-// were found in. For a gang with an affinity constraint a zone is chosen once and
-// kept: else the capacity that has come free in one zone would be given up whenever
-// another looks a little better, and small jobs would take it.
+// earliestSlots returns the slots that become free first and the zone in which they were
+// found. For a gang with a zone affinity constraint the zone is chosen once and kept.
+// Otherwise the gang would give up the capacity already free in one zone whenever another
+// zone looks slightly better, and small jobs would take that capacity.
 func (r *round) earliestSlots(job *pipeline.Job, count int) (best []slot, bestZone pipeline.ZoneSelector) {
 	earliest := math.Inf(1)
 	chosen := job.ReservedZone()
@@ -81,8 +83,8 @@
 		if len(slots) == 0 {
 			continue
 		}
-		if after := completeAfter(slots, count); after < earliest {
-			earliest = after
+		if delay := timeUntilAllSlots(slots, count); delay < earliest {
+			earliest = delay
 			best = slots
 			bestZone = zone
 		}
@@ -93,22 +95,22 @@
 	return best, bestZone
 }
 
-// completeAfter is after how many seconds the last of the wanted slots is free. Where
-// there are fewer than wanted, for want of machines, it is beyond all real times, and
-// least where there are the most.
-func completeAfter(slots []slot, wanted int) float64 {
+// timeUntilAllSlots returns the time in seconds until all wanted slots are free. If there
+// are too few machines for that, the result is larger than any real time, and smaller the
+// more slots there are.
+func timeUntilAllSlots(slots []slot, wanted int) float64 {
 	if len(slots) < wanted {
 		return math.MaxFloat64 / float64(1+len(slots))
 	}
 	return slots[len(slots)-1].cost
 }
 
-// earliestSlotsInZone finds the slots that come free first in a zone; their cost is
-// the time until then. A single slot, by far the most frequent case, is found without
-// a look at every machine.
+// earliestSlotsInZone returns the slots in a zone that become free first. Their cost is
+// the time in seconds until then. A single slot, by far the most frequent case, is found
+// without visiting every machine.
 func (r *round) earliestSlotsInZone(job *pipeline.Job, count int, zone pipeline.ZoneSelector) []slot {
 	if count > 1 {
-		return r.cheapestSlots(slotSearch{job: job, zone: zone, count: count, price: r.releasePricing(job)})
+		return r.cheapestSlots(slotSearch{job: job, zone: zone, count: count, costOf: r.releaseCostFunc(job)})
 	}
 	if earliest, ok := r.earliestSlot(job, zone); ok {
 		return []slot{earliest}
@@ -116,31 +118,32 @@
 	return nil
 }
 
-// releasePricing prices a slot by the time until a task of a job fits.
-func (r *round) releasePricing(job *pipeline.Job) slotPricing {
-	return func(free *Capacity, _ victimSet) (slotPrice, bool) {
-		after := r.fitsAfter(job, free, r.now)
-		return slotPrice{cost: after}, !math.IsInf(after, 1)
+// releaseCostFunc returns a cost function for slots: the time in seconds until a task of
+// the job fits.
+func (r *round) releaseCostFunc(job *pipeline.Job) slotCostFunc {
+	return func(free *Capacity, _ victimSet) (slotCost, bool) {
+		delay := r.timeUntilFit(job, free, r.now)
+		return slotCost{cost: delay}, !math.IsInf(delay, 1)
 	}
 }
 
-// machineRelease is when capacity comes free on a machine for the first time, in
-// seconds: no waiting task fits there sooner.
+// machineRelease is the first time at which capacity becomes free on a machine. No
+// unassigned task fits on the machine before that.
 type machineRelease struct {
 	capacity *Capacity
-	after    float64
-	index    int // of the machine among the others, so that equal times keep an order
+	after    float64 // seconds from now
+	index    int     // index of the machine in the round, which breaks ties between equal times
 }
 
 func (m machineRelease) compare(other machineRelease) int {
 	return cmp.Or(cmp.Compare(m.after, other.after), cmp.Compare(m.index, other.index))
 }
 
-// earliestSlot finds the slot that comes free first. It is the same as that of
-// cheapestSlots with releasePricing for a count of one, but it visits the machines in
-// the order of their first release and ends at the first one that cannot be earlier
-// than the best so far. It holds for one slot only, since a slot that is used changes
-// when its machine's next one is free.
+// earliestSlot returns the slot that becomes free first. It finds the same slot as
+// cheapestSlots with releaseCostFunc and a count of one, but visits the machines in the
+// order of their first release and stops at the first machine that cannot be earlier
+// than the best one found so far. This works for a single slot only, since using a slot
+// changes when the next slot of its machine is free.
 func (r *round) earliestSlot(job *pipeline.Job, zone pipeline.ZoneSelector) (earliest slot, ok bool) {
 	if r.byFirstRelease == nil {
 		r.byFirstRelease = r.listByFirstRelease()
@@ -156,7 +159,7 @@
 		if !capacity.eligible(job, zone, r.now) || TasksAllowedInZone(job, placed, capacity.Zone) <= 0 {
 			continue
 		}
-		found := machineRelease{capacity, r.fitsAfter(job, capacity, r.now), machine.index}
+		found := machineRelease{capacity, r.timeUntilFit(job, capacity, r.now), machine.index}
 		if !math.IsInf(found.after, 1) && (best.capacity == nil || found.compare(best) < 0) {
 			best = found
 		}
@@ -164,10 +167,11 @@
 	if best.capacity == nil {
 		return slot{}, false
 	}
-	return slot{best.capacity, slotPrice{cost: best.after}}, true
+	return slot{best.capacity, slotCost{cost: best.after}}, true
 }
 
-// listByFirstRelease lists the machines by when capacity comes free there first.
+// listByFirstRelease lists the machines in the order in which capacity first becomes free
+// on them. Machines with no free capacity and no expected release are omitted.
 func (r *round) listByFirstRelease() []machineRelease {
 	hasRoom := make(map[*Capacity]bool, len(r.withRoom))
 	for _, capacity := range r.withRoom {
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -8,50 +8,51 @@
 	"lugward/internal/pipeline"
 )
 
-// RoundResult is what a round leaves.
+// RoundResult is the outcome of a scheduling round.
 type RoundResult struct {
-	Blocked    []*pipeline.Job // jobs with tasks that could not be placed, in the order of the round
-	Capacities []*Capacity     // what is free on the machines that are up, without what is reserved
+	Blocked    []*pipeline.Job // jobs with tasks that could not be placed, in scheduling order
+	Capacities []*Capacity     // free capacity of the schedulable machines, less reservations
 }
 
-// round is the state of one scheduling round. It lasts no longer than the round.
+// round is the state of one scheduling round. It is discarded when the round ends.
 type round struct {
 	*Scheduler
 	now        event.Time
 	budget     Budget
-	queue      []*pipeline.Job // to be scheduled, in their order
-	capacities []*Capacity     // of the machines that are up
-	// withRoom are the machines on which a task of some job fits. Free capacity only
-	// shrinks during a round.
+	queue      []*pipeline.Job // jobs to schedule, in scheduling order
+	capacities []*Capacity     // free capacity of the schedulable machines
+	// withRoom lists the machines on which a task of at least one job may fit. It is
+	// computed once, since free capacity only shrinks during a round.
 	withRoom []*Capacity
-	// byFirstRelease are the machines in the order in which capacity comes free
-	// there; nil: not listed yet.
+	// byFirstRelease lists the machines in the order in which capacity becomes free on
+	// them. It is nil until it is first needed.
 	byFirstRelease        []machineRelease
-	lowestRunningPriority pipeline.Priority
-	preempted             usageByTeam // what this round preempts
-	reserved              usageByTeam // what this round reserves
+	lowestRunningPriority pipeline.Priority // lowest effective priority of a job with active tasks
+	preemptedUsage        usageByTeam       // resources of the tasks that this round preempts
+	reservedUsage         usageByTeam       // resources that this round reserves
 }
 
-// usageByTeam sums up what tasks use, by index of the team's name.
+// usageByTeam is the total resource usage of tasks by index of the team's name.
 type usageByTeam map[pipeline.TeamIndex]pipeline.Usage
 
-// add counts one task of a job.
+// add adds the usage of one task of a job.
 func (u usageByTeam) add(job *pipeline.Job) {
 	usage := u[job.Team]
 	usage.Add(&job.Spec, 1)
 	u[job.Team] = usage
 }
 
-// interruption is where a round ran out of its budget. The next round goes on there
-// and keeps the reservations of the jobs before that point: else less important jobs
-// behind them would take that capacity.
+// interruption records where a round exhausted its budget. The next round resumes there
+// and keeps the reservations of the jobs before that point. Otherwise less important
+// jobs behind them would take that capacity.
 type interruption struct {
-	next         *pipeline.Job // the first job that was not looked at, nil: the round was completed
-	reservations []reservation // of the jobs before it
+	next         *pipeline.Job // first job that was not scheduled, nil if the round was completed
+	reservations []reservation // reservations of the jobs before it
 }
 
-// Round places, preempts and reserves what it can within the budget. A round that
-// runs out of it is continued by the next one.
+// Round runs one scheduling round within the budget: it places tasks, preempts others
+// and reserves capacity. If it exhausts the budget, the next round resumes at the first
+// job that was not scheduled.
 func (s *Scheduler) Round(now event.Time, budget Budget) RoundResult {
 	r := s.newRound(now, budget)
 	r.orderJobs()
@@ -64,63 +65,64 @@
 	return RoundResult{Blocked: r.blockedJobs(), Capacities: r.capacities}
 }
 
-// newRound returns a round that has not looked at any job yet.
+// newRound returns a round with an empty queue.
 func (s *Scheduler) newRound(now event.Time, budget Budget) *round {
 	return &round{
-		Scheduler:  s,
-		now:        now,
-		budget:     budget,
-		capacities: s.machineCapacities(now),
-		preempted:  usageByTeam{},
-		reserved:   usageByTeam{},
+		Scheduler:      s,
+		now:            now,
+		budget:         budget,
+		capacities:     s.machineCapacities(now),
+		preemptedUsage: usageByTeam{},
+		reservedUsage:  usageByTeam{},
 	}
 }
 
-// orderJobs lists the jobs to be scheduled in their order.
+// orderJobs fills the queue with the schedulable jobs in scheduling order.
 func (r *round) orderJobs() {
 	unfinished := r.jobs.ReadyJobs()
-	r.updateQuotas(unfinished)
+	r.updateQuotaStatus(unfinished)
 	r.queue = slices.DeleteFunc(unfinished, func(job *pipeline.Job) bool { return !job.Schedulable(r.now) })
 	sortJobs(r.queue, r.now)
 }
 
-// resumeInterrupted returns the position of the job to begin with: the first one
-// unless the last round was interrupted before a job that still waits.
+// resumeInterrupted returns the index in the queue of the job to schedule first. It is
+// 0 unless the last round was interrupted before a job that is still in the queue.
 func (r *round) resumeInterrupted() (first int) {
-	last := &r.interruption
-	first = slices.Index(r.queue, last.next)
-	last.next = nil
+	previous := &r.interruption
+	first = slices.Index(r.queue, previous.next)
+	previous.next = nil
 	r.reservationCount = 0
 	if first < 0 {
-		last.reservations = last.reservations[:0]
+		previous.reservations = previous.reservations[:0]
 		return 0
 	}
-	r.restoreReservations(last.reservations)
+	r.restoreReservations(previous.reservations)
 	return first
 }
 
-// findMachinesWithRoom lists the machines with free capacity for the least that any
-// job asks for of each resource. In a full site these are few, and only they are
-// looked at to place a task.
+// findMachinesWithRoom lists the machines whose free capacity fits the smallest amount
+// of each resource that any queued job requests. In a full cluster these are few, and
+// only they are visited to place a task.
 func (r *round) findMachinesWithRoom() {
 	if len(r.queue) == 0 {
 		return
 	}
-	least := pipeline.Spec{CPUs: math.Inf(1), GPUs: math.Inf(1), Memory: math.Inf(1)}
+	smallest := pipeline.Spec{CPUs: math.Inf(1), GPUs: math.Inf(1), Memory: math.Inf(1)}
 	for _, job := range r.queue {
-		least.CPUs = min(least.CPUs, job.CPUs)
-		least.GPUs = min(least.GPUs, job.GPUs)
-		least.Memory = min(least.Memory, job.Memory)
+		smallest.CPUs = min(smallest.CPUs, job.CPUs)
+		smallest.GPUs = min(smallest.GPUs, job.GPUs)
+		smallest.Memory = min(smallest.Memory, job.Memory)
 	}
 	for _, capacity := range r.capacities {
-		if capacity.Fits(&least) > 0 {
+		if capacity.Fits(&smallest) > 0 {
 			r.withRoom = append(r.withRoom, capacity)
 		}
 	}
 }
 
-// scheduleJobs schedules the jobs from a position on until the budget is used up.
-// The first of them is looked at in any case, so that every round makes progress.
+// scheduleJobs schedules the queued jobs from index first until the budget is
+// exhausted. The job at first is scheduled regardless of the budget, so that every
+// round makes progress.
 func (r *round) scheduleJobs(first int) {
 	for i, job := range r.queue[first:] {
 		if i > 0 && r.budget.exhausted() {
@@ -132,18 +134,18 @@
 	}
 }
 
-// scheduleJob places the tasks of a job that fit, preempts other work for the rest
-// and reserves capacity for what is then left.
+// scheduleJob places the tasks of a job that fit, preempts other tasks for the rest, and
+// reserves capacity for those that remain.
 func (r *round) scheduleJob(job *pipeline.Job) {
-	r.place(job)
+	r.placeJob(job)
 	if job.StartableCount() == 0 {
 		return
 	}
-	left := r.preempt(job)
-	r.reserve(job, left)
+	remaining := r.preempt(job)
+	r.reserve(job, remaining)
 }
 
-// blockedJobs lists the jobs with tasks that still wait.
+// blockedJobs lists the queued jobs that still have startable tasks.
 func (r *round) blockedJobs() []*pipeline.Job {
 	var blocked []*pipeline.Job
 	for _, job := range r.queue {
--- a/internal/scheduler/round_test.go
+++ b/internal/scheduler/round_test.go
@@ -5,14 +5,15 @@
 	"testing"
 )
 
-// The work of a round for the jobs that wait follows what has changed, not the number
-// of machines: a task ends, the capacity of its machine is computed anew and used, and
-// the jobs that find none visit the same few machines on a site eight times as large.
+// The work of a round depends on the changes since the last one, not on the number of
+// machines. After one task has exited, only the capacity of its machine is recomputed and
+// used. The jobs that do not fit visit the same few machines in a cluster eight times as
+// large.
 func TestRoundFollowsChanges(t *testing.T) {
 	type work struct{ recomputed, visited, placed int }
 	measure := func(machines int) work {
 		t.Helper()
-		s := fullSite(t, machines, 50, 1)
+		s := newFullCluster(t, machines, 50, 1)
 		s.runRound()
 		s.setRunRecord("req-100000", `{"t":1,"d":"AQ","a":[[1,1,"i-00000"]]}`, 90_000_000)
 		before := s.counters
@@ -33,18 +34,18 @@
 	}
 	small, large := measure(500), measure(4000)
 	if small.recomputed != 1 || small.placed != 1 || large.recomputed != 1 || large.placed != 1 {
-		t.Errorf("after one task has ended: %+v on 500 machines, %+v on 4000", small, large)
+		t.Errorf("work after one task has exited = %+v with 500 machines, %+v with 4000, want recomputed 1 and placed 1", small, large)
 	}
 	if large.visited > 2*small.visited {
-		t.Errorf("machines visited: %d on 500 machines, %d on 4000", small.visited, large.visited)
+		t.Errorf("machines visited = %d with 500 machines, %d with 4000, want at most twice as many", small.visited, large.visited)
 	}
-	t.Logf("500 machines: %+v, 4000: %+v", small, large)
+	t.Logf("work with 500 machines: %+v, with 4000: %+v", small, large)
 }
 
 func BenchmarkRound(b *testing.B) {
 	for _, size := range []struct{ machines, jobs, tasks int }{{4000, 0, 0}, {500, 1000, 1}, {4000, 1000, 1}, {4000, 1000, 30}} {
 		b.Run(fmt.Sprintf("machines=%d/jobs=%d/tasks=%d", size.machines, size.jobs, size.tasks), func(b *testing.B) {
-			s := fullSite(b, size.machines, size.jobs, size.tasks)
+			s := newFullCluster(b, size.machines, size.jobs, size.tasks)
 			s.runRound()
 			for b.Loop() {
 				s.runRound()
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,7 +1,7 @@
-// Package scheduler decides which task runs on which machine. It works in rounds:
-// each orders the jobs, places tasks by bin packing, preempts less important work
-// and reserves capacity for what still waits. Between rounds, consolidation moves
-// tasks off machines that can then be released.
+// Package scheduler assigns tasks to machines. It works in rounds: a round orders the
+// jobs, places their tasks by bin packing, preempts less important tasks and
+// reserves capacity for the tasks that remain unassigned. Between rounds,
+// consolidation evicts the tasks of some machines so that those can be released.
 package scheduler
 
 import (
@@ -11,49 +11,49 @@
 	"lugward/internal/worker"
 )
 
-// Config holds the settings of a scheduler and the parts that it works on.
+// Config holds the settings of a scheduler and its dependencies.
 type Config struct {
 	Jobs              *pipeline.Table
 	Workers           *worker.Registry
 	MachineTypes      *MachineTypes                      // may change between rounds
 	Teams             map[pipeline.TeamIndex]config.Team // quotas and limits, by index of the team's name
-	HeartbeatInterval event.Time                         // between two heartbeats of a worker
-	HeartbeatTimeout  event.Time                         // a machine without a heartbeat for this long gets no new task
+	HeartbeatInterval event.Time                         // interval at which workers send heartbeats
+	HeartbeatTimeout  event.Time                         // a machine that sends no heartbeat for this long gets no new tasks
 }
 
-// Budget reports whether the processor time for a round is used up. A nil Budget
-// never ends.
+// Budget reports whether the CPU time allotted to a round is used up. A nil Budget is
+// unlimited.
 type Budget func() bool
 
-// exhausted reports whether nothing is left of the budget.
+// exhausted reports whether the budget is used up.
 func (b Budget) exhausted() bool { return b != nil && b() }
 
-// Scheduler places the tasks of a table of jobs on the registered machines. It must
-// not be used concurrently.
+// Scheduler assigns the tasks of a job table to the registered machines. It is not safe
+// for concurrent use.
 type Scheduler struct {
 	cfg          Config
 	jobs         *pipeline.Table
 	workers      *worker.Registry
 	machineTypes *MachineTypes
 
-	capacityCache    []Capacity // by machine, as its assignments leave it
+	capacityCache    []Capacity // free capacity by machine index, without reservations
 	interruption     interruption
-	reservationCount int // of the last round
+	reservationCount int // tasks that got a reservation in the last round
 	counters         counters
 	scratch          scratch
 }
 
-// counters count the work of all rounds.
+// counters measure the work done since the scheduler was created.
 type counters struct {
-	interruptedRounds    int // that ran out of budget, since they were last taken
+	interruptedRounds    int // rounds that exhausted their budget since TakeInterruptedRounds was last called
 	capacitiesRecomputed int
-	machinesVisited      int // looked at for a job
+	machinesVisited      int // machines examined while placing tasks or searching slots
 }
 
-// scratch is memory that calls reuse.
+// scratch holds buffers that are reused between calls.
 type scratch struct {
-	slots   slotHeap          // of cheapestSlots
-	victims []victimCandidate // of cheapestVictims
+	slots   slotHeap          // used by cheapestSlots
+	victims []victimCandidate // used by cheapestVictims
 }
 
 // New returns a scheduler.
@@ -61,15 +61,16 @@
 	return &Scheduler{cfg: cfg, jobs: cfg.Jobs, workers: cfg.Workers, machineTypes: cfg.MachineTypes}
 }
 
-// ReservationCount returns how many tasks got a reservation in the last round.
+// ReservationCount returns the number of tasks that got a reservation in the last round.
 func (s *Scheduler) ReservationCount() int { return s.reservationCount }
 
-// CapacitiesRecomputed returns how often the free capacity of a machine was computed
-// since the scheduler was made, as something had changed there.
+// CapacitiesRecomputed returns how many times the free capacity of a machine was
+// recomputed since the scheduler was created. It is recomputed when the machine or its
+// assignments have changed.
 func (s *Scheduler) CapacitiesRecomputed() int { return s.counters.capacitiesRecomputed }
 
-// TakeInterruptedRounds returns how many rounds ran out of their budget since the
-// last call.
+// TakeInterruptedRounds returns the number of rounds that exhausted their budget since
+// the last call, and resets it.
 func (s *Scheduler) TakeInterruptedRounds() int {
 	interrupted := s.counters.interruptedRounds
 	s.counters.interruptedRounds = 0
@@ -78,7 +79,7 @@
 
 const nanosecondsPerSecond = 1e9
 
-// secondsSince is how long ago a point in time was, in seconds.
+// secondsSince returns the time from at to now in seconds.
 func secondsSince(at, now event.Time) float64 {
 	return float64(now-at) / nanosecondsPerSecond
 }
--- a/internal/scheduler/slot_search.go
+++ b/internal/scheduler/slot_search.go
@@ -7,37 +7,38 @@
 	"lugward/internal/pipeline"
 )
 
-// slot is capacity for one task of a job on a machine, now or later.
+// slot is capacity for one task of a job on a machine. It is free now, or becomes free
+// later or by preemption.
 type slot struct {
 	capacity *Capacity
-	slotPrice
+	slotCost
 }
 
-// slotPrice is what it takes to run one more task on a machine.
-type slotPrice struct {
-	cost    float64                // seconds
-	victims []*pipeline.Assignment // to be preempted
+// slotCost is the cost of running one more task on a machine.
+type slotCost struct {
+	cost    float64                // in seconds
+	victims []*pipeline.Assignment // tasks to preempt
 }
 
-// slotSearch asks for the cheapest slots for tasks of a job.
+// slotSearch describes a search for the count cheapest slots for tasks of a job.
 type slotSearch struct {
-	job   *pipeline.Job
-	zone  pipeline.ZoneSelector
-	count int
-	price slotPricing
+	job    *pipeline.Job
+	zone   pipeline.ZoneSelector
+	count  int
+	costOf slotCostFunc
 }
 
-// slotPricing prices one more task on a machine, given what the slots found so far
-// leave of it and which victims they have claimed. ok is false where the machine can
-// take no more tasks.
-type slotPricing func(free *Capacity, claimed victimSet) (price slotPrice, ok bool)
+// slotCostFunc returns the cost of one more task on a machine. free is the capacity that
+// the slots found so far leave on it, and claimed holds their victims. ok is false if
+// the machine cannot take another task.
+type slotCostFunc func(free *Capacity, claimed victimSet) (cost slotCost, ok bool)
 
-// victimSet holds the victims of slots that were found before.
+// victimSet holds the victims of the slots found so far.
 type victimSet map[*pipeline.Assignment]bool
 
-// cheapestSlots finds as many slots as are wanted, the cheapest first. Nothing is
-// changed by it. It is a greedy search: a heap holds the cheapest next slot of each
-// machine, and after each slot only its machine is priced again.
+// cheapestSlots returns up to search.count slots, cheapest first. It does not change the
+// round's capacities. The search is greedy: a heap holds the cheapest next slot of each
+// machine, and after a slot is taken only the cost of its machine is recomputed.
 func (r *round) cheapestSlots(search slotSearch) []slot {
 	claimed := victimSet{}
 	candidates := r.slotCandidates(search, claimed)
@@ -55,7 +56,7 @@
 		placed[zone]++
 		cheapest.claim(search.job, claimed)
 		var ok bool
-		if cheapest.slotPrice, ok = search.price(cheapest.remaining, claimed); ok {
+		if cheapest.slotCost, ok = search.costOf(cheapest.remaining, claimed); ok {
 			heap.Fix(&candidates, 0)
 		} else {
 			heap.Pop(&candidates)
@@ -64,7 +65,7 @@
 	return slots
 }
 
-// slotCandidates prices a first slot on each machine.
+// slotCandidates returns the cheapest slot of each eligible machine.
 func (r *round) slotCandidates(search slotSearch, claimed victimSet) slotHeap {
 	candidates := r.scratch.slots[:0]
 	r.counters.machinesVisited += len(r.capacities)
@@ -72,21 +73,21 @@
 		if !capacity.eligible(search.job, search.zone, r.now) {
 			continue
 		}
-		if price, ok := search.price(capacity, claimed); ok {
-			candidates = append(candidates, slotCandidate{slot: slot{capacity, price}, index: i})
+		if cost, ok := search.costOf(capacity, claimed); ok {
+			candidates = append(candidates, slotCandidate{slot: slot{capacity, cost}, index: i})
 		}
 	}
 	r.scratch.slots = candidates
 	return candidates
 }
 
-// eligible reports whether a machine in an allowed zone may run a task of a job once
-// there is room, whatever runs there now.
+// eligible reports whether the machine may run a task of a job once it has enough free
+// capacity, regardless of the tasks that it runs now.
 func (c *Capacity) eligible(job *pipeline.Job, zone pipeline.ZoneSelector, now event.Time) bool {
 	if !zone.Allows(c.Zone) {
 		return false
 	}
-	if c.Machine.Draining() || !c.fitsEmpty(&job.Spec) {
+	if c.Machine.Draining() || !c.fitsWhenEmpty(&job.Spec) {
 		return false
 	}
 	return c.accepts(job, now)
@@ -95,11 +96,12 @@
 // slotCandidate is the cheapest next slot on one machine.
 type slotCandidate struct {
 	slot
-	remaining *Capacity // as the slots found before leave it, nil: there are none
-	index     int       // of the machine among the others, so that equal costs keep an order
+	remaining *Capacity // capacity left by the slots found on the machine, nil if there are none
+	index     int       // index of the machine in the round, which breaks ties between equal costs
 }
 
-// claim counts the slot as used.
+// claim allocates the slot in the candidate's remaining capacity and adds its victims to
+// claimed.
 func (c *slotCandidate) claim(job *pipeline.Job, claimed victimSet) {
 	if c.remaining == nil {
 		remaining := *c.capacity
@@ -112,7 +114,7 @@
 	c.remaining.Allocate(&job.Spec, 1)
 }
 
-// slotHeap implements heap.Interface, the cheapest slot first.
+// slotHeap implements heap.Interface with the cheapest slot first.
 type slotHeap []slotCandidate
 
 func (h slotHeap) Len() int { return len(h) }
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -8,59 +8,58 @@
 )
 
 const (
-	// starvedAfter is how long a job waits for its first task behind jobs of higher
-	// priority. The objective for the largest jobs of each class is a start within
-	// four minutes; a task takes most of a minute to find a machine and fetch its
-	// image.
+	// starvedAfter is how long a job may wait for its first task behind jobs of higher
+	// priority. The objective for the largest jobs of each class is a start within four
+	// minutes, and a task takes most of a minute to be placed and to fetch its image.
 	starvedAfter = 150 * time.Second
-	// firstTaskProtection is for how long the first task of a job that was starved is
-	// not preempted: the next round would evict it for the jobs it overtook.
+	// firstTaskProtection is how long the first task of a starved job is protected from
+	// preemption. Otherwise the next round would evict it for the jobs that it was placed
+	// ahead of.
 	firstTaskProtection = time.Minute
-	// maxStarvedStarts bounds the starved jobs that one round starts, since each looks
-	// at all machines.
+	// maxStarvedStarts limits the starved jobs that one round starts, since each of them
+	// visits all machines.
 	maxStarvedStarts = 8
 )
 
-// isStarved reports whether a job has waited for so long that its first task goes
-// before any other work. Gangs are left to their order, since no task of a gang can
-// start alone.
+// isStarved reports whether a job has waited so long that its first task is placed before
+// all other tasks. Gangs are excluded, since a task of a gang cannot start alone.
 func isStarved(job *pipeline.Job, now event.Time) bool {
 	return !job.IsGang() && job.StartOverdue(starvedAfter, now)
 }
 
-// isProtectedStart reports whether a task was placed a moment ago as the first one of
-// a job that was starved.
+// isProtectedStart reports whether a task is protected from preemption, as the first task
+// of a starved job that was placed less than firstTaskProtection ago.
 func isProtectedStart(task *pipeline.Assignment, now event.Time) bool {
 	wasStarved := task.PlacementDelay() > starvedAfter
 	return task.IsFirstOfJob() && wasStarved && now-task.PlacedAt() < firstTaskProtection
 }
 
 // startStarvedJobs places one task of each starved job, or reserves the capacity that
-// comes free for it first. Nothing is preempted for it, and the rest of the job keeps
-// its place in the order: a single task takes little from jobs of higher priority.
+// becomes free first. It preempts no tasks, and the job's other tasks keep their place in
+// the queue: a single task takes little capacity from jobs of higher priority.
 func (r *round) startStarvedJobs() {
 	started := 0
 	for _, job := range r.queue {
 		if started == maxStarvedStarts || r.budget.exhausted() {
 			return
 		}
-		if !isStarved(job, r.now) || r.tasksToPlace(job) == 0 {
+		if !isStarved(job, r.now) || r.placeableTasks(job) == 0 {
 			continue
 		}
 		started++
-		if !r.placeOne(job) {
+		if !r.placeSingleTask(job) {
 			r.reserve(job, 1)
 		}
 	}
 }
 
-// placeOne places a single task of a job that is no gang. It reports whether there
-// was capacity for it.
-func (r *round) placeOne(job *pipeline.Job) bool {
+// placeSingleTask places a single task of a job that is not a gang. It reports whether a
+// machine had capacity for it.
+func (r *round) placeSingleTask(job *pipeline.Job) bool {
 	placed := r.TasksByZone(job)
 	for _, capacity := range r.rankMachines(job) {
 		if TasksAllowedInZone(job, placed, capacity.Zone) > 0 {
-			r.placeTasks(job, placement{capacity, 1}, nextAttempt(job))
+			r.assignTasks(job, placement{capacity, 1}, nextAttempt(job))
 			return true
 		}
 	}
--- a/internal/scheduler/zone_constraints.go
+++ b/internal/scheduler/zone_constraints.go
@@ -7,22 +7,23 @@
 	"lugward/internal/pipeline"
 )
 
-// unknownZone is the zone of a machine that is not known.
+// unknownZone is the zone of an unknown machine.
 const unknownZone pipeline.ZoneIndex = -1
 
-// ZoneCounts counts tasks of a job by zone. Tasks on machines that are not known
-// count under a negative zone.
+// ZoneCounts is the number of tasks of a job by zone. Tasks on unknown machines are
+// counted under a negative zone.
 type ZoneCounts map[pipeline.ZoneIndex]int
 
-// TasksByZone counts, per zone, the tasks of a job that may be on machines there.
+// TasksByZone returns the number of active tasks of a job, those that may be on a
+// machine, by zone.
 func (s *Scheduler) TasksByZone(job *pipeline.Job) ZoneCounts {
 	counts := ZoneCounts{}
 	s.countTasks(job, counts)
 	return counts
 }
 
-// countTasks adds the tasks of a job to counts. It is a function of its own so that the
-// compiler can inline TasksByZone and keep the map on the stack.
+// countTasks adds the active tasks of a job to counts. It is a separate function so that
+// the compiler can inline TasksByZone and keep the map on the stack.
 func (s *Scheduler) countTasks(job *pipeline.Job, counts ZoneCounts) {
 	for task := range job.Assignments() {
 		zone := unknownZone
@@ -33,8 +34,8 @@
 	}
 }
 
-// singleZone returns the zone where all of the tasks are, known only where it is a
-// single one whose machines are known.
+// singleZone returns the zone that contains all counted tasks. known is false if there
+// are no tasks, if they are in several zones or if their zone is unknown.
 func (z ZoneCounts) singleZone() (zone pipeline.ZoneIndex, known bool) {
 	if len(z) != 1 {
 		return unknownZone, false
@@ -45,9 +46,10 @@
 	return zone, zone != unknownZone
 }
 
-// TasksAllowedInZone is how many more tasks of a job its spread constraint allows in a
-// zone: half of the job. A new leader does not know yet where a machine is that has
-// not sent a heartbeat: its tasks count in every zone.
+// TasksAllowedInZone returns how many more tasks of a job its spread constraint allows
+// in a zone. A zone may hold half of the job's tasks, rounded up. A new leader does not
+// know the zone of a machine until that sends a heartbeat, so tasks in the unknown zone
+// count against every zone.
 func TasksAllowedInZone(job *pipeline.Job, placed ZoneCounts, zone pipeline.ZoneIndex) int {
 	if !job.SpreadZones {
 		return math.MaxInt32
@@ -56,11 +58,11 @@
 	return half - placed[zone] - placed[unknownZone]
 }
 
-// inSingleZone keeps the machines of a single zone, as the affinity constraint asks
-// for: the zone where tasks of the job may still be, else the one that holds most of
-// them. Where the tasks may be in several zones or an unknown one the job waits until
-// they are not.
-func inSingleZone(job *pipeline.Job, machines []*Capacity, placed ZoneCounts, wanted int) []*Capacity {
+// limitToSingleZone returns the machines of one zone, as the job's zone affinity
+// constraint requires: the zone of its active tasks, or else the zone that fits the most
+// of the wanted tasks. It returns none while active tasks are in several zones or in an
+// unknown one, so the job gets no further tasks until that has changed.
+func limitToSingleZone(job *pipeline.Job, machines []*Capacity, placed ZoneCounts, wanted int) []*Capacity {
 	zone, known := placed.singleZone()
 	if !known {
 		if len(placed) > 0 {
@@ -77,8 +79,8 @@
 	return kept
 }
 
-// zoneWithMostCapacity is the zone that holds most of the wanted tasks, of equal ones
-// that of the most suitable machine.
+// zoneWithMostCapacity returns the zone that fits the most of the wanted tasks. Ties go
+// to the zone of the machine that ranks first in machines.
 func zoneWithMostCapacity(job *pipeline.Job, machines []*Capacity, wanted int) pipeline.ZoneIndex {
 	fits := map[pipeline.ZoneIndex]int{}
 	for _, capacity := range machines {
@@ -95,9 +97,10 @@
 	return zone
 }
 
-// zonesToSearch lists the zones to search for slots for a job: any zone at once, or
-// one at a time if the affinity constraint binds its tasks together, beginning with
-// the zone that is chosen for its reservations.
+// zonesToSearch lists the zones to search for slots for a job. For a job of one task or
+// without a zone affinity constraint it is a single selector of any zone. Otherwise it is
+// the zone of the job's active tasks or, if there are none, every zone in turn,
+// beginning with the zone chosen for the job's reservations.
 func (r *round) zonesToSearch(job *pipeline.Job) []pipeline.ZoneSelector {
 	if !job.SameZone || job.TaskCount == 1 {
 		return []pipeline.ZoneSelector{{}}
@@ -107,7 +110,7 @@
 		if zone, known := placed.singleZone(); known {
 			return []pipeline.ZoneSelector{pipeline.OnlyZone(zone)}
 		}
-		return nil // until it is known where they are
+		return nil // the active tasks are in several zones or in an unknown one
 	}
 	var zones []pipeline.ZoneSelector
 	if job.ReservedZone().IsSingle() {
