--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,6 +1,6 @@
-// Package autoscaler scales the machines of the cloud out and in: it learns the machine
-// types, provisions machines for tasks that find no capacity, and decommissions
-// machines that nothing can use.
+// Package autoscaler scales the cluster out and in. It fetches the machine types from the
+// cloud, provisions machines for tasks that do not fit on the existing machines, and
+// decommissions machines that are unused, lost or unreachable.
 package autoscaler
 
 import (
@@ -16,16 +16,16 @@
 
 // Prefixes of the autoscaler's keys in the state service.
 const (
-	MachineTypesKeyPrefix = "c" // c/types: the machine types as last seen
-	DecommissionKeyPrefix = "h" // h/<machine>: gets no more tasks and is to be released
+	MachineTypesKeyPrefix = "c" // c/types holds the machine types of the cloud
+	DecommissionKeyPrefix = "h" // h/<machine> exists while the machine is being decommissioned
 )
 
 const machineTypesKey = MachineTypesKeyPrefix + "/types"
 
-// scanInterval is the time between two scans of all machines.
+// scanInterval is the interval between scans of all machines.
 const scanInterval = 500 * time.Millisecond
 
-// Config holds the dependencies and the settings of an Autoscaler.
+// Config holds the dependencies and settings of an Autoscaler.
 type Config struct {
 	Names   *pipeline.Names
 	Jobs    *pipeline.Table
@@ -33,19 +33,19 @@
 	Store   *kv.Client
 	Logger  *slog.Logger
 
-	MaxValueBytes    int           // size of the largest value that the state service accepts
-	CloudAddr        string        // host and port of the cloud's API
+	MaxValueBytes    int           // largest value that the state service accepts
+	CloudAddr        string        // host and port of the cloud API
 	CloudRPS         float64       // requests per second that the cloud accepts
-	ListLag          time.Duration // by which the cloud's machine list may be out of date
-	MaxConnections   int           // sockets that this controller may have open
-	HeartbeatTimeout time.Duration // a machine without a heartbeat for longer is unresponsive
-	IdleTimeout      time.Duration // an idle machine is released after this time
-	SettleTime       time.Duration // after a term begins no machine is released for this long
+	ListLag          time.Duration // maximum staleness of the cloud's machine list
+	MaxConnections   int           // maximum number of open sockets of this controller
+	HeartbeatTimeout time.Duration // a machine is unresponsive if its last heartbeat is older
+	IdleTimeout      time.Duration // idle machines are decommissioned after this time
+	SettleTime       time.Duration // delay after the start of a term before unused and lost machines are decommissioned
 }
 
-// Autoscaler provisions and releases the machines of the cloud. All controllers follow
-// the stored machine types and decommissions; everything else is the leader's. It is
-// not safe for concurrent use.
+// Autoscaler provisions and releases the machines of the cloud. Every controller watches
+// the persisted machine types and decommissions. Everything else is done by the leader
+// only. An Autoscaler is not safe for concurrent use.
 type Autoscaler struct {
 	cloud         *cloudClient
 	catalog       *machineTypeCatalog
@@ -58,12 +58,12 @@
 	planner       *planner
 	scaleIn       *scaleIn
 
-	settleTime  time.Duration // after termBeganAt no machine is released for this long
+	settleTime  time.Duration // delay after termBeganAt before unused and lost machines are decommissioned
 	termBeganAt event.Time
-	scannedAt   event.Time // when all machines were last looked at
+	scannedAt   event.Time // time of the last scan of all machines
 }
 
-// New returns an autoscaler that knows no machine types yet.
+// New returns an Autoscaler without any machine types.
 func New(cfg Config) *Autoscaler {
 	a := &Autoscaler{settleTime: cfg.SettleTime}
 	a.cloud = &cloudClient{addr: cfg.CloudAddr, rps: cfg.CloudRPS}
@@ -86,7 +86,7 @@
 	return a
 }
 
-// connectCloud builds the parts that provision, release and list machines.
+// connectCloud creates the components that provision, release and list machines.
 func (a *Autoscaler) connectCloud(cfg Config) {
 	a.provisioner = &provisioner{
 		cloud:   a.cloud,
@@ -103,17 +103,17 @@
 		provisioner: a.provisioner,
 		stored:      map[string]bool{},
 	}
-	listed := &listedMachines{
+	handler := &listedMachines{
 		names:         cfg.Names,
 		workers:       cfg.Workers,
 		booting:       a.booting,
 		decommissions: a.decommissions,
 		listLag:       cfg.ListLag,
 	}
-	a.list = &machineListReader{cloud: a.cloud, lag: cfg.ListLag, observe: listed.observe}
+	a.list = &machineListReader{cloud: a.cloud, lag: cfg.ListLag, observe: handler.observe}
 }
 
-// connectWorkers builds the parts that watch the connection to the machines.
+// connectWorkers creates the components that monitor the connections to the machines.
 func (a *Autoscaler) connectWorkers(cfg Config) {
 	a.partitions = &partitionDetector{
 		names:            cfg.Names,
@@ -129,7 +129,7 @@
 	}
 }
 
-// connectScaling builds the parts that decide when to scale out and in.
+// connectScaling creates the components that decide when to scale out and in.
 func (a *Autoscaler) connectScaling(cfg Config) {
 	a.planner = &planner{
 		names:       cfg.Names,
@@ -155,7 +155,7 @@
 	}
 }
 
-// Reset drops what only a leader knows.
+// Reset clears all state that only the leader maintains.
 func (a *Autoscaler) Reset() {
 	a.catalog.reset()
 	a.cloud.reset()
@@ -168,33 +168,36 @@
 	a.scannedAt = 0
 }
 
-// BeginTerm starts a term with the given fencing token.
+// BeginTerm resets the autoscaler for a new term of this controller with the given
+// fencing token.
 func (a *Autoscaler) BeginTerm(now event.Time, fencingToken uint64) {
 	a.Reset()
 	a.termBeganAt = now
 	a.list.beginTerm(now, fencingToken)
 }
 
-// HandleChange takes a change of a key with the prefix MachineTypesKeyPrefix or
-// DecommissionKeyPrefix. rest is what follows the prefix, data is nil if the key was
-// deleted.
-func (a *Autoscaler) HandleChange(prefix, rest string, data []byte) {
+// HandleChange handles a change of a key whose prefix is MachineTypesKeyPrefix or
+// DecommissionKeyPrefix. suffix is the part of the key after the prefix and the slash.
+// data is nil if the key was deleted.
+func (a *Autoscaler) HandleChange(prefix, suffix string, data []byte) {
 	switch prefix {
 	case DecommissionKeyPrefix:
-		a.decommissions.handleChange(rest, data)
+		a.decommissions.handleChange(suffix, data)
 	case MachineTypesKeyPrefix:
 		a.catalog.handleChange(data)
 	}
 }
 
-// HandleCallResult takes the outcome of a call. It reports whether the call was the
-// autoscaler's.
+// HandleCallResult handles the outcome of a call. It reports whether the call was a
+// pending request of the autoscaler.
 func (a *Autoscaler) HandleCallResult(now event.Time, result event.CallResult) bool {
 	return a.cloud.handleResult(now, result)
 }
 
-// Tick does what is due of the leader's work: it reads the machine list, releases
-// machines and finds those that are lost. term is the condition of all writes.
+// Tick runs the leader's periodic work whose interval has passed: it refreshes the
+// machine types, reads the machine list, repeats failed requests, announces the fencing
+// token, releases decommissioned machines and scans all machines. All writes are
+// conditional on term.
 func (a *Autoscaler) Tick(now event.Time, leadership worker.Leadership, term kv.Compare, out *event.Effects) {
 	a.catalog.refresh(now, &term, out)
 	a.provisioner.sendRetries(now, out)
@@ -209,7 +212,8 @@
 	}
 }
 
-// scanMachines looks at all machines and decommissions those that nothing can use.
+// scanMachines updates the state of all machines and decommissions those that are
+// unused, lost, unresponsive or unreachable.
 func (a *Autoscaler) scanMachines(scan *scan, out *event.Effects) {
 	a.scaleIn.updateUse(scan)
 	scan.zones = a.partitions.runningByZone()
@@ -223,11 +227,12 @@
 	a.scaleIn.decommissionUnused(scan)
 }
 
-// Plan provisions for the tasks of blocked jobs, which found no capacity, as things
-// will stand when a machine asked for now is up: what ends or leaves by then frees
-// capacity, what was preempted needs capacity again, and machines that are booting take
-// tasks. For the rest machines are provisioned where a task costs least. Nothing is
-// provisioned before the cloud's list has been read in this term.
+// Plan provisions machines for the tasks of blocked jobs, which could not be placed. It
+// forecasts the capacity at the time when a machine requested now would be running:
+// tasks that end by then free their capacity, preempted tasks need capacity again, and
+// booting machines accept tasks. For the remaining tasks Plan requests machines from the
+// pools with the lowest cost per task. Nothing is provisioned before the cloud's machine
+// list has been read in this term.
 func (a *Autoscaler) Plan(now event.Time, blocked []*pipeline.Job, s *scheduler.Scheduler, fencingToken uint64, out *event.Effects) {
 	if !a.list.upToDate {
 		a.list.expedite(now)
@@ -246,40 +251,41 @@
 	}
 }
 
-// RefreshMachineTypes asks the cloud for its machine types if that is due. Any
-// controller may do so, until they are known.
+// RefreshMachineTypes requests the machine types from the cloud if the refresh interval
+// has passed. Any controller may call it until the machine types are known.
 func (a *Autoscaler) RefreshMachineTypes(now event.Time, out *event.Effects) {
 	a.catalog.refresh(now, nil, out)
 }
 
-// MachineTypes returns the machine types of the cloud as last seen. The list that the
-// pointer refers to is updated in place.
+// MachineTypes returns the most recent machine types of the cloud. The list is updated in
+// place, so callers may keep the pointer.
 func (a *Autoscaler) MachineTypes() *scheduler.MachineTypes { return &a.catalog.types }
 
-// ReplanRequested reports whether a response of the cloud calls for another plan at
-// once.
+// ReplanRequested reports whether a response of the cloud requires a new plan before the
+// next regular one.
 func (a *Autoscaler) ReplanRequested() bool { return a.provisioner.replanRequested }
 
-// TakeReplanRequest is like ReplanRequested and clears the request: the caller makes
-// the plan.
+// TakeReplanRequest reports whether a new plan is required and clears the request. The
+// caller must call Plan if it returns true.
 func (a *Autoscaler) TakeReplanRequest() bool {
 	requested := a.provisioner.replanRequested
 	a.provisioner.replanRequested = false
 	return requested
 }
 
-// Released reports whether a machine was released in this term, by its name: a heartbeat
-// of it that arrives now was sent before.
+// Released reports whether the named machine was released in this term. A heartbeat from
+// it that arrives afterwards was sent before the release.
 func (a *Autoscaler) Released(machine string) bool {
 	_, released := a.decommissions.releasedAt(machine)
 	return released
 }
 
-// IsBooting reports whether a machine is expected to register, by its index.
+// IsBooting reports whether the machine with the given index has been provisioned but
+// has not registered yet.
 func (a *Autoscaler) IsBooting(machine pipeline.MachineIndex) bool {
 	return a.booting.get(machine) != nil
 }
 
-// HasUnregisteredMachines reports whether the cloud lists a machine as running that has
-// sent us no heartbeat.
+// HasUnregisteredMachines reports whether the cloud lists as running any machine that has
+// not sent a heartbeat to this controller.
 func (a *Autoscaler) HasUnregisteredMachines() bool { return a.booting.anyRunning() }
--- a/internal/autoscaler/boot_times_test.go
+++ b/internal/autoscaler/boot_times_test.go
@@ -7,42 +7,43 @@
 	"lugward/internal/scheduler"
 )
 
-// statedBootTime is how long machines boot as the cloud states.
+// statedBootTime is the boot time stated by the cloud.
 const statedBootTime = 60 * time.Second
 
-// recordBoots lets machines of the first type boot, one after the other.
-func (f *fixture) recordBoots(t *testing.T, count int, took func(i int) time.Duration) {
+// recordBoots records boots of machines of the first type with the boot times that
+// bootTime returns.
+func (f *fixture) recordBoots(t *testing.T, count int, bootTime func(i int) time.Duration) {
 	t.Helper()
 	for i := range count {
-		f.booting.recordBoot(&bootingMachine{provisionedHere: true}, took(i))
+		f.booting.recordBoot(&bootingMachine{provisionedHere: true}, bootTime(i))
 	}
 }
 
-// What is known of boot times never makes the autoscaler release machines that come as
-// the cloud states, nor keep or count on those that do not come for several times as
-// long.
+// Recorded boot times must not change the timeouts so far that machines that boot in the
+// stated time are released, or that machines that do not register for several times the
+// stated time are kept or relied on.
 func TestBootTimeouts(t *testing.T) {
 	for _, test := range []struct {
 		name        string
-		took        func(i int) time.Duration
-		least, most time.Duration // of the expected boot time
+		bootTime    func(i int) time.Duration
+		least, most time.Duration // bounds of the expected boot time
 	}{
 		{
-			name:  "quick boots",
-			took:  func(int) time.Duration { return time.Second },
-			least: statedBootTime / 2,
-			most:  statedBootTime / 2,
+			name:     "quick boots",
+			bootTime: func(int) time.Duration { return time.Second },
+			least:    statedBootTime / 2,
+			most:     statedBootTime / 2,
 		},
 		{
-			name:  "slow boots",
-			took:  func(int) time.Duration { return 10 * statedBootTime },
-			least: 2 * statedBootTime,
-			most:  2 * statedBootTime,
+			name:     "slow boots",
+			bootTime: func(int) time.Duration { return 10 * statedBootTime },
+			least:    2 * statedBootTime,
+			most:     2 * statedBootTime,
 		},
 		{
-			// Machines that were asked for together come in the order of their boots.
-			name: "boots that differ by half",
-			took: func(i int) time.Duration {
+			// Machines that were requested together register in the order of their boot times.
+			name: "boot times vary by half",
+			bootTime: func(i int) time.Duration {
 				return statedBootTime*6/10 + statedBootTime*9/10*time.Duration(i%200)/200
 			},
 			least: statedBootTime * 9 / 10,
@@ -53,17 +54,17 @@
 			f := newFixture(t, Config{})
 			machineType := &scheduler.MachineType{BootTime: statedBootTime.Seconds()}
 			f.catalog.types = scheduler.MachineTypes{machineType}
-			f.recordBoots(t, 200, test.took)
+			f.recordBoots(t, 200, test.bootTime)
 			bootTimes := f.booting.bootTimes
 			expected := time.Duration(bootTimes.expected(machineType) * float64(time.Second))
 			if expected < test.least || expected > test.most {
-				t.Errorf("the expected boot time is %s", expected)
+				t.Errorf("expected boot time = %s, want %s to %s", expected, test.least, test.most)
 			}
 			if timeout := bootTimes.timeout(machineType, bootTimeoutFactor); timeout < 2*statedBootTime || timeout > 4*statedBootTime {
-				t.Errorf("released after %s", timeout)
+				t.Errorf("boot timeout = %s, want %s to %s", timeout, 2*statedBootTime, 4*statedBootTime)
 			}
 			if timeout := bootTimes.timeout(machineType, overdueFactor); timeout < statedBootTime*3/2 || timeout > 3*statedBootTime {
-				t.Errorf("overdue after %s", timeout)
+				t.Errorf("time until overdue = %s, want %s to %s", timeout, statedBootTime*3/2, 3*statedBootTime)
 			}
 		})
 	}
--- a/internal/autoscaler/booting.go
+++ b/internal/autoscaler/booting.go
@@ -10,42 +10,42 @@
 	"lugward/internal/worker"
 )
 
-// bootingMachine is a provisioned machine that has not registered, that is, has sent no
-// heartbeat yet.
+// bootingMachine is a provisioned machine that has not registered yet. A machine
+// registers with its first heartbeat.
 type bootingMachine struct {
 	pool            machinePool
-	since           event.Time // when it was provisioned or, if running, first listed so
-	running         bool       // by the cloud's list
-	provisionedHere bool       // by this controller in this term
-	unneededSince   event.Time // since when no task is planned for it, 0: one is
+	since           event.Time // time of provisioning or, if running, when first listed as running
+	running         bool       // whether the cloud lists the machine as running
+	provisionedHere bool       // whether this controller provisioned it in this term
+	unneededSince   event.Time // since when no plan has used the machine, zero if the last plan did
 }
 
-// bootingMachines holds the machines that have not registered yet.
+// bootingMachines is the set of machines that have not registered yet.
 type bootingMachines struct {
 	catalog   *machineTypeCatalog
 	bootTimes *bootTimes
 
-	byIndex map[pipeline.MachineIndex]*bootingMachine // by machine
+	byIndex map[pipeline.MachineIndex]*bootingMachine
 }
 
-// reset forgets all machines.
+// reset removes all machines.
 func (b *bootingMachines) reset() {
 	b.byIndex = map[pipeline.MachineIndex]*bootingMachine{}
 }
 
-// get returns a machine by its index, nil where it is not booting.
+// get returns the machine with the given index, or nil if it is not booting.
 func (b *bootingMachines) get(index pipeline.MachineIndex) *bootingMachine { return b.byIndex[index] }
 
-// add adds a machine or replaces what was known of it.
+// add adds a machine or replaces its entry.
 func (b *bootingMachines) add(machine *worker.Machine, booting *bootingMachine) {
 	b.byIndex[machine.Index] = booting
 }
 
-// remove forgets a machine by its index.
+// remove removes the machine with the given index, if present.
 func (b *bootingMachines) remove(index pipeline.MachineIndex) { delete(b.byIndex, index) }
 
-// all iterates over the machines in the order of their indices. They may be removed
-// meanwhile.
+// all iterates over the machines in index order. The caller may remove machines during
+// the iteration.
 func (b *bootingMachines) all() iter.Seq2[pipeline.MachineIndex, *bootingMachine] {
 	return func(yield func(pipeline.MachineIndex, *bootingMachine) bool) {
 		for _, index := range slices.Sorted(maps.Keys(b.byIndex)) {
@@ -56,14 +56,15 @@
 	}
 }
 
-// isRunning reports whether the cloud lists a machine as running that has not registered.
+// isRunning reports whether a machine is unregistered although the cloud lists it as
+// running.
 func (b *bootingMachines) isRunning(index pipeline.MachineIndex) bool {
 	booting := b.byIndex[index]
 	return booting != nil && booting.running
 }
 
-// anyRunning reports whether the cloud lists any machine as running that has not
-// registered.
+// anyRunning reports whether any machine is unregistered although the cloud lists it as
+// running.
 func (b *bootingMachines) anyRunning() bool {
 	for _, booting := range b.byIndex {
 		if booting.running {
@@ -73,21 +74,22 @@
 	return false
 }
 
-// recordBoot records how long a machine took to register. Since a term may begin while
-// a machine boots, only those that were provisioned in this term count.
+// recordBoot records how long a machine took to register. Only machines that were
+// provisioned in this term are recorded, because a term may begin while a machine boots.
 func (b *bootingMachines) recordBoot(booting *bootingMachine, now event.Time) {
 	if booting.provisionedHere {
 		b.bootTimes.record(booting.pool.machineType, now-booting.since)
 	}
 }
 
-// isOverdue reports whether a machine is not to be counted on any more.
+// isOverdue reports whether a machine has been booting for much longer than expected, so
+// that plans no longer rely on it.
 func (b *bootingMachines) isOverdue(booting *bootingMachine, now event.Time) bool {
 	machineType := b.catalog.get(booting.pool.machineType)
 	return machineType != nil && !booting.running && now-booting.since > b.bootTimes.timeout(machineType, overdueFactor)
 }
 
-// overduePools is the set of pools with overdue machines.
+// overduePools returns the set of pools that have overdue machines.
 func (b *bootingMachines) overduePools(now event.Time) map[machinePool]bool {
 	pools := map[machinePool]bool{}
 	for _, booting := range b.byIndex {
--- a/internal/autoscaler/capacity_forecast.go
+++ b/internal/autoscaler/capacity_forecast.go
@@ -8,16 +8,16 @@
 	"lugward/internal/scheduler"
 )
 
-// capacityForecast holds the capacity of the machines as it will be once a machine
-// asked for now is up. Tasks are placed on it for planning only.
+// capacityForecast holds the expected free capacity of the machines at the time when a
+// machine requested now would be running. Tasks are placed on it only for planning.
 type capacityForecast struct {
 	now             event.Time
-	capacities      []*scheduler.Capacity                         // of machines that are up, booting or asked for; nil where the type is not known
-	booting         map[pipeline.MachineIndex]*scheduler.Capacity // those of booting machines, by machine
-	releasedSeconds float64                                       // capacity of tasks that end within so many seconds is free
+	capacities      []*scheduler.Capacity                         // of running, booting and requested machines, nil for an unknown type
+	booting         map[pipeline.MachineIndex]*scheduler.Capacity // of booting machines, nil for an unknown type
+	releasedSeconds float64                                       // capacity of tasks that end within this time has been freed
 }
 
-// add adds the capacity of a machine that is asked for.
+// add adds the capacity of a requested machine.
 func (f *capacityForecast) add(capacity *scheduler.Capacity) {
 	f.capacities = append(f.capacities, capacity)
 }
@@ -30,29 +30,31 @@
 	}
 }
 
-// releaseWithin frees the capacity of tasks that end within so many seconds.
-func (f *capacityForecast) releaseWithin(within float64) {
-	if within <= f.releasedSeconds {
-		return // an earlier job's machines take as long
+// releaseWithin frees the capacity of tasks that are expected to end within the given
+// number of seconds.
+func (f *capacityForecast) releaseWithin(seconds float64) {
+	if seconds <= f.releasedSeconds {
+		return // already freed for an earlier job whose machines boot at least as long
 	}
-	f.releasedSeconds = within
+	f.releasedSeconds = seconds
 	for _, capacity := range f.capacities {
 		if capacity != nil {
-			capacity.ReleaseWithin(within)
+			capacity.ReleaseWithin(seconds)
 		}
 	}
 }
 
-// hasMachineFor reports whether a task of a job fits on one of the machines once it is
-// empty.
+// hasMachineFor reports whether a task of the job would fit on at least one of the
+// machines if the machine were empty.
 func (f *capacityForecast) hasMachineFor(job *pipeline.Job) bool {
 	return slices.ContainsFunc(f.capacities, func(capacity *scheduler.Capacity) bool {
 		return capacity != nil && capacity.Matches(&job.Spec) && capacity.MachineType.CanRun(&job.Spec)
 	})
 }
 
-// place places tasks of a job in a zone, or in any. It updates the tasks in each zone
-// and returns how many tasks are left.
+// place places up to the given number of tasks of a job in a zone, or in any zone if zone
+// is pipeline.AnyZone. It adds the placed tasks to tasksPerZone and returns the number of
+// tasks that could not be placed.
 func (f *capacityForecast) place(job *pipeline.Job, tasks int, tasksPerZone scheduler.ZoneCounts, zone pipeline.ZoneIndex) (left int) {
 	left = tasks
 	for _, capacity := range f.capacities {
@@ -72,7 +74,8 @@
 	return left
 }
 
-// isUsable reports whether tasks of a job may be placed on a machine.
+// isUsable reports whether tasks of a job may be placed on a machine, regardless of its
+// free capacity.
 func (f *capacityForecast) isUsable(job *pipeline.Job, capacity *scheduler.Capacity, zone pipeline.ZoneIndex) bool {
 	if capacity == nil || !capacity.Matches(&job.Spec) {
 		return false
@@ -83,7 +86,8 @@
 	return zone == pipeline.AnyZone || capacity.Zone == zone
 }
 
-// missing is how many of a job's tasks find no capacity in a zone; it may be negative.
+// missing returns the number of tasks of a job that do not fit into the free capacity of
+// a zone. The result is negative if more tasks would fit.
 func (f *capacityForecast) missing(job *pipeline.Job, tasks int, zone pipeline.ZoneIndex) int {
 	missing := tasks
 	for _, capacity := range f.capacities {
--- a/internal/autoscaler/cloud_client_test.go
+++ b/internal/autoscaler/cloud_client_test.go
@@ -8,7 +8,7 @@
 	"lugward/internal/event"
 )
 
-// Requests that were not sent add up to a burst, and no further.
+// After a long time without requests the client must not send more than one burst.
 func TestCloudClientBurst(t *testing.T) {
 	const rps, burst = 10, 20
 	client := &cloudClient{rps: rps}
@@ -20,12 +20,12 @@
 		sent++
 	}
 	if sent != burst {
-		t.Errorf("%d requests sent at once, not %d", sent, burst)
+		t.Errorf("sent %d requests at once, want %d", sent, burst)
 	}
 }
 
-// The client pauses where the cloud refuses a request for its rate or is out, but not
-// where it only has no machines.
+// The client must pause when the cloud rejects a request because of its rate limit or is
+// unavailable, but not when the cloud only has no capacity for a provisioning request.
 func TestCloudClientPause(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -36,7 +36,7 @@
 		{name: "success", method: http.MethodGet, status: http.StatusOK},
 		{name: "rate exceeded", method: http.MethodPost, status: http.StatusTooManyRequests, paused: true},
 		{name: "unavailable", method: http.MethodGet, status: http.StatusServiceUnavailable, paused: true},
-		{name: "no machines", method: http.MethodPost, status: http.StatusServiceUnavailable},
+		{name: "no capacity", method: http.MethodPost, status: http.StatusServiceUnavailable},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			const now = time.Minute
@@ -47,19 +47,19 @@
 			handled := 0
 			client.send(test.method, "/", nil, func(_ event.Time, response response) {
 				if response.status != test.status {
-					t.Errorf("handled with status %d", response.status)
+					t.Errorf("handler got status %d, want %d", response.status, test.status)
 				}
 				handled++
 			}, &out)
 			result := event.CallResult{ID: out.Calls[0].ID, Status: test.status}
 			if !client.handleResult(now, result) || client.handleResult(now, result) || handled != 1 {
-				t.Errorf("handled %d times", handled)
+				t.Errorf("handler called %d times, want 1; only the first result of a call must be handled", handled)
 			}
 			if client.ready(now) == test.paused {
-				t.Errorf("paused: %v, not %v", !test.paused, test.paused)
+				t.Errorf("paused = %t, want %t", !test.paused, test.paused)
 			}
 			if !client.ready(now + errorPause) {
-				t.Error("the pause does not end")
+				t.Errorf("client not ready %s after the response", errorPause)
 			}
 		})
 	}
--- a/internal/autoscaler/decommission.go
+++ b/internal/autoscaler/decommission.go
@@ -11,21 +11,26 @@
 )
 
 const (
-	// Only so many decommissions wait for their write at a time: hundreds after a burst
-	// would hold up the writes that free the machines of running jobs.
+	// maxPendingDecommissions is the maximum number of decommissions that wait for
+	// their write. After a burst, hundreds of them would delay the writes that free the
+	// machines of running jobs.
 	maxPendingDecommissions = 20
-	decommissionRank        = 100                    // before the progress of any job: an idle machine costs money
-	cleanupTimeout          = 10 * time.Minute       // of a write that nothing waits for
-	maxReleaseBatch         = 100                    // machines released by one request
-	releaseInterval         = 100 * time.Millisecond // between two looks at what is to be released
+	// decommissionRank puts decommissions before the progress of any job, because an
+	// idle machine costs money.
+	decommissionRank = 100
+	// cleanupTimeout is the timeout of the write that deletes a completed decommission.
+	// Nothing waits for that write.
+	cleanupTimeout  = 10 * time.Minute
+	maxReleaseBatch = 100                    // machines per release request
+	releaseInterval = 100 * time.Millisecond // between checks for machines to release
 )
 
-// decommissionValue is what is stored of a decommissioned machine; only that it exists
-// counts.
+// decommissionValue is the value of a decommission key. Only the existence of the key
+// matters.
 var decommissionValue = []byte("1")
 
-// decommissions takes machines out of service. A decommission is stored before the
-// machine is released, so that no later leader places a task there.
+// decommissions decommissions and releases machines. A decommission is persisted before
+// the machine is released, so that no later leader places a task on the machine.
 type decommissions struct {
 	store       *kv.Client
 	cloud       *cloudClient
@@ -33,14 +38,15 @@
 	booting     *bootingMachines
 	provisioner *provisioner
 
-	stored    map[string]bool       // machines whose decommission is stored
-	storing   map[string]bool       // machines whose write is under way
-	releasing map[string]bool       // the cloud is asked, or the stored decommission is being deleted
-	released  map[string]event.Time // when the cloud took a machine back, in this term
-	checkedAt event.Time            // when the stored ones were last looked at
+	// All maps are keyed by machine name.
+	stored    map[string]bool       // the decommission is persisted
+	storing   map[string]bool       // the write of the decommission is pending
+	releasing map[string]bool       // the release request or the deletion of the decommission is pending
+	released  map[string]event.Time // time of release, for machines released in this term
+	checkedAt event.Time            // time of the last check for machines to release
 }
 
-// reset drops what only a leader knows.
+// reset clears the state that only the leader maintains.
 func (d *decommissions) reset() {
 	d.storing = map[string]bool{}
 	d.releasing = map[string]bool{}
@@ -48,7 +54,8 @@
 	d.checkedAt = 0
 }
 
-// handleChange takes a change of a stored decommission; data is nil if it was deleted.
+// handleChange handles a change of the decommission key of a machine. data is nil if the
+// key was deleted.
 func (d *decommissions) handleChange(machine string, data []byte) {
 	if data == nil {
 		delete(d.stored, machine)
@@ -57,19 +64,22 @@
 	}
 }
 
-// isLeaving reports whether the decommission of a machine is stored or being completed.
+// isLeaving reports whether the decommission of a machine is persisted or its release is
+// in progress.
 func (d *decommissions) isLeaving(machine string) bool {
 	return d.stored[machine] || d.releasing[machine]
 }
 
-// releasedAt is when a machine was released in this term.
+// releasedAt returns the time at which a machine was released. released is false if the
+// machine was not released in this term.
 func (d *decommissions) releasedAt(machine string) (at event.Time, released bool) {
 	at, released = d.released[machine]
 	return at, released
 }
 
-// start stores that a machine gets no more tasks; it is released once that is stored.
-// Where too many such writes are under way a later scan of the machines repeats it.
+// start begins to decommission a machine: the machine accepts no more tasks, and it is
+// released once the decommission is persisted. If too many such writes are pending, a
+// later scan of the machines calls start again.
 func (d *decommissions) start(machine *worker.Machine, now event.Time, term kv.Compare) {
 	machine.StartDecommission()
 	name := machine.Name
@@ -88,7 +98,8 @@
 
 func decommissionKey(machine string) string { return DecommissionKeyPrefix + "/" + machine }
 
-// release asks the cloud to take back machines whose decommission is stored.
+// release requests the release of machines whose decommission is persisted, at most once
+// per releaseInterval.
 func (d *decommissions) release(now event.Time, term kv.Compare, out *event.Effects) {
 	if len(d.stored) == 0 || now-d.checkedAt < releaseInterval {
 		return
@@ -110,8 +121,8 @@
 	}, out)
 }
 
-// unreleased lists, by name, the machines whose decommission is stored and which the
-// cloud has not been asked to take back.
+// unreleased returns the sorted names of the machines whose decommission is persisted and
+// for which no release is in progress.
 func (d *decommissions) unreleased() []string {
 	var machines []string
 	for name := range d.stored {
@@ -123,7 +134,7 @@
 	return machines
 }
 
-// handleResponse takes the response to a request to take machines back.
+// handleResponse handles the response to a release request for the given machines.
 func (d *decommissions) handleResponse(now event.Time, response response, machines []string, term kv.Compare) {
 	for _, name := range machines {
 		delete(d.releasing, name)
@@ -137,8 +148,8 @@
 	}
 }
 
-// finish forgets a machine that the cloud has taken back: that proves that its tasks
-// have terminated.
+// finish removes a machine that the cloud has released and deletes its decommission. The
+// release proves that the tasks of the machine have terminated.
 func (d *decommissions) finish(name string, now event.Time, term kv.Compare) {
 	machine := d.workers.Add(name, now)
 	d.workers.RecordTermination(machine)
@@ -146,7 +157,7 @@
 	d.provisioner.clearBackoff(poolOf(machine))
 	d.workers.Remove(machine)
 	d.released[name] = now
-	d.releasing[name] = true // no second request while the stored decommission is deleted
+	d.releasing[name] = true // prevents a second request until the decommission is deleted
 	d.store.Submit(&kv.Txn{
 		Priority: kv.PriorityGarbageCollection,
 		Compares: []kv.Compare{term},
--- a/internal/autoscaler/decommission_test.go
+++ b/internal/autoscaler/decommission_test.go
@@ -9,8 +9,8 @@
 	"lugward/internal/kv"
 )
 
-// A machine whose decommission is stored is released, and forgotten once the cloud has
-// taken it back.
+// A machine whose decommission is persisted must be released, and removed only when the
+// cloud confirms the release. A failed request must be repeated.
 func TestRelease(t *testing.T) {
 	const machine = "i-1"
 	for _, test := range []struct {
@@ -18,8 +18,8 @@
 		status   int
 		released bool
 	}{
-		{name: "taken back", status: http.StatusOK, released: true},
-		{name: "refused", status: http.StatusInternalServerError},
+		{name: "released", status: http.StatusOK, released: true},
+		{name: "error", status: http.StatusInternalServerError},
 		{name: "no response", status: 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -29,19 +29,19 @@
 			var out event.Effects
 			f.decommissions.release(now, kv.Compare{}, &out)
 			if len(out.Calls) != 1 || out.Calls[0].Path != "/rentals/return" || string(out.Calls[0].Body) != `{"hosts":["i-1"]}` {
-				t.Fatalf("calls %+v", out.Calls)
+				t.Fatalf("calls = %+v, want one release request for machine %q", out.Calls, machine)
 			}
 			if !f.workers.Lookup(machine).Decommissioning() {
-				t.Error("the machine may still get tasks")
+				t.Errorf("machine %q is not decommissioning after its release was requested", machine)
 			}
 			f.HandleCallResult(now, event.CallResult{ID: out.Calls[0].ID, Status: test.status})
 			if f.Released(machine) != test.released || (f.workers.Lookup(machine) == nil) != test.released {
-				t.Errorf("released: %v, known: %v", f.Released(machine), f.workers.Lookup(machine) != nil)
+				t.Errorf("released = %t, in registry = %t, want %t, %t", f.Released(machine), f.workers.Lookup(machine) != nil, test.released, !test.released)
 			}
 			out.Reset()
 			f.decommissions.release(now+errorPause, kv.Compare{}, &out)
 			if repeated := len(out.Calls) == 1; repeated == test.released {
-				t.Errorf("repeated: %v", repeated)
+				t.Errorf("release request repeated = %t, want %t", repeated, !test.released)
 			}
 		})
 	}
--- a/internal/autoscaler/fixture_test.go
+++ b/internal/autoscaler/fixture_test.go
@@ -23,10 +23,11 @@
 	testWriteRPS   = 60
 )
 
-// testHeartbeatTimeout is after which time a machine is unresponsive in tests.
+// testHeartbeatTimeout is the time without heartbeats after which a machine is
+// unresponsive in tests.
 const testHeartbeatTimeout = time.Minute
 
-// fixture is an autoscaler with what it depends on.
+// fixture is an autoscaler with its dependencies.
 type fixture struct {
 	*Autoscaler
 	names   *pipeline.Names
@@ -34,8 +35,8 @@
 	workers *worker.Registry
 }
 
-// newFixture returns an autoscaler with the settings of cfg, whose dependencies are
-// filled in.
+// newFixture returns an autoscaler with the settings of cfg. It sets the dependencies in
+// cfg itself.
 func newFixture(t *testing.T, cfg Config) *fixture {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -56,17 +57,18 @@
 	return &fixture{Autoscaler: New(cfg), names: names, jobs: jobs, workers: workers}
 }
 
-// setMachineTypes makes those of a list in the cloud's protocol the machine types.
+// setMachineTypes applies a list of machine types encoded in the cloud's protocol.
 func (f *fixture) setMachineTypes(t *testing.T, list string) {
 	t.Helper()
 	types, err := decodeMachineTypes([]byte(list))
 	if err != nil {
-		t.Fatalf("the types are not taken: %v", err)
+		t.Fatalf("decodeMachineTypes(%s): %v", list, err)
 	}
 	f.catalog.apply(types)
 }
 
-// newScheduler returns a scheduler for a team with a limit of CPUs, 0 for none.
+// newScheduler returns a scheduler for one team with the given CPU limit. A limit of zero
+// means no limit.
 func (f *fixture) newScheduler(team string, maxCPUs float64) *scheduler.Scheduler {
 	return scheduler.New(scheduler.Config{
 		Jobs:             f.jobs,
@@ -77,7 +79,7 @@
 	})
 }
 
-// requestedMachines counts the machines that the calls ask the cloud for.
+// requestedMachines returns the number of machines requested from the cloud by the calls.
 func requestedMachines(t *testing.T, calls []event.Call) int {
 	t.Helper()
 	count := 0
--- a/internal/autoscaler/machine_list.go
+++ b/internal/autoscaler/machine_list.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	listInterval = 10 * time.Second // least time between two readings of the machine list
-	listPageSize = 500              // machines on a page
-	// listRateShare is the part of the cloud's rate that reading the list may take: the
-	// more machines, the more pages it has, and the rest is for provisioning and
-	// releasing.
+	listInterval = 10 * time.Second // minimum time between the starts of two reads of the machine list
+	listPageSize = 500              // machines per page
+	// listRateShare is the share of the cloud's rate limit that reads of the list may
+	// use. The number of pages grows with the number of machines, and the rest of the
+	// rate is needed to provision and release machines.
 	listRateShare = 0.25
 )
 
 // machineListReader reads the cloud's machine list page by page.
 type machineListReader struct {
 	cloud   *cloudClient
-	lag     time.Duration                             // by which the list may be out of date
-	observe func(listed *wireMachine, now event.Time) // takes a machine of the list
+	lag     time.Duration                             // maximum staleness of the list
+	observe func(listed *wireMachine, now event.Time) // called for each machine of the list
 
-	inFlight  bool       // a page is asked for
-	reading   bool       // pages of the present reading are left
-	after     string     // the machine behind which its next page begins
-	startedAt event.Time // when its first page was asked for
-	pages     int        // of it so far
-	validFrom event.Time // a reading that began before this may miss machines
-	upToDate  bool       // a reading that began at validFrom or later is complete
+	inFlight  bool       // a page request is pending
+	reading   bool       // a read has started and is not complete
+	after     string     // name of the last machine of the previous page, empty for the first page
+	startedAt event.Time // when the latest read started
+	pages     int        // pages received in the latest read
+	validFrom event.Time // a read that started earlier may miss machines
+	upToDate  bool       // a read that started at validFrom or later is complete
 }
 
-// reset drops the present reading and lets the next one begin at once.
+// reset aborts the current read and allows the next one to start immediately.
 func (r *machineListReader) reset() {
 	r.inFlight = false
 	r.reading = false
@@ -44,9 +44,9 @@
 	r.upToDate = false
 }
 
-// beginTerm makes the list count as out of date until it is read in the new term. What a
-// leader before us provisioned last may be missing from the list for a while: a plan by
-// an older list would provision it twice.
+// beginTerm sets the earliest time at which a read of the list may start to be up to date
+// in the new term. Machines that a previous leader provisioned last may be missing from
+// the list for the lag. A plan based on such a list would provision them twice.
 func (r *machineListReader) beginTerm(now event.Time, fencingToken uint64) {
 	r.validFrom = now
 	if fencingToken > 1 {
@@ -54,13 +54,13 @@
 	}
 }
 
-// interval is the time from the beginning of one reading to that of the next.
+// interval returns the time between the starts of two reads.
 func (r *machineListReader) interval() time.Duration {
 	seconds := float64(r.pages) / (listRateShare * r.cloud.rps)
 	return max(listInterval, time.Duration(seconds*float64(time.Second)))
 }
 
-// due reports whether a page is to be asked for.
+// due reports whether it is time to request a page.
 func (r *machineListReader) due(now event.Time) bool {
 	if r.inFlight {
 		return false
@@ -68,16 +68,17 @@
 	return r.reading || now-r.startedAt >= r.interval()
 }
 
-// expedite lets the next reading begin at once if it will be up to date.
+// expedite allows the next read to start immediately if its result would be up to date.
 func (r *machineListReader) expedite(now event.Time) {
 	if now >= r.validFrom && !r.reading {
 		r.startedAt = now - r.interval()
 	}
 }
 
-// requestPage asks for the next page if that is due. The list shows machines that the
-// registry does not know. Reading keeps to the cloud's rate: a list of many pages,
-// read as fast as they come, would be refused before its end, every time.
+// requestPage requests the next page of the list if one is due. The list is needed to
+// find machines that the registry does not contain. Requests are subject to the rate
+// limit: if the pages of a long list were requested as fast as they arrive, the cloud
+// would reject a request before the end of every read.
 func (r *machineListReader) requestPage(now event.Time, out *event.Effects) {
 	if !r.due(now) || !r.cloud.ready(now) {
 		return
@@ -92,8 +93,8 @@
 	r.cloud.get(machineListPath(r.after), r.handleResponse, out)
 }
 
-// handleResponse takes a page. One that did not come, or is malformed, is asked for
-// again.
+// handleResponse handles the response to a page request. A page that failed or is
+// malformed is requested again.
 func (r *machineListReader) handleResponse(now event.Time, response response) {
 	r.inFlight = false
 	if response.status != http.StatusOK {
@@ -117,23 +118,24 @@
 	}
 }
 
-// listedMachines takes what the cloud's list says of the machines.
+// listedMachines updates the registry and the booting machines from the entries of the
+// cloud's machine list.
 type listedMachines struct {
 	names         *pipeline.Names
 	workers       *worker.Registry
 	booting       *bootingMachines
 	decommissions *decommissions
-	listLag       time.Duration // by which the list may be out of date
+	listLag       time.Duration // maximum staleness of the list
 }
 
-// observe takes what the list says of a machine.
+// observe handles a machine of the list.
 func (l *listedMachines) observe(listed *wireMachine, now event.Time) {
 	if listed.Name == "" || l.decommissions.isLeaving(listed.Name) {
 		return
 	}
 	releasedAt, released := l.decommissions.releasedAt(listed.Name)
 	if released && now-releasedAt < 2*l.listLag+listInterval {
-		return // the list is older than the release
+		return // the list may predate the release
 	}
 	machine := l.workers.Add(listed.Name, now)
 	machine.NoteListedAddr(listed.Addr)
@@ -142,7 +144,7 @@
 		machine.Describe(pool.machineType, pool.zone, pool.spot)
 	}
 	if listed.Phase == phaseFailed {
-		machine.StartDecommission() // the next scan stores that
+		machine.StartDecommission() // the next scan persists it
 		return
 	}
 	if machine.LastHeartbeat() == 0 {
@@ -150,15 +152,15 @@
 	}
 }
 
-// observeUnregistered takes what the list says of a machine that has sent no
-// heartbeat. One that is running counts as booting until it registers or is released.
+// observeUnregistered handles a machine of the list that has not sent a heartbeat. A
+// running machine counts as booting until it registers or is released.
 func (l *listedMachines) observeUnregistered(machine *worker.Machine, listed *wireMachine, now event.Time) {
-	known := l.booting.get(machine.Index)
+	booting := l.booting.get(machine.Index)
 	switch {
-	case listed.Phase == phaseBooting && known == nil:
+	case listed.Phase == phaseBooting && booting == nil:
 		age := time.Duration(listed.AgeSeconds * float64(time.Second))
 		l.booting.add(machine, &bootingMachine{pool: poolOf(machine), since: now - age})
-	case listed.Phase == phaseRunning && (known == nil || !known.running):
+	case listed.Phase == phaseRunning && (booting == nil || !booting.running):
 		l.booting.add(machine, &bootingMachine{pool: poolOf(machine), since: now, running: true})
 	}
 }
--- a/internal/autoscaler/machine_list_test.go
+++ b/internal/autoscaler/machine_list_test.go
@@ -9,15 +9,16 @@
 	"lugward/internal/event"
 )
 
-// The list is read page by page; a page that did not come is asked for again.
+// The list must be read page by page, and a failed or malformed page must be requested
+// again.
 func TestMachineListPages(t *testing.T) {
 	const now = time.Minute
-	var observed []string
+	var handled []string
 	client := &cloudClient{rps: testRPS}
 	client.reset()
 	list := &machineListReader{
 		cloud:   client,
-		observe: func(listed *wireMachine, _ event.Time) { observed = append(observed, listed.Name) },
+		observe: func(listed *wireMachine, _ event.Time) { handled = append(handled, listed.Name) },
 	}
 	list.reset()
 	for _, page := range []struct {
@@ -34,22 +35,22 @@
 		list.requestPage(now, &out)
 		list.requestPage(now, &out)
 		if len(out.Calls) != 1 || out.Calls[0].Path != page.path {
-			t.Fatalf("calls %+v, not one of %s", out.Calls, page.path)
+			t.Fatalf("calls = %+v, want one for %s", out.Calls, page.path)
 		}
-		// Each Effects of this test numbers its calls anew.
+		// Call IDs start again with each Effects of this test.
 		client.handleResult(now, event.CallResult{ID: out.Calls[0].ID, Status: page.status, Body: []byte(page.body)})
 	}
-	if want := []string{"i-1", "i-2", "i-3"}; !slices.Equal(observed, want) {
-		t.Errorf("observed %v, not %v", observed, want)
+	if want := []string{"i-1", "i-2", "i-3"}; !slices.Equal(handled, want) {
+		t.Errorf("listed machines = %v, want %v", handled, want)
 	}
 	var out event.Effects
 	if list.requestPage(now, &out); len(out.Calls) != 0 {
-		t.Errorf("asked for again at once: %+v", out.Calls)
+		t.Errorf("calls right after a complete read = %+v, want none", out.Calls)
 	}
 }
 
-// A list is up to date if its reading began when it could show what leaders before us
-// had provisioned.
+// The list counts as up to date only if its read started late enough for the list to
+// include the machines that previous leaders provisioned.
 func TestMachineListUpToDate(t *testing.T) {
 	const termBeganAt, lag = time.Minute, 5 * time.Second
 	for _, test := range []struct {
@@ -72,7 +73,7 @@
 			list.requestPage(test.readAt, &out)
 			client.handleResult(test.readAt, event.CallResult{ID: out.Calls[0].ID, Status: http.StatusOK, Body: []byte("{}")})
 			if list.upToDate != test.want {
-				t.Errorf("up to date: %v", list.upToDate)
+				t.Errorf("upToDate = %t, want %t", list.upToDate, test.want)
 			}
 		})
 	}
