--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -101,16 +101,16 @@
 		workers:     cfg.Workers,
 		booting:     a.booting,
 		provisioner: a.provisioner,
-		stored:      map[string]bool{},
+		persisted:   map[string]bool{},
 	}
-	handler := &listedMachines{
+	handler := &listedMachineHandler{
 		names:         cfg.Names,
 		workers:       cfg.Workers,
 		booting:       a.booting,
 		decommissions: a.decommissions,
 		listLag:       cfg.ListLag,
 	}
-	a.list = &machineListReader{cloud: a.cloud, lag: cfg.ListLag, observe: handler.observe}
+	a.list = &machineListReader{cloud: a.cloud, lag: cfg.ListLag, handleMachine: handler.handle}
 }
 
 // connectWorkers creates the components that monitor the connections to the machines.
@@ -201,8 +201,8 @@
 func (a *Autoscaler) Tick(now event.Time, leadership worker.Leadership, term kv.Compare, out *event.Effects) {
 	a.catalog.refresh(now, &term, out)
 	a.provisioner.sendRetries(now, out)
-	a.decommissions.release(now, term, out)
-	a.list.requestPage(now, out)
+	a.decommissions.releaseIfDue(now, term, out)
+	a.list.requestPageIfDue(now, out)
 	if a.announcer.incomplete {
 		a.announcer.announce(now, leadership, out)
 	}
--- a/internal/autoscaler/boot_times.go
+++ b/internal/autoscaler/boot_times.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	bootSamples = 128 // number of recent boots kept per machine type
+	bootHistorySize = 128 // number of recent boots kept per machine type
 	// The median boot time of a type is limited to these multiples of the boot time
 	// stated by the cloud. Machines that are released at their boot timeout are not
 	// recorded. With a lower minimum, a series of quick boots would therefore cause all
@@ -32,13 +32,13 @@
 // bootHistory holds the boot times of the most recent machines of a type, as ratios to
 // the boot time stated by the cloud. A nil history is empty.
 type bootHistory struct {
-	ratios [bootSamples]float64
+	ratios [bootHistorySize]float64
 	count  int
 }
 
 // add records the ratio of one boot, replacing the oldest if the history is full.
 func (h *bootHistory) add(ratio float64) {
-	h.ratios[h.count%bootSamples] = ratio
+	h.ratios[h.count%bootHistorySize] = ratio
 	h.count++
 }
 
@@ -50,7 +50,7 @@
 	if h == nil || h.count == 0 {
 		return 1
 	}
-	sorted := slices.Clone(h.ratios[:min(h.count, bootSamples)])
+	sorted := slices.Clone(h.ratios[:min(h.count, bootHistorySize)])
 	slices.Sort(sorted)
 	median := sorted[len(sorted)/2]
 	return min(max(median, minBootRatio), maxBootRatio)
--- a/internal/autoscaler/capacity_forecast.go
+++ b/internal/autoscaler/capacity_forecast.go
@@ -11,10 +11,10 @@
 // capacityForecast holds the expected free capacity of the machines at the time when a
 // machine requested now would be running. Tasks are placed on it only for planning.
 type capacityForecast struct {
-	now             event.Time
-	capacities      []*scheduler.Capacity                         // of running, booting and requested machines, nil for an unknown type
-	booting         map[pipeline.MachineIndex]*scheduler.Capacity // of booting machines, nil for an unknown type
-	releasedSeconds float64                                       // capacity of tasks that end within this time has been freed
+	now                   event.Time
+	capacities            []*scheduler.Capacity                         // of running, booting and requested machines, nil for an unknown type
+	booting               map[pipeline.MachineIndex]*scheduler.Capacity // of booting machines, nil for an unknown type
+	releasedWithinSeconds float64                                       // capacity of tasks that end within this time has been freed
 }
 
 // add adds the capacity of a requested machine.
@@ -33,10 +33,10 @@
 // releaseWithin frees the capacity of tasks that are expected to end within the given
 // number of seconds.
 func (f *capacityForecast) releaseWithin(seconds float64) {
-	if seconds <= f.releasedSeconds {
+	if seconds <= f.releasedWithinSeconds {
 		return // already freed for an earlier job whose machines boot at least as long
 	}
-	f.releasedSeconds = seconds
+	f.releasedWithinSeconds = seconds
 	for _, capacity := range f.capacities {
 		if capacity != nil {
 			capacity.ReleaseWithin(seconds)
--- a/internal/autoscaler/decommission.go
+++ b/internal/autoscaler/decommission.go
@@ -39,16 +39,16 @@
 	provisioner *provisioner
 
 	// All maps are keyed by machine name.
-	stored    map[string]bool       // the decommission is persisted
-	storing   map[string]bool       // the write of the decommission is pending
-	releasing map[string]bool       // the release request or the deletion of the decommission is pending
-	released  map[string]event.Time // time of release, for machines released in this term
-	checkedAt event.Time            // time of the last check for machines to release
+	persisted  map[string]bool       // the decommission is persisted
+	persisting map[string]bool       // the write of the decommission is pending
+	releasing  map[string]bool       // the release request or the deletion of the decommission is pending
+	released   map[string]event.Time // time of release, for machines released in this term
+	checkedAt  event.Time            // time of the last check for machines to release
 }
 
 // reset clears the state that only the leader maintains.
 func (d *decommissions) reset() {
-	d.storing = map[string]bool{}
+	d.persisting = map[string]bool{}
 	d.releasing = map[string]bool{}
 	d.released = map[string]event.Time{}
 	d.checkedAt = 0
@@ -58,16 +58,16 @@
 // key was deleted.
 func (d *decommissions) handleChange(machine string, data []byte) {
 	if data == nil {
-		delete(d.stored, machine)
+		delete(d.persisted, machine)
 	} else {
-		d.stored[machine] = true
+		d.persisted[machine] = true
 	}
 }
 
 // isLeaving reports whether the decommission of a machine is persisted or its release is
 // in progress.
 func (d *decommissions) isLeaving(machine string) bool {
-	return d.stored[machine] || d.releasing[machine]
+	return d.persisted[machine] || d.releasing[machine]
 }
 
 // releasedAt returns the time at which a machine was released. released is false if the
@@ -83,25 +83,25 @@
 func (d *decommissions) start(machine *worker.Machine, now event.Time, term kv.Compare) {
 	machine.StartDecommission()
 	name := machine.Name
-	if d.storing[name] || d.stored[name] || len(d.storing) >= maxPendingDecommissions {
+	if d.persisting[name] || d.persisted[name] || len(d.persisting) >= maxPendingDecommissions {
 		return
 	}
-	d.storing[name] = true
+	d.persisting[name] = true
 	d.store.Submit(&kv.Txn{
 		Priority: kv.PriorityProgress,
 		Rank:     decommissionRank,
 		Compares: []kv.Compare{term},
 		Writes:   []kv.Write{{Key: decommissionKey(name), Data: decommissionValue}},
-		Done:     func(kv.Result) { delete(d.storing, name) },
+		Done:     func(kv.Result) { delete(d.persisting, name) },
 	}, now+writeTimeout)
 }
 
 func decommissionKey(machine string) string { return DecommissionKeyPrefix + "/" + machine }
 
-// release requests the release of machines whose decommission is persisted, at most once
-// per releaseInterval.
-func (d *decommissions) release(now event.Time, term kv.Compare, out *event.Effects) {
-	if len(d.stored) == 0 || now-d.checkedAt < releaseInterval {
+// releaseIfDue requests the release of machines whose decommission is persisted, at most
+// once per releaseInterval.
+func (d *decommissions) releaseIfDue(now event.Time, term kv.Compare, out *event.Effects) {
+	if len(d.persisted) == 0 || now-d.checkedAt < releaseInterval {
 		return
 	}
 	d.checkedAt = now
@@ -125,7 +125,7 @@
 // for which no release is in progress.
 func (d *decommissions) unreleased() []string {
 	var machines []string
-	for name := range d.stored {
+	for name := range d.persisted {
 		if !d.releasing[name] {
 			machines = append(machines, name)
 		}
--- a/internal/autoscaler/decommission_test.go
+++ b/internal/autoscaler/decommission_test.go
@@ -27,7 +27,7 @@
 			f := newFixture(t, Config{})
 			f.HandleChange(DecommissionKeyPrefix, machine, []byte("1"))
 			var out event.Effects
-			f.decommissions.release(now, kv.Compare{}, &out)
+			f.decommissions.releaseIfDue(now, kv.Compare{}, &out)
 			if len(out.Calls) != 1 || out.Calls[0].Path != "/rentals/return" || string(out.Calls[0].Body) != `{"hosts":["i-1"]}` {
 				t.Fatalf("calls = %+v, want one release request for machine %q", out.Calls, machine)
 			}
@@ -39,7 +39,7 @@
 				t.Errorf("released = %t, in registry = %t, want %t, %t", f.Released(machine), f.workers.Lookup(machine) != nil, test.released, !test.released)
 			}
 			out.Reset()
-			f.decommissions.release(now+errorPause, kv.Compare{}, &out)
+			f.decommissions.releaseIfDue(now+errorPause, kv.Compare{}, &out)
 			if repeated := len(out.Calls) == 1; repeated == test.released {
 				t.Errorf("release request repeated = %t, want %t", repeated, !test.released)
 			}
--- a/internal/autoscaler/machine_list.go
+++ b/internal/autoscaler/machine_list.go
@@ -20,9 +20,9 @@
 
 // machineListReader reads the cloud's machine list page by page.
 type machineListReader struct {
-	cloud   *cloudClient
-	lag     time.Duration                             // maximum staleness of the list
-	observe func(listed *wireMachine, now event.Time) // called for each machine of the list
+	cloud         *cloudClient
+	lag           time.Duration                             // maximum staleness of the list
+	handleMachine func(listed *wireMachine, now event.Time) // called for each machine of the list
 
 	inFlight  bool       // a page request is pending
 	reading   bool       // a read has started and is not complete
@@ -60,8 +60,8 @@
 	return max(listInterval, time.Duration(seconds*float64(time.Second)))
 }
 
-// due reports whether it is time to request a page.
-func (r *machineListReader) due(now event.Time) bool {
+// pageDue reports whether it is time to request a page.
+func (r *machineListReader) pageDue(now event.Time) bool {
 	if r.inFlight {
 		return false
 	}
@@ -75,12 +75,12 @@
 	}
 }
 
-// requestPage requests the next page of the list if one is due. The list is needed to
-// find machines that the registry does not contain. Requests are subject to the rate
+// requestPageIfDue requests the next page of the list if one is due. The list is needed
+// to find machines that the registry does not contain. Requests are subject to the rate
 // limit: if the pages of a long list were requested as fast as they arrive, the cloud
 // would reject a request before the end of every read.
-func (r *machineListReader) requestPage(now event.Time, out *event.Effects) {
-	if !r.due(now) || !r.cloud.ready(now) {
+func (r *machineListReader) requestPageIfDue(now event.Time, out *event.Effects) {
+	if !r.pageDue(now) || !r.cloud.ready(now) {
 		return
 	}
 	if !r.reading {
@@ -106,7 +106,7 @@
 	}
 	r.pages++
 	for i := range page.Machines {
-		r.observe(&page.Machines[i], now)
+		r.handleMachine(&page.Machines[i], now)
 	}
 	if page.HasMore && len(page.Machines) > 0 {
 		r.after = page.Machines[len(page.Machines)-1].Name
@@ -118,9 +118,9 @@
 	}
 }
 
-// listedMachines updates the registry and the booting machines from the entries of the
-// cloud's machine list.
-type listedMachines struct {
+// listedMachineHandler updates the registry and the booting machines from the entries of
+// the cloud's machine list.
+type listedMachineHandler struct {
 	names         *pipeline.Names
 	workers       *worker.Registry
 	booting       *bootingMachines
@@ -128,19 +128,19 @@
 	listLag       time.Duration // maximum staleness of the list
 }
 
-// observe handles a machine of the list.
-func (l *listedMachines) observe(listed *wireMachine, now event.Time) {
-	if listed.Name == "" || l.decommissions.isLeaving(listed.Name) {
+// handle updates the state of one machine of the list.
+func (h *listedMachineHandler) handle(listed *wireMachine, now event.Time) {
+	if listed.Name == "" || h.decommissions.isLeaving(listed.Name) {
 		return
 	}
-	releasedAt, released := l.decommissions.releasedAt(listed.Name)
-	if released && now-releasedAt < 2*l.listLag+listInterval {
+	releasedAt, released := h.decommissions.releasedAt(listed.Name)
+	if released && now-releasedAt < 2*h.listLag+listInterval {
 		return // the list may predate the release
 	}
-	machine := l.workers.Add(listed.Name, now)
+	machine := h.workers.Add(listed.Name, now)
 	machine.NoteListedAddr(listed.Addr)
 	if !machine.Known() {
-		pool := listed.pool(l.names)
+		pool := listed.pool(h.names)
 		machine.Describe(pool.machineType, pool.zone, pool.spot)
 	}
 	if listed.Phase == phaseFailed {
@@ -148,19 +148,19 @@
 		return
 	}
 	if machine.LastHeartbeat() == 0 {
-		l.observeUnregistered(machine, listed, now)
+		h.handleUnregistered(machine, listed, now)
 	}
 }
 
-// observeUnregistered handles a machine of the list that has not sent a heartbeat. A
+// handleUnregistered handles a machine of the list that has not sent a heartbeat. A
 // running machine counts as booting until it registers or is released.
-func (l *listedMachines) observeUnregistered(machine *worker.Machine, listed *wireMachine, now event.Time) {
-	booting := l.booting.get(machine.Index)
+func (h *listedMachineHandler) handleUnregistered(machine *worker.Machine, listed *wireMachine, now event.Time) {
+	booting := h.booting.get(machine.Index)
 	switch {
 	case listed.Phase == phaseBooting && booting == nil:
 		age := time.Duration(listed.AgeSeconds * float64(time.Second))
-		l.booting.add(machine, &bootingMachine{pool: poolOf(machine), since: now - age})
+		h.booting.add(machine, &bootingMachine{pool: poolOf(machine), since: now - age})
 	case listed.Phase == phaseRunning && (booting == nil || !booting.running):
-		l.booting.add(machine, &bootingMachine{pool: poolOf(machine), since: now, running: true})
+		h.booting.add(machine, &bootingMachine{pool: poolOf(machine), since: now, running: true})
 	}
 }
--- a/internal/autoscaler/machine_list_test.go
+++ b/internal/autoscaler/machine_list_test.go
@@ -17,8 +17,8 @@
 	client := &cloudClient{rps: testRPS}
 	client.reset()
 	list := &machineListReader{
-		cloud:   client,
-		observe: func(listed *wireMachine, _ event.Time) { handled = append(handled, listed.Name) },
+		cloud:         client,
+		handleMachine: func(listed *wireMachine, _ event.Time) { handled = append(handled, listed.Name) },
 	}
 	list.reset()
 	for _, page := range []struct {
@@ -32,8 +32,8 @@
 		{path: "/rentals?limit=500&from=i-2", status: http.StatusOK, body: `{"hosts":[{"name_id":"i-3"}],"has_next":false}`},
 	} {
 		var out event.Effects
-		list.requestPage(now, &out)
-		list.requestPage(now, &out)
+		list.requestPageIfDue(now, &out)
+		list.requestPageIfDue(now, &out)
 		if len(out.Calls) != 1 || out.Calls[0].Path != page.path {
 			t.Fatalf("calls = %+v, want one for %s", out.Calls, page.path)
 		}
@@ -44,7 +44,7 @@
 		t.Errorf("listed machines = %v, want %v", handled, want)
 	}
 	var out event.Effects
-	if list.requestPage(now, &out); len(out.Calls) != 0 {
+	if list.requestPageIfDue(now, &out); len(out.Calls) != 0 {
 		t.Errorf("calls right after a complete read = %+v, want none", out.Calls)
 	}
 }
@@ -70,7 +70,7 @@
 			list.reset()
 			list.beginTerm(termBeganAt, test.fencingToken)
 			var out event.Effects
-			list.requestPage(test.readAt, &out)
+			list.requestPageIfDue(test.readAt, &out)
 			client.handleResult(test.readAt, event.CallResult{ID: out.Calls[0].ID, Status: http.StatusOK, Body: []byte("{}")})
 			if list.upToDate != test.want {
 				t.Errorf("upToDate = %t, want %t", list.upToDate, test.want)
