--- a/internal/autoscaler/machine_pool.go
+++ b/internal/autoscaler/machine_pool.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// tieBreakWeight weighs less than any real difference in price.
+	// tieBreakWeight is small enough that it never outweighs a real difference in price.
 	tieBreakWeight = 1e-3
-	// A pool with overdue machines is avoided unless every other one costs more than
-	// this many times as much.
+	// overdueCostFactor multiplies the cost of a pool with overdue machines. Such a pool
+	// is used only if every other pool costs more than this factor times as much.
 	overdueCostFactor = 3.0
 )
 
-// machinePool is what the cloud provisions machines from: a machine type in a zone, as
-// spot machines or not.
+// machinePool identifies a pool from which the cloud provisions machines: a machine
+// type in a zone, either as spot machines or not.
 type machinePool struct {
 	machineType pipeline.MachineTypeIndex
 	zone        pipeline.ZoneIndex
@@ -33,7 +33,7 @@
 	return machinePool{machineType: machine.MachineType(), zone: machine.Zone(), spot: machine.Spot()}
 }
 
-// compare orders pools by type and zone, spot machines first.
+// compare orders pools by machine type, then by zone, then spot before non-spot pools.
 func (p machinePool) compare(other machinePool) int {
 	return cmp.Or(cmp.Compare(p.machineType, other.machineType), cmp.Compare(p.zone, other.zone), p.compareSpot(other))
 }
@@ -49,28 +49,28 @@
 	}
 }
 
-// sortedPools lists the keys in an order that does not change from run to run.
+// sortedPools returns the pools in counts in a deterministic order.
 func sortedPools(counts map[machinePool]int) []machinePool {
 	return slices.SortedFunc(maps.Keys(counts), machinePool.compare)
 }
 
-// poolQuery asks for machines for tasks of a job.
+// poolQuery describes the tasks of a job that need machines.
 type poolQuery struct {
 	job          *pipeline.Job
 	tasks        int
-	tasksPerZone scheduler.ZoneCounts // tasks of the job that are in each zone already
-	zone         pipeline.ZoneIndex   // the only one allowed, or pipeline.AnyZone
-	needed       map[machinePool]int  // machines that the plan asks for already
+	tasksPerZone scheduler.ZoneCounts // tasks of the job that are already in each zone
+	zone         pipeline.ZoneIndex   // the only allowed zone, or pipeline.AnyZone
+	needed       map[machinePool]int  // machines that the plan already provisions, by pool
 }
 
-// poolCandidate is a pool that has machines for a query.
+// poolCandidate is a pool that can provide machines for a query.
 type poolCandidate struct {
 	pool  machinePool
-	tasks int     // that fit on one machine
-	cost  float64 // per task and hour
+	tasks int     // number of tasks that one machine can run
+	cost  float64 // cost per task and hour, including overdueCostFactor and tie-break
 }
 
-// poolSelector finds the pools to provision machines from.
+// poolSelector selects the pools from which machines are provisioned.
 type poolSelector struct {
 	catalog     *machineTypeCatalog
 	provisioner *provisioner
@@ -79,9 +79,9 @@
 	now         event.Time
 }
 
-// cheapest finds the pool where the tasks of a query cost least.
+// cheapest returns the usable pool with the lowest cost per task of the query.
 func (s *poolSelector) cheapest(query poolQuery) (best poolCandidate, found bool) {
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, machineType := range s.catalog.types {
 		if !machineType.CanRun(&query.job.Spec) {
 			continue
@@ -90,8 +90,8 @@
 			for _, spot := range []bool{true, false} {
 				pool := machinePool{machineType: machineType.Index, zone: zone, spot: spot}
 				candidate, usable := s.evaluate(query, pool)
-				if usable && candidate.cost < least {
-					least = candidate.cost
+				if usable && candidate.cost < lowest {
+					lowest = candidate.cost
 					best = candidate
 					found = true
 				}
@@ -101,7 +101,8 @@
 	return best, found
 }
 
-// evaluate tells what a pool costs for a query, and whether it can be used.
+// evaluate returns the candidate for a pool, with its cost for the query. usable is
+// false if the pool cannot be used for the query.
 func (s *poolSelector) evaluate(query poolQuery, pool machinePool) (candidate poolCandidate, usable bool) {
 	otherZone := query.zone != pipeline.AnyZone && pool.zone != query.zone
 	if s.provisioner.backingOff(pool, s.now) || otherZone || s.partitions.isPartitioned(pool.zone) {
@@ -115,8 +116,8 @@
 	if tasks <= 0 {
 		return poolCandidate{}, false
 	}
-	// Machines are spread over pools of equal cost, so that one plan reaches the
-	// capacity of all zones.
+	// The tie-break spreads machines over pools of equal cost, so that a single plan can
+	// use the capacity of all zones.
 	cost := s.catalog.price(pool) / float64(min(tasks, query.tasks)) * (1 + tieBreakWeight*float64(query.needed[pool]))
 	if s.overdue[pool] {
 		cost *= overdueCostFactor
--- a/internal/autoscaler/machine_pool_test.go
+++ b/internal/autoscaler/machine_pool_test.go
@@ -9,8 +9,8 @@
 	"lugward/internal/scheduler"
 )
 
-// An overdue machine is not counted on, and another pool is tried before its own
-// unless that costs far more.
+// An overdue machine is not expected to register any more: its pool is chosen only if
+// every other pool costs more than overdueCostFactor times as much.
 func TestOverduePools(t *testing.T) {
 	const own, other = 0, 1 // machine types
 	for _, test := range []struct {
@@ -19,7 +19,7 @@
 		otherPrice float64
 		want       pipeline.MachineTypeIndex
 	}{
-		{name: "boots as stated", since: 4 * statedBootTime, otherPrice: 2, want: own},
+		{name: "within the stated boot time", since: 4 * statedBootTime, otherPrice: 2, want: own},
 		{name: "overdue", since: time.Second, otherPrice: 2, want: other},
 		{name: "overdue and the other type is expensive", since: time.Second, otherPrice: 4, want: own},
 	} {
@@ -35,7 +35,7 @@
 			job := &pipeline.Job{Spec: pipeline.Spec{TaskCount: 1, CPUs: 1, Zone: pipeline.AnyZone, AllowSpot: true}}
 			query := poolQuery{job: job, tasks: 1, zone: pipeline.AnyZone}
 			if got, found := plan.pools.cheapest(query); !found || got.pool.machineType != test.want {
-				t.Errorf("machines of %+v are asked for, not of type %d", got, test.want)
+				t.Errorf("cheapest returned %+v, found %t, want a pool of machine type %d", got, found, test.want)
 			}
 		})
 	}
--- a/internal/autoscaler/machine_types.go
+++ b/internal/autoscaler/machine_types.go
@@ -12,36 +12,37 @@
 )
 
 const (
-	machineTypesInterval = 60 * time.Second // between two requests for the machine types
-	writeTimeout         = time.Minute      // of a write that is repeated if it is still needed
+	machineTypesRefreshInterval = 60 * time.Second // between requests once the machine types are known
+	writeTimeout                = time.Minute      // for writes that are submitted again if still needed
 )
 
-// machineTypeCatalog holds the machine types of the cloud as last seen and keeps them
-// up to date.
+// machineTypeCatalog holds the cloud's machine types as last received and refreshes
+// them periodically.
 type machineTypeCatalog struct {
 	names         *pipeline.Names
 	jobs          *pipeline.Table
 	store         *kv.Client
 	cloud         *cloudClient
 	log           *slog.Logger
-	maxValueBytes int // of a stored value
+	maxValueBytes int // size limit of a value in the state service
 
-	types       scheduler.MachineTypes
-	requestedAt event.Time
-	stored      bool // the state service has them, or rejects them for good
+	types         scheduler.MachineTypes
+	requestedAt   event.Time
+	writeFinished bool // the state service has committed the machine types or rejected them as malformed
 }
 
-// reset lets the next refresh begin at once.
+// reset makes the next refresh due immediately.
 func (c *machineTypeCatalog) reset() {
-	c.requestedAt = -machineTypesInterval
+	c.requestedAt = -machineTypesRefreshInterval
 }
 
-// get returns a machine type, or nil where it is not known.
+// get returns a machine type, or nil if it is unknown.
 func (c *machineTypeCatalog) get(index pipeline.MachineTypeIndex) *scheduler.MachineType {
 	return c.types.Get(index)
 }
 
-// capacity is that of an empty machine of a pool, nil where its type is not known.
+// capacity returns the capacity of an empty machine of a pool, or nil if its machine
+// type is unknown.
 func (c *machineTypeCatalog) capacity(pool machinePool) *scheduler.Capacity {
 	machineType := c.get(pool.machineType)
 	if machineType == nil {
@@ -57,7 +58,8 @@
 	}
 }
 
-// price is what a machine of a pool costs per hour. The type is known.
+// price returns the hourly price of a machine of a pool. The machine type must be
+// known.
 func (c *machineTypeCatalog) price(pool machinePool) float64 {
 	machineType := c.get(pool.machineType)
 	if pool.spot {
@@ -66,21 +68,22 @@
 	return machineType.Price
 }
 
-// handleChange takes the machine types that a leader has stored; data is nil if they
-// were deleted. Then, and if they are malformed, those that are known stay in use.
+// handleChange applies the machine types that a leader has persisted. data is nil if
+// the key was deleted. If the key was deleted or its value is invalid, the machine
+// types that are already known stay in use.
 func (c *machineTypeCatalog) handleChange(data []byte) {
 	if data == nil {
 		return
 	}
 	list, err := decodeMachineTypes(data)
 	if err != nil {
-		c.log.Warn("stored machine types ignored", "error", err)
+		c.log.Warn("ignoring invalid machine types from the state service", "error", err)
 		return
 	}
 	c.apply(list)
 }
 
-// apply adds the machine types of a list or replaces what was known of them.
+// apply adds the machine types of a list, replacing those that are already known.
 func (c *machineTypeCatalog) apply(list wireMachineTypes) {
 	for i := range list.MachineTypes {
 		machineType := list.MachineTypes[i].machineType(c.names)
@@ -92,10 +95,11 @@
 	c.jobs.RequestRound()
 }
 
-// refresh asks the cloud for the machine types if that is due. A leader gives the
-// condition on its term, under which they are stored; other controllers give nil.
+// refresh requests the machine types from the cloud if a refresh is due. The leader
+// passes the condition on its term, under which the machine types are persisted; other
+// controllers pass nil.
 func (c *machineTypeCatalog) refresh(now event.Time, term *kv.Compare, out *event.Effects) {
-	interval := machineTypesInterval
+	interval := machineTypesRefreshInterval
 	if len(c.types) == 0 {
 		interval = errorPause
 	}
@@ -108,8 +112,8 @@
 	}, out)
 }
 
-// handleResponse takes the cloud's machine types. It asks again soon if they did not
-// come.
+// handleResponse handles the response to a request for the machine types. If the
+// request failed or the list is invalid, it is requested again after errorPause.
 func (c *machineTypeCatalog) handleResponse(now event.Time, response response, term *kv.Compare) {
 	if response.status != http.StatusOK {
 		c.retryRefresh(now)
@@ -117,24 +121,25 @@
 	}
 	list, err := decodeMachineTypes(response.body)
 	if err != nil {
-		c.log.Warn("machine types of the cloud ignored", "error", err)
+		c.log.Warn("ignoring invalid machine types from the cloud", "error", err)
 		c.retryRefresh(now)
 		return
 	}
 	c.apply(list)
-	if term != nil && !c.stored {
-		c.storeTypes(list, *term, now)
+	if term != nil && !c.writeFinished {
+		c.persistTypes(list, *term, now)
 	}
 }
 
-// retryRefresh lets the next refresh begin after a pause.
+// retryRefresh makes the next refresh due after errorPause.
 func (c *machineTypeCatalog) retryRefresh(now event.Time) {
-	c.requestedAt = now - machineTypesInterval + errorPause
+	c.requestedAt = now - machineTypesRefreshInterval + errorPause
 }
 
-// storeTypes stores the machine types for the other controllers. Where they are too
-// large each controller still learns them from the cloud.
-func (c *machineTypeCatalog) storeTypes(list wireMachineTypes, term kv.Compare, now event.Time) {
+// persistTypes persists the machine types for the other controllers. A list that exceeds
+// the size limit of a value is not persisted: each controller still gets the machine
+// types from the cloud.
+func (c *machineTypeCatalog) persistTypes(list wireMachineTypes, term kv.Compare, now event.Time) {
 	data := encode(list)
 	if len(data) > c.maxValueBytes {
 		return
@@ -144,9 +149,9 @@
 		Compares: []kv.Compare{term},
 		Writes:   []kv.Write{{Key: machineTypesKey, Data: data}},
 		Done: func(result kv.Result) {
-			// What is rejected as malformed would be rejected again.
+			// A write that was rejected as malformed would be rejected again.
 			if result.Outcome == kv.Committed || result.Outcome == kv.Rejected {
-				c.stored = true
+				c.writeFinished = true
 			}
 		},
 	}, now+writeTimeout)
--- a/internal/autoscaler/partitions.go
+++ b/internal/autoscaler/partitions.go
@@ -9,8 +9,9 @@
 	"lugward/internal/worker"
 )
 
-// partitionDetector finds the zones most of whose machines are unresponsive: nothing
-// is provisioned there, and machines that are there are kept for longer.
+// partitionDetector detects partitioned zones, in which most machines are unresponsive
+// or unreachable. No machines are provisioned in a partitioned zone, and its machines
+// are kept longer before they are released.
 type partitionDetector struct {
 	names            *pipeline.Names
 	workers          *worker.Registry
@@ -18,17 +19,17 @@
 	log              *slog.Logger
 	heartbeatTimeout time.Duration
 
-	partitioned map[pipeline.ZoneIndex]bool // by zone
+	partitioned map[pipeline.ZoneIndex]bool // zones that the last update found partitioned
 }
 
-// reset forgets all partitions.
+// reset clears the partitioned zones.
 func (d *partitionDetector) reset() { d.partitioned = nil }
 
 // isPartitioned reports whether a zone is partitioned from this controller.
 func (d *partitionDetector) isPartitioned(zone pipeline.ZoneIndex) bool { return d.partitioned[zone] }
 
-// runningByZone lists the machines of each zone that are up, unresponsive ones
-// included.
+// runningByZone returns the machines that are up, by zone. It includes unresponsive
+// machines, but no machines that are being decommissioned.
 func (d *partitionDetector) runningByZone() map[pipeline.ZoneIndex][]*worker.Machine {
 	zones := map[pipeline.ZoneIndex][]*worker.Machine{}
 	for machine := range d.workers.All() {
@@ -42,37 +43,37 @@
 	return zones
 }
 
-// update finds the zones that are partitioned now, given the running machines of each
-// zone.
+// update determines the partitioned zones from the running machines of each zone.
 func (d *partitionDetector) update(zones map[pipeline.ZoneIndex][]*worker.Machine, now event.Time) {
 	partitioned := map[pipeline.ZoneIndex]bool{}
 	for zone, machines := range zones {
-		lost := d.countLost(machines, now)
-		// A single lost machine says nothing of its zone.
-		if lost <= 1 || 2*lost <= len(machines) {
+		disconnected := d.countDisconnected(machines, now)
+		// A single disconnected machine does not indicate a partition of its zone.
+		if disconnected <= 1 || 2*disconnected <= len(machines) {
 			continue
 		}
 		partitioned[zone] = true
 		if !d.partitioned[zone] {
-			d.log.Info("zone partitioned", "zone", d.names.Zones.Name(zone), "machines", len(machines), "unresponsive", lost)
+			d.log.Info("zone partitioned: most of its machines are unresponsive or unreachable",
+				"zone", d.names.Zones.Name(zone), "machines", len(machines), "unresponsive", disconnected)
 		}
 	}
 	d.partitioned = partitioned
 }
 
-// countLost counts the machines that are unresponsive or unreachable.
-func (d *partitionDetector) countLost(machines []*worker.Machine, now event.Time) int {
-	lost := 0
+// countDisconnected counts the machines that are unresponsive or unreachable.
+func (d *partitionDetector) countDisconnected(machines []*worker.Machine, now event.Time) int {
+	disconnected := 0
 	for _, machine := range machines {
 		if now-d.lastSeen(machine) > d.heartbeatTimeout || machine.UnreachableSince() != 0 {
-			lost++
+			disconnected++
 		}
 	}
-	return lost
+	return disconnected
 }
 
-// lastSeen is when the last heartbeat of a machine came or, where it has not
-// registered, when the cloud first listed it as running.
+// lastSeen returns when the last heartbeat of a machine arrived. For a machine that has
+// not registered it returns when the cloud first listed it as running.
 func (d *partitionDetector) lastSeen(machine *worker.Machine) event.Time {
 	if booting := d.booting.get(machine.Index); machine.LastHeartbeat() == 0 && booting != nil {
 		return booting.since
--- a/internal/autoscaler/partitions_test.go
+++ b/internal/autoscaler/partitions_test.go
@@ -38,10 +38,10 @@
 			f.partitions.update(f.partitions.runningByZone(), now)
 			zone, ok := f.names.Zones.Lookup("a")
 			if !ok {
-				t.Fatal("the zone of the machines is not known")
+				t.Fatal("zone \"a\" of the machines is unknown")
 			}
 			if got := f.partitions.isPartitioned(zone); got != test.want {
-				t.Errorf("partitioned: %v", got)
+				t.Errorf("isPartitioned = %t, want %t", got, test.want)
 			}
 		})
 	}
--- a/internal/autoscaler/protocol.go
+++ b/internal/autoscaler/protocol.go
@@ -16,8 +16,8 @@
 	releasePath      = "/rentals/return" // POST
 )
 
-// machineListPath is the path of a page of the machine list: the machines behind the
-// given one, or the first page.
+// machineListPath returns the path of a page of the machine list. The page begins after
+// the given machine, or is the first page if after is empty.
 func machineListPath(after string) string {
 	path := fmt.Sprintf("%s?limit=%d", machinesPath, listPageSize)
 	if after != "" {
@@ -26,7 +26,7 @@
 	return path
 }
 
-// machinePhase is the state of a machine by the cloud's list.
+// machinePhase is the phase of a machine in the cloud's machine list.
 type machinePhase string
 
 const (
@@ -35,10 +35,11 @@
 	phaseFailed  machinePhase = "failed"
 )
 
-// insufficientCapacity is the cloud's error for a pool that has no machine left.
+// insufficientCapacity is the error that the cloud returns if a pool has no machines left.
 const insufficientCapacity = "no capacity"
 
-// wireMachineType is a machine type in the cloud's protocol, and as it is stored.
+// wireMachineType is a machine type as encoded in the cloud's API and in the state
+// service.
 type wireMachineType struct {
 	Name            string   `json:"name"`
 	CPUs            float64  `json:"cores"`
@@ -51,12 +52,13 @@
 	Zones           []string `json:"yards"`
 }
 
-// wireMachineTypes is the cloud's list of machine types, and as it is stored.
+// wireMachineTypes is the list of machine types as encoded in the cloud's API and in
+// the state service.
 type wireMachineTypes struct {
 	MachineTypes []wireMachineType `json:"flavors"`
 }
 
-// wireMachine is a machine of the cloud's list.
+// wireMachine is an entry of the cloud's machine list.
 type wireMachine struct {
 	Name       string       `json:"name_id"`
 	Addr       string       `json:"addr"`
@@ -64,7 +66,7 @@
 	Zone       string       `json:"yard"`
 	Spot       bool         `json:"loaners"`
 	Phase      machinePhase `json:"phase"`
-	AgeSeconds float64      `json:"held_s"` // since it was provisioned
+	AgeSeconds float64      `json:"held_s"` // time since the machine was provisioned
 }
 
 // wireMachineList is a page of the cloud's machine list.
@@ -73,7 +75,7 @@
 	HasMore  bool          `json:"has_next"`
 }
 
-// wireProvisionRequest asks the cloud for machines.
+// wireProvisionRequest is the body of a request to provision machines.
 type wireProvisionRequest struct {
 	MachineType string `json:"flavor"`
 	Name        string `json:"hire"`
@@ -88,27 +90,27 @@
 	Error    string   `json:"error"`
 }
 
-// wireReleaseRequest asks the cloud to take machines back.
+// wireReleaseRequest is the body of a request to release machines.
 type wireReleaseRequest struct {
 	Machines []string `json:"hosts"`
 }
 
-// errNoMachineTypes means that a list of machine types is empty.
+// errNoMachineTypes is returned for an empty list of machine types.
 var errNoMachineTypes = errors.New("the list of machine types is empty")
 
-// invalidMachineTypeError means that a machine type cannot be used.
+// invalidMachineTypeError is returned for a machine type with an invalid field.
 type invalidMachineTypeError struct {
-	machineType string // its name
+	machineType string // name of the machine type
 	field       string // the JSON name of the first invalid field
 }
 
-// Error tells which field of which type is invalid.
+// Error names the machine type and its first invalid field.
 func (e *invalidMachineTypeError) Error() string {
 	return fmt.Sprintf("machine type %q: invalid field %q", e.machineType, e.field)
 }
 
-// validate returns an *invalidMachineTypeError if the type cannot be used. Numbers
-// that come from JSON are never NaN.
+// validate returns an *invalidMachineTypeError if a field has an invalid value. It does
+// not check for NaN, which JSON cannot encode.
 func (t *wireMachineType) validate() error {
 	switch {
 	case t.Name == "":
@@ -122,8 +124,8 @@
 	}
 }
 
-// decodeMachineTypes decodes a list of machine types. It fails if the list is
-// malformed or empty or if one of the types is invalid.
+// decodeMachineTypes decodes a list of machine types. It returns an error if the list
+// is malformed or empty, or if any of the machine types is invalid.
 func decodeMachineTypes(data []byte) (wireMachineTypes, error) {
 	var list wireMachineTypes
 	if err := json.Unmarshal(data, &list); err != nil {
@@ -149,18 +151,19 @@
 	return page, nil
 }
 
-// decodeProvisionResponse decodes the response to a request for machines. What could be
-// decoded is returned with an error as well: the cloud's error may still be told from
-// others.
+// decodeProvisionResponse decodes the response to a provision request. If it returns an
+// error it also returns the fields that could be decoded, so that the caller can still
+// recognize insufficientCapacity.
 func decodeProvisionResponse(data []byte) (wireProvisionResponse, error) {
 	var result wireProvisionResponse
 	if err := json.Unmarshal(data, &result); err != nil {
-		return result, fmt.Errorf("decode response to a request for machines: %w", err)
+		return result, fmt.Errorf("decode provision response: %w", err)
 	}
 	return result, nil
 }
 
-// machineType converts a machine type, adding the names of the type and of its zones.
+// machineType converts the machine type to the scheduler's representation. It adds the
+// names of the machine type and its zones to names.
 func (t *wireMachineType) machineType(names *pipeline.Names) *scheduler.MachineType {
 	machineType := &scheduler.MachineType{
 		Index:     names.MachineTypes.Index(t.Name),
@@ -178,8 +181,8 @@
 	return machineType
 }
 
-// pool is the pool that a listed machine comes from. It adds the names of the
-// machine's type and zone.
+// pool returns the pool that a listed machine was provisioned from. It adds the names
+// of the machine's type and zone to names.
 func (m *wireMachine) pool(names *pipeline.Names) machinePool {
 	return machinePool{
 		machineType: names.MachineTypes.Index(m.Type),
@@ -188,8 +191,8 @@
 	}
 }
 
-// provisionMessage is the body of a request for machines.
-func provisionMessage(request provisionRequest, names *pipeline.Names) wireProvisionRequest {
+// newWireProvisionRequest returns the body of a provision request.
+func newWireProvisionRequest(request provisionRequest, names *pipeline.Names) wireProvisionRequest {
 	return wireProvisionRequest{
 		MachineType: names.MachineTypes.Name(request.pool.machineType),
 		Name:        request.name,
@@ -199,9 +202,9 @@
 	}
 }
 
-// encode encodes a message of this file. The messages consist of strings, finite
-// numbers, booleans and lists, so that encoding cannot fail: an error is a fault of
-// the program.
+// encode encodes a message of this file as JSON. The messages contain only strings,
+// finite numbers, booleans and lists, so encoding cannot fail. encode panics on an
+// error, which would be a programming error.
 func encode(message any) []byte {
 	body, err := json.Marshal(message)
 	if err != nil {
--- a/internal/autoscaler/protocol_test.go
+++ b/internal/autoscaler/protocol_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// A list of machine types is taken as a whole or, where it is malformed, not at all,
-// and the error tells why.
+// decodeMachineTypes returns either the whole list of machine types or no machine type
+// and an error that identifies the cause.
 func TestDecodeMachineTypes(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		data         string
-		invalidField string // of an invalidMachineTypeError
+		invalidField string // field of the expected invalidMachineTypeError
 		empty        bool   // errNoMachineTypes is expected
 		malformed    bool   // an error of package json is expected
 	}{
@@ -29,21 +29,21 @@
 			list, err := decodeMachineTypes([]byte(test.data))
 			wantError := test.malformed || test.empty || test.invalidField != ""
 			if (err != nil) != wantError {
-				t.Fatalf("error %v", err)
+				t.Fatalf("decodeMachineTypes returned error %v, want an error: %t", err, wantError)
 			}
 			if (len(list.MachineTypes) == 0) != wantError {
-				t.Errorf("%d machine types decoded", len(list.MachineTypes))
+				t.Errorf("decodeMachineTypes returned %d machine types with error %v, want none: %t", len(list.MachineTypes), err, wantError)
 			}
 			if got := errors.Is(err, errNoMachineTypes); got != test.empty {
-				t.Errorf("error %v, empty list: %v", err, test.empty)
+				t.Errorf("decodeMachineTypes returned error %v, want errNoMachineTypes: %t", err, test.empty)
 			}
 			var syntax *json.SyntaxError
 			if got := errors.As(err, &syntax); got != test.malformed {
-				t.Errorf("error %v, malformed: %v", err, test.malformed)
+				t.Errorf("decodeMachineTypes returned error %v, want a *json.SyntaxError: %t", err, test.malformed)
 			}
 			var invalid *invalidMachineTypeError
 			if errors.As(err, &invalid); invalid != nil && invalid.field != test.invalidField || invalid == nil && test.invalidField != "" {
-				t.Errorf("error %v, invalid field %q", err, test.invalidField)
+				t.Errorf("decodeMachineTypes returned error %v, want invalid field %q", err, test.invalidField)
 			}
 		})
 	}
--- a/internal/autoscaler/provisioning.go
+++ b/internal/autoscaler/provisioning.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	maxProvisionBatch   = 50 // machines asked for by one request
+	maxProvisionBatch   = 50 // machines per request
 	maxProvisionRetries = 5
-	// A pool without capacity is not asked again for minPoolBackoff, which doubles with
-	// each refusal up to maxPoolBackoff.
+	// A pool that cannot provide the requested machines gets no new request for
+	// minPoolBackoff. The backoff doubles with each refusal, up to maxPoolBackoff.
 	minPoolBackoff = 15 * time.Second
 	maxPoolBackoff = 2 * time.Minute
 )
 
-// poolBackoff is how long a pool without capacity is not asked.
+// poolBackoff is the backoff of a pool that could not provide the requested machines.
 type poolBackoff struct {
 	until    event.Time
 	duration time.Duration
 }
 
-// provisionRequest asks for machines. The cloud carries out a name once, however often
-// it is repeated.
+// provisionRequest is a request to provision machines. Its name is an idempotency key:
+// the cloud executes a request once, even if it is sent several times.
 type provisionRequest struct {
 	name    string
 	pool    machinePool
 	count   int
-	retries int // how often it was repeated
+	retries int // number of times that the request was repeated
 }
 
-// provisionRetry is a request for machines that is to be repeated.
+// provisionRetry is a provision request that is to be repeated at a given time.
 type provisionRetry struct {
 	at      event.Time
 	request provisionRequest
 }
 
-// provisioner asks the cloud for machines.
+// provisioner provisions machines from the cloud.
 type provisioner struct {
 	cloud   *cloudClient
 	names   *pipeline.Names
@@ -49,15 +49,15 @@
 	booting *bootingMachines
 	log     *slog.Logger
 
-	serial    int                 // of the last request in this term
-	requested map[machinePool]int // machines asked for, without a response yet
+	serial    int                 // serial number of the last request in this term
+	requested map[machinePool]int // machines in requests that are not finished, by pool
 	backoffs  map[machinePool]poolBackoff
 	retries   []provisionRetry
 
-	replanRequested bool // a response calls for another plan at once
+	replanRequested bool // a request has finished, so that a new plan is needed immediately
 }
 
-// reset drops what only a leader knows.
+// reset discards the state that only the leader keeps.
 func (p *provisioner) reset() {
 	p.serial = 0
 	p.requested = map[machinePool]int{}
@@ -65,25 +65,25 @@
 	p.retries = nil
 }
 
-// delayRecordWrite notes that a pool has no capacity.
+// backOff starts or extends the backoff of a pool.
 func (p *provisioner) backOff(pool machinePool, now event.Time) {
 	duration := min(maxPoolBackoff, max(minPoolBackoff, 2*p.backoffs[pool].duration))
 	p.backoffs[pool] = poolBackoff{until: now + duration, duration: duration}
 }
 
-// backingOff reports whether a pool is not to be asked now.
+// backingOff reports whether a pool is in backoff.
 func (p *provisioner) backingOff(pool machinePool, now event.Time) bool {
 	return now < p.backoffs[pool].until
 }
 
-// clearBackoff notes that a pool has capacity again.
+// clearBackoff ends the backoff of a pool that has capacity again.
 func (p *provisioner) clearBackoff(pool machinePool) {
 	delete(p.backoffs, pool)
 }
 
-// provision asks for machines of a pool. The caller has checked that the cloud client
-// is ready. The request's name contains the term's fencing token, so that no other
-// leader ever uses it.
+// provision requests machines from a pool. The caller must have checked that the cloud
+// client is ready. The request's name contains the fencing token of the term, so that
+// no other leader ever uses the same name.
 func (p *provisioner) provision(pool machinePool, count int, fencingToken uint64, out *event.Effects) {
 	p.serial++
 	p.requested[pool] += count
@@ -91,7 +91,7 @@
 	p.send(provisionRequest{name: name, pool: pool, count: count}, out)
 }
 
-// sendRetries repeats the requests that are due.
+// sendRetries repeats the requests whose retry is due.
 func (p *provisioner) sendRetries(now event.Time, out *event.Effects) {
 	retries := p.retries
 	p.retries = nil
@@ -105,12 +105,12 @@
 }
 
 func (p *provisioner) send(request provisionRequest, out *event.Effects) {
-	p.cloud.post(machinesPath, provisionMessage(request, p.names), func(now event.Time, response response) {
+	p.cloud.post(machinesPath, newWireProvisionRequest(request, p.names), func(now event.Time, response response) {
 		p.handleResponse(now, request, response)
 	}, out)
 }
 
-// handleResponse takes the response to a request for machines.
+// handleResponse handles the response to a provision request.
 func (p *provisioner) handleResponse(now event.Time, request provisionRequest, response response) {
 	result, err := decodeProvisionResponse(response.body)
 	noCapacity := response.status == http.StatusServiceUnavailable && result.Error == insufficientCapacity
@@ -130,14 +130,15 @@
 	p.finish(request)
 }
 
-// retryLater repeats a request after a pause. The cloud may have carried it out: only a
-// repetition under the same name is sure not to provision twice.
+// retryLater schedules a request to be repeated after errorPause. The cloud may already
+// have executed it: only a request with the same name is certain not to provision the
+// machines twice.
 func (p *provisioner) retryLater(now event.Time, request provisionRequest) {
 	request.retries++
 	p.retries = append(p.retries, provisionRetry{at: now + errorPause, request: request})
 }
 
-// finish notes that a request is over.
+// finish removes the machines of a finished request from the requested ones.
 func (p *provisioner) finish(request provisionRequest) {
 	p.requested[request.pool] -= request.count
 	if p.requested[request.pool] <= 0 {
@@ -145,7 +146,8 @@
 	}
 }
 
-// addProvisioned takes the machines that the cloud has provisioned.
+// addProvisioned adds the machines that the cloud has provisioned to the registry and
+// to the booting machines.
 func (p *provisioner) addProvisioned(now event.Time, request provisionRequest, machines []string) {
 	pool := request.pool
 	p.log.Info("machines provisioned", "request", request.name, "machine_type", p.names.MachineTypes.Name(pool.machineType),
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -11,22 +11,23 @@
 )
 
 const (
-	// A machine that is up and sends no heartbeat for heartbeatLossTimeout is lost. In a
-	// partitioned zone the network is the likelier cause, and all machines that were
-	// released would have to boot again once it is mended.
-	heartbeatLossTimeout = 60 * time.Second
-	partitionedTimeout   = 150 * time.Second
+	// A machine that was up and sends no heartbeat for heartbeatLossTimeout is lost. In a
+	// partitioned zone partitionedLossTimeout applies instead: the network is the likelier
+	// cause, and machines that were released would all have to boot again after the
+	// partition.
+	heartbeatLossTimeout   = 60 * time.Second
+	partitionedLossTimeout = 150 * time.Second
 )
 
-// scan is one look at all machines.
+// scan holds the parameters of one pass over all machines.
 type scan struct {
 	now        event.Time
 	leadership worker.Leadership
-	term       kv.Compare                               // condition of all writes
-	zones      map[pipeline.ZoneIndex][]*worker.Machine // the running machines of each zone
+	term       kv.Compare                               // condition on the term, for all writes
+	zones      map[pipeline.ZoneIndex][]*worker.Machine // running machines, by zone
 }
 
-// scaleIn decides which machines are decommissioned.
+// scaleIn determines which machines to decommission.
 type scaleIn struct {
 	jobs             *pipeline.Table
 	workers          *worker.Registry
@@ -40,8 +41,8 @@
 	idleTimeout      time.Duration
 }
 
-// updateUse notes which machines are in use, and repeats a decommission that is not
-// stored yet.
+// updateUse records which machines are in use, and repeats the write of decommissions
+// that have not been persisted.
 func (s *scaleIn) updateUse(scan *scan) {
 	for machine := range s.workers.All() {
 		if s.hasTasks(machine) {
@@ -58,8 +59,8 @@
 	return len(s.jobs.OnMachine(machine.Index)) > 0
 }
 
-// checkBooting looks at the machines that are expected to register: it forgets those
-// that have by now and decommissions those whose timeout has passed.
+// checkBooting checks the booting machines. It removes those that have registered and
+// decommissions those that have not registered within their registration timeout.
 func (s *scaleIn) checkBooting(scan *scan) {
 	for index, booting := range s.booting.all() {
 		machine := s.workers.MachineAt(index)
@@ -72,15 +73,15 @@
 		age := scan.now - booting.since
 		timeout, known := s.registrationTimeout(booting, machine)
 		if known && age > timeout {
-			s.log.Info("boot timeout", "machine", machine.Name)
+			s.log.Info("decommissioning machine that did not register in time", "machine", machine.Name)
 			s.booting.remove(index)
 			s.decommissions.start(machine, scan.now, scan.term)
 		}
 	}
 }
 
-// registrationTimeout is within which time a booting machine must register, that is,
-// send its first heartbeat. known is false where its type is not known.
+// registrationTimeout returns the time within which a booting machine must register,
+// that is, send its first heartbeat. known is false if its machine type is unknown.
 func (s *scaleIn) registrationTimeout(booting *bootingMachine, machine *worker.Machine) (timeout event.Time, known bool) {
 	machineType := s.catalog.get(booting.pool.machineType)
 	switch {
@@ -89,16 +90,15 @@
 	case !booting.running:
 		return max(minBootTimeout, s.bootTimes.timeout(machineType, bootTimeoutFactor)), true
 	case s.partitions.isPartitioned(booting.pool.zone):
-		return partitionedTimeout, true
+		return partitionedLossTimeout, true
 	case s.hasTasks(machine):
-		return heartbeatLossTimeout, true // its tasks may run on until its lease expires
+		return heartbeatLossTimeout, true // its tasks may keep running until its lease expires
 	default:
 		return minBootTimeout, true
 	}
 }
 
-// decommissionUnused decommissions machines that are unreachable, lost or of no more
-// use.
+// decommissionUnused decommissions machines that are unreachable, lost or unused.
 func (s *scaleIn) decommissionUnused(scan *scan) {
 	for machine := range s.workers.All() {
 		if !machine.Known() || machine.Decommissioning() {
@@ -119,28 +119,31 @@
 	}
 }
 
-// isLost reports whether a registered machine has missed heartbeats for so long that it
-// is not expected to come back.
+// isLost reports whether a registered machine has sent no heartbeat for so long that it
+// is not expected to reconnect.
 func isLost(machine *worker.Machine, now event.Time, partitioned bool) bool {
 	timeout := heartbeatLossTimeout
 	if partitioned {
-		timeout = partitionedTimeout
+		timeout = partitionedLossTimeout
 	}
 	return now-machine.LastHeartbeat() > timeout
 }
 
-// isUnused reports whether a machine without tasks is of no more use.
+// isUnused reports whether a machine without assigned tasks can be released: it is
+// draining, the cloud is about to reclaim it, or it has neither run tasks nor been
+// reserved for idleTimeout.
 func (s *scaleIn) isUnused(machine *worker.Machine, now event.Time) bool {
 	if machine.UnknownTasks() > 0 {
-		return false // they have not been terminated yet
+		return false // the unknown tasks have not been terminated yet
 	}
 	leaving := machine.Draining() || machine.ReclaimAt() != 0
 	usedAt := max(machine.IdleSince(), machine.ReservedAt())
 	return leaving || now-usedAt > s.idleTimeout
 }
 
-// decommissionUnneeded decommissions booting machines that no plan has used for long:
-// what they were provisioned for is done or has found capacity elsewhere.
+// decommissionUnneeded decommissions booting machines that no plan has needed for twice
+// idleTimeout: the tasks that they were provisioned for have ended or have found
+// capacity elsewhere.
 func (s *scaleIn) decommissionUnneeded(forecast *capacityForecast) {
 	for index, capacity := range forecast.booting {
 		booting := s.booting.get(index)
@@ -151,7 +154,7 @@
 		case booting.unneededSince == 0:
 			booting.unneededSince = forecast.now
 		case forecast.now-booting.unneededSince > 2*s.idleTimeout && !s.hasTasks(machine):
-			machine.StartDecommission() // the next scan stores that
+			machine.StartDecommission() // the next scan persists the decommission
 		}
 	}
 }
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -12,7 +12,7 @@
 	"lugward/internal/worker"
 )
 
-// planner makes plans that scale out for tasks without capacity.
+// planner creates the plans that scale out for tasks without capacity.
 type planner struct {
 	names       *pipeline.Names
 	workers     *worker.Registry
@@ -24,26 +24,28 @@
 	idleTimeout time.Duration
 }
 
-// plan finds which machines to provision. It places tasks on the capacity that is
-// forecast for when a machine asked for now is up; no placement is carried out.
+// plan determines which machines to provision. It places tasks on the capacity that is
+// forecast for the time when a machine requested now is up. The placements are only
+// used for planning: no task is assigned.
 type plan struct {
 	workers     *worker.Registry
 	scheduler   *scheduler.Scheduler
 	catalog     *machineTypeCatalog
 	bootTimes   *bootTimes
 	pools       *poolSelector
-	zoneCount   int // zones have the indices below it
+	zoneCount   int // number of zones; their indices are less than it
 	idleTimeout time.Duration
 
 	forecast       *capacityForecast
-	preempting     []*pipeline.Assignment                // tasks that are being stopped
-	preemptedTasks map[*pipeline.Job]int                 // how many of them a job has: they need capacity again
-	committed      map[pipeline.TeamIndex]pipeline.Usage // by team: what this plan provides capacity for
-	waves          taskWaves                             // of short tasks
-	needed         map[machinePool]int                   // machines to be asked for
+	evicting       []*pipeline.Assignment                // tasks that are being evicted and need capacity again
+	evictingCounts map[*pipeline.Job]int                 // number of tasks that are being evicted, by job
+	plannedUsage   map[pipeline.TeamIndex]pipeline.Usage // usage that this plan provides capacity for, by team
+	waves          taskWaves                             // slots for short tasks
+	needed         map[machinePool]int                   // machines to provision, by pool
 }
 
-// newPlan returns a plan with the capacity of all machines that are or will be up.
+// newPlan returns a plan with the capacity of all machines that are up, booting or
+// requested.
 func (p *planner) newPlan(now event.Time, s *scheduler.Scheduler) *plan {
 	pools := &poolSelector{
 		catalog:     p.catalog,
@@ -52,10 +54,10 @@
 		overdue:     p.booting.overduePools(now),
 		now:         now,
 	}
-	capacities, preempting := s.ProjectedCapacities(now)
-	preemptedTasks := map[*pipeline.Job]int{}
-	for _, assignment := range preempting {
-		preemptedTasks[assignment.Job]++
+	capacities, evicting := s.ProjectedCapacities(now)
+	evictingCounts := map[*pipeline.Job]int{}
+	for _, assignment := range evicting {
+		evictingCounts[assignment.Job]++
 	}
 	return &plan{
 		workers:        p.workers,
@@ -66,16 +68,16 @@
 		zoneCount:      p.names.Zones.Len(),
 		idleTimeout:    p.idleTimeout,
 		forecast:       p.forecast(now, capacities),
-		preempting:     preempting,
-		preemptedTasks: preemptedTasks,
-		committed:      map[pipeline.TeamIndex]pipeline.Usage{},
+		evicting:       evicting,
+		evictingCounts: evictingCounts,
+		plannedUsage:   map[pipeline.TeamIndex]pipeline.Usage{},
 		waves:          taskWaves{},
 		needed:         map[machinePool]int{},
 	}
 }
 
-// forecast adds the machines that are booting and asked for to the capacities of those
-// that are up.
+// forecast returns the capacities of the machines that are up, extended by those of the
+// booting and the requested machines.
 func (p *planner) forecast(now event.Time, capacities []*scheduler.Capacity) *capacityForecast {
 	forecast := &capacityForecast{
 		now:        now,
@@ -101,17 +103,17 @@
 	if machine == nil || machine.Decommissioning() || machine.LastHeartbeat() != 0 {
 		return false
 	}
-	cutOff := booting.running && p.partitions.isPartitioned(machine.Zone())
-	return !cutOff && !p.booting.isOverdue(booting, now)
+	partitioned := booting.running && p.partitions.isPartitioned(machine.Zone())
+	return !partitioned && !p.booting.isOverdue(booting, now)
 }
 
-// withPreempted adds the jobs with preempted tasks behind those that are blocked.
+// withPreempted appends the jobs whose tasks are being evicted to the blocked jobs.
 func (p *plan) withPreempted(blocked []*pipeline.Job) []*pipeline.Job {
 	listed := make(map[*pipeline.Job]bool, len(blocked))
 	for _, job := range blocked {
 		listed[job] = true
 	}
-	for _, assignment := range p.preempting {
+	for _, assignment := range p.evicting {
 		if !listed[assignment.Job] {
 			listed[assignment.Job] = true
 			blocked = append(blocked, assignment.Job)
@@ -120,19 +122,19 @@
 	return blocked
 }
 
-// addJob places the waiting tasks of a job, first on machines that are up or coming,
-// then on machines to be asked for.
+// addJob places the unassigned tasks of a job, and those that are being evicted, on the
+// forecast capacity, and adds machines to the plan for the rest.
 func (p *plan) addJob(job *pipeline.Job) {
 	left, ok := p.tasksWithinLimit(job)
 	if !ok {
 		return
 	}
-	left += p.preemptedTasks[job]
-	bootTime := p.bootTime(job)
-	left = p.waves.slots(job, left, bootTime+p.idleTimeout.Seconds(), p.workers.ExpectedRuntime(job))
-	p.forecast.releaseWithin(bootTime)
+	left += p.evictingCounts[job]
+	bootSeconds := p.minBootSeconds(job)
+	left = p.waves.slots(job, left, bootSeconds+p.idleTimeout.Seconds(), p.workers.ExpectedRuntime(job))
+	p.forecast.releaseWithin(bootSeconds)
 	tasksPerZone := p.scheduler.TasksByZone(job)
-	zone, ok := p.onlyZone(job, tasksPerZone, left)
+	zone, ok := p.requiredZone(job, tasksPerZone, left)
 	if !ok {
 		return
 	}
@@ -140,24 +142,24 @@
 	p.addMachines(job, left, tasksPerZone, zone)
 }
 
-// tasksWithinLimit returns how many tasks of a job wait for capacity that its team's
-// limit lets them have, beside what the plan provides for the team's other jobs. ok
-// is false where the job is to get nothing.
+// tasksWithinLimit returns the number of a job's startable tasks that fit within its
+// team's limit, in addition to what the plan provides for the team's other jobs. ok is
+// false if the plan must not provide capacity for the job.
 func (p *plan) tasksWithinLimit(job *pipeline.Job) (tasks int, ok bool) {
-	committed := p.committed[job.Team]
-	tasks = min(job.StartableCount(), p.scheduler.TasksWithinLimitBeside(job, committed))
+	planned := p.plannedUsage[job.Team]
+	tasks = min(job.StartableCount(), p.scheduler.TasksWithinLimitBeside(job, planned))
 	if job.Shape == pipeline.Gang && tasks < job.StartableCount() {
-		return 0, false // all tasks or none
+		return 0, false // a gang needs capacity for all of its tasks
 	}
 	if job.AtFault() && p.forecast.hasMachineFor(job) {
-		return 0, false // its probe waits for a machine that is there
+		return 0, false // the retry of a job at fault waits for an existing machine
 	}
-	committed.Add(&job.Spec, float64(tasks))
-	p.committed[job.Team] = committed
+	planned.Add(&job.Spec, float64(tasks))
+	p.plannedUsage[job.Team] = planned
 	return tasks, true
 }
 
-// addMachines places tasks on machines to be asked for.
+// addMachines places tasks on additional machines, which it adds to the plan.
 func (p *plan) addMachines(job *pipeline.Job, left int, tasksPerZone scheduler.ZoneCounts, zone pipeline.ZoneIndex) {
 	for left > 0 {
 		best, found := p.pools.cheapest(poolQuery{job: job, tasks: left, tasksPerZone: tasksPerZone, zone: zone, needed: p.needed})
@@ -174,25 +176,26 @@
 	}
 }
 
-// bootTime is how soon a machine asked for now can be up for a job, in seconds: the
-// boot time of the quickest type, 0 where no type is suitable.
-func (p *plan) bootTime(job *pipeline.Job) float64 {
-	least := math.Inf(1)
+// minBootSeconds returns the shortest expected boot time, in seconds, of the machine types
+// that can run a job, or 0 if there is none.
+func (p *plan) minBootSeconds(job *pipeline.Job) float64 {
+	shortest := math.Inf(1)
 	for _, machineType := range p.catalog.types {
 		if machineType.CanRun(&job.Spec) {
-			least = min(least, p.bootTimes.expected(machineType))
+			shortest = min(shortest, p.bootTimes.expected(machineType))
 		}
 	}
-	if math.IsInf(least, 1) {
+	if math.IsInf(shortest, 1) {
 		return 0
 	}
-	return least
+	return shortest
 }
 
-// onlyZone returns the zone to which a job that must stay in one is bound: the one
-// where its tasks may still be, else the one where the missing machines cost least. It
-// is pipeline.AnyZone where the job may use several. ok is false where there is none.
-func (p *plan) onlyZone(job *pipeline.Job, tasksPerZone scheduler.ZoneCounts, tasks int) (zone pipeline.ZoneIndex, ok bool) {
+// requiredZone returns the zone that a job must use, or pipeline.AnyZone if the job may use
+// several zones. A job that requires a single zone uses the zone where its tasks may
+// still be or, if there are none, the zone where the missing machines cost least. ok is
+// false if there is no such zone.
+func (p *plan) requiredZone(job *pipeline.Job, tasksPerZone scheduler.ZoneCounts, tasks int) (zone pipeline.ZoneIndex, ok bool) {
 	if !job.SameZone {
 		return pipeline.AnyZone, true
 	}
@@ -200,11 +203,11 @@
 		zone = slices.Sorted(maps.Keys(tasksPerZone))[0]
 		return zone, len(tasksPerZone) == 1 && zone >= 0
 	}
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for candidate := range pipeline.ZoneIndex(p.zoneCount) {
-		cost, possible := p.costInZone(job, tasksPerZone, tasks, candidate)
-		if possible && cost < least {
-			least = cost
+		cost, feasible := p.costInZone(job, tasksPerZone, tasks, candidate)
+		if feasible && cost < lowest {
+			lowest = cost
 			zone = candidate
 			ok = true
 		}
@@ -212,8 +215,9 @@
 	return zone, ok
 }
 
-// costInZone is what the machines cost per hour that a job's tasks lack in a zone.
-func (p *plan) costInZone(job *pipeline.Job, tasksPerZone scheduler.ZoneCounts, tasks int, zone pipeline.ZoneIndex) (cost float64, possible bool) {
+// costInZone returns the hourly price of the additional machines that a job's tasks
+// need in a zone. feasible is false if no pool of the zone can provide them.
+func (p *plan) costInZone(job *pipeline.Job, tasksPerZone scheduler.ZoneCounts, tasks int, zone pipeline.ZoneIndex) (cost float64, feasible bool) {
 	missing := p.forecast.missing(job, tasks, zone)
 	if missing <= 0 {
 		return 0, true
--- a/internal/autoscaler/scale_out_test.go
+++ b/internal/autoscaler/scale_out_test.go
@@ -9,8 +9,8 @@
 	"lugward/internal/record"
 )
 
-// Machines are provisioned for what a team's limit lets all of its jobs together
-// have, not for what it would let each of them have alone.
+// The limit of a team applies to the sum of its jobs: machines are not provisioned for
+// what the limit would allow each job alone.
 func TestProvisionsWithinLimit(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -38,7 +38,7 @@
 			var out event.Effects
 			f.Plan(time.Second, blocked, scheduler, 1, &out)
 			if got := requestedMachines(t, out.Calls); got != test.want {
-				t.Errorf("%d machines asked for, not %d", got, test.want)
+				t.Errorf("Plan requested %d machines, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/autoscaler/task_waves.go
+++ b/internal/autoscaler/task_waves.go
@@ -6,32 +6,34 @@
 	"lugward/internal/pipeline"
 )
 
-// turnoverSeconds is how long a task's slot stays empty before the next task of its
-// job runs there: the end is reported, stored and answered with a start.
+// turnoverSeconds is how long a slot stays empty between a task and the next task of
+// its job: the worker reports the exit, the controller persists it and responds with
+// the start of the next task.
 const turnoverSeconds = 2.0
 
-// minWaves is the least number of waves for which sharing a slot means anything.
+// minWaves is the smallest number of waves in which tasks can share a slot: with a
+// single wave each task needs a slot of its own.
 const minWaves = 2
 
-// taskWaves counts, per class and within one plan, the slots for short tasks that run
-// in waves, one after the other. Fractions add up over jobs, so that many small jobs
-// share a slot as one large job does.
+// taskWaves counts, by class, the slots that a plan provides for short tasks. Such tasks
+// run in waves, that is, one after the other in the same slot. Fractions of a slot add
+// up over jobs, so that many small jobs share a slot just as the tasks of a large job do.
 type taskWaves map[pipeline.ClassIndex]float64
 
-// slots returns for how many of a job's waiting tasks there is to be a slot once a
-// machine that is provisioned now is up. A machine pays off only if it has work for as
-// long as it takes to boot and is kept idle, so the tasks of an array that are shorter
-// than that, and that have no deadline, run in waves. seconds is that time, runtime
-// that of a task in seconds, 0 if it is not known.
-func (w taskWaves) slots(job *pipeline.Job, waiting int, seconds, runtime float64) int {
-	waves := math.Floor(seconds / (runtime + turnoverSeconds))
-	short := runtime > 0 && waves >= minWaves
+// slots returns how many slots a job's waiting tasks need once a machine that is
+// provisioned now is up. A machine pays off only if it has work for breakEvenSeconds,
+// which is its boot time plus the time for which it is kept idle. Array tasks that are
+// shorter than that and have no deadline therefore run in waves. runtimeSeconds is the
+// expected runtime of a task, or 0 if it is unknown.
+func (w taskWaves) slots(job *pipeline.Job, waiting int, breakEvenSeconds, runtimeSeconds float64) int {
+	waves := math.Floor(breakEvenSeconds / (runtimeSeconds + turnoverSeconds))
+	short := runtimeSeconds > 0 && waves >= minWaves
 	mayWait := job.Shape == pipeline.Array && job.EffectiveDeadline == pipeline.NoDeadline
 	if !short || !mayWait {
 		return waiting
 	}
-	// Slots of tasks that run now are free again by then: they count with what the plan
-	// finds on the machines.
+	// The slots of active tasks are free again by the time a new machine is up. The plan
+	// finds them as free capacity of existing machines, so active tasks count as well.
 	before := math.Ceil(w[job.Class])
 	w[job.Class] += float64(waiting+job.ActiveCount()) / waves
 	return min(waiting, int(math.Ceil(w[job.Class])-before))
--- a/internal/autoscaler/task_waves_test.go
+++ b/internal/autoscaler/task_waves_test.go
@@ -7,10 +7,10 @@
 	"lugward/internal/pipeline"
 )
 
-// Short tasks without a deadline share slots on the machines that are provisioned for
-// them; nothing is provisioned for work that is over before it has booted.
+// Short tasks without a deadline share slots, so that no machine is provisioned for work
+// that ends before the machine has booted.
 func TestSlotsForShortTasks(t *testing.T) {
-	const seconds = 40 // of booting and idling
+	const breakEvenSeconds = 40 // boot time plus idle time
 	for _, test := range []struct {
 		name     string
 		shape    pipeline.Shape
@@ -20,13 +20,13 @@
 		runtime  float64
 		want     int
 	}{
-		{name: "tasks longer than that", shape: pipeline.Array, deadline: pipeline.NoDeadline, jobs: 1, waiting: 1000, runtime: 90, want: 1000},
-		{name: "tasks of unknown length", shape: pipeline.Array, deadline: pipeline.NoDeadline, jobs: 1, waiting: 1000, runtime: 0, want: 1000},
+		{name: "tasks longer than boot and idle time", shape: pipeline.Array, deadline: pipeline.NoDeadline, jobs: 1, waiting: 1000, runtime: 90, want: 1000},
+		{name: "tasks of unknown runtime", shape: pipeline.Array, deadline: pipeline.NoDeadline, jobs: 1, waiting: 1000, runtime: 0, want: 1000},
 		{name: "ten waves", shape: pipeline.Array, deadline: pipeline.NoDeadline, jobs: 1, waiting: 1000, runtime: 2, want: 100},
 		{name: "ten jobs share a slot", shape: pipeline.Array, deadline: pipeline.NoDeadline, jobs: 10, waiting: 1, runtime: 2, want: 1},
 		{name: "eleven jobs need another", shape: pipeline.Array, deadline: pipeline.NoDeadline, jobs: 11, waiting: 1, runtime: 2, want: 2},
-		{name: "a deadline", shape: pipeline.Array, deadline: 1, jobs: 1, waiting: 1000, runtime: 2, want: 1000},
-		{name: "a gang runs at once", shape: pipeline.Gang, deadline: pipeline.NoDeadline, jobs: 1, waiting: 10, runtime: 2, want: 10},
+		{name: "tasks with a deadline", shape: pipeline.Array, deadline: 1, jobs: 1, waiting: 1000, runtime: 2, want: 1000},
+		{name: "gang tasks run simultaneously", shape: pipeline.Gang, deadline: pipeline.NoDeadline, jobs: 1, waiting: 10, runtime: 2, want: 10},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			waves := taskWaves{}
@@ -34,10 +34,10 @@
 			for range test.jobs {
 				job := &pipeline.Job{Spec: pipeline.Spec{Shape: test.shape, TaskCount: test.waiting}}
 				job.EffectiveDeadline = test.deadline
-				got += waves.slots(job, test.waiting, seconds, test.runtime)
+				got += waves.slots(job, test.waiting, breakEvenSeconds, test.runtime)
 			}
 			if got != test.want {
-				t.Errorf("%d slots, not %d", got, test.want)
+				t.Errorf("slots returned %d in total, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/autoscaler/token_announcements.go
+++ b/internal/autoscaler/token_announcements.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	// A machine that is up and has not confirmed our fencing token after announceAfter
-	// gets it by a direct command.
-	announceAfter = 2 * time.Second
-	// The connection to an unresponsive machine stays open for a while, so only one in
-	// announcementDivisor of all sockets may be used for announcements at a time, and
-	// minAnnouncements at least: machines that answer free theirs at once, and the next
-	// tick goes on.
+	// announceDelay is how long a machine that is up may take to confirm this controller's
+	// fencing token before it is sent the token in a direct command.
+	announceDelay = 2 * time.Second
+	// The connection to an unresponsive machine stays open for a while. Announcements may
+	// therefore use at most 1/announcementDivisor of all sockets at a time, but at least
+	// minAnnouncements sockets. Machines that respond free their socket immediately, and
+	// the next tick continues with the remaining machines.
 	announcementDivisor = 32
 	minAnnouncements    = 20
 )
 
-// tokenAnnouncer announces our fencing token to machines that have not confirmed it.
+// tokenAnnouncer announces this controller's fencing token to machines that have not
+// confirmed it.
 type tokenAnnouncer struct {
 	workers     *worker.Registry
 	booting     *bootingMachines
 	maxInFlight int
 
-	incomplete bool // machines wait for an announcement
+	incomplete bool // the last pass reached maxInFlight before it covered all machines
 }
 
-// maxAnnouncements is how many announcements may be in flight at a time.
+// maxAnnouncements returns how many announcements may be in flight at a time.
 func maxAnnouncements(maxConnections int) int {
 	return max(minAnnouncements, maxConnections/announcementDivisor)
 }
 
-// reset forgets that machines wait.
+// reset discards the state of an incomplete pass.
 func (t *tokenAnnouncer) reset() { t.incomplete = false }
 
-// announce sends our fencing token to machines whose last heartbeat has not been
-// followed by a confirmation, as that heartbeat may have been a copy, while the machine
-// itself sends its heartbeats to another controller; and to those that the cloud lists
-// as running and that have not registered.
+// announce sends this controller's fencing token to machines that have sent a heartbeat
+// but have not confirmed the token: the heartbeat may have been a duplicate, while the
+// machine itself sends its heartbeats to another controller. It also sends the token to
+// machines that the cloud lists as running but that have not registered.
 func (t *tokenAnnouncer) announce(now event.Time, leadership worker.Leadership, out *event.Effects) {
 	t.incomplete = false
 	for machine := range t.workers.All() {
@@ -54,12 +55,12 @@
 	}
 }
 
-// awaitsToken reports whether a machine that is up has not confirmed our fencing token
-// though it has had time to.
+// awaitsToken reports whether a machine that is up has not confirmed this controller's
+// fencing token within announceDelay.
 func (t *tokenAnnouncer) awaitsToken(machine *worker.Machine, now event.Time) bool {
 	if machine.LastHeartbeat() != 0 {
-		return !machine.TokenConfirmed() && now-machine.LastHeartbeat() > announceAfter
+		return !machine.TokenConfirmed() && now-machine.LastHeartbeat() > announceDelay
 	}
 	booting := t.booting.get(machine.Index)
-	return booting != nil && booting.running && now-booting.since > announceAfter
+	return booting != nil && booting.running && now-booting.since > announceDelay
 }
--- a/internal/autoscaler/token_announcements_test.go
+++ b/internal/autoscaler/token_announcements_test.go
@@ -11,9 +11,10 @@
 	"lugward/internal/worker/workertest"
 )
 
-// Four thousand machines that answer an isolated leader hear of the next one within
-// seconds, and at most a small part of all sockets is used for it at a time: those
-// that answer free theirs at once. Twenty every half second took 100 s.
+// A new leader announces its fencing token within 5 s to 4,000 machines that still send
+// their heartbeats to an isolated leader. The announcements use only a small share of all
+// sockets at a time, because machines that respond free their socket immediately. With 20
+// announcements every 500 ms this took 100 s.
 func TestTokenAnnouncements(t *testing.T) {
 	const machines, sockets, limit = 4000, 1600, 50
 	f := newFixture(t, Config{MaxConnections: sockets, HeartbeatTimeout: time.Hour, IdleTimeout: time.Hour, SettleTime: time.Hour})
@@ -28,22 +29,23 @@
 		}
 	}
 	now += 3 * time.Second
-	told := map[string]int{}
+	announced := map[string]int{}
 	for range 100 {
 		var out event.Effects
 		f.Tick(now, workertest.Leader{}, kv.Compare{}, &out)
 		if f.workers.AnnouncementsInFlight() > limit {
-			t.Fatalf("%d announcements at a time", f.workers.AnnouncementsInFlight())
+			t.Fatalf("%d announcements in flight, want at most %d", f.workers.AnnouncementsInFlight(), limit)
 		}
 		for _, call := range out.Calls {
 			if call.Path == "/do" {
-				told[call.Addr]++
+				announced[call.Addr]++
 				f.workers.HandleCallResult(event.CallResult{ID: call.ID, Status: httpwire.StatusOK, Body: []byte("{}")}, workertest.Leader{}, &out)
 			}
 		}
 		now += 50 * time.Millisecond
 	}
-	if len(told) != machines || f.workers.AnnouncementsInFlight() != 0 {
-		t.Errorf("%d of %d machines told within 5 s, %d announcements in flight", len(told), machines, f.workers.AnnouncementsInFlight())
+	if len(announced) != machines || f.workers.AnnouncementsInFlight() != 0 {
+		t.Errorf("within 5 s token announced to %d machines, want %d, with %d announcements in flight, want 0",
+			len(announced), machines, f.workers.AnnouncementsInFlight())
 	}
 }
--- a/internal/autoscaler/unresponsive.go
+++ b/internal/autoscaler/unresponsive.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// An unresponsive machine is decommissioned if for each unresponsive machine of its
-	// zone so many others send heartbeats.
+	// An unresponsive machine is decommissioned only if, for each unresponsive machine of
+	// its zone, at least this many other machines of the zone send heartbeats.
 	responsivePerUnresponsive = 3
-	// A zone's machines do not show that it is connected until this long after they
-	// reconnected.
-	partitionMemory = 60 * time.Second
+	// The heartbeats of a machine that has reconnected are no evidence that its zone is
+	// connected until this time has passed. The same holds after a relayed heartbeat.
+	connectionSettleTime = 60 * time.Second
 )
 
-// decommissionUnresponsive decommissions a machine that alone in its zone misses
-// heartbeats: the cloud's response proves that its tasks have terminated long before
-// the expiry of its lease does. Where several machines miss heartbeats a partition is
-// the likelier cause, and they are left to go on working; so they are while the zone
-// reconnects machine by machine.
+// decommissionUnresponsive decommissions machines that miss heartbeats while their zone
+// is connected: the cloud's response to the release proves that the machine's tasks have
+// terminated, long before the expiry of its lease would. If several machines of a zone
+// miss heartbeats, a partition is the likelier cause, and the machines keep running their
+// tasks. The same holds while the machines of the zone reconnect one by one.
 func (s *scaleIn) decommissionUnresponsive(scan *scan) {
 	for _, zone := range slices.Sorted(maps.Keys(scan.zones)) {
 		machines := scan.zones[zone]
@@ -32,8 +32,8 @@
 		}
 		heartbeats := connectedHeartbeats(machines, scan.now)
 		for _, machine := range unresponsive {
-			wellAfter := machine.LastHeartbeat() + s.heartbeatTimeout*3/4
-			if countAfter(heartbeats, wellAfter) < responsivePerUnresponsive*len(unresponsive) {
+			cutoff := machine.LastHeartbeat() + s.heartbeatTimeout*3/4
+			if countAfter(heartbeats, cutoff) < responsivePerUnresponsive*len(unresponsive) {
 				continue
 			}
 			s.log.Info("decommissioning unresponsive machine", "machine", machine.Name, "tasks", len(s.jobs.OnMachine(machine.Index)))
@@ -42,8 +42,8 @@
 	}
 }
 
-// unresponsive lists the machines that have missed heartbeats. One that has not
-// registered counts as booting.
+// unresponsive returns the machines that have sent no heartbeat for heartbeatTimeout. A
+// machine that has not registered counts as booting instead.
 func (s *scaleIn) unresponsive(machines []*worker.Machine, now event.Time) []*worker.Machine {
 	var unresponsive []*worker.Machine
 	for _, machine := range machines {
@@ -54,12 +54,13 @@
 	return unresponsive
 }
 
-// connectedHeartbeats lists, in order, the last heartbeats of the machines of a zone
-// that show by them that the zone is connected to us. Those do not that missed
-// heartbeats a while ago, nor those whose heartbeats come through another controller:
-// what cuts them off from us may cut off a machine that has not found that way yet.
+// connectedHeartbeats returns, in ascending order, the last heartbeats of those machines
+// of a zone that indicate that the zone is connected to this controller. It excludes
+// machines that reconnected recently and machines whose heartbeats are relayed by another
+// controller: the partition between those and this controller may also affect a machine
+// whose heartbeats are not relayed yet.
 func connectedHeartbeats(machines []*worker.Machine, now event.Time) []event.Time {
-	recent := func(at event.Time) bool { return at != 0 && now-at <= partitionMemory }
+	recent := func(at event.Time) bool { return at != 0 && now-at <= connectionSettleTime }
 	var heartbeats []event.Time
 	for _, machine := range machines {
 		if !recent(machine.ReconnectedAt()) && !recent(machine.RelayedAt()) {
@@ -70,10 +71,11 @@
 	return heartbeats
 }
 
-// countAfter counts the heartbeats after a point well after a machine's last one.
-// Machines behind one partition miss heartbeats one by one, each when its next is due,
-// so those whose last came shortly after that machine's show nothing.
-func countAfter(heartbeats []event.Time, wellAfter event.Time) int {
-	at, _ := slices.BinarySearch(heartbeats, wellAfter+1)
-	return len(heartbeats) - at
+// countAfter counts the heartbeats that arrived after cutoff, which is well after the last
+// heartbeat of an unresponsive machine. Machines behind the same partition miss heartbeats
+// one by one, each when its next heartbeat is due, so a heartbeat that arrived shortly
+// after that of the unresponsive machine does not indicate that the zone is connected.
+func countAfter(heartbeats []event.Time, cutoff event.Time) int {
+	index, _ := slices.BinarySearch(heartbeats, cutoff+1)
+	return len(heartbeats) - index
 }
