--- a/internal/pipeline/assignment.go
+++ b/internal/pipeline/assignment.go
@@ -6,35 +6,36 @@
 	"lugward/internal/event"
 )
 
-// Assignment says that an attempt of a task may be on a machine. It exists from
-// before the start is logged until its end is proven and logged.
+// Assignment states that an attempt of a task may be on a machine. It is created before
+// the start of the task is persisted, and exists until the end of the attempt is proven
+// and persisted.
 type Assignment struct {
 	Job     *Job
 	Task    int
 	Machine MachineIndex
 	Attempt uint64
 
-	durable bool // the watch cache shows it
-	written bool // part of a write that was or may still be carried out
-	omitted bool // left out of a write that is under way
+	durable bool // the watch cache shows the assignment
+	written bool // part of a write that was or may still be committed
+	omitted bool // left out of a write in flight
 
 	assignmentStatus
 }
 
-// assignmentStatus is what only the leader knows of an assignment; it is lost with
-// the term.
+// assignmentStatus holds the state of an assignment that only the leader has. It is
+// discarded when the term ends.
 type assignmentStatus struct {
-	pending          PendingWrite
-	phase            TaskPhase
-	evicting         bool       // to be stopped, to run elsewhere
-	missedHeartbeats int32      // in a row, that do not show the task; small, as there are many assignments
-	gracePeriod      float64    // of that stop, in seconds
-	startSequence    uint64     // sequence of the heartbeat whose answer last carried the start
-	startedAt        event.Time // when first seen on its machine, 0 before
-	placedAt         event.Time // when it was decided, 0: by a leader before
+	pending              PendingWrite
+	phase                TaskPhase
+	evicting             bool       // the task is to be stopped and run elsewhere
+	missedHeartbeats     int32      // consecutive heartbeats that do not list the task; int32 since there are many assignments
+	gracePeriod          float64    // time to save a checkpoint when evicted, in seconds
+	startCommandSequence uint64     // sequence number of the heartbeat whose response last carried the start command
+	startedAt            event.Time // when the task was first reported on its machine, zero before
+	assignedAt           event.Time // when the task was assigned, zero if assigned by an earlier leader
 }
 
-// PendingWrite is the change the leader wants for an assignment.
+// PendingWrite is a change of an assignment that the leader has not persisted yet.
 type PendingWrite uint8
 
 // The pending writes.
@@ -44,7 +45,7 @@
 	PendingDone
 )
 
-// TaskPhase is a task's state as its worker last reported it.
+// TaskPhase is the state of a task as last reported by its worker.
 type TaskPhase uint8
 
 // The task phases.
@@ -57,42 +58,41 @@
 	TaskExited
 )
 
-// Durable reports whether the state service has the assignment, as the watch cache shows.
+// Durable reports whether the assignment is persisted, according to the watch cache.
 func (a *Assignment) Durable() bool { return a.durable }
 
-// Stored reports whether the state service has the assignment as it is, without a
-// change that is still to be written.
+// Stored reports whether the assignment is persisted and has no pending write.
 func (a *Assignment) Stored() bool { return a.durable && a.pending == NoPendingWrite }
 
-// Pending returns the change that is still to be written.
+// Pending returns the change that has not been persisted yet.
 func (a *Assignment) Pending() PendingWrite { return a.pending }
 
-// PlacedAt returns when the task was placed, 0 if a leader before did so.
-func (a *Assignment) PlacedAt() event.Time { return a.placedAt }
+// PlacedAt returns the time when the task was assigned, zero if an earlier leader assigned it.
+func (a *Assignment) PlacedAt() event.Time { return a.assignedAt }
 
-// IsFirstOfJob reports whether no other task of the job is placed or done.
+// IsFirstOfJob reports whether no other task of the job is assigned or done.
 func (a *Assignment) IsFirstOfJob() bool {
 	return a.Job.ActiveCount() == 1 && a.Job.DoneCount() == 0
 }
 
-// PlacementDelay returns how long the job had been ready when the task was placed.
-func (a *Assignment) PlacementDelay() time.Duration { return a.placedAt - a.Job.ReadySince }
+// PlacementDelay returns how long the job had been ready when the task was assigned.
+func (a *Assignment) PlacementDelay() time.Duration { return a.assignedAt - a.Job.ReadySince }
 
-// Phase returns the state that the worker last reported.
+// Phase returns the state last reported by the worker.
 func (a *Assignment) Phase() TaskPhase { return a.phase }
 
-// StartedAt returns when the task was first seen on its machine, 0 if it was not yet.
+// StartedAt returns the time when the task was first reported on its machine, zero before.
 func (a *Assignment) StartedAt() event.Time { return a.startedAt }
 
 // Evicting reports whether the task is to be stopped so that it can run elsewhere.
 func (a *Assignment) Evicting() bool { return a.evicting }
 
-// GracePeriod returns how many seconds the task gets to save a checkpoint while it is
-// evicted.
+// GracePeriod returns the time in seconds that the task has to save a checkpoint when it
+// is evicted.
 func (a *Assignment) GracePeriod() float64 { return a.gracePeriod }
 
-// RecordPhase records the state that a worker reports. It reports whether the task is
-// thereby first seen on its machine.
+// RecordPhase records the state reported by the worker. It returns true if this is the
+// first report of the task on its machine.
 func (a *Assignment) RecordPhase(phase TaskPhase, now event.Time) (started bool) {
 	a.phase = phase
 	onMachine := phase >= TaskWaitingForGang && phase < TaskExited
@@ -103,29 +103,29 @@
 	return true
 }
 
-// RecordStartCommand records that the answer to the heartbeat with a sequence number
-// carries the command to start the task. If the task was on the machine before, it was
-// lost with the worker's incarnation.
+// RecordStartCommand records that the response to the heartbeat with the given sequence
+// number carries the command to start the task. A task that was on the machine before was
+// lost with the worker's previous incarnation.
 func (a *Assignment) RecordStartCommand(sequence uint64) {
-	a.startSequence = sequence
+	a.startCommandSequence = sequence
 	a.phase = TaskUnseen
 	a.startedAt = 0
 }
 
-// AwaitsStart reports whether the heartbeat with a sequence number should show the
-// task: an earlier one was answered with the command to start it, and none has shown
-// it since.
+// AwaitsStart reports whether the heartbeat with the given sequence number should list the
+// task: the response to an earlier heartbeat carried the start command, and no heartbeat
+// has listed the task since.
 func (a *Assignment) AwaitsStart(sequence uint64) bool {
-	ordered := a.startSequence != 0 && a.startSequence < sequence
-	return ordered && a.phase == TaskUnseen
+	commandSent := a.startCommandSequence != 0 && a.startCommandSequence < sequence
+	return commandSent && a.phase == TaskUnseen
 }
 
-// RecordMissedHeartbeat records that a heartbeat does not show the task though it
-// should. It returns how many in a row did not.
+// RecordMissedHeartbeat records that a heartbeat does not list the task although it
+// should. It returns the number of consecutive heartbeats without the task.
 func (a *Assignment) RecordMissedHeartbeat() int {
 	a.missedHeartbeats++
 	return int(a.missedHeartbeats)
 }
 
-// ClearMissedHeartbeats records that a heartbeat shows the task.
+// ClearMissedHeartbeats records that a heartbeat lists the task.
 func (a *Assignment) ClearMissedHeartbeats() { a.missedHeartbeats = 0 }
--- a/internal/pipeline/assignments.go
+++ b/internal/pipeline/assignments.go
@@ -2,8 +2,9 @@
 
 import "lugward/internal/event"
 
-// Assign records the pending write to start a task on a machine. The start may be sent
-// once the assignment is durable. Attempt 0 stands for the next one of the segment.
+// Assign assigns a task to a machine and marks the assignment to be written. The start
+// command may be sent once the assignment is persisted. Attempt 0 selects the next attempt
+// number of the segment.
 func (t *Table) Assign(job *Job, task int, machine MachineIndex, attempt uint64, now event.Time) *Assignment {
 	segment := t.segment(job, task/t.segmentLen)
 	if attempt == 0 {
@@ -11,7 +12,7 @@
 	}
 	segment.attempt = max(segment.attempt, attempt)
 	assignment := &Assignment{Job: job, Task: task, Machine: machine, Attempt: attempt}
-	assignment.placedAt = now
+	assignment.assignedAt = now
 	segment.assignments[task] = assignment
 	t.addAssignment(assignment)
 	if job.AtFault() && job.Shape != Gang {
@@ -22,14 +23,14 @@
 	return assignment
 }
 
-// RecordTermination records that an attempt is proven to have terminated.
+// RecordTermination records that the attempt has terminated for certain.
 func (t *Table) RecordTermination(assignment *Assignment) {
 	if assignment.pending == PendingDone {
 		return
 	}
 	segment := &assignment.Job.segments[assignment.Task/t.segmentLen]
 	if !assignment.written && !assignment.durable {
-		// Never part of a write: nothing to undo.
+		// The assignment was never part of a write, so there is nothing to undo.
 		if segment.assignments[assignment.Task] == assignment {
 			delete(segment.assignments, assignment.Task)
 			t.removeAssignment(assignment)
@@ -44,8 +45,8 @@
 	}
 }
 
-// RequestEviction records that a task is to be stopped so that it can run elsewhere,
-// with a grace period in seconds. A second request does not change the first.
+// RequestEviction requests that a task is stopped so that it can run elsewhere, with a
+// grace period in seconds. A further request for the same assignment has no effect.
 func (t *Table) RequestEviction(assignment *Assignment, gracePeriod float64) {
 	if assignment.evicting {
 		return
@@ -55,12 +56,12 @@
 	t.NoteMachineChanged(assignment.Machine)
 }
 
-// BeginTermination records that the attempt of a gang is being ended: nothing of it
-// is placed before all of its tasks have terminated.
+// BeginTermination records that the attempt of a gang is being terminated. No task of the
+// gang is assigned before all of its tasks have terminated.
 func (t *Table) BeginTermination(job *Job) { job.terminating = true }
 
-// FinishTermination lets a gang start again once all tasks of its old attempt have
-// terminated.
+// FinishTermination allows a gang to start again once all tasks of its previous attempt
+// have terminated.
 func (t *Table) FinishTermination(job *Job) {
 	if job.terminating && job.ActiveCount() == 0 {
 		job.terminating = false
@@ -68,14 +69,15 @@
 	}
 }
 
-// addAssignment counts an assignment that is new.
+// addAssignment adds a new assignment to the counts and to its machine.
 func (t *Table) addAssignment(assignment *Assignment) {
 	assignment.Job.activeCount++
 	t.countUsage(assignment, 1)
 	t.addToMachine(assignment)
 }
 
-// removeAssignment counts an assignment no more; its segment no longer lists it.
+// removeAssignment removes an assignment from the counts and from its machine. The caller
+// has removed it from its segment.
 func (t *Table) removeAssignment(assignment *Assignment) {
 	assignment.Job.activeCount--
 	assignment.Job.noteUnplaced(assignment.Task)
--- a/internal/pipeline/cancellation.go
+++ b/internal/pipeline/cancellation.go
@@ -8,16 +8,17 @@
 	"lugward/internal/record"
 )
 
-// maxCancellationWrites bounds the writes in flight that cancel jobs with a cancelled
-// upstream job, so that the requests of users go first.
+// maxCancellationWrites limits the writes in flight that cancel jobs with a cancelled
+// upstream job, so that users' requests are not delayed behind them.
 const maxCancellationWrites = 8
 
-// UpstreamCancelled reports whether an upstream job is cancelled: the job is cancelled
-// with that one, whether its own terminal record is stored yet or not.
+// UpstreamCancelled reports whether a direct or indirect upstream job is cancelled. The job
+// then counts as cancelled, too, even before its own terminal record is persisted.
 func (j *Job) UpstreamCancelled() bool { return j.upstreamCancelled }
 
-// cancelDownstream notes that jobs, and all that need them, are below a cancelled
-// one. Each is visited once, however many paths lead to it.
+// cancelDownstream marks the given jobs and all their direct and indirect dependents as
+// downstream of a cancelled job. Each job is visited once, regardless of the number of
+// paths to it.
 func (t *Table) cancelDownstream(stack ...*Job) {
 	begin := len(t.graph.cancelQueue)
 	for len(stack) > 0 {
@@ -35,19 +36,20 @@
 		}
 		delete(t.graph.dependents, job.ID)
 	}
-	slices.SortFunc(t.graph.cancelQueue[begin:], byAcceptance)
+	slices.SortFunc(t.graph.cancelQueue[begin:], byCreateRevision)
 }
 
-// unmarkUpstreamCancelled removes a job from those whose cancellation is still to be
-// written: its terminal record is stored, or its job record is deleted.
+// unmarkUpstreamCancelled removes a job from the jobs whose cancellation must be written,
+// after its terminal record was persisted or its job record was deleted.
 func (t *Table) unmarkUpstreamCancelled(job *Job) {
 	job.upstreamCancelled = false
 	delete(t.graph.upstreamCancelled, job)
 }
 
-// WriteCancellations queues, a few at a time, the terminal records of jobs of ours
-// below a cancelled one. The answers to users do not wait for them.
-func (t *Table) WriteCancellations(now event.Time, submitter TxnSubmitter, ours func(*Job) bool) {
+// WriteCancellations queues the writes of the terminal records of jobs downstream of a
+// cancelled job, at most maxCancellationWrites at a time, for the jobs that this controller
+// owns. Responses to users do not wait for these writes.
+func (t *Table) WriteCancellations(now event.Time, submitter TxnSubmitter, isOwned func(*Job) bool) {
 	graph := &t.graph
 	if len(graph.cancelQueue) == 0 || graph.cancellationWritesInFlight >= maxCancellationWrites {
 		return
@@ -57,13 +59,14 @@
 		if graph.cancellationWritesInFlight >= maxCancellationWrites {
 			return
 		}
-		if job.mayWriteRecord(now) && ours(job) {
+		if job.mayWriteRecord(now) && isOwned(job) {
 			t.writeCancellation(job, now, submitter)
 		}
 	}
 }
 
-// writeCancellation queues the terminal record of a job and the deletion of its job record.
+// writeCancellation queues the write of a job's terminal record and the deletion of its
+// job record.
 func (t *Table) writeCancellation(job *Job, now event.Time, submitter TxnSubmitter) {
 	job.submitRecordWrite(&t.graph.cancellationWritesInFlight, now, submitter, &kv.Txn{
 		Priority: kv.PriorityProgress,
--- a/internal/pipeline/completion.go
+++ b/internal/pipeline/completion.go
@@ -6,7 +6,7 @@
 	"lugward/internal/record"
 )
 
-// RecordCompletion records that a task has completed, whichever attempt it was.
+// RecordCompletion records that a task has completed, in whichever attempt.
 func (t *Table) RecordCompletion(job *Job, task int) {
 	if task < 0 || task >= job.TaskCount || job.IsDone(task) || job.TerminalPhase != Queued {
 		return
@@ -31,7 +31,8 @@
 	t.noteSegmentChanged(job, segment)
 }
 
-// complete reports whether every task is done, counting what is not stored yet.
+// complete reports whether all tasks are done, including completions that are not
+// persisted yet.
 func (j *Job) complete() bool {
 	if j.Shape == Daemon || j.TerminalPhase != Queued || j.ModRevision == 0 {
 		return false
@@ -39,9 +40,10 @@
 	return j.doneCount+len(j.doneUnassigned)+j.pendingDoneCount >= j.TaskCount
 }
 
-// queueCompletion queues the terminal record of a complete job. It is all that users and
-// dependent jobs wait for: the job's other records are deleted by CollectGarbage, after
-// everything else. It reports whether the terminal record is due or in flight.
+// queueCompletion queues the write of the terminal record of a complete job. Users and
+// dependent jobs wait only for this record. CollectGarbage deletes the other records of the
+// job later, at the lowest priority. queueCompletion reports whether the terminal record
+// must be written or its write is in flight.
 func (t *Table) queueCompletion(job *Job, now event.Time, term kv.Compare, submitter TxnSubmitter) bool {
 	if job.terminalWriteInFlight {
 		return true
@@ -51,7 +53,7 @@
 	}
 	for index := range job.segments {
 		if now < job.segments[index].nextWrite {
-			return true // the watch cache does not show what was written last
+			return true // the watch cache may not show the last write yet
 		}
 	}
 	job.terminalWriteInFlight = true
@@ -60,13 +62,14 @@
 		Rank:     job.writeRank(),
 		BuildKey: record.TerminalKey(job.ID),
 		Build:    func(txn *kv.Txn) bool { return job.buildTerminalWrite(txn, term) },
-		Done:     job.terminalWritten,
+		Done:     job.handleTerminalResult,
 	}, now+writeTimeout)
 	return true
 }
 
-// buildTerminalWrite fills in the terminal record. It requires the job's record as the watch cache
-// shows it and no terminal record, so it loses against a cancellation that came first.
+// buildTerminalWrite fills in the write of the terminal record. The write requires that
+// the job record is at the revision in the watch cache and that there is no terminal record,
+// so it fails if the job has been cancelled before.
 func (j *Job) buildTerminalWrite(txn *kv.Txn, term kv.Compare) bool {
 	if !j.complete() {
 		return false
@@ -76,8 +79,8 @@
 	return true
 }
 
-// terminalWritten takes the outcome of writing the terminal record.
-func (j *Job) terminalWritten(result kv.Result) {
+// handleTerminalResult handles the result of writing the terminal record.
+func (j *Job) handleTerminalResult(result kv.Result) {
 	j.terminalWriteInFlight = false
 	if result.Outcome == kv.Committed {
 		return
@@ -88,11 +91,13 @@
 	}
 }
 
-// dropCompleted frees what the completed tasks of a job took once its terminal record
-// is stored: their machines have reported their end (of a gang one does, as all of it
-// ends together), and the record keeps them from being started again. What is left
-// may still be on a machine and stays until it is proven to have terminated.
-func (t *Table) dropCompleted(job *Job) {
+// removeCompletedAssignments removes the assignments of the completed tasks of a job once
+// its terminal record is persisted, which frees their resources. The machines have reported
+// that these tasks exited; for a gang one report is enough, since all of its tasks end
+// together. The terminal record keeps the tasks from being started again. The other
+// assignments remain until the tasks are proven to have terminated, as they may still be on
+// a machine.
+func (t *Table) removeCompletedAssignments(job *Job) {
 	for index := range job.segments {
 		segment := &job.segments[index]
 		for task, assignment := range segment.assignments {
--- a/internal/pipeline/fixture_test.go
+++ b/internal/pipeline/fixture_test.go
@@ -13,13 +13,13 @@
 
 var term = kv.Compare{Key: "t/lead", ModRevision: 1}
 
-// txnQueue is a state service's client that lets the test decide what becomes of
-// each write.
+// txnQueue is a TxnSubmitter that lets the test determine the result of each
+// transaction.
 type txnQueue struct{ list []*kv.Txn }
 
 func (q *txnQueue) Submit(txn *kv.Txn, _ time.Duration) { q.list = append(q.list, txn) }
 
-// next takes the next transaction that has something to write.
+// next removes and returns the next transaction that has something to write.
 func (q *txnQueue) next(t *testing.T) *kv.Txn {
 	t.Helper()
 	for len(q.list) > 0 {
@@ -30,12 +30,12 @@
 		}
 		txn.Done(kv.Result{Outcome: kv.Aborted})
 	}
-	t.Fatal("nothing is written")
+	t.Fatal("no transaction with a write is queued, want at least 1")
 	return nil
 }
 
-// rejectAll has the state service reject every transaction that has something to write. It
-// returns their number.
+// rejectAll rejects every queued transaction that has something to write. It returns their
+// number.
 func (q *txnQueue) rejectAll(now event.Time) (rejected int) {
 	for len(q.list) > 0 {
 		txn := q.list[0]
@@ -50,12 +50,12 @@
 	return rejected
 }
 
-// commit applies a write as the state service would, and reports its outcome.
+// commit applies a transaction like the state service and passes on its result.
 func commit(table *Table, txn *kv.Txn, revision uint64) {
 	commitAt(table, txn, revision, 0)
 }
 
-// commitAt is commit at a monotonic time.
+// commitAt is like commit at the given monotonic time.
 func commitAt(table *Table, txn *kv.Txn, revision uint64, now event.Time) {
 	for _, write := range txn.Writes {
 		kind, rest := splitKey(write.Key)
@@ -64,23 +64,23 @@
 	txn.Done(kv.Result{Outcome: kv.Committed, Revision: revision, Now: now})
 }
 
-// splitKey splits a key into the kind of what is stored there and the rest.
+// splitKey splits a key into the kind of the record and the rest.
 func splitKey(key string) (kind record.Kind, rest string) {
 	first, rest := kv.SplitKey(key)
 	return record.Kind(first), rest
 }
 
-// nameSpec gives a spec the names that every stored job has.
+// nameSpec sets the class, team and image that every job record has.
 func nameSpec(names *Names, spec *Spec) {
 	spec.Class = names.Classes.Index("c")
 	spec.Team = names.Teams.Index("t")
 	spec.Image = names.Images.Index("b")
 }
 
-// testValueBytes is the limit on values for which tables are laid out.
+// testValueBytes is the LayoutValueBytes of the tables in tests.
 const testValueBytes = 4096
 
-// newTable returns a table for a limit on the writes of a transaction.
+// newTable returns a table with the given limit on the writes of a transaction.
 func newTable(txnOps int) *Table {
 	return NewTable(Config{Names: &Names{}, LayoutValueBytes: testValueBytes, TxnOps: txnOps})
 }
@@ -103,7 +103,7 @@
 	modRevision uint64
 }
 
-// fixture is a table together with what is stored.
+// fixture is a table with the changes that were stored so far.
 type fixture struct {
 	*Table
 	revision uint64
@@ -113,18 +113,18 @@
 func newFixture() *fixture {
 	f := &fixture{Table: newTable(4)}
 	f.SetNow(time.Second)
-	f.SetClock(time.Second, time.Unix(1000, 0)) // monotonic time 0 is 999 s
+	f.SetClock(time.Second, time.Unix(1000, 0)) // monotonic time 0 is 999 s of Unix time
 	return f
 }
 
-// store stores a key and has the table take the change.
+// store stores a key and applies the change to the table.
 func (f *fixture) store(kind record.Kind, rest string, data []byte) {
 	f.revision++
 	f.log = append(f.log, change{kind, rest, data, f.revision})
 	f.HandleChange(kind, rest, data, f.revision)
 }
 
-// commit applies a write as the state service would, and reports its outcome.
+// commit applies a transaction like the state service and passes on its result.
 func (f *fixture) commit(txn *kv.Txn) {
 	f.revision++
 	for _, write := range txn.Writes {
@@ -145,14 +145,14 @@
 	return other
 }
 
-// allJobs is a condition that all jobs meet.
+// allJobs is a predicate that is true for all jobs.
 func allJobs(*Job) bool { return true }
 
-// id returns the ID of the job with a number.
+// id returns the ID of the job with the given number.
 func id(n int) string { return fmt.Sprintf("req-%06d", n) }
 
-// addJob stores a held job with the given upstream jobs, or one that is ready if there
-// are none.
+// addJob stores a job with the given upstream jobs. The job is held, or ready if it has no
+// upstream jobs.
 func (f *fixture) addJob(n int, modify func(*Job), upstream ...int) *Job {
 	job := &Job{
 		ID:    id(n),
@@ -171,7 +171,7 @@
 	return f.Job(job.ID)
 }
 
-// usePages has a job's upstream jobs stored in pages.
+// usePages records that the job's upstream jobs are stored in pages.
 func (j *Job) usePages(pages int, modRevision uint64) {
 	j.Upstream = nil
 	j.UpstreamPages = pages
@@ -184,7 +184,7 @@
 	f.store(record.KindTerminal, id(n), EncodeTerminal(phase, job))
 }
 
-// idsOf returns the numbers of jobs.
+// idsOf returns the numbers of jobs, separated by spaces.
 func idsOf(list []*Job) string {
 	numbers := make([]string, 0, len(list))
 	for _, job := range list {
@@ -198,6 +198,6 @@
 func expect(t *testing.T, what, got, want string) {
 	t.Helper()
 	if got != want {
-		t.Errorf("%s: %q, want %q", what, got, want)
+		t.Errorf("%s: got %q, want %q", what, got, want)
 	}
 }
--- a/internal/pipeline/flush.go
+++ b/internal/pipeline/flush.go
@@ -10,20 +10,20 @@
 	"lugward/internal/record"
 )
 
-// deferredWait is the pause until placements that did not fit in a record are tried
-// again.
-const deferredWait = time.Second
+// deferredPlacementWait is the delay before placements that did not fit in a run record
+// are written again.
+const deferredPlacementWait = time.Second
 
-// Flush queues a write of every run record that differs from what is stored, and
-// the terminal record of every job that is complete. term is the condition that our
-// term holds.
+// Flush queues a write of every run record with changes that are not persisted, and of the
+// terminal record of every complete job. term is the condition that this controller still
+// holds its term.
 func (t *Table) Flush(now event.Time, term kv.Compare, submitter TxnSubmitter) {
 	if len(t.unsaved) == 0 {
 		return
 	}
 	for _, job := range slices.SortedFunc(maps.Keys(t.unsaved), byReadiness) {
 		if t.queueCompletion(job, now, term, submitter) {
-			continue // the terminal record makes further writes of its records needless
+			continue // once the terminal record is written, the run records need no more writes
 		}
 		if !t.flushSegments(job, now, term, submitter) {
 			delete(t.unsaved, job)
@@ -31,8 +31,8 @@
 	}
 }
 
-// flushSegments queues the writes of a job's segments that are due. It reports whether
-// any segment still differs from what is stored.
+// flushSegments queues the writes of a job's unsaved segments whose nextWrite time has
+// passed. It reports whether any segment is still unsaved.
 func (t *Table) flushSegments(job *Job, now event.Time, term kv.Compare, submitter TxnSubmitter) (unsaved bool) {
 	for index := range job.segments {
 		segment := &job.segments[index]
@@ -47,29 +47,29 @@
 	return unsaved
 }
 
-// segmentWrite is a write of a segment that is queued or under way. It
-// names the segment by its index, as the list of segments may grow meanwhile.
+// segmentWrite is a write of a segment that is queued or in flight. It refers to the
+// segment by index, since the list of segments may be reallocated meanwhile.
 type segmentWrite struct {
-	table      *Table
-	job        *Job
-	index      int
-	term       kv.Compare
-	placements bool // queued with the priority of placements
-	carried    int  // the segment's changeCount when the write was built
+	table             *Table
+	job               *Job
+	index             int
+	term              kv.Compare
+	placementPriority bool // queued with kv.PriorityPlacement
+	builtChangeCount  int  // changeCount of the segment when the write was built
 }
 
-// queueSegmentWrite queues the write of a segment. Its content is decided when it is
-// sent, so a job's tasks share one write however many of them change meanwhile. A write
-// with the priority of placements may overtake one without.
+// queueSegmentWrite queues a write of a segment. The content is built when the write is
+// sent, so one write carries the changes of any number of tasks until then. A write with
+// kv.PriorityPlacement may overtake one with kv.PriorityProgress.
 func (t *Table) queueSegmentWrite(job *Job, index int, now event.Time, term kv.Compare, submitter TxnSubmitter) {
 	segment := &job.segments[index]
 	if segment.placementQueued || (segment.progressQueued && !segment.unsentPlacement) {
-		return // the queued write will carry whatever has changed by then
+		return // the queued write will carry all changes made until it is built
 	}
-	w := &segmentWrite{table: t, job: job, index: index, term: term, placements: segment.unsentPlacement}
+	w := &segmentWrite{table: t, job: job, index: index, term: term, placementPriority: segment.unsentPlacement}
 	w.setQueued(true)
 	priority := kv.PriorityProgress
-	if w.placements {
+	if w.placementPriority {
 		priority = kv.PriorityPlacement
 	}
 	submitter.Submit(&kv.Txn{
@@ -77,32 +77,33 @@
 		Rank:     job.writeRank(),
 		BuildKey: record.RunKey(job.ID, index),
 		Build:    w.build,
-		Done:     w.done,
+		Done:     w.handleResult,
 	}, now+writeTimeout)
 }
 
 func (w *segmentWrite) segment() *segment { return &w.job.segments[w.index] }
 
 func (w *segmentWrite) setQueued(queued bool) {
-	if w.placements {
+	if w.placementPriority {
 		w.segment().placementQueued = queued
 	} else {
 		w.segment().progressQueued = queued
 	}
 }
 
-// build fills in the write as things stand; false: there is nothing to write.
+// build fills in the write from the current state. It returns false if there is nothing
+// to write.
 func (w *segmentWrite) build(txn *kv.Txn) bool {
 	segment := w.segment()
 	if !segment.unsaved || w.job.terminalWriteInFlight {
 		return false
 	}
-	w.carried = segment.changeCount
+	w.builtChangeCount = segment.changeCount
 	return w.table.buildSegmentWrite(txn, w.job, w.index, w.term)
 }
 
-// done takes the outcome of the write.
-func (w *segmentWrite) done(result kv.Result) {
+// handleResult handles the result of the write.
+func (w *segmentWrite) handleResult(result kv.Result) {
 	w.setQueued(false)
 	switch {
 	case result.Outcome == kv.Committed:
@@ -117,19 +118,19 @@
 	w.table.removeOmitted(segment)
 	segment.rejectedWrites = 0
 	switch {
-	case segment.changeCount != w.carried:
-		// What has changed since the write was built is still to be written.
+	case segment.changeCount != w.builtChangeCount:
+		// Changes since the write was built still have to be written.
 	case segment.deferredPlacements > 0:
 		segment.unsentPlacement = true
-		segment.nextWrite = result.Now + deferredWait
+		segment.nextWrite = result.Now + deferredPlacementWait
 	default:
 		segment.unsaved = false
 	}
 }
 
-// removeOmitted removes assignments that were part of a write without an answer and
-// have been cleared since: the write that just succeeded builds on a record
-// without them, so that earlier write can no longer be carried out.
+// removeOmitted removes assignments that were part of a write with an unknown outcome and
+// have been cleared since. The write that just succeeded was based on a record without
+// them, so the earlier write can no longer be committed.
 func (t *Table) removeOmitted(segment *segment) {
 	for task, assignment := range segment.assignments {
 		if assignment.omitted && !assignment.durable {
@@ -140,13 +141,14 @@
 	}
 }
 
-// failed keeps the pending write. If the failed one was carried out unseen, its
-// retry conflicts until the watch cache shows it, then builds on it.
+// failed schedules a retry of the write. If the failed write was committed without a
+// response, the retry conflicts until the watch cache shows that write, and is then based
+// on it.
 func (w *segmentWrite) failed(result kv.Result) {
 	segment := w.segment()
 	segment.nextWrite = result.Now + retryAfter(result, &segment.rejectedWrites)
 	if segment.deferredPlacements > 0 {
-		segment.nextWrite = max(segment.nextWrite, result.Now+deferredWait)
+		segment.nextWrite = max(segment.nextWrite, result.Now+deferredPlacementWait)
 	}
 	w.table.unsaved[w.job] = true
 	for _, assignment := range segment.assignments {
@@ -154,16 +156,16 @@
 	}
 }
 
-// segmentContent is what a segment's record is to say with all pending writes in it.
+// segmentContent is the content of a segment's record after all pending writes.
 type segmentContent struct {
-	done       []uint64      // bitmap of the segment's completed tasks
-	active     []*Assignment // stored assignments that remain
-	placements []*Assignment // assignments that are not stored yet
-	changed    bool          // an assignment goes or a task is done: more than placements
+	done        []uint64      // bitmap of the segment's completed tasks
+	active      []*Assignment // persisted assignments that remain
+	placements  []*Assignment // assignments that are not persisted yet
+	hasProgress bool          // an assignment is removed or a task is done
 }
 
-// content gathers what a segment's record is to say, and marks the assignments that it
-// leaves out.
+// content returns the content to write for a segment, and marks the cleared assignments as
+// omitted.
 func (t *Table) content(job *Job, index int) segmentContent {
 	segment := &job.segments[index]
 	content := segmentContent{done: slices.Clone(segment.done)}
@@ -176,25 +178,26 @@
 				content.placements = append(content.placements, assignment)
 			}
 		case PendingDone:
-			content.changed = true
+			content.hasProgress = true
 			setDone(content.done, assignment.Task%t.segmentLen)
 		case PendingClear:
-			content.changed = true
+			content.hasProgress = true
 			assignment.omitted = true
 		}
 	}
 	for task := range job.doneUnassigned {
 		if task/t.segmentLen == index {
-			content.changed = true
+			content.hasProgress = true
 			setDone(content.done, task%t.segmentLen)
 		}
 	}
 	return content
 }
 
-// buildSegmentWrite fills in the write of a segment as things stand. It requires the
-// stored revision to be the one that the watch cache shows, and no placement is written
-// once the job has its terminal record.
+// buildSegmentWrite fills in the write of a segment from the current state. The write
+// requires that the record is at the revision in the watch cache, and for an unfinished
+// job that there is no terminal record, so that no placement is written after the job has
+// ended. It returns false if there is nothing to write.
 func (t *Table) buildSegmentWrite(txn *kv.Txn, job *Job, index int, term kv.Compare) bool {
 	segment := &job.segments[index]
 	key := record.RunKey(job.ID, index)
@@ -206,20 +209,20 @@
 	} else if len(content.active)+len(content.placements) == 0 {
 		return segment.buildDeletion(txn, key)
 	}
-	data, taken := t.fit(job, segment, content)
-	segment.deferredPlacements = len(content.placements) - len(taken)
-	if segment.deferredPlacements > 0 && len(taken) == 0 && !content.changed {
-		return false // the stored record has all that can be written
+	data, fitting := t.fit(job, segment, content)
+	segment.deferredPlacements = len(content.placements) - len(fitting)
+	if segment.deferredPlacements > 0 && len(fitting) == 0 && !content.hasProgress {
+		return false // none of the placements fits, and nothing else has changed
 	}
-	for _, assignment := range taken {
+	for _, assignment := range fitting {
 		assignment.written = true
 	}
 	txn.Writes = []kv.Write{{Key: key, Data: data}}
 	return true
 }
 
-// buildDeletion fills in the deletion of a segment's record, of which nothing is needed
-// any more; false: none is stored.
+// buildDeletion fills in the deletion of a segment's record that is no longer needed. It
+// returns false if there is no record.
 func (s *segment) buildDeletion(txn *kv.Txn, key string) bool {
 	s.deferredPlacements = 0
 	if s.modRevision == 0 {
--- a/internal/pipeline/flush_test.go
+++ b/internal/pipeline/flush_test.go
@@ -8,8 +8,8 @@
 	"lugward/internal/record"
 )
 
-// A leader that ends between the writes of the last task's completion and of the job's
-// leaves a job on which nothing is due any more: its successor must complete it.
+// If a term ends after the completion of the last task was written but before the terminal
+// record was, no further event concerns the job. The next leader must complete it.
 func TestNewLeaderCompletesJob(t *testing.T) {
 	table, job := newJob(t, 2)
 	table.HandleChange(record.KindRun, "req-1/0", []byte(`{"t":1,"d":"Aw"}`), 2)
@@ -18,12 +18,13 @@
 	table.Flush(0, term, txns)
 	commit(table, txns.next(t), 3)
 	if terminal, _ := table.Terminal.Get("req-1"); terminal.Phase != Done || job.Phase() != Done {
-		t.Errorf("the job is %v, its terminal record %v", job.Phase(), terminal)
+		t.Errorf("job phase = %v, terminal record = %v, want phase %v in both", job.Phase(), terminal, Done)
 	}
 }
 
-// An assignment whose write had no answer and that is cleared before it shows must
-// not count for ever: a later write without it proves that it never will be stored.
+// An assignment is cleared after its write had an unknown outcome and before the watch cache
+// shows it. It must not be counted forever: once a later write without it succeeds, the
+// earlier write can no longer be committed.
 func TestClearedBeforeStored(t *testing.T) {
 	table, job := newJob(t, 1)
 	txns := &txnQueue{}
@@ -32,16 +33,16 @@
 	txns.next(t).Done(kv.Result{Outcome: kv.Unknown, Now: time.Second})
 	table.RecordTermination(assignment)
 	if job.ActiveCount() != 1 {
-		t.Error("the assignment is given up while its write may still be carried out")
+		t.Errorf("ActiveCount = %d while the write of the assignment may still be committed, want 1", job.ActiveCount())
 	}
 	table.Flush(2*time.Second, term, txns)
 	commit(table, txns.next(t), 3)
 	if job.ActiveCount() != 0 || job.UnplacedCount() != 1 {
-		t.Errorf("%d assignments, %d tasks to place", job.ActiveCount(), job.UnplacedCount())
+		t.Errorf("got %d assignments and %d unassigned tasks, want 0 and 1", job.ActiveCount(), job.UnplacedCount())
 	}
 }
 
-// All changes while a write is queued go into that write.
+// A queued write carries all changes that are made until it is built.
 func TestOneWriteCarriesAll(t *testing.T) {
 	table, job := newJob(t, 40)
 	txns := &txnQueue{}
@@ -50,16 +51,16 @@
 		table.Flush(0, term, txns)
 	}
 	if len(txns.list) != 1 {
-		t.Fatalf("%d writes wait", len(txns.list))
+		t.Fatalf("Flush queued %d writes for 40 assignments, want 1", len(txns.list))
 	}
 	commit(table, txns.next(t), 2)
 	for task := range 40 {
 		if !job.Assignment(task).durable {
-			t.Fatalf("task %d is not stored", task)
+			t.Fatalf("assignment of task %d is not persisted after the commit", task)
 		}
 	}
 	table.Flush(0, term, txns)
 	if len(txns.list) != 0 {
-		t.Error("written again with nothing changed")
+		t.Errorf("Flush queued %d writes without any change, want 0", len(txns.list))
 	}
 }
--- a/internal/pipeline/garbage_collection.go
+++ b/internal/pipeline/garbage_collection.go
@@ -6,8 +6,8 @@
 	"lugward/internal/record"
 )
 
-// CollectGarbage deletes the records that finished jobs leave behind, once no task of
-// theirs can be on a machine; of at most limit jobs at a time.
+// CollectGarbage queues the deletion of the records of finished jobs that have no task on
+// any machine. It deletes the records of at most limit jobs per call.
 func (t *Table) CollectGarbage(now event.Time, term kv.Compare, submitter TxnSubmitter, limit int) {
 	t.deleteOrphanedRetries(now, term, submitter, limit)
 	for job := range t.AllJobs() {
@@ -17,7 +17,7 @@
 		if !job.deletable(now) {
 			continue
 		}
-		txn := t.recordDeletion(job, term)
+		txn := t.deletionTxn(job, term)
 		if len(txn.Writes) == 0 {
 			continue
 		}
@@ -31,21 +31,22 @@
 	}
 }
 
-// deletable reports whether the records of a job may be deleted now.
+// deletable reports whether the job's records may be deleted now.
 func (j *Job) deletable(now event.Time) bool {
 	return j.TerminalPhase != Queued && !j.deletionInFlight && j.activeCount == 0 && now >= j.nextRecordWrite
 }
 
-// recordDeletion returns the deletion of a job's records, each on condition of the
-// revision that the watch cache shows. Segments beyond the limit on writes follow later.
-func (t *Table) recordDeletion(job *Job, term kv.Compare) *kv.Txn {
+// deletionTxn returns the transaction that deletes a job's records, provided that each is
+// at the revision in the watch cache. Segments beyond the limit on writes per transaction
+// are deleted later.
+func (t *Table) deletionTxn(job *Job, term kv.Compare) *kv.Txn {
 	txn := &kv.Txn{Priority: kv.PriorityGarbageCollection, Compares: []kv.Compare{term}}
 	remove := func(key string, modRevision uint64) {
 		txn.Compares = append(txn.Compares, kv.Compare{Key: key, ModRevision: modRevision})
 		txn.Writes = append(txn.Writes, kv.Write{Key: key})
 	}
 	for index := range job.segments {
-		if job.segments[index].modRevision != 0 && len(txn.Writes) < t.config.TxnOps-1 { // one is for the job's record
+		if job.segments[index].modRevision != 0 && len(txn.Writes) < t.config.TxnOps-1 { // one write is reserved for the job record
 			remove(record.RunKey(job.ID, index), job.segments[index].modRevision)
 		}
 	}
--- a/internal/pipeline/graph.go
+++ b/internal/pipeline/graph.go
@@ -7,16 +7,17 @@
 	"lugward/internal/event"
 )
 
-// graph is what follows from the edges between jobs. A job is held until its
-// readiness is stored. Only held jobs have edges here: once a job is ready, all its
-// upstream jobs are done.
+// graph holds the edges between jobs and the state derived from them. A job is held until
+// its readiness is persisted. Only held jobs have edges in the graph: once a job is ready,
+// all of its upstream jobs are done.
 type graph struct {
-	dependents map[string]map[*Job]bool // by upstream ID: the held jobs that wait for it
+	dependents map[string]map[*Job]bool // by upstream ID, the held jobs that wait for the upstream job
 	releasable map[*Job]bool            // held jobs whose upstream jobs are all done
-	stale      map[*Job]bool            // effective values are to be derived or passed on
+	stale      map[*Job]bool            // jobs whose effective values must be derived or propagated
 
-	// upstreamCancelled are the jobs below a cancelled one whose own terminal record
-	// is not stored; cancelQueue has them in the order in which they get it.
+	// upstreamCancelled holds the jobs downstream of a cancelled job whose own terminal
+	// record is not persisted. cancelQueue holds them in the order in which their
+	// terminal records are written.
 	upstreamCancelled map[*Job]bool
 	cancelQueue       []*Job
 
@@ -24,18 +25,18 @@
 	cancellationWritesInFlight int
 }
 
-// graphLinks is a job's place in the graph. A job is linked while it is held and
+// graphLinks holds the edges of a job in the graph. A job is linked while it is held and
 // its whole list of upstream jobs is known.
 type graphLinks struct {
 	linked             bool
-	linkedUpstream     []string // the upstream IDs under which it is listed, while linked
-	unfinishedUpstream int      // of these, those without a terminal record
-	upstreamCancelled  bool     // a job that it needs is cancelled
-
-	deadlineAt         event.Time // its own deadline
-	inheritStale       bool       // its effective values are to be derived anew
-	propagatedPriority Priority   // what its upstream jobs have inherited from it
-	propagatedDeadline event.Time
+	linkedUpstream     []string // upstream IDs under which the job is listed as a dependent, while linked
+	unfinishedUpstream int      // number of these without a terminal record
+	upstreamCancelled  bool     // a direct or indirect upstream job is cancelled
+
+	deadlineAt         event.Time // deadline of the job itself
+	inheritStale       bool       // the effective values must be derived again
+	propagatedPriority Priority   // priority that its upstream jobs have inherited from the job
+	propagatedDeadline event.Time // deadline that they have inherited
 }
 
 func newGraph() graph {
@@ -47,12 +48,12 @@
 	}
 }
 
-// updateGraph takes a job's record, as it is now, into the graph.
+// updateGraph updates the graph from the current record of a job.
 func (t *Table) updateGraph(job *Job) {
 	job.deadlineAt = t.ownDeadline(job)
 	job.Chained = job.Chained || len(job.Upstream) > 0 || job.UpstreamPages > 0
 	if job.linked || len(t.graph.dependents[job.ID]) > 0 {
-		t.markStale(job)
+		t.markInheritanceStale(job)
 	} else {
 		job.EffectivePriority = job.Priority
 		job.EffectiveDeadline = job.deadlineAt
@@ -64,8 +65,9 @@
 	t.linkIfComplete(job)
 }
 
-// ownDeadline is the deadline that a job's user gave. It counts from the submission, or
-// where that is not known from when the job became ready or is first seen.
+// ownDeadline returns the deadline that the user set for a job. It is relative to the time
+// of submission. If that time is unknown, it is relative to the time when the job became
+// ready, or else to the current time, when the job is first seen.
 func (t *Table) ownDeadline(job *Job) event.Time {
 	if job.Deadline <= 0 {
 		return NoDeadline
@@ -80,14 +82,14 @@
 	return from + secondsToDuration(job.Deadline)
 }
 
-// markStale has a job's effective values derived anew.
-func (t *Table) markStale(job *Job) {
+// markInheritanceStale marks the effective values of a job to be derived again.
+func (t *Table) markInheritanceStale(job *Job) {
 	job.inheritStale = true
 	t.graph.stale[job] = true
 }
 
-// linkIfComplete links a held job once its whole list of upstream jobs is there:
-// until then it is neither releasable nor cancelled by an upstream job.
+// linkIfComplete links a held job once its whole list of upstream jobs is known. Until
+// then the job is neither releasable nor cancelled by an upstream job.
 func (t *Table) linkIfComplete(job *Job) {
 	if job.linked || job.upstreamCancelled || job.Ready || job.ModRevision == 0 || job.TerminalPhase != Queued {
 		return
@@ -100,12 +102,12 @@
 	t.link(job, slices.Compact(list))
 }
 
-// link adds a held job to the dependents of the unfinished jobs that it needs.
+// link adds a held job to the dependents of its unfinished upstream jobs.
 func (t *Table) link(job *Job, list []string) {
 	job.linked = true
 	job.linkedUpstream = list
 	job.unfinishedUpstream = 0
-	// After an unlink as well, no upstream job has inherited from it yet.
+	// No upstream job has inherited from this job yet, also if it was unlinked before.
 	job.propagatedPriority = Idle
 	job.propagatedDeadline = NoDeadline
 	upstreamCancelled := false
@@ -128,7 +130,7 @@
 	if job.unfinishedUpstream == 0 {
 		t.graph.releasable[job] = true
 	}
-	t.markStale(job)
+	t.markInheritanceStale(job)
 }
 
 func (t *Table) addDependent(id string, job *Job) {
@@ -138,7 +140,7 @@
 	t.graph.dependents[id][job] = true
 }
 
-// unlink removes a job that is ready or over from the dependents of what it needed.
+// unlink removes a job from the dependents of its upstream jobs.
 func (t *Table) unlink(job *Job) {
 	if !job.linked {
 		return
@@ -162,11 +164,11 @@
 		delete(t.graph.dependents, id)
 	}
 	if upstream := t.byID[id]; upstream != nil {
-		t.markStale(upstream)
+		t.markInheritanceStale(upstream)
 	}
 }
 
-// propagateTerminal applies a terminal record to the jobs that wait for its job.
+// propagateTerminal applies the terminal record of a job to its dependent jobs.
 func (t *Table) propagateTerminal(id string, phase Phase) {
 	dependents := t.graph.dependents[id]
 	delete(t.graph.dependents, id)
@@ -182,7 +184,7 @@
 	}
 }
 
-// inOrder returns a set of held jobs in the order in which they were accepted.
+// inOrder returns a set of held jobs in the order in which their records were created.
 func inOrder(set map[*Job]bool) []*Job {
 	if len(set) == 0 {
 		return nil
@@ -191,11 +193,12 @@
 	for job := range set {
 		list = append(list, job)
 	}
-	slices.SortFunc(list, byAcceptance)
+	slices.SortFunc(list, byCreateRevision)
 	return list
 }
 
-// byAcceptance compares held jobs by the order in which they were accepted.
-func byAcceptance(a, b *Job) int {
+// byCreateRevision compares held jobs by the create revision of their job records, which
+// is the ModRevision as long as a job is held.
+func byCreateRevision(a, b *Job) int {
 	return cmp.Or(cmp.Compare(a.ModRevision, b.ModRevision), cmp.Compare(a.ID, b.ID))
 }
--- a/internal/pipeline/graph_test.go
+++ b/internal/pipeline/graph_test.go
@@ -16,28 +16,28 @@
 	f.addJob(2, nil, 1)
 	f.addJob(3, nil, 1, 1)
 	d := f.addJob(4, nil, 2, 3)
-	expect(t, "before", idsOf(f.Releasable()), "")
+	expect(t, "releasable jobs before any upstream job is done", idsOf(f.Releasable()), "")
 	f.storeTerminal(1, Done)
-	expect(t, "first done", idsOf(f.Releasable()), "2 3")
+	expect(t, "releasable jobs after job 1 is done", idsOf(f.Releasable()), "2 3")
 	f.storeTerminal(2, Done)
-	expect(t, "second done", idsOf(f.Releasable()), "3")
+	expect(t, "releasable jobs after job 2 is done", idsOf(f.Releasable()), "3")
 	f.storeTerminal(3, Done)
-	expect(t, "all done", idsOf(f.Releasable()), "4")
+	expect(t, "releasable jobs after job 3 is done", idsOf(f.Releasable()), "4")
 	if d.Phase() != Queued || len(f.ReadyJobs()) != 0 {
-		t.Errorf("a held job is %v, %d are to be placed", d.Phase(), len(f.ReadyJobs()))
+		t.Errorf("held job: phase = %v, %d ready jobs, want phase %v and 0 ready jobs", d.Phase(), len(f.ReadyJobs()), Queued)
 	}
-	// The readiness counts whichever controller wrote it.
+	// The readiness takes effect regardless of which controller wrote it.
 	ready := *d
 	ready.Ready = true
 	f.store(record.KindJob, d.ID, EncodeJob(f.Names, &ready))
-	expect(t, "ready", idsOf(f.Releasable()), "")
-	expect(t, "to be placed", idsOf(f.ReadyJobs()), "4")
+	expect(t, "releasable jobs after the readiness is persisted", idsOf(f.Releasable()), "")
+	expect(t, "ready jobs after the readiness is persisted", idsOf(f.ReadyJobs()), "4")
 	if len(f.graph.dependents)+len(f.graph.releasable) != 0 {
-		t.Errorf("the lists keep %d and %d", len(f.graph.dependents), len(f.graph.releasable))
+		t.Errorf("graph has %d dependents and %d releasable jobs, want 0 and 0", len(f.graph.dependents), len(f.graph.releasable))
 	}
 }
 
-// A record that is written again as it was changes nothing.
+// Writing a record again with the same content has no effect.
 func TestHeldTwice(t *testing.T) {
 	f := newFixture()
 	f.addJob(1, nil)
@@ -45,7 +45,7 @@
 	f.addJob(2, nil, 1)
 	f.storeTerminal(1, Done)
 	f.storeTerminal(1, Done)
-	expect(t, "held", idsOf(f.Releasable()), "2")
+	expect(t, "releasable jobs", idsOf(f.Releasable()), "2")
 }
 
 func TestDiamondCancelled(t *testing.T) {
@@ -57,37 +57,39 @@
 	f.addJob(5, nil)
 	f.addJob(6, nil, 5)
 	f.storeTerminal(1, Cancelled)
-	expect(t, "upstream cancelled", f.upstreamCancelledIDs(), "2 3 4")
+	expect(t, "jobs downstream of cancelled job 1", f.upstreamCancelledIDs(), "2 3 4")
 	if d.Phase() != Cancelled || f.Job(id(6)).Phase() != Queued {
-		t.Errorf("below: %v, beside: %v", d.Phase(), f.Job(id(6)).Phase())
+		t.Errorf("job 4 is in phase %v, job 6 in phase %v, want %v and %v", d.Phase(), f.Job(id(6)).Phase(), Cancelled, Queued)
 	}
-	// One that names a cancelled job, or one below it, comes later.
+	// Jobs that depend on a cancelled job, directly or indirectly, are submitted later.
 	f.addJob(7, nil, 4, 5)
 	f.addJob(8, nil, 7)
-	expect(t, "upstream cancelled", f.upstreamCancelledIDs(), "2 3 4 7 8")
-	// Once its own terminal record is stored, its dependents follow from that.
+	expect(t, "jobs downstream of cancelled job 1, with later jobs", f.upstreamCancelledIDs(), "2 3 4 7 8")
+	// Once job 7 has its own terminal record, its later dependents are cancelled because
+	// of that record.
 	f.storeTerminal(7, Cancelled)
 	f.store(record.KindJob, id(7), nil)
 	f.addJob(9, nil, 7)
-	expect(t, "upstream cancelled", f.upstreamCancelledIDs(), "2 3 4 8 9")
+	expect(t, "jobs downstream after job 7 is cancelled", f.upstreamCancelledIDs(), "2 3 4 8 9")
 	if f.Job(id(7)) != nil {
-		t.Error("a job without a key is kept")
+		t.Errorf("Job(%s) is not nil after its records were deleted", id(7))
 	}
 	f.storeTerminal(5, Done)
-	expect(t, "held", idsOf(f.Releasable()), "6")
+	expect(t, "releasable jobs after job 5 is done", idsOf(f.Releasable()), "6")
 }
 
-// A cancellation that loses to done leaves the jobs below alone.
+// A job that is done does not cancel its dependents, also if a cancellation of the job was
+// requested and lost against the completion.
 func TestLostToDone(t *testing.T) {
 	f := newFixture()
 	f.addJob(1, nil)
 	f.addJob(2, nil, 1)
 	f.storeTerminal(1, Done)
-	expect(t, "upstream cancelled", f.upstreamCancelledIDs(), "")
-	expect(t, "held", idsOf(f.Releasable()), "2")
+	expect(t, "jobs downstream of a cancelled job", f.upstreamCancelledIDs(), "")
+	expect(t, "releasable jobs", idsOf(f.Releasable()), "2")
 }
 
-// derivedState shows what follows from the graph for every job.
+// derivedState describes the state of every job that is derived from the graph.
 func (f *fixture) derivedState() string {
 	f.inherit()
 	var b strings.Builder
@@ -107,7 +109,8 @@
 	return b.String()
 }
 
-// randomGraph stores jobs with random upstream jobs, some of which end.
+// randomGraph returns a fixture with jobs that have random upstream jobs, some of which
+// have ended.
 func randomGraph(rng *rand.Rand) *fixture {
 	f := newFixture()
 	const jobs = 60
@@ -135,8 +138,8 @@
 	return f
 }
 
-// storePages stores a job's list of upstream jobs in two pages, the first of which
-// has so many of them.
+// storePages stores a job's list of upstream jobs in two pages, the first with the given
+// number of jobs.
 func (f *fixture) storePages(job *Job, first int) {
 	f.store(record.KindUpstreamPage, job.ID+"/0", record.EncodeUpstreamPages(job.Upstream[:first], 4096)[0])
 	modRevision := f.revision
@@ -144,7 +147,8 @@
 	job.usePages(2, modRevision)
 }
 
-// maybeEnd cancels a job, or completes it if all its upstream jobs are done.
+// maybeEnd cancels an unfinished job if cancel is true. Otherwise it completes the job if
+// all of its upstream jobs are done.
 func (f *fixture) maybeEnd(n int, cancel bool) {
 	job := f.Job(id(n))
 	if f.Terminal.Has(id(n)) || job == nil {
@@ -158,8 +162,8 @@
 	}
 }
 
-// TestAnyOrder: whatever the order in which keys arrive, the same follows, and
-// the same as derived from scratch.
+// TestAnyOrder checks that the derived state does not depend on the order in which changes
+// arrive, and equals the state derived from scratch.
 func TestAnyOrder(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -183,13 +187,13 @@
 	}
 }
 
-// reportDifferences ends the test with the lines that differ.
+// reportDifferences reports the lines that differ and ends the test.
 func reportDifferences(t *testing.T, seed uint64, got, want string) {
 	t.Helper()
 	a, b := strings.Split(got, "\n"), strings.Split(want, "\n")
 	for i := range b {
 		if i >= len(a) || a[i] != b[i] {
-			t.Errorf("seed %d: %q, in order %q", seed, a[min(i, len(a)-1)], b[i])
+			t.Errorf("seed %d: derived state after shuffled changes has line %q, want %q", seed, a[min(i, len(a)-1)], b[i])
 		}
 	}
 	t.FailNow()
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -7,10 +7,10 @@
 	"lugward/internal/record"
 )
 
-// Shape of a job.
+// Shape is the kind of a job.
 type Shape uint8
 
-// The shapes.
+// The shapes of jobs.
 const (
 	Array Shape = iota
 	Gang
@@ -28,7 +28,7 @@
 	Production
 )
 
-// Phase of a job as users see it.
+// Phase is the state of a job as shown to users.
 type Phase uint8
 
 // The phases.
@@ -39,28 +39,28 @@
 	Cancelled
 )
 
-// AnyZone is the zone of a job that may run in any.
+// AnyZone is the zone of a job that may run in any zone.
 const AnyZone ZoneIndex = -1
 
-// Spec is what a job asks for, with names as dense indices.
+// Spec is the specification of a job, with names replaced by dense indices.
 type Spec struct {
 	Class              ClassIndex
 	Team               TeamIndex
 	Shape              Shape
 	Priority           Priority
 	TaskCount          int
-	CPUs, GPUs, Memory float64 // of each task
+	CPUs, GPUs, Memory float64 // per task
 	Image              ImageIndex
 	ImageGB            float64
-	MachineTypes       []MachineTypeIndex // nil: any
-	Zone               ZoneIndex          // AnyZone: any
+	MachineTypes       []MachineTypeIndex // nil means any type
+	Zone               ZoneIndex          // AnyZone if the job may run in any zone
 	SameZone           bool
 	SpreadZones        bool
 	AllowSpot          bool
 	EstimatedRuntime   float64 // seconds
 	CheckpointInterval float64 // seconds
 	CheckpointDuration float64 // seconds
-	Deadline           float64 // seconds after submission, 0: none
+	Deadline           float64 // seconds after submission, zero if there is none
 }
 
 // Allows reports whether the job may use a machine type.
@@ -74,43 +74,46 @@
 // AllowsZone reports whether the job may use a zone.
 func (s *Spec) AllowsZone(zone ZoneIndex) bool { return s.Zone == AnyZone || s.Zone == zone }
 
-// IsGang reports whether several tasks run together or not at all.
+// IsGang reports whether the job has several tasks that run either all together or not
+// at all.
 func (s *Spec) IsGang() bool { return s.Shape == Gang && s.TaskCount > 1 }
 
-// CountsAllTasks reports whether all tasks count together against the team's limit.
+// CountsAllTasks reports whether all tasks of the job count against the team's limit as
+// a unit.
 func (s *Spec) CountsAllTasks() bool { return s.Shape != Array }
 
-// Job is a vertex of a pipeline: what its record says, and what the table derives.
+// Job is a vertex of a pipeline. It holds the content of the job record and the state
+// that the table derives from other records.
 type Job struct {
 	ID    string
-	Index int // in the table's list of jobs
+	Index int // index in the table's list of jobs
 	Spec
-	Owner   string        // the controller that writes its readiness
-	unknown record.Fields // of its record, stored by a later version
+	Owner   string        // controller that writes the job's readiness
+	unknown record.Fields // fields of the job record written by a later version
 
-	// Upstream are the upstream jobs that the record itself lists. If UpstreamPages
-	// is not 0, the list is stored in that many pages instead. SubmissionRevision is
-	// then the revision of page 0: what another attempt to submit the job has left
-	// behind does not belong to the list.
+	// Upstream lists the IDs of the upstream jobs in the job record itself. If
+	// UpstreamPages is not zero, the list is stored in that number of pages instead,
+	// and SubmissionRevision is the revision of page 0. The revision distinguishes
+	// these pages from those left behind by another attempt to submit the job.
 	Upstream           []string
 	UpstreamPages      int
 	SubmissionRevision uint64
 
-	// SubmittedAt and ReadyAt are when the job was submitted and when the last job
-	// that it needs was done, in Unix ms; 0: not known.
+	// SubmittedAt is the time when the job was submitted, and ReadyAt the time when its
+	// last upstream job was done. Both are in Unix ms, zero if unknown.
 	SubmittedAt, ReadyAt int64
-	// Ready means that all upstream jobs are done and that this is stored.
+	// Ready is true once all upstream jobs are done and the job record says so.
 	Ready bool
-	// ReadyRevision is the revision at which the job became ready: ready jobs start in
-	// that order.
+	// ReadyRevision is the revision at which the job became ready. It determines the
+	// order in which ready jobs start.
 	ReadyRevision uint64
-	// ReadySince is when the job became ready, or when this controller first saw it
-	// ready if its record has no such time.
+	// ReadySince is the time when the job became ready. If the job record has no such
+	// time, it is the time when this controller first saw the job ready.
 	ReadySince event.Time
 
-	ModRevision   uint64    // of the job record, 0: none is stored
-	TerminalPhase Phase     // Done or Cancelled once the terminal record is stored, else Queued
-	segments      []segment // its run records, by index
+	ModRevision   uint64    // revision of the job record, zero if there is none
+	TerminalPhase Phase     // Done or Cancelled once the terminal record is persisted, Queued before
+	segments      []segment // the run records of the job, by index
 
 	inherited
 	taskCounts
@@ -120,36 +123,36 @@
 	leaderState
 }
 
-// inherited is what dependent jobs ask of a job. It is derived as the graph changes and
-// never stored.
+// inherited holds the values that a job inherits from its dependent jobs. They are derived
+// when the graph changes and are never persisted.
 type inherited struct {
-	// EffectivePriority and EffectiveDeadline are the job's own, or those of the
-	// unfinished jobs that depend on it if they ask for more.
+	// EffectivePriority and EffectiveDeadline are the job's own priority and deadline,
+	// or those of unfinished dependent jobs if these are higher or earlier.
 	EffectivePriority Priority
 	EffectiveDeadline event.Time
-	Chained           bool // it has upstream jobs, or had dependent ones
+	Chained           bool // the job has upstream jobs, or has had dependent jobs
 }
 
-// recordWrites is what a controller knows of the writes of a job's readiness, cancellation
-// and completion, and of the deletion of its records.
+// recordWrites is a controller's state of the writes of a job's readiness, cancellation
+// and completion, and of the deletion of the job's records.
 type recordWrites struct {
-	recordWriteInFlight   bool       // of its readiness or cancellation
-	terminalWriteInFlight bool       // of its completion
-	deletionInFlight      bool       // of its records
-	nextRecordWrite       event.Time // no such write before
-	rejectedWrites        int        // writes in a row that the state service rejected
+	recordWriteInFlight   bool       // a write of the readiness or cancellation
+	terminalWriteInFlight bool       // a write of the completion
+	deletionInFlight      bool       // a deletion of the job's records
+	nextRecordWrite       event.Time // earliest time of the next such write
+	rejectedWrites        int        // consecutive writes rejected by the state service
 }
 
-// leaderState is what the leader decides about a job; it is lost with the term.
+// leaderState holds the leader's decisions about a job. It is discarded when the term ends.
 type leaderState struct {
-	terminating    bool         // gang: its attempt is being ended
-	withinQuota    bool         // it fits in its team's quota
-	reservedZone   ZoneSelector // where capacity is gathered for it, any: nowhere
-	unplacedFrom   int          // no task below it waits to be placed
+	terminating    bool         // the attempt of the gang is being terminated
+	withinQuota    bool         // the job fits in its team's quota
+	reservedZone   ZoneSelector // zone where capacity is reserved for the job, any zone if there is none
+	unplacedFrom   int          // all tasks with lower numbers are assigned or done
 	doneUnassigned map[int]bool // completed tasks without an assignment
 }
 
-// Phase is the phase that users are shown.
+// Phase returns the phase that is shown to users.
 func (j *Job) Phase() Phase {
 	if j.TerminalPhase != Queued {
 		return j.TerminalPhase
@@ -163,7 +166,7 @@
 	return Queued
 }
 
-// Terminating reports whether an attempt of the gang is being ended.
+// Terminating reports whether the attempt of the gang is being terminated.
 func (j *Job) Terminating() bool { return j.terminating }
 
 // WithinQuota reports whether the job fits in its team's quota.
@@ -172,23 +175,23 @@
 // SetWithinQuota records whether the job fits in its team's quota.
 func (j *Job) SetWithinQuota(within bool) { j.withinQuota = within }
 
-// ReservedZone selects the zone where capacity is gathered for the job, or any zone if
+// ReservedZone selects the zone where capacity is reserved for the job, or any zone if
 // there is none.
 func (j *Job) ReservedZone() ZoneSelector { return j.reservedZone }
 
-// ReserveZone records the zone where capacity is gathered for the job.
+// ReserveZone records the zone where capacity is reserved for the job.
 func (j *Job) ReserveZone(zone ZoneSelector) { j.reservedZone = zone }
 
-// UseUpstreamPages records that the job's list of upstream jobs is stored in a number
-// of pages instead of its record.
+// UseUpstreamPages records that the job's list of upstream jobs is stored in the given
+// number of pages instead of the job record.
 func (j *Job) UseUpstreamPages(pages int) { j.UpstreamPages = pages }
 
 // SetSubmissionRevision records the revision of the first page of the job's list of
 // upstream jobs, which identifies the attempt to submit the job.
 func (j *Job) SetSubmissionRevision(revision uint64) { j.SubmissionRevision = revision }
 
-// writeRank orders the writes of jobs among those of one priority: those of the
-// lowest priority go last, since many of them may take all of the write rate.
+// writeRank returns the rank of the job's writes among writes of the same kv priority.
+// Writes of Idle jobs go last, since many of them could use up the write rate.
 func (j *Job) writeRank() int {
 	return int(min(j.EffectivePriority, Normal))
 }
--- a/internal/pipeline/job_end.go
+++ b/internal/pipeline/job_end.go
@@ -2,8 +2,8 @@
 
 import "lugward/internal/record"
 
-// onTerminal takes a terminal record of the watch cache. It reports whether the record is
-// new: it never changes, and may be shown twice.
+// onTerminal handles a terminal record of the watch cache. It reports whether the record is
+// new. A terminal record never changes, but the watch cache may deliver it more than once.
 func (t *Table) onTerminal(id string, data []byte) (isNew bool, err error) {
 	if data == nil || t.Terminal.Has(id) {
 		return false, nil
@@ -24,7 +24,7 @@
 	return true, nil
 }
 
-// endJob takes over a terminal record in the job's own state.
+// endJob applies a terminal record to the state of its job.
 func (t *Table) endJob(job *Job, phase Phase) {
 	job.TerminalPhase = phase
 	t.unlink(job)
@@ -35,16 +35,17 @@
 			t.NoteMachineChanged(assignment.Machine)
 		}
 	}
-	t.removePlacements(job)
+	t.removeUnpersistedAssignments(job)
 	if phase == Done {
-		t.dropCompleted(job)
+		t.removeCompletedAssignments(job)
 	}
 	t.forget(job)
 }
 
-// removePlacements removes the placements of a job with a terminal record that are not
-// stored: they never will be, as their write requires that there is no such record.
-func (t *Table) removePlacements(job *Job) {
+// removeUnpersistedAssignments removes the assignments of a job with a terminal record
+// that are not persisted. They never will be, since their write requires that the job has
+// no terminal record.
+func (t *Table) removeUnpersistedAssignments(job *Job) {
 	for index := range job.segments {
 		for task, assignment := range job.segments[index].assignments {
 			if !assignment.durable {
@@ -55,8 +56,8 @@
 	}
 }
 
-// TakeEndedJobs returns, once each, the jobs that have ended while tasks of theirs
-// may be on machines.
+// TakeEndedJobs returns and clears the list of jobs that have ended while their tasks may
+// still be on machines.
 func (t *Table) TakeEndedJobs() []*Job {
 	list := make([]*Job, 0, len(t.endedWithTasks))
 	for job := range t.endedWithTasks {
--- a/internal/pipeline/job_index.go
+++ b/internal/pipeline/job_index.go
@@ -2,20 +2,20 @@
 
 import "iter"
 
-// jobIndex holds the jobs by ID and by index. The index of a job that is removed serves
-// another, so that indices stay dense.
+// jobIndex holds the jobs by ID and by index. The index of a removed job is reused, so
+// that indices stay dense.
 type jobIndex struct {
 	byID        map[string]*Job
-	jobs        []*Job // by index; nil: the index is free
+	jobs        []*Job // by index, nil if the index is free
 	freeIndexes []int
 }
 
-// Job returns an unfinished job, or one that is finished but not cleaned up; nil: there
-// is none.
+// Job returns the job with an ID, or nil if there is none. Finished jobs are included
+// until their records are deleted.
 func (i *jobIndex) Job(id string) *Job { return i.byID[id] }
 
-// AllJobs returns the unfinished jobs and those that are finished but not cleaned up,
-// in the order of their indices.
+// AllJobs returns all jobs in the order of their indices. Finished jobs are included until
+// their records are deleted.
 func (i *jobIndex) AllJobs() iter.Seq[*Job] {
 	return func(yield func(*Job) bool) {
 		for _, job := range i.jobs {
@@ -26,7 +26,7 @@
 	}
 }
 
-// add gives a new job an index that is free.
+// add adds a new job under a free index.
 func (i *jobIndex) add(job *Job) {
 	i.byID[job.ID] = job
 	last := len(i.freeIndexes) - 1
--- a/internal/pipeline/job_record.go
+++ b/internal/pipeline/job_record.go
@@ -2,7 +2,7 @@
 
 import "lugward/internal/record"
 
-// EncodeJob returns the stored form of a job.
+// EncodeJob returns the encoded job record of a job.
 func EncodeJob(names *Names, job *Job) []byte {
 	stored := record.Job{
 		Class:              names.Classes.Name(job.Class),
@@ -40,8 +40,7 @@
 	return stored.Encode()
 }
 
-// decodeJob decodes a job's stored form into the job, which stays as it was if there
-// is an error.
+// decodeJob decodes a job record into the job. The job is not changed if there is an error.
 func decodeJob(names *Names, data []byte, job *Job) error {
 	stored, err := record.DecodeJob(data)
 	if err != nil {
@@ -59,7 +58,7 @@
 	return nil
 }
 
-// newSpec returns what a job record asks for, with indices in place of the names.
+// newSpec returns the specification in a job record, with names replaced by indices.
 func newSpec(names *Names, stored *record.Job) Spec {
 	spec := Spec{
 		Class:              names.Classes.Index(stored.Class),
@@ -90,8 +89,8 @@
 	return spec
 }
 
-// EncodeTerminal returns the stored form of the terminal record of a job that ends in
-// a phase, which is Done or Cancelled.
+// EncodeTerminal returns the encoded terminal record of a job that ends in the given
+// phase, which is Done or Cancelled.
 func EncodeTerminal(phase Phase, job *Job) []byte {
 	return record.Terminal{
 		Cancelled: phase == Cancelled,
--- a/internal/pipeline/leadership.go
+++ b/internal/pipeline/leadership.go
@@ -1,6 +1,6 @@
 package pipeline
 
-// Reset drops everything that only a leader knows.
+// Reset discards the state of all jobs and assignments that only a leader has.
 func (t *Table) Reset() {
 	for job := range t.AllJobs() {
 		t.resetJob(job)
@@ -10,8 +10,8 @@
 	clear(t.retries.deletionsInFlight)
 	clear(t.endedWithTasks)
 	for job := range t.AllJobs() {
-		// All tasks are logged as done and the leader that logged it has lost its
-		// term: nothing else would ever write the completion.
+		// All tasks are persisted as done, but the term of the leader that wrote them
+		// has ended. No other event would cause the terminal record to be written.
 		if job.complete() {
 			t.unsaved[job] = true
 		}
@@ -22,7 +22,7 @@
 	t.RequestRound()
 }
 
-// resetJob drops what only a leader knows of a job.
+// resetJob discards the state of a job that only a leader has.
 func (t *Table) resetJob(job *Job) {
 	t.resetRetry(job)
 	job.leaderState = leaderState{}
@@ -46,7 +46,7 @@
 	job.pendingDoneCount = 0
 }
 
-// reset drops what only a leader knows of an assignment.
+// reset discards the state of an assignment that only a leader has.
 func (a *Assignment) reset() {
 	a.assignmentStatus = assignmentStatus{}
 }
--- a/internal/pipeline/machine_index.go
+++ b/internal/pipeline/machine_index.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// machineIndex lists the assignments of each machine, and the machines whose assignments
-// have changed. A list is replaced, never changed in place.
+// machineIndex holds the assignments of each machine, and the machines whose assignments
+// have changed. Lists of assignments are copied on write, so callers may keep them.
 type machineIndex struct {
 	byMachine       [][]*Assignment
-	changes         []uint32              // by machine, how often its assignments have changed
-	changedMachines []MachineIndex        // since they were last taken, in the order of the first change
-	changed         map[MachineIndex]bool // the machines in changedMachines
+	changeCounts    []uint32              // by machine, number of changes of its assignments
+	changedMachines []MachineIndex        // since the last call of TakeChangedMachines, in the order of the first change
+	changed         map[MachineIndex]bool // set of the machines in changedMachines
 }
 
-// OnMachine returns the assignments of a machine, as they are now: what is removed
-// meanwhile stays in the list that was returned. The list must not be changed.
+// OnMachine returns the current assignments of a machine. Later changes do not affect the
+// returned list, which the caller must not modify.
 func (m *machineIndex) OnMachine(machine MachineIndex) []*Assignment {
 	if machine < 0 || machine >= MachineIndex(len(m.byMachine)) {
 		return nil
@@ -34,28 +34,30 @@
 	}
 }
 
-// NoteMachineChanged notes that something about the assignments of a machine has changed.
+// NoteMachineChanged marks a machine as changed because its assignments or their state have
+// changed.
 func (m *machineIndex) NoteMachineChanged(machine MachineIndex) {
-	for MachineIndex(len(m.changes)) <= machine {
-		m.changes = append(m.changes, 0)
+	for MachineIndex(len(m.changeCounts)) <= machine {
+		m.changeCounts = append(m.changeCounts, 0)
 	}
-	m.changes[machine]++
+	m.changeCounts[machine]++
 	if !m.changed[machine] {
 		m.changed[machine] = true
 		m.changedMachines = append(m.changedMachines, machine)
 	}
 }
 
-// Changes counts the changes of a machine's assignments: whoever caches something
-// that follows from them compares it.
+// Changes returns the number of changes of a machine's assignments. Callers that cache
+// values derived from the assignments use it to detect stale values.
 func (m *machineIndex) Changes(machine MachineIndex) uint32 {
-	if machine >= MachineIndex(len(m.changes)) {
+	if machine >= MachineIndex(len(m.changeCounts)) {
 		return 0
 	}
-	return m.changes[machine]
+	return m.changeCounts[machine]
 }
 
-// TakeChangedMachines returns, once each, the machines whose assignments have changed.
+// TakeChangedMachines returns and clears the list of machines whose assignments have
+// changed. Each machine is listed once.
 func (m *machineIndex) TakeChangedMachines() []MachineIndex {
 	list := m.changedMachines
 	m.changedMachines = nil
--- a/internal/pipeline/names.go
+++ b/internal/pipeline/names.go
@@ -17,11 +17,11 @@
 // ZoneIndex is the index of a zone in Names.
 type ZoneIndex int
 
-// MachineIndex is the index of a machine in Names. That of a machine that is gone serves
-// another one; the indices of other tables are never reused.
+// MachineIndex is the index of a machine in Names. The index of a removed machine is
+// reused. The indices of the other tables are never reused.
 type MachineIndex int
 
-// Names are the tables that map names to the indices used everywhere else.
+// Names holds the tables that map names to the indices used in the other types.
 type Names struct {
 	Classes      intern.Table[ClassIndex]
 	Teams        intern.Table[TeamIndex]
