--- a/internal/pipeline/priority_inheritance.go
+++ b/internal/pipeline/priority_inheritance.go
@@ -5,57 +5,57 @@
 	"math"
 )
 
-// NoDeadline is the deadline of a job that has none.
+// NoDeadline is the value of a deadline that is not set.
 const NoDeadline = math.MaxInt64
 
-// youngestFirst is a heap of jobs whose effective values are stale: the youngest
-// held job first, jobs that are ready last. A job names only jobs that were
-// accepted before it, and a held job's record is rewritten by its readiness alone,
-// so whatever a job inherits is settled before it.
-type youngestFirst []*Job
+// newestFirst is a heap of jobs whose effective values are stale. The most recently accepted
+// held job comes first, ready jobs come last. The upstream jobs of a job were all accepted
+// before it, and a held job's record is only rewritten when the job becomes ready. So all
+// jobs that a job inherits from are processed before it.
+type newestFirst []*Job
 
 // Len returns the number of jobs.
-func (h youngestFirst) Len() int { return len(h) }
+func (h newestFirst) Len() int { return len(h) }
 
-// Less orders the jobs by acceptance, the youngest first.
-func (h youngestFirst) Less(a, b int) bool {
-	if revisionA, revisionB := h[a].acceptedAt(), h[b].acceptedAt(); revisionA != revisionB {
+// Less orders the jobs by acceptance, most recent first.
+func (h newestFirst) Less(a, b int) bool {
+	if revisionA, revisionB := h[a].acceptedRevision(), h[b].acceptedRevision(); revisionA != revisionB {
 		return revisionA > revisionB
 	}
 	return h[a].ID > h[b].ID
 }
 
 // Swap swaps two jobs.
-func (h youngestFirst) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
+func (h newestFirst) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
 // Push appends a job, for container/heap.
-func (h *youngestFirst) Push(x any) { *h = append(*h, x.(*Job)) }
+func (h *newestFirst) Push(x any) { *h = append(*h, x.(*Job)) }
 
 // Pop removes the last job, for container/heap.
-func (h *youngestFirst) Pop() any {
+func (h *newestFirst) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return last
 }
 
-// acceptedAt is the revision at which a held job was accepted, 0 for one that is
-// ready: its record has been rewritten since.
-func (j *Job) acceptedAt() uint64 {
+// acceptedRevision returns the revision at which a held job was accepted. It is zero for a
+// ready job, whose record has been rewritten since.
+func (j *Job) acceptedRevision() uint64 {
 	if j.Ready {
 		return 0
 	}
 	return j.ModRevision
 }
 
-// inherit derives the effective priorities and deadlines that follow from what
-// has changed, each job's once.
+// inherit updates the effective priorities and deadlines of all jobs that are affected by
+// changes. Each job is processed once.
 func (t *Table) inherit() {
 	stale := t.graph.stale
 	if len(stale) == 0 {
 		return
 	}
-	queue := make(youngestFirst, 0, len(stale))
+	queue := make(newestFirst, 0, len(stale))
 	for job := range stale {
 		queue = append(queue, job)
 	}
@@ -73,14 +73,15 @@
 			continue // its records are deleted
 		}
 		if job.inheritStale {
-			t.rederive(job)
+			t.recomputeEffectiveValues(job)
 		}
 		t.propagate(job, push)
 	}
 }
 
-// rederive computes a job's effective values from those of the jobs that need it.
-func (t *Table) rederive(job *Job) {
+// recomputeEffectiveValues computes a job's effective values from its own and those of its
+// dependent jobs.
+func (t *Table) recomputeEffectiveValues(job *Job) {
 	job.inheritStale = false
 	job.EffectivePriority = job.Priority
 	job.EffectiveDeadline = job.deadlineAt
@@ -89,14 +90,14 @@
 	}
 }
 
-// propagate passes a job's effective values, if they have changed, on to its
-// upstream jobs. Values that ask for less make them be derived anew, since another
-// dependent job may still ask for more.
+// propagate passes a job's effective values on to its upstream jobs if they have changed. If
+// the priority is lower or the deadline later than before, the upstream jobs are recomputed,
+// since another dependent job may still require the old values.
 func (t *Table) propagate(job *Job, push func(*Job)) {
 	if job.EffectivePriority == job.propagatedPriority && job.EffectiveDeadline == job.propagatedDeadline {
 		return
 	}
-	asksLess := job.EffectivePriority < job.propagatedPriority || job.EffectiveDeadline > job.propagatedDeadline
+	relaxed := job.EffectivePriority < job.propagatedPriority || job.EffectiveDeadline > job.propagatedDeadline
 	job.propagatedPriority = job.EffectivePriority
 	job.propagatedDeadline = job.EffectiveDeadline
 	for _, id := range job.linkedUpstream {
@@ -104,7 +105,7 @@
 		if upstream == nil || upstream.TerminalPhase != Queued {
 			continue
 		}
-		if asksLess {
+		if relaxed {
 			upstream.inheritStale = true
 			push(upstream)
 		} else if upstream.inheritFrom(job) {
@@ -113,8 +114,8 @@
 	}
 }
 
-// inheritFrom raises a job's effective values to what one that needs it asks for.
-// It reports whether they have changed.
+// inheritFrom raises a job's effective values to those that a dependent job requires. It
+// reports whether they have changed.
 func (j *Job) inheritFrom(dependent *Job) bool {
 	priority := max(j.EffectivePriority, dependent.EffectivePriority)
 	deadline := j.EffectiveDeadline
--- a/internal/pipeline/production_test.go
+++ b/internal/pipeline/production_test.go
@@ -11,8 +11,9 @@
 	"lugward/internal/record"
 )
 
-// readChanges reads keys as the version in production has written them, one a line:
-// revision, key, value (none: dropped). They were taken down from a run of it.
+// readChanges reads changes of keys that were recorded from a run of the version in
+// production. Each line has the revision, the key and the value, which is empty if the key
+// was deleted.
 func readChanges(t *testing.T, file string) (list []change) {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/" + file)
@@ -23,7 +24,7 @@
 		columns := strings.Split(line, "\t")
 		modRevision, err := strconv.ParseUint(columns[0], 10, 64)
 		if err != nil || len(columns) != 3 {
-			t.Fatalf("%q", line)
+			t.Fatalf("line %q, want a revision, a key and a value", line)
 		}
 		var stored change
 		stored.kind, stored.rest = splitKey(columns[1])
@@ -35,8 +36,8 @@
 	return list
 }
 
-// What the version in production stores is read, and written again the same to
-// the byte where nothing new is to be told.
+// Records of the version in production are decoded, and encoded again to the same bytes if
+// nothing has changed.
 func TestProductionRecords(t *testing.T) {
 	table := newTable(12)
 	seen := map[record.Kind]int{}
@@ -57,66 +58,66 @@
 		}
 	}
 	if seen[record.KindJob] < 5 || seen[record.KindRun] < 10 || seen[record.KindTerminal] < 4 || mostActive < 40 {
-		t.Errorf("seen %v, at most %d assignments", seen, mostActive)
+		t.Errorf("read records of the kinds %v and at most %d assignments per record, want at least 5 jobs, 10 runs, 4 terminal records and 40 assignments", seen, mostActive)
 	}
 	if len(table.byID) != 0 {
-		t.Errorf("%d jobs are left", len(table.byID))
+		t.Errorf("%d jobs are in the table, want 0", len(table.byID))
 	}
 	for id, want := range map[string]Phase{"req-000001": Done, "req-000002": Done, "req-000003": Cancelled, "req-000004": Done, "req-000005": Cancelled} {
 		if terminal, _ := table.Terminal.Get(id); terminal.Phase != want {
-			t.Errorf("%s: %v", id, terminal)
+			t.Errorf("terminal record of %s is %+v, want phase %v", id, terminal, want)
 		}
 	}
 }
 
-// checkJobRecord checks the job that a stored record has led to.
+// checkJobRecord checks the job that results from a job record.
 func checkJobRecord(t *testing.T, table *Table, stored change) {
 	t.Helper()
 	job := table.Job(stored.rest)
 	if job == nil || !job.Ready || job.ModRevision != stored.modRevision || job.ReadyRevision != stored.modRevision || job.EffectivePriority != job.Priority {
-		t.Fatalf("%s is read as %+v", stored.rest, job)
+		t.Fatalf("job record of %s is read as %+v, want a ready job with the revision of the record", stored.rest, job)
 	}
 	if got := EncodeJob(table.Names, job); !bytes.Equal(got, stored.data) {
-		t.Errorf("%s becomes %s", stored.data, got)
+		t.Errorf("record %s is encoded as %s, want the same", stored.data, got)
 	}
 }
 
-// checkRunRecord checks the segment that a stored record has led to. It returns the number
-// of its assignments.
+// checkRunRecord checks the segment that results from a run record. It returns the number of
+// its assignments.
 func checkRunRecord(t *testing.T, table *Table, stored change) int {
 	t.Helper()
 	id, index, ok := record.SplitNumbered(stored.rest)
 	if !ok {
-		t.Fatalf("key %q", stored.rest)
+		t.Fatalf("key %q, want a job ID and an index", stored.rest)
 	}
 	segment := &table.Job(id).segments[index]
 	active := make([]*Assignment, 0, len(segment.assignments))
 	for _, assignment := range segment.assignments {
 		if !assignment.durable {
-			t.Errorf("%s: an assignment is not stored", stored.rest)
+			t.Errorf("%s: an assignment is not persisted", stored.rest)
 		}
 		active = append(active, assignment)
 	}
 	run := record.Run{Attempt: segment.attempt, Done: segment.done, Active: table.assignmentRecords(active, nil)}
 	if got := run.Encode(); !bytes.Equal(got, stored.data) {
-		t.Errorf("%s becomes %s", stored.data, got)
+		t.Errorf("record %s is encoded as %s, want the same", stored.data, got)
 	}
 	return len(active)
 }
 
-// checkTerminalRecord checks what a stored record has led to.
+// checkTerminalRecord checks the entry that results from a terminal record.
 func checkTerminalRecord(t *testing.T, table *Table, stored change) {
 	t.Helper()
 	if _, err := record.DecodeTerminal(stored.data); err != nil {
-		t.Fatalf("%s: %v", stored.data, err)
+		t.Fatalf("DecodeTerminal(%s): %v", stored.data, err)
 	}
 	terminal, _ := table.Terminal.Get(stored.rest)
 	if got := EncodeTerminal(terminal.Phase, &Job{Spec: Spec{TaskCount: terminal.TaskCount}}); !bytes.Equal(got, stored.data) {
-		t.Errorf("%s becomes %s", stored.data, got)
+		t.Errorf("record %s is encoded as %s, want the same", stored.data, got)
 	}
 }
 
-// A job's record is decoded into the same specification, with the indices of the names.
+// Decoding an encoded job record returns the same job, with the same indices for its names.
 func TestJobRecordRoundTrip(t *testing.T) {
 	names := &Names{}
 	job := &Job{ID: "req-1", Owner: "n2", Upstream: []string{"req-2", "req-3"}, Ready: true, SubmittedAt: 1_700_000_000_123, ReadyAt: 1_700_000_060_456, Spec: Spec{
@@ -126,9 +127,9 @@
 	check := func() {
 		t.Helper()
 		data := EncodeJob(names, job)
-		back := &Job{ID: "req-1"}
-		if err := decodeJob(names, data, back); err != nil || !reflect.DeepEqual(back, job) {
-			t.Errorf("%s: %+v, %v", data, back, err)
+		decoded := &Job{ID: "req-1"}
+		if err := decodeJob(names, data, decoded); err != nil || !reflect.DeepEqual(decoded, job) {
+			t.Errorf("decodeJob(%s) = %+v, %v, want the encoded job", data, decoded, err)
 		}
 	}
 	check()
--- a/internal/pipeline/readiness.go
+++ b/internal/pipeline/readiness.go
@@ -10,24 +10,24 @@
 	"lugward/internal/record"
 )
 
-// maxReadinessWrites bounds the writes of readiness in flight, as placements wait behind
-// them.
+// maxReadinessWrites is the maximum number of readiness writes in flight. Placements have the
+// same priority and wait behind them.
 const maxReadinessWrites = 32
 
-// ReadyLongerThan reports whether the job became ready more than a time ago.
+// ReadyLongerThan reports whether the job has been ready for longer than wait.
 func (j *Job) ReadyLongerThan(wait time.Duration, now event.Time) bool {
 	return now-j.ReadySince > wait
 }
 
-// StartOverdue reports whether the job has been ready for longer than a limit and no
-// task of it has been placed yet. A job at fault is never overdue: waiting does not
-// entitle it to more than its probe.
+// StartOverdue reports whether the job has been ready for longer than limit without any of
+// its tasks having been assigned. A job at fault is never overdue: however long it waits, it
+// may only start its probe.
 func (j *Job) StartOverdue(limit time.Duration, now event.Time) bool {
 	return j.ReadyLongerThan(limit, now) && !j.HasStarted() && !j.AtFault()
 }
 
-// byReadiness compares jobs by the order in which they became ready. Jobs of one
-// transaction share their place and follow their IDs.
+// byReadiness compares jobs by the order in which they became ready. Jobs that became ready
+// in the same transaction are ordered by ID.
 func byReadiness(a, b *Job) int {
 	return cmp.Or(cmp.Compare(a.ReadyRevision, b.ReadyRevision), cmp.Compare(a.ID, b.ID))
 }
@@ -45,8 +45,8 @@
 	return list
 }
 
-// Releasable returns the held jobs whose upstream jobs are all done, in the order
-// of effective priority, the highest first, and then of acceptance.
+// Releasable returns the held jobs whose upstream jobs are all done, ordered by effective
+// priority, highest first, and then by the order in which they were accepted.
 func (t *Table) Releasable() []*Job {
 	t.inherit()
 	list := inOrder(t.graph.releasable)
@@ -54,9 +54,9 @@
 	return list
 }
 
-// WriteReadiness queues the writes that make held jobs of ours ready, as all of their
-// upstream jobs are done.
-func (t *Table) WriteReadiness(now event.Time, submitter TxnSubmitter, ours func(*Job) bool) {
+// WriteReadiness queues the writes that mark held jobs as ready once all of their upstream
+// jobs are done. Only the jobs for which owned returns true are written.
+func (t *Table) WriteReadiness(now event.Time, submitter TxnSubmitter, owned func(*Job) bool) {
 	if len(t.graph.releasable) == 0 || t.graph.readinessWritesInFlight >= maxReadinessWrites {
 		return
 	}
@@ -64,7 +64,7 @@
 		if t.graph.readinessWritesInFlight >= maxReadinessWrites {
 			return
 		}
-		if job.mayWriteRecord(now) && ours(job) {
+		if job.mayWriteRecord(now) && owned(job) {
 			t.writeReadiness(job, now, submitter)
 		}
 	}
--- a/internal/pipeline/record_write.go
+++ b/internal/pipeline/record_write.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// writeTimeout is how long a queued write waits for the write rate before it
-	// is given up and queued anew.
+	// writeTimeout is how long a queued write waits for the write rate limit before it
+	// is dropped and queued again.
 	writeTimeout = 20 * time.Second
-	// retryWait is the pause after a write that failed: the watch cache needs
-	// about that long to show what the state service holds.
+	// retryWait is the delay after a failed write. The watch cache needs about that
+	// long to catch up with the state service.
 	retryWait = 200 * time.Millisecond
-	// maxRetryWait bounds the pause after writes that the state service rejects.
+	// maxRetryWait is the maximum delay after writes that the state service rejects.
 	maxRetryWait = 30 * time.Second
-	// maxRejectedWrites is the count of such writes in a row from which on the
-	// pause grows no further: its doublings exceed maxRetryWait by then.
+	// maxRejectedWrites caps the number of consecutive rejected writes that is counted.
+	// The doubled delay exceeds maxRetryWait before that.
 	maxRejectedWrites = 10
 )
 
-// TxnSubmitter queues transactions, each to be given up at a monotonic time; *kv.Client
-// is one.
+// TxnSubmitter queues transactions. A transaction that has not been sent at the monotonic
+// time expires is dropped. *kv.Client implements it.
 type TxnSubmitter interface {
 	Submit(txn *kv.Txn, expires event.Time)
 }
 
-// delayRecordWrite delays the next write of a job's records after one had an outcome. A
-// write that the state service rejects will be rejected again: it is retried ever less
-// often.
+// delayRecordWrite sets the earliest time of the next write of a job's records after the
+// result of one. A write that the state service rejected will be rejected again, so it is
+// retried with an exponential backoff.
 func (j *Job) delayRecordWrite(result kv.Result) {
 	j.nextRecordWrite = result.Now + retryAfter(result, &j.rejectedWrites)
 }
 
-// retryAfter is how long to wait after a write; rejected counts those in a row that were
-// rejected.
+// retryAfter returns the delay after a write with a result. rejected points to the number of
+// consecutive rejected writes, which retryAfter updates.
 func retryAfter(result kv.Result, rejected *int) time.Duration {
 	if result.Outcome != kv.Rejected {
 		*rejected = 0
@@ -51,9 +51,10 @@
 	return !j.recordWriteInFlight && now >= j.nextRecordWrite
 }
 
-// submitRecordWrite queues the writes of a job's readiness or cancellation on condition of
-// the job's record as the watch cache shows it and of no terminal record, so that of several
-// controllers only one succeeds; inFlight counts such writes.
+// submitRecordWrite queues the writes of a job's readiness or cancellation. The transaction
+// requires the job's record to have the revision that the watch cache shows, and that there
+// is no terminal record, so that only one of several controllers succeeds. inFlight points
+// to the number of such writes in flight.
 func (j *Job) submitRecordWrite(inFlight *int, now event.Time, submitter TxnSubmitter, txn *kv.Txn) {
 	j.recordWriteInFlight = true
 	*inFlight++
--- a/internal/pipeline/record_write_test.go
+++ b/internal/pipeline/record_write_test.go
@@ -10,8 +10,8 @@
 	"lugward/internal/record"
 )
 
-// Several controllers may write that a job is ready: only the watch cache shows that one of
-// them succeeded, and a write that lost is retried after a pause.
+// Several controllers may write the readiness of a job. Only the watch cache shows that one
+// of them succeeded, and a write with a conflict is retried after a delay.
 func TestReadinessWrite(t *testing.T) {
 	f := newFixture()
 	f.addJob(1, nil)
@@ -23,47 +23,47 @@
 	write()
 	write()
 	if len(txns.list) != 1 {
-		t.Fatalf("%d writes", len(txns.list))
+		t.Fatalf("two calls of WriteReadiness queued %d writes, want 1", len(txns.list))
 	}
 	txn := txns.next(t)
 	if !slices.Contains(txn.Compares, kv.Compare{Key: record.JobKey(job.ID), ModRevision: job.ModRevision}) || !slices.Contains(txn.Compares, kv.Compare{Key: record.TerminalKey(job.ID)}) {
-		t.Errorf("conditions %v", txn.Compares)
+		t.Errorf("WriteReadiness queued a write with the conditions %v, want those of the job record and no terminal record", txn.Compares)
 	}
 	txn.Done(kv.Result{Outcome: kv.Conflict, Now: now})
 	write()
 	if len(txns.list) != 0 {
-		t.Error("tried again at once")
+		t.Error("WriteReadiness queued a write immediately after a conflict, want none")
 	}
 	now += time.Second
 	write()
 	f.commit(txns.next(t))
 	write()
 	if len(txns.list) != 0 || !job.Ready || job.SubmittedAt != 1000_500 || job.ReadyAt != 1002_000 {
-		t.Errorf("%d writes, ready %v, submitted %d, ready at %d", len(txns.list), job.Ready, job.SubmittedAt, job.ReadyAt)
+		t.Errorf("%d writes queued, job ready %v, submitted at %d, ready at %d; want 0, true, 1000500 and 1002000", len(txns.list), job.Ready, job.SubmittedAt, job.ReadyAt)
 	}
 }
 
-// cancellations carries out the cancellations of a table, second by second.
+// cancellations commits the cancellations of a table in steps of one second.
 type cancellations struct {
 	now   time.Duration
 	txns  txnQueue
 	count int
 }
 
-// step queues the cancellations that are due and carries out two of three; the others
-// have no known outcome.
+// step queues the cancellations that may be written and commits two of three. The outcome of
+// the others is unknown.
 func (c *cancellations) step(t *testing.T, f *fixture) {
 	t.Helper()
 	c.now += time.Second
 	f.WriteCancellations(c.now, &c.txns, allJobs)
 	f.WriteCancellations(c.now, &c.txns, allJobs)
 	if len(c.txns.list) > maxCancellationWrites {
-		t.Fatalf("%d at a time", len(c.txns.list))
+		t.Fatalf("%d cancellations are in flight, want at most maxCancellationWrites", len(c.txns.list))
 	}
 	for i := 0; len(c.txns.list) > 0; i++ {
 		txn := c.txns.next(t)
 		if len(txn.Writes) > 4 || len(txn.Compares) > 16 {
-			t.Fatalf("%d writes, %d conditions", len(txn.Writes), len(txn.Compares))
+			t.Fatalf("a cancellation has %d writes and %d conditions, want at most 4 and 16", len(txn.Writes), len(txn.Compares))
 		}
 		if i%3 == 2 {
 			txn.Done(kv.Result{Outcome: kv.Unknown, Now: c.now})
@@ -74,8 +74,9 @@
 	}
 }
 
-// However many jobs depend on a cancelled one, their cancellations are written a few at a
-// time, each within the limits, and a new leader finishes what the one before began.
+// The cancellations of jobs that depend on a cancelled one are written in small batches, and
+// each transaction is within its limits. A new leader completes the cancellations that its
+// predecessor began.
 func TestCancellationsInBatches(t *testing.T) {
 	const dependents = 500
 	first := newFixture()
@@ -90,22 +91,22 @@
 	}
 	second := first.replay()
 	if len(second.graph.upstreamCancelled) != dependents-cancelled.count || cancelled.count == 0 {
-		t.Fatalf("%d cancelled, %d left to the new leader", cancelled.count, len(second.graph.upstreamCancelled))
+		t.Fatalf("first leader wrote %d cancellations and the second has %d pending, want more than 0 and 500 in all", cancelled.count, len(second.graph.upstreamCancelled))
 	}
 	for range dependents {
 		cancelled.step(t, second)
 	}
 	for i := range dependents {
 		if terminal, _ := second.Terminal.Get(id(10 + i)); terminal.Phase != Cancelled || second.Job(id(10+i)) != nil {
-			t.Fatalf("job %d is left", i)
+			t.Fatalf("dependent job %d is not cancelled or not removed", i)
 		}
 	}
 	if cancelled.count != dependents || len(second.graph.cancelQueue) > maxCancellationWrites {
-		t.Errorf("%d cancellations for %d jobs, %d queued", cancelled.count, dependents, len(second.graph.cancelQueue))
+		t.Errorf("got %d cancellations for %d jobs and %d queued ones, want one for each job and at most maxCancellationWrites queued", cancelled.count, dependents, len(second.graph.cancelQueue))
 	}
 }
 
-// Jobs of others are left to them.
+// A controller writes only the cancellations of the jobs that it owns.
 func TestCancellationsOfOwnedJobs(t *testing.T) {
 	f := newFixture()
 	f.addJob(1, nil)
@@ -115,12 +116,12 @@
 	txns := &txnQueue{}
 	f.WriteCancellations(time.Second, txns, func(job *Job) bool { return job.Owner == "n0" })
 	if len(txns.list) != 1 || txns.list[0].Writes[0].Key != record.TerminalKey(id(3)) {
-		t.Errorf("%d writes", len(txns.list))
+		t.Errorf("WriteCancellations queued %d writes, want 1 for the owned job", len(txns.list))
 	}
 }
 
-// Many jobs that become ready at once are written a few at a time, the most important
-// first.
+// If many jobs become ready at the same time, their readiness is written in small batches,
+// ordered by effective priority.
 func TestReadinessInBatches(t *testing.T) {
 	f := newFixture()
 	f.addJob(1, nil)
@@ -133,7 +134,7 @@
 	f.WriteReadiness(time.Second, txns, allJobs)
 	f.WriteReadiness(time.Second, txns, allJobs)
 	if len(txns.list) != maxReadinessWrites || txns.list[0].Writes[0].Key != record.JobKey(id(209)) || txns.list[1].Writes[0].Key != record.JobKey(id(10)) {
-		t.Errorf("%d writes, first %s", len(txns.list), txns.list[0].Writes[0].Key)
+		t.Errorf("WriteReadiness queued %d writes, the first of %s; want maxReadinessWrites, first of job 209, then of job 10", len(txns.list), txns.list[0].Writes[0].Key)
 	}
 	written := 0
 	for now := 2 * time.Second; len(txns.list) > 0; now += time.Second {
@@ -144,17 +145,17 @@
 		f.WriteReadiness(now, txns, allJobs)
 	}
 	if written != 200 || len(f.graph.releasable) != 0 {
-		t.Errorf("%d written, %d left", written, len(f.graph.releasable))
+		t.Errorf("wrote the readiness of %d jobs, %d are still releasable; want 200 and 0", written, len(f.graph.releasable))
 	}
 }
 
-// A write that the state service rejects is tried ever less often.
+// A write that the state service rejects is retried with an exponential backoff.
 func TestRejectedWrites(t *testing.T) {
 	const minutes = 10
 	for _, test := range []struct {
 		name  string
 		begin func(f *fixture)
-		write func(f *fixture, now event.Time, txns *txnQueue) // beside Flush
+		write func(f *fixture, now event.Time, txns *txnQueue) // in addition to Flush
 	}{
 		{
 			name:  "run record",
@@ -188,14 +189,14 @@
 			f.addJob(3, nil)
 			test.begin(f)
 			if attempts := f.rejectedAttempts(test.write, minutes*time.Minute); attempts < 5 || attempts > 2*minutes+8 {
-				t.Errorf("%d tries in %d minutes", attempts, minutes)
+				t.Errorf("got %d attempts in %d minutes, want 5 to 28", attempts, minutes)
 			}
 		})
 	}
 }
 
-// rejectedAttempts counts the writes that are tried in a time while all are rejected. write,
-// if set, queues writes beside Flush.
+// rejectedAttempts returns the number of writes that are attempted until end while all are
+// rejected. write, if not nil, queues writes in addition to Flush.
 func (f *fixture) rejectedAttempts(write func(*fixture, event.Time, *txnQueue), end event.Time) (attempts int) {
 	txns := &txnQueue{}
 	for now := event.Time(0); now < end; now += 50 * time.Millisecond {
--- a/internal/pipeline/retry_records.go
+++ b/internal/pipeline/retry_records.go
@@ -10,43 +10,43 @@
 	"lugward/internal/record"
 )
 
-// storedRetry is a retry state as the watch cache shows it.
-type storedRetry struct {
+// persistedRetry is a retry record as the watch cache shows it.
+type persistedRetry struct {
 	record.Retry
 	modRevision uint64
 }
 
-// retryRecords is what is stored of all jobs' retry states, and their writes.
+// retryRecords holds the persisted retry records of all jobs and the state of their writes.
 type retryRecords struct {
-	stored            map[string]storedRetry // by job ID
-	unsaved           map[*Job]bool          // whose retry state differs from what is stored
-	deletionsInFlight map[string]bool        // by job ID, whose record's deletion is under way
+	persisted         map[string]persistedRetry // by job ID
+	unsaved           map[*Job]bool             // jobs whose retry state differs from the persisted record
+	deletionsInFlight map[string]bool           // by job ID: the deletion of the record is queued or in flight
 }
 
 func newRetryRecords() retryRecords {
 	return retryRecords{
-		stored:            map[string]storedRetry{},
+		persisted:         map[string]persistedRetry{},
 		unsaved:           map[*Job]bool{},
 		deletionsInFlight: map[string]bool{},
 	}
 }
 
-// noteRetryChanged notes that a job's retry state differs from what is stored.
-func (t *Table) noteRetryChanged(job *Job) {
+// markRetryUnsaved marks a job's retry state as different from its persisted record.
+func (t *Table) markRetryUnsaved(job *Job) {
 	job.retry.unsaved = true
 	t.retries.unsaved[job] = true
 }
 
-// onRetry takes a retry record of the watch cache.
-func (t *Table) onRetry(id string, data []byte, modRevision uint64) error {
+// handleRetry handles a change of a retry record in the watch cache.
+func (t *Table) handleRetry(id string, data []byte, modRevision uint64) error {
 	if data == nil {
-		delete(t.retries.stored, id)
+		delete(t.retries.persisted, id)
 	} else {
 		retry, err := record.DecodeRetry(data)
 		if err != nil {
 			return err
 		}
-		t.retries.stored[id] = storedRetry{retry, modRevision}
+		t.retries.persisted[id] = persistedRetry{retry, modRevision}
 	}
 	if job := t.byID[id]; job != nil {
 		t.loadRetry(job)
@@ -54,29 +54,29 @@
 	return nil
 }
 
-// loadRetry takes over the stored retry state of a job, unless this controller, as
-// the leader, knows a newer one. Times of a clock that is ahead are bounded by the
-// longest pause.
+// loadRetry sets the retry state of a job from its persisted record, unless this controller
+// is the leader and has a newer state. The end of the backoff is bounded by retryCap, in case
+// the clock of the controller that wrote the record is ahead.
 func (t *Table) loadRetry(job *Job) {
 	if job.retry.unsaved {
 		return
 	}
-	stored := t.retries.stored[job.ID]
-	job.retry.failures = stored.Failures
+	persisted := t.retries.persisted[job.ID]
+	job.retry.failures = persisted.Failures
 	job.retry.notBefore = 0
-	if stored.NotBefore != 0 && t.clockOffset != 0 {
-		job.retry.notBefore = min(event.Time(stored.NotBefore*int64(time.Millisecond)-t.clockOffset), t.now+retryCap)
+	if persisted.NotBefore != 0 && t.clockOffset != 0 {
+		job.retry.notBefore = min(event.Time(persisted.NotBefore*int64(time.Millisecond)-t.clockOffset), t.now+retryCap)
 	}
 }
 
-// resetRetry drops what only a leader knows of a job's failures.
+// resetRetry resets the leader's state of a job's failures to the persisted record.
 func (t *Table) resetRetry(job *Job) {
 	job.retry = retryState{}
 	t.loadRetry(job)
 }
 
-// FlushRetries queues the writes of retry states that have changed. term is the
-// condition that our term holds.
+// FlushRetries queues the writes of retry states that have changed. term is the condition
+// that the term of this controller has not ended.
 func (t *Table) FlushRetries(now event.Time, term kv.Compare, submitter TxnSubmitter) {
 	if len(t.retries.unsaved) == 0 {
 		return
@@ -92,15 +92,15 @@
 	}
 }
 
-// writeRetry queues the write of a job's retry state. Its content is decided
-// when it is sent.
+// writeRetry queues the write of a job's retry state. The content is built when the write is
+// sent.
 func (t *Table) writeRetry(job *Job, now event.Time, term kv.Compare, submitter TxnSubmitter) {
 	job.retry.writeInFlight = true
 	written := 0
 	txn := &kv.Txn{Priority: kv.PriorityProgress, Rank: job.writeRank(), BuildKey: record.RetryKey(job.ID)}
 	txn.Build = func(txn *kv.Txn) bool {
-		stored := t.retries.stored[job.ID]
-		if !job.retry.unsaved || job.TerminalPhase != Queued || (job.retry.failures == 0 && stored.modRevision == 0) {
+		persisted := t.retries.persisted[job.ID]
+		if !job.retry.unsaved || job.TerminalPhase != Queued || (job.retry.failures == 0 && persisted.modRevision == 0) {
 			job.retry.unsaved = false
 			return false
 		}
@@ -109,7 +109,7 @@
 			term,
 			{Key: record.JobKey(job.ID), ModRevision: job.ModRevision},
 			{Key: record.TerminalKey(job.ID)},
-			{Key: record.RetryKey(job.ID), ModRevision: stored.modRevision},
+			{Key: record.RetryKey(job.ID), ModRevision: persisted.modRevision},
 		}
 		txn.Writes = []kv.Write{{Key: record.RetryKey(job.ID), Data: t.encodeRetry(job)}}
 		return true
@@ -124,8 +124,8 @@
 	submitter.Submit(txn, now+writeTimeout)
 }
 
-// encodeRetry returns the stored form of a job's retry state, nil if there is
-// nothing to be kept.
+// encodeRetry encodes a job's retry state. It returns nil, which deletes the record, if the
+// job has no failures.
 func (t *Table) encodeRetry(job *Job) []byte {
 	if job.retry.failures == 0 {
 		return nil
@@ -133,16 +133,17 @@
 	retry := record.Retry{
 		Failures:  job.retry.failures,
 		NotBefore: t.UnixMS(job.retry.notBefore),
-		Unknown:   t.retries.stored[job.ID].Unknown,
+		Unknown:   t.retries.persisted[job.ID].Unknown,
 	}
 	return retry.Encode()
 }
 
-// orphanedRetries lists retry records of jobs that have ended and are deleted, as a
-// leader of an earlier version leaves them behind; at most limit.
+// orphanedRetries returns the IDs of at most limit jobs that have ended and whose other
+// records are deleted while their retry record remains. A leader of an earlier version does
+// not delete it.
 func (t *Table) orphanedRetries(limit int) []string {
 	var list []string
-	for id := range t.retries.stored {
+	for id := range t.retries.persisted {
 		if t.Terminal.Has(id) && t.byID[id] == nil && !t.retries.deletionsInFlight[id] {
 			list = append(list, id)
 		}
@@ -151,11 +152,11 @@
 	return list[:min(limit, len(list))]
 }
 
-// deleteOrphanedRetries deletes the retry records of jobs that have ended.
+// deleteOrphanedRetries queues the deletion of at most limit orphaned retry records.
 func (t *Table) deleteOrphanedRetries(now event.Time, term kv.Compare, submitter TxnSubmitter, limit int) {
 	for _, id := range t.orphanedRetries(limit) {
 		key := record.RetryKey(id)
-		condition := kv.Compare{Key: key, ModRevision: t.retries.stored[id].modRevision}
+		condition := kv.Compare{Key: key, ModRevision: t.retries.persisted[id].modRevision}
 		t.retries.deletionsInFlight[id] = true
 		submitter.Submit(&kv.Txn{
 			Priority: kv.PriorityGarbageCollection,
--- a/internal/pipeline/retry_test.go
+++ b/internal/pipeline/retry_test.go
@@ -10,9 +10,9 @@
 	"lugward/internal/record"
 )
 
-// A job whose tasks fail on one machine tries another at once; one that fails on
-// several backs off, once for all tasks that were running, and then tries again
-// with a single task.
+// A job whose tasks fail on one machine is retried on another machine without a delay. A job
+// that fails on several machines backs off, once for all tasks that were running, and then
+// retries with a single task.
 func TestJobBacksOffOnce(t *testing.T) {
 	table, job := newJob(t, 8)
 	assignments := make([]*Assignment, 0, 6)
@@ -21,51 +21,51 @@
 	}
 	for i, want := range []int{0, 0, 1, 1, 1, 1} {
 		if atFault := table.RecordFailure(assignments[i], time.Second); atFault != (want > 0) || job.Failures() != want {
-			t.Errorf("task %d: at fault %v, %d failures, not %d", i, atFault, job.Failures(), want)
+			t.Errorf("RecordFailure of task %d: at fault %v, %d failures, want %d failures", i, atFault, job.Failures(), want)
 		}
 		table.RecordTermination(assignments[i])
 	}
 	if !job.BackingOff(time.Second) || job.Schedulable(time.Second) {
-		t.Error("the job is tried again at once")
+		t.Error("the job is schedulable right after the failures, want a backoff")
 	}
 	later := 10 * time.Second
 	if !job.Schedulable(later) || job.StartableCount() != 1 {
-		t.Errorf("after the pause %d tasks are to be tried", job.StartableCount())
+		t.Errorf("StartableCount() = %d after the backoff, want 1 and a schedulable job", job.StartableCount())
 	}
 	probe := table.Assign(job, 6, 9, 0, later)
 	if job.StartableCount() != 0 || job.Schedulable(later) {
-		t.Error("a second probe is sent")
+		t.Error("a second probe may start while the first is active")
 	}
 	table.RecordFailure(probe, later)
 	table.RecordTermination(probe)
 	if job.Failures() != 2 || !job.AvoidsMachine(9, later) || job.AvoidsMachine(0, later) {
-		t.Errorf("%d failures; the next probe goes elsewhere than the last one", job.Failures())
+		t.Errorf("got %d failures, want 2, with only the machine of the last probe avoided", job.Failures())
 	}
 	table.ClearFailures(job)
 	if job.AtFault() || job.StartableCount() < 2 {
-		t.Error("a job that works is still probed")
+		t.Error("the job is still at fault or limited to a probe after ClearFailures")
 	}
 }
 
-// Tasks that fail in turn on the only machine make the job back off as well, and
-// it is not kept away from that machine for ever.
+// Tasks that fail one after the other on the only machine also make the job back off. The job
+// avoids that machine only for a limited time.
 func TestOnlyMachine(t *testing.T) {
 	table, job := newJob(t, 1)
 	first := table.Assign(job, 0, 3, 0, 1)
 	if table.RecordFailure(first, time.Second) || !job.AvoidsMachine(3, time.Second) {
-		t.Error("one failure is no proof")
+		t.Error("the job is at fault or does not avoid the machine after one failure")
 	}
 	table.RecordTermination(first)
 	later := time.Second + avoidTime
 	if job.AvoidsMachine(3, later) {
-		t.Error("the only machine is avoided for ever")
+		t.Error("the job still avoids the only machine after avoidTime")
 	}
 	if !table.RecordFailure(table.Assign(job, 0, 3, 0, later), later) {
-		t.Error("the second failure does not count")
+		t.Error("the job is not at fault after a second failure on the only machine")
 	}
 }
 
-// The attempt of a gang counts once, whatever the number of its tasks that fail.
+// A failed attempt of a gang counts once, regardless of how many of its tasks fail.
 func TestGangFailsOnce(t *testing.T) {
 	table, job := newJob(t, 3)
 	job.Shape = Gang
@@ -77,7 +77,7 @@
 		}
 		for _, assignment := range assignments {
 			table.RecordFailure(assignment, now)
-			job.terminating = true // as the whole gang is stopped with its first task
+			job.terminating = true // the whole gang is terminated when its first task fails
 		}
 		for _, assignment := range assignments {
 			table.RecordTermination(assignment)
@@ -86,39 +86,39 @@
 	}
 	fail(time.Second)
 	if job.Failures() != 1 {
-		t.Errorf("%d failures after one attempt on three machines", job.Failures())
+		t.Errorf("got %d failures after one attempt on three machines, want 1", job.Failures())
 	}
 	if job.StartableCount() != 3 {
-		t.Errorf("%d tasks are tried, a gang has no smaller unit", job.StartableCount())
+		t.Errorf("StartableCount() = %d, want all 3 tasks of the gang", job.StartableCount())
 	}
 	fail(time.Minute)
 	if job.Failures() != 2 {
-		t.Errorf("%d failures after two attempts", job.Failures())
+		t.Errorf("got %d failures after two attempts, want 2", job.Failures())
 	}
 }
 
-// Pauses double up to a cap, differ between jobs and are the same on every
-// controller; none makes a job wait for 90 s.
-func TestRetryPause(t *testing.T) {
-	drawn := map[time.Duration]bool{}
+// Backoffs double up to retryCap, differ between jobs and are the same on every controller.
+// No backoff makes a job wait for 90 s.
+func TestRetryBackoff(t *testing.T) {
+	backoffs := map[time.Duration]bool{}
 	for failures := 1; failures < 100; failures++ {
 		full := min(retryCap, retryBase<<min(failures-1, 8))
 		for n := range 20 {
 			id := fmt.Sprint("req-", n)
-			pause := retryPause(id, failures)
-			if pause > full || pause < full-time.Duration(retryJitter*float64(full)) || pause != retryPause(id, failures) {
-				t.Fatalf("%s pauses for %s after %d failures", id, pause, failures)
+			backoff := retryBackoff(id, failures)
+			if backoff > full || backoff < full-time.Duration(retryJitter*float64(full)) || backoff != retryBackoff(id, failures) {
+				t.Fatalf("%s: backoff of %s after %d failures, want the doubled base less at most the jitter, the same on each call", id, backoff, failures)
 			}
-			drawn[pause] = true
+			backoffs[backoff] = true
 		}
 	}
-	if len(drawn) < 1000 {
-		t.Errorf("%d different pauses", len(drawn))
+	if len(backoffs) < 1000 {
+		t.Errorf("got %d different backoffs, want at least 1000", len(backoffs))
 	}
 }
 
-// A new leader goes on with the pause and the probes of the one before; once the
-// job works nothing of that is kept.
+// A new leader continues the backoff and the probes of its predecessor. Once the job
+// succeeds, its retry record is deleted.
 func TestRetrySurvivesLeader(t *testing.T) {
 	table, job := newJob(t, 4)
 	table.SetClock(0, time.UnixMilli(1_000_000))
@@ -132,41 +132,41 @@
 	commit(table, txns.next(t), 7)
 	table.Reset()
 	if job.Failures() != 1 || !job.BackingOff(2*time.Second) || job.StartableCount() != 1 {
-		t.Errorf("the new leader finds %d failures, %d tasks to try", job.Failures(), job.StartableCount())
+		t.Errorf("new leader has %d failures and %d startable tasks, want 1, 1 and a backoff", job.Failures(), job.StartableCount())
 	}
 
-	// Another process has another monotonic clock.
+	// The monotonic clock of another process differs.
 	other := newTable(12)
 	other.SetClock(time.Hour, time.UnixMilli(1_002_000))
 	other.SetNow(time.Hour)
 	other.HandleChange(record.KindRetry, job.ID, []byte(`{"n":3,"u":1010000}`), 7)
 	other.HandleChange(record.KindJob, job.ID, EncodeJob(table.Names, job), 1)
-	o := other.Job(job.ID)
-	if o.Failures() != 3 || !o.BackingOff(time.Hour+7*time.Second) || o.BackingOff(time.Hour+9*time.Second) {
-		t.Errorf("another controller reads %d failures", o.Failures())
+	otherJob := other.Job(job.ID)
+	if otherJob.Failures() != 3 || !otherJob.BackingOff(time.Hour+7*time.Second) || otherJob.BackingOff(time.Hour+9*time.Second) {
+		t.Errorf("another controller has %d failures, want 3 and a backoff of 8 s", otherJob.Failures())
 	}
-	// A clock that is far ahead can't put the job off for long.
+	// If the clock of the writer was far ahead, the backoff is still bounded by retryCap.
 	other.HandleChange(record.KindRetry, job.ID, []byte(`{"n":4,"u":9999999999}`), 8)
-	if o.BackingOff(time.Hour + retryCap) {
-		t.Error("a clock that is ahead holds the job up")
+	if otherJob.BackingOff(time.Hour + retryCap) {
+		t.Error("the job still backs off after retryCap, with a record written by a clock that was ahead")
 	}
 
 	table.ClearFailures(job)
 	table.FlushRetries(time.Minute, term, txns)
 	txn := txns.next(t)
 	if len(txn.Writes) != 1 || txn.Writes[0].Data != nil || txn.Writes[0].Key != record.RetryKey(job.ID) {
-		t.Errorf("%+v is written", txn.Writes)
+		t.Errorf("FlushRetries wrote %+v, want the deletion of the retry record", txn.Writes)
 	}
 	commit(table, txn, 9)
 	table.Reset()
 	if job.AtFault() {
-		t.Error("the success is forgotten")
+		t.Error("the job is at fault again after Reset, want the cleared failures")
 	}
 }
 
-// The record of a job that has ended is deleted, be it that a leader of the version before
-// ended the job: that one does not know such records.
-func TestRetryRecordGoes(t *testing.T) {
+// The retry record of a job that has ended is deleted, even if a leader of the previous
+// version ended the job. That version does not know retry records and leaves them behind.
+func TestOrphanedRetryRecordIsDeleted(t *testing.T) {
 	table, job := newJob(t, 2)
 	table.HandleChange(record.KindRetry, job.ID, []byte(`{"n":2,"u":1}`), 5)
 	table.HandleChange(record.KindTerminal, job.ID, EncodeTerminal(Cancelled, job), 6)
@@ -176,25 +176,25 @@
 		commit(table, txns.next(t), 7)
 	}
 	table.CollectGarbage(0, term, txns, 10)
-	table.CollectGarbage(0, term, txns, 10) // the first is under way
+	table.CollectGarbage(0, term, txns, 10) // the first deletion is in flight
 	if len(txns.list) != 1 {
-		t.Fatalf("%d deletions", len(txns.list))
+		t.Fatalf("CollectGarbage queued %d deletions, want 1", len(txns.list))
 	}
 	deletion := txns.next(t)
 	if deletion.Priority != kv.PriorityGarbageCollection || deletion.Writes[0].Key != record.RetryKey(job.ID) || deletion.Compares[1].ModRevision != 5 {
-		t.Errorf("%+v", deletion)
+		t.Errorf("CollectGarbage queued %+v, want the deletion of the retry record at revision 5", deletion)
 	}
 	commit(table, deletion, 8)
-	if len(table.retries.stored) != 0 {
-		t.Error("the record is still there")
+	if len(table.retries.persisted) != 0 {
+		t.Error("the retry record is not deleted")
 	}
 }
 
-// An array of which some tasks fail everywhere: its probes take turns over the unplaced
-// tasks, so that one that works is found and the job goes on.
+// If some tasks of an array fail on every machine, its probes rotate through the unassigned
+// tasks, so that a task that succeeds is found and the job continues.
 func TestProbesTakeTurns(t *testing.T) {
 	table, job := newJob(t, 5)
-	table.RecordCompletion(job, 1) // never tried again
+	table.RecordCompletion(job, 1) // must not be used as a probe
 	for _, machine := range []MachineIndex{0, 1} {
 		assignment := table.Assign(job, 0, machine, 0, 1)
 		table.RecordFailure(assignment, time.Second)
@@ -209,13 +209,13 @@
 		table.RecordTermination(probe)
 	}
 	if fmt.Sprint(tried) != "[2 3 4 0 2]" {
-		t.Errorf("tried: %v", tried)
+		t.Errorf("probed the tasks %v, want [2 3 4 0 2]", tried)
 	}
 }
 
-// The first open task is found from where the last one was, whatever became of the
-// tasks in between.
-func TestNextOpen(t *testing.T) {
+// NextUnplaced starts its search at the last task that it found. It must still return the
+// first unassigned task after any sequence of assignments, terminations and completions.
+func TestNextUnplaced(t *testing.T) {
 	table, job := newJob(t, 40)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for step := range 2000 {
@@ -234,7 +234,7 @@
 			want++
 		}
 		if got := job.NextUnplaced(0); got != want {
-			t.Fatalf("step %d: task %d, not %d", step, got, want)
+			t.Fatalf("step %d: NextUnplaced(0) = %d, want %d", step, got, want)
 		}
 		if step%500 == 499 {
 			table.Reset()
--- a/internal/pipeline/segment.go
+++ b/internal/pipeline/segment.go
@@ -7,40 +7,40 @@
 	"lugward/internal/record"
 )
 
-// segment is the part of a job's run record that one key holds.
+// segment is the part of a job's tasks that one run record, under one key, holds.
 type segment struct {
-	modRevision uint64              // of the stored record, 0: none is stored
-	attempt     uint64              // highest attempt used
-	done        []uint64            // bitmap of the tasks that are stored as done
-	assignments map[int]*Assignment // by task: stored ones, and placements not stored yet
-	format      record.Format       // of the stored record
-	unknown     record.Fields       // stored by a later version
+	modRevision uint64              // of the persisted record, zero if there is none
+	attempt     uint64              // highest attempt number used
+	done        []uint64            // bitmap of the tasks that are persisted as done
+	assignments map[int]*Assignment // by task: persisted ones, and placements that are not persisted yet
+	format      record.Format       // of the persisted record
+	unknown     record.Fields       // written by a later version
 	segmentWrites
 }
 
-// segmentWrites is what the leader knows of the writes of a segment. A segment that
-// differs from what is stored is unsaved until a write has carried all changes.
+// segmentWrites is the leader's state of the writes of a segment. A segment that differs
+// from its persisted record is unsaved until a write with all changes is committed.
 type segmentWrites struct {
 	unsaved            bool
-	unsentPlacement    bool       // a placement is not part of any write yet, or its write failed
-	progressQueued     bool       // a write with the priority of progress is queued or under way
-	placementQueued    bool       // a write with the priority of placements is queued or under way
-	changeCount        int        // counts the changes; a write has carried those counted when it was built
-	deferredPlacements int        // placements that did not fit in the last write
-	rejectedWrites     int        // writes in a row that the state service rejected
-	nextWrite          event.Time // no write before
+	unsentPlacement    bool       // a placement has not been part of any write, or its write failed
+	progressQueued     bool       // a write with kv.PriorityProgress is queued or in flight
+	placementQueued    bool       // a write with kv.PriorityPlacement is queued or in flight
+	changeCount        int        // number of changes; a write contains the changes counted when it was built
+	deferredPlacements int        // number of placements that did not fit in the last write
+	rejectedWrites     int        // number of consecutive writes that the state service rejected
+	nextWrite          event.Time // earliest time of the next write
 }
 
-// maxTasks bounds the tasks of a job as its run records number them, so that a
-// damaged key cannot make the table grow without end.
+// maxTasks is the maximum number of tasks of a job, as indexed by its run records. It
+// prevents a corrupted key from growing the table without bound.
 const maxTasks = 1 << 20
 
-// setDone sets the bit of a task, counted from the start of its segment.
+// setDone sets the bit of a task. task is relative to the start of its segment.
 func setDone(done []uint64, task int) {
 	done[task/record.BitsPerWord] |= 1 << (task % record.BitsPerWord)
 }
 
-// segment returns a job's segment by its index, growing the list.
+// segment returns a job's segment by its index, extending the list as needed.
 func (t *Table) segment(job *Job, index int) *segment {
 	for len(job.segments) <= index {
 		job.segments = append(job.segments, segment{
@@ -51,16 +51,17 @@
 	return &job.segments[index]
 }
 
-// noteSegmentChanged notes that a segment differs from what is stored.
+// noteSegmentChanged marks a segment as different from its persisted record.
 func (t *Table) noteSegmentChanged(job *Job, segment *segment) {
 	segment.unsaved = true
 	segment.changeCount++
 	t.unsaved[job] = true
 }
 
-// onRun replaces what the table knows of a segment by what is stored: this is
-// the only place where an assignment becomes durable or goes away for good.
-func (t *Table) onRun(id string, index int, data []byte, modRevision uint64) error {
+// handleRun handles a change of a run record in the watch cache: it updates the segment
+// from the persisted record. Only here does an assignment become persisted, and only here
+// is a persisted assignment removed before its job has a terminal record.
+func (t *Table) handleRun(id string, index int, data []byte, modRevision uint64) error {
 	if data == nil && t.byID[id] == nil {
 		return nil
 	}
@@ -69,7 +70,7 @@
 	}
 	job := t.jobOrNew(id)
 	segment := t.segment(job, index)
-	active, err := segment.load(data)
+	active, err := segment.mergeRecord(data)
 	if err != nil {
 		return err
 	}
@@ -77,11 +78,11 @@
 	if data == nil {
 		segment.modRevision = 0
 	}
-	stored := t.storeAssignments(job, segment, active)
-	t.removeOutdated(job, segment, stored)
+	listed := t.mergeListedAssignments(job, segment, active)
+	t.removeUnlistedAssignments(job, segment, listed)
 	job.countDone()
 	if job.complete() {
-		t.unsaved[job] = true // a write without an answer was carried out
+		t.unsaved[job] = true // a write without a response was committed
 	}
 	if data == nil {
 		t.forget(job)
@@ -89,38 +90,38 @@
 	return nil
 }
 
-// load takes over what a stored record, if there is one, says of the segment. It returns
-// the assignments that the record lists.
-func (s *segment) load(data []byte) (active []record.Assignment, err error) {
+// mergeRecord merges the persisted record into the segment and returns the assignments that
+// the record lists. data is nil if there is no record.
+func (s *segment) mergeRecord(data []byte) (active []record.Assignment, err error) {
 	if data == nil {
 		return nil, nil
 	}
 	run, err := record.DecodeRun(data, len(s.done))
-	s.format = run.Format // also of a record that is refused
+	s.format = run.Format // also set if the record cannot be decoded
 	if err != nil {
 		return nil, err
 	}
 	s.unknown = run.Unknown
 	s.attempt = max(s.attempt, run.Attempt)
 	for word := range run.Done {
-		s.done[word] |= run.Done[word] // a done task stays done
+		s.done[word] |= run.Done[word] // a task that is done remains done
 	}
 	return run.Active, nil
 }
 
-// storeAssignments marks the assignments that a segment's record lists as durable, adding
-// those that are not known. It returns them by task.
-func (t *Table) storeAssignments(job *Job, segment *segment, active []record.Assignment) map[int]*Assignment {
-	stored := map[int]*Assignment{}
-	for _, listed := range active {
-		machine := t.Names.Machines.Index(listed.Machine)
-		assignment := segment.assignments[listed.Task]
-		if assignment == nil || assignment.Machine != machine || assignment.Attempt != listed.Attempt {
+// mergeListedAssignments marks the assignments that a segment's record lists as persisted
+// and adds those that the table does not have. It returns them by task.
+func (t *Table) mergeListedAssignments(job *Job, segment *segment, active []record.Assignment) map[int]*Assignment {
+	listed := map[int]*Assignment{}
+	for _, entry := range active {
+		machine := t.Names.Machines.Index(entry.Machine)
+		assignment := segment.assignments[entry.Task]
+		if assignment == nil || assignment.Machine != machine || assignment.Attempt != entry.Attempt {
 			if assignment != nil {
 				t.removeAssignment(assignment)
 			}
-			assignment = &Assignment{Job: job, Task: listed.Task, Machine: machine, Attempt: listed.Attempt}
-			segment.assignments[listed.Task] = assignment
+			assignment = &Assignment{Job: job, Task: entry.Task, Machine: machine, Attempt: entry.Attempt}
+			segment.assignments[entry.Task] = assignment
 			t.addAssignment(assignment)
 		}
 		if !assignment.durable {
@@ -128,24 +129,24 @@
 		}
 		assignment.durable = true
 		assignment.written = true
-		stored[listed.Task] = assignment
+		listed[entry.Task] = assignment
 	}
-	return stored
+	return listed
 }
 
-// removeOutdated removes the assignments that a segment's record does not list, except
-// placements that may still be written.
-func (t *Table) removeOutdated(job *Job, segment *segment, stored map[int]*Assignment) {
+// removeUnlistedAssignments removes the assignments that a segment's record does not list,
+// except placements that may still be written.
+func (t *Table) removeUnlistedAssignments(job *Job, segment *segment, listed map[int]*Assignment) {
 	for task, assignment := range segment.assignments {
-		if stored[task] == nil && (assignment.durable || job.TerminalPhase != Queued || job.IsDone(task)) {
+		if listed[task] == nil && (assignment.durable || job.TerminalPhase != Queued || job.IsDone(task)) {
 			delete(segment.assignments, task)
 			t.removeAssignment(assignment)
 		}
 	}
 }
 
-// countDone counts the tasks that run records show as done, and forgets those
-// that waited to be shown so.
+// countDone recomputes doneCount from the segments. It removes from doneUnassigned the
+// tasks that are now persisted as done.
 func (j *Job) countDone() {
 	j.doneCount = 0
 	for index := range j.segments {
--- a/internal/pipeline/segment_encoding.go
+++ b/internal/pipeline/segment_encoding.go
@@ -9,11 +9,12 @@
 	"lugward/internal/record"
 )
 
-// fit encodes a segment within the limit on values: in the plain format, which every
-// version reads, while that fits, else in the compact one once every controller is
-// known to read it. Placements that are not stored yet are left out until they fit,
-// those of a gang all together; taken are those that are not left out.
-func (t *Table) fit(job *Job, segment *segment, content segmentContent) (data []byte, taken []*Assignment) {
+// fit encodes a segment within the value size limit. It uses the plain format, which every
+// version can read, if the record fits in it. Otherwise it uses the compact format, provided
+// that every controller is known to read it. Placements that are not persisted yet are
+// omitted until they fit; those of a gang are included all together or not at all. included
+// are the placements that the record contains.
+func (t *Table) fit(job *Job, segment *segment, content segmentContent) (data []byte, included []*Assignment) {
 	placements := content.placements
 	encode := func(count int) []byte {
 		return t.encodeSegment(segment, content.done, t.assignmentRecords(content.active, placements[:count]))
@@ -30,7 +31,7 @@
 	return encode(count), placements[:count]
 }
 
-// assignmentRecords returns the stored form of the assignments in two lists.
+// assignmentRecords returns the assignments of two lists as they are written to a record.
 func (t *Table) assignmentRecords(first, second []*Assignment) []record.Assignment {
 	records := make([]record.Assignment, 0, len(first)+len(second))
 	for _, assignments := range [...][]*Assignment{first, second} {
@@ -45,7 +46,8 @@
 	return records
 }
 
-// encodeSegment encodes a segment's record, plain if it fits or must be plain.
+// encodeSegment encodes a segment's record. It uses the compact format only if the plain one
+// exceeds the value size limit and all controllers can read the compact one.
 func (t *Table) encodeSegment(segment *segment, done []uint64, active []record.Assignment) []byte {
 	run := record.Run{Attempt: segment.attempt, Done: done, Active: active, Unknown: segment.unknown}
 	data := run.Encode()
@@ -56,7 +58,7 @@
 	return data
 }
 
-// AllControllersUpgraded reports whether every controller has shown that it runs this version.
+// AllControllersUpgraded reports whether every controller has announced this version.
 func (t *Table) AllControllersUpgraded() bool {
 	for _, label := range t.config.ControllerLabels {
 		if !t.upgraded[label] {
@@ -66,7 +68,7 @@
 	return len(t.config.ControllerLabels) > 0
 }
 
-// CompactCount counts the run records that are stored in the compact format.
+// CompactCount returns the number of run records that are persisted in the compact format.
 func (t *Table) CompactCount() (count int) {
 	for job := range t.AllJobs() {
 		for index := range job.segments {
@@ -78,9 +80,10 @@
 	return count
 }
 
-// ExpandRecords has compact records written in the plain format where that fits
-// again, as it does once the larger limit counts: needed before the service can go
-// back to a version that does not read the compact one. At most limit at a time.
+// ExpandRecords marks up to limit compact records to be rewritten in the plain format if
+// they fit in it, which they do once the larger value size limit applies. The service must
+// not be downgraded to a version that cannot read the compact format before all records are
+// plain.
 func (t *Table) ExpandRecords(limit int) {
 	for job := range t.AllJobs() {
 		if job.TerminalPhase != Queued {
@@ -102,7 +105,7 @@
 	}
 }
 
-// fitsPlain reports whether a segment as it is fits in the plain format.
+// fitsPlain reports whether the current content of a segment fits in the plain format.
 func (t *Table) fitsPlain(segment *segment) bool {
 	assignments := slices.Collect(maps.Values(segment.assignments))
 	run := record.Run{
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -4,32 +4,32 @@
 	"lugward/internal/record"
 )
 
-// Config is what a table is made for.
+// Config configures a Table.
 type Config struct {
 	Names *Names
-	// LayoutValueBytes is the limit on values, in bytes, for which run records are
-	// laid out. All versions and controllers must agree on it, as it decides which
-	// key holds a task.
+	// LayoutValueBytes is the value size limit, in bytes, that determines the number of
+	// tasks per run record. It must be the same for all versions and controllers, because
+	// it determines which key holds a task.
 	LayoutValueBytes int
-	// ValueLimit bounds the values that are written, in bytes. It may be smaller than
-	// LayoutValueBytes; 0: it is the same.
+	// ValueLimit is the maximum size of a written value, in bytes. It may be smaller than
+	// LayoutValueBytes. Zero means LayoutValueBytes.
 	ValueLimit int
-	// TxnOps is the state service's limit on the writes of a transaction.
+	// TxnOps is the state service's limit on the number of writes per transaction.
 	TxnOps int
-	// ControllerLabels are those of all controllers.
+	// ControllerLabels are the labels of all controllers.
 	ControllerLabels []string
-	// OnRefusedRecord, if set, is told of each stored record that cannot be decoded
+	// OnRefusedRecord, if set, is called for each persisted record that cannot be decoded
 	// and is therefore ignored. err is a *record.DecodeError.
 	OnRefusedRecord func(key string, err error)
 }
 
-// Table is the watch cache of the graph with the leader's pending writes.
+// Table holds the job graph as the watch cache shows it, and the leader's pending writes.
 type Table struct {
 	Names    *Names
 	Terminal TerminalRecords
 
 	config         Config
-	roundRequested bool // something that placement depends on has changed
+	roundRequested bool // an input of placement has changed since the last round began
 
 	clock
 	jobIndex
@@ -38,17 +38,17 @@
 	pages   upstreamPageIndex
 	retries retryRecords
 
-	usageByTeam    map[TeamIndex]Usage // by team, what its assignments take
-	endedWithTasks map[*Job]bool       // with a terminal record while tasks may be on machines
+	usageByTeam    map[TeamIndex]Usage // by team, the resources of its assignments
+	endedWithTasks map[*Job]bool       // jobs with a terminal record whose tasks may still be on machines
 
-	unsaved    map[*Job]bool   // some segment differs from what is stored, or the job's completion is due
+	unsaved    map[*Job]bool   // jobs with a segment that differs from its persisted record, or whose completion is to be written
 	segmentLen int             // tasks per run record
-	upgraded   map[string]bool // by label, the controllers that have shown this version
+	upgraded   map[string]bool // by label, the controllers that have announced this version
 }
 
-// The number of tasks per run record follows from the state service's limit on values.
+// The number of tasks per run record is derived from the state service's value size limit.
 const (
-	bytesPerTask  = 32 // what a task takes in the plain format, with a reserve
+	bytesPerTask  = 32 // size of a task in the plain format, with a reserve
 	minSegmentLen = 16
 	maxSegmentLen = 1024
 )
@@ -75,20 +75,20 @@
 	}
 }
 
-// ValueLimit bounds the values that are written, in bytes.
+// ValueLimit returns the maximum size of a written value, in bytes.
 func (t *Table) ValueLimit() int { return t.config.ValueLimit }
 
-// RequestRound notes that something that placement depends on has changed, so that the
-// scheduler looks at all jobs again soon.
+// RequestRound requests a scheduling round over all jobs, because an input of placement
+// has changed.
 func (t *Table) RequestRound() { t.roundRequested = true }
 
-// RoundRequested reports whether something has changed since the last round began.
+// RoundRequested reports whether a round has been requested since the last one began.
 func (t *Table) RoundRequested() bool { return t.roundRequested }
 
-// ClearRoundRequest notes that a round begins.
+// ClearRoundRequest clears the request at the start of a round.
 func (t *Table) ClearRoundRequest() { t.roundRequested = false }
 
-// HandleChange takes one change of the watch cache; data is nil if the key was deleted.
+// HandleChange handles one change of the watch cache. data is nil if the key was deleted.
 func (t *Table) HandleChange(kind record.Kind, rest string, data []byte, modRevision uint64) {
 	changed, err := t.applyChange(kind, rest, data, modRevision)
 	if err != nil && t.config.OnRefusedRecord != nil {
@@ -99,34 +99,35 @@
 	}
 }
 
-// applyChange takes a change of the watch cache. It reports whether the change may matter
-// to placement. An error means that the record cannot be decoded.
+// applyChange applies one change of the watch cache. It reports whether the change may
+// affect placement. It returns an error if the record cannot be decoded.
 func (t *Table) applyChange(kind record.Kind, rest string, data []byte, modRevision uint64) (changed bool, err error) {
 	switch kind {
 	case record.KindJob:
-		return true, t.onJob(rest, data, modRevision)
+		return true, t.handleJob(rest, data, modRevision)
 	case record.KindRun:
 		if id, index, ok := record.SplitNumbered(rest); ok {
-			err = t.onRun(id, index, data, modRevision)
+			err = t.handleRun(id, index, data, modRevision)
 		}
 		return true, err
 	case record.KindTerminal:
 		return t.onTerminal(rest, data)
 	case record.KindRetry:
-		return true, t.onRetry(rest, data, modRevision)
+		return true, t.handleRetry(rest, data, modRevision)
 	case record.KindVersion:
 		t.upgraded[rest] = data != nil
 		return true, nil
 	case record.KindUpstreamPage:
 		if id, page, ok := record.SplitNumbered(rest); ok {
-			err = t.onUpstreamPage(id, page, data, modRevision)
+			err = t.handleUpstreamPage(id, page, data, modRevision)
 		}
 		return true, err
 	}
 	return false, nil
 }
 
-// jobOrNew returns the job, adding an empty one for records that arrive first.
+// jobOrNew returns the job. If another record of the job arrives before its job record,
+// jobOrNew adds an empty job.
 func (t *Table) jobOrNew(id string) *Job {
 	if job := t.byID[id]; job != nil {
 		return job
@@ -144,7 +145,7 @@
 	return job
 }
 
-// forget removes a job of which no key is left.
+// forget removes a job if it has no assignments and none of its records is left.
 func (t *Table) forget(job *Job) {
 	if job.ModRevision != 0 || job.activeCount > 0 {
 		return
@@ -161,18 +162,19 @@
 	t.remove(job)
 }
 
-// onJob takes a job's record of the watch cache.
-func (t *Table) onJob(id string, data []byte, modRevision uint64) error {
+// handleJob handles a change of a job record in the watch cache.
+func (t *Table) handleJob(id string, data []byte, modRevision uint64) error {
 	if data == nil {
-		t.onJobDeleted(id)
+		t.handleJobDeleted(id)
 		return nil
 	}
 	job := t.jobOrNew(id)
 	wasReady := job.Ready
-	// Assignments count by the spec; with none known yet they counted nothing.
-	t.recountUsage(job, -1)
+	// Usage is computed from the spec, so the assignments are subtracted with the old
+	// spec and added with the new one. Before the first spec is known they add zero.
+	t.adjustJobUsage(job, -1)
 	err := decodeJob(t.Names, data, job)
-	t.recountUsage(job, 1)
+	t.adjustJobUsage(job, 1)
 	if err != nil {
 		return err
 	}
@@ -188,7 +190,7 @@
 	return nil
 }
 
-func (t *Table) onJobDeleted(id string) {
+func (t *Table) handleJobDeleted(id string) {
 	job := t.byID[id]
 	if job == nil {
 		return
--- a/internal/pipeline/tasks.go
+++ b/internal/pipeline/tasks.go
@@ -7,16 +7,16 @@
 	"lugward/internal/record"
 )
 
-// taskCounts are kept up to date as segments change, so that counting does not walk
-// over a job's tasks.
+// taskCounts are updated whenever segments change, so that counting does not iterate over
+// the job's tasks.
 type taskCounts struct {
 	segmentLen       int // tasks per segment
-	doneCount        int // tasks that run records show as done
+	doneCount        int // tasks that the run records list as done
 	activeCount      int // assignments
-	pendingDoneCount int // assignments whose completion is still to be written
+	pendingDoneCount int // assignments whose completion has not been written yet
 }
 
-// DoneCount counts the tasks that are stored as done.
+// DoneCount returns the number of tasks that are persisted as done.
 func (j *Job) DoneCount() int {
 	if j.TerminalPhase == Done {
 		return j.TaskCount
@@ -24,10 +24,10 @@
 	return j.doneCount
 }
 
-// ActiveCount counts tasks that may be on a machine.
+// ActiveCount returns the number of tasks that may be on a machine.
 func (j *Job) ActiveCount() int { return j.activeCount }
 
-// IsDone reports whether a task is stored as done.
+// IsDone reports whether a task is persisted as done.
 func (j *Job) IsDone(task int) bool {
 	index, bit := task/j.segmentLen, task%j.segmentLen
 	if index >= len(j.segments) || j.segments[index].done == nil {
@@ -36,7 +36,7 @@
 	return j.segments[index].done[bit/record.BitsPerWord]>>(bit%record.BitsPerWord)&1 == 1
 }
 
-// Assignment returns the assignment of a task, or nil.
+// Assignment returns the assignment of a task, or nil if it has none.
 func (j *Job) Assignment(task int) *Assignment {
 	index := task / j.segmentLen
 	if index >= len(j.segments) {
@@ -45,8 +45,8 @@
 	return j.segments[index].assignments[task]
 }
 
-// Assignments returns the assignments of the job, in no order. It may be changed
-// meanwhile.
+// Assignments returns an iterator over the assignments of the job, in no particular order.
+// Assignments may be added and removed during the iteration.
 func (j *Job) Assignments() iter.Seq[*Assignment] {
 	return func(yield func(*Assignment) bool) {
 		if j.activeCount == 0 {
@@ -62,17 +62,18 @@
 	}
 }
 
-// Unplaced reports whether a task waits to be placed.
+// Unplaced reports whether a task is unassigned and not completed.
 func (j *Job) Unplaced(task int) bool {
 	return !j.IsDone(task) && j.Assignment(task) == nil && !j.doneUnassigned[task]
 }
 
-// HasStarted reports whether a task of the job has been placed, be it that it is done.
+// HasStarted reports whether any task of the job is assigned or done.
 func (j *Job) HasStarted() bool { return j.ActiveCount() > 0 || j.DoneCount() > 0 }
 
-// NextUnplaced returns the first task from a number on that waits to be placed, TaskCount
-// if there is none. What it has passed over is not looked at again until it is unplaced, so
-// that an array is not walked over from its first task for each one that is placed.
+// NextUnplaced returns the first unassigned task whose number is at least from, or TaskCount
+// if there is none. It remembers the tasks that it has skipped and does not check them again
+// until one of them is unassigned again. Otherwise each placement would scan the array from
+// its first task.
 func (j *Job) NextUnplaced(from int) int {
 	task := max(from, j.unplacedFrom)
 	for task < j.TaskCount && !j.Unplaced(task) {
@@ -84,9 +85,9 @@
 	return task
 }
 
-// ProbeTask returns the unplaced task that tries again after a failure of the job itself:
-// the unplaced ones take turns, as only some of them may fail. It is TaskCount if there
-// is none.
+// ProbeTask returns the unassigned task to use as the next probe of a job at fault, or
+// TaskCount if there is none. It rotates through the unassigned tasks, because only some of
+// them may fail.
 func (j *Job) ProbeTask() int {
 	unplaced := j.UnplacedCount()
 	if unplaced == 0 {
@@ -99,20 +100,20 @@
 	return task
 }
 
-// noteUnplaced notes that a task may wait to be placed again.
+// noteUnplaced records that a task may be unassigned again.
 func (j *Job) noteUnplaced(task int) { j.unplacedFrom = min(j.unplacedFrom, task) }
 
-// UnplacedCount counts the tasks that wait to be placed.
+// UnplacedCount returns the number of unassigned tasks that are not completed.
 func (j *Job) UnplacedCount() int {
 	return max(0, j.TaskCount-j.doneCount-j.activeCount-len(j.doneUnassigned))
 }
 
-// Schedulable reports whether an unfinished ready job has tasks to place.
+// Schedulable reports whether an unfinished ready job has tasks that may be placed now.
 func (j *Job) Schedulable(now event.Time) bool {
 	return j.StartableCount() > 0 && !j.terminating && !j.BackingOff(now)
 }
 
-// MaxAttempt is the highest attempt used by any task of the job.
+// MaxAttempt returns the highest attempt number used by any task of the job.
 func (j *Job) MaxAttempt() uint64 {
 	var highest uint64
 	for index := range j.segments {
--- a/internal/pipeline/terminal_records.go
+++ b/internal/pipeline/terminal_records.go
@@ -7,32 +7,32 @@
 	"lugward/internal/record"
 )
 
-// TerminalRecord says how a job ended.
+// TerminalRecord describes how a job ended.
 type TerminalRecord struct {
 	Phase     Phase // Done or Cancelled
-	TaskCount int   // number of tasks
-	Daemon    bool  // false also if an earlier version wrote the record
+	TaskCount int
+	Daemon    bool // also false if an earlier version wrote the record
 }
 
 // TerminalRecords holds the terminal records of all jobs that have ever ended. They are
-// kept for ever, as users may ask about a job at any later time, so each takes little: its
-// ID and its record as one number each.
+// never deleted, because users may request the status of a job at any later time. To save
+// memory, the ID and the record are each packed into an integer.
 type TerminalRecords struct {
 	packed map[packedID]packedTerminal
-	other  map[string]TerminalRecord // whose ID or size does not fit
+	other  map[string]TerminalRecord // records whose ID or task count cannot be packed
 }
 
-// packedID is an ID as a number: how many digits it has, as those in front may be
-// zeros, and their value.
+// packedID is a job ID packed into an integer: the number of its digits, since there may be
+// leading zeros, and their value.
 type packedID uint64
 
-// packedTerminal is a terminal record as a number: the phase, whether the job was a daemon,
-// and the number of its tasks.
+// packedTerminal is a terminal record packed into an integer: the phase, whether the job was
+// a daemon, and its task count.
 type packedTerminal uint32
 
 const (
-	idDigitsShift   = 59 // the value takes the bits below
-	maxPackedDigits = 17 // of which the largest value is less than 1<<idDigitsShift
+	idDigitsShift   = 59 // the bits below hold the value
+	maxPackedDigits = 17 // the largest value of 17 digits is less than 1<<idDigitsShift
 
 	terminalPhaseBits = 2
 	terminalPhaseMask = 1<<terminalPhaseBits - 1
@@ -45,7 +45,7 @@
 	return TerminalRecords{packed: map[packedID]packedTerminal{}, other: map[string]TerminalRecord{}}
 }
 
-// Get returns the record of a job that has ended.
+// Get returns the terminal record of a job. ok is false if the job has not ended.
 func (r *TerminalRecords) Get(id string) (terminal TerminalRecord, ok bool) {
 	key, packable := packID(id)
 	if !packable {
@@ -75,14 +75,15 @@
 	r.other[id] = terminal
 }
 
-// packID returns an ID of the usual form as a number.
+// packID packs an ID that consists of record.JobIDPrefix and at most maxPackedDigits digits.
+// ok is false for any other ID.
 func packID(id string) (key packedID, ok bool) {
-	digits, usual := strings.CutPrefix(id, record.JobIDPrefix)
-	if !usual || len(digits) == 0 || len(digits) > maxPackedDigits {
+	digits, hasPrefix := strings.CutPrefix(id, record.JobIDPrefix)
+	if !hasPrefix || len(digits) == 0 || len(digits) > maxPackedDigits {
 		return 0, false
 	}
 	if first := digits[0]; first < '0' || first > '9' {
-		return 0, false // a sign
+		return 0, false // not a digit, such as a sign
 	}
 	value, err := strconv.ParseUint(digits, 10, 64)
 	if err != nil {
--- a/internal/pipeline/terminal_records_test.go
+++ b/internal/pipeline/terminal_records_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// A record is found by its job's ID and by no other, whatever the ID looks like, and is
-// what it was.
+// A record is found unchanged under its job's ID and under no other ID, whatever the form of
+// the ID.
 func TestTerminalRecords(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		id := rapid.OneOf(
@@ -18,33 +18,33 @@
 			rapid.StringMatching("req-0{1,18}[0-9]{0,2}"),
 			rapid.SampledFrom([]string{"", "req-", "req-+1", "req--1", "req- 1", "req-1x", "REQ-1", "req-99999999999999999"}),
 		)
-		finals, want := newTerminalRecords(), map[string]TerminalRecord{}
+		records, want := newTerminalRecords(), map[string]TerminalRecord{}
 		for range 50 {
 			name := id.Draw(rt, "id")
 			terminal := TerminalRecord{
 				Phase:     rapid.SampledFrom([]Phase{Done, Cancelled}).Draw(rt, "phase"),
-				TaskCount: rapid.OneOf(rapid.IntRange(0, 100_000), rapid.SampledFrom([]int{-1, 1 << 28, 1 << 29, 1 << 30})).Draw(rt, "size"),
-				Daemon:    rapid.Bool().Draw(rt, "service"),
+				TaskCount: rapid.OneOf(rapid.IntRange(0, 100_000), rapid.SampledFrom([]int{-1, 1 << 28, 1 << 29, 1 << 30})).Draw(rt, "task count"),
+				Daemon:    rapid.Bool().Draw(rt, "daemon"),
 			}
 			if _, ok := want[name]; !ok {
 				want[name] = terminal
-				finals.add(name, terminal)
+				records.add(name, terminal)
 			}
 			other := id.Draw(rt, "other")
-			for _, asked := range []string{name, other, strings.Replace(name, "-", "-0", 1)} {
-				got, ok := finals.Get(asked)
-				expected, known := want[asked]
-				if ok != known || got != expected || finals.Has(asked) != known {
-					rt.Fatalf("%q: %+v %v, not %+v %v", asked, got, ok, expected, known)
+			for _, queried := range []string{name, other, strings.Replace(name, "-", "-0", 1)} {
+				got, ok := records.Get(queried)
+				expected, known := want[queried]
+				if ok != known || got != expected || records.Has(queried) != known {
+					rt.Fatalf("Get(%q) = %+v, %v, want %+v, %v", queried, got, ok, expected, known)
 				}
 			}
 		}
 	})
 }
 
-// Terminal records are kept for ever: what each takes decides for how long a controller can run.
+// Terminal records are never deleted, so their size limits how long a controller can run.
 func TestTerminalRecordsMemory(t *testing.T) {
-	const marks, limit = 300_000, 48
+	const count, limitBytes = 300_000, 48
 	heap := func() uint64 {
 		runtime.GC()
 		var stats runtime.MemStats
@@ -52,13 +52,13 @@
 		return stats.HeapAlloc
 	}
 	before := heap()
-	finals := newTerminalRecords()
-	for i := range marks {
-		finals.add(fmt.Sprintf("req-%06d", i), TerminalRecord{Phase: Done, TaskCount: i % 1000})
+	records := newTerminalRecords()
+	for i := range count {
+		records.add(fmt.Sprintf("req-%06d", i), TerminalRecord{Phase: Done, TaskCount: i % 1000})
 	}
-	each := float64(heap()-before) / marks
-	t.Logf("%.1f bytes a record", each)
-	if terminal, ok := finals.Get("req-000412"); !ok || terminal.TaskCount != 412 || each > limit {
-		t.Errorf("%.1f bytes a record, %+v", each, terminal)
+	bytesEach := float64(heap()-before) / count
+	t.Logf("%.1f bytes per record", bytesEach)
+	if terminal, ok := records.Get("req-000412"); !ok || terminal.TaskCount != 412 || bytesEach > limitBytes {
+		t.Errorf("%.1f bytes per record, record of req-000412 is %+v; want at most 48 bytes and a task count of 412", bytesEach, terminal)
 	}
 }
--- a/internal/pipeline/unknown_fields_test.go
+++ b/internal/pipeline/unknown_fields_test.go
@@ -8,18 +8,18 @@
 	"lugward/internal/record"
 )
 
-// Fields of a later version survive when a record is written again: controllers of
-// both versions serve while they are replaced.
+// Fields written by a later version are preserved when a record is rewritten. Controllers of
+// both versions run at the same time during an upgrade.
 func TestUnknownFieldsAreKept(t *testing.T) {
 	const unknown = `"zz":{"a":[1,2]},"y y":"\"x"`
 	check := func(what string, data []byte) {
 		t.Helper()
 		var fields map[string]json.RawMessage
 		if err := json.Unmarshal(data, &fields); err != nil {
-			t.Errorf("%s: %v in %s", what, err, data)
+			t.Errorf("%s record: %v in %s", what, err, data)
 		}
 		if string(fields["zz"]) != `{"a":[1,2]}` || string(fields["y y"]) != `"\"x"` {
-			t.Errorf("%s: %s", what, data)
+			t.Errorf("%s record is %s, want it to contain the unknown fields", what, data)
 		}
 	}
 	table, job := newJob(t, 4)
@@ -30,7 +30,7 @@
 
 	table.HandleChange(record.KindRun, "req-1/0", []byte(`{"t":1,`+unknown+`,"a":[[0,1,"i-1"]]}`), 6)
 	if job.ActiveCount() != 1 {
-		t.Fatalf("%d assignments", job.ActiveCount())
+		t.Fatalf("ActiveCount() = %d, want 1", job.ActiveCount())
 	}
 	table.Assign(job, 1, 3, 0, 1)
 	table.Names.Machines.Index("i-2")
--- a/internal/pipeline/upstream_pages.go
+++ b/internal/pipeline/upstream_pages.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// maxPageDeletions bounds the deletions of pages in flight: nothing waits for them.
+	// maxPageDeletions is the maximum number of page deletions in flight. It is small
+	// because nothing waits for them.
 	maxPageDeletions = 4
-	// orphanTimeout is how long a list may show without its job's record
-	// before it counts as left behind by an attempt that failed.
+	// orphanTimeout is how long a list may exist without its job's record before it is
+	// considered orphaned by a failed attempt to submit the job.
 	orphanTimeout = time.Minute
-	// SubmissionAttemptTimeout is how long a list that another attempt to submit the
-	// job began keeps others from beginning anew.
+	// SubmissionAttemptTimeout is how long a list that one attempt to submit a job has
+	// begun to write prevents other attempts from starting again.
 	SubmissionAttemptTimeout = 6 * time.Second
 )
 
-// upstreamPage is one stored page of a list of upstream jobs.
+// upstreamPage is one persisted page of a job's list of upstream jobs.
 type upstreamPage struct {
 	modRevision uint64
 	ids         []string
 }
 
-// upstreamPages are what is stored of a job's list.
+// upstreamPages holds the persisted pages of a job's list of upstream jobs.
 type upstreamPages struct {
 	byNumber  map[int]upstreamPage
-	firstSeen event.Time // when page 0 showed, or any if it has none
+	firstSeen event.Time // when page 0 was last written as the watch cache shows it, or the first page if there is no page 0
 }
 
-// upstreamPageIndex holds the stored lists of upstream jobs.
+// upstreamPageIndex holds the persisted lists of upstream jobs.
 type upstreamPageIndex struct {
 	byJob             map[string]*upstreamPages // by job ID
 	deletionsInFlight int
@@ -64,8 +65,8 @@
 	}
 }
 
-// list returns the whole list of a job's upstream jobs; false: pages of it are missing,
-// or are still those of an earlier attempt to submit the job.
+// list returns the list of a job's upstream jobs. complete is false if pages are missing or
+// were written by an earlier attempt to submit the job.
 func (i *upstreamPageIndex) list(job *Job) (list []string, complete bool) {
 	if job.UpstreamPages == 0 {
 		return slices.Clone(job.Upstream), true
@@ -84,15 +85,15 @@
 	return list, true
 }
 
-// onUpstreamPage takes a page of the watch cache.
-func (t *Table) onUpstreamPage(id string, number int, data []byte, modRevision uint64) error {
+// handleUpstreamPage handles a change of a page in the watch cache.
+func (t *Table) handleUpstreamPage(id string, number int, data []byte, modRevision uint64) error {
 	if data == nil {
 		t.pages.remove(id, number)
 		return nil
 	}
 	ids, err := record.DecodeUpstreamPage(data)
 	if err != nil {
-		ids = nil // damaged: it counts as a page, so that it is deleted with the others
+		ids = nil // a corrupted page is recorded too, so that it is deleted with the others
 	}
 	t.pages.set(id, number, upstreamPage{modRevision, ids}, t.now)
 	if job := t.byID[id]; job != nil {
@@ -101,8 +102,8 @@
 	return err
 }
 
-// belongsTo reports whether a page was written by the attempt that submitted a job, not
-// by an earlier one.
+// belongsTo reports whether a page was written by the attempt that submitted the job rather
+// than by an earlier one.
 func (p *upstreamPage) belongsTo(job *Job, number int) bool {
 	if number == 0 {
 		return p.modRevision == job.SubmissionRevision
@@ -111,8 +112,9 @@
 }
 
 // SubmissionAttempt returns the revision of page 0 of a job's list, which identifies the
-// attempt to submit the job, and for how long the page has shown; 0: there is none.
-func (t *Table) SubmissionAttempt(id string, now event.Time) (modRevision uint64, shown time.Duration) {
+// attempt to submit the job, and the time since the watch cache showed that page.
+// modRevision is zero if there is no page 0.
+func (t *Table) SubmissionAttempt(id string, now event.Time) (modRevision uint64, age time.Duration) {
 	pages := t.pages.byJob[id]
 	if pages == nil {
 		return 0, 0
@@ -120,8 +122,8 @@
 	return pages.byNumber[0].modRevision, now - pages.firstSeen
 }
 
-// DeleteStaleUpstreamPages deletes the lists that nobody needs: those of jobs that are
-// ready or have ended, and those that failed attempts to submit left behind.
+// DeleteStaleUpstreamPages queues the deletion of lists that are no longer needed: those of
+// jobs that are ready or have ended, and those orphaned by failed attempts to submit a job.
 func (t *Table) DeleteStaleUpstreamPages(now event.Time, term kv.Compare, submitter TxnSubmitter) {
 	if len(t.pages.byJob) == 0 || t.pages.deletionsInFlight > 0 {
 		return
@@ -139,26 +141,26 @@
 	}
 }
 
-// accepted reports whether a job's record is stored.
-func (t *Table) accepted(id string) bool {
+// hasJobRecord reports whether a job's record is persisted.
+func (t *Table) hasJobRecord(id string) bool {
 	job := t.byID[id]
 	return job != nil && job.ModRevision != 0
 }
 
-// pagesNeeded reports whether a list belongs to a held job, or to an attempt to
-// submit one that may still succeed.
+// pagesNeeded reports whether a list belongs to a held job, or to an attempt to submit a job
+// that may still succeed.
 func (t *Table) pagesNeeded(id string, now event.Time) bool {
 	if t.Terminal.Has(id) {
 		return false
 	}
-	if t.accepted(id) {
+	if t.hasJobRecord(id) {
 		return !t.byID[id].Ready
 	}
 	return now-t.pages.byJob[id].firstSeen < orphanTimeout
 }
 
-// deletable returns the pages that may be deleted now: page 0 first and alone, so
-// that nothing is added to an attempt that is being deleted.
+// deletable returns the numbers of the pages that may be deleted now. Page 0 is deleted first
+// and alone, so that no page can be added to an attempt whose pages are being deleted.
 func (p *upstreamPages) deletable() []int {
 	if _, ok := p.byNumber[0]; ok {
 		return []int{0}
@@ -166,9 +168,9 @@
 	return slices.Sorted(maps.Keys(p.byNumber))
 }
 
-// deletePage queues the deletion of a page on condition of its revision, and without
-// a record of the job on condition that there is still none: a late attempt that
-// has just made the job accepted keeps its list.
+// deletePage queues the deletion of a page. It requires the page's revision to be unchanged.
+// If the job has no record, it also requires that there still is none, so that the list of a
+// late attempt that has just succeeded is not deleted.
 func (t *Table) deletePage(id string, number int, now event.Time, term kv.Compare, submitter TxnSubmitter) {
 	key := record.UpstreamPageKey(id, number)
 	revision := t.pages.byJob[id].byNumber[number].modRevision
@@ -177,7 +179,7 @@
 		conditions = append(conditions, kv.Compare{Key: record.UpstreamPageKey(id, 0)})
 	}
 	conditions = append(conditions, kv.Compare{Key: key, ModRevision: revision})
-	if !t.accepted(id) {
+	if !t.hasJobRecord(id) {
 		conditions = append(conditions, kv.Compare{Key: record.JobKey(id)})
 	}
 	t.pages.deletionsInFlight++
--- a/internal/pipeline/usage.go
+++ b/internal/pipeline/usage.go
@@ -1,28 +1,29 @@
 package pipeline
 
-// Usage is what tasks take of machines or of a team's limit.
+// Usage is an amount of resources, as used by tasks on a machine or counted against a team's
+// limit.
 type Usage struct{ CPUs, GPUs, Memory float64 }
 
-// Add counts n tasks.
+// Add adds the resources of n tasks with a spec. n may be negative.
 func (u *Usage) Add(spec *Spec, n float64) {
 	u.CPUs += n * spec.CPUs
 	u.GPUs += n * spec.GPUs
 }
 
-// TeamUsage returns what a team's tasks may be using.
+// TeamUsage returns the resources of all assignments of a team.
 func (t *Table) TeamUsage(team TeamIndex) Usage { return t.usageByTeam[team] }
 
-// recountUsage counts all assignments of a job by its spec as it is now, so many times:
-// -1 before the spec changes, 1 after.
-func (t *Table) recountUsage(job *Job, times float64) {
+// adjustJobUsage adds the resources of all assignments of a job, computed from its current
+// spec and multiplied by factor. factor is -1 before the spec changes and 1 after it.
+func (t *Table) adjustJobUsage(job *Job, factor float64) {
 	for assignment := range job.Assignments() {
-		t.countUsage(assignment, times)
+		t.countUsage(assignment, factor)
 		t.NoteMachineChanged(assignment.Machine)
 	}
 }
 
-func (t *Table) countUsage(assignment *Assignment, times float64) {
+func (t *Table) countUsage(assignment *Assignment, factor float64) {
 	usage := t.usageByTeam[assignment.Job.Team]
-	usage.Add(&assignment.Job.Spec, times)
+	usage.Add(&assignment.Job.Spec, factor)
 	t.usageByTeam[assignment.Job.Team] = usage
 }
--- a/internal/pipeline/zone_selector.go
+++ b/internal/pipeline/zone_selector.go
@@ -1,6 +1,6 @@
 package pipeline
 
-// ZoneSelector allows a single zone or, as its zero value, any zone.
+// ZoneSelector allows a single zone or any zone. The zero value allows any zone.
 type ZoneSelector struct {
 	zone   int32
 	single bool
