--- a/internal/pipeline/upstream_pages.go
+++ b/internal/pipeline/upstream_pages.go
@@ -31,7 +31,7 @@
 // upstreamPages holds the persisted pages of a job's list of upstream jobs.
 type upstreamPages struct {
 	byNumber  map[int]upstreamPage
-	firstSeen event.Time // when page 0 was last written as the watch cache shows it, or the first page if there is no page 0
+	firstSeen event.Time // time of the last change of page 0, or of the first page seen if there is no page 0
 }
 
 // upstreamPageIndex holds the persisted lists of upstream jobs.
@@ -112,7 +112,7 @@
 }
 
 // SubmissionAttempt returns the revision of page 0 of a job's list, which identifies the
-// attempt to submit the job, and the time since the watch cache showed that page.
+// attempt to submit the job, and the time since the last change of that page.
 // modRevision is zero if there is no page 0.
 func (t *Table) SubmissionAttempt(id string, now event.Time) (modRevision uint64, age time.Duration) {
 	pages := t.pages.byJob[id]
