--- a/internal/record/compact.go
+++ b/internal/record/compact.go
@@ -7,31 +7,30 @@
 	"unicode/utf8"
 )
 
-// compactBase is the base of the numbers in the compact format: the largest one
-// that strconv has, so that numbers are short.
+// compactBase is the numeral base of the compact format. It is the largest base that
+// strconv supports, which keeps the numbers short.
 const compactBase = 36
 
-// maxSpan bounds the tasks of a span, so that a damaged record cannot ask for more
-// memory than a segment of the largest size.
-const maxSpan = 1 << 10
+// maxSpanTasks bounds the number of tasks in a span, so that a damaged record cannot cause a
+// larger allocation than a segment of the largest size.
+const maxSpanTasks = 1 << 10
 
-// attemptRule says which attempts the tasks of a record or a span are in.
+// attemptRule computes the attempt of each task of a record or a span.
 type attemptRule struct {
 	kind ruleKind
 	base int64
 }
 
-// ruleKind is how the attempts of tasks follow from a rule's base.
+// ruleKind selects how the attempt of a task is computed from a rule's base.
 type ruleKind byte
 
 const (
-	// sameAttempt: all tasks are in the attempt that the base names, as those of a
-	// gang are.
+	// sameAttempt means that the base is the attempt of all tasks, as in a gang.
 	sameAttempt ruleKind = '@'
-	// countingUp: the attempts grow with the tasks' numbers, as those of an array
-	// that was placed in order do; the base is their difference.
+	// countingUp means that the attempt of a task is its number plus the base, as in an
+	// array whose tasks were placed in order.
 	countingUp ruleKind = '+'
-	// commonRule, for a span: the rule of the whole record holds.
+	// commonRule means that a span follows the rule of the whole record.
 	commonRule ruleKind = 0
 )
 
@@ -44,22 +43,23 @@
 	return r.base
 }
 
-func (r attemptRule) holdsFor(assignment *Assignment) bool {
+func (r attemptRule) matches(assignment *Assignment) bool {
 	return r.attempt(int64(assignment.Task)) == int64(assignment.Attempt)
 }
 
-// compact writes assignments, which are in the order of tasks, as one text: the rule
-// that the attempts of most follow, what the names of all their machines begin
-// with, and for each machine the spans of tasks on it and the rest of its name:
+// compact encodes assignments, which must be sorted by task, as one string: the rule
+// that matches most attempts, the common prefix of all machine names, and for each
+// machine the spans of its tasks and the rest of its name:
 //
 //	text  = rule " " prefix { " " span { "," span } ":" rest }
 //	rule  = "@" attempt             the same for all tasks
 //	      | "+" difference          of a task's attempt and its number
 //	span  = task [ "-" task ] [ "@" attempt | "+" attempt ]
 //
-// A span's own attempt is that of all its tasks (@) or of its first, counting up
-// (+). Numbers have base 36. A version that does not know this format takes no text
-// for a list, so it refuses the record instead of reading it as empty.
+// A span's own attempt is that of all its tasks (@), or that of its first task and
+// increases by one with each further task (+). Numbers have base 36. A version that does
+// not know this format expects a JSON list and finds a string, so it rejects the record
+// instead of reading it as empty.
 func compact(active []Assignment) string {
 	common := mostCommonRule(active)
 	prefix := commonPrefix(active)
@@ -71,7 +71,7 @@
 	for _, machine := range machines {
 		separator := byte(' ')
 		for rest := byMachine[machine]; len(rest) > 0; separator = ',' {
-			length, kind := common.span(rest)
+			length, kind := common.nextSpan(rest)
 			text = append(text, separator)
 			text = appendSpan(text, rest[:length], kind)
 			rest = rest[length:]
@@ -82,7 +82,7 @@
 	return string(text)
 }
 
-// mostCommonRule is the rule that holds for most assignments.
+// mostCommonRule returns the rule that matches most assignments.
 func mostCommonRule(active []Assignment) attemptRule {
 	attempts := map[int64]int{}
 	differences := map[int64]int{}
@@ -98,7 +98,8 @@
 	return attemptRule{sameAttempt, attempt}
 }
 
-// mostCommon returns the value with the greatest count, of equals the least.
+// mostCommon returns the value with the highest count. On a tie it returns the smallest
+// of the values.
 func mostCommon(counts map[int64]int) (best int64) {
 	most := 0
 	for value, count := range counts {
@@ -110,8 +111,8 @@
 	return best
 }
 
-// commonPrefix is what the names of all machines begin with. It ends between two
-// characters, as JSON would replace half of one.
+// commonPrefix returns the longest common prefix of all machine names that does not split
+// a character: the JSON encoder replaces invalid UTF-8.
 func commonPrefix(active []Assignment) string {
 	prefix := active[0].Machine
 	for _, assignment := range active {
@@ -122,8 +123,8 @@
 	return prefix
 }
 
-// groupByMachine returns the machines in the order of their first tasks, and the
-// assignments of each.
+// groupByMachine returns the machines, ordered by their first tasks, and the assignments
+// of each machine.
 func groupByMachine(active []Assignment) (machines []string, byMachine map[string][]Assignment) {
 	byMachine = map[string][]Assignment{}
 	for _, assignment := range active {
@@ -135,15 +136,15 @@
 	return machines, byMachine
 }
 
-// span returns how many assignments at the start of a list make a span, and which rule
-// holds for it, where r is the one of the whole record.
-func (r attemptRule) span(list []Assignment) (length int, kind ruleKind) {
-	kind = sameAttempt // of a single task
-	if r.holdsFor(&list[0]) {
+// nextSpan returns the number of assignments in the span at the start of a list, and the kind
+// of the span's rule. r is the rule of the whole record.
+func (r attemptRule) nextSpan(list []Assignment) (length int, kind ruleKind) {
+	kind = sameAttempt // for a span of a single task
+	if r.matches(&list[0]) {
 		kind = commonRule
 	}
 	for length = 1; length < len(list); length++ {
-		next, ok := r.continues(&list[length-1], &list[length])
+		next, ok := r.continuationKind(&list[length-1], &list[length])
 		if !ok || (length > 1 && next != kind) {
 			break
 		}
@@ -152,14 +153,14 @@
 	return length, kind
 }
 
-// continues returns the rule by which a span that ends with one assignment goes on
-// with the next; not ok: the span ends there.
-func (r attemptRule) continues(last, next *Assignment) (kind ruleKind, ok bool) {
-	if next.Task != last.Task+1 || r.holdsFor(last) != r.holdsFor(next) {
+// continuationKind returns the kind of the rule under which next extends a span that ends with
+// last. It reports false if next cannot be in the same span.
+func (r attemptRule) continuationKind(last, next *Assignment) (kind ruleKind, ok bool) {
+	if next.Task != last.Task+1 || r.matches(last) != r.matches(next) {
 		return 0, false
 	}
 	switch {
-	case r.holdsFor(next):
+	case r.matches(next):
 		return commonRule, true
 	case next.Attempt == last.Attempt:
 		return sameAttempt, true
@@ -183,7 +184,7 @@
 	return text
 }
 
-// expand reads what compact writes. An error wraps ErrCompactText.
+// expand decodes the output of compact. An error wraps ErrCompactText.
 func expand(text string) (active []Assignment, err error) {
 	groups := strings.Split(text, " ")
 	if len(groups) < 2 {
@@ -211,17 +212,17 @@
 	return active, nil
 }
 
-// maxQuotedBytes bounds what an error quotes of a compact list: a damaged one may be as
-// long as a value of the store.
+// maxQuotedBytes limits how much of a compact list an error quotes. A damaged list may be
+// as long as the largest value that the state service stores.
 const maxQuotedBytes = 64
 
-// compactError names the part of a compact list that breaks the grammar, by its first
-// bytes.
+// compactError returns an error that quotes the first bytes of the part of a compact list
+// that violates the grammar.
 func compactError(part string) error {
 	return fmt.Errorf("%w: %q", ErrCompactText, part[:min(len(part), maxQuotedBytes)])
 }
 
-// parseRule reads the rule of a whole record.
+// parseRule parses the rule of a whole record.
 func parseRule(text string) (attemptRule, error) {
 	if text == "" || strings.IndexByte(ruleKinds, text[0]) < 0 {
 		return attemptRule{}, compactError(text)
@@ -233,19 +234,19 @@
 	return attemptRule{ruleKind(text[0]), base}, nil
 }
 
-// expandSpan reads a span of tasks on a machine.
+// expandSpan decodes a span of tasks on a machine.
 func expandSpan(text string, common attemptRule, machine string) (assignments []Assignment, err error) {
-	tasks, own := text, ""
+	tasks, ownRule := text, ""
 	if i := strings.IndexAny(text, ruleKinds); i >= 0 {
-		tasks, own = text[:i], text[i:]
+		tasks, ownRule = text[:i], text[i:]
 	}
 	first, last, err := parseTasks(tasks)
 	if err != nil {
 		return nil, err
 	}
 	rule := common
-	if own != "" {
-		if rule, err = parseSpanRule(own, first); err != nil {
+	if ownRule != "" {
+		if rule, err = parseSpanRule(ownRule, first); err != nil {
 			return nil, err
 		}
 	}
@@ -259,7 +260,7 @@
 	return assignments, nil
 }
 
-// parseTasks reads the first and the last task of a span.
+// parseTasks parses the first and the last task of a span.
 func parseTasks(text string) (first, last int64, err error) {
 	from, to, isSpan := strings.Cut(text, "-")
 	if !isSpan {
@@ -267,13 +268,14 @@
 	}
 	low, errLow := strconv.ParseUint(from, compactBase, 32)
 	high, errHigh := strconv.ParseUint(to, compactBase, 32)
-	if errLow != nil || errHigh != nil || high < low || high-low >= maxSpan {
+	if errLow != nil || errHigh != nil || high < low || high-low >= maxSpanTasks {
 		return 0, 0, compactError(text)
 	}
 	return int64(low), int64(high), nil
 }
 
-// parseSpanRule reads a span's own rule, which names the attempt of its first task.
+// parseSpanRule parses a span's own rule, which gives the attempt of the span's first
+// task.
 func parseSpanRule(text string, first int64) (attemptRule, error) {
 	attempt, err := strconv.ParseUint(text[1:], compactBase, 63)
 	if err != nil {
--- a/internal/record/fields.go
+++ b/internal/record/fields.go
@@ -8,18 +8,19 @@
 	"strings"
 )
 
-// Fields are fields of a record by their stored names. In the records of this package
-// they are those that a later version has added and this one does not know.
+// Fields maps the stored names of a record's fields to their encoded values. In the
+// records of this package it holds the fields that a later version has added and that are
+// unknown to this version.
 type Fields map[string]json.RawMessage
 
-// Fields that this version knows, by the kind of record.
+// Stored names of the fields that this version knows, by kind of record.
 var (
 	jobFields   = fieldNames(reflect.TypeFor[storedJob]())
 	runFields   = fieldNames(reflect.TypeFor[storedRun]())
 	retryFields = fieldNames(reflect.TypeFor[storedRetry]())
 )
 
-// fieldNames lists the names under which the fields of a stored type are encoded.
+// fieldNames returns the set of JSON names of the fields of a stored type.
 func fieldNames(stored reflect.Type) map[string]bool {
 	names := map[string]bool{}
 	for i := range stored.NumField() {
@@ -29,8 +30,8 @@
 	return names
 }
 
-// unknownFields returns the fields of a well-formed record that are not known, nil if
-// there are none.
+// unknownFields returns the fields of a well-formed record whose names are not in known,
+// or nil if there are none.
 func unknownFields(data []byte, known map[string]bool) Fields {
 	var all Fields
 	if json.Unmarshal(data, &all) != nil {
@@ -39,8 +40,8 @@
 	return all.without(known)
 }
 
-// read decodes a field into value, which stays as it is if the record has no such field.
-func (f Fields) read(kind Kind, name string, value any) error {
+// decode decodes the named field into value. If the field is absent, value is unchanged.
+func (f Fields) decode(kind Kind, name string, value any) error {
 	data, ok := f[name]
 	if !ok {
 		return nil
@@ -48,7 +49,7 @@
 	return unmarshal(kind, name, data, value)
 }
 
-// without returns the fields that are not known, nil if there are none.
+// without returns the fields whose names are not in known, or nil if there are none.
 func (f Fields) without(known map[string]bool) (unknown Fields) {
 	for name, value := range f {
 		if known[name] {
@@ -62,7 +63,7 @@
 	return unknown
 }
 
-// appendTo adds the fields to an encoded record that has some of its own.
+// appendTo adds the fields to an encoded record, which must have at least one field.
 func (f Fields) appendTo(encoded []byte) []byte {
 	if len(f) == 0 {
 		return encoded
--- a/internal/record/first_version_test.go
+++ b/internal/record/first_version_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// The records as the first version, which is in production, knows them.
+// Stored records as defined by the first version, which is in production.
 type (
 	firstVersionJob struct {
 		Class        string    `json:"c"`
@@ -35,7 +35,7 @@
 	}
 )
 
-// decodeFirstVersionRun reads a run record as the first version does.
+// decodeFirstVersionRun decodes a run record as the first version does.
 func decodeFirstVersionRun(data []byte, words int) (attempt uint64, done []uint64, active []Assignment, ok bool) {
 	var stored struct {
 		Attempt uint64               `json:"t"`
@@ -63,23 +63,23 @@
 	return stored.Attempt, done, active, true
 }
 
-// What this version stores of a job is read by the first version as all that it
-// knows, whatever else there is, and by this version as what it was.
+// The first version reads all of its own fields from a job record that this version wrote
+// and ignores the others. This version decodes the record to the same job.
 func TestFirstVersionReadsJob(t *testing.T) {
-	released := Job{
+	ready := Job{
 		Class: "c", Team: "t", Shape: 1, Priority: 2, TaskCount: 7, CPUs: 1.5, GPUs: 2, Memory: 3, Image: "b",
 		ImageGB: 4.5, MachineTypes: []string{"x", "y"}, Zone: "z", SameZone: true, AllowSpot: true,
 		EstimatedRuntime: 10, CheckpointInterval: 20, CheckpointDuration: 30, Deadline: 40,
 		Owner: "n2", Upstream: []string{"req-2", "req-3"}, Ready: true, SubmittedAt: 1_700_000_000_123, ReadyAt: 1_700_000_060_456,
 	}
-	held := released
-	held.Upstream, held.UpstreamPages, held.SubmissionRevision, held.Ready, held.ReadyAt = nil, 9, 1<<63, false, 0
+	waiting := ready
+	waiting.Upstream, waiting.UpstreamPages, waiting.SubmissionRevision, waiting.Ready, waiting.ReadyAt = nil, 9, 1<<63, false, 0
 	for _, test := range []struct {
 		name string
 		job  Job
 	}{
-		{"ready", released},
-		{"held, with its upstream jobs in pages", held},
+		{"ready", ready},
+		{"waiting, with upstream jobs in pages", waiting},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			job := test.job
@@ -87,10 +87,10 @@
 			data := job.Encode()
 			var got firstVersionJob
 			if err := json.Unmarshal(data, &got); err != nil || !reflect.DeepEqual(got, want) {
-				t.Errorf("%s: %+v, %v", data, got, err)
+				t.Errorf("first version decoded %s to %+v, %v, want %+v", data, got, err, want)
 			}
-			if back, err := DecodeJob(data); err != nil || !reflect.DeepEqual(back, job) {
-				t.Errorf("%s: %+v, %v", data, back, err)
+			if decoded, err := DecodeJob(data); err != nil || !reflect.DeepEqual(decoded, job) {
+				t.Errorf("DecodeJob(%s) = %+v, %v, want %+v", data, decoded, err, job)
 			}
 		})
 	}
@@ -103,17 +103,17 @@
 			data := terminal.Encode()
 			var got firstVersionTerminal
 			if err := json.Unmarshal(data, &got); err != nil || got.TaskCount != 3 || got.Phase != phase {
-				t.Errorf("%s: %+v, %v", data, got, err)
+				t.Errorf("first version decoded %s to %+v, %v, want phase %q and 3 tasks", data, got, err, phase)
 			}
-			if back, err := DecodeTerminal(data); err != nil || back != terminal {
-				t.Errorf("%s: %+v, %v", data, back, err)
+			if decoded, err := DecodeTerminal(data); err != nil || decoded != terminal {
+				t.Errorf("DecodeTerminal(%s) = %+v, %v, want %+v", data, decoded, err, terminal)
 			}
 		}
 	}
 }
 
-// The first version reads our plain run records and takes a compact one for damaged:
-// it keeps what it knew instead of taking tasks for gone.
+// The first version reads plain run records of this version. It rejects a compact record
+// as damaged and so keeps its last known state, instead of treating the tasks as gone.
 func TestFirstVersionReadsRun(t *testing.T) {
 	active := make([]Assignment, 0, 30)
 	for task := range 30 {
@@ -125,22 +125,22 @@
 	}
 	attempt, bits, list, ok := decodeFirstVersionRun(encode(active, Plain), 2)
 	if !ok || attempt != 9 || !reflect.DeepEqual(bits, done) || len(list) != len(active) {
-		t.Errorf("%v, %d, %v, %d assignments", ok, attempt, bits, len(list))
+		t.Errorf("first version decoded plain record: ok %v, attempt %d, done %v, %d assignments; want ok, attempt 9, done %v, %d assignments", ok, attempt, bits, len(list), done, len(active))
 	}
 	data := encode(active, Compact)
 	if _, _, _, ok = decodeFirstVersionRun(data, 2); ok {
-		t.Error("a compact record is read as something")
+		t.Error("first version decoded a compact record, want it rejected")
 	}
 	if run, err := DecodeRun(data, 2); err != nil || len(run.Active) != len(active) {
-		t.Errorf("%v, %d assignments", err, len(run.Active))
+		t.Errorf("DecodeRun of compact record returned %d assignments, %v, want %d", len(run.Active), err, len(active))
 	}
-	// With nothing on machines the two are the same.
+	// Without active tasks both formats encode to the same record.
 	if !bytes.Equal(encode(nil, Compact), encode(nil, Plain)) {
-		t.Error("compact without assignments")
+		t.Error("compact record without active tasks differs from plain record")
 	}
 }
 
-// An error tells the record, the field and what is wrong with it.
+// A DecodeError has the kind of the record, the field and the reason.
 func TestDecodeError(t *testing.T) {
 	decodeJob := func(data string) error { _, err := DecodeJob([]byte(data)); return err }
 	decodeRun := func(data string) error { _, err := DecodeRun([]byte(data), 1); return err }
@@ -164,20 +164,20 @@
 		{"run with a negative attempt", decodeRun, `{"t":-1}`, KindRun, "t", ErrMalformed},
 		{"run whose bitmap is not base64", decodeRun, `{"d":"?"}`, KindRun, "d", ErrMalformed},
 		{"run whose bitmap is too long", decodeRun, `{"d":"AAAAAAAAAAAB"}`, KindRun, "d", ErrLength},
-		{"run with an assignment without machine", decodeRun, `{"a":[[0,1]]}`, KindRun, "a", ErrMalformed},
+		{"run with an assignment without a machine", decodeRun, `{"a":[[0,1]]}`, KindRun, "a", ErrMalformed},
 		{"run with a damaged compact list", decodeRun, `{"a":"@1 i- 0"}`, KindRun, "a", ErrCompactText},
-		{"terminal record without phase", decodeTerminal, `{"p":0}`, KindTerminal, "p", ErrMalformed},
-		{"retry state that is a text", decodeRetry, `"1"`, KindRetry, "", ErrMalformed},
+		{"terminal record whose phase is a number", decodeTerminal, `{"p":0}`, KindTerminal, "p", ErrMalformed},
+		{"retry state that is a string", decodeRetry, `"1"`, KindRetry, "", ErrMalformed},
 		{"page that is a list", decodePage, `["1"]`, KindUpstreamPage, "", ErrMalformed},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			err := test.decode(test.data)
 			var decodeError *DecodeError
 			if !errors.As(err, &decodeError) || !errors.Is(err, test.reason) {
-				t.Fatalf("%v", err)
+				t.Fatalf("decoding %s returned error %v, want a DecodeError that wraps %q", test.data, err, test.reason)
 			}
 			if decodeError.Kind != test.kind || decodeError.Field != test.field || err.Error() == "" {
-				t.Errorf("kind %q, field %q: %v", decodeError.Kind, decodeError.Field, err)
+				t.Errorf("decoding %s: error %q has kind %q, field %q, want kind %q, field %q", test.data, err, decodeError.Kind, decodeError.Field, test.kind, test.field)
 			}
 		})
 	}
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -2,39 +2,39 @@
 
 import "fmt"
 
-// Job is a job's record: what was submitted, and whether the job is ready.
+// Job is a job's record: the submitted job, and whether it is ready.
 type Job struct {
 	Class              string
 	Team               string
 	Shape              uint8
 	Priority           uint8
 	TaskCount          int
-	CPUs, GPUs, Memory float64 // of each task
+	CPUs, GPUs, Memory float64 // per task
 	Image              string
 	ImageGB            float64
-	MachineTypes       []string // nil: any
-	Zone               string   // empty: any
+	MachineTypes       []string // nil means any
+	Zone               string   // empty means any
 	SameZone           bool
 	SpreadZones        bool
 	AllowSpot          bool
 	EstimatedRuntime   float64 // seconds
 	CheckpointInterval float64 // seconds
 	CheckpointDuration float64 // seconds
-	Deadline           float64 // seconds after submission, 0: none
+	Deadline           float64 // seconds after submission, zero if there is no deadline
 
 	Owner              string   // label of the controller that makes the job ready
-	Upstream           []string // IDs of upstream jobs, unless they are stored in pages
-	UpstreamPages      int      // number of pages that store the IDs instead, 0: none
-	SubmissionRevision uint64   // revision of page 0
+	Upstream           []string // IDs of upstream jobs, empty if they are stored in pages
+	UpstreamPages      int      // number of pages that store the IDs, zero if Upstream has them
+	SubmissionRevision uint64   // revision of page 0 (see UpstreamPageKey)
 
 	Ready       bool  // all upstream jobs are done
-	SubmittedAt int64 // Unix ms, 0: not known
-	ReadyAt     int64 // Unix ms, 0: not known
+	SubmittedAt int64 // Unix ms, zero if unknown
+	ReadyAt     int64 // Unix ms, zero if unknown
 
-	Unknown Fields // of a later version
+	Unknown Fields // added by a later version
 }
 
-// storedJob is a job record as it is stored.
+// storedJob is the stored form of a job record.
 type storedJob struct {
 	Class        string    `json:"c"`
 	Team         string    `json:"t"`
@@ -51,9 +51,9 @@
 	Owner        string    `json:"o"`
 	Upstream     []string  `json:"up,omitempty"`
 	Ready        bool      `json:"r,omitempty"`
-	// The first version ignores these.
+	// The first version ignores the following fields.
 	SubmittedAt        int64  `json:"at,omitempty"`
-	ReadyAt            int64  `json:"ra,omitempty"` // if not at submission
+	ReadyAt            int64  `json:"ra,omitempty"` // omitted if the job is not ready or if equal to SubmittedAt
 	UpstreamPages      int    `json:"un,omitempty"`
 	SubmissionRevision uint64 `json:"us,omitempty"`
 }
@@ -71,7 +71,7 @@
 	flagAllowSpot
 )
 
-// Encode returns the stored form of a job record. Its numbers must be finite.
+// Encode returns the stored form of a job record. All numbers must be finite.
 func (j *Job) Encode() []byte {
 	stored := storedJob{
 		Class:              j.Class,
@@ -118,7 +118,7 @@
 	if err := unmarshal(KindJob, "", data, &stored); err != nil {
 		return Job{}, err
 	}
-	if err := stored.check(); err != nil {
+	if err := stored.validate(); err != nil {
 		return Job{}, err
 	}
 	job := stored.job()
@@ -126,16 +126,17 @@
 	return job, nil
 }
 
-// check reports whether the lists of a record are complete and its tasks at least one.
-func (s *storedJob) check() error {
+// validate returns an error unless the lists of a record have the right lengths and the job
+// has at least one task.
+func (s *storedJob) validate() error {
 	if len(s.Resources) != resourceCount {
-		return &DecodeError{KindJob, "u", fmt.Errorf("%w: %d", ErrLength, len(s.Resources))}
+		return &DecodeError{KindJob, "u", fmt.Errorf("%w: found %d elements, expected %d", ErrLength, len(s.Resources), resourceCount)}
 	}
 	if len(s.Times) != timeCount {
-		return &DecodeError{KindJob, "e", fmt.Errorf("%w: %d", ErrLength, len(s.Times))}
+		return &DecodeError{KindJob, "e", fmt.Errorf("%w: found %d elements, expected %d", ErrLength, len(s.Times), timeCount)}
 	}
 	if s.TaskCount < 1 {
-		return &DecodeError{KindJob, "n", fmt.Errorf("%w: %d", ErrOutOfRange, s.TaskCount)}
+		return &DecodeError{KindJob, "n", fmt.Errorf("%w: found %d tasks, expected at least 1", ErrOutOfRange, s.TaskCount)}
 	}
 	return nil
 }
--- a/internal/record/key.go
+++ b/internal/record/key.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// Kind is the first part of a key and tells what is stored there.
+// Kind is the first part of a key. It identifies the kind of record that the key stores.
 type Kind string
 
 // The kinds of keys.
 const (
 	KindJob          Kind = "j" // j/<job>: a job, written at submission and when it becomes ready
-	KindRun          Kind = "r" // r/<job>/<segment>: which tasks may run where, which are done
+	KindRun          Kind = "r" // r/<job>/<segment>: which tasks may be on which machine, and which are done
 	KindTerminal     Kind = "f" // f/<job>: how a job ended; created once, never changed
-	KindRetry        Kind = "e" // e/<job>: how often a job has failed; the first version ignores it
+	KindRetry        Kind = "e" // e/<job>: how many attempts of a job have failed; the first version ignores it
 	KindUpstreamPage Kind = "u" // u/<job>/<page>: a part of a long list of upstream jobs
-	KindVersion      Kind = "v" // v/<controller>: a controller has run this version
+	KindVersion      Kind = "v" // v/<controller>: the controller has run this version
 )
 
-// JobIDPrefix begins the IDs of all jobs. Stored lists leave it out.
+// JobIDPrefix is the prefix of all job IDs. Pages of upstream jobs omit it.
 const JobIDPrefix = "req-"
 
-// Version is the value by which a controller shows, for good, that it runs this version,
-// which reads run records in the compact format.
+// Version is the value of a version key. It shows permanently that the controller runs
+// this version, which can read run records in the compact format.
 var Version = []byte(`{"v":3}`)
 
 // JobKey returns the key of a job's record.
@@ -37,22 +37,22 @@
 // RetryKey returns the key of a job's retry state.
 func RetryKey(job string) string { return string(KindRetry) + "/" + job }
 
-// UpstreamPageKey returns the key of a page of a job's list of upstream jobs. The
-// revision of page 0 identifies the attempt to submit the job: the other pages and the
-// job's record are written on condition of it.
+// UpstreamPageKey returns the key of one page of a job's list of upstream jobs. The
+// revision of page 0 identifies the submission attempt: the writes of the other pages and
+// of the job's record are conditional on it.
 func UpstreamPageKey(job string, page int) string {
 	return numberedKey(KindUpstreamPage, job, page)
 }
 
-// VersionKey returns the key at which a controller shows that it runs this version.
+// VersionKey returns the key that records that a controller runs this version.
 func VersionKey(controller string) string { return string(KindVersion) + "/" + controller }
 
 func numberedKey(kind Kind, job string, number int) string {
 	return string(kind) + "/" + job + "/" + strconv.Itoa(number)
 }
 
-// SplitNumbered splits what follows the kind in the key of a segment or page, which is
-// <job>/<number>. It reports false for a key of another form.
+// SplitNumbered splits <job>/<number>, the part after the kind in the key of a segment or
+// page. It reports false for any other form.
 func SplitNumbered(rest string) (job string, number int, ok bool) {
 	slash := strings.LastIndexByte(rest, '/')
 	if slash < 0 {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,12 +1,12 @@
 // Package record encodes and decodes the records that controllers store in the
 // state service: jobs, run records, terminal records, retry states and pages of long
-// lists of upstream jobs. It holds the stored JSON names and key prefixes, which all
-// versions of the controller must agree on, and nothing else: its functions are pure,
-// and its structs name classes, machines and the like as strings.
+// lists of upstream jobs. It defines only the stored JSON names and the key prefixes,
+// on which all versions of the controller must agree. Its functions are pure, and its
+// structs refer to classes, machines and similar objects by name.
 //
-// A record may have fields of a later version. Decoding returns them as Fields, and
-// encoding writes them again, since controllers of two versions serve side by side
-// while they are replaced.
+// A record may have fields that a later version has added. Decoding returns them as
+// Fields and encoding writes them back, because controllers of two versions run side by
+// side during a rolling upgrade.
 package record
 
 import (
@@ -15,27 +15,27 @@
 	"fmt"
 )
 
-// What is wrong with a record that cannot be decoded. A DecodeError wraps one of them.
+// Reasons why a record cannot be decoded. A DecodeError wraps one of them.
 var (
 	// ErrMalformed means that a value is not JSON of the required type.
 	ErrMalformed = errors.New("malformed value")
-	// ErrLength means that a list or bitmap has a wrong number of elements.
+	// ErrLength means that a list or bitmap has the wrong number of elements.
 	ErrLength = errors.New("wrong length")
-	// ErrOutOfRange means that a number is outside of its range.
+	// ErrOutOfRange means that a number is outside its valid range.
 	ErrOutOfRange = errors.New("number out of range")
-	// ErrCompactText means that a compact list of assignments breaks its grammar.
+	// ErrCompactText means that a compact list of assignments violates its grammar.
 	ErrCompactText = errors.New("invalid compact list of assignments")
 )
 
-// DecodeError says which field of which record cannot be decoded, and why. The record
-// is damaged, or a later version has written it in a format that this one does not know.
+// DecodeError reports which field of which kind of record cannot be decoded, and why. The
+// record is damaged, or a later version wrote it in a format unknown to this version.
 type DecodeError struct {
-	Kind  Kind   // of the record
-	Field string // its stored JSON name; empty: the record as a whole
+	Kind  Kind   // kind of the record
+	Field string // stored JSON name; empty if the whole record cannot be decoded
 	Err   error  // wraps ErrMalformed, ErrLength, ErrOutOfRange or ErrCompactText
 }
 
-// Error describes the error.
+// Error returns the kind of the record, the field and the reason in one line.
 func (e *DecodeError) Error() string {
 	if e.Field == "" {
 		return fmt.Sprintf("decode record of kind %q: %v", string(e.Kind), e.Err)
@@ -43,10 +43,10 @@
 	return fmt.Sprintf("decode record of kind %q: field %q: %v", string(e.Kind), e.Field, e.Err)
 }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the reason.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// unmarshal decodes a record, or one of its fields if a name is given.
+// unmarshal decodes a record, or one of its fields if field is not empty.
 func unmarshal(kind Kind, field string, data []byte, value any) error {
 	err := json.Unmarshal(data, value)
 	if err == nil {
@@ -59,8 +59,8 @@
 	return &DecodeError{kind, field, fmt.Errorf("%w: %w", ErrMalformed, err)}
 }
 
-// marshal encodes a record. All stored types can be encoded, and the API admits only
-// finite numbers, so an error is a fault of the program.
+// marshal encodes a record. All stored types can be encoded, and the API accepts only
+// finite numbers, so an error is a programming error.
 func marshal(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
--- a/internal/record/retry.go
+++ b/internal/record/retry.go
@@ -1,15 +1,15 @@
 package record
 
-// Retry is a job's retry state: a new leader goes on with it instead of beginning anew
-// with a job that fails on every machine.
+// Retry is a job's retry state. A new leader resumes from it, so that a job that fails on
+// every machine keeps its backoff when the leader changes.
 type Retry struct {
-	Failures  int   // failed attempts in a row
-	NotBefore int64 // Unix ms: no attempt before
+	Failures  int   // consecutive failed attempts
+	NotBefore int64 // Unix ms, earliest time of the next attempt
 
-	Unknown Fields // of a later version
+	Unknown Fields // added by a later version
 }
 
-// storedRetry is a retry state as it is stored.
+// storedRetry is the stored form of a retry state.
 type storedRetry struct {
 	Failures  int   `json:"n"`
 	NotBefore int64 `json:"u"`
--- a/internal/record/run.go
+++ b/internal/record/run.go
@@ -9,14 +9,14 @@
 	"slices"
 )
 
-// Run is one segment of a job's run record: which of its tasks may be on which machine,
-// and which are done.
+// Run is one segment of a job's run record: which tasks may be on which machine, and
+// which tasks are done.
 type Run struct {
 	Attempt uint64       // highest attempt used
-	Done    []uint64     // bitmap of the tasks that are done
+	Done    []uint64     // bitmap of done tasks
 	Active  []Assignment // tasks that may be on a machine
-	Format  Format       // of Active
-	Unknown Fields       // of a later version
+	Format  Format       // encoding of Active
+	Unknown Fields       // added by a later version
 }
 
 // Assignment is an attempt of a task that may be on a machine.
@@ -26,33 +26,33 @@
 	Machine string
 }
 
-// Format is how a run record lists the active tasks.
+// Format is the encoding of the active tasks in a run record.
 type Format bool
 
 // The formats.
 const (
-	Plain   Format = false // a list, which every version reads
-	Compact Format = true  // a text, which takes less space
+	Plain   Format = false // a JSON list, which every version can read
+	Compact Format = true  // a string, which takes less space
 )
 
-// storedRun is a segment as it is stored. Active lists the active tasks: as [task,
-// attempt, machine] each, or as one text (see compact).
+// storedRun is the stored form of a segment. Active is a list with one [task, attempt,
+// machine] per active task, or one string (see compact).
 type storedRun struct {
-	Attempt uint64 `json:"t"`
-	Done    string `json:"d,omitempty"` // little-endian bitmap in base64, without zeros at its end
-	Active  any    `json:"a,omitempty"`
+	MaxAttempt uint64 `json:"t"`
+	Done       string `json:"d,omitempty"` // little-endian bitmap in base64, without trailing zero bytes
+	Active     any    `json:"a,omitempty"`
 }
 
-// Sizes of the words of a bitmap.
+// Sizes of bitmap words.
 const (
 	BitsPerWord  = 64
 	bitsPerByte  = 8
 	bytesPerWord = BitsPerWord / bitsPerByte
 )
 
-// Encode returns the stored form of a segment. It sorts the active tasks by their numbers.
+// Encode returns the stored form of a segment. It sorts r.Active by task.
 func (r *Run) Encode() []byte {
-	stored := storedRun{Attempt: r.Attempt, Done: encodeBitmap(r.Done)}
+	stored := storedRun{MaxAttempt: r.Attempt, Done: encodeBitmap(r.Done)}
 	slices.SortFunc(r.Active, func(a, b Assignment) int { return cmp.Compare(a.Task, b.Task) })
 	switch {
 	case len(r.Active) == 0:
@@ -80,17 +80,17 @@
 }
 
 // DecodeRun decodes a segment whose bitmap has the given number of words. An error is a
-// *DecodeError; the record must then be ignored, except for its Format.
+// *DecodeError. The caller must then ignore the returned Run, except for its Format.
 func DecodeRun(data []byte, words int) (run Run, err error) {
 	var fields Fields
 	if err := unmarshal(KindRun, "", data, &fields); err != nil {
 		return run, err
 	}
-	if err := fields.read(KindRun, "t", &run.Attempt); err != nil {
+	if err := fields.decode(KindRun, "t", &run.Attempt); err != nil {
 		return run, err
 	}
 	var bitmap string
-	if err := fields.read(KindRun, "d", &bitmap); err != nil {
+	if err := fields.decode(KindRun, "d", &bitmap); err != nil {
 		return run, err
 	}
 	if run.Done, err = decodeBitmap(bitmap, words); err != nil {
@@ -107,7 +107,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if len(raw) > words*bytesPerWord {
-		return nil, fmt.Errorf("%w: %d bytes for %d words", ErrLength, len(raw), words)
+		return nil, fmt.Errorf("%w: found %d bytes, expected at most %d", ErrLength, len(raw), words*bytesPerWord)
 	}
 	done := make([]uint64, words)
 	for i, b := range raw {
--- a/internal/record/terminal.go
+++ b/internal/record/terminal.go
@@ -2,12 +2,12 @@
 
 // Terminal is a job's terminal record: how the job ended.
 type Terminal struct {
-	Cancelled bool // else it is done
+	Cancelled bool // false means done
 	TaskCount int
-	Daemon    bool // no job may name it as upstream; false also if the first version wrote the record
+	Daemon    bool // the job cannot be an upstream job; also false if the first version wrote the record
 }
 
-// storedTerminal is a terminal record as it is stored.
+// storedTerminal is the stored form of a terminal record.
 type storedTerminal struct {
 	Phase     string `json:"p"`
 	TaskCount int    `json:"n"`
--- a/internal/record/upstream_page.go
+++ b/internal/record/upstream_page.go
@@ -2,17 +2,17 @@
 
 import "strings"
 
-// pageIDOverhead is what an ID adds to a page beside itself, in bytes: the space before
-// it and the quote that ends the page.
-const pageIDOverhead = 2
+// pageIDOverheadBytes is the number of bytes to reserve for an ID in addition to its length:
+// the space before the ID and the closing quote of the page.
+const pageIDOverheadBytes = 2
 
-// EncodeUpstreamPages returns the stored form of a list of upstream jobs, in pages of at
-// most limit bytes.
-func EncodeUpstreamPages(jobs []string, limit int) (pages [][]byte) {
+// EncodeUpstreamPages returns the stored form of a list of upstream jobs, split into pages
+// of at most maxPageBytes bytes.
+func EncodeUpstreamPages(jobs []string, maxPageBytes int) (pages [][]byte) {
 	page := []byte{'"'}
 	for _, job := range jobs {
 		job = strings.TrimPrefix(job, JobIDPrefix)
-		if len(page) > 1 && len(page)+len(job)+pageIDOverhead > limit {
+		if len(page) > 1 && len(page)+len(job)+pageIDOverheadBytes > maxPageBytes {
 			pages = append(pages, append(page, '"'))
 			page = []byte{'"'}
 		}
@@ -24,8 +24,7 @@
 	return append(pages, append(page, '"'))
 }
 
-// DecodeUpstreamPage returns the IDs of the jobs that a page lists. An error is a
-// *DecodeError.
+// DecodeUpstreamPage returns the IDs of the jobs in a page. An error is a *DecodeError.
 func DecodeUpstreamPage(data []byte) (jobs []string, err error) {
 	var text string
 	if err := unmarshal(KindUpstreamPage, "", data, &text); err != nil {
--- a/internal/record/upstream_page_test.go
+++ b/internal/record/upstream_page_test.go
@@ -15,15 +15,15 @@
 	var decoded []string
 	for _, page := range EncodeUpstreamPages(jobs, limit) {
 		if len(page) > limit {
-			t.Errorf("a page of %d bytes", len(page))
+			t.Errorf("page has %d bytes, want at most %d", len(page), limit)
 		}
 		got, err := DecodeUpstreamPage(page)
 		if err != nil {
-			t.Fatalf("%s: %v", page, err)
+			t.Fatalf("DecodeUpstreamPage(%s): %v", page, err)
 		}
 		decoded = append(decoded, got...)
 	}
 	if !slices.Equal(jobs, decoded) {
-		t.Error("not the same list")
+		t.Errorf("decoded pages have %d jobs, want the %d encoded jobs in order", len(decoded), len(jobs))
 	}
 }
