--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,14 +1,14 @@
-// Package event holds the inputs that a controller takes and the effects that it
-// returns. The engine, or a test, turns effects into input and output; the
-// controller itself has no clock, goroutine, socket or global randomness.
+// Package event defines the inputs that a controller handles and the effects that it
+// returns. The engine, or a test, executes the effects and delivers the inputs. The
+// controller itself uses no clock, goroutine, socket or global randomness.
 //
-// # Who owns the slices
+// # Slice ownership
 //
-// The bodies and data of inputs are copies that the engine has made for the
-// controller: it may keep them, but not modify them, as several of its parts may
-// hold the same one. Bodies and data that are passed to Effects must not be
-// modified from then on; one may be in several effects. The slices of Effects
-// itself are reused: they are valid until the next Reset.
+// The bodies and data of inputs are copies that the engine makes for the controller.
+// The controller may retain them but must not modify them, because several of its
+// components may share one slice. Bodies and data passed to Effects must not be
+// modified afterwards; several effects may share one slice. The slices of Effects
+// itself are reused and are valid until the next Reset.
 package event
 
 import (
@@ -17,41 +17,41 @@
 	"lugward/internal/httpwire"
 )
 
-// Time is a point on the process's monotonic clock, counted from its start.
+// Time is a time on the monotonic clock, measured from the start of the process.
 type Time = time.Duration
 
-// Request is an HTTP request that has reached this controller. Each is answered
+// Request is an HTTP request received by this controller. Each request is answered
 // by at most one Reply.
 type Request struct {
-	Conn   uint64 // ID of the connection to answer on
+	Conn   uint64 // ID of the connection for the reply
 	Method string
 	Path   string
 	Body   []byte
-	// ConnectionLimitReached means that more workers are connected than there are
-	// sockets for: this one's connection ends with the reply.
+	// ConnectionLimitReached means that more workers are connected than the socket
+	// limit allows. The engine closes this worker's connection after the reply.
 	ConnectionLimitReached bool
 }
 
-// Reply answers the Request of a connection.
+// Reply is the response to the Request of a connection.
 type Reply struct {
 	Conn       uint64
 	Status     int    // HTTP status, see package httpwire
-	Body       []byte // nil: no body
-	RetryAfter int    // seconds, in the Retry-After header; 0: no header
+	Body       []byte // nil means no body
+	RetryAfter int    // seconds in the Retry-After header, zero for no header
 }
 
-// Call is an HTTP request of ours to another system. Every Call is answered by
-// exactly one CallResult with the same ID, after Timeout at the latest.
+// Call is an HTTP request of this controller to another system. Every Call has exactly
+// one CallResult with the same ID, which is delivered after Timeout at the latest.
 type Call struct {
 	ID      uint64
 	Addr    string // host and port
 	Method  string
-	Path    string // with the query
+	Path    string // includes the query
 	Body    []byte
 	Timeout time.Duration
 }
 
-// CallResult is the outcome of a Call. Status is that of the HTTP response,
+// CallResult is the result of a Call. Status is the HTTP status of the response,
 // NoResponse or ResponseTooLarge.
 type CallResult struct {
 	ID     uint64
@@ -59,18 +59,19 @@
 	Body   []byte
 }
 
-// UnknownPeer is the Peer of an incoming frame: its content names the sender.
+// UnknownPeer is the Peer of an incoming frame. The content of the frame names the
+// sender.
 const UnknownPeer = -1
 
-// PeerFrame is one frame to or from another controller.
+// PeerFrame is a frame to or from another controller.
 type PeerFrame struct {
 	Peer int // index in the list of peers, or UnknownPeer
 	Data []byte
 }
 
-// Effects collects what a step of the controller wants done. The engine carries it
-// out after the step, in the order replies, calls, frames, and then calls Reset.
-// The zero value is empty.
+// Effects collects the effects of one step of the controller. After the step the engine
+// executes them in the order replies, calls, frames, and then calls Reset. The zero
+// value is empty.
 type Effects struct {
 	Replies []Reply
 	Calls   []Call
@@ -79,13 +80,13 @@
 	lastCallID uint64 // never reset
 }
 
-// Reply answers a request.
+// Reply adds the response to a request.
 func (e *Effects) Reply(conn uint64, status int, body []byte) {
 	e.Replies = append(e.Replies, Reply{Conn: conn, Status: status, Body: body})
 }
 
-// ReplyUnavailable refuses a request for now with 503; the client may come back
-// after the given number of seconds.
+// ReplyUnavailable adds a response with status 503. The client may retry after
+// retryAfter seconds.
 func (e *Effects) ReplyUnavailable(conn uint64, retryAfter int) {
 	e.Replies = append(e.Replies, Reply{
 		Conn:       conn,
@@ -94,7 +95,7 @@
 	})
 }
 
-// Call adds an outgoing request and returns its ID, which is unique in this
+// Call adds an outgoing request and returns its ID, which is unique within this
 // Effects.
 func (e *Effects) Call(addr, method, path string, body []byte, timeout time.Duration) uint64 {
 	e.lastCallID++
@@ -109,13 +110,13 @@
 	return e.lastCallID
 }
 
-// SendFrame adds a frame to a peer, given by its index in the list of peers.
+// SendFrame adds a frame to a peer. peer is an index in the list of peers.
 func (e *Effects) SendFrame(peer int, data []byte) {
 	e.Frames = append(e.Frames, PeerFrame{Peer: peer, Data: data})
 }
 
-// Reset drops the collected effects and keeps their storage. Call IDs go on
-// counting.
+// Reset removes the collected effects but keeps the allocated slices. Call IDs continue
+// to increase.
 func (e *Effects) Reset() {
 	e.Replies = e.Replies[:0]
 	e.Calls = e.Calls[:0]
--- a/internal/httpwire/chunks.go
+++ b/internal/httpwire/chunks.go
@@ -5,12 +5,12 @@
 	"strconv"
 )
 
-// maxChunkLine is the longest line that gives a chunk's size, in bytes: more digits
-// than any size that is taken has.
-const maxChunkLine = 32
+// maxChunkLineBytes is the maximum length of a chunk-size line, in bytes. It exceeds the
+// number of digits of any accepted chunk size.
+const maxChunkLineBytes = 32
 
-// parseChunks returns the body in the chunks at the start of in, and their size
-// with all framing. Trailers are not supported.
+// parseChunks parses the chunked body at the start of in. It returns the body and the
+// size of all chunks including framing. Trailers are not supported.
 func parseChunks(in []byte, maxBody int) (body []byte, size int, err error) {
 	for {
 		data, chunkSize, err := parseChunk(in[size:], maxBody-len(body))
@@ -25,12 +25,12 @@
 	}
 }
 
-// parseChunk returns the data of the chunk at the start of in, and its size with
-// its framing. The last chunk of a body is empty.
+// parseChunk parses the chunk at the start of in. It returns the data of the chunk and
+// its size including framing. The last chunk of a body is empty.
 func parseChunk(in []byte, maxData int) (data []byte, size int, err error) {
 	line, _, ok := bytes.Cut(in, lineEnd)
 	if !ok {
-		if len(in) > maxChunkLine {
+		if len(in) > maxChunkLineBytes {
 			return nil, 0, errChunkSize
 		}
 		return nil, 0, ErrIncomplete
--- a/internal/httpwire/head.go
+++ b/internal/httpwire/head.go
@@ -5,33 +5,33 @@
 	"strconv"
 )
 
-// lineEnd ends each line of a head, headEnd the head itself.
+// lineEnd terminates each line of a head, headEnd the head itself.
 var (
 	lineEnd = []byte("\r\n")
 	headEnd = []byte("\r\n\r\n")
 )
 
-// The headers that the parser acts on, in lower case.
+// The headers that the parser interprets, in lower case.
 const (
 	headerContentLength    = "content-length"
 	headerTransferEncoding = "transfer-encoding"
 	headerConnection       = "connection"
 )
 
-// lengthUnknown is the length in a head without Content-Length.
+// lengthUnknown is the length of a head without Content-Length.
 const lengthUnknown = -1
 
-// maxLengthBits bounds Content-Length and chunk sizes, so that sums of them and
-// the size of a head do not overflow.
+// maxLengthBits limits Content-Length and chunk sizes, so that adding them to the size
+// of a head does not overflow.
 const maxLengthBits = 31
 
 // head is the parsed head of a request or response.
 type head struct {
-	first   []byte // request line or status line
-	length  int    // Content-Length, or lengthUnknown
-	chunked bool
-	close   bool
-	size    int // bytes of the head with its empty line
+	startLine []byte // request line or status line
+	length    int    // Content-Length, or lengthUnknown
+	chunked   bool
+	close     bool
+	size      int // bytes of the head, including the empty line at its end
 }
 
 // parseHead parses the head at the start of in. Its errors are ErrIncomplete or
@@ -46,8 +46,8 @@
 		return h, ErrIncomplete
 	}
 	h.size = end + len(headEnd)
-	first, rest, _ := bytes.Cut(in[:end], lineEnd)
-	h.first = first
+	startLine, rest, _ := bytes.Cut(in[:end], lineEnd)
+	h.startLine = startLine
 	for len(rest) > 0 {
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, lineEnd)
@@ -55,15 +55,16 @@
 			return h, err
 		}
 	}
-	// Receivers that disagree on which of the two counts see different requests
-	// (request smuggling).
+	// Receivers that disagree on which of the two headers takes precedence see
+	// different requests (request smuggling).
 	if h.chunked && h.length != lengthUnknown {
-		return h, errTwoLengths
+		return h, errConflictingLengths
 	}
 	return h, nil
 }
 
-// parseHeader takes one header line. Headers that do not concern us are ignored.
+// parseHeader parses one header line. Headers that the parser does not interpret are
+// ignored.
 func (h *head) parseHeader(line []byte) error {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t") {
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// body returns the body that follows the head, by its Content-Length, and the
+// body returns the body that follows the head, as delimited by Content-Length, and the
 // size of the whole message.
 func (h *head) body(in []byte, maxBody int) (body []byte, size int, err error) {
 	if h.length > maxBody {
--- a/internal/httpwire/parse.go
+++ b/internal/httpwire/parse.go
@@ -1,6 +1,7 @@
-// Package httpwire parses and writes the HTTP/1.1 that lugward speaks: bodies
-// with Content-Length or, from servers, chunked; no pipelining. It is a codec alone:
-// callers own the buffers, and parsed bodies may point into them.
+// Package httpwire parses and writes the subset of HTTP/1.1 that lugward uses: bodies
+// have a Content-Length or, in responses, are chunked; pipelining is not supported. The
+// package is only a codec: callers own the buffers, and parsed bodies may point into
+// them.
 package httpwire
 
 import (
@@ -8,15 +9,15 @@
 	"strconv"
 )
 
-// Limits on what a sender can make us buffer, in bytes.
+// Limits on how much data a sender can cause to be buffered, in bytes.
 const (
-	// MaxHead is the largest head of a message.
+	// MaxHead is the maximum size of the head of a message.
 	MaxHead = 16 << 10
-	// MaxBody is the largest body of a request, as the protocol has it.
+	// MaxBody is the maximum size of the body of a request, as defined by the protocol.
 	MaxBody = 64 << 10
 )
 
-// minStatus and maxStatus bound the status codes that HTTP defines.
+// minStatus and maxStatus are the bounds of the status codes that HTTP defines.
 const (
 	minStatus = 100
 	maxStatus = 599
@@ -24,13 +25,13 @@
 
 // Message is a parsed request or response. Body may point into the input.
 type Message struct {
-	Method, Target string // of a request
-	Status         int    // of a response
-	Close          bool   // the sender ends the connection after this message
+	Method, Target string // requests only
+	Status         int    // responses only
+	Close          bool   // the sender closes the connection after this message
 	Body           []byte
 }
 
-// protocolPrefix begins the protocol version in request and status lines.
+// protocolPrefix is the prefix of the protocol version in request and status lines.
 var protocolPrefix = []byte("HTTP/1.")
 
 // ParseRequest parses the request at the start of in and returns its size in bytes.
@@ -41,7 +42,7 @@
 	if err != nil {
 		return m, 0, err
 	}
-	words := bytes.Split(h.first, []byte(" "))
+	words := bytes.Split(h.startLine, []byte(" "))
 	if len(words) != 3 {
 		return m, 0, errRequestLine
 	}
@@ -61,15 +62,15 @@
 }
 
 // ParseResponse parses the response at the start of in and returns its size in
-// bytes. Its errors are ErrIncomplete or *ParseError; a body larger than maxBody is
-// one that wraps ErrTooLarge.
+// bytes. Its errors are ErrIncomplete or *ParseError. If the body is larger than maxBody
+// bytes, the error wraps ErrTooLarge.
 func ParseResponse(in []byte, maxBody int) (Message, int, error) {
 	var m Message
 	h, err := parseHead(in)
 	if err != nil {
 		return m, 0, err
 	}
-	words := bytes.SplitN(h.first, []byte(" "), 3)
+	words := bytes.SplitN(h.startLine, []byte(" "), 3)
 	if len(words) < 2 || !bytes.HasPrefix(words[0], protocolPrefix) {
 		return m, 0, errStatusLine
 	}
--- a/internal/httpwire/status.go
+++ b/internal/httpwire/status.go
@@ -1,7 +1,7 @@
 package httpwire
 
-// The HTTP status codes that lugward sends or acts on. The constants of net/http
-// would link its whole stack into the program.
+// The HTTP status codes that lugward sends or handles. Using the constants of net/http
+// would link the whole package into the program.
 const (
 	StatusOK                   = 200
 	StatusCreated              = 201
@@ -17,8 +17,8 @@
 	StatusServiceUnavailable   = 503
 )
 
-// reasons are the reason phrases of the status codes that lugward sends.
-var reasons = map[int]string{
+// reasonPhrases maps the status codes that lugward sends to their reason phrases.
+var reasonPhrases = map[int]string{
 	StatusOK:                   "OK",
 	StatusCreated:              "Created",
 	StatusBadRequest:           "Bad Request",
--- a/internal/httpwire/write.go
+++ b/internal/httpwire/write.go
@@ -2,12 +2,12 @@
 
 import "strconv"
 
-// Response is a response to be sent.
+// Response is an HTTP response to send.
 type Response struct {
 	Status     int
 	Body       []byte // JSON, or empty
-	RetryAfter int    // seconds, 0: no header
-	Close      bool   // announces the end of the connection
+	RetryAfter int    // seconds in the Retry-After header, zero for no header
+	Close      bool   // adds the header Connection: close
 }
 
 // AppendResponse appends a response to dst.
@@ -15,7 +15,7 @@
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(r.Status), 10)
 	dst = append(dst, ' ')
-	dst = append(dst, reasons[r.Status]...)
+	dst = append(dst, reasonPhrases[r.Status]...)
 	if len(r.Body) > 0 {
 		dst = append(dst, "\r\nContent-Type: application/json"...)
 	}
@@ -29,8 +29,8 @@
 	return appendBody(dst, r.Body)
 }
 
-// AppendRequest appends a request to dst; host is the value of its Host header, body
-// is JSON or empty.
+// AppendRequest appends a request to dst. host is the value of its Host header. body is
+// JSON or empty.
 func AppendRequest(dst []byte, method, target, host string, body []byte) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
@@ -43,7 +43,7 @@
 	return appendBody(dst, body)
 }
 
-// appendBody ends the head and appends the body.
+// appendBody appends the Content-Length header, the end of the head, and the body.
 func appendBody(dst, body []byte) []byte {
 	dst = append(dst, "\r\nContent-Length: "...)
 	dst = strconv.AppendInt(dst, int64(len(body)), 10)
--- a/internal/intern/intern.go
+++ b/internal/intern/intern.go
@@ -1,16 +1,16 @@
-// Package intern maps names to dense indices. Codecs translate names when data
-// comes in or goes out, so that the rest of the program works with small integers.
-// The indices of each table are a type of their own, so that those of a machine and
-// those of a zone, say, can't be taken for each other.
+// Package intern maps names to dense indices. Codecs translate names when they decode
+// and encode data, so that the rest of the program works with small integers. Each
+// table has its own index type, so that the compiler rejects, for example, the index
+// of a machine where that of a zone is expected.
 package intern
 
-// Table holds the names of one kind. Indices count from 0; one whose name has been
-// released is reused for another. The zero value is an empty table. A table is not
-// safe for concurrent use.
+// Table maps the names of one kind of object to indices, which start at 0. The index of
+// a released name is reused for a new name. The zero value is an empty table. A Table
+// is not safe for concurrent use.
 type Table[Index ~int] struct {
 	indexByName map[string]Index
-	names       []string // by index; "" where the index is free
-	free        []Index  // indices to reuse, the last first
+	names       []string // by index; empty if the index is free
+	free        []Index  // stack of free indices
 }
 
 // Index returns the index of a name, adding the name if it is new.
@@ -27,7 +27,7 @@
 	return i
 }
 
-// newIndex returns an index without a name.
+// newIndex returns a free index, adding one if there is none.
 func (t *Table[Index]) newIndex() Index {
 	if last := len(t.free) - 1; last >= 0 {
 		i := t.free[last]
@@ -38,15 +38,15 @@
 	return Index(len(t.names) - 1)
 }
 
-// Release forgets the name of an index, which may be reused for another from now on.
-// The caller has made sure that nothing refers to it.
+// Release removes the name of an index and frees the index for reuse. The caller must
+// ensure that nothing refers to the index.
 func (t *Table[Index]) Release(i Index) {
 	delete(t.indexByName, t.names[i])
 	t.names[i] = ""
 	t.free = append(t.free, i)
 }
 
-// Used reports whether an index below Len has a name.
+// Used reports whether an index has a name. The index must be less than Len.
 func (t *Table[Index]) Used(i Index) bool {
 	index, ok := t.indexByName[t.names[i]]
 	return ok && index == i
@@ -58,8 +58,8 @@
 	return i, ok
 }
 
-// Name returns the name of an index that Index has returned.
+// Name returns the name of an index that is in use.
 func (t *Table[Index]) Name(i Index) string { return t.names[i] }
 
-// Len returns the number of indices, those that are free included.
+// Len returns the number of indices, including free ones.
 func (t *Table[Index]) Len() int { return len(t.names) }
