--- a/internal/kv/barrier_test.go
+++ b/internal/kv/barrier_test.go
@@ -8,7 +8,7 @@
 	"lugward/internal/event"
 )
 
-// TestBarrierErrors: what a barrier that fails tells those that wait for it.
+// TestBarrierErrors checks which error the callers of a barrier get for each response.
 func TestBarrierErrors(t *testing.T) {
 	isStatus := func(status int) func(error) bool {
 		return func(err error) bool {
@@ -34,27 +34,27 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t, ampleConfig)
-			h.takeCalls("")
+			h.drainCalls("")
 			var results []error
 			h.Barrier(func(_ event.Time, err error, _ *event.Effects) { results = append(results, err) })
 			h.advance(time.Second)
-			h.respond(h.takeFirstCall(watchPath), test.status, test.body)
+			h.respond(h.drainFirstCall(watchPath), test.status, test.body)
 			if len(results) != 1 || !test.want(results[0]) {
-				t.Errorf("results %v", results)
+				t.Errorf("got barrier results %v, want one that matches the case", results)
 			}
 		})
 	}
 }
 
-// TestBarrierWithoutCache: a barrier fails at once while the cache is not
+// TestBarrierWithoutCache checks that a barrier fails at once while the cache is not
 // complete.
 func TestBarrierWithoutCache(t *testing.T) {
 	h := newHarness(t, ampleConfig)
-	h.respond(h.takeFirstCall(watchPath), 410, `{}`)
+	h.respond(h.drainFirstCall(watchPath), 410, `{}`)
 	var results []error
 	h.Barrier(func(_ event.Time, err error, _ *event.Effects) { results = append(results, err) })
 	h.advance(0)
 	if len(results) != 1 || !errors.Is(results[0], ErrNotSynced) {
-		t.Errorf("results %v, want one %v", results, ErrNotSynced)
+		t.Errorf("got barrier results %v, want one %v", results, ErrNotSynced)
 	}
 }
--- a/internal/kv/call.go
+++ b/internal/kv/call.go
@@ -27,15 +27,15 @@
 	handler      responseHandler
 }
 
-// response is the response to a request, or with the status event.NoResponse or
-// event.ResponseTooLarge the lack of one.
+// response is the response to a request. If there is none that can be used, the
+// status is event.NoResponse or event.ResponseTooLarge.
 type response struct {
 	call   pendingCall
 	status int
 	body   []byte
 }
 
-// err returns nil for the status 200, else a *StatusError.
+// err returns nil if the status is 200, and a *StatusError otherwise.
 func (r *response) err() error {
 	if r.status == httpwire.StatusOK {
 		return nil
@@ -43,8 +43,9 @@
 	return &StatusError{Method: r.call.method, Path: r.call.path, Status: r.status}
 }
 
-// A StatusError reports that a request got a response other than 200, or none.
-// Without a usable response the store may have executed the request all the same.
+// A StatusError reports that a request got no response, or one with a status other
+// than 200. The store may still have executed the request if there was no usable
+// response.
 type StatusError struct {
 	Method, Path string
 	// Status is the HTTP status, or event.NoResponse or event.ResponseTooLarge.
@@ -59,28 +60,28 @@
 	case event.ResponseTooLarge:
 		return fmt.Sprintf("%s %s: response too large", e.Method, e.Path)
 	default:
-		return fmt.Sprintf("%s %s: status %d", e.Method, e.Path, e.Status)
+		return fmt.Sprintf("%s %s: unexpected status %d", e.Method, e.Path, e.Status)
 	}
 }
 
-// send sends a request and keeps its handler until the response comes. It counts
-// against the request rate whether or not the rate allows it; the caller judges
-// that first where the request can wait.
+// send sends a request and keeps its handler until the response arrives. The request
+// counts against the request rate, but send does not wait for the rate. A caller
+// whose request can wait checks the rate first.
 func (c *Client) send(now event.Time, r request, handler responseHandler, out *event.Effects) {
-	c.rates.takeRequest(now)
+	c.rates.acquireRequest(now)
 	id := out.Call(c.addr, r.method, r.path, r.body, r.timeout)
 	c.pending[id] = pendingCall{method: r.method, path: r.path, sentAt: now, handler: handler}
 }
 
-// HandleCallResult takes the result of a call. It reports whether the call was
-// one of this client's.
+// HandleCallResult handles the result of a call. It returns false if the call was
+// not made by this client.
 func (c *Client) HandleCallResult(now event.Time, result event.CallResult, out *event.Effects) bool {
 	call, ok := c.pending[result.ID]
 	if !ok {
 		return false
 	}
 	delete(c.pending, result.ID)
-	c.health.observe(result.Status, call.sentAt)
+	c.health.recordStatus(result.Status, call.sentAt)
 	if result.Status == httpwire.StatusTooManyRequests {
 		c.lowerRates()
 	}
@@ -88,25 +89,25 @@
 	return true
 }
 
-// health is what the responses say about the availability of the store.
+// health is the availability of the store, derived from its responses.
 type health struct {
-	lastContact event.Time // when the last request that was executed was sent
-	unavailable bool       // the last response, 429 apart, was 503 or missing
+	lastContact event.Time // sending time of the latest request that was executed
+	unavailable bool       // the last call, except those answered with 429, got a 503 or no response
 }
 
-// neverInContact lies before any time at which a request can have been sent, so
-// that a controller that has just started does not count as recently in contact.
+// neverInContact is earlier than any time at which a request can be sent, so that a
+// controller that has just started does not count as recently in contact.
 const neverInContact event.Time = -time.Hour
 
 func newHealth() health { return health{lastContact: neverInContact} }
 
-// observe takes the status of the response to a request.
-func (h *health) observe(status int, sentAt event.Time) {
+// recordStatus records the status of the response to a request sent at sentAt.
+func (h *health) recordStatus(status int, sentAt event.Time) {
 	switch status {
 	case event.NoResponse, httpwire.StatusServiceUnavailable:
 		h.unavailable = true
 	case httpwire.StatusTooManyRequests:
-		// Neither executed nor unavailable.
+		// The store is available but did not execute the request.
 	default:
 		h.lastContact = max(h.lastContact, sentAt)
 		h.unavailable = false
--- a/internal/kv/commit_test.go
+++ b/internal/kv/commit_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestRejectedTxn: a 400 is reported for the one transaction that it is about,
+// TestRejectedTxn checks that a 400 ends only the malformed transaction of a request,
 // which is not sent again.
 func TestRejectedTxn(t *testing.T) {
 	h := newHarness(t, Config{Limits: Limits{TxnOps: 4, Rates: Rates{Requests: 100, Writes: 100}}})
@@ -15,13 +15,13 @@
 	h.submit(good, time.Minute)
 	h.submit(bad, time.Minute)
 	h.advance(0)
-	calls := h.takeCalls(commitPath)
+	calls := h.drainCalls(commitPath)
 	if len(calls) != 1 {
-		t.Fatalf("%d requests", len(calls))
+		t.Fatalf("got %d commit requests, want 1", len(calls))
 	}
 	h.respond(calls[0], 400, `{}`)
 	for range 10 {
-		for _, call := range h.takeCalls(commitPath) {
+		for _, call := range h.drainCalls(commitPath) {
 			if strings.Contains(string(call.Body), `"b"`) {
 				h.respond(call, 400, `{}`)
 			} else {
@@ -34,8 +34,8 @@
 	wantOutcome(t, "the malformed transaction", badResults, Rejected)
 }
 
-// TestCommitResponses: what a transaction that is alone in its request ends with,
-// for each response.
+// TestCommitResponses checks the outcome, for each response, of a transaction that is
+// alone in its request.
 func TestCommitResponses(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -56,7 +56,7 @@
 			txn, results := newWrite("a")
 			h.submit(txn, time.Minute)
 			h.advance(0)
-			h.respond(h.takeFirstCall(commitPath), test.status, test.body)
+			h.respond(h.drainFirstCall(commitPath), test.status, test.body)
 			wantOutcome(t, "transaction", results, test.want)
 		})
 	}
--- a/internal/kv/fair_shares.go
+++ b/internal/kv/fair_shares.go
@@ -1,6 +1,6 @@
 package kv
 
-// Claim is one controller's claim on a rate that several controllers share.
+// Claim is the claim of one controller on a rate that several controllers share.
 type Claim struct {
 	Demand float64 // per second
 	Weight float64
@@ -8,23 +8,23 @@
 
 // FairShares divides a rate among the claims by weighted max-min fairness: no
 // controller gets more than its demand while the demand of another is not met, and
-// among those whose demand is not met the weights decide. What nobody demands is
-// divided by weight as well, so that a sudden need is met. It returns the shares
-// in the order of the claims.
+// the controllers whose demand is not met divide the rest by weight. If every demand
+// is met, the surplus is divided by weight as well, so that a sudden increase in
+// demand can be met. FairShares returns the shares in the order of the claims.
 func FairShares(rate float64, claims []Claim) []float64 {
 	shares := make([]float64, len(claims))
-	unmet := make([]int, len(claims)) // indices of claims that are not met yet
+	unmet := make([]int, len(claims)) // indices of the claims whose demand is not met yet
 	for i := range claims {
 		unmet[i] = i
 	}
-	left := rate
+	remaining := rate
 	for len(unmet) > 0 {
-		perWeight := left / totalWeight(claims, unmet)
+		perWeight := remaining / totalWeight(claims, unmet)
 		var stillUnmet []int
 		for _, i := range unmet {
 			if claims[i].Demand <= perWeight*claims[i].Weight {
 				shares[i] = claims[i].Demand
-				left -= claims[i].Demand
+				remaining -= claims[i].Demand
 			} else {
 				stillUnmet = append(stillUnmet, i)
 			}
@@ -37,11 +37,11 @@
 		}
 		unmet = stillUnmet
 	}
-	addSurplus(shares, claims, left)
+	addSurplus(shares, claims, remaining)
 	return shares
 }
 
-// addSurplus divides by weight what is left when every demand is met.
+// addSurplus divides the rate that remains when every demand is met by weight.
 func addSurplus(shares []float64, claims []Claim, surplus float64) {
 	total := 0.0
 	for _, claim := range claims {
@@ -52,7 +52,7 @@
 	}
 }
 
-// totalWeight sums the weights of the claims with the given indices.
+// totalWeight returns the sum of the weights of the claims with the given indices.
 func totalWeight(claims []Claim, indices []int) float64 {
 	sum := 0.0
 	for _, i := range indices {
--- a/internal/kv/harness_test.go
+++ b/internal/kv/harness_test.go
@@ -9,24 +9,25 @@
 	"lugward/internal/event"
 )
 
-// ampleLimits are beyond anything that the tests that use them need.
+// ampleLimits are higher than any test that uses them needs.
 var ampleLimits = Limits{TxnOps: 12, Rates: Rates{Requests: 100, Writes: 60}}
 
-// ampleConfig has ampleLimits, and sends barriers only when they are asked for.
+// ampleConfig has ampleLimits. Its cache never becomes stale within a test, so the
+// client sends barriers only when Barrier is called.
 var ampleConfig = Config{Limits: ampleLimits, StaleAfter: time.Hour}
 
-// harness is a client whose calls the test answers, in any order.
+// harness is a client whose calls the test responds to, in any order.
 type harness struct {
 	*Client
 	t   *testing.T
 	out event.Effects
 	now event.Time
-	// values are the data that OnChange received last, by key.
+	// values holds the data that OnChange received last for each key.
 	values map[string]string
 }
 
-// newHarness returns a client that has read the given items of JSON as all keys,
-// at revision 5. It sets Addr and OnChange of the config.
+// newHarness returns a client that has scanned the given JSON items as all keys, at
+// revision 5. It sets Addr and OnChange of the config.
 func newHarness(t *testing.T, cfg Config, items ...string) *harness {
 	t.Helper()
 	h := &harness{t: t, now: time.Second, values: map[string]string{}}
@@ -34,13 +35,13 @@
 	cfg.OnChange = func(key string, data []byte, _ uint64) { h.values[key] = string(data) }
 	h.Client = New(cfg)
 	h.advance(0)
-	h.respond(h.takeFirstCall("/keys"), 200, `{"items":[`+strings.Join(items, ",")+`],"has_next":false,"epoch":5}`)
+	h.respond(h.drainFirstCall("/keys"), 200, `{"items":[`+strings.Join(items, ",")+`],"has_next":false,"epoch":5}`)
 	return h
 }
 
-// takeCalls returns the calls below a path since the last take, and discards the
-// rest.
-func (h *harness) takeCalls(path string) (calls []event.Call) {
+// drainCalls returns the calls with a path prefix since the last drain, and discards
+// all others.
+func (h *harness) drainCalls(path string) (calls []event.Call) {
 	for _, call := range h.out.Calls {
 		if strings.HasPrefix(call.Path, path) {
 			calls = append(calls, call)
@@ -50,13 +51,13 @@
 	return calls
 }
 
-// takeFirstCall returns the first call below a path since the last take, and
-// discards the rest.
-func (h *harness) takeFirstCall(path string) event.Call {
+// drainFirstCall returns the first call with a path prefix since the last drain, and
+// discards all others.
+func (h *harness) drainFirstCall(path string) event.Call {
 	h.t.Helper()
-	calls := h.takeCalls(path)
+	calls := h.drainCalls(path)
 	if len(calls) == 0 {
-		h.t.Fatalf("no call of %s", path)
+		h.t.Fatalf("no call with path prefix %s", path)
 	}
 	return calls[0]
 }
@@ -65,17 +66,17 @@
 	h.HandleCallResult(h.now, event.CallResult{ID: call.ID, Status: status, Body: []byte(body)}, &h.out)
 }
 
-// advance lets time pass and ticks the client once.
+// advance moves the time forward and ticks the client once.
 func (h *harness) advance(d time.Duration) {
 	h.now += d
 	h.Tick(h.now, &h.out)
 }
 
-// submit queues a transaction that expires after the given time.
+// submit queues a transaction that expires after ttl.
 func (h *harness) submit(txn *Txn, ttl time.Duration) { h.Submit(txn, h.now+ttl) }
 
-// newWrite returns a transaction that writes the keys, and the results that its
-// Done has received so far.
+// newWrite returns a transaction that writes the keys, and a pointer to the results
+// that its Done has received so far.
 func newWrite(keys ...string) (txn *Txn, results *[]Result) {
 	results = new([]Result)
 	txn = &Txn{Priority: PriorityProgress, Done: func(r Result) { *results = append(*results, r) }}
@@ -85,22 +86,22 @@
 	return txn, results
 }
 
-// wantOutcome checks that a transaction has ended exactly once, with an outcome.
+// wantOutcome checks that a transaction has ended exactly once, with the given outcome.
 func wantOutcome(t *testing.T, what string, results *[]Result, want Outcome) {
 	t.Helper()
 	if len(*results) != 1 || (*results)[0].Outcome != want {
-		t.Errorf("%s: results %+v, want one with outcome %v", what, *results, want)
+		t.Errorf("%s: got results %+v, want one with outcome %v", what, *results, want)
 	}
 }
 
-// commitBody is the body of a request with transactions.
+// commitBody is the body of a commit request.
 type commitBody struct{ If, Then []any }
 
 func decodeCommitBody(t *testing.T, call event.Call) commitBody {
 	t.Helper()
 	var body commitBody
 	if err := json.Unmarshal(call.Body, &body); err != nil {
-		t.Fatalf("body of %s: %v", call.Path, err)
+		t.Fatalf("decode request body of %s: %v", call.Path, err)
 	}
 	return body
 }
--- a/internal/kv/lease.go
+++ b/internal/kv/lease.go
@@ -11,34 +11,34 @@
 // ErrLeaseNotFound means that a lease has expired or was revoked.
 var ErrLeaseNotFound = errors.New("lease not found")
 
-// LeaseGrantFunc receives the ID of a granted lease. If err is not nil (a
-// *StatusError or a *DecodeError) there is none; a lease that was granted all the
-// same expires by itself.
+// LeaseGrantFunc handles the result of a lease grant. If err is not nil, it is a
+// *StatusError or a *DecodeError and there is no lease ID. If the store granted a
+// lease nonetheless, that lease expires by itself.
 type LeaseGrantFunc func(now event.Time, leaseID uint64, err error, out *event.Effects)
 
-// LeaseRenewalFunc receives the result of a lease's renewal: nil if it was
-// renewed, ErrLeaseNotFound if it has ended, or a *StatusError; after the latter
-// it may be alive or not.
+// LeaseRenewalFunc handles the result of a lease renewal. err is nil if the lease was
+// renewed and ErrLeaseNotFound if it has ended. If err is a *StatusError, the lease
+// may or may not still exist.
 type LeaseRenewalFunc func(now event.Time, err error, out *event.Effects)
 
-// GrantLease asks for a new lease with the given time to live.
+// GrantLease requests a new lease with the given time to live.
 func (c *Client) GrantLease(now event.Time, ttl time.Duration, out *event.Effects, done LeaseGrantFunc) {
 	c.send(now, grantRequest(ttl), pendingGrant{done}, out)
 }
 
-// RenewLease asks for the renewal of a lease. The request counts as lost after
-// the timeout.
+// RenewLease requests the renewal of a lease. After the timeout the request counts
+// as lost.
 func (c *Client) RenewLease(now event.Time, leaseID uint64, timeout time.Duration, out *event.Effects, done LeaseRenewalFunc) {
 	c.send(now, renewRequest(leaseID, timeout), pendingRenewal{done}, out)
 }
 
-// RevokeLease ends a lease at once. It is not retried: if the request is lost,
-// the lease expires by itself.
+// RevokeLease revokes a lease. It is not retried: if the request is lost, the lease
+// expires by itself.
 func (c *Client) RevokeLease(now event.Time, leaseID uint64, out *event.Effects) {
 	c.send(now, revokeRequest(leaseID), pendingRevocation{}, out)
 }
 
-// pendingGrant is a request for a new lease in flight.
+// pendingGrant is a lease grant in flight.
 type pendingGrant struct{ done LeaseGrantFunc }
 
 func (p pendingGrant) handle(now event.Time, _ *Client, r response, out *event.Effects) {
@@ -50,7 +50,7 @@
 	p.done(now, leaseID, err, out)
 }
 
-// pendingRenewal is the renewal of a lease in flight.
+// pendingRenewal is a lease renewal in flight.
 type pendingRenewal struct{ done LeaseRenewalFunc }
 
 func (p pendingRenewal) handle(now event.Time, _ *Client, r response, out *event.Effects) {
@@ -61,9 +61,9 @@
 	p.done(now, err, out)
 }
 
-// pendingRevocation is the revocation of a lease in flight.
+// pendingRevocation is a lease revocation in flight.
 type pendingRevocation struct{}
 
 func (pendingRevocation) handle(event.Time, *Client, response, *event.Effects) {
-	// Nothing rests on the response.
+	// The client ignores the response: a lease that was not revoked expires by itself.
 }
--- a/internal/kv/lease_test.go
+++ b/internal/kv/lease_test.go
@@ -13,7 +13,7 @@
 		name   string
 		status int
 		body   string
-		want   uint64 // 0: an error
+		want   uint64 // 0 if an error is wanted
 	}{
 		{"granted", 200, `{"tether":7}`, 7},
 		{"no ID in the response", 200, `{}`, 0},
@@ -27,16 +27,16 @@
 			h.GrantLease(h.now, 4*time.Second, &h.out, func(_ event.Time, leaseID uint64, err error, _ *event.Effects) {
 				done++
 				if leaseID != test.want || (err == nil) != (test.want != 0) {
-					t.Errorf("lease %d, error %v, want lease %d", leaseID, err, test.want)
+					t.Errorf("GrantLease: got lease %d and error %v, want lease %d", leaseID, err, test.want)
 				}
 			})
-			call := h.takeFirstCall(leasesPath)
+			call := h.drainFirstCall(leasesPath)
 			if got, want := string(call.Body), `{"life_ms":4000}`; got != want {
-				t.Errorf("body %s, want %s", got, want)
+				t.Errorf("GrantLease: request body = %s, want %s", got, want)
 			}
 			h.respond(call, test.status, test.body)
 			if done != 1 {
-				t.Errorf("called back %d times", done)
+				t.Errorf("callback was called %d times, want 1", done)
 			}
 		})
 	}
@@ -60,12 +60,12 @@
 			h.RenewLease(h.now, 7, time.Second, &h.out, func(_ event.Time, err error, _ *event.Effects) {
 				done++
 				if (err != nil) != test.wantErr || errors.Is(err, ErrLeaseNotFound) != test.wantNotFound {
-					t.Errorf("error %v", err)
+					t.Errorf("RenewLease: got error %v, want error %v, want ErrLeaseNotFound %v", err, test.wantErr, test.wantNotFound)
 				}
 			})
-			h.respond(h.takeFirstCall("/leases/7/extend"), test.status, `{}`)
+			h.respond(h.drainFirstCall("/leases/7/extend"), test.status, `{}`)
 			if done != 1 {
-				t.Errorf("called back %d times", done)
+				t.Errorf("callback was called %d times, want 1", done)
 			}
 		})
 	}
--- a/internal/kv/protocol.go
+++ b/internal/kv/protocol.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The HTTP protocol of the store. Its words appear in this file only:
+// The HTTP protocol of the store. Its own terms appear only in this file:
 //
 //	epoch     revision of the store
 //	stamp     mod revision of a key
@@ -30,30 +30,32 @@
 )
 
 const (
-	// pageLimit is the number of keys asked for in one page of a scan.
+	// pageLimit is the maximum number of keys requested in one page of a scan.
 	pageLimit = 500
-	// pageTimeout is longer than callTimeout, as pages are large.
+	// pageTimeout is longer than callTimeout because pages are large.
 	pageTimeout = 4 * time.Second
-	// watchWait is how long the store holds a watch open while nothing changes.
-	watchWait = 10 * time.Second
-	// watchSlack is the time beyond watchWait after which a watch counts as lost.
-	watchSlack = 4 * time.Second
+	// watchMaxWait is how long the store holds a watch open while nothing changes.
+	watchMaxWait = 10 * time.Second
+	// watchTimeoutMargin is the time that a watch may take beyond watchMaxWait before
+	// it times out.
+	watchTimeoutMargin = 4 * time.Second
 )
 
 // A DecodeError reports that the body of a response does not follow the protocol.
 type DecodeError struct {
-	Message string // kind of the response
+	Message string // kind of response
 	Err     error
 }
 
-// Error returns the kind of the response and what is wrong with it.
+// Error returns the kind of response and the cause.
 func (e *DecodeError) Error() string { return "decode " + e.Message + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the response.
+// Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// errMissing means that a message lacks what its sense rests on.
-var errMissing = errors.New("a required field is missing")
+// errMissingField means that a response lacks a field without which it cannot be
+// used, or that the field is empty.
+var errMissingField = errors.New("required field is missing or empty")
 
 // decode decodes the body of a response.
 func decode(message string, body []byte, into any) error {
@@ -63,8 +65,9 @@
 	return nil
 }
 
-// encode encodes the body of a request. Its values are structures of this file
-// and JSON of our own encoders, so a failure is a fault of the program.
+// encode encodes the body of a request. It panics on failure: its values are
+// structs of this file and JSON from the program's own encoders, so a failure is a
+// bug.
 func encode(message any) []byte {
 	body, err := json.Marshal(message)
 	if err != nil {
@@ -73,26 +76,26 @@
 	return body
 }
 
-// keyValue is a key in a page of all keys.
+// keyValue is a key in a keyPage.
 type keyValue struct {
 	Key         string          `json:"key"`
 	Data        json.RawMessage `json:"data"`
 	ModRevision uint64          `json:"stamp"`
 }
 
-// keysPage is a page of all keys.
-type keysPage struct {
+// keyPage is one page of the list of all keys.
+type keyPage struct {
 	Items    []keyValue `json:"items"`
 	HasNext  bool       `json:"has_next"`
 	Revision uint64     `json:"epoch"`
 }
 
-// lastKey returns the last key of a page that is not empty, as every page with a
-// next one is.
-func (p *keysPage) lastKey() string { return p.Items[len(p.Items)-1].Key }
+// lastKey returns the last key of the page, which must not be empty. A page that
+// has a next page is never empty.
+func (p *keyPage) lastKey() string { return p.Items[len(p.Items)-1].Key }
 
-// pageRequest asks for a page of the keys after the given one; "" asks for the
-// first page.
+// pageRequest returns the request for the page of keys that follow the given key.
+// An empty key selects the first page.
 func pageRequest(after string) request {
 	path := keysPath + "?starts=&limit=" + strconv.Itoa(pageLimit)
 	if after != "" {
@@ -101,19 +104,19 @@
 	return request{method: methodGet, path: path, timeout: pageTimeout}
 }
 
-func decodeKeysPage(body []byte) (keysPage, error) {
+func decodeKeysPage(body []byte) (keyPage, error) {
 	const message = "page of keys"
-	var page keysPage
+	var page keyPage
 	if err := decode(message, body, &page); err != nil {
-		return keysPage{}, err
+		return keyPage{}, err
 	}
 	if page.HasNext && len(page.Items) == 0 {
-		return keysPage{}, &DecodeError{Message: message, Err: errMissing}
+		return keyPage{}, &DecodeError{Message: message, Err: errMissingField}
 	}
 	return page, nil
 }
 
-// logRecord is one change in the store's log: either Write or Drop is the key.
+// logRecord is one change in the store's log. The key is either in Write or in Drop.
 type logRecord struct {
 	Write       string          `json:"write"`
 	Drop        string          `json:"drop"`
@@ -121,8 +124,8 @@
 	ModRevision uint64          `json:"stamp"`
 }
 
-// change returns the key that the record is about and its new value, nil if the
-// key was deleted. The key is "" if the record is about none.
+// change returns the key of the record and its new value, which is nil if the key
+// was deleted. The key is empty if the record has none.
 func (r *logRecord) change() (key string, data []byte) {
 	if r.Drop != "" {
 		return r.Drop, nil
@@ -130,23 +133,24 @@
 	return r.Write, r.Data
 }
 
-// changes are the records of the store's log after a revision.
+// changes holds the records of the store's log after a revision.
 type changes struct {
 	Revision uint64      `json:"epoch"`
 	Log      []logRecord `json:"log"`
 }
 
-// watchRequest asks for the changes after a revision. The store answers at the
-// first one, or with none after watchWait.
+// watchRequest returns the request for the changes after a revision. The store
+// responds at the first change, or without any after watchMaxWait.
 func watchRequest(revision uint64) request {
 	return request{
 		method:  methodGet,
-		path:    changesPath(revision, watchWait),
-		timeout: watchWait + watchSlack,
+		path:    changesPath(revision, watchMaxWait),
+		timeout: watchMaxWait + watchTimeoutMargin,
 	}
 }
 
-// barrierRequest asks for the changes after a revision up to now.
+// barrierRequest returns the request for the changes after a revision up to now; the
+// store responds at once.
 func barrierRequest(revision uint64) request {
 	return request{method: methodGet, path: changesPath(revision, 0), timeout: callTimeout}
 }
@@ -163,7 +167,7 @@
 	return c, nil
 }
 
-// wireCompare and wireWrite are the parts of a request with transactions.
+// wireCompare, wireWrite and wireCommit form the body of a commit request.
 type wireCompare struct {
 	Key         string `json:"key"`
 	ModRevision uint64 `json:"stamp"`
@@ -181,8 +185,8 @@
 	Then []wireWrite   `json:"then"`
 }
 
-// commitRequest asks for the execution of transactions, of all or of none.
-// Compares that several of them share appear once.
+// commitRequest returns the request to execute either all of the transactions or
+// none. Compares that several transactions share are sent once.
 func commitRequest(txns []*Txn) request {
 	var commit wireCommit
 	seen := map[Compare]bool{}
@@ -207,10 +211,10 @@
 	return wireWrite{Write: w.Key, Data: w.Data, LeaseID: w.LeaseID}
 }
 
-// commitResponse is the response to a request with transactions.
+// commitResponse is the response to a commit request.
 type commitResponse struct {
 	Revision uint64   `json:"epoch"`
-	Failed   []string `json:"failed"` // keys whose compares did not hold
+	Failed   []string `json:"failed"` // keys whose compares failed
 }
 
 func decodeCommit(body []byte) (commitResponse, error) {
@@ -221,7 +225,7 @@
 	return r, nil
 }
 
-// failedKeys returns the set of the keys whose compares did not hold.
+// failedKeys returns the set of keys whose compares failed.
 func (r *commitResponse) failedKeys() map[string]bool {
 	keys := map[string]bool{}
 	for _, key := range r.Failed {
@@ -230,7 +234,7 @@
 	return keys
 }
 
-// grantRequest asks for a new lease.
+// grantRequest returns the request for a new lease.
 func grantRequest(ttl time.Duration) request {
 	lease := struct {
 		TTLMilliseconds int64 `json:"life_ms"`
@@ -238,7 +242,7 @@
 	return request{method: methodPost, path: leasesPath, body: encode(lease), timeout: callTimeout}
 }
 
-// decodeGrant returns the ID of a granted lease, which is never 0.
+// decodeGrant returns the ID of the granted lease. The ID is never 0.
 func decodeGrant(body []byte) (leaseID uint64, err error) {
 	const message = "lease"
 	var granted struct {
@@ -248,7 +252,7 @@
 		return 0, err
 	}
 	if granted.LeaseID == 0 {
-		return 0, &DecodeError{Message: message, Err: errMissing}
+		return 0, &DecodeError{Message: message, Err: errMissingField}
 	}
 	return granted.LeaseID, nil
 }
--- a/internal/kv/rate_meter.go
+++ b/internal/kv/rate_meter.go
@@ -6,15 +6,15 @@
 	"lugward/internal/event"
 )
 
-// meterWindow is the time over which a rateMeter averages.
-const meterWindow = 2 * time.Second
+// rateMeterWindow is the length of the window over which a rateMeter averages.
+const rateMeterWindow = 2 * time.Second
 
-// rateMeter measures a rate over a sliding window. It counts by fixed windows and
-// weighs the count of the last one by the part of it that lies in the sliding
-// window.
+// rateMeter measures a rate over a sliding window. It counts in fixed windows and
+// weights the count of the previous one by the part of it that the sliding window
+// covers.
 type rateMeter struct {
-	last, current float64    // counts of the last fixed window and of this one
-	startedAt     event.Time // when this fixed window began
+	previous, current float64    // counts of the previous and the current fixed window
+	startedAt         event.Time // start of the current fixed window
 }
 
 func (m *rateMeter) add(now event.Time, n float64) {
@@ -22,25 +22,25 @@
 	m.current += n
 }
 
-// advance goes on to the fixed window that holds now.
+// advance moves on to the fixed window that contains now.
 func (m *rateMeter) advance(now event.Time) {
 	elapsed := now - m.startedAt
-	if elapsed < meterWindow {
+	if elapsed < rateMeterWindow {
 		return
 	}
-	if elapsed < 2*meterWindow {
-		m.last = m.current
-		m.startedAt += meterWindow
+	if elapsed < 2*rateMeterWindow {
+		m.previous = m.current
+		m.startedAt += rateMeterWindow
 	} else {
-		m.last = 0
+		m.previous = 0
 		m.startedAt = now
 	}
 	m.current = 0
 }
 
-// rate returns the average per second.
+// rate returns the average rate per second.
 func (m *rateMeter) rate(now event.Time) float64 {
 	m.advance(now)
-	elapsed := float64(now-m.startedAt) / float64(meterWindow)
-	return (m.current + m.last*(1-elapsed)) / meterWindow.Seconds()
+	elapsed := float64(now-m.startedAt) / float64(rateMeterWindow)
+	return (m.current + m.previous*(1-elapsed)) / rateMeterWindow.Seconds()
 }
--- a/internal/kv/rates.go
+++ b/internal/kv/rates.go
@@ -12,7 +12,8 @@
 	Writes   float64
 }
 
-// rateLimiter is this controller's share of the store's rates, and what it used of it.
+// rateLimiter limits this controller to its share of the store's rates and measures
+// how much of them it uses.
 type rateLimiter struct {
 	requests, writes         tokenBucket
 	requestMeter, writeMeter rateMeter
@@ -22,22 +23,22 @@
 	return rateLimiter{requests: newTokenBucket(share.Requests), writes: newTokenBucket(share.Writes)}
 }
 
-func (l *rateLimiter) takeRequest(now event.Time) {
-	l.requests.take(now, 1)
+func (l *rateLimiter) acquireRequest(now event.Time) {
+	l.requests.acquire(now, 1)
 	l.requestMeter.add(now, 1)
 }
 
-func (l *rateLimiter) takeWrites(now event.Time, n int) {
-	l.writes.take(now, float64(n))
+func (l *rateLimiter) acquireWrites(now event.Time, n int) {
+	l.writes.acquire(now, float64(n))
 	l.writeMeter.add(now, float64(n))
 }
 
-// TotalRates returns the rates that the store is known to take of all controllers
-// together.
+// TotalRates returns the rates that the store accepts from all controllers together,
+// as far as this controller knows.
 func (c *Client) TotalRates() Rates { return c.limits.Rates }
 
-// lowerRates puts the announced rates into force. A 429 is the first sign of
-// them; if it came of a burst instead, the lower rates cost little.
+// lowerRates applies Limits.NextRates. A 429 is the first sign that they are in force;
+// if a burst caused it instead, the lower rates cost little.
 func (c *Client) lowerRates() {
 	if next := c.limits.NextRates.Requests; next > 0 {
 		c.limits.Rates.Requests = min(c.limits.Rates.Requests, next)
@@ -47,8 +48,8 @@
 	}
 }
 
-// SetRateShare changes this controller's share of the rates. Watches and barriers are
-// paced so that they leave requests for transactions and leases.
+// SetRateShare changes this controller's share of the rates. It also sets the interval
+// of watches and barriers, so that they leave requests for transactions and leases.
 func (c *Client) SetRateShare(share Rates) {
 	c.rates.requests.rate = share.Requests
 	c.rates.writes.rate = share.Writes
@@ -57,29 +58,30 @@
 	c.barrier.interval = c.watch.interval
 }
 
-// Demand returns the rates that this controller could use: its recent use, and the
-// writes that wait as if they were sent within a second.
+// Demand returns the rates that this controller could use: its recent use plus the
+// queued writes, as if those were sent within a second.
 func (c *Client) Demand(now event.Time) Rates {
-	waiting := 0.0
+	queued := 0.0
 	for _, txns := range c.txns.waiting {
 		for _, txn := range txns {
-			waiting += float64(txn.ops())
+			queued += float64(txn.ops())
 		}
 	}
 	return Rates{
 		Requests: c.rates.requestMeter.rate(now),
-		Writes:   c.rates.writeMeter.rate(now) + waiting,
+		Writes:   c.rates.writeMeter.rate(now) + queued,
 	}
 }
 
-// QueueDelay estimates how long a new transaction waits for its turn, in seconds.
+// QueueDelay is the estimated time in seconds that a new transaction waits in the
+// queue.
 type QueueDelay struct {
-	AtTotalRate float64 // at best: if all of the store's rate were this controller's
-	AtOwnShare  float64 // at this controller's present share of the rate
+	AtTotalRate float64 // lower bound: if this controller could use the whole rate of the store
+	AtOwnShare  float64 // at this controller's current share of the rate
 }
 
-// QueueDelay estimates the delay of a new transaction of a priority by the number
-// of transactions that are queued before it.
+// QueueDelay estimates the delay of a new transaction of the given priority from the
+// number of transactions that are queued before it.
 func (c *Client) QueueDelay(priority Priority) QueueDelay {
 	ahead := 0
 	for _, txns := range c.txns.waiting[:priority+1] {
--- a/internal/kv/rates_test.go
+++ b/internal/kv/rates_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRatesLowered: the first 429 puts the announced rates into force; where none
-// are announced, or higher ones, the present rates stay.
+// TestRatesLowered checks that the first 429 puts the announced rates into force, and
+// that the current rates stay if no rates or higher ones are announced.
 func TestRatesLowered(t *testing.T) {
 	for _, test := range []struct {
 		name              string
@@ -24,14 +24,14 @@
 			h.submit(txn, time.Minute)
 			h.advance(0)
 			if before := h.TotalRates().Writes; before != 60 {
-				t.Fatalf("%v writes a second from the start", before)
+				t.Fatalf("initial rate = %v writes per second, want 60", before)
 			}
-			h.respond(h.takeFirstCall(commitPath), 429, `{}`)
+			h.respond(h.drainFirstCall(commitPath), 429, `{}`)
 			if got, want := h.TotalRates(), (Rates{Requests: 100, Writes: test.wantLowered}); got != want {
-				t.Errorf("rates %+v, want %+v", got, want)
+				t.Errorf("TotalRates = %+v, want %+v", got, want)
 			}
 			h.advance(time.Second)
-			h.respond(h.takeFirstCall(commitPath), 200, `{"epoch":9}`)
+			h.respond(h.drainFirstCall(commitPath), 200, `{"epoch":9}`)
 			wantOutcome(t, "the write", results, Committed)
 		})
 	}
--- a/internal/kv/scan.go
+++ b/internal/kv/scan.go
@@ -6,24 +6,25 @@
 	"lugward/internal/event"
 )
 
-// scanPause is the pause before a scan that failed is begun again.
-const scanPause = 300 * time.Millisecond
+// scanRetryDelay is the delay before a failed scan is restarted.
+const scanRetryDelay = 300 * time.Millisecond
 
-// scan reads every key, page by page, into a cache that cannot follow changes: at
-// the start, and when it has fallen behind the store's log. The pages are not one
-// consistent snapshot, but following the log from the revision of the first page
-// replays whatever changed meanwhile.
+// scan reads every key, page by page, into the cache when the cache cannot follow
+// changes: at the start, and when the changes since its revision cannot be read
+// (ErrCompacted). The pages are not one consistent snapshot. The cache becomes
+// consistent by following the log from the revision of the first page, which replays
+// all changes made during the scan.
 type scan struct {
 	running   bool
 	notBefore event.Time
-	revision  uint64          // of the first page
-	seen      map[string]bool // keys in the pages so far, immutable ones apart
+	revision  uint64          // revision of the first page
+	seenKeys  map[string]bool // keys in the pages so far, except immutable ones
 }
 
 func (c *Client) startScan(now event.Time, out *event.Effects) {
 	c.scan.running = true
 	c.scan.revision = 0
-	c.scan.seen = map[string]bool{}
+	c.scan.seenKeys = map[string]bool{}
 	c.sendPageRequest(now, "", out)
 }
 
@@ -31,8 +32,8 @@
 	c.send(now, pageRequest(after), pendingPage{after}, out)
 }
 
-// pendingPage is the request in flight for the page of the keys after the given
-// one.
+// pendingPage is the request in flight for the page of keys that follow the given
+// key.
 type pendingPage struct{ after string }
 
 func (p pendingPage) isFirst() bool { return p.after == "" }
@@ -40,15 +41,15 @@
 func (p pendingPage) handle(now event.Time, c *Client, r response, out *event.Effects) {
 	page, err := p.decode(r)
 	if err != nil {
-		c.log.Debug("scan of all keys failed", "error", err)
+		c.log.Debug("scan of all keys failed; restarting it after a delay", "error", err)
 		c.scan.running = false
-		c.scan.notBefore = now + scanPause
+		c.scan.notBefore = now + scanRetryDelay
 		return
 	}
 	if p.isFirst() {
 		c.scan.revision = page.Revision
 	}
-	c.takePage(&page)
+	c.applyPage(&page)
 	if page.HasNext {
 		c.sendPageRequest(now, page.lastKey(), out)
 		return
@@ -57,28 +58,28 @@
 	c.Tick(now, out)
 }
 
-func (p pendingPage) decode(r response) (keysPage, error) {
+func (p pendingPage) decode(r response) (keyPage, error) {
 	if err := r.err(); err != nil {
-		return keysPage{}, err
+		return keyPage{}, err
 	}
 	return decodeKeysPage(r.body)
 }
 
-// takePage takes the keys of one page into the cache.
-func (c *Client) takePage(page *keysPage) {
+// applyPage applies the keys of one page to the cache.
+func (c *Client) applyPage(page *keyPage) {
 	for i := range page.Items {
 		item := &page.Items[i]
 		if !c.cache.isImmutable(item.Key) {
-			c.scan.seen[item.Key] = true
+			c.scan.seenKeys[item.Key] = true
 		}
 		c.cache.apply(item.Key, item.Data, item.ModRevision)
 	}
 }
 
 func (c *Client) finishScan() {
-	c.cache.deleteUnseen(c.scan.seen, c.scan.revision)
+	c.cache.deleteUnseen(c.scan.seenKeys, c.scan.revision)
 	c.cache.revision = c.scan.revision
 	c.cache.synced = true
-	c.scan.seen = nil
+	c.scan.seenKeys = nil
 	c.scan.running = false
 }
--- a/internal/kv/scan_test.go
+++ b/internal/kv/scan_test.go
@@ -7,35 +7,35 @@
 	"lugward/internal/event"
 )
 
-// TestRescanAfterResponseTooLarge: a controller that was away for so long that the
-// changes since then are more than it takes at once reads all keys page by page;
-// asking for the same changes again would never end.
+// TestRescanAfterResponseTooLarge checks that the client scans all keys if the changes
+// since its revision exceed the size limit of a response, as after a long pause of a
+// controller. Repeating the request for the same changes would fail forever.
 func TestRescanAfterResponseTooLarge(t *testing.T) {
 	h := newHarness(t, ampleConfig, `{"key":"j/req-1","data":{"n":1},"stamp":3}`)
-	h.respond(h.takeFirstCall(watchPath), event.ResponseTooLarge, "")
+	h.respond(h.drainFirstCall(watchPath), event.ResponseTooLarge, "")
 	if h.Synced() {
-		t.Fatal("the cache counts as complete")
+		t.Fatal("Synced = true after a response that is too large, want false")
 	}
 	h.advance(time.Second)
-	pages := h.takeCalls(keysPath)
+	pages := h.drainCalls(keysPath)
 	if len(pages) != 1 {
-		t.Fatalf("%d pages asked for", len(pages))
+		t.Fatalf("got %d page requests, want 1", len(pages))
 	}
 	h.respond(pages[0], 200, `{"items":[{"key":"j/req-2","data":{"n":2},"stamp":90}],"has_next":false,"epoch":95}`)
 	if !h.Synced() || h.Revision() != 95 || h.values["j/req-1"] != "" || h.values["j/req-2"] != `{"n":2}` {
-		t.Errorf("synced %v at %d: %v", h.Synced(), h.Revision(), h.values)
+		t.Errorf("got synced %v at revision %d with values %v, want only j/req-2 at revision 95", h.Synced(), h.Revision(), h.values)
 	}
 }
 
-// TestScanPages: the second page is asked for after the last key of the first; a
-// page that cannot be used ends the scan, which begins again after a pause.
+// TestScanPages checks that the second page is requested after the last key of the
+// first, and that an unusable page ends the scan, which restarts after a delay.
 func TestScanPages(t *testing.T) {
 	h := newHarness(t, ampleConfig)
-	h.respond(h.takeFirstCall(watchPath), 410, `{}`)
+	h.respond(h.drainFirstCall(watchPath), 410, `{}`)
 	h.advance(time.Second)
-	h.respond(h.takeFirstCall(keysPath), 200, `{"items":[{"key":"a","data":1,"stamp":6}],"has_next":true,"epoch":7}`)
-	if got, want := h.takeFirstCall(keysPath).Path, "/keys?starts=&limit=500&from=a"; got != want {
-		t.Errorf("second page: %s, want %s", got, want)
+	h.respond(h.drainFirstCall(keysPath), 200, `{"items":[{"key":"a","data":1,"stamp":6}],"has_next":true,"epoch":7}`)
+	if got, want := h.drainFirstCall(keysPath).Path, "/keys?starts=&limit=500&from=a"; got != want {
+		t.Errorf("path of second page = %s, want %s", got, want)
 	}
 
 	for _, test := range []struct {
@@ -45,23 +45,23 @@
 	}{
 		{"unavailable", 503, `{}`},
 		{"body cut off", 200, `{"items":`},
-		{"no keys, but a next page", 200, `{"items":[],"has_next":true,"epoch":7}`},
+		{"no keys but a next page", 200, `{"items":[],"has_next":true,"epoch":7}`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t, ampleConfig)
-			h.respond(h.takeFirstCall(watchPath), 410, `{}`)
+			h.respond(h.drainFirstCall(watchPath), 410, `{}`)
 			h.advance(time.Second)
-			h.respond(h.takeFirstCall(keysPath), test.status, test.body)
+			h.respond(h.drainFirstCall(keysPath), test.status, test.body)
 			if h.Synced() {
-				t.Error("the cache counts as complete")
+				t.Error("Synced = true after a failed scan, want false")
 			}
 			h.advance(0)
-			if early := h.takeCalls(keysPath); len(early) != 0 {
-				t.Errorf("%d pages asked for without a pause", len(early))
+			if early := h.drainCalls(keysPath); len(early) != 0 {
+				t.Errorf("got %d page requests before scanRetryDelay, want 0", len(early))
 			}
-			h.advance(scanPause)
-			if path := h.takeFirstCall(keysPath).Path; path != "/keys?starts=&limit=500" {
-				t.Errorf("the scan begins with %s", path)
+			h.advance(scanRetryDelay)
+			if path := h.drainFirstCall(keysPath).Path; path != "/keys?starts=&limit=500" {
+				t.Errorf("path of first page after scanRetryDelay = %s, want /keys?starts=&limit=500", path)
 			}
 		})
 	}
--- a/internal/kv/txn_queue.go
+++ b/internal/kv/txn_queue.go
@@ -6,21 +6,21 @@
 	"lugward/internal/event"
 )
 
-// txnQueue holds the transactions that wait, and what the requests in flight
-// write.
+// txnQueue holds the queued transactions and the state of the commit requests in
+// flight.
 type txnQueue struct {
 	waiting  [priorityCount][]*Txn
-	inFlight int // requests
-	// keysInFlight are the keys that a request in flight writes. No other write of
-	// such a key is sent, as its compares would not hold.
+	inFlight int // number of commit requests in flight
+	// keysInFlight are the keys that a request in flight writes. No other write of such
+	// a key is sent, because its compares would fail.
 	keysInFlight map[string]bool
-	pausedUntil  event.Time // after the store refused a request for now
+	pausedUntil  event.Time // set when the store answers with 429 or 503
 }
 
 func newTxnQueue() txnQueue { return txnQueue{keysInFlight: map[string]bool{}} }
 
-// Submit queues a transaction behind those of its priority and rank. If it has
-// not been sent at expiresAt, it ends as Aborted.
+// Submit queues a transaction behind those of the same priority with the same or a
+// higher rank. If it has not been sent by expiresAt, it ends as Aborted.
 func (c *Client) Submit(txn *Txn, expiresAt event.Time) {
 	txn.expiresAt = expiresAt
 	waiting := &c.txns.waiting[txn.Priority]
@@ -31,7 +31,8 @@
 	*waiting = slices.Insert(*waiting, at, txn)
 }
 
-// requeue puts transactions back at the head of their queues, in their order.
+// requeue returns transactions to the head of their queues and preserves their
+// order.
 func (q *txnQueue) requeue(txns []*Txn) {
 	for _, txn := range slices.Backward(txns) {
 		p := txn.Priority
@@ -39,7 +40,7 @@
 	}
 }
 
-// expireTxns ends the transactions that have waited for too long.
+// expireTxns ends the queued transactions that have expired.
 func (c *Client) expireTxns(now event.Time, out *event.Effects) {
 	for p := range c.txns.waiting {
 		waiting := c.txns.waiting[p]
@@ -52,7 +53,7 @@
 				kept = append(kept, txn)
 			}
 		}
-		// Stored before Done is called, as Done may submit another transaction.
+		// Updated before Done is called, because Done may submit another transaction.
 		c.txns.waiting[p] = kept
 		for _, txn := range expired {
 			txn.end(Aborted, now, out)
--- a/internal/kv/txn_queue_test.go
+++ b/internal/kv/txn_queue_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestQueueOrder: of one priority the greater rank goes first, equal ones in
-// their order; what nobody waits for goes last.
+// TestQueueOrder checks that transactions of one priority are sent by descending rank,
+// those of equal rank in the order of submission, and garbage collection last.
 func TestQueueOrder(t *testing.T) {
 	h := newHarness(t, Config{Limits: Limits{TxnOps: 1, Rates: Rates{Requests: 100, Writes: 100}}})
 	for _, submitted := range []struct {
@@ -28,7 +28,7 @@
 	var order []string
 	for range 20 {
 		h.advance(100 * time.Millisecond)
-		for _, call := range h.takeCalls(commitPath) {
+		for _, call := range h.drainCalls(commitPath) {
 			for _, key := range []string{"cleanup", "low", "first", "second", "place"} {
 				if strings.Contains(string(call.Body), `"`+key+`"`) {
 					order = append(order, key)
@@ -38,6 +38,6 @@
 		}
 	}
 	if got, want := strings.Join(order, " "), "place first second low cleanup"; got != want {
-		t.Errorf("order %q, want %q", got, want)
+		t.Errorf("commit order = %q, want %q", got, want)
 	}
 }
--- a/internal/kv/watch.go
+++ b/internal/kv/watch.go
@@ -8,32 +8,32 @@
 	"lugward/internal/httpwire"
 )
 
-// ErrCompacted means that the store's log no longer reaches back to the revision
-// of the cache, or so far that the part since then is more than is taken at once.
-// The client then reads every key again.
-var ErrCompacted = errors.New("revision compacted")
+// ErrCompacted means that the changes since the revision of the cache cannot be read:
+// the store's log no longer reaches back that far, or the response would exceed the
+// size limit. The client then scans all keys again.
+var ErrCompacted = errors.New("changes since cached revision are compacted or too large")
 
-// pollPacer paces one kind of request for changes: watches or barriers. At most
-// one of each is in flight at a time.
+// pollPacer limits the frequency of one kind of request for changes: watches or
+// barriers. At most one of each kind is in flight at a time.
 type pollPacer struct {
 	inFlight  bool
 	notBefore event.Time
-	interval  time.Duration // least time between two
+	interval  time.Duration // minimum time between two polls
 }
 
-// begin notes that a poll is sent. The caller has checked that it is due.
-func (p *pollPacer) begin(now event.Time) {
+// recordSent records that a poll is sent. The caller must have checked that it is
+// due.
+func (p *pollPacer) recordSent(now event.Time) {
 	p.inFlight = true
 	p.notBefore = now + p.interval
 }
 
-// due reports whether a poll may be sent, if the request rate allows it.
+// due reports whether a poll may be sent, apart from the request rate.
 func (p *pollPacer) due(now event.Time) bool { return !p.inFlight && now >= p.notBefore }
 
-// takeChanges brings the cache up to date with the response to a watch or
-// barrier. If it returns nil, the cache holds everything up to the sending of the
-// request.
-func (c *Client) takeChanges(now event.Time, r response) error {
+// handleChanges applies the response to a watch or barrier to the cache. If it returns
+// nil, the cache holds everything that was committed before the request was sent.
+func (c *Client) handleChanges(now event.Time, r response) error {
 	if r.status == httpwire.StatusGone || r.status == event.ResponseTooLarge {
 		c.cache.synced = false
 		c.scan.notBefore = now
@@ -50,30 +50,30 @@
 	for i := range changes.Log {
 		record := &changes.Log[i]
 		if key, data := record.change(); key != "" {
-			c.cache.observe(key, data, record.ModRevision)
+			c.cache.applyIfNewer(key, data, record.ModRevision)
 		}
 	}
 	c.cache.advance(changes.Revision)
 	return nil
 }
 
-// sendWatch sends the long poll that brings changes as they happen.
+// sendWatch sends a long poll, to which the store responds when a key changes.
 func (c *Client) sendWatch(now event.Time, out *event.Effects) {
-	if !c.watch.due(now) || !c.rates.requests.canTake(now, 1) {
+	if !c.watch.due(now) || !c.rates.requests.canAcquire(now, 1) {
 		return
 	}
-	c.watch.begin(now)
+	c.watch.recordSent(now)
 	c.send(now, watchRequest(c.cache.revision), pendingWatch{}, out)
 }
 
-// pendingWatch is the watch in flight.
+// pendingWatch is a watch in flight.
 type pendingWatch struct{}
 
 func (pendingWatch) handle(now event.Time, c *Client, r response, out *event.Effects) {
 	c.watch.inFlight = false
-	if err := c.takeChanges(now, r); err != nil {
+	if err := c.handleChanges(now, r); err != nil {
 		c.log.Debug("watch failed", "error", err)
-		c.watch.notBefore = max(c.watch.notBefore, now+retryPause)
+		c.watch.notBefore = max(c.watch.notBefore, now+retryDelay)
 	}
 	c.Tick(now, out)
 }
--- a/internal/kv/watch_cache.go
+++ b/internal/kv/watch_cache.go
@@ -7,24 +7,25 @@
 )
 
 // watchCache is this controller's view of all keys of the store. It holds their mod
-// revisions; their values go to onChange, in the order of the mod revisions for
-// each key.
+// revisions. It passes their values to onChange, for each key in the order of the mod
+// revisions.
 type watchCache struct {
 	onChange ChangeFunc
-	// immutablePrefix is the prefix of keys of which no mod revision is kept, as
-	// they are written once and never changed; "" if there are none.
+	// immutablePrefix is the prefix of keys for which no mod revision is kept, because
+	// they are written once and never changed. An empty prefix means that there are no
+	// such keys.
 	immutablePrefix string
-	// synced means that every key has been read and revision can be followed.
+	// synced means that every key has been read and the changes since then can be followed.
 	synced bool
-	// revision is that of the store up to which the cache is complete. Our own
-	// writes may show in it before revision reaches them.
+	// revision is the revision of the store up to which the cache is complete. The
+	// cache may already hold later writes of this controller.
 	revision uint64
-	// freshUntil is a time up to which the cache holds every change.
+	// freshUntil is the time up to which the cache is known to hold every change.
 	freshUntil   event.Time
 	modRevisions map[string]uint64
-	// tombstones are the revisions at which keys were deleted, each kept until
-	// revision has reached it: an older value that arrives late must not bring the
-	// key back.
+	// tombstones are the revisions at which keys were deleted. A tombstone is kept until
+	// revision has reached it, so that an older value that arrives late does not restore
+	// the key.
 	tombstones map[string]uint64
 }
 
@@ -37,16 +38,17 @@
 	}
 }
 
-// observe takes one change from the store's log or of a write of ours. It ignores
-// what is not newer than the revision of the cache: a delayed response that later
-// ones have overtaken would otherwise bring back keys that were deleted since.
-func (w *watchCache) observe(key string, data []byte, modRevision uint64) {
+// applyIfNewer applies a change from the store's log or from a write of this
+// controller unless it is at or below the revision of the cache. A delayed response
+// that arrives after later ones could otherwise restore keys that have been deleted
+// since.
+func (w *watchCache) applyIfNewer(key string, data []byte, modRevision uint64) {
 	if modRevision > w.revision {
 		w.apply(key, data, modRevision)
 	}
 }
 
-// apply takes one change unless the cache holds a newer one of that key.
+// apply applies a change unless the cache already holds it or a newer one of that key.
 func (w *watchCache) apply(key string, data []byte, modRevision uint64) {
 	if w.isImmutable(key) {
 		if data != nil {
@@ -70,12 +72,13 @@
 	w.onChange(key, data, modRevision)
 }
 
-// isImmutable reports whether a key never changes once it is written.
+// isImmutable reports whether a key has the prefix of keys that are never changed.
 func (w *watchCache) isImmutable(key string) bool {
 	return w.immutablePrefix != "" && strings.HasPrefix(key, w.immutablePrefix)
 }
 
-// advance notes that the cache is complete up to a revision.
+// advance records that the cache is complete up to a revision, and removes the
+// tombstones up to it.
 func (w *watchCache) advance(revision uint64) {
 	if revision <= w.revision {
 		return
@@ -88,9 +91,9 @@
 	}
 }
 
-// deleteUnseen deletes the keys that a complete scan, begun at the given
-// revision, did not find. The cache may hold such keys from before it lost the
-// log.
+// deleteUnseen deletes the keys that a complete scan did not find, if they are not
+// newer than the given revision, at which the scan started. The cache may hold such
+// keys from the time before it stopped following the log.
 func (w *watchCache) deleteUnseen(seen map[string]bool, revision uint64) {
 	for key, modRevision := range w.modRevisions {
 		if !seen[key] && modRevision <= revision {
@@ -99,8 +102,8 @@
 	}
 }
 
-// SplitKey cuts the first segment off a key: it names the kind of record that
-// the key holds.
+// SplitKey splits a key after its first segment, which is the kind of record that the
+// key holds.
 func SplitKey(key string) (kind, rest string) {
 	kind, rest, _ = strings.Cut(key, "/")
 	return kind, rest
