--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -8,8 +8,8 @@
 	"lugward/internal/record"
 )
 
-// maxCancelRetries bounds the attempts at one cancellation. Each conflict means
-// that the job's record has changed meanwhile, which does not go on for long.
+// maxCancelRetries is the maximum number of retries of a cancellation. A conflict means
+// that the job's record has changed in the meantime, which does not continue for long.
 const maxCancelRetries = 6
 
 // cancellation is a user's request to cancel a job.
@@ -19,18 +19,19 @@
 	retries int
 }
 
-// cancel answers once the job has ended, by this cancellation or otherwise. The
-// write requires that there is no terminal record, so a job ends exactly once.
+// cancel writes the terminal record of a job and replies when the job has ended, by this
+// cancellation or otherwise. The write requires that no terminal record exists, so a job
+// ends exactly once.
 func (s *Server) cancel(now event.Time, c cancellation, out *event.Effects) {
 	if status := s.terminalStatus(c.id); status != nil {
 		out.Reply(c.conn, httpwire.StatusOK, status)
 		return
 	}
-	if s.unavailable(now) || c.retries >= maxCancelRetries {
+	if s.storeUnavailable(now) || c.retries >= maxCancelRetries {
 		out.ReplyUnavailable(c.conn, minRetryAfter)
 		return
 	}
-	j := s.accepted(c.id)
+	j := s.acceptedJob(c.id)
 	if j == nil {
 		s.cancelAfterBarrier(c)
 		return
@@ -44,12 +45,13 @@
 	}, now+s.cfg.AnswerTimeout)
 }
 
-// handleCancelResult handles the result of the write. After a conflict or without an
-// answer the terminal record may be there, ours or another's: what is stored decides.
+// handleCancelResult handles the result of writing the terminal record. After a conflict
+// or an unknown outcome a terminal record may exist, written by this request or another
+// one, so the cancellation is retried after a read barrier.
 func (s *Server) handleCancelResult(c cancellation, r kv.Result) {
 	switch r.Outcome {
 	case kv.Committed:
-		s.cancel(r.Now, c, r.Out) // answers from the terminal record
+		s.cancel(r.Now, c, r.Out) // replies from the terminal record
 	case kv.Aborted, kv.Rejected:
 		r.Out.ReplyUnavailable(c.conn, minRetryAfter)
 	default:
@@ -63,8 +65,8 @@
 	}
 }
 
-// cancelAfterBarrier cancels a job that the watch cache does not show: another
-// controller may have accepted it a moment ago, which only a read barrier tells.
+// cancelAfterBarrier cancels a job that is not in the watch cache. Another controller may
+// have just accepted it, so the job is looked up again after a read barrier.
 func (s *Server) cancelAfterBarrier(c cancellation) {
 	s.store.Barrier(func(now event.Time, err error, out *event.Effects) {
 		switch {
@@ -78,7 +80,7 @@
 	})
 }
 
-// retryCancel tries again, with a watch cache that is newer by a read barrier.
+// retryCancel retries a cancellation after a read barrier has updated the watch cache.
 func (s *Server) retryCancel(now event.Time, c cancellation, out *event.Effects) {
 	c.retries++
 	s.cancel(now, c, out)
--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -8,14 +8,14 @@
 	"lugward/internal/httpwire"
 )
 
-// badField says what is wrong with a submission.
+// badField describes an invalid field of a submission.
 type badField struct {
-	Field    string // its name in the API; empty for the body as a whole
-	Value    any    // what the submission has there; nil if it has nothing
+	Field    string // the field's name in the API; empty means the whole body
+	Value    any    // the value found; nil if there is none
 	Expected string
 }
 
-// String names the field, what is expected there and what was found.
+// String returns the field, the expected value and the value found.
 func (b *badField) String() string {
 	field, value := b.Field, any("nothing")
 	if field == "" {
@@ -27,37 +27,37 @@
 	return fmt.Sprintf("%s: expected %s, found %v", field, b.Expected, value)
 }
 
-// malformedError refuses a body that is not a submission.
+// malformedError reports a request body that is not a valid submission.
 type malformedError struct {
 	badField
-	Err error // the cause; may be nil
+	Err error // the cause, or nil
 }
 
-// Error says in one line what is malformed.
+// Error implements error.
 func (e *malformedError) Error() string { return "malformed submission: " + e.String() }
 
 // Unwrap returns the cause, or nil.
 func (e *malformedError) Unwrap() error { return e.Err }
 
-// infeasibleError refuses a job that could never run.
+// infeasibleError reports a job that could never run.
 type infeasibleError struct{ badField }
 
-// Error says in one line what keeps the job from running.
+// Error implements error.
 func (e *infeasibleError) Error() string { return "job can never run: " + e.String() }
 
-// unavailableError refuses a request that can't be decided or carried out now.
+// unavailableError reports that a request cannot be decided or executed now.
 type unavailableError struct {
 	Reason     string
-	RetryAfter int // seconds after which the client may come back
+	RetryAfter int // seconds after which the client may retry
 }
 
-// Error says in one line why, and when to come back.
+// Error implements error.
 func (e *unavailableError) Error() string {
 	return fmt.Sprintf("%s: retry after %d s", e.Reason, e.RetryAfter)
 }
 
-// refuse answers a request with the status that the error stands for.
-func refuse(conn uint64, err error, out *event.Effects) {
+// replyError replies to a request with the HTTP status for the given error.
+func replyError(conn uint64, err error, out *event.Effects) {
 	var malformed *malformedError
 	var infeasible *infeasibleError
 	var unavailable *unavailableError
@@ -73,7 +73,8 @@
 	}
 }
 
-// isUnavailable reports whether a retry of the request may get another answer.
+// isUnavailable reports whether err is an *unavailableError: a retry of the request may
+// get a different response.
 func isUnavailable(err error) bool {
 	var unavailable *unavailableError
 	return errors.As(err, &unavailable)
--- a/internal/api/fakestore_test.go
+++ b/internal/api/fakestore_test.go
@@ -15,34 +15,35 @@
 	txnOps     = 4
 )
 
-// fakeStore stands in for the key-value store, and enforces its limits.
+// fakeStore is a fake of the state service that enforces its limits.
 type fakeStore struct {
-	t        *testing.T
-	keys     map[string]storedValue
-	log      []change
-	revision uint64
-	down     bool
-	// loseAnswer reports whether the answer to a transaction gets lost, delay
-	// whether the transaction is executed only when executeDelayed is called.
-	loseAnswer, delay func(body string) bool
-	delayed           []string
-	txns              []string // bodies of all transactions
+	t           *testing.T
+	keys        map[string]storedValue
+	log         []change
+	revision    uint64
+	unavailable bool
+	// loseResponse reports whether the response to a transaction with this body is
+	// lost. delay reports whether the transaction is executed only when executeDelayed
+	// is called.
+	loseResponse, delay func(body string) bool
+	delayed             []string
+	txns                []string // bodies of all transactions
 }
 
-// storedValue is the present value of a key.
+// storedValue is the current value of a key.
 type storedValue struct {
 	data        json.RawMessage
 	modRevision uint64
 }
 
-// change is one change of a key; data is nil when the key was deleted.
+// change is one change of a key. Data is nil if the key was deleted.
 type change struct {
 	key         string
 	data        json.RawMessage
 	modRevision uint64
 }
 
-// txnRequest is the body of a transaction.
+// txnRequest is the request body of a transaction.
 type txnRequest struct {
 	Compares []struct {
 		Key         string `json:"key"`
@@ -60,7 +61,7 @@
 	return &fakeStore{t: t, keys: map[string]storedValue{}}
 }
 
-// put stores a key, or deletes it if data is nil, as some other controller would.
+// put sets a key, or deletes it if data is nil, as a write by another controller.
 func (s *fakeStore) put(key string, data []byte) {
 	s.revision++
 	s.set(key, data)
@@ -75,7 +76,7 @@
 	s.log = append(s.log, change{key, data, s.revision})
 }
 
-// execute executes a transaction and returns the status and body of its answer.
+// execute executes a transaction and returns the status and body of its response.
 func (s *fakeStore) execute(body string) (int, string) {
 	s.t.Helper()
 	var txn txnRequest
@@ -83,7 +84,7 @@
 		s.t.Fatal(err)
 	}
 	if txn.exceedsLimits() || len(body) > 64<<10 {
-		s.t.Errorf("a transaction beyond the limits: %d writes, %d compares, %d bytes", len(txn.Writes), len(txn.Compares), len(body))
+		s.t.Errorf("transaction exceeds the limits: %d writes, %d compares, %d bytes", len(txn.Writes), len(txn.Compares), len(body))
 		return 400, "{}"
 	}
 	var failed []string
@@ -115,9 +116,9 @@
 	return len(txn.Writes) > txnOps || len(txn.Compares) > 4*txnOps
 }
 
-func (s *fakeStore) encode(answer any) string {
+func (s *fakeStore) encode(response any) string {
 	s.t.Helper()
-	b, err := json.Marshal(answer)
+	b, err := json.Marshal(response)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -132,7 +133,8 @@
 	s.delayed = nil
 }
 
-// serve answers a call; ok is false for a watch, which stays open.
+// serve returns the response to a call. It returns ok = false for a watch request, which
+// stays open without a response.
 func (s *fakeStore) serve(c event.Call) (status int, body string, ok bool) {
 	s.t.Helper()
 	u, err := url.Parse(c.Path)
@@ -142,7 +144,7 @@
 	switch {
 	case u.Path == "/follow" && u.Query().Get("wait_ms") != "0":
 		return 0, "", false
-	case s.down:
+	case s.unavailable:
 		return 503, "", true
 	case u.Path == "/keys":
 		return 200, fmt.Sprintf(`{"items":[],"has_next":false,"epoch":%d}`, 0), true
@@ -159,13 +161,13 @@
 		return 0, "", true
 	}
 	status, body = s.execute(string(c.Body))
-	if s.loseAnswer != nil && s.loseAnswer(string(c.Body)) {
+	if s.loseResponse != nil && s.loseResponse(string(c.Body)) {
 		return 0, "", true
 	}
 	return status, body, true
 }
 
-// changesSince returns the answer with the changes after a revision.
+// changesSince returns the body of a watch response with all changes after a revision.
 func (s *fakeStore) changesSince(revision uint64) string {
 	s.t.Helper()
 	list := []map[string]any{}
@@ -181,7 +183,7 @@
 	return s.encode(map[string]any{"epoch": s.revision, "log": list})
 }
 
-// upstreamPages returns the stored pages of req-1's list of upstream jobs.
+// upstreamPages returns the stored pages of the upstream list of req-1.
 func (s *fakeStore) upstreamPages() (pages []string) {
 	for n := 0; ; n++ {
 		value, ok := s.keys[fmt.Sprintf("u/req-1/%d", n)]
@@ -192,8 +194,8 @@
 	}
 }
 
-// interrupt makes the store lose the answer to the first write of a key, or
-// delay that write. It returns whether that has happened.
+// interrupt makes the store delay the first write of a key or lose the response to it.
+// The returned bool is set when that has happened.
 func (s *fakeStore) interrupt(key string, delay bool) *bool {
 	interrupted := new(bool)
 	first := func(body string) bool {
@@ -206,7 +208,7 @@
 	if delay {
 		s.delay = first
 	} else {
-		s.loseAnswer = first
+		s.loseResponse = first
 	}
 	return interrupted
 }
--- a/internal/api/feasibility.go
+++ b/internal/api/feasibility.go
@@ -7,13 +7,13 @@
 	"lugward/internal/pipeline"
 )
 
-// newJob turns a submission into a job. Its errors are *infeasibleError if the job
-// could never run, and *unavailableError while the cloud has not been asked for its
-// machine types, so that nothing can be said.
+// newJob creates a job from a submission. It returns an *infeasibleError if the job could
+// never run, and an *unavailableError if the cloud's machine types are not known yet, as
+// feasibility cannot be checked without them.
 func (s *Server) newJob(sub *submission) (*pipeline.Job, error) {
 	team, ok := s.teams[*sub.Team]
 	if !ok {
-		return nil, infeasible(fieldTeam, *sub.Team, "a team of the settings")
+		return nil, infeasible(fieldTeam, *sub.Team, "a configured team")
 	}
 	if len(*s.machineTypes) == 0 {
 		return nil, &unavailableError{Reason: "machine types are not known yet", RetryAfter: minRetryAfter}
@@ -25,7 +25,7 @@
 	if err := s.checkFeasible(&j.Spec, team); err != nil {
 		return nil, err
 	}
-	// Only an accepted job's names get indices, which are never freed.
+	// Indices are never freed, so names of rejected jobs must not get any.
 	j.Class = s.names.Classes.Index(*sub.Class)
 	j.Team = s.names.Teams.Index(*sub.Team)
 	j.Image = s.names.Images.Index(*sub.Image)
@@ -36,13 +36,14 @@
 	return &infeasibleError{badField{Field: field, Value: value, Expected: expected}}
 }
 
-// resolvePlacement looks up the zone and the machine types that the submission
-// names. Machine types that the cloud does not offer are left out.
+// resolvePlacement resolves the zone and machine type names of a submission. It ignores
+// machine types that the cloud does not offer, and returns an *infeasibleError if none of
+// the named types remain.
 func (s *Server) resolvePlacement(spec *pipeline.Spec, sub *submission) error {
 	if sub.Zone != nil {
 		zone, ok := s.names.Zones.Lookup(*sub.Zone)
 		if !ok {
-			return infeasible(fieldZone, *sub.Zone, "a zone of the site")
+			return infeasible(fieldZone, *sub.Zone, "a known zone")
 		}
 		spec.Zone = zone
 	}
@@ -57,7 +58,8 @@
 	return nil
 }
 
-// checkFeasible judges a job by the machine types, the zones and its team's limit.
+// checkFeasible returns an *infeasibleError if the job does not fit the machine types,
+// the zones or its team's limit.
 func (s *Server) checkFeasible(spec *pipeline.Spec, team config.Team) error {
 	fits, zones := s.usableZones(spec)
 	if !fits {
@@ -66,16 +68,17 @@
 	if err := checkTeamLimit(spec, team); err != nil {
 		return err
 	}
-	// Spread means at most half of the tasks in one zone, which one zone can't give.
+	// Spreading over zones allows at most half of the tasks in one zone, so it needs at
+	// least two zones.
 	spread := spec.SpreadZones && spec.TaskCount > 1 && spec.CountsAllTasks()
 	if spread && (spec.SameZone || zones < 2) {
-		return infeasible(fieldSpreadZones, true, "two usable zones at least, and tasks that may run in both")
+		return infeasible(fieldSpreadZones, true, "at least two usable zones and no requirement to run in a single zone")
 	}
 	return nil
 }
 
-// usableZones reports whether a task fits a machine type at all, and the number
-// of zones that offer such types.
+// usableZones reports whether a task fits any machine type, and the number of allowed
+// zones that offer a fitting type.
 func (s *Server) usableZones(spec *pipeline.Spec) (fits bool, zones int) {
 	usable := map[pipeline.ZoneIndex]bool{}
 	for _, machineType := range *s.machineTypes {
@@ -92,26 +95,26 @@
 	return fits, len(usable)
 }
 
-// limitTolerance absorbs rounding in sums of fractional CPUs and GPUs.
+// limitTolerance absorbs rounding errors in sums of fractional CPUs and GPUs.
 const limitTolerance = 1e-6
 
-// checkTeamLimit refuses a job of which more must run at the same time than the
-// team may ever use: all tasks of a gang or a daemon, one task of an array.
+// checkTeamLimit returns an *infeasibleError if the tasks that must run at the same time
+// exceed the team's limit: all tasks of a gang or daemon, one task of an array.
 func checkTeamLimit(spec *pipeline.Spec, team config.Team) error {
 	tasks := 1.0
 	if spec.CountsAllTasks() {
 		tasks = float64(spec.TaskCount)
 	}
-	if cpus := tasks * spec.CPUs; exceeds(cpus, team.CPUsMax) {
+	if cpus := tasks * spec.CPUs; exceedsLimit(cpus, team.CPUsMax) {
 		return infeasible(fieldCPUs, cpus, fmt.Sprintf("at most the %v CPUs of team %q", team.CPUsMax, team.Name))
 	}
-	if gpus := tasks * spec.GPUs; exceeds(gpus, team.GPUsMax) {
+	if gpus := tasks * spec.GPUs; exceedsLimit(gpus, team.GPUsMax) {
 		return infeasible(fieldGPUs, gpus, fmt.Sprintf("at most the %v GPUs of team %q", team.GPUsMax, team.Name))
 	}
 	return nil
 }
 
-// exceeds compares an amount with a limit, where 0 means no limit.
-func exceeds(amount, limit float64) bool {
+// exceedsLimit reports whether an amount exceeds a limit. Zero means no limit.
+func exceedsLimit(amount, limit float64) bool {
 	return limit > 0 && amount > limit+limitTolerance
 }
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -15,8 +15,8 @@
 	"lugward/internal/scheduler"
 )
 
-// testController is the API of one controller. Its watch is never answered, so it sees
-// what others have stored only after a read barrier.
+// testController runs the API of one controller. Its watch requests never get a response,
+// so it sees the writes of other controllers only after a read barrier.
 type testController struct {
 	t       *testing.T
 	service *fakeStore
@@ -59,7 +59,7 @@
 	return n
 }
 
-// run lets time pass.
+// run advances the time by d in steps of 10 ms.
 func (n *testController) run(d time.Duration) {
 	n.t.Helper()
 	for end := n.now + d; n.now < end; n.now += 10 * time.Millisecond {
@@ -71,7 +71,7 @@
 	}
 }
 
-// perform carries out the effects until there are none.
+// perform performs pending effects until none are left.
 func (n *testController) perform() {
 	n.t.Helper()
 	for len(n.out.Calls)+len(n.out.Replies) > 0 {
@@ -79,7 +79,7 @@
 		n.out.Calls, n.out.Replies = nil, nil
 		for _, r := range replies {
 			if _, ok := n.replies[r.Conn]; ok {
-				n.t.Errorf("request %d is answered twice", r.Conn)
+				n.t.Errorf("request on connection %d got a second reply, want exactly one", r.Conn)
 			}
 			n.replies[r.Conn] = r
 		}
@@ -91,7 +91,7 @@
 	}
 }
 
-// start sends a request and returns the connection that its answer will come on.
+// start sends a request and returns the connection on which its reply will be sent.
 func (n *testController) start(method, path, body string) uint64 {
 	n.t.Helper()
 	n.conn++
@@ -101,7 +101,7 @@
 	return n.conn
 }
 
-// send sends a request and returns its answer, or none if none came in time.
+// send sends a request and returns its reply, or a zero Reply if there is none within 2 s.
 func (n *testController) send(method, path, body string) event.Reply {
 	n.t.Helper()
 	conn := n.start(method, path, body)
@@ -109,15 +109,15 @@
 	return n.replies[conn]
 }
 
-// body is a valid submission with more fields at its end.
-func body(id int, more string) string {
+// body returns a valid submission body with the given fields appended.
+func body(id int, fields string) string {
 	return fmt.Sprintf(`{"name_id":"req-%d","jobclass":"c","owner":"red","shape":"array","rank":"normal","shards":1,"cores":1,"cards":0,"ram_gb":1,
-"bundle":"b","image_gb":1,"same_place":false,"scatter":false,"loaners":false,"expect_s":10,"snapshot_every_s":0,"snapshot_s":0,"due_s":100%s}`, id, more)
+"bundle":"b","image_gb":1,"same_place":false,"scatter":false,"loaners":false,"expect_s":10,"snapshot_every_s":0,"snapshot_s":0,"due_s":100%s}`, id, fields)
 }
 
-func (n *testController) submit(id int, more string) event.Reply {
+func (n *testController) submit(id int, fields string) event.Reply {
 	n.t.Helper()
-	return n.send("POST", "/submissions", body(id, more))
+	return n.send("POST", "/submissions", body(id, fields))
 }
 
 func (n *testController) poll(id int) event.Reply {
@@ -130,40 +130,40 @@
 	return n.send("POST", fmt.Sprintf("/submissions/req-%d/cancel", id), "")
 }
 
-// expect checks a reply; phase may be empty.
+// expect checks a reply. It does not check the phase if phase is empty.
 func (n *testController) expect(what string, r event.Reply, status int, phase string) {
 	n.t.Helper()
 	var job jobStatus
 	if len(r.Body) > 0 {
 		if err := json.Unmarshal(r.Body, &job); err != nil {
-			n.t.Errorf("%s: %q: %v", what, r.Body, err)
+			n.t.Errorf("%s: cannot decode body %q: %v", what, r.Body, err)
 		}
 	}
 	if r.Status != status || (phase != "" && job.Phase != phase) || (status == 503) != (r.RetryAfter > 0) {
-		n.t.Errorf("%s: %d %s (%d), want %d %s", what, r.Status, r.Body, r.RetryAfter, status, phase)
+		n.t.Errorf("%s: got status %d, body %q, Retry-After %d; want status %d, phase %q", what, r.Status, r.Body, r.RetryAfter, status, phase)
 	}
 }
 
-// terminalRecord is the terminal record of an array of one task.
+// terminalRecord returns the terminal record of an array job with one task.
 func terminalRecord(p pipeline.Phase) []byte {
 	return pipeline.EncodeTerminal(p, &pipeline.Job{Spec: pipeline.Spec{TaskCount: 1, Shape: pipeline.Array}})
 }
 
-// writes reports whether a transaction writes a key.
+// writes reports whether a transaction body contains a write of a key.
 func writes(txn, key string) bool { return strings.Contains(txn, `"write":"`+key+`"`) }
 
-// upstreamList stores so many jobs, shows them to the controller and returns the field
-// of a submission that names them all as upstream jobs.
-func (n *testController) upstreamList(first, count int) string {
+// createUpstreamJobs stores count jobs, waits until the controller sees them and returns
+// the submission field that lists them all as upstream jobs.
+func (n *testController) createUpstreamJobs(first, count int) string {
 	n.t.Helper()
 	job := &pipeline.Job{ID: "", Ready: true, Spec: pipeline.Spec{TaskCount: 1, CPUs: 1, Zone: pipeline.AnyZone}}
 	names := &pipeline.Names{}
 	job.Class, job.Team, job.Image = names.Classes.Index("c"), names.Teams.Index("red"), names.Images.Index("b")
-	record := pipeline.EncodeJob(names, job)
+	data := pipeline.EncodeJob(names, job)
 	list := make([]string, count)
 	for i := range list {
 		list[i] = fmt.Sprintf("req-%d", first+i)
-		n.service.put("j/"+list[i], record)
+		n.service.put("j/"+list[i], data)
 	}
 	b, err := json.Marshal(list)
 	if err != nil {
--- a/internal/api/paged_submission.go
+++ b/internal/api/paged_submission.go
@@ -13,40 +13,43 @@
 )
 
 const (
-	// submissionTimeout bounds how long a list of upstream jobs is being stored.
-	// The user has long been answered 503 by then; what an attempt leaves behind
-	// is deleted by the leader.
-	submissionTimeout = 20 * time.Second
-	// maxWriteRetries bounds the repeats of writes without an answer, for all
-	// writes of one attempt together.
+	// pagedSubmissionTimeout is the time limit for writing a submission in pages.
+	// The user has received 503 long before. The leader deletes the pages that an
+	// unfinished attempt leaves behind.
+	pagedSubmissionTimeout = 20 * time.Second
+	// maxWriteRetries is the maximum number of retries of writes with an unknown
+	// outcome, in total for all writes of an attempt.
 	maxWriteRetries = 5
 )
 
-// pagedSubmission is an attempt to store a submission whose list of upstream jobs
-// takes several pages. The first page stands for the attempt: every other page and,
-// at the end, the job's record are written on condition that the first page has
-// this attempt's revision. So a late write, or a concurrent attempt's, fails, and
-// only the last write makes the job accepted.
+// pagedSubmission is an attempt to write a submission whose list of upstream jobs does
+// not fit in the job's record and is split into pages. The revision of the first page
+// identifies the attempt. The other pages, and finally the job's record, are written on
+// condition that the first page still has this revision. Late writes and writes of
+// concurrent attempts therefore fail. The job is accepted only when its record, the last
+// write, is committed.
 type pagedSubmission struct {
 	job       *pipeline.Job
-	conn      uint64 // whom to answer
+	conn      uint64 // the connection to reply on
 	startedAt event.Time
-	// answered means that the user has got 503 already.
-	answered bool
+	// replied is set when the user has received 503.
+	replied bool
 
 	pages             [][]byte
 	firstPageRevision uint64
-	nextPage          int // the page to be written next
-	// inFlight is the number of writes under way after that of the first page.
-	inFlight int
-	retries  int
+	nextPage          int // index of the next page to write
+	// writesInFlight is the number of writes without a result yet. It does not count
+	// the write of the first page.
+	writesInFlight int
+	retries        int
 }
 
-// firstPageKey is the key that stands for the attempt.
+// firstPageKey returns the key of the first page, whose revision identifies the attempt.
 func (p *pagedSubmission) firstPageKey() string { return record.UpstreamPageKey(p.job.ID, 0) }
 
-// startPagedSubmission begins an attempt by writing the first page, unless another
-// attempt for the same job is under way, here or, as its first page shows, elsewhere.
+// startPagedSubmission starts an attempt by writing the first page. It replies with 503
+// if another attempt for the same job is in progress: on this controller, or on another
+// one whose first page is in the watch cache and has not timed out.
 func (s *Server) startPagedSubmission(now event.Time, conn uint64, j *pipeline.Job, pages [][]byte, out *event.Effects) {
 	revision, age := s.jobs.SubmissionAttempt(j.ID, now)
 	if s.pagedSubmissions[j.ID] != nil || (revision != 0 && age < pipeline.SubmissionAttemptTimeout) {
@@ -56,12 +59,12 @@
 	p := &pagedSubmission{job: j, conn: conn, startedAt: now, pages: pages, nextPage: 1}
 	s.pagedSubmissions[j.ID] = p
 	s.submitWrite(now, p, kv.Write{Key: p.firstPageKey(), Data: pages[0]}, revision, func(r kv.Result) {
-		s.handleFirstPage(p, r)
+		s.handleFirstPageResult(p, r)
 	})
 }
 
-// handleFirstPage handles the result of the write of the first page.
-func (s *Server) handleFirstPage(p *pagedSubmission, r kv.Result) {
+// handleFirstPageResult handles the result of the write of the first page.
+func (s *Server) handleFirstPageResult(p *pagedSubmission, r kv.Result) {
 	switch r.Outcome {
 	case kv.Committed:
 		p.firstPageRevision = r.Revision
@@ -70,14 +73,14 @@
 	case kv.Aborted, kv.Rejected:
 		s.finishAborted(p, r)
 	default:
-		// The first page that is stored may be ours or another attempt's: its
-		// value does not tell them apart.
-		s.finishAsStored(p)
+		// The stored first page may belong to this attempt or to another one. Its
+		// value does not identify the attempt.
+		s.finishWithStoredStatus(p)
 	}
 }
 
-// submitWrite submits one write of an attempt. It requires that the first page has
-// the given revision, and that the job neither has been accepted nor has ended.
+// submitWrite submits one write of an attempt. The write requires that the first page
+// has the given revision and that the job has neither a record nor a terminal record.
 func (s *Server) submitWrite(now event.Time, p *pagedSubmission, write kv.Write, firstPageRevision uint64, done func(kv.Result)) {
 	s.store.Submit(&kv.Txn{
 		Priority: kv.PrioritySubmission,
@@ -88,43 +91,44 @@
 		},
 		Writes: []kv.Write{write},
 		Done:   done,
-	}, now+submissionTimeout)
+	}, now+pagedSubmissionTimeout)
 }
 
-// writeNextPages sends as many pages as one transaction takes, so that other
-// submissions have their turn in between, and the job's record after the last.
+// writeNextPages writes the next pages, and the job's record when all pages are
+// committed. At most as many writes as fit in one transaction are in flight at a time,
+// so that the writes of other submissions are sent in between.
 func (s *Server) writeNextPages(now event.Time, p *pagedSubmission) {
-	for p.nextPage < len(p.pages) && p.inFlight < s.cfg.TxnOps {
+	for p.nextPage < len(p.pages) && p.writesInFlight < s.cfg.TxnOps {
 		page := p.nextPage
 		p.nextPage++
-		p.inFlight++
+		p.writesInFlight++
 		write := kv.Write{Key: record.UpstreamPageKey(p.job.ID, page), Data: p.pages[page]}
 		s.writeWithRetries(now, p, write, func(r kv.Result) {
-			p.inFlight--
+			p.writesInFlight--
 			s.writeNextPages(r.Now, p)
 		})
 	}
-	if p.nextPage == len(p.pages) && p.inFlight == 0 {
-		p.inFlight++
+	if p.nextPage == len(p.pages) && p.writesInFlight == 0 {
+		p.writesInFlight++
 		s.writeRecord(now, p)
 	}
 }
 
-// writeRecord writes the job's record, which accepts the job.
+// writeRecord writes the job's record. The job is accepted when the write is committed.
 func (s *Server) writeRecord(now event.Time, p *pagedSubmission) {
 	write := kv.Write{Key: record.JobKey(p.job.ID), Data: pipeline.EncodeJob(s.names, p.job)}
 	s.writeWithRetries(now, p, write, func(r kv.Result) {
 		s.finish(p)
-		if !p.answered {
-			r.Out.Reply(p.conn, httpwire.StatusCreated, s.statusOfNew(p.job.ID))
+		if !p.replied {
+			r.Out.Reply(p.conn, httpwire.StatusCreated, s.newJobStatus(p.job.ID))
 		}
 	})
 }
 
-// writeWithRetries writes a value on condition of the first page, and again if no
-// answer comes: carried out twice, the write changes nothing. committed is called on
-// success; any other outcome ends the attempt.
-func (s *Server) writeWithRetries(now event.Time, p *pagedSubmission, write kv.Write, committed func(kv.Result)) {
+// writeWithRetries writes a value on condition of the first page's revision. It retries
+// a write whose outcome is unknown, which is safe because the write is idempotent. It
+// calls handleCommit when the write is committed; any other outcome ends the attempt.
+func (s *Server) writeWithRetries(now event.Time, p *pagedSubmission, write kv.Write, handleCommit func(kv.Result)) {
 	if !s.isActive(p) {
 		return
 	}
@@ -132,14 +136,14 @@
 		switch {
 		case !s.isActive(p):
 		case r.Outcome == kv.Committed:
-			committed(r)
+			handleCommit(r)
 		case r.Outcome == kv.Unknown && p.retries < maxWriteRetries:
 			p.retries++
-			s.writeWithRetries(r.Now, p, write, committed)
+			s.writeWithRetries(r.Now, p, write, handleCommit)
 		case r.Outcome == kv.Aborted || r.Outcome == kv.Rejected:
 			s.finishAborted(p, r)
 		default:
-			s.finishAsStored(p)
+			s.finishWithStoredStatus(p)
 		}
 	})
 }
@@ -150,34 +154,36 @@
 // finish ends an attempt.
 func (s *Server) finish(p *pagedSubmission) { delete(s.pagedSubmissions, p.job.ID) }
 
-// finishAborted ends an attempt of which a write was not executed.
+// finishAborted ends an attempt after one of its writes was aborted or rejected. It
+// replies with 503 unless the user has already received it.
 func (s *Server) finishAborted(p *pagedSubmission, r kv.Result) {
 	s.finish(p)
-	if !p.answered {
-		refuse(p.conn, s.backlogError(), r.Out)
+	if !p.replied {
+		replyError(p.conn, s.backlogError(), r.Out)
 	}
 }
 
-// finishAsStored ends an attempt that lost to another, or whose outcome is unknown:
-// what is stored decides the answer.
-func (s *Server) finishAsStored(p *pagedSubmission) {
+// finishWithStoredStatus ends an attempt that conflicted with another one or has an
+// unknown outcome, and replies according to the persisted state.
+func (s *Server) finishWithStoredStatus(p *pagedSubmission) {
 	s.finish(p)
-	if !p.answered {
-		s.answerAsStored(p.conn, p.job.ID)
+	if !p.replied {
+		s.replyWithStoredStatus(p.conn, p.job.ID)
 	}
 }
 
-// Tick answers 503 to users whose lists of upstream jobs take long to store (their
-// retry finds the job) and ends attempts that have lasted too long.
+// Tick replies with 503 to paged submissions that exceed the request timeout and ends
+// those that exceed pagedSubmissionTimeout. A submission continues after the 503, so the
+// user's retry finds the job.
 func (s *Server) Tick(now event.Time, out *event.Effects) {
 	for _, id := range slices.Sorted(maps.Keys(s.pagedSubmissions)) {
 		p := s.pagedSubmissions[id]
 		age := now - p.startedAt
-		if !p.answered && age > s.cfg.AnswerTimeout {
+		if !p.replied && age > s.cfg.AnswerTimeout {
 			out.ReplyUnavailable(p.conn, minRetryAfter)
-			p.answered = true
+			p.replied = true
 		}
-		if age > submissionTimeout {
+		if age > pagedSubmissionTimeout {
 			s.finish(p)
 		}
 	}
--- a/internal/api/protocol.go
+++ b/internal/api/protocol.go
@@ -7,11 +7,11 @@
 	"lugward/internal/pipeline"
 )
 
-// This file holds the words of the users' HTTP API: the paths, the fields of
-// submissions and answers, and the names of shapes, priorities and phases. The rest
-// of the package uses the field's terms.
+// This file holds all external names of the users' HTTP API: the paths, the JSON
+// fields of requests and responses, and the names of shapes, priorities and phases.
+// The rest of the package uses standard scheduler terms.
 
-// The endpoints, below submissionsPath:
+// The endpoints:
 //
 //	POST /submissions             submits a job
 //	GET  /submissions/ID          returns the job's status
@@ -24,13 +24,13 @@
 	methodPost = "POST"
 )
 
-// maxTasks is the largest number of tasks of a job.
+// maxTasks is the maximum number of tasks in a job.
 const maxTasks = 100_000
 
-// jobIDPattern is the form of the IDs that users give their jobs.
+// jobIDPattern matches valid job IDs, which users choose.
 var jobIDPattern = regexp.MustCompile(`^req-[0-9]{1,19}$`)
 
-// The names of the fields of a submission.
+// The JSON field names of a submission, used in errors.
 const (
 	fieldID                 = "name_id"
 	fieldClass              = "jobclass"
@@ -55,18 +55,18 @@
 	fieldUpstream           = "awaits"
 )
 
-// submission is the body of a submission. Pointers tell what is missing from
-// what is zero.
+// submission is the request body of a submission. Fields are pointers so that a
+// missing field can be distinguished from a zero value.
 type submission struct {
 	identity
 	amounts
 	placement
-	// Upstream is decoded by upstreamJobs, not with the rest: a repeat of an
-	// accepted submission is recognized by its ID, whatever its list says.
+	// Upstream is decoded separately by upstreamJobs. A repeat of an accepted
+	// submission is recognized by its ID, even if its list is malformed.
 	Upstream json.RawMessage `json:"awaits"`
 }
 
-// identity is what a submission names: the job and what it is made of.
+// identity holds the job ID and the other required names of a submission.
 type identity struct {
 	ID       *string `json:"name_id"`
 	Class    *string `json:"jobclass"`
@@ -76,7 +76,8 @@
 	Image    *string `json:"bundle"`
 }
 
-// amounts are what the job needs. CPUs, GPUs, memory and image are per task.
+// amounts holds the numeric fields of a submission. CPUs, GPUs, memory and image size
+// are per task.
 type amounts struct {
 	Tasks              *int     `json:"shards"`
 	CPUs               *float64 `json:"cores"`
@@ -86,26 +87,26 @@
 	EstimatedRuntime   *float64 `json:"expect_s"`         // seconds
 	CheckpointInterval *float64 `json:"snapshot_every_s"` // seconds
 	CheckpointDuration *float64 `json:"snapshot_s"`       // seconds
-	Deadline           *float64 `json:"due_s"`            // seconds; absent: none
+	Deadline           *float64 `json:"due_s"`            // seconds; nil means no deadline
 }
 
-// placement says where the job's tasks may run.
+// placement holds the constraints on where the job's tasks may run.
 type placement struct {
-	MachineTypes []*string `json:"flavors"` // absent: any
-	Zone         *string   `json:"yard"`    // absent: any
+	MachineTypes []*string `json:"flavors"` // nil means any
+	Zone         *string   `json:"yard"`    // nil means any
 	SameZone     *bool     `json:"same_place"`
 	SpreadZones  *bool     `json:"scatter"`
 	AllowSpot    *bool     `json:"loaners"`
 }
 
-// shapes are the shapes of jobs by their names in the API.
+// shapes maps the API names of job shapes to their values.
 var shapes = map[string]pipeline.Shape{
 	"array":  pipeline.Array,
 	"gang":   pipeline.Gang,
 	"daemon": pipeline.Daemon,
 }
 
-// priorities are the priorities of jobs by their names in the API.
+// priorities maps the API names of job priorities to their values.
 var priorities = map[string]pipeline.Priority{
 	"production": pipeline.Production,
 	"high":       pipeline.High,
@@ -113,7 +114,7 @@
 	"idle":       pipeline.Idle,
 }
 
-// phaseNames are the names of the phases of jobs in the API.
+// phaseNames holds the API names of job phases.
 var phaseNames = [...]string{
 	pipeline.Queued:    "queued",
 	pipeline.Running:   "running",
@@ -121,18 +122,18 @@
 	pipeline.Cancelled: "cancelled",
 }
 
-// jobStatus is the body of an answer: the status of a job.
+// jobStatus is the response body that reports the status of a job.
 type jobStatus struct {
 	ID      string `json:"name_id"`
 	Phase   string `json:"phase"`
-	Done    int    `json:"done"`    // tasks
-	Running int    `json:"running"` // tasks
+	Done    int    `json:"done"`    // number of tasks
+	Running int    `json:"running"` // number of tasks
 }
 
 func (s jobStatus) encode() []byte {
 	b, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // strings and integers always encode
+		panic(err) // cannot happen: strings and integers always encode
 	}
 	return b
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,11 +1,12 @@
-// Package api serves the users' HTTP API: it submits, polls and cancels jobs.
+// Package api serves the users' HTTP API for submitting, polling and cancelling jobs.
 //
-// Two rules hold for every answer. A job is reported as accepted or cancelled
-// only once that is stored; and no answer is older than one that any controller
-// has given before, so all but terminal ones follow a read barrier.
+// Two rules hold for every response. A job is reported as accepted or cancelled only
+// after that state has been persisted. A response never reports older state than an
+// earlier response of any controller. A status that is not terminal is therefore sent only
+// after a read barrier, or after the write that accepts the job has been committed.
 //
-// Requests that can't be decided now get 503 with Retry-After. Submissions and
-// cancellations are idempotent, so a client may repeat them until it is answered.
+// Requests that cannot be decided now get 503 with Retry-After. Submissions and
+// cancellations are idempotent, so a client may retry them until it gets a response.
 package api
 
 import (
@@ -20,33 +21,34 @@
 	"lugward/internal/scheduler"
 )
 
-// Config holds the settings of the API and what it works on. The server reads the
-// table and the machine types as others update them; it changes neither.
+// Config holds the settings and dependencies of a Server. The server only reads the
+// job table and the machine types, which other components update.
 type Config struct {
-	Label         string // of this controller, the owner of the jobs it accepts
+	Label         string // identifies this controller as the owner of the jobs that it accepts
 	Teams         []config.Team
-	AnswerTimeout time.Duration // a request that is not decided by then gets 503
-	ValueBytes    int           // largest value that the key-value store takes
-	TxnOps        int           // most writes in one transaction
+	AnswerTimeout time.Duration // after this time an undecided request gets 503
+	ValueBytes    int           // maximum size of a value in the state service
+	TxnOps        int           // maximum number of writes in a transaction
 
 	Names        *pipeline.Names
 	Jobs         *pipeline.Table
 	Store        *kv.Client
-	MachineTypes *scheduler.MachineTypes // empty until the cloud has been asked
+	MachineTypes *scheduler.MachineTypes // empty until the cloud has returned its machine types
 }
 
 const (
-	// minRetryAfter is the least Retry-After of a 503, in seconds.
+	// minRetryAfter is the minimum Retry-After of a 503 response, in seconds.
 	minRetryAfter = 1
-	// maxRetryAfter is the greatest, in seconds: clients give up on a longer one.
+	// maxRetryAfter is the maximum Retry-After, in seconds. Clients give up if it is
+	// longer.
 	maxRetryAfter = 30
-	// outageAfter is the time without an executed request after which the
-	// key-value store counts as unavailable: requests that need it then get 503 at
-	// once.
-	outageAfter = time.Second
+	// outageThreshold is the time without an executed request after which the state
+	// service is considered unavailable. Requests that need it then get 503
+	// immediately.
+	outageThreshold = time.Second
 )
 
-// Server answers the requests of users. It is not safe for concurrent use.
+// Server handles users' HTTP requests. It is not safe for concurrent use.
 type Server struct {
 	cfg          Config
 	names        *pipeline.Names
@@ -54,12 +56,12 @@
 	store        *kv.Client
 	machineTypes *scheduler.MachineTypes
 	teams        map[string]config.Team // by name
-	// pagedSubmissions holds, by job ID, the submissions whose lists of upstream
-	// jobs are being stored in pages: one at a time for each job.
+	// pagedSubmissions holds the active paged submissions by job ID, at most one
+	// per job.
 	pagedSubmissions map[string]*pagedSubmission
 }
 
-// New returns a server.
+// New returns a Server for the given configuration.
 func New(cfg Config) *Server {
 	s := &Server{
 		cfg:              cfg,
@@ -76,8 +78,9 @@
 	return s
 }
 
-// Handle serves a request below /submissions. It reports whether it was one; then
-// the request has exactly one reply, at once or later.
+// Handle handles a request whose path starts with /submissions and reports whether
+// the request was one. Each handled request gets exactly one reply, immediately or
+// later.
 func (s *Server) Handle(now event.Time, r event.Request, out *event.Effects) bool {
 	path, _, _ := strings.Cut(r.Path, "?")
 	rest, ok := strings.CutPrefix(path, submissionsPath)
@@ -85,13 +88,13 @@
 		return false
 	}
 	id, action, _ := strings.Cut(strings.TrimPrefix(rest, "/"), "/")
-	ofJob := strings.HasPrefix(rest, "/") && id != ""
+	hasJobID := strings.HasPrefix(rest, "/") && id != ""
 	switch {
 	case rest == "" && r.Method == methodPost:
 		s.submit(now, r, out)
-	case ofJob && action == "" && !strings.HasSuffix(rest, "/") && r.Method == methodGet:
+	case hasJobID && action == "" && !strings.HasSuffix(rest, "/") && r.Method == methodGet:
 		s.poll(now, r.Conn, id, out)
-	case ofJob && action == cancelAction && r.Method == methodPost:
+	case hasJobID && action == cancelAction && r.Method == methodPost:
 		s.cancel(now, cancellation{conn: r.Conn, id: id}, out)
 	case rest == "" || (id != "" && (action == "" || action == cancelAction)):
 		out.Reply(r.Conn, httpwire.StatusMethodNotAllowed, nil)
@@ -101,8 +104,8 @@
 	return true
 }
 
-// unavailable reports whether requests that need the key-value store are to be
-// refused at once instead of being left to time out.
-func (s *Server) unavailable(now event.Time) bool {
-	return !s.store.Synced() || (s.store.Unavailable() && now-s.store.LastContact() > outageAfter)
+// storeUnavailable reports whether requests that need the state service are rejected
+// immediately instead of waiting until they time out.
+func (s *Server) storeUnavailable(now event.Time) bool {
+	return !s.store.Synced() || (s.store.Unavailable() && now-s.store.LastContact() > outageThreshold)
 }
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -6,7 +6,7 @@
 	"lugward/internal/event"
 )
 
-// TestRouting: which method and path gets which status.
+// TestRouting checks the status for each combination of method and path.
 func TestRouting(t *testing.T) {
 	for _, c := range []struct {
 		name, method, path, body string
@@ -20,12 +20,12 @@
 		{"no ID to cancel", "POST", "/submissions//cancel", "", 404},
 		{"unknown job", "GET", "/submissions/req-9", "", 404},
 		{"unknown job with a query", "GET", "/submissions/req-9?a=b", "", 404},
-		{"slash behind the ID", "GET", "/submissions/req-9/", "", 405},
-		{"another method for a job", "DELETE", "/submissions/req-9", "", 405},
+		{"slash after the ID", "GET", "/submissions/req-9/", "", 405},
+		{"wrong method for a job", "DELETE", "/submissions/req-9", "", 405},
 		{"cancellation of an unknown job", "POST", "/submissions/req-9/cancel", "", 404},
-		{"another method for a cancellation", "GET", "/submissions/req-9/cancel", "", 405},
+		{"wrong method for a cancellation", "GET", "/submissions/req-9/cancel", "", 405},
 		{"unknown action", "POST", "/submissions/req-9/start", "", 404},
-		{"longer word", "GET", "/submissionsx", "", 405},
+		{"path with /submissions as a prefix", "GET", "/submissionsx", "", 405},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newController(t, newFakeStore(t), "n0")
@@ -34,6 +34,6 @@
 	}
 	n := newController(t, newFakeStore(t), "n0")
 	if n.server.Handle(n.now, event.Request{Conn: 1, Method: "GET", Path: "/other"}, &n.out) || len(n.out.Replies) != 0 {
-		t.Error("a request for another path was taken")
+		t.Error("Handle accepted or replied to a request for /other, want neither")
 	}
 }
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -9,8 +9,8 @@
 	"lugward/internal/pipeline"
 )
 
-// parseSubmission decodes a body and checks all but the list of upstream jobs.
-// Its errors are *malformedError.
+// parseSubmission decodes a request body and validates it, except for the list of
+// upstream jobs. Its errors are of type *malformedError.
 func parseSubmission(body []byte) (*submission, error) {
 	trimmed := bytes.TrimSpace(body)
 	if len(trimmed) == 0 || trimmed[0] != '{' {
@@ -18,7 +18,7 @@
 	}
 	sub := &submission{}
 	if err := json.Unmarshal(body, sub); err != nil {
-		return nil, &malformedError{badField: badField{Value: err, Expected: "JSON with values of the right types"}, Err: err}
+		return nil, &malformedError{badField: badField{Value: err, Expected: "valid JSON with the documented field types"}, Err: err}
 	}
 	for _, check := range []func() error{sub.identity.check, sub.amounts.check, sub.placement.check} {
 		if err := check(); err != nil {
@@ -45,7 +45,7 @@
 		{fieldImage, id.Image},
 	} {
 		if name.value == nil || *name.value == "" {
-			return malformed(name.field, nil, "a name")
+			return malformed(name.field, nil, "a non-empty string")
 		}
 	}
 	if _, known := shapes[*id.Shape]; !known {
@@ -73,7 +73,7 @@
 		{fieldCheckpointInterval, a.CheckpointInterval},
 		{fieldCheckpointDuration, a.CheckpointDuration},
 	} {
-		const expected = "a finite number, not negative"
+		const expected = "a finite, non-negative number"
 		if amount.value == nil {
 			return malformed(amount.field, nil, expected)
 		}
@@ -82,7 +82,7 @@
 		}
 	}
 	if a.Deadline != nil && !(*a.Deadline >= 0) {
-		return malformed(fieldDeadline, *a.Deadline, "a number, not negative")
+		return malformed(fieldDeadline, *a.Deadline, "a non-negative number")
 	}
 	if a.Tasks == nil {
 		return malformed(fieldTasks, nil, "a number of tasks")
@@ -107,21 +107,21 @@
 		}
 	}
 	if p.Zone != nil && *p.Zone == "" {
-		return malformed(fieldZone, `""`, "the name of a zone")
+		return malformed(fieldZone, `""`, "a zone name")
 	}
 	if p.MachineTypes != nil && len(p.MachineTypes) == 0 {
-		return malformed(fieldMachineTypes, "an empty list", "names of machine types")
+		return malformed(fieldMachineTypes, "an empty list", "a list of machine type names")
 	}
 	for _, name := range p.MachineTypes {
 		if name == nil || *name == "" {
-			return malformed(fieldMachineTypes, nil, "names of machine types")
+			return malformed(fieldMachineTypes, nil, "a list of machine type names")
 		}
 	}
 	return nil
 }
 
-// upstreamJobs decodes the list of upstream jobs, each ID once. Its error is a
-// *malformedError.
+// upstreamJobs decodes the list of upstream jobs and removes duplicate IDs. Its errors
+// are of type *malformedError.
 func (sub *submission) upstreamJobs() ([]string, error) {
 	if len(sub.Upstream) == 0 {
 		return nil, nil
@@ -148,7 +148,8 @@
 	return upstream, nil
 }
 
-// spec returns what the submission says without the names that depend on the site.
+// spec converts a submission into a job spec, without the zone and the machine types,
+// which depend on what the cloud offers.
 func (sub *submission) spec() pipeline.Spec {
 	spec := pipeline.Spec{
 		Shape:              shapes[*sub.Shape],
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -10,26 +10,26 @@
 	"lugward/internal/record"
 )
 
-// submit accepts a job once its record is stored.
+// submit handles a submission. The job is accepted when its record is persisted.
 //
-// Submissions are idempotent by the job's ID. A repeat of an accepted one is
-// answered with the job's status before anything else of it is judged, so it never
-// gets 400 or 422 for its other fields.
+// Submissions are idempotent by job ID. A repeat of an accepted submission gets the
+// job's status before its upstream list and the feasibility of the job are checked, so
+// it is never rejected for those.
 func (s *Server) submit(now event.Time, r event.Request, out *event.Effects) {
 	sub, err := parseSubmission(r.Body)
 	if err != nil {
-		refuse(r.Conn, err, out)
+		replyError(r.Conn, err, out)
 		return
 	}
-	if s.answerRepeat(now, r.Conn, *sub.ID, out) {
+	if s.replyToRepeat(now, r.Conn, *sub.ID, out) {
 		return
 	}
-	j, upstream, err := s.decide(sub)
+	j, upstream, err := s.validate(sub)
 	switch {
 	case isUnavailable(err):
-		refuse(r.Conn, err, out)
+		replyError(r.Conn, err, out)
 	case err != nil:
-		s.refuseAfterBarrier(r.Conn, *sub.ID, err)
+		s.rejectAfterBarrier(r.Conn, *sub.ID, err)
 	case s.checkUpstream(upstream) != nil:
 		s.acceptAfterBarrier(r.Conn, j, upstream)
 	default:
@@ -37,27 +37,28 @@
 	}
 }
 
-// answerRepeat answers a submission that repeats an accepted one, or any while the
-// key-value store is unavailable. It reports whether it did.
-func (s *Server) answerRepeat(now event.Time, conn uint64, id string, out *event.Effects) bool {
+// replyToRepeat replies to a submission of a job that has already been accepted. It
+// replies to any other submission with 503 while the state service is unavailable. It
+// reports whether it has handled the submission.
+func (s *Server) replyToRepeat(now event.Time, conn uint64, id string, out *event.Effects) bool {
 	if status := s.terminalStatus(id); status != nil {
 		out.Reply(conn, httpwire.StatusOK, status)
 		return true
 	}
-	if s.unavailable(now) {
+	if s.storeUnavailable(now) {
 		out.ReplyUnavailable(conn, minRetryAfter)
 		return true
 	}
-	if s.accepted(id) != nil {
+	if s.acceptedJob(id) != nil {
 		s.poll(now, conn, id, out)
 		return true
 	}
 	return false
 }
 
-// decide returns the submitted job and the IDs of its upstream jobs, or why it is
-// refused. Whether the upstream jobs exist is not checked.
-func (s *Server) decide(sub *submission) (*pipeline.Job, []string, error) {
+// validate returns the submitted job and the IDs of its upstream jobs, or an error if
+// the submission must be rejected. It does not check whether the upstream jobs exist.
+func (s *Server) validate(sub *submission) (*pipeline.Job, []string, error) {
 	upstream, err := sub.upstreamJobs()
 	if err != nil {
 		return nil, nil, err
@@ -69,68 +70,71 @@
 	return j, upstream, nil
 }
 
-// refuseAfterBarrier refuses a submission for good, after a read barrier: another
-// controller that knew more may have accepted the job a moment ago.
-func (s *Server) refuseAfterBarrier(conn uint64, id string, err error) {
-	s.answerAfterBarrier(conn, id, func(_ event.Time, out *event.Effects) {
-		refuse(conn, err, out)
+// rejectAfterBarrier rejects a submission after a read barrier, unless the barrier
+// shows the job as accepted: another controller with newer data may have just accepted
+// it.
+func (s *Server) rejectAfterBarrier(conn uint64, id string, err error) {
+	s.replyAfterBarrier(conn, id, func(_ event.Time, out *event.Effects) {
+		replyError(conn, err, out)
 	})
 }
 
-// acceptAfterBarrier accepts a job if a read barrier shows all of its upstream
-// jobs: the watch cache may lag behind the controllers that accepted them.
+// acceptAfterBarrier accepts a job if all of its upstream jobs are known after a read
+// barrier. The barrier is needed because the watch cache may lag behind the controllers
+// that accepted them.
 func (s *Server) acceptAfterBarrier(conn uint64, j *pipeline.Job, upstream []string) {
-	s.answerAfterBarrier(conn, j.ID, func(now event.Time, out *event.Effects) {
+	s.replyAfterBarrier(conn, j.ID, func(now event.Time, out *event.Effects) {
 		if err := s.checkUpstream(upstream); err != nil {
-			refuse(conn, err, out)
+			replyError(conn, err, out)
 			return
 		}
 		s.accept(now, conn, j, upstream, out)
 	})
 }
 
-// accept stores the record of a job that can run.
+// accept writes the record of a validated job.
 func (s *Server) accept(now event.Time, conn uint64, j *pipeline.Job, upstream []string, out *event.Effects) {
 	j.SubmittedAt = s.jobs.UnixMS(now)
 	j.Ready = s.allDone(upstream)
 	if j.Ready {
 		j.ReadyAt = j.SubmittedAt
 	}
-	pages := s.layOutUpstream(j, upstream)
-	record, err := s.encodeRecord(j, len(pages) > 0)
+	pages := s.setUpstream(j, upstream)
+	data, err := s.encodeRecord(j, len(pages) > 0)
 	if err != nil {
-		refuse(conn, err, out)
+		replyError(conn, err, out)
 		return
 	}
 	if delay := s.store.QueueDelay(kv.PrioritySubmission); delay.AtTotalRate > s.cfg.AnswerTimeout.Seconds() {
-		// The write would wait for longer than the user does. Refusing it now
-		// leaves the rate to those that wait already.
-		refuse(conn, s.backlogError(), out)
+		// The write would stay in the queue until the request has timed out.
+		// Rejecting it now leaves the write rate to the writes already queued.
+		replyError(conn, s.backlogError(), out)
 		return
 	}
 	if len(pages) > 0 {
 		s.startPagedSubmission(now, conn, j, pages, out)
 		return
 	}
-	s.storeRecord(now, conn, j.ID, record)
+	s.storeRecord(now, conn, j.ID, data)
 }
 
-// encodeRecord returns a new job's record. Its error is a *malformedError if the
-// record is larger than a value may be: the user's names are too long.
+// encodeRecord returns the encoded record of a new job. It returns a *malformedError
+// if the record exceeds the maximum value size, which happens if the names in the
+// submission are too long.
 func (s *Server) encodeRecord(j *pipeline.Job, paged bool) ([]byte, error) {
 	limit := s.cfg.ValueBytes
 	if paged {
-		limit -= pagesRevisionBytes
+		limit -= maxSubmissionRevisionBytes
 	}
 	data := pipeline.EncodeJob(s.names, j)
 	if len(data) > limit {
-		return nil, &malformedError{badField: badField{Value: len(data), Expected: "a shorter record"}}
+		return nil, &malformedError{badField: badField{Value: len(data), Expected: "a smaller job record (size in bytes)"}}
 	}
 	return data, nil
 }
 
-// storeRecord stores a new job's record unless the job has one or has ended, and
-// answers the submission.
+// storeRecord writes the record of a new job and replies to the submission. The write
+// requires that the job has neither a record nor a terminal record.
 func (s *Server) storeRecord(now event.Time, conn uint64, id string, data []byte) {
 	jobKey, terminalKey := record.JobKey(id), record.TerminalKey(id)
 	s.store.Submit(&kv.Txn{
@@ -140,29 +144,30 @@
 		Done: func(r kv.Result) {
 			switch r.Outcome {
 			case kv.Committed:
-				r.Out.Reply(conn, httpwire.StatusCreated, s.statusOfNew(id))
+				r.Out.Reply(conn, httpwire.StatusCreated, s.newJobStatus(id))
 			case kv.Aborted, kv.Rejected:
-				refuse(conn, s.backlogError(), r.Out)
+				replyError(conn, s.backlogError(), r.Out)
 			default:
-				s.answerAsStored(conn, id)
+				s.replyWithStoredStatus(conn, id)
 			}
 		},
 	}, now+s.cfg.AnswerTimeout)
 }
 
-// backlogError asks a client to come back when the writes that wait now are done.
+// backlogError returns an *unavailableError whose RetryAfter is the estimated time until
+// the queued writes have been sent, within minRetryAfter and maxRetryAfter.
 func (s *Server) backlogError() error {
 	wait := s.store.QueueDelay(kv.PrioritySubmission).AtOwnShare
 	seconds := min(max(wait, minRetryAfter), maxRetryAfter)
-	return &unavailableError{Reason: "too many writes wait", RetryAfter: int(math.Ceil(seconds))}
+	return &unavailableError{Reason: "too many queued writes", RetryAfter: int(math.Ceil(seconds))}
 }
 
-// answerAsStored answers a submission whose write conflicted or whose outcome is
-// unknown: with the job's status if a read barrier shows it as accepted, else with
-// 503. A write that is carried out after the barrier leaves an accepted job, which
-// the user's retry finds.
-func (s *Server) answerAsStored(conn uint64, id string) {
-	s.answerAfterBarrier(conn, id, func(_ event.Time, out *event.Effects) {
+// replyWithStoredStatus replies to a submission whose write conflicted or has an unknown
+// outcome. It replies with the job's status if a read barrier shows the job as accepted,
+// otherwise with 503. If the write is executed after the barrier, the job is accepted
+// and the user's retry finds it.
+func (s *Server) replyWithStoredStatus(conn uint64, id string) {
+	s.replyAfterBarrier(conn, id, func(_ event.Time, out *event.Effects) {
 		out.ReplyUnavailable(conn, minRetryAfter)
 	})
 }
