--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -42,7 +42,7 @@
 		Compares: []kv.Compare{{Key: jobKey, ModRevision: j.ModRevision}, {Key: terminalKey}},
 		Writes:   []kv.Write{{Key: terminalKey, Data: pipeline.EncodeTerminal(pipeline.Cancelled, j)}},
 		Done:     func(r kv.Result) { s.handleCancelResult(c, r) },
-	}, now+s.cfg.AnswerTimeout)
+	}, now+s.cfg.RequestTimeout)
 }
 
 // handleCancelResult handles the result of writing the terminal record. After a conflict
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -43,15 +43,15 @@
 	n.client = kv.New(kv.Config{Addr: "s", Limits: limits, StaleAfter: time.Hour, OnChange: onChange})
 	machineTypes := &scheduler.MachineTypes{{Index: names.MachineTypes.Index("m"), CPUs: 8, Memory: 32, Zones: []pipeline.ZoneIndex{0}}}
 	n.server = New(Config{
-		Label:         label,
-		Teams:         []config.Team{{Name: "red"}, {Name: "small", CPUsMax: 2, GPUsMax: 1}},
-		AnswerTimeout: 1500 * time.Millisecond,
-		ValueBytes:    valueBytes,
-		TxnOps:        txnOps,
-		Names:         names,
-		Jobs:          n.jobs,
-		Store:         n.client,
-		MachineTypes:  machineTypes,
+		Label:          label,
+		Teams:          []config.Team{{Name: "red"}, {Name: "small", CPUsMax: 2, GPUsMax: 1}},
+		RequestTimeout: 1500 * time.Millisecond,
+		ValueBytes:     valueBytes,
+		TxnOps:         txnOps,
+		Names:          names,
+		Jobs:           n.jobs,
+		Store:          n.client,
+		MachineTypes:   machineTypes,
 	})
 	n.run(time.Second)
 	n.client.Barrier(func(event.Time, error, *event.Effects) {})
--- a/internal/api/paged_submission.go
+++ b/internal/api/paged_submission.go
@@ -179,7 +179,7 @@
 	for _, id := range slices.Sorted(maps.Keys(s.pagedSubmissions)) {
 		p := s.pagedSubmissions[id]
 		age := now - p.startedAt
-		if !p.replied && age > s.cfg.AnswerTimeout {
+		if !p.replied && age > s.cfg.RequestTimeout {
 			out.ReplyUnavailable(p.conn, minRetryAfter)
 			p.replied = true
 		}
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -24,11 +24,11 @@
 // Config holds the settings and dependencies of a Server. The server only reads the
 // job table and the machine types, which other components update.
 type Config struct {
-	Label         string // identifies this controller as the owner of the jobs that it accepts
-	Teams         []config.Team
-	AnswerTimeout time.Duration // after this time an undecided request gets 503
-	ValueBytes    int           // maximum size of a value in the state service
-	TxnOps        int           // maximum number of writes in a transaction
+	Label          string // identifies this controller as the owner of the jobs that it accepts
+	Teams          []config.Team
+	RequestTimeout time.Duration // after this time an undecided request gets 503
+	ValueBytes     int           // maximum size of a value in the state service
+	TxnOps         int           // maximum number of writes in a transaction
 
 	Names        *pipeline.Names
 	Jobs         *pipeline.Table
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -105,7 +105,7 @@
 		replyError(conn, err, out)
 		return
 	}
-	if delay := s.store.QueueDelay(kv.PrioritySubmission); delay.AtTotalRate > s.cfg.AnswerTimeout.Seconds() {
+	if delay := s.store.QueueDelay(kv.PrioritySubmission); delay.SecondsAtTotalRate > s.cfg.RequestTimeout.Seconds() {
 		// The write would stay in the queue until the request has timed out.
 		// Rejecting it now leaves the write rate to the writes already queued.
 		replyError(conn, s.backlogError(), out)
@@ -151,13 +151,13 @@
 				s.replyWithStoredStatus(conn, id)
 			}
 		},
-	}, now+s.cfg.AnswerTimeout)
+	}, now+s.cfg.RequestTimeout)
 }
 
 // backlogError returns an *unavailableError whose RetryAfter is the estimated time until
 // the queued writes have been sent, within minRetryAfter and maxRetryAfter.
 func (s *Server) backlogError() error {
-	wait := s.store.QueueDelay(kv.PrioritySubmission).AtOwnShare
+	wait := s.store.QueueDelay(kv.PrioritySubmission).SecondsAtOwnShare
 	seconds := min(max(wait, minRetryAfter), maxRetryAfter)
 	return &unavailableError{Reason: "too many queued writes", RetryAfter: int(math.Ceil(seconds))}
 }
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -199,8 +199,8 @@
 // token, releases decommissioned machines and scans all machines. All writes are
 // conditional on term.
 func (a *Autoscaler) Tick(now event.Time, leadership worker.Leadership, term kv.Compare, out *event.Effects) {
-	a.catalog.refresh(now, &term, out)
-	a.provisioner.sendRetries(now, out)
+	a.catalog.refreshIfDue(now, &term, out)
+	a.provisioner.sendDueRetries(now, out)
 	a.decommissions.releaseIfDue(now, term, out)
 	a.list.requestPageIfDue(now, out)
 	if a.announcer.incomplete {
@@ -215,7 +215,7 @@
 // scanMachines updates the state of all machines and decommissions those that are
 // unused, lost, unresponsive or unreachable.
 func (a *Autoscaler) scanMachines(scan *scan, out *event.Effects) {
-	a.scaleIn.updateUse(scan)
+	a.scaleIn.updateUsage(scan)
 	scan.zones = a.partitions.runningByZone()
 	a.partitions.update(scan.zones, scan.now)
 	a.announcer.announce(scan.now, scan.leadership, out)
@@ -239,7 +239,7 @@
 		return
 	}
 	plan := a.planner.newPlan(now, s)
-	for _, job := range plan.withPreempted(blocked) {
+	for _, job := range plan.withEvicting(blocked) {
 		plan.addJob(job)
 	}
 	a.scaleIn.decommissionUnneeded(plan.forecast)
@@ -251,10 +251,10 @@
 	}
 }
 
-// RefreshMachineTypes requests the machine types from the cloud if the refresh interval
+// RefreshMachineTypesIfDue requests the machine types from the cloud if the refresh interval
 // has passed. Any controller may call it until the machine types are known.
-func (a *Autoscaler) RefreshMachineTypes(now event.Time, out *event.Effects) {
-	a.catalog.refresh(now, nil, out)
+func (a *Autoscaler) RefreshMachineTypesIfDue(now event.Time, out *event.Effects) {
+	a.catalog.refreshIfDue(now, nil, out)
 }
 
 // MachineTypes returns the most recent machine types of the cloud. The list is updated in
@@ -265,9 +265,9 @@
 // next regular one.
 func (a *Autoscaler) ReplanRequested() bool { return a.provisioner.replanRequested }
 
-// TakeReplanRequest reports whether a new plan is required and clears the request. The
+// ConsumeReplanRequest reports whether a new plan is required and clears the request. The
 // caller must call Plan if it returns true.
-func (a *Autoscaler) TakeReplanRequest() bool {
+func (a *Autoscaler) ConsumeReplanRequest() bool {
 	requested := a.provisioner.replanRequested
 	a.provisioner.replanRequested = false
 	return requested
--- a/internal/autoscaler/boot_times.go
+++ b/internal/autoscaler/boot_times.go
@@ -76,15 +76,15 @@
 	history.add(bootTime.Seconds() / machineType.BootTime)
 }
 
-// expected returns the expected boot time of a machine type in seconds, based on the
+// expectedSeconds returns the expected boot time of a machine type in seconds, based on the
 // median of recent boots.
-func (b *bootTimes) expected(machineType *scheduler.MachineType) float64 {
+func (b *bootTimes) expectedSeconds(machineType *scheduler.MachineType) float64 {
 	return machineType.BootTime * b.histories[machineType.Index].median()
 }
 
 // timeout returns factor times the expected boot time of a type. The stated boot time is
 // the minimum for the expected one, so that quick boots do not shorten the timeout.
 func (b *bootTimes) timeout(machineType *scheduler.MachineType, factor float64) event.Time {
-	expected := math.Max(machineType.BootTime, b.expected(machineType))
+	expected := math.Max(machineType.BootTime, b.expectedSeconds(machineType))
 	return event.Time(factor * expected * float64(time.Second))
 }
--- a/internal/autoscaler/boot_times_test.go
+++ b/internal/autoscaler/boot_times_test.go
@@ -15,7 +15,7 @@
 func (f *fixture) recordBoots(t *testing.T, count int, bootTime func(i int) time.Duration) {
 	t.Helper()
 	for i := range count {
-		f.booting.recordBoot(&bootingMachine{provisionedHere: true}, bootTime(i))
+		f.booting.recordBoot(&bootingMachine{provisionedInTerm: true}, bootTime(i))
 	}
 }
 
@@ -56,7 +56,7 @@
 			f.catalog.types = scheduler.MachineTypes{machineType}
 			f.recordBoots(t, 200, test.bootTime)
 			bootTimes := f.booting.bootTimes
-			expected := time.Duration(bootTimes.expected(machineType) * float64(time.Second))
+			expected := time.Duration(bootTimes.expectedSeconds(machineType) * float64(time.Second))
 			if expected < test.least || expected > test.most {
 				t.Errorf("expected boot time = %s, want %s to %s", expected, test.least, test.most)
 			}
--- a/internal/autoscaler/booting.go
+++ b/internal/autoscaler/booting.go
@@ -13,11 +13,11 @@
 // bootingMachine is a provisioned machine that has not registered yet. A machine
 // registers with its first heartbeat.
 type bootingMachine struct {
-	pool            machinePool
-	since           event.Time // time of provisioning or, if running, when first listed as running
-	running         bool       // whether the cloud lists the machine as running
-	provisionedHere bool       // whether this controller provisioned it in this term
-	unneededSince   event.Time // since when no plan has used the machine, zero if the last plan did
+	pool              machinePool
+	since             event.Time // time of provisioning or, if running, when first listed as running
+	running           bool       // whether the cloud lists the machine as running
+	provisionedInTerm bool       // whether this controller provisioned it in this term
+	unneededSince     event.Time // since when no plan has used the machine, zero if the last plan did
 }
 
 // bootingMachines is the set of machines that have not registered yet.
@@ -77,7 +77,7 @@
 // recordBoot records how long a machine took to register. Only machines that were
 // provisioned in this term are recorded, because a term may begin while a machine boots.
 func (b *bootingMachines) recordBoot(booting *bootingMachine, now event.Time) {
-	if booting.provisionedHere {
+	if booting.provisionedInTerm {
 		b.bootTimes.record(booting.pool.machineType, now-booting.since)
 	}
 }
--- a/internal/autoscaler/capacity_forecast.go
+++ b/internal/autoscaler/capacity_forecast.go
@@ -64,7 +64,7 @@
 		if !f.isUsable(job, capacity, zone) {
 			continue
 		}
-		count := min(left, capacity.Fits(&job.Spec), scheduler.TasksAllowedInZone(job, tasksPerZone, capacity.Zone))
+		count := min(left, capacity.FittingTasks(&job.Spec), scheduler.TasksAllowedInZone(job, tasksPerZone, capacity.Zone))
 		if count > 0 {
 			capacity.Allocate(&job.Spec, count)
 			tasksPerZone[capacity.Zone] += count
@@ -86,13 +86,13 @@
 	return zone == pipeline.AnyZone || capacity.Zone == zone
 }
 
-// missing returns the number of tasks of a job that do not fit into the free capacity of
+// tasksWithoutCapacity returns the number of tasks of a job that do not fit into the free capacity of
 // a zone. The result is negative if more tasks would fit.
-func (f *capacityForecast) missing(job *pipeline.Job, tasks int, zone pipeline.ZoneIndex) int {
+func (f *capacityForecast) tasksWithoutCapacity(job *pipeline.Job, tasks int, zone pipeline.ZoneIndex) int {
 	missing := tasks
 	for _, capacity := range f.capacities {
 		if capacity != nil && capacity.Zone == zone && capacity.Matches(&job.Spec) {
-			missing -= capacity.Fits(&job.Spec)
+			missing -= capacity.FittingTasks(&job.Spec)
 		}
 	}
 	return missing
--- a/internal/autoscaler/decommission.go
+++ b/internal/autoscaler/decommission.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// isLeaving reports whether the decommission of a machine is persisted or its release is
+// isDecommissioned reports whether the decommission of a machine is persisted or its release is
 // in progress.
-func (d *decommissions) isLeaving(machine string) bool {
+func (d *decommissions) isDecommissioned(machine string) bool {
 	return d.persisted[machine] || d.releasing[machine]
 }
 
--- a/internal/autoscaler/machine_list.go
+++ b/internal/autoscaler/machine_list.go
@@ -130,7 +130,7 @@
 
 // handle updates the state of one machine of the list.
 func (h *listedMachineHandler) handle(listed *wireMachine, now event.Time) {
-	if listed.Name == "" || h.decommissions.isLeaving(listed.Name) {
+	if listed.Name == "" || h.decommissions.isDecommissioned(listed.Name) {
 		return
 	}
 	releasedAt, released := h.decommissions.releasedAt(listed.Name)
@@ -138,7 +138,7 @@
 		return // the list may predate the release
 	}
 	machine := h.workers.Add(listed.Name, now)
-	machine.NoteListedAddr(listed.Addr)
+	machine.RecordListedAddr(listed.Addr)
 	if !machine.Known() {
 		pool := listed.pool(h.names)
 		machine.Describe(pool.machineType, pool.zone, pool.spot)
--- a/internal/autoscaler/machine_pool.go
+++ b/internal/autoscaler/machine_pool.go
@@ -112,7 +112,7 @@
 	if !capacity.Matches(&query.job.Spec) {
 		return poolCandidate{}, false
 	}
-	tasks := min(capacity.Fits(&query.job.Spec), scheduler.TasksAllowedInZone(query.job, query.tasksPerZone, pool.zone))
+	tasks := min(capacity.FittingTasks(&query.job.Spec), scheduler.TasksAllowedInZone(query.job, query.tasksPerZone, pool.zone))
 	if tasks <= 0 {
 		return poolCandidate{}, false
 	}
--- a/internal/autoscaler/machine_types.go
+++ b/internal/autoscaler/machine_types.go
@@ -95,10 +95,10 @@
 	c.jobs.RequestRound()
 }
 
-// refresh requests the machine types from the cloud if a refresh is due. The leader
+// refreshIfDue requests the machine types from the cloud if a refresh is due. The leader
 // passes the condition on its term, under which the machine types are persisted; other
 // controllers pass nil.
-func (c *machineTypeCatalog) refresh(now event.Time, term *kv.Compare, out *event.Effects) {
+func (c *machineTypeCatalog) refreshIfDue(now event.Time, term *kv.Compare, out *event.Effects) {
 	interval := machineTypesRefreshInterval
 	if len(c.types) == 0 {
 		interval = errorPause
--- a/internal/autoscaler/provisioning.go
+++ b/internal/autoscaler/provisioning.go
@@ -91,8 +91,8 @@
 	p.send(provisionRequest{name: name, pool: pool, count: count}, out)
 }
 
-// sendRetries repeats the requests whose retry is due.
-func (p *provisioner) sendRetries(now event.Time, out *event.Effects) {
+// sendDueRetries repeats the requests whose retry is due.
+func (p *provisioner) sendDueRetries(now event.Time, out *event.Effects) {
 	retries := p.retries
 	p.retries = nil
 	for _, retry := range retries {
@@ -158,7 +158,7 @@
 			continue // it registered before the response arrived
 		}
 		machine.Describe(pool.machineType, pool.zone, pool.spot)
-		p.booting.add(machine, &bootingMachine{pool: pool, since: now, provisionedHere: true})
+		p.booting.add(machine, &bootingMachine{pool: pool, since: now, provisionedInTerm: true})
 	}
 	if len(machines) < request.count {
 		p.backOff(pool, now)
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -41,14 +41,14 @@
 	idleTimeout      time.Duration
 }
 
-// updateUse records which machines are in use, and repeats the write of decommissions
+// updateUsage records which machines are in use, and repeats the write of decommissions
 // that have not been persisted.
-func (s *scaleIn) updateUse(scan *scan) {
+func (s *scaleIn) updateUsage(scan *scan) {
 	for machine := range s.workers.All() {
 		if s.hasTasks(machine) {
-			machine.NoteInUse(scan.now)
+			machine.RecordInUse(scan.now)
 		}
-		if machine.Decommissioning() && !s.decommissions.isLeaving(machine.Name) {
+		if machine.Decommissioning() && !s.decommissions.isDecommissioned(machine.Name) {
 			s.decommissions.start(machine, scan.now, scan.term)
 		}
 	}
@@ -56,7 +56,7 @@
 
 // hasTasks reports whether tasks may be on a machine.
 func (s *scaleIn) hasTasks(machine *worker.Machine) bool {
-	return len(s.jobs.OnMachine(machine.Index)) > 0
+	return len(s.jobs.AssignmentsOn(machine.Index)) > 0
 }
 
 // checkBooting checks the booting machines. It removes those that have registered and
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -107,8 +107,8 @@
 	return !partitioned && !p.booting.isOverdue(booting, now)
 }
 
-// withPreempted appends the jobs whose tasks are being evicted to the blocked jobs.
-func (p *plan) withPreempted(blocked []*pipeline.Job) []*pipeline.Job {
+// withEvicting appends the jobs whose tasks are being evicted to the blocked jobs.
+func (p *plan) withEvicting(blocked []*pipeline.Job) []*pipeline.Job {
 	listed := make(map[*pipeline.Job]bool, len(blocked))
 	for _, job := range blocked {
 		listed[job] = true
@@ -147,7 +147,7 @@
 // false if the plan must not provide capacity for the job.
 func (p *plan) tasksWithinLimit(job *pipeline.Job) (tasks int, ok bool) {
 	planned := p.plannedUsage[job.Team]
-	tasks = min(job.StartableCount(), p.scheduler.TasksWithinLimitBeside(job, planned))
+	tasks = min(job.StartableCount(), p.scheduler.TasksWithinLimitGiven(job, planned))
 	if job.Shape == pipeline.Gang && tasks < job.StartableCount() {
 		return 0, false // a gang needs capacity for all of its tasks
 	}
@@ -182,7 +182,7 @@
 	shortest := math.Inf(1)
 	for _, machineType := range p.catalog.types {
 		if machineType.CanRun(&job.Spec) {
-			shortest = min(shortest, p.bootTimes.expected(machineType))
+			shortest = min(shortest, p.bootTimes.expectedSeconds(machineType))
 		}
 	}
 	if math.IsInf(shortest, 1) {
@@ -218,7 +218,7 @@
 // costInZone returns the hourly price of the additional machines that a job's tasks
 // need in a zone. feasible is false if no pool of the zone can provide them.
 func (p *plan) costInZone(job *pipeline.Job, tasksPerZone scheduler.ZoneCounts, tasks int, zone pipeline.ZoneIndex) (cost float64, feasible bool) {
-	missing := p.forecast.missing(job, tasks, zone)
+	missing := p.forecast.tasksWithoutCapacity(job, tasks, zone)
 	if missing <= 0 {
 		return 0, true
 	}
--- a/internal/controller/build.go
+++ b/internal/controller/build.go
@@ -77,7 +77,7 @@
 		ValueLimit:       c.maxValueBytes(),
 		TxnOps:           state.Lasting().TxnOps,
 		ControllerLabels: sortedLabels(c.cfg),
-		OnRefusedRecord:  c.logIgnoredRecord,
+		OnDecodeError:    c.logIgnoredRecord,
 	})
 }
 
@@ -164,15 +164,15 @@
 // newAPI creates the server for user requests.
 func (c *Controller) newAPI() *api.Server {
 	return api.New(api.Config{
-		Label:         c.cfg.Label,
-		Teams:         c.cfg.Settings.Teams,
-		AnswerTimeout: time.Duration(c.cfg.Operator.API.Answer),
-		ValueBytes:    c.maxValueBytes(),
-		TxnOps:        c.cfg.Settings.State.Lasting().TxnOps,
-		Names:         c.names,
-		Jobs:          c.jobs,
-		Store:         c.store,
-		MachineTypes:  c.autoscaler.MachineTypes(),
+		Label:          c.cfg.Label,
+		Teams:          c.cfg.Settings.Teams,
+		RequestTimeout: time.Duration(c.cfg.Operator.API.Answer),
+		ValueBytes:     c.maxValueBytes(),
+		TxnOps:         c.cfg.Settings.State.Lasting().TxnOps,
+		Names:          c.names,
+		Jobs:           c.jobs,
+		Store:          c.store,
+		MachineTypes:   c.autoscaler.MachineTypes(),
 	})
 }
 
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -26,7 +26,7 @@
 	c.writeReadinessAndCancellations(now)
 	c.api.Tick(now, out)
 	if !c.runLeaderWork(now, out) && !c.leadership.active {
-		c.autoscaler.RefreshMachineTypes(now, out)
+		c.autoscaler.RefreshMachineTypesIfDue(now, out)
 	}
 	c.answerHeartbeats(now, out)
 }
--- a/internal/controller/leader_work.go
+++ b/internal/controller/leader_work.go
@@ -110,7 +110,7 @@
 		if machine.ReclaimAt() == 0 {
 			continue
 		}
-		for _, assignment := range c.jobs.OnMachine(machine.Index) {
+		for _, assignment := range c.jobs.AssignmentsOn(machine.Index) {
 			job := assignment.Job
 			needed := config.Seconds(job.CheckpointDuration) + evictionMargin
 			if job.CheckpointInterval > 0 && machine.ReclaimAt()-now < needed {
@@ -149,7 +149,7 @@
 	c.leadership.roundCount++
 	result := c.scheduler.Round(now, c.leadership.budget.start())
 	c.leadership.lastRound = result
-	if replan := c.autoscaler.TakeReplanRequest(); replan || schedule.provisioning.isDue(now) {
+	if replan := c.autoscaler.ConsumeReplanRequest(); replan || schedule.provisioning.isDue(now) {
 		schedule.provisioning.lastRun = now
 		c.autoscaler.Plan(now, result.Blocked, c.scheduler, c.election.FencingToken(), out)
 	}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -85,7 +85,7 @@
 // updateLeadership handles the beginning and the end of a term. It resigns the term if
 // no heartbeats of workers have arrived by the deadline although some are expected.
 func (c *Controller) updateLeadership(now event.Time, out *event.Effects) {
-	if c.election.TakeTermStart() {
+	if c.election.ConsumeTermStart() {
 		c.beginTerm(now)
 	}
 	if c.leadership.active && !c.election.HoldsTerm() {
--- a/internal/controller/load_log.go
+++ b/internal/controller/load_log.go
@@ -31,7 +31,7 @@
 		if job.TerminalPhase != pipeline.Queued {
 			continue
 		}
-		if unplaced := job.UnplacedCount(); unplaced > 0 {
+		if unplaced := job.UnassignedCount(); unplaced > 0 {
 			load.jobsUnplaced++
 			load.tasksUnplaced += unplaced
 		}
@@ -48,7 +48,7 @@
 	if assignment.Evicting() {
 		l.evicting++
 	}
-	if !assignment.Durable() {
+	if !assignment.Persisted() {
 		l.notPersisted++
 	}
 }
@@ -88,7 +88,7 @@
 		"machines_usable", machines.usable,
 		"machines_idle", machines.idle,
 		"gpus_free", machines.freeGPUs,
-		"rounds_interrupted", c.scheduler.TakeInterruptedRounds(),
+		"rounds_interrupted", c.scheduler.ConsumeInterruptedRounds(),
 		"run_records_compact", c.jobs.CompactCount(),
 		"writes_per_second", int(stateDemand.Writes))
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -143,6 +143,6 @@
 	p.receivedAt = now
 	p.heartbeat = *frame
 	if frame.IsLeader {
-		c.election.ObserveFencingToken(frame.FencingToken)
+		c.election.RecordFencingToken(frame.FencingToken)
 	}
 }
--- a/internal/controller/redirect.go
+++ b/internal/controller/redirect.go
@@ -30,7 +30,7 @@
 	if !ok {
 		return false
 	}
-	machine.NoteRedirect(now)
+	machine.RecordRedirect(now)
 	c.redirectTo(label, request.Conn, out)
 	return true
 }
--- a/internal/controller/version.go
+++ b/internal/controller/version.go
@@ -66,7 +66,7 @@
 	store.Submit(&kv.Txn{
 		Priority: kv.PriorityProgress,
 		Compares: []kv.Compare{{Key: v.key}},
-		Writes:   []kv.Write{{Key: v.key, Data: record.Version}},
+		Writes:   []kv.Write{{Key: v.key, Data: record.VersionValue}},
 		Done:     v.handleWriteResult,
 	}, now+versionWriteTimeout)
 }
--- a/internal/controller/worker_answers.go
+++ b/internal/controller/worker_answers.go
@@ -10,7 +10,7 @@
 // persisted. With the one answer, the worker can then discard tasks that have exited and
 // start the tasks that replace them.
 func (c *Controller) answerHeartbeats(now event.Time, out *event.Effects) {
-	machines := c.heartbeats.pending.drainToCheck(c.jobs.TakeChangedMachines())
+	machines := c.heartbeats.pending.drainToCheck(c.jobs.DrainChangedMachines())
 	if c.heartbeats.pending.empty() {
 		return
 	}
@@ -60,7 +60,7 @@
 		c.heartbeats.pending.markIdle(pending)
 		return
 	}
-	if waited < heartbeatAnswerTimeout && !c.workers.AllStored(pending.machine) {
+	if waited < heartbeatAnswerTimeout && !c.workers.AllPersisted(pending.machine) {
 		return // changes to the machine's assignments are not persisted yet
 	}
 	c.answerHeartbeat(pending, now, out)
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -43,7 +43,7 @@
 	}
 	c.leadership.resignedWithoutHeartbeats = false
 	if !c.mayAnswerWorkers(now) {
-		c.election.ObserveFencingToken(heartbeat.FencingToken)
+		c.election.RecordFencingToken(heartbeat.FencingToken)
 		c.forwardToLeader(now, request, heartbeat, out)
 		return
 	}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -105,9 +105,9 @@
 // LeaderFencingToken returns the fencing token in the cached term key.
 func (e *Election) LeaderFencingToken() uint64 { return e.observed.leaderToken }
 
-// ObserveFencingToken records a fencing token that a worker or another controller
+// RecordFencingToken records a fencing token that a worker or another controller
 // has sent.
-func (e *Election) ObserveFencingToken(token uint64) {
+func (e *Election) RecordFencingToken(token uint64) {
 	e.observed.highestReportedToken = max(e.observed.highestReportedToken, token)
 }
 
--- a/internal/election/harness_test.go
+++ b/internal/election/harness_test.go
@@ -84,7 +84,7 @@
 	h.respond(now, "/commit", `{"epoch":7}`)
 	h.respond(now, "/follow", `{"epoch":7,"log":[{"write":"t/lead","data":{"l":"n0","f":1},"stamp":7},`+
 		`{"write":"t/count","data":{"l":"n0","f":1},"stamp":7}]}`)
-	if !h.TakeTermStart() || !h.IsLeader(now) {
+	if !h.ConsumeTermStart() || !h.IsLeader(now) {
 		t.Fatal("the controller did not become leader")
 	}
 	return h
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -18,7 +18,7 @@
 	validUntil      event.Time // the lease is guaranteed to be valid before this time
 	renewAt         event.Time // when the next renewal is due
 	renewalInFlight bool       // a renewal is in flight
-	startPending    bool       // TakeTermStart has not reported the term yet
+	startPending    bool       // ConsumeTermStart has not reported the term yet
 }
 
 // StepDownReason is the reason for which a leader has stepped down, as it is logged.
@@ -85,9 +85,9 @@
 	return now < e.graceEnd() && e.observed.highestReportedToken <= e.term.token
 }
 
-// TakeTermStart reports whether a new term has begun and the cache has caught up with
+// ConsumeTermStart reports whether a new term has begun and the cache has caught up with
 // it. It returns true once for each term.
-func (e *Election) TakeTermStart() bool {
+func (e *Election) ConsumeTermStart() bool {
 	if !e.term.startPending || (e.HoldsTerm() && !e.cacheCaughtUp()) {
 		return false
 	}
--- a/internal/election/term_test.go
+++ b/internal/election/term_test.go
@@ -30,7 +30,7 @@
 	if !h.HoldsTerm() {
 		t.Fatal("HoldsTerm() = false after the term transaction, want true")
 	}
-	if h.IsLeader(now) || h.MayRenewWorkerLeases(now) || h.TakeTermStart() {
+	if h.IsLeader(now) || h.MayRenewWorkerLeases(now) || h.ConsumeTermStart() {
 		t.Error("the controller acts as leader although its cache lacks writes from before its term")
 	}
 	h.tick(now)
@@ -43,10 +43,10 @@
 	if !h.IsLeader(now) || !h.MayRenewWorkerLeases(now) {
 		t.Error("the controller does not act as leader although its cache has caught up")
 	}
-	if !h.TakeTermStart() {
+	if !h.ConsumeTermStart() {
 		t.Error("the start of the term was not reported although the cache has caught up")
 	}
-	if h.TakeTermStart() {
+	if h.ConsumeTermStart() {
 		t.Error("the start of the term was reported twice")
 	}
 }
@@ -114,7 +114,7 @@
 			}
 		})
 	}
-	h.ObserveFencingToken(h.FencingToken() + 1)
+	h.RecordFencingToken(h.FencingToken() + 1)
 	if now := start + 5*time.Second; h.MayRenewWorkerLeases(now) {
 		t.Error("MayRenewWorkerLeases() = true in the grace period although a later term was observed, want false")
 	}
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -39,7 +39,7 @@
 	maxUnsentPeerBytes = 8 << 20
 	// maxPipelinedBytes is how much a client may send while it waits for a reply:
 	// one whole request more.
-	maxPipelinedBytes = httpwire.MaxHead + httpwire.MaxBody
+	maxPipelinedBytes = httpwire.MaxHeadBytes + httpwire.MaxBodyBytes
 )
 
 // connection is a socket with what the engine knows of it. It belongs to the
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -67,7 +67,7 @@
 // TestLimits checks that the engine's limits admit the longest body that the
 // parser takes.
 func TestLimits(t *testing.T) {
-	if maxUnsentBytes <= httpwire.MaxBody || maxFrameBytes <= httpwire.MaxBody {
+	if maxUnsentBytes <= httpwire.MaxBodyBytes || maxFrameBytes <= httpwire.MaxBodyBytes {
 		t.Error("a whole heartbeat must fit a frame and the unsent bound")
 	}
 	// Heartbeats of a kibibyte each, one of every worker in the three seconds for
--- a/internal/engine/peers.go
+++ b/internal/engine/peers.go
@@ -15,7 +15,7 @@
 	// frameHeaderBytes: frames follow each other, each behind its length as a 32-bit
 	// big-endian number.
 	frameHeaderBytes = 4
-	// maxFrameBytes holds a relayed heartbeat of httpwire.MaxBody bytes with what
+	// maxFrameBytes holds a relayed heartbeat of httpwire.MaxBodyBytes bytes with what
 	// package peer puts around it.
 	maxFrameBytes = 128 << 10
 )
--- a/internal/httpwire/head.go
+++ b/internal/httpwire/head.go
@@ -38,9 +38,9 @@
 // *ParseError.
 func parseHead(in []byte) (head, error) {
 	h := head{length: lengthUnknown}
-	end := bytes.Index(in[:min(len(in), MaxHead)], headEnd)
+	end := bytes.Index(in[:min(len(in), MaxHeadBytes)], headEnd)
 	if end < 0 {
-		if len(in) >= MaxHead {
+		if len(in) >= MaxHeadBytes {
 			return h, errHeadTooLarge
 		}
 		return h, ErrIncomplete
--- a/internal/httpwire/parse.go
+++ b/internal/httpwire/parse.go
@@ -11,10 +11,10 @@
 
 // Limits on how much data a sender can cause to be buffered, in bytes.
 const (
-	// MaxHead is the maximum size of the head of a message.
-	MaxHead = 16 << 10
-	// MaxBody is the maximum size of the body of a request, as defined by the protocol.
-	MaxBody = 64 << 10
+	// MaxHeadBytes is the maximum size of the head of a message.
+	MaxHeadBytes = 16 << 10
+	// MaxBodyBytes is the maximum size of the body of a request, as defined by the protocol.
+	MaxBodyBytes = 64 << 10
 )
 
 // minStatus and maxStatus are the bounds of the status codes that HTTP defines.
@@ -56,7 +56,7 @@
 	m.Method = string(method)
 	m.Target = string(target)
 	m.Close = h.close
-	body, size, err := h.body(in, MaxBody)
+	body, size, err := h.body(in, MaxBodyBytes)
 	m.Body = body
 	return m, size, err
 }
--- a/internal/httpwire/parse_test.go
+++ b/internal/httpwire/parse_test.go
@@ -28,7 +28,7 @@
 		{"conflicting lengths", "POST /a HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", errContentLength, "", 0},
 		{"length and chunked encoding", "POST /a HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\na", errConflictingLengths, "", 0},
 		{"body too large", "POST /a HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", errBodyTooLarge, "", 0},
-		{"head too large", "GET /" + strings.Repeat("a", MaxHead), errHeadTooLarge, "", 0},
+		{"head too large", "GET /" + strings.Repeat("a", MaxHeadBytes), errHeadTooLarge, "", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m, size, err := ParseRequest([]byte(c.in))
--- a/internal/kv/rates.go
+++ b/internal/kv/rates.go
@@ -76,8 +76,8 @@
 // QueueDelay is the estimated time in seconds that a new transaction waits in the
 // queue.
 type QueueDelay struct {
-	AtTotalRate float64 // lower bound: if this controller could use the whole rate of the store
-	AtOwnShare  float64 // at this controller's current share of the rate
+	SecondsAtTotalRate float64 // lower bound: if this controller could use the whole rate of the store
+	SecondsAtOwnShare  float64 // at this controller's current share of the rate
 }
 
 // QueueDelay estimates the delay of a new transaction of the given priority from the
@@ -88,7 +88,7 @@
 		ahead += len(txns)
 	}
 	return QueueDelay{
-		AtTotalRate: float64(ahead) / c.limits.Rates.Writes,
-		AtOwnShare:  float64(ahead) / c.rates.writes.rate,
+		SecondsAtTotalRate: float64(ahead) / c.limits.Rates.Writes,
+		SecondsAtOwnShare:  float64(ahead) / c.rates.writes.rate,
 	}
 }
--- a/internal/pipeline/assignment.go
+++ b/internal/pipeline/assignment.go
@@ -15,9 +15,9 @@
 	Machine MachineIndex
 	Attempt uint64
 
-	durable bool // the watch cache shows the assignment
-	written bool // part of a write that was or may still be committed
-	omitted bool // left out of a write in flight
+	persisted      bool // the watch cache shows the assignment
+	mayBePersisted bool // part of a write that was or may still be committed
+	omitted        bool // left out of a write in flight
 
 	assignmentStatus
 }
@@ -58,17 +58,17 @@
 	TaskExited
 )
 
-// Durable reports whether the assignment is persisted, according to the watch cache.
-func (a *Assignment) Durable() bool { return a.durable }
+// Persisted reports whether the assignment is persisted, according to the watch cache.
+func (a *Assignment) Persisted() bool { return a.persisted }
 
-// Stored reports whether the assignment is persisted and has no pending write.
-func (a *Assignment) Stored() bool { return a.durable && a.pending == NoPendingWrite }
+// FullyPersisted reports whether the assignment is persisted and has no pending write.
+func (a *Assignment) FullyPersisted() bool { return a.persisted && a.pending == NoPendingWrite }
 
 // Pending returns the change that has not been persisted yet.
 func (a *Assignment) Pending() PendingWrite { return a.pending }
 
-// PlacedAt returns the time when the task was assigned, zero if an earlier leader assigned it.
-func (a *Assignment) PlacedAt() event.Time { return a.assignedAt }
+// AssignedAt returns the time when the task was assigned, zero if an earlier leader assigned it.
+func (a *Assignment) AssignedAt() event.Time { return a.assignedAt }
 
 // IsFirstOfJob reports whether no other task of the job is assigned or done.
 func (a *Assignment) IsFirstOfJob() bool {
--- a/internal/pipeline/assignments.go
+++ b/internal/pipeline/assignments.go
@@ -19,7 +19,7 @@
 		job.retry.probe = assignment
 	}
 	segment.unsentPlacement = true
-	t.noteSegmentChanged(job, segment)
+	t.markSegmentUnsaved(job, segment)
 	return assignment
 }
 
@@ -29,7 +29,7 @@
 		return
 	}
 	segment := &assignment.Job.segments[assignment.Task/t.segmentLen]
-	if !assignment.written && !assignment.durable {
+	if !assignment.mayBePersisted && !assignment.persisted {
 		// The assignment was never part of a write, so there is nothing to undo.
 		if segment.assignments[assignment.Task] == assignment {
 			delete(segment.assignments, assignment.Task)
@@ -40,8 +40,8 @@
 	}
 	if assignment.pending != PendingClear {
 		assignment.pending = PendingClear
-		t.NoteMachineChanged(assignment.Machine)
-		t.noteSegmentChanged(assignment.Job, segment)
+		t.MarkMachineChanged(assignment.Machine)
+		t.markSegmentUnsaved(assignment.Job, segment)
 	}
 }
 
@@ -53,7 +53,7 @@
 	}
 	assignment.evicting = true
 	assignment.gracePeriod = gracePeriod
-	t.NoteMachineChanged(assignment.Machine)
+	t.MarkMachineChanged(assignment.Machine)
 }
 
 // BeginTermination records that the attempt of a gang is being terminated. No task of the
@@ -72,7 +72,7 @@
 // addAssignment adds a new assignment to the counts and to its machine.
 func (t *Table) addAssignment(assignment *Assignment) {
 	assignment.Job.activeCount++
-	t.countUsage(assignment, 1)
+	t.adjustUsage(assignment, 1)
 	t.addToMachine(assignment)
 }
 
@@ -80,10 +80,10 @@
 // has removed it from its segment.
 func (t *Table) removeAssignment(assignment *Assignment) {
 	assignment.Job.activeCount--
-	assignment.Job.noteUnplaced(assignment.Task)
+	assignment.Job.recordUnassigned(assignment.Task)
 	if assignment.pending == PendingDone {
 		assignment.Job.pendingDoneCount--
 	}
-	t.countUsage(assignment, -1)
+	t.adjustUsage(assignment, -1)
 	t.removeFromMachine(assignment)
 }
--- a/internal/pipeline/completion.go
+++ b/internal/pipeline/completion.go
@@ -16,8 +16,8 @@
 		if assignment.pending != PendingDone {
 			assignment.pending = PendingDone
 			job.pendingDoneCount++
-			t.NoteMachineChanged(assignment.Machine)
-			t.noteSegmentChanged(job, segment)
+			t.MarkMachineChanged(assignment.Machine)
+			t.markSegmentUnsaved(job, segment)
 		}
 		return
 	}
@@ -28,7 +28,7 @@
 		job.doneUnassigned = map[int]bool{}
 	}
 	job.doneUnassigned[task] = true
-	t.noteSegmentChanged(job, segment)
+	t.markSegmentUnsaved(job, segment)
 }
 
 // complete reports whether all tasks are done, including completions that are not
--- a/internal/pipeline/completion_test.go
+++ b/internal/pipeline/completion_test.go
@@ -53,7 +53,7 @@
 	txns := &txnQueue{}
 	table.Flush(0, term, txns)
 	commit(table, txns.next(t), 3)
-	if job.Phase() != Done || job.ActiveCount() != 1 || len(table.TakeEndedJobs()) != 1 {
+	if job.Phase() != Done || job.ActiveCount() != 1 || len(table.DrainEndedJobs()) != 1 {
 		t.Errorf("phase = %v with %d assignments, want %v, 1 assignment and 1 ended job", job.Phase(), job.ActiveCount(), Done)
 	}
 }
--- a/internal/pipeline/fixture_test.go
+++ b/internal/pipeline/fixture_test.go
@@ -193,7 +193,9 @@
 	return strings.Join(numbers, " ")
 }
 
-func (f *fixture) upstreamCancelledIDs() string { return idsOf(inOrder(f.graph.upstreamCancelled)) }
+func (f *fixture) upstreamCancelledIDs() string {
+	return idsOf(inCreationOrder(f.graph.upstreamCancelled))
+}
 
 func expect(t *testing.T, what, got, want string) {
 	t.Helper()
--- a/internal/pipeline/flush.go
+++ b/internal/pipeline/flush.go
@@ -133,7 +133,7 @@
 // them, so the earlier write can no longer be committed.
 func (t *Table) removeOmitted(segment *segment) {
 	for task, assignment := range segment.assignments {
-		if assignment.omitted && !assignment.durable {
+		if assignment.omitted && !assignment.persisted {
 			delete(segment.assignments, task)
 			t.removeAssignment(assignment)
 			t.RequestRound()
@@ -152,7 +152,7 @@
 	}
 	w.table.unsaved[w.job] = true
 	for _, assignment := range segment.assignments {
-		segment.unsentPlacement = segment.unsentPlacement || (assignment.pending == NoPendingWrite && !assignment.durable)
+		segment.unsentPlacement = segment.unsentPlacement || (assignment.pending == NoPendingWrite && !assignment.persisted)
 	}
 }
 
@@ -172,7 +172,7 @@
 	for _, assignment := range segment.assignments {
 		switch assignment.pending {
 		case NoPendingWrite:
-			if assignment.durable {
+			if assignment.persisted {
 				content.active = append(content.active, assignment)
 			} else {
 				content.placements = append(content.placements, assignment)
@@ -209,13 +209,13 @@
 	} else if len(content.active)+len(content.placements) == 0 {
 		return segment.buildDeletion(txn, key)
 	}
-	data, fitting := t.fit(job, segment, content)
+	data, fitting := t.encodeWithinLimit(job, segment, content)
 	segment.deferredPlacements = len(content.placements) - len(fitting)
 	if segment.deferredPlacements > 0 && len(fitting) == 0 && !content.hasProgress {
 		return false // none of the placements fits, and nothing else has changed
 	}
 	for _, assignment := range fitting {
-		assignment.written = true
+		assignment.mayBePersisted = true
 	}
 	txn.Writes = []kv.Write{{Key: key, Data: data}}
 	return true
--- a/internal/pipeline/flush_test.go
+++ b/internal/pipeline/flush_test.go
@@ -37,8 +37,8 @@
 	}
 	table.Flush(2*time.Second, term, txns)
 	commit(table, txns.next(t), 3)
-	if job.ActiveCount() != 0 || job.UnplacedCount() != 1 {
-		t.Errorf("got %d assignments and %d unassigned tasks, want 0 and 1", job.ActiveCount(), job.UnplacedCount())
+	if job.ActiveCount() != 0 || job.UnassignedCount() != 1 {
+		t.Errorf("got %d assignments and %d unassigned tasks, want 0 and 1", job.ActiveCount(), job.UnassignedCount())
 	}
 }
 
@@ -55,7 +55,7 @@
 	}
 	commit(table, txns.next(t), 2)
 	for task := range 40 {
-		if !job.Assignment(task).durable {
+		if !job.Assignment(task).persisted {
 			t.Fatalf("assignment of task %d is not persisted after the commit", task)
 		}
 	}
--- a/internal/pipeline/graph.go
+++ b/internal/pipeline/graph.go
@@ -173,7 +173,7 @@
 	dependents := t.graph.dependents[id]
 	delete(t.graph.dependents, id)
 	if phase == Cancelled {
-		t.cancelDownstream(inOrder(dependents)...)
+		t.cancelDownstream(inCreationOrder(dependents)...)
 		return
 	}
 	for job := range dependents {
@@ -184,8 +184,8 @@
 	}
 }
 
-// inOrder returns a set of held jobs in the order in which their records were created.
-func inOrder(set map[*Job]bool) []*Job {
+// inCreationOrder returns a set of held jobs in the order in which their records were created.
+func inCreationOrder(set map[*Job]bool) []*Job {
 	if len(set) == 0 {
 		return nil
 	}
--- a/internal/pipeline/graph_test.go
+++ b/internal/pipeline/graph_test.go
@@ -91,7 +91,7 @@
 
 // derivedState describes the state of every job that is derived from the graph.
 func (f *fixture) derivedState() string {
-	f.inherit()
+	f.updateEffectiveValues()
 	var b strings.Builder
 	names := make([]string, 0, len(f.byID))
 	for id := range f.byID {
@@ -176,7 +176,7 @@
 			for _, stored := range f.log {
 				other.HandleChange(stored.kind, stored.rest, stored.data, stored.modRevision)
 				if rng.IntN(4) == 0 {
-					other.inherit()
+					other.updateEffectiveValues()
 				}
 			}
 			if got := other.derivedState(); got != want {
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -148,7 +148,7 @@
 	terminating    bool         // the attempt of the gang is being terminated
 	withinQuota    bool         // the job fits in its team's quota
 	reservedZone   ZoneSelector // zone where capacity is reserved for the job, any zone if there is none
-	unplacedFrom   int          // all tasks with lower numbers are assigned or done
+	minUnassigned  int          // all tasks with lower numbers are assigned or done
 	doneUnassigned map[int]bool // completed tasks without an assignment
 }
 
--- a/internal/pipeline/job_end.go
+++ b/internal/pipeline/job_end.go
@@ -2,9 +2,9 @@
 
 import "lugward/internal/record"
 
-// onTerminal handles a terminal record of the watch cache. It reports whether the record is
+// handleTerminal handles a terminal record of the watch cache. It reports whether the record is
 // new. A terminal record never changes, but the watch cache may deliver it more than once.
-func (t *Table) onTerminal(id string, data []byte) (isNew bool, err error) {
+func (t *Table) handleTerminal(id string, data []byte) (isNew bool, err error) {
 	if data == nil || t.Terminal.Has(id) {
 		return false, nil
 	}
@@ -32,14 +32,14 @@
 	if job.activeCount > 0 {
 		t.endedWithTasks[job] = true
 		for assignment := range job.Assignments() {
-			t.NoteMachineChanged(assignment.Machine)
+			t.MarkMachineChanged(assignment.Machine)
 		}
 	}
 	t.removeUnpersistedAssignments(job)
 	if phase == Done {
 		t.removeCompletedAssignments(job)
 	}
-	t.forget(job)
+	t.removeIfNoRecords(job)
 }
 
 // removeUnpersistedAssignments removes the assignments of a job with a terminal record
@@ -48,7 +48,7 @@
 func (t *Table) removeUnpersistedAssignments(job *Job) {
 	for index := range job.segments {
 		for task, assignment := range job.segments[index].assignments {
-			if !assignment.durable {
+			if !assignment.persisted {
 				delete(job.segments[index].assignments, task)
 				t.removeAssignment(assignment)
 			}
@@ -56,9 +56,9 @@
 	}
 }
 
-// TakeEndedJobs returns and clears the list of jobs that have ended while their tasks may
+// DrainEndedJobs returns and clears the list of jobs that have ended while their tasks may
 // still be on machines.
-func (t *Table) TakeEndedJobs() []*Job {
+func (t *Table) DrainEndedJobs() []*Job {
 	list := make([]*Job, 0, len(t.endedWithTasks))
 	for job := range t.endedWithTasks {
 		list = append(list, job)
--- a/internal/pipeline/leadership.go
+++ b/internal/pipeline/leadership.go
@@ -34,12 +34,12 @@
 		segment.unsentPlacement = false
 		segment.nextWrite = 0
 		for task, assignment := range segment.assignments {
-			if !assignment.durable {
+			if !assignment.persisted {
 				delete(segment.assignments, task)
 				t.removeAssignment(assignment)
 				continue
 			}
-			t.NoteMachineChanged(assignment.Machine)
+			t.MarkMachineChanged(assignment.Machine)
 			assignment.reset()
 		}
 	}
--- a/internal/pipeline/machine_index.go
+++ b/internal/pipeline/machine_index.go
@@ -10,13 +10,13 @@
 type machineIndex struct {
 	byMachine       [][]*Assignment
 	changeCounts    []uint32              // by machine, number of changes of its assignments
-	changedMachines []MachineIndex        // since the last call of TakeChangedMachines, in the order of the first change
+	changedMachines []MachineIndex        // since the last call of DrainChangedMachines, in the order of the first change
 	changed         map[MachineIndex]bool // set of the machines in changedMachines
 }
 
-// OnMachine returns the current assignments of a machine. Later changes do not affect the
+// AssignmentsOn returns the current assignments of a machine. Later changes do not affect the
 // returned list, which the caller must not modify.
-func (m *machineIndex) OnMachine(machine MachineIndex) []*Assignment {
+func (m *machineIndex) AssignmentsOn(machine MachineIndex) []*Assignment {
 	if machine < 0 || machine >= MachineIndex(len(m.byMachine)) {
 		return nil
 	}
@@ -34,9 +34,9 @@
 	}
 }
 
-// NoteMachineChanged marks a machine as changed because its assignments or their state have
+// MarkMachineChanged marks a machine as changed because its assignments or their state have
 // changed.
-func (m *machineIndex) NoteMachineChanged(machine MachineIndex) {
+func (m *machineIndex) MarkMachineChanged(machine MachineIndex) {
 	for MachineIndex(len(m.changeCounts)) <= machine {
 		m.changeCounts = append(m.changeCounts, 0)
 	}
@@ -47,18 +47,18 @@
 	}
 }
 
-// Changes returns the number of changes of a machine's assignments. Callers that cache
+// ChangeCount returns the number of changes of a machine's assignments. Callers that cache
 // values derived from the assignments use it to detect stale values.
-func (m *machineIndex) Changes(machine MachineIndex) uint32 {
+func (m *machineIndex) ChangeCount(machine MachineIndex) uint32 {
 	if machine >= MachineIndex(len(m.changeCounts)) {
 		return 0
 	}
 	return m.changeCounts[machine]
 }
 
-// TakeChangedMachines returns and clears the list of machines whose assignments have
+// DrainChangedMachines returns and clears the list of machines whose assignments have
 // changed. Each machine is listed once.
-func (m *machineIndex) TakeChangedMachines() []MachineIndex {
+func (m *machineIndex) DrainChangedMachines() []MachineIndex {
 	list := m.changedMachines
 	m.changedMachines = nil
 	clear(m.changed)
@@ -70,11 +70,11 @@
 		m.byMachine = append(m.byMachine, nil)
 	}
 	m.byMachine[assignment.Machine] = append(slices.Clip(m.byMachine[assignment.Machine]), assignment)
-	m.NoteMachineChanged(assignment.Machine)
+	m.MarkMachineChanged(assignment.Machine)
 }
 
 func (m *machineIndex) removeFromMachine(assignment *Assignment) {
-	m.NoteMachineChanged(assignment.Machine)
+	m.MarkMachineChanged(assignment.Machine)
 	list := slices.Clone(m.byMachine[assignment.Machine])
 	m.byMachine[assignment.Machine] = slices.DeleteFunc(list, func(other *Assignment) bool { return other == assignment })
 }
--- a/internal/pipeline/priority_inheritance.go
+++ b/internal/pipeline/priority_inheritance.go
@@ -48,9 +48,9 @@
 	return j.ModRevision
 }
 
-// inherit updates the effective priorities and deadlines of all jobs that are affected by
+// updateEffectiveValues updates the effective priorities and deadlines of all jobs that are affected by
 // changes. Each job is processed once.
-func (t *Table) inherit() {
+func (t *Table) updateEffectiveValues() {
 	stale := t.graph.stale
 	if len(stale) == 0 {
 		return
--- a/internal/pipeline/priority_inheritance_test.go
+++ b/internal/pipeline/priority_inheritance_test.go
@@ -11,7 +11,7 @@
 // checkDerived compares the effective values with a recursive computation over all jobs.
 func checkDerived(t *testing.T, f *fixture) {
 	t.Helper()
-	f.inherit()
+	f.updateEffectiveValues()
 	var derive func(job *Job) (Priority, event.Time)
 	derive = func(job *Job) (Priority, event.Time) {
 		priority, deadline := job.Priority, job.deadlineAt
@@ -44,11 +44,11 @@
 	a := f.addJob(1, func(job *Job) { job.Priority = Idle })
 	b := f.addJob(2, func(job *Job) { job.Priority = Idle }, 1)
 	c := f.addJob(3, nil, 1)
-	if f.inherit(); a.EffectivePriority != Normal || a.EffectiveDeadline != NoDeadline || b.EffectivePriority != Idle {
+	if f.updateEffectiveValues(); a.EffectivePriority != Normal || a.EffectiveDeadline != NoDeadline || b.EffectivePriority != Idle {
 		t.Errorf("effective priority %v and deadline %v of job 1, priority %v of job 2; want Normal, NoDeadline and Idle", a.EffectivePriority, a.EffectiveDeadline, b.EffectivePriority)
 	}
 	last := f.addJob(4, func(job *Job) { job.Priority, job.Deadline, job.SubmittedAt = High, 100, 1000_000 }, 2, 3)
-	f.inherit()
+	f.updateEffectiveValues()
 	// Job 4 is submitted one second after monotonic time 0 with a deadline 100 s later.
 	deadline := 101 * time.Second
 	step := 10 * time.Second
@@ -59,7 +59,7 @@
 		t.Errorf("priority %v and deadline %v as given by the user, want Idle and 0 on a chained job", a.Priority, a.Deadline)
 	}
 	f.storeTerminal(4, Cancelled)
-	if f.inherit(); a.EffectivePriority != Normal || b.EffectivePriority != Idle || a.EffectiveDeadline != NoDeadline || c.EffectiveDeadline != NoDeadline {
+	if f.updateEffectiveValues(); a.EffectivePriority != Normal || b.EffectivePriority != Idle || a.EffectiveDeadline != NoDeadline || c.EffectiveDeadline != NoDeadline {
 		t.Errorf("after the cancellation: effective priorities %v and %v of jobs 1 and 2, want Normal and Idle; deadlines %v and %v of jobs 1 and 3, want NoDeadline", a.EffectivePriority, b.EffectivePriority, a.EffectiveDeadline, c.EffectiveDeadline)
 	}
 	checkDerived(t, f)
@@ -75,9 +75,9 @@
 	for i := 2; i <= n; i++ {
 		f.addJob(i, nil, i-1, max(1, i-2))
 	}
-	f.inherit()
+	f.updateEffectiveValues()
 	f.addJob(n+1, func(job *Job) { job.Priority, job.Deadline, job.SubmittedAt = Production, 1e6, 1000_000 }, n)
-	f.inherit()
+	f.updateEffectiveValues()
 	if root := f.Job(id(1)); root.EffectivePriority != Production || root.EffectiveDeadline != event.Time((1e6+1-10*n)*1e9) {
 		t.Errorf("effective priority %v and deadline %v of the first job, want Production and the last deadline less all estimated runtimes", root.EffectivePriority, root.EffectiveDeadline)
 	}
--- a/internal/pipeline/production_test.go
+++ b/internal/pipeline/production_test.go
@@ -86,19 +86,19 @@
 // its assignments.
 func checkRunRecord(t *testing.T, table *Table, stored change) int {
 	t.Helper()
-	id, index, ok := record.SplitNumbered(stored.rest)
+	id, index, ok := record.SplitNumberedKey(stored.rest)
 	if !ok {
 		t.Fatalf("key %q, want a job ID and an index", stored.rest)
 	}
 	segment := &table.Job(id).segments[index]
 	active := make([]*Assignment, 0, len(segment.assignments))
 	for _, assignment := range segment.assignments {
-		if !assignment.durable {
+		if !assignment.persisted {
 			t.Errorf("%s: an assignment is not persisted", stored.rest)
 		}
 		active = append(active, assignment)
 	}
-	run := record.Run{Attempt: segment.attempt, Done: segment.done, Active: table.assignmentRecords(active, nil)}
+	run := record.Run{MaxAttempt: segment.attempt, Done: segment.done, Active: table.assignmentRecords(active, nil)}
 	if got := run.Encode(); !bytes.Equal(got, stored.data) {
 		t.Errorf("record %s is encoded as %s, want the same", stored.data, got)
 	}
--- a/internal/pipeline/readiness.go
+++ b/internal/pipeline/readiness.go
@@ -34,7 +34,7 @@
 
 // ReadyJobs returns the unfinished ready jobs, in the order in which they became ready.
 func (t *Table) ReadyJobs() []*Job {
-	t.inherit()
+	t.updateEffectiveValues()
 	var list []*Job
 	for job := range t.AllJobs() {
 		if job.ModRevision != 0 && job.Ready && job.TerminalPhase == Queued {
@@ -48,8 +48,8 @@
 // Releasable returns the held jobs whose upstream jobs are all done, ordered by effective
 // priority, highest first, and then by the order in which they were accepted.
 func (t *Table) Releasable() []*Job {
-	t.inherit()
-	list := inOrder(t.graph.releasable)
+	t.updateEffectiveValues()
+	list := inCreationOrder(t.graph.releasable)
 	slices.SortStableFunc(list, func(a, b *Job) int { return cmp.Compare(b.EffectivePriority, a.EffectivePriority) })
 	return list
 }
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -69,7 +69,7 @@
 // all unassigned ones, or a single one while the job is at fault. A gang is always placed as
 // a whole.
 func (j *Job) StartableCount() int {
-	unplaced := j.UnplacedCount()
+	unplaced := j.UnassignedCount()
 	switch {
 	case !j.AtFault() || j.Shape == Gang:
 		return unplaced
--- a/internal/pipeline/retry_test.go
+++ b/internal/pipeline/retry_test.go
@@ -213,9 +213,9 @@
 	}
 }
 
-// NextUnplaced starts its search at the last task that it found. It must still return the
+// NextUnassigned starts its search at the last task that it found. It must still return the
 // first unassigned task after any sequence of assignments, terminations and completions.
-func TestNextUnplaced(t *testing.T) {
+func TestNextUnassigned(t *testing.T) {
 	table, job := newJob(t, 40)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for step := range 2000 {
@@ -224,16 +224,16 @@
 		switch {
 		case assignment != nil:
 			table.RecordTermination(assignment)
-		case job.Unplaced(task) && rng.IntN(20) > 0:
+		case job.Unassigned(task) && rng.IntN(20) > 0:
 			table.Assign(job, task, 0, 0, 1)
 		case rng.IntN(100) == 0:
 			table.RecordCompletion(job, task)
 		}
 		want := 0
-		for want < job.TaskCount && !job.Unplaced(want) {
+		for want < job.TaskCount && !job.Unassigned(want) {
 			want++
 		}
-		if got := job.NextUnplaced(0); got != want {
+		if got := job.NextUnassigned(0); got != want {
 			t.Fatalf("step %d: NextUnplaced(0) = %d, want %d", step, got, want)
 		}
 		if step%500 == 499 {
--- a/internal/pipeline/segment.go
+++ b/internal/pipeline/segment.go
@@ -51,8 +51,8 @@
 	return &job.segments[index]
 }
 
-// noteSegmentChanged marks a segment as different from its persisted record.
-func (t *Table) noteSegmentChanged(job *Job, segment *segment) {
+// markSegmentUnsaved marks a segment as different from its persisted record.
+func (t *Table) markSegmentUnsaved(job *Job, segment *segment) {
 	segment.unsaved = true
 	segment.changeCount++
 	t.unsaved[job] = true
@@ -85,7 +85,7 @@
 		t.unsaved[job] = true // a write without a response was committed
 	}
 	if data == nil {
-		t.forget(job)
+		t.removeIfNoRecords(job)
 	}
 	return nil
 }
@@ -102,7 +102,7 @@
 		return nil, err
 	}
 	s.unknown = run.Unknown
-	s.attempt = max(s.attempt, run.Attempt)
+	s.attempt = max(s.attempt, run.MaxAttempt)
 	for word := range run.Done {
 		s.done[word] |= run.Done[word] // a task that is done remains done
 	}
@@ -124,11 +124,11 @@
 			segment.assignments[entry.Task] = assignment
 			t.addAssignment(assignment)
 		}
-		if !assignment.durable {
-			t.NoteMachineChanged(machine)
+		if !assignment.persisted {
+			t.MarkMachineChanged(machine)
 		}
-		assignment.durable = true
-		assignment.written = true
+		assignment.persisted = true
+		assignment.mayBePersisted = true
 		listed[entry.Task] = assignment
 	}
 	return listed
@@ -138,7 +138,7 @@
 // except placements that may still be written.
 func (t *Table) removeUnlistedAssignments(job *Job, segment *segment, listed map[int]*Assignment) {
 	for task, assignment := range segment.assignments {
-		if listed[task] == nil && (assignment.durable || job.TerminalPhase != Queued || job.IsDone(task)) {
+		if listed[task] == nil && (assignment.persisted || job.TerminalPhase != Queued || job.IsDone(task)) {
 			delete(segment.assignments, task)
 			t.removeAssignment(assignment)
 		}
--- a/internal/pipeline/segment_encoding.go
+++ b/internal/pipeline/segment_encoding.go
@@ -9,12 +9,12 @@
 	"lugward/internal/record"
 )
 
-// fit encodes a segment within the value size limit. It uses the plain format, which every
+// encodeWithinLimit encodes a segment within the value size limit. It uses the plain format, which every
 // version can read, if the record fits in it. Otherwise it uses the compact format, provided
 // that every controller is known to read it. Placements that are not persisted yet are
 // omitted until they fit; those of a gang are included all together or not at all. included
 // are the placements that the record contains.
-func (t *Table) fit(job *Job, segment *segment, content segmentContent) (data []byte, included []*Assignment) {
+func (t *Table) encodeWithinLimit(job *Job, segment *segment, content segmentContent) (data []byte, included []*Assignment) {
 	placements := content.placements
 	encode := func(count int) []byte {
 		return t.encodeSegment(segment, content.done, t.assignmentRecords(content.active, placements[:count]))
@@ -49,7 +49,7 @@
 // encodeSegment encodes a segment's record. It uses the compact format only if the plain one
 // exceeds the value size limit and all controllers can read the compact one.
 func (t *Table) encodeSegment(segment *segment, done []uint64, active []record.Assignment) []byte {
-	run := record.Run{Attempt: segment.attempt, Done: done, Active: active, Unknown: segment.unknown}
+	run := record.Run{MaxAttempt: segment.attempt, Done: done, Active: active, Unknown: segment.unknown}
 	data := run.Encode()
 	if len(data) > t.config.ValueLimit && t.AllControllersUpgraded() {
 		run.Format = record.Compact
@@ -99,7 +99,7 @@
 			}
 			limit--
 			if t.fitsPlain(segment) {
-				t.noteSegmentChanged(job, segment)
+				t.markSegmentUnsaved(job, segment)
 			}
 		}
 	}
@@ -109,10 +109,10 @@
 func (t *Table) fitsPlain(segment *segment) bool {
 	assignments := slices.Collect(maps.Values(segment.assignments))
 	run := record.Run{
-		Attempt: segment.attempt,
-		Done:    segment.done,
-		Active:  t.assignmentRecords(assignments, nil),
-		Unknown: segment.unknown,
+		MaxAttempt: segment.attempt,
+		Done:       segment.done,
+		Active:     t.assignmentRecords(assignments, nil),
+		Unknown:    segment.unknown,
 	}
 	return len(run.Encode()) <= t.config.ValueLimit
 }
--- a/internal/pipeline/segment_encoding_test.go
+++ b/internal/pipeline/segment_encoding_test.go
@@ -34,7 +34,7 @@
 
 func countPersisted(job *Job) (n int) {
 	for assignment := range job.Assignments() {
-		if assignment.durable {
+		if assignment.persisted {
 			n++
 		}
 	}
@@ -86,15 +86,15 @@
 // placements are written once all controllers can read the compact format.
 func TestLargeRecordWaits(t *testing.T) {
 	table, job := newLimitedTable(t, Array)
-	table.HandleChange(record.KindVersion, "n0", record.Version, 3)
+	table.HandleChange(record.KindVersion, "n0", record.VersionValue, 3)
 	assignTasks(table, job, 128)
 	flusher := &flusher{T: t, table: table}
 	if data := flusher.flushAndCommit(4); !strings.Contains(data, `"a":[[`) {
 		t.Errorf("Flush wrote %s, want the plain format", data)
 	}
 	fitting := countPersisted(job)
-	if fitting < 60 || fitting > 120 || job.ActiveCount() != 128 || job.UnplacedCount() != 0 {
-		t.Errorf("%d of %d assignments are persisted and %d tasks unplaced, want 60 to 120 of 128 and 0", fitting, job.ActiveCount(), job.UnplacedCount())
+	if fitting < 60 || fitting > 120 || job.ActiveCount() != 128 || job.UnassignedCount() != 0 {
+		t.Errorf("%d of %d assignments are persisted and %d tasks unplaced, want 60 to 120 of 128 and 0", fitting, job.ActiveCount(), job.UnassignedCount())
 	}
 	for range 5 {
 		flusher.flushExpectingNoWrite()
@@ -107,7 +107,7 @@
 	if got := countPersisted(job); got <= fitting-10 || job.ActiveCount() != 118 {
 		t.Errorf("after 10 completions %d of %d assignments are persisted, want more of 118", got, job.ActiveCount())
 	}
-	table.HandleChange(record.KindVersion, "n1", record.Version, 6)
+	table.HandleChange(record.KindVersion, "n1", record.VersionValue, 6)
 	if data := flusher.flushAndCommit(7); !strings.Contains(data, `"a":"`) {
 		t.Errorf("Flush wrote %s, want the compact format", data)
 	}
@@ -125,7 +125,7 @@
 func TestExpandRecords(t *testing.T) {
 	table, job := newLimitedTable(t, Array)
 	for _, label := range table.config.ControllerLabels {
-		table.HandleChange(record.KindVersion, label, record.Version, 3)
+		table.HandleChange(record.KindVersion, label, record.VersionValue, 3)
 	}
 	txns := &txnQueue{}
 	assignTasks(table, job, 128)
@@ -158,7 +158,7 @@
 	}
 	txns.list = nil
 	for _, label := range table.config.ControllerLabels {
-		table.HandleChange(record.KindVersion, label, record.Version, 3)
+		table.HandleChange(record.KindVersion, label, record.VersionValue, 3)
 	}
 	table.Flush(2*time.Second, term, txns)
 	commit(table, txns.next(t), 4)
@@ -184,7 +184,7 @@
 			table.config.ValueLimit = 2048
 			table.config.ControllerLabels = []string{"n0"}
 			if test.upgraded {
-				table.HandleChange(record.KindVersion, "n0", record.Version, 1)
+				table.HandleChange(record.KindVersion, "n0", record.VersionValue, 1)
 			}
 			stored := readChanges(t, "production_large.txt")[0]
 			if len(stored.data) <= table.config.ValueLimit {
--- a/internal/pipeline/table.go
+++ b/internal/pipeline/table.go
@@ -18,9 +18,9 @@
 	TxnOps int
 	// ControllerLabels are the labels of all controllers.
 	ControllerLabels []string
-	// OnRefusedRecord, if set, is called for each persisted record that cannot be decoded
+	// OnDecodeError, if set, is called for each persisted record that cannot be decoded
 	// and is therefore ignored. err is a *record.DecodeError.
-	OnRefusedRecord func(key string, err error)
+	OnDecodeError func(key string, err error)
 }
 
 // Table holds the job graph as the watch cache shows it, and the leader's pending writes.
@@ -91,8 +91,8 @@
 // HandleChange handles one change of the watch cache. data is nil if the key was deleted.
 func (t *Table) HandleChange(kind record.Kind, rest string, data []byte, modRevision uint64) {
 	changed, err := t.applyChange(kind, rest, data, modRevision)
-	if err != nil && t.config.OnRefusedRecord != nil {
-		t.config.OnRefusedRecord(string(kind)+"/"+rest, err)
+	if err != nil && t.config.OnDecodeError != nil {
+		t.config.OnDecodeError(string(kind)+"/"+rest, err)
 	}
 	if changed {
 		t.RequestRound()
@@ -106,19 +106,19 @@
 	case record.KindJob:
 		return true, t.handleJob(rest, data, modRevision)
 	case record.KindRun:
-		if id, index, ok := record.SplitNumbered(rest); ok {
+		if id, index, ok := record.SplitNumberedKey(rest); ok {
 			err = t.handleRun(id, index, data, modRevision)
 		}
 		return true, err
 	case record.KindTerminal:
-		return t.onTerminal(rest, data)
+		return t.handleTerminal(rest, data)
 	case record.KindRetry:
 		return true, t.handleRetry(rest, data, modRevision)
 	case record.KindVersion:
 		t.upgraded[rest] = data != nil
 		return true, nil
 	case record.KindUpstreamPage:
-		if id, page, ok := record.SplitNumbered(rest); ok {
+		if id, page, ok := record.SplitNumberedKey(rest); ok {
 			err = t.handleUpstreamPage(id, page, data, modRevision)
 		}
 		return true, err
@@ -145,8 +145,8 @@
 	return job
 }
 
-// forget removes a job if it has no assignments and none of its records is left.
-func (t *Table) forget(job *Job) {
+// removeIfNoRecords removes a job if it has no assignments and none of its records is left.
+func (t *Table) removeIfNoRecords(job *Job) {
 	if job.ModRevision != 0 || job.activeCount > 0 {
 		return
 	}
@@ -198,5 +198,5 @@
 	job.ModRevision = 0
 	t.unlink(job)
 	t.unmarkUpstreamCancelled(job)
-	t.forget(job)
+	t.removeIfNoRecords(job)
 }
--- a/internal/pipeline/tasks.go
+++ b/internal/pipeline/tasks.go
@@ -62,25 +62,25 @@
 	}
 }
 
-// Unplaced reports whether a task is unassigned and not completed.
-func (j *Job) Unplaced(task int) bool {
+// Unassigned reports whether a task is unassigned and not completed.
+func (j *Job) Unassigned(task int) bool {
 	return !j.IsDone(task) && j.Assignment(task) == nil && !j.doneUnassigned[task]
 }
 
 // HasStarted reports whether any task of the job is assigned or done.
 func (j *Job) HasStarted() bool { return j.ActiveCount() > 0 || j.DoneCount() > 0 }
 
-// NextUnplaced returns the first unassigned task whose number is at least from, or TaskCount
+// NextUnassigned returns the first unassigned task whose number is at least from, or TaskCount
 // if there is none. It remembers the tasks that it has skipped and does not check them again
 // until one of them is unassigned again. Otherwise each placement would scan the array from
 // its first task.
-func (j *Job) NextUnplaced(from int) int {
-	task := max(from, j.unplacedFrom)
-	for task < j.TaskCount && !j.Unplaced(task) {
+func (j *Job) NextUnassigned(from int) int {
+	task := max(from, j.minUnassigned)
+	for task < j.TaskCount && !j.Unassigned(task) {
 		task++
 	}
-	if from <= j.unplacedFrom {
-		j.unplacedFrom = task
+	if from <= j.minUnassigned {
+		j.minUnassigned = task
 	}
 	return task
 }
@@ -89,22 +89,22 @@
 // TaskCount if there is none. It rotates through the unassigned tasks, because only some of
 // them may fail.
 func (j *Job) ProbeTask() int {
-	unplaced := j.UnplacedCount()
+	unplaced := j.UnassignedCount()
 	if unplaced == 0 {
 		return j.TaskCount
 	}
-	task := j.NextUnplaced(0)
+	task := j.NextUnassigned(0)
 	for range j.Failures() % unplaced {
-		task = j.NextUnplaced(task + 1)
+		task = j.NextUnassigned(task + 1)
 	}
 	return task
 }
 
-// noteUnplaced records that a task may be unassigned again.
-func (j *Job) noteUnplaced(task int) { j.unplacedFrom = min(j.unplacedFrom, task) }
+// recordUnassigned records that a task may be unassigned again.
+func (j *Job) recordUnassigned(task int) { j.minUnassigned = min(j.minUnassigned, task) }
 
-// UnplacedCount returns the number of unassigned tasks that are not completed.
-func (j *Job) UnplacedCount() int {
+// UnassignedCount returns the number of unassigned tasks that are not completed.
+func (j *Job) UnassignedCount() int {
 	return max(0, j.TaskCount-j.doneCount-j.activeCount-len(j.doneUnassigned))
 }
 
--- a/internal/pipeline/usage.go
+++ b/internal/pipeline/usage.go
@@ -17,12 +17,12 @@
 // spec and multiplied by factor. factor is -1 before the spec changes and 1 after it.
 func (t *Table) adjustJobUsage(job *Job, factor float64) {
 	for assignment := range job.Assignments() {
-		t.countUsage(assignment, factor)
-		t.NoteMachineChanged(assignment.Machine)
+		t.adjustUsage(assignment, factor)
+		t.MarkMachineChanged(assignment.Machine)
 	}
 }
 
-func (t *Table) countUsage(assignment *Assignment, factor float64) {
+func (t *Table) adjustUsage(assignment *Assignment, factor float64) {
 	usage := t.usageByTeam[assignment.Job.Team]
 	usage.Add(&assignment.Job.Spec, factor)
 	t.usageByTeam[assignment.Job.Team] = usage
--- a/internal/record/compact_test.go
+++ b/internal/record/compact_test.go
@@ -13,8 +13,8 @@
 // record, and returns the size of the compact record in bytes.
 func checkRoundTrip(t *testing.T, active []Assignment) (size int) {
 	t.Helper()
-	plainData := (&Run{Attempt: 7, Active: active, Format: Plain}).Encode()
-	compactData := (&Run{Attempt: 7, Active: active, Format: Compact}).Encode()
+	plainData := (&Run{MaxAttempt: 7, Active: active, Format: Plain}).Encode()
+	compactData := (&Run{MaxAttempt: 7, Active: active, Format: Compact}).Encode()
 	want, errPlain := DecodeRun(plainData, 16)
 	got, errCompact := DecodeRun(compactData, 16)
 	slices.SortFunc(got.Active, func(a, b Assignment) int { return a.Task - b.Task })
--- a/internal/record/first_version_test.go
+++ b/internal/record/first_version_test.go
@@ -121,7 +121,7 @@
 	}
 	done := []uint64{5 << 40, 0}
 	encode := func(active []Assignment, format Format) []byte {
-		return (&Run{Attempt: 9, Done: done, Active: active, Format: format}).Encode()
+		return (&Run{MaxAttempt: 9, Done: done, Active: active, Format: format}).Encode()
 	}
 	attempt, bits, list, ok := decodeFirstVersionRun(encode(active, Plain), 2)
 	if !ok || attempt != 9 || !reflect.DeepEqual(bits, done) || len(list) != len(active) {
--- a/internal/record/key.go
+++ b/internal/record/key.go
@@ -21,9 +21,9 @@
 // JobIDPrefix is the prefix of all job IDs. Pages of upstream jobs omit it.
 const JobIDPrefix = "req-"
 
-// Version is the value of a version key. It shows permanently that the controller runs
+// VersionValue is the value of a version key. It shows permanently that the controller runs
 // this version, which can read run records in the compact format.
-var Version = []byte(`{"v":3}`)
+var VersionValue = []byte(`{"v":3}`)
 
 // JobKey returns the key of a job's record.
 func JobKey(job string) string { return string(KindJob) + "/" + job }
@@ -51,9 +51,9 @@
 	return string(kind) + "/" + job + "/" + strconv.Itoa(number)
 }
 
-// SplitNumbered splits <job>/<number>, the part after the kind in the key of a segment or
+// SplitNumberedKey splits <job>/<number>, the part after the kind in the key of a segment or
 // page. It reports false for any other form.
-func SplitNumbered(rest string) (job string, number int, ok bool) {
+func SplitNumberedKey(rest string) (job string, number int, ok bool) {
 	slash := strings.LastIndexByte(rest, '/')
 	if slash < 0 {
 		return "", 0, false
--- a/internal/record/run.go
+++ b/internal/record/run.go
@@ -12,11 +12,11 @@
 // Run is one segment of a job's run record: which tasks may be on which machine, and
 // which tasks are done.
 type Run struct {
-	Attempt uint64       // highest attempt used
-	Done    []uint64     // bitmap of done tasks
-	Active  []Assignment // tasks that may be on a machine
-	Format  Format       // encoding of Active
-	Unknown Fields       // added by a later version
+	MaxAttempt uint64       // highest attempt used
+	Done       []uint64     // bitmap of done tasks
+	Active     []Assignment // tasks that may be on a machine
+	Format     Format       // encoding of Active
+	Unknown    Fields       // added by a later version
 }
 
 // Assignment is an attempt of a task that may be on a machine.
@@ -52,7 +52,7 @@
 
 // Encode returns the stored form of a segment. It sorts r.Active by task.
 func (r *Run) Encode() []byte {
-	stored := storedRun{MaxAttempt: r.Attempt, Done: encodeBitmap(r.Done)}
+	stored := storedRun{MaxAttempt: r.MaxAttempt, Done: encodeBitmap(r.Done)}
 	slices.SortFunc(r.Active, func(a, b Assignment) int { return cmp.Compare(a.Task, b.Task) })
 	switch {
 	case len(r.Active) == 0:
@@ -86,7 +86,7 @@
 	if err := unmarshal(KindRun, "", data, &fields); err != nil {
 		return run, err
 	}
-	if err := fields.decode(KindRun, "t", &run.Attempt); err != nil {
+	if err := fields.decode(KindRun, "t", &run.MaxAttempt); err != nil {
 		return run, err
 	}
 	var bitmap string
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -29,8 +29,8 @@
 	assignmentChanges uint32                 // change count of the machine's assignments when this was computed
 }
 
-// Fits returns how many tasks with the given spec fit into the free capacity.
-func (c *Capacity) Fits(spec *pipeline.Spec) int {
+// FittingTasks returns how many tasks with the given spec fit into the free capacity.
+func (c *Capacity) FittingTasks(spec *pipeline.Spec) int {
 	count := math.MaxInt32
 	if spec.CPUs > 0 {
 		count = int((c.FreeCPUs + tolerance) / spec.CPUs)
@@ -101,7 +101,7 @@
 		s.capacityCache = append(s.capacityCache, Capacity{})
 	}
 	cached := &s.capacityCache[machine.Index]
-	changes := s.jobs.Changes(machine.Index)
+	changes := s.jobs.ChangeCount(machine.Index)
 	current := cached.Machine == machine && cached.MachineType == machineType && cached.assignmentChanges == changes
 	if !current {
 		s.counters.capacitiesRecomputed++
@@ -120,7 +120,7 @@
 		FreeGPUs:    machineType.GPUs,
 		FreeMemory:  machineType.Memory,
 	}
-	for _, task := range s.jobs.OnMachine(machine.Index) {
+	for _, task := range s.jobs.AssignmentsOn(machine.Index) {
 		if task.Phase() == pipeline.TaskExited {
 			continue // an exited task uses no resources; only its record is not updated yet
 		}
--- a/internal/scheduler/consolidation.go
+++ b/internal/scheduler/consolidation.go
@@ -94,12 +94,12 @@
 // machines whose tasks fit nowhere. It returns the jobs of the tasks that do not fit.
 func (c *consolidation) reserveForEvicted() (blocked []*pipeline.Job) {
 	for machine := range c.workers.All() {
-		for _, task := range c.jobs.OnMachine(machine.Index) {
+		for _, task := range c.jobs.AssignmentsOn(machine.Index) {
 			if !task.Evicting() || task.Job.TerminalPhase != pipeline.Queued {
 				continue
 			}
 			i := slices.IndexFunc(c.targets, func(target *Capacity) bool {
-				return target.Fits(&task.Job.Spec) > 0 && target.accepts(task.Job, c.jobs.Now())
+				return target.FittingTasks(&task.Job.Spec) > 0 && target.accepts(task.Job, c.jobs.Now())
 			})
 			if i < 0 {
 				blocked = append(blocked, task.Job)
@@ -114,7 +114,7 @@
 // drain evicts the tasks of a machine and marks it as draining, so that it gets no new
 // tasks.
 func (s *Scheduler) drain(machine *worker.Machine) {
-	for _, task := range s.jobs.OnMachine(machine.Index) {
+	for _, task := range s.jobs.AssignmentsOn(machine.Index) {
 		s.workers.Evict(task, worker.GracePeriod(task.Job))
 	}
 	machine.StartDraining()
@@ -127,7 +127,7 @@
 		return false
 	}
 	longest := 0.0
-	for _, task := range c.jobs.OnMachine(capacity.Machine.Index) {
+	for _, task := range c.jobs.AssignmentsOn(capacity.Machine.Index) {
 		if !isMovable(task, c.now) {
 			return false
 		}
@@ -141,7 +141,7 @@
 func isMovable(task *pipeline.Assignment, now event.Time) bool {
 	job := task.Job
 	running := task.Phase() == pipeline.TaskRunning && !task.Evicting()
-	if !running || !task.Stored() {
+	if !running || !task.FullyPersisted() {
 		return false
 	}
 	if job.CheckpointInterval == 0 || job.IsGang() {
@@ -159,7 +159,7 @@
 // planMoves finds a target for each task of a machine, largest task first, and reports
 // whether all tasks have one. If so, their capacity stays allocated on the targets.
 func (c *consolidation) planMoves(source *Capacity) bool {
-	tasks := slices.Clone(c.jobs.OnMachine(source.Machine.Index))
+	tasks := slices.Clone(c.jobs.AssignmentsOn(source.Machine.Index))
 	slices.SortFunc(tasks, func(a, b *pipeline.Assignment) int {
 		return cmp.Or(cmp.Compare(b.Job.CPUs, a.Job.CPUs), compareAssignments(a, b))
 	})
@@ -194,7 +194,7 @@
 	if target.Machine == source.Machine || target.Machine.Draining() {
 		return false
 	}
-	if target.Fits(&job.Spec) == 0 || !target.accepts(job, c.jobs.Now()) {
+	if target.FittingTasks(&job.Spec) == 0 || !target.accepts(job, c.jobs.Now()) {
 		return false
 	}
 	boundToZone := job.SpreadZones || (job.SameZone && job.TaskCount > 1)
--- a/internal/scheduler/expected_release.go
+++ b/internal/scheduler/expected_release.go
@@ -51,7 +51,7 @@
 func (s *Scheduler) ProjectedCapacities(now event.Time) (capacities []*Capacity, evicting []*pipeline.Assignment) {
 	capacities = s.machineCapacities(now)
 	for _, capacity := range capacities {
-		for _, task := range s.jobs.OnMachine(capacity.Machine.Index) {
+		for _, task := range s.jobs.AssignmentsOn(capacity.Machine.Index) {
 			finished := task.Job.TerminalPhase != pipeline.Queued
 			if task.Evicting() && !finished {
 				evicting = append(evicting, task)
@@ -86,7 +86,7 @@
 		return capacity.releases
 	}
 	capacity.releasesListed = true
-	for _, task := range s.jobs.OnMachine(capacity.Machine.Index) {
+	for _, task := range s.jobs.AssignmentsOn(capacity.Machine.Index) {
 		if task.Phase() == pipeline.TaskExited {
 			continue // its resources were not subtracted
 		}
@@ -103,13 +103,13 @@
 // timeUntilFit estimates the time in seconds until a task of the job fits on a machine. It
 // returns +Inf if a task will not fit there.
 func (s *Scheduler) timeUntilFit(job *pipeline.Job, capacity *Capacity, now event.Time) float64 {
-	if capacity.Fits(&job.Spec) > 0 {
+	if capacity.FittingTasks(&job.Spec) > 0 {
 		return 0
 	}
 	free := *capacity
 	for _, release := range s.expectedReleases(capacity, now) {
 		free.release(&release.task.Job.Spec)
-		if free.Fits(&job.Spec) > 0 {
+		if free.FittingTasks(&job.Spec) > 0 {
 			return release.after
 		}
 	}
--- a/internal/scheduler/limit.go
+++ b/internal/scheduler/limit.go
@@ -8,14 +8,14 @@
 
 // tasksWithinLimit returns how many more tasks of the job its team's limit allows.
 func (s *Scheduler) tasksWithinLimit(job *pipeline.Job) int {
-	return s.TasksWithinLimitBeside(job, pipeline.Usage{})
+	return s.TasksWithinLimitGiven(job, pipeline.Usage{})
 }
 
-// TasksWithinLimitBeside returns how many more tasks of the job its team's limit allows
+// TasksWithinLimitGiven returns how many more tasks of the job its team's limit allows
 // in addition to the team's usage and the resources that are reserved for the team's
 // other jobs. Without counting those, each of many jobs could get all that the limit
 // still allows.
-func (s *Scheduler) TasksWithinLimitBeside(job *pipeline.Job, reserved pipeline.Usage) int {
+func (s *Scheduler) TasksWithinLimitGiven(job *pipeline.Job, reserved pipeline.Usage) int {
 	team := s.cfg.Teams[job.Team]
 	usage := s.jobs.TeamUsage(job.Team)
 	usage.CPUs += reserved.CPUs
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -61,7 +61,7 @@
 	var list []scored
 	r.counters.machinesVisited += len(r.withRoom)
 	for _, capacity := range r.withRoom {
-		if capacity.Fits(&job.Spec) > 0 && capacity.accepts(job, r.now) {
+		if capacity.FittingTasks(&job.Spec) > 0 && capacity.accepts(job, r.now) {
 			list = append(list, scored{capacity, r.placementScore(job, capacity, r.now)})
 		}
 	}
@@ -79,7 +79,7 @@
 func fillMachines(job *pipeline.Job, machines []*Capacity, placed ZoneCounts, wanted int) (placements []placement, remaining int) {
 	remaining = wanted
 	for _, capacity := range machines {
-		tasks := min(remaining, capacity.Fits(&job.Spec), TasksAllowedInZone(job, placed, capacity.Zone))
+		tasks := min(remaining, capacity.FittingTasks(&job.Spec), TasksAllowedInZone(job, placed, capacity.Zone))
 		if tasks <= 0 {
 			continue
 		}
@@ -121,5 +121,5 @@
 	if job.AtFault() && job.Shape != pipeline.Gang {
 		return job.ProbeTask()
 	}
-	return job.NextUnplaced(0)
+	return job.NextUnassigned(0)
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -17,7 +17,7 @@
 // progress will free is used first, so that a job does not evict more than it needs. It
 // returns the number of tasks that still need a reservation.
 func (r *round) preempt(job *pipeline.Job) (remaining int) {
-	remaining = min(job.StartableCount(), r.TasksWithinLimitBeside(job, r.reservedUsage[job.Team]))
+	remaining = min(job.StartableCount(), r.TasksWithinLimitGiven(job, r.reservedUsage[job.Team]))
 	if job.Shape == pipeline.Gang && remaining < job.StartableCount() {
 		return 0 // a gang is placed as a whole or not at all
 	}
@@ -69,7 +69,7 @@
 	return func(free *Capacity, claimed victimSet) (slotCost, bool) {
 		afterEvictions := free.afterEvictions()
 		fetch := imageFetchWeight * free.fetchTime(job)
-		if afterEvictions.Fits(&job.Spec) > 0 {
+		if afterEvictions.FittingTasks(&job.Spec) > 0 {
 			return slotCost{cost: fetch}, true
 		}
 		victims, cost := r.cheapestVictims(job, afterEvictions, claimed)
@@ -95,7 +95,7 @@
 		slot.capacity.recordEviction(victim)
 		r.preemptedUsage.add(victim.Job)
 	}
-	if slot.victims == nil && slot.capacity.Fits(&job.Spec) > 0 {
+	if slot.victims == nil && slot.capacity.FittingTasks(&job.Spec) > 0 {
 		r.assignTasks(job, placement{slot.capacity, 1}, attempt)
 	} else {
 		r.reserveTask(job, slot.capacity)
@@ -129,7 +129,7 @@
 	// A job within its own team's quota is not preempted for another team's quota. Nor
 	// is an assignment that is not persisted yet: two jobs could otherwise preempt each
 	// other in every round before either assignment is persisted, and never start.
-	if other.WithinQuota() || !victim.Durable() {
+	if other.WithinQuota() || !victim.Persisted() {
 		return false
 	}
 	return r.borrows(other, r.cfg.Teams[job.Team], &job.Spec)
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -68,7 +68,7 @@
 		t.Error("mayPreempt = true for an assignment that is not persisted")
 	}
 	s.setRunRecord("req-3", firstTaskOnMachine, 10)
-	if task := beyond.Assignment(0); !task.Durable() || !r.mayPreempt(claimant, task) {
+	if task := beyond.Assignment(0); !task.Persisted() || !r.mayPreempt(claimant, task) {
 		t.Error("assignment beyond its team's quota is not persisted or not preemptible, want both")
 	}
 	claimant.EffectivePriority = pipeline.High
--- a/internal/scheduler/preemption_victims.go
+++ b/internal/scheduler/preemption_victims.go
@@ -41,7 +41,7 @@
 // work lost or delayed. victims is nil if preemption cannot free enough capacity.
 func (r *round) cheapestVictims(job *pipeline.Job, free Capacity, claimed victimSet) (victims []*pipeline.Assignment, cost float64) {
 	candidates := r.scratch.victims[:0]
-	for _, task := range r.jobs.OnMachine(free.Machine.Index) {
+	for _, task := range r.jobs.AssignmentsOn(free.Machine.Index) {
 		if !claimed[task] && isPreemptible(task) && !isProtectedStart(task, r.now) && r.mayPreempt(job, task) {
 			candidates = append(candidates, victimCandidate{task, evictionCost(task, r.now)})
 		}
@@ -51,7 +51,7 @@
 	for i, candidate := range candidates {
 		cost += candidate.cost
 		free.release(&candidate.task.Job.Spec)
-		if free.Fits(&job.Spec) > 0 {
+		if free.FittingTasks(&job.Spec) > 0 {
 			for _, victim := range candidates[:i+1] {
 				victims = append(victims, victim.task)
 			}
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -47,7 +47,7 @@
 func (r *round) reserveTask(job *pipeline.Job, capacity *Capacity) {
 	capacity.Allocate(&job.Spec, 1)
 	r.reservedUsage.add(job)
-	capacity.Machine.Reserve(r.now)
+	capacity.Machine.RecordReservation(r.now)
 	r.interruption.reservations = append(r.interruption.reservations, reservation{job, capacity.Machine})
 }
 
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/round.go
@@ -114,7 +114,7 @@
 		smallest.Memory = min(smallest.Memory, job.Memory)
 	}
 	for _, capacity := range r.capacities {
-		if capacity.Fits(&smallest) > 0 {
+		if capacity.FittingTasks(&smallest) > 0 {
 			r.withRoom = append(r.withRoom, capacity)
 		}
 	}
--- a/internal/scheduler/round_test.go
+++ b/internal/scheduler/round_test.go
@@ -21,7 +21,7 @@
 		placed := 0
 		for _, job := range s.jobs.ReadyJobs() {
 			for task := range job.Assignments() {
-				if !task.Durable() {
+				if !task.Persisted() {
 					placed++
 				}
 			}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -45,7 +45,7 @@
 
 // counters measure the work done since the scheduler was created.
 type counters struct {
-	interruptedRounds    int // rounds that exhausted their budget since TakeInterruptedRounds was last called
+	interruptedRounds    int // rounds that exhausted their budget since ConsumeInterruptedRounds was last called
 	capacitiesRecomputed int
 	machinesVisited      int // machines examined while placing tasks or searching slots
 }
@@ -69,9 +69,9 @@
 // assignments have changed.
 func (s *Scheduler) CapacitiesRecomputed() int { return s.counters.capacitiesRecomputed }
 
-// TakeInterruptedRounds returns the number of rounds that exhausted their budget since
+// ConsumeInterruptedRounds returns the number of rounds that exhausted their budget since
 // the last call, and resets it.
-func (s *Scheduler) TakeInterruptedRounds() int {
+func (s *Scheduler) ConsumeInterruptedRounds() int {
 	interrupted := s.counters.interruptedRounds
 	s.counters.interruptedRounds = 0
 	return interrupted
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -31,7 +31,7 @@
 // of a starved job that was placed less than firstTaskProtection ago.
 func isProtectedStart(task *pipeline.Assignment, now event.Time) bool {
 	wasStarved := task.PlacementDelay() > starvedAfter
-	return task.IsFirstOfJob() && wasStarved && now-task.PlacedAt() < firstTaskProtection
+	return task.IsFirstOfJob() && wasStarved && now-task.AssignedAt() < firstTaskProtection
 }
 
 // startStarvedJobs places one task of each starved job, or reserves the capacity that
--- a/internal/scheduler/zone_constraints.go
+++ b/internal/scheduler/zone_constraints.go
@@ -84,7 +84,7 @@
 func zoneWithMostCapacity(job *pipeline.Job, machines []*Capacity, wanted int) pipeline.ZoneIndex {
 	fits := map[pipeline.ZoneIndex]int{}
 	for _, capacity := range machines {
-		fits[capacity.Zone] += capacity.Fits(&job.Spec)
+		fits[capacity.Zone] += capacity.FittingTasks(&job.Spec)
 	}
 	best := 0
 	zone := unknownZone
--- a/internal/worker/assignments.go
+++ b/internal/worker/assignments.go
@@ -10,7 +10,7 @@
 // sortedAssignments returns the assignments of a machine, ordered by the revision at
 // which their jobs became ready and then by task number.
 func (r *Registry) sortedAssignments(machine *Machine) []*pipeline.Assignment {
-	assignments := r.jobs.OnMachine(machine.Index)
+	assignments := r.jobs.AssignmentsOn(machine.Index)
 	if len(assignments) == 0 {
 		return nil
 	}
@@ -21,12 +21,12 @@
 	return sorted
 }
 
-// AllStored reports whether all assignments of the machine are persisted without a
+// AllPersisted reports whether all assignments of the machine are persisted without a
 // pending write. Otherwise a response sent now could not contain the commands that
 // become possible shortly afterwards, once those writes are committed.
-func (r *Registry) AllStored(machine pipeline.MachineIndex) bool {
-	for _, assignment := range r.jobs.OnMachine(machine) {
-		if !assignment.Stored() {
+func (r *Registry) AllPersisted(machine pipeline.MachineIndex) bool {
+	for _, assignment := range r.jobs.AssignmentsOn(machine) {
+		if !assignment.FullyPersisted() {
 			return false
 		}
 	}
@@ -44,8 +44,8 @@
 	if machine == nil || !machine.reachable() || machine.leaving() {
 		return false
 	}
-	for _, assignment := range r.jobs.OnMachine(machine.Index) {
-		if assignment.Durable() {
+	for _, assignment := range r.jobs.AssignmentsOn(machine.Index) {
+		if assignment.Persisted() {
 			return false
 		}
 	}
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -57,7 +57,7 @@
 		r.respondToTask(response, r.resolveTask(response.machine, &heartbeat.Tasks[i]))
 	}
 	for _, assignment := range r.sortedAssignments(response.machine) {
-		if !response.listed[assignment] && assignment.Stored() {
+		if !response.listed[assignment] && assignment.FullyPersisted() {
 			r.respondToUnlisted(response, assignment)
 		}
 	}
--- a/internal/worker/eviction.go
+++ b/internal/worker/eviction.go
@@ -40,7 +40,7 @@
 func (r *Registry) evictAssignment(assignment *pipeline.Assignment, gracePeriod float64) {
 	r.jobs.RequestEviction(assignment, gracePeriod)
 	r.requestTermination(assignment)
-	if !assignment.Durable() {
+	if !assignment.Persisted() {
 		r.jobs.RecordTermination(assignment)
 	}
 }
--- a/internal/worker/fixture_test.go
+++ b/internal/worker/fixture_test.go
@@ -54,7 +54,7 @@
 func (c *cluster) start(job *pipeline.Job, task int, machine string) {
 	index := c.Add(machine, c.now).Index
 	c.jobs.Assign(job, task, index, job.MaxAttempt()+1, c.now)
-	run := record.Run{Attempt: job.MaxAttempt()}
+	run := record.Run{MaxAttempt: job.MaxAttempt()}
 	for assignment := range job.Assignments() {
 		run.Active = append(run.Active, record.Assignment{
 			Task:    assignment.Task,
--- a/internal/worker/heartbeat_handling.go
+++ b/internal/worker/heartbeat_handling.go
@@ -19,7 +19,7 @@
 			Reason:      reason,
 		}
 	}
-	leadership.ObserveFencingToken(heartbeat.FencingToken)
+	leadership.RecordFencingToken(heartbeat.FencingToken)
 	r.updateMachine(machine, heartbeat, now)
 	for i := range heartbeat.Tasks {
 		r.handleTaskStatus(machine, &heartbeat.Tasks[i], now)
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -130,23 +130,23 @@
 	m.known = true
 }
 
-// NoteListedAddr records the worker's address from the machine list of the cloud, unless
+// RecordListedAddr records the worker's address from the machine list of the cloud, unless
 // the address is already known.
-func (m *Machine) NoteListedAddr(addr string) {
+func (m *Machine) RecordListedAddr(addr string) {
 	if m.addr == "" {
 		m.addr = addr
 	}
 }
 
-// NoteRedirect records that the worker was redirected to another controller because this
+// RecordRedirect records that the worker was redirected to another controller because this
 // controller has reached its connection limit.
-func (m *Machine) NoteRedirect(now event.Time) { m.redirectedAt = now }
+func (m *Machine) RecordRedirect(now event.Time) { m.redirectedAt = now }
 
-// NoteInUse records that tasks may be on the machine now.
-func (m *Machine) NoteInUse(now event.Time) { m.idleSince = now }
+// RecordInUse records that tasks may be on the machine now.
+func (m *Machine) RecordInUse(now event.Time) { m.idleSince = now }
 
-// Reserve records that capacity of the machine is reserved for a waiting job.
-func (m *Machine) Reserve(now event.Time) { m.reservedAt = now }
+// RecordReservation records that capacity of the machine is reserved for a waiting job.
+func (m *Machine) RecordReservation(now event.Time) { m.reservedAt = now }
 
 // StartDraining marks the machine as draining: no more tasks are placed on it, and it is
 // released once it is empty.
--- a/internal/worker/reachability.go
+++ b/internal/worker/reachability.go
@@ -68,7 +68,7 @@
 // checkStarts checks whether the heartbeats of a machine list the tasks that it was
 // commanded to start.
 func (r *Registry) checkStarts(machine *Machine, heartbeat *Heartbeat, now event.Time) {
-	for _, assignment := range r.jobs.OnMachine(machine.Index) {
+	for _, assignment := range r.jobs.AssignmentsOn(machine.Index) {
 		if !assignment.AwaitsStart(heartbeat.Sequence) {
 			continue
 		}
@@ -90,7 +90,7 @@
 func (r *Registry) recordUnreachable(machine *Machine, now event.Time) {
 	r.log.Info("machine unreachable: its heartbeats show that responses do not arrive",
 		"machine", machine.Name,
-		"tasks", len(r.jobs.OnMachine(machine.Index)))
+		"tasks", len(r.jobs.AssignmentsOn(machine.Index)))
 	machine.unreachableSince = now
 	machine.unreachableIncarnation = machine.incarnation
 	r.evictUnstarted(machine)
--- a/internal/worker/task_status.go
+++ b/internal/worker/task_status.go
@@ -82,7 +82,7 @@
 		"task", assignment.Task,
 		"attempt", assignment.Attempt,
 		"machine", machine.Name,
-		"since_placed", now-assignment.PlacedAt(),
+		"since_placed", now-assignment.AssignedAt(),
 		"since_ready", now-job.ReadySince)
 }
 
@@ -91,7 +91,7 @@
 func (r *Registry) handleTaskExit(machine *Machine, assignment *pipeline.Assignment, cause string, now event.Time) {
 	job := assignment.Job
 	r.jobs.RequestRound()
-	r.jobs.NoteMachineChanged(machine.Index) // the resources of the task are free again
+	r.jobs.MarkMachineChanged(machine.Index) // the resources of the task are free again
 	if job.TerminalPhase != pipeline.Queued || job.IsDone(assignment.Task) {
 		// The result of the task is no longer needed. A new leader finds such an
 		// assignment if the previous leader wrote the job's terminal record but did not
--- a/internal/worker/termination.go
+++ b/internal/worker/termination.go
@@ -37,7 +37,7 @@
 // sendTerminations sends direct commands with the required terminations to all workers, so
 // that the terminations are not delayed until the next heartbeats.
 func (r *Registry) sendTerminations(now event.Time, leadership Leadership, out *event.Effects) {
-	for _, job := range r.jobs.TakeEndedJobs() {
+	for _, job := range r.jobs.DrainEndedJobs() {
 		for assignment := range job.Assignments() {
 			r.requestTermination(assignment)
 		}
@@ -58,10 +58,10 @@
 	intervalOver := now-machine.lastTerminations >= terminationInterval
 	ready := intervalOver && machine.lastHeartbeat != 0 && machine.addr != ""
 	var commands []Command
-	for _, assignment := range r.jobs.OnMachine(machine.Index) {
+	for _, assignment := range r.jobs.AssignmentsOn(machine.Index) {
 		termination := terminationOf(assignment)
 		more = more || termination.required
-		if ready && termination.required && assignment.Stored() && notTerminating(assignment) {
+		if ready && termination.required && assignment.FullyPersisted() && notTerminating(assignment) {
 			commands = append(commands, terminateCommand(taskName(assignment), assignment.Attempt, termination.gracePeriod))
 		}
 	}
@@ -99,7 +99,7 @@
 // only if this is proven.
 func (r *Registry) RecordTermination(machine *Machine) {
 	if machine.lastHeartbeat != 0 {
-		r.log.Info("recorded all tasks on machine as terminated", "machine", machine.Name, "tasks", len(r.jobs.OnMachine(machine.Index)))
+		r.log.Info("recorded all tasks on machine as terminated", "machine", machine.Name, "tasks", len(r.jobs.AssignmentsOn(machine.Index)))
 	}
 	for _, assignment := range r.sortedAssignments(machine) {
 		if assignment.Job.IsGang() {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -16,8 +16,8 @@
 	FencingToken() uint64
 	// IsLeader reports whether tasks may be started now.
 	IsLeader(now event.Time) bool
-	// ObserveFencingToken records a fencing token that a worker has sent.
-	ObserveFencingToken(token uint64)
+	// RecordFencingToken records a fencing token that a worker has sent.
+	RecordFencingToken(token uint64)
 	// TasksExpireAt returns the time at which the tasks of a machine have terminated at
 	// the latest, given the time of the last response to one of its heartbeats.
 	TasksExpireAt(lastResponse event.Time) event.Time
--- a/internal/worker/workertest/workertest.go
+++ b/internal/worker/workertest/workertest.go
@@ -29,8 +29,8 @@
 // IsLeader returns true at any time.
 func (Leader) IsLeader(event.Time) bool { return true }
 
-// ObserveFencingToken ignores the tokens of workers.
-func (Leader) ObserveFencingToken(uint64) {}
+// RecordFencingToken ignores the tokens of workers.
+func (Leader) RecordFencingToken(uint64) {}
 
 // MaxWorkerLease returns WorkerLease.
 func (Leader) MaxWorkerLease() time.Duration { return WorkerLease }
