--- a/cmd/limits/main.go
+++ b/cmd/limits/main.go
@@ -1,14 +1,15 @@
-// Command limits computes bounds on what any scheduler could reach on a site: the
-// price, the useful part of it, the share of jobs that begin in time, the makespan
-// and the length of pipelines. It reads a site file of the bench and, if given, the
-// report of a run of the bench, and prints what the run reached behind the bounds.
+// Command limits computes bounds on what any scheduler can achieve on a site: the
+// price, the share of the price spent on tasks, the share of jobs that start in time,
+// the makespan and the duration of pipelines. It reads a site file of the bench and,
+// optionally, the report of a bench run, and prints the run's results after the bounds.
 //
 //	go run ./cmd/limits SITE.toml [REPORT.json]
 //
-// Every bound relaxes the problem: classes do not compete for machines, tasks
-// pack without waste, and the future is known. Classes may share a machine, so
-// a task is charged by weighted shares of CPUs and GPUs; any weights give a
-// valid bound, and the highest is taken. docs/limits.md explains the rest.
+// Every bound is computed on a relaxed problem: classes do not compete for machines,
+// tasks pack without waste, and all future arrivals are known. Classes may share a
+// machine, so a task is charged for a weighted share of the machine's CPUs and GPUs. Any
+// weights give a valid bound; the highest bound is reported. See docs/limits.md for the
+// method.
 package main
 
 import (
@@ -29,18 +30,19 @@
 
 const help = `usage: limits SITE.toml [REPORT.json]
 
-Prints bounds that no scheduler could pass on a site, one line each:
+Prints bounds that no scheduler can exceed on a site, one per line:
 
-  CLASS: N tasks run on average    load of a class of jobs, its least price an hour,
+  CLASS: N tasks run on average    load of a job class, its minimum price per hour,
                                    and its price on the cheapest machine type alone
-  wait: at most S of N jobs        highest share of jobs that begin in time
-  pipeline P: done after S s       shortest time from the first submission to the end
-  makespan: at least S s           shortest time to the given share of the work
-  price: at least R                least price, as a multiple of the cheapest types' price
-  useful: at most S                highest share of the price that is spent on tasks
+  wait: at most S of N jobs        maximum share of jobs that start in time
+  pipeline P: at least S s         minimum time from the first submission to the end
+  makespan: at least S s           minimum time to complete the given share of the work
+  price: at least R                minimum price, as a multiple of the price with every
+                                   class on its cheapest machine type alone
+  useful: at most S                maximum share of the price that is spent on tasks
 
-SITE.toml is a site file of the bench. With the REPORT.json of a run of the bench, what
-the run reached follows. docs/limits.md explains the method.
+SITE.toml is a site file of the bench. If the REPORT.json of a bench run is given, its
+results are printed after the bounds. See docs/limits.md for the method.
 `
 
 func main() {
@@ -59,44 +61,44 @@
 	}
 }
 
-// arguments are the paths of the command line.
+// arguments holds the paths given on the command line.
 type arguments struct {
 	site   string
-	report string // empty: none
+	report string // empty if not given
 }
 
-// parseArguments returns flag.ErrHelp if the arguments ask for help.
+// parseArguments parses the command line. It returns flag.ErrHelp if help is requested.
 func parseArguments(args []string) (arguments, error) {
 	flags := flag.NewFlagSet("limits", flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
 	if err := flags.Parse(args); err != nil {
 		return arguments{}, err
 	}
-	named := !slices.Contains(flags.Args(), "") // an unset variable of a shell is no path
-	if n := flags.NArg(); named && (n == 1 || n == 2) {
+	nonEmpty := !slices.Contains(flags.Args(), "") // an unset shell variable gives an empty path
+	if n := flags.NArg(); nonEmpty && (n == 1 || n == 2) {
 		return arguments{site: flags.Arg(0), report: flags.Arg(1)}, nil
 	}
 	return arguments{}, errors.New("usage: limits SITE.toml [REPORT.json]")
 }
 
-// run writes the bounds for the site file, and what the report shows, if one is given.
+// run writes the bounds for the site file, then the results in the report if one is given.
 func run(paths arguments, w io.Writer) error {
 	s, err := loadSite(paths.site)
 	if err != nil {
 		return fmt.Errorf("site file %s: %w", paths.site, err)
 	}
-	highest, err := s.highestBounds()
+	tightest, err := s.tightestBounds()
 	if err != nil {
 		return fmt.Errorf("site file %s: %w", paths.site, err)
 	}
-	if err := writeLines(w, highest.lines); err != nil || paths.report == "" {
+	if err := writeLines(w, tightest.lines); err != nil || paths.report == "" {
 		return err
 	}
-	reached, err := reportLines(paths.report)
+	results, err := reportLines(paths.report)
 	if err != nil {
 		return fmt.Errorf("report %s: %w", paths.report, err)
 	}
-	return writeLines(w, reached)
+	return writeLines(w, results)
 }
 
 func writeLines(w io.Writer, lines []string) error {
--- a/cmd/limits/main_test.go
+++ b/cmd/limits/main_test.go
@@ -8,10 +8,11 @@
 	"testing"
 )
 
-// small is a site small enough to work out by hand: two machines hold one task each,
-// one at 1 an hour (up), one at 3; two jobs at the start, none later, each
-// running for half of the time: one task on average.
-const small = `
+// smallSite is a site whose bounds can be computed by hand. Two machines hold one task
+// each: one costs 1 per hour and is up at the start, the other costs 3 per hour. Two jobs
+// are queued at the start and none arrive later. Each runs for half of the time, so one
+// task runs on average.
+const smallSite = `
 duration_s = 80.0
 warmup_s = 20.0
 machine_types = [
@@ -37,8 +38,8 @@
 share = 0.9
 `
 
-// output runs the command on a site file with the given text.
-func output(t *testing.T, text string) (string, error) {
+// runSite writes text to a site file, runs the command on it and returns the output.
+func runSite(t *testing.T, text string) (string, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "site.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -49,63 +50,63 @@
 	return out.String(), err
 }
 
-// expectOutput checks that the output for a site has all of the given parts.
+// expectOutput checks that the output for a site contains each of the given parts.
 func expectOutput(t *testing.T, text string, parts ...string) {
 	t.Helper()
-	out, err := output(t, text)
+	out, err := runSite(t, text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range parts {
 		if !strings.Contains(out, want) {
-			t.Errorf("no %q in:\n%s", want, out)
+			t.Errorf("output does not contain %q, got:\n%s", want, out)
 		}
 	}
 }
 
-// expectRefused checks that a site is refused by one line that names the file
-// and has the given part.
-func expectRefused(t *testing.T, text, want string) {
+// expectRejected checks that run rejects a site with a one-line error that names the file
+// and contains want.
+func expectRejected(t *testing.T, text, want string) {
 	t.Helper()
-	out, err := output(t, text)
+	out, err := runSite(t, text)
 	if err == nil || !strings.Contains(err.Error(), "site.toml") || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-		t.Errorf("error %v, want %q; output:\n%s", err, want, out)
+		t.Errorf("run returned error %v, want one line with site.toml and %q; output:\n%s", err, want, out)
 	}
 }
 
-// TestBounds: the bounds of the small site, worked out by hand.
+// TestBounds checks the bounds of the small site, which were computed by hand.
 func TestBounds(t *testing.T) {
-	expectOutput(t, small,
-		"c: 1.0 tasks run on average, 1.00 an hour at least (1.00",
-		"wait 5 s: at most 0.500 of 2 jobs (quickest machine after 8 s, 1 tasks",
-		"makespan: at least 90 s (50 s of every core",
+	expectOutput(t, smallSite,
+		"c: 1.0 tasks run on average, at least 1.00 per hour (1.00",
+		"wait 5 s: at most 0.500 of 2 jobs (first new machine ready after 8 s, 1 tasks",
+		"makespan: at least 90 s (50 s of work per CPU",
 		"price: at least 1.00",
 		"useful: at most 1.00",
 	)
 }
 
-// TestSiteRefused: a site file that bounds can't be computed from is refused by
-// the key that is at fault.
+// TestSiteRefused checks that a site file from which no bounds can be computed is rejected
+// with an error that names the invalid key.
 func TestSiteRefused(t *testing.T) {
 	for _, c := range []struct{ name, from, to, want string }{
 		{"duration is text", "duration_s = 80.0", `duration_s = "x"`, "duration_s"},
 		{"negative duration", "duration_s = 80.0", "duration_s = -20.0", "duration_s and warmup_s"},
-		{"no weights", "weights = [2.0]", "weights = []", `jobs "c": tasks: as many weights as sizes`},
-		{"weights without a sum", "weights = [2.0]", "weights = [0.0]", `jobs "c": tasks: weights`},
+		{"no weights", "weights = [2.0]", "weights = []", `jobs "c": tasks: expected as many weights as sizes`},
+		{"weights with a zero sum", "weights = [2.0]", "weights = [0.0]", `jobs "c": tasks: expected weights`},
 		{"no run time", "median = 50.0", "median = 0.0", `jobs "c": run_s: `},
-		{"no class", "[[jobs]]", "[[others]]", "jobs: at least one class"},
-		{"task fits no machine", "cpus = 1.0\nmemory_gb = 1.0\ntasks", "cpus = 9.0\nmemory_gb = 1.0\ntasks", `jobs "c": a task fits no machine type`},
+		{"no class", "[[jobs]]", "[[others]]", "jobs: expected at least one class"},
+		{"task fits no machine", "cpus = 1.0\nmemory_gb = 1.0\ntasks", "cpus = 9.0\nmemory_gb = 1.0\ntasks", `jobs "c": a task fits on no allowed machine type`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			expectRefused(t, strings.Replace(small, c.from, c.to, 1), c.want)
+			expectRejected(t, strings.Replace(smallSite, c.from, c.to, 1), c.want)
 		})
 	}
 }
 
-// TestFileErrors: the file that can't be read is named.
+// TestFileErrors checks that the error names the file that cannot be read.
 func TestFileErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "site.toml")
-	if err := os.WriteFile(path, []byte(small), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(smallSite), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
@@ -120,18 +121,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if err := run(c.paths, &out); err == nil || !strings.HasPrefix(err.Error(), c.want) {
-				t.Errorf("%v, want %s", err, c.want)
+				t.Errorf("run returned error %v, want prefix %q", err, c.want)
 			}
 		})
 	}
 }
 
-// TestReport: what a run reached follows the bounds.
+// TestReport checks that the results of a run are printed after the bounds.
 func TestReport(t *testing.T) {
 	dir := t.TempDir()
 	paths := arguments{site: filepath.Join(dir, "site.toml"), report: filepath.Join(dir, "report.json")}
 	for path, text := range map[string]string{
-		paths.site:   small,
+		paths.site:   smallSite,
 		paths.report: `{"scenario":"s","targets":[{"kind":"wait","class":"c","within_s":5,"value":0.25},{"kind":"deadline","times":1.5,"value":1}]}`,
 	} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -144,11 +145,11 @@
 	}
 	want := "useful: at most 1.00 (each rented machine boots once)\nsimulated, s: wait c 5 s: 0.250\nsimulated, s: deadline 1.5 times: 1.000\n"
 	if !strings.HasSuffix(out.String(), want) {
-		t.Errorf("no %q at the end of:\n%s", want, out.String())
+		t.Errorf("output does not end with %q, got:\n%s", want, out.String())
 	}
 }
 
-// TestArguments: a site file, and a report if one is wanted.
+// TestArguments checks that the command accepts one site file and at most one report.
 func TestArguments(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -166,7 +167,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, err := parseArguments(c.args)
 			if got != c.want || (err == nil) != (c.err == "") || (err != nil && err.Error() != c.err) {
-				t.Errorf("%+v, %v; want %+v, %s", got, err, c.want, c.err)
+				t.Errorf("parseArguments(%q) = %+v, error %v, want %+v, error %q", c.args, got, err, c.want, c.err)
 			}
 		})
 	}
--- a/cmd/limits/options.go
+++ b/cmd/limits/options.go
@@ -5,27 +5,27 @@
 	"sort"
 )
 
-// option is a way to run a class: on a machine type, spot or not. Shares of a
-// machine are weighted shares of its CPUs and GPUs. Prices are for an hour.
+// option is a machine type, on demand or spot, that can run the tasks of a class. Shares
+// of a machine are weighted shares of its CPUs and GPUs. Prices are per hour.
 type option struct {
-	machineType      *machineType
-	price            float64 // per task, by its share of a machine
-	fullMachinePrice float64 // per task on a machine full of them
-	capacity         float64 // tasks that all machines hold, by shares
-	capacityUp       float64 // the same of the machines up at the start
-	wholeTasksUp     float64 // whole tasks that machines up at the start hold
+	machineType       *machineType
+	price             float64 // per task, by the task's share of a machine
+	fullMachinePrice  float64 // per task on a machine that holds as many as fit
+	capacity          float64 // tasks that all machines hold, by shares
+	capacityAtStart   float64 // tasks that the machines up at the start hold, by shares
+	wholeTasksAtStart float64 // whole tasks that the machines up at the start hold
 }
 
-// fitTolerance absorbs rounding where tasks fill a machine exactly.
+// fitTolerance absorbs rounding errors when tasks fill a machine exactly.
 const fitTolerance = 1e-9
 
-// tasksPerMachine is how many whole tasks of a class a machine holds.
+// tasksPerMachine returns the number of whole tasks of a class that fit on a machine.
 func tasksPerMachine(t *machineType, job *jobClass) float64 {
 	fit := math.Inf(1)
 	for _, resource := range []struct{ has, needs float64 }{
 		{t.CPUs, job.CPUs},
 		{t.GPUs, job.GPUs},
-		{t.Memory, job.Memory},
+		{t.MemoryGB, job.MemoryGB},
 	} {
 		if resource.needs > 0 {
 			fit = math.Min(fit, math.Floor(resource.has/resource.needs+fitTolerance))
@@ -34,8 +34,8 @@
 	return fit
 }
 
-// machineShare is a task's share of a machine, of whose price cpuWeight is laid on
-// the CPUs and the rest on the GPUs.
+// machineShare returns a task's share of a machine, with the fraction cpuWeight of the
+// machine's price assigned to its CPUs and the rest to its GPUs.
 func machineShare(t *machineType, job *jobClass, cpuWeight float64) float64 {
 	share := job.CPUs / t.CPUs
 	if t.GPUs > 0 {
@@ -44,7 +44,7 @@
 	return share
 }
 
-// options lists the ways to run a class, the cheapest per task first.
+// options returns the options for a class, sorted by price per task.
 func (s *site) options(job *jobClass, cpuWeight float64) []option {
 	var options []option
 	for i := range s.MachineTypes {
@@ -55,14 +55,14 @@
 		}
 		share := machineShare(t, job, cpuWeight)
 		onDemand, spot := s.count(t.Name)
-		up := s.countUp(t.Name)
+		atStart := s.countAtStart(t.Name)
 		options = append(options, option{
-			machineType:      t,
-			price:            t.Price * share,
-			fullMachinePrice: t.Price / fit,
-			capacity:         tasksByShare(onDemand, share),
-			capacityUp:       tasksByShare(up, share),
-			wholeTasksUp:     up * fit,
+			machineType:       t,
+			price:             t.Price * share,
+			fullMachinePrice:  t.Price / fit,
+			capacity:          tasksByShare(onDemand, share),
+			capacityAtStart:   tasksByShare(atStart, share),
+			wholeTasksAtStart: atStart * fit,
 		})
 		if job.Spot && spot > 0 {
 			options = append(options, option{
@@ -77,7 +77,8 @@
 	return options
 }
 
-// tasksByShare is the number of tasks that machines hold if each takes a share.
+// tasksByShare returns the number of tasks that a number of machines holds if each task
+// takes the given share of a machine.
 func tasksByShare(machines, share float64) float64 {
 	if share == 0 {
 		return math.Inf(1)
@@ -85,7 +86,7 @@
 	return machines / share
 }
 
-// count returns the on-demand and the spot machines of a type in all zones.
+// count returns the number of on-demand and of spot machines of a type in all zones.
 func (s *site) count(machineType string) (onDemand, spot float64) {
 	for _, c := range s.Capacity {
 		if c.Type == machineType {
@@ -96,13 +97,13 @@
 	return onDemand, spot
 }
 
-// countUp returns the machines of a type that are up at the start.
-func (s *site) countUp(machineType string) float64 {
-	up := 0.0
+// countAtStart returns the number of machines of a type that are up at the start.
+func (s *site) countAtStart(machineType string) float64 {
+	count := 0.0
 	for _, m := range s.Machines {
 		if m.Type == machineType {
-			up += m.Count
+			count += m.Count
 		}
 	}
-	return up
+	return count
 }
--- a/cmd/limits/pipeline_test.go
+++ b/cmd/limits/pipeline_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// classText is the text of a class whose jobs are one task each that runs for so
-// many seconds.
-func classText(name string, seconds int) string {
+// classTOML returns the TOML text of a class whose jobs have one task each, which runs for
+// the given number of seconds.
+func classTOML(name string, seconds int) string {
 	return fmt.Sprintf(`
 [[jobs]]
 name = %q
@@ -21,10 +21,11 @@
 `, name, seconds, seconds)
 }
 
-// withPipeline is the small site with a pipeline: a diamond of 50 s, then 20 s and 30 s
-// in parallel, then 10 s; and a shorter branch. The longest path takes 90 s. Two
-// pipelines come in a hundred seconds, for half of the time.
-var withPipeline = small + classText("quick", 20) + classText("slow", 30) + classText("last", 10) + `
+// siteWithPipeline is the small site with a pipeline: a diamond with a stage of 50 s, two
+// parallel stages of 20 s and 30 s, and a stage of 10 s, plus a shorter branch. The longest
+// path takes 90 s. Pipelines arrive at two per 100 s during the second half of the
+// simulation.
+var siteWithPipeline = smallSite + classTOML("quick", 20) + classTOML("slow", 30) + classTOML("last", 10) + `
 [[targets]]
 kind = "wait"
 class = "slow"
@@ -42,42 +43,44 @@
 deadline = { factor = 1.5, plus_s = 60.0 }
 `
 
-// TestPipeline: the longest path of the diamond, and the jobs that it adds to each class.
+// TestPipeline checks the longest path of the diamond and the jobs that the pipeline adds
+// to each class.
 func TestPipeline(t *testing.T) {
-	expectOutput(t, withPipeline,
-		"pipeline p: done after 90.0 s at least, on average (c 50.0 + slow 30.0 + last 10.0); its deadline is 1.50 times what its owner expects plus 60 s\n",
-		"slow: 0.8 tasks run on average",              // 2.5 jobs of 30 s in 100 s
-		"wait 9 s: at most 1.000 of 2 jobs (quickest", // none are there at the start
-		"c: 1.5 tasks run on average",                 // two at the start and one of a pipeline
-		"last: 0.2 tasks run",                         // twice one
+	expectOutput(t, siteWithPipeline,
+		"pipeline p: at least 90.0 s on average (c 50.0 + slow 30.0 + last 10.0); deadline: 1.50 times the owner's expected duration plus 60 s\n",
+		"slow: 0.8 tasks run on average",               // 2.5 jobs of 30 s in 100 s
+		"wait 9 s: at most 1.000 of 2 jobs (first new", // no jobs of the class are queued at the start
+		"c: 1.5 tasks run on average",                  // two jobs at the start and one from a pipeline
+		"last: 0.2 tasks run",                          // two jobs of 10 s in 100 s
 	)
 }
 
-// TestPipelineRefused: a pipeline that can't be followed is refused by its stage.
+// TestPipelineRefused checks that an invalid pipeline is rejected with an error that names
+// its stage.
 func TestPipelineRefused(t *testing.T) {
 	for _, c := range []struct{ name, from, to, want string }{
 		{"needs a later stage", "needs = [2, 1]", "needs = [2, 3]", `pipelines "p": stage 3: needs`},
-		{"unknown class", `{ class = "c" }`, `{ class = "none" }`, `pipelines "p": stage 0: no jobs of class "none"`},
+		{"unknown class", `{ class = "c" }`, `{ class = "none" }`, `pipelines "p": stage 0: the site has no jobs of class "none"`},
 		{"one number of jobs", "jobs = [2, 3]", "jobs = [2]", `pipelines "p": stage 1: jobs`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			expectRefused(t, strings.Replace(withPipeline, c.from, c.to, 1), c.want)
+			expectRejected(t, strings.Replace(siteWithPipeline, c.from, c.to, 1), c.want)
 		})
 	}
 }
 
-// TestNoJobs: a class without jobs has no share that is late.
+// TestNoJobs checks that the wait bound of a class without jobs is a number.
 func TestNoJobs(t *testing.T) {
-	out, err := output(t, strings.Replace(small, "initial = 2", "initial = 0", 1))
+	out, err := runSite(t, strings.Replace(smallSite, "initial = 2", "initial = 0", 1))
 	if err != nil || strings.Contains(out, "wait 5 s: at most NaN") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("run returned error %v, want nil and no wait bound of NaN; output:\n%s", err, out)
 	}
 }
 
-// TestLeastMean: the closed form agrees with an integral by steps.
-func TestLeastMean(t *testing.T) {
+// TestTruncatedMean checks the closed form of the mean against a numerical integral.
+func TestTruncatedMean(t *testing.T) {
 	d := distribution{Median: 15, P95: 35, Max: 50}
-	// The mean of the log-normal below 50, integrated by steps.
+	// The mean of the log-normal below Max, integrated numerically.
 	sigma := math.Log(d.P95/d.Median) / z95
 	sum, weight := 0.0, 0.0
 	for x := 0.005; x < d.Max; x += 0.01 {
@@ -85,7 +88,7 @@
 		density := math.Exp(-z*z/2) / x
 		sum, weight = sum+x*density, weight+density
 	}
-	if got := d.leastMean(); math.Abs(got-sum/weight) > 0.01 || got >= d.mean() {
-		t.Errorf("got %.3f, integrated %.3f, mean %.3f", got, sum/weight, d.mean())
+	if got := d.truncatedMean(); math.Abs(got-sum/weight) > 0.01 || got >= d.mean() {
+		t.Errorf("truncatedMean() = %.3f, want %.3f and less than the mean %.3f", got, sum/weight, d.mean())
 	}
 }
--- a/cmd/limits/report.go
+++ b/cmd/limits/report.go
@@ -6,23 +6,24 @@
 	"os"
 )
 
-// benchReport is what is read of the report of a run of the bench. Other keys are
-// ignored.
+// benchReport holds the keys that are read from the report of a bench run. Other keys
+// are ignored.
 type benchReport struct {
 	Scenario string        `json:"scenario"`
 	Results  []benchResult `json:"targets"`
 }
 
-// benchResult is what a run reached of one objective.
+// benchResult is the result of a run for one objective.
 type benchResult struct {
-	Kind   string  `json:"kind"`
-	Class  string  `json:"class"`
-	Within float64 `json:"within_s"`
-	Times  float64 `json:"times"` // multiple of the deadline
-	Value  float64 `json:"value"`
+	Kind             string  `json:"kind"`
+	Class            string  `json:"class"`
+	Within           float64 `json:"within_s"`
+	DeadlineMultiple float64 `json:"times"` // multiple of the deadline
+	Value            float64 `json:"value"`
 }
 
-// name returns the objective with what sets it apart from others of its kind.
+// name returns the objective's kind with the values that distinguish it from other
+// objectives of the same kind.
 func (r *benchResult) name() string {
 	name := r.Kind
 	if r.Class != "" {
@@ -31,13 +32,13 @@
 	if r.Within > 0 {
 		name += fmt.Sprintf(" %.0f s", r.Within)
 	}
-	if r.Times > 0 {
-		name += fmt.Sprintf(" %.1f times", r.Times)
+	if r.DeadlineMultiple > 0 {
+		name += fmt.Sprintf(" %.1f times", r.DeadlineMultiple)
 	}
 	return name
 }
 
-// reportLines says what a run reached, one line for each objective.
+// reportLines returns the results in a report, one line per objective.
 func reportLines(path string) ([]string, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/lugward/main.go
+++ b/cmd/lugward/main.go
@@ -1,5 +1,5 @@
-// Command lugward is the cluster scheduler's controller. It serves users, workers and
-// other controllers until it is killed.
+// Command lugward runs one controller of the cluster scheduler. It serves users, workers
+// and other controllers until the process is killed.
 package main
 
 import (
@@ -19,37 +19,38 @@
 	"lugward/internal/engine"
 )
 
-import "C" // links the system's C library, as the deployments require
+import "C" // links the system C library, which the deployments require
 
-// version is set by the build where one is wanted.
+// version can be set by the build with the linker flag -X.
 var version = "dev"
 
 func main() {
-	if err := command().ExecuteContext(context.Background()); err != nil {
+	if err := newRootCommand().ExecuteContext(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, "lugward:", err)
 		os.Exit(1)
 	}
 }
 
-// longHelp is what --help says besides the commands and flags.
-const longHelp = `Runs one controller of the cluster scheduler: it takes jobs from users over HTTP,
-schedules their tasks on machines that it provisions in the cloud, and stores its state
-in a consensus-backed key-value store. Several controllers run at a time; one of them
-is the leader, and another takes over if it fails.
+// longHelp is the description that --help prints above the commands and flags.
+const longHelp = `Runs one controller of the cluster scheduler. A controller accepts jobs from users over
+HTTP, schedules their tasks on machines that it provisions in the cloud, and stores its
+state in a consensus-backed key-value store. Several controllers run at the same time.
+One of them is the leader; if it fails, another controller becomes the leader.
 
-The log goes to standard error. LOG_LEVEL is error (the default), info or debug.`
+Logs are written to standard error. The environment variable LOG_LEVEL sets the lowest
+level that is logged: error (the default), info or debug.`
 
-// settingsFiles are the paths of the settings, from the flags.
+// settingsFiles holds the paths of the settings files, as given by the flags.
 type settingsFiles struct {
 	platform string // JSON
-	operator string // TOML; empty: none
+	operator string // TOML; empty if not given
 }
 
-func command() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	var files settingsFiles
 	root := &cobra.Command{
 		Use:           "lugward --config FILE",
-		Short:         "A cluster scheduler's controller: serves users and workers until it is killed",
+		Short:         "Run a controller of the cluster scheduler until it is killed",
 		Long:          longHelp,
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
@@ -62,13 +63,13 @@
 			return serve(cmd.Context(), cfg)
 		},
 	}
-	root.PersistentFlags().StringVar(&files.platform, "config", "", "settings file of the platform (JSON), required")
-	root.PersistentFlags().StringVar(&files.operator, "operator", "", "operators' own settings (TOML); without it the defaults hold")
-	root.AddCommand(versionCommand(), checkCommand(&files))
+	root.PersistentFlags().StringVar(&files.platform, "config", "", "path of the platform settings file (JSON), required")
+	root.PersistentFlags().StringVar(&files.operator, "operator", "", "path of the operator settings file (TOML); defaults apply if not given")
+	root.AddCommand(newVersionCommand(), newCheckCommand(&files))
 	return root
 }
 
-func versionCommand() *cobra.Command {
+func newVersionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
@@ -80,18 +81,19 @@
 	}
 }
 
-// checkCommand reads the paths when it runs, after the flags have been parsed.
-func checkCommand(files *settingsFiles) *cobra.Command {
+// newCheckCommand returns the check command. The command takes a pointer because files
+// is only filled in when the flags are parsed, before RunE runs.
+func newCheckCommand(files *settingsFiles) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check",
-		Short: "Check the settings and exit",
+		Short: "Validate the settings files and exit",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg, err := files.load()
 			if err != nil {
 				return err
 			}
-			_, err = fmt.Fprintln(cmd.OutOrStdout(), "settings of", cfg.Label, "are good")
+			_, err = fmt.Fprintln(cmd.OutOrStdout(), "settings of", cfg.Label, "are valid")
 			return err
 		},
 	}
@@ -104,7 +106,7 @@
 	return config.Load(f.platform, f.operator)
 }
 
-// logLevel reads LOG_LEVEL; without it only errors are logged.
+// logLevel returns the level that LOG_LEVEL sets, or the error level if it is unset or empty.
 func logLevel() (slog.Level, error) {
 	switch v := os.Getenv("LOG_LEVEL"); v {
 	case "", "error":
@@ -114,23 +116,24 @@
 	case "debug":
 		return slog.LevelDebug, nil
 	default:
-		return 0, fmt.Errorf("LOG_LEVEL %q is none of error, info, debug", v)
+		return 0, fmt.Errorf("LOG_LEVEL %q is invalid: expected error, info or debug", v)
 	}
 }
 
-// heapShare is the part of the controller's memory that Go's heap may fill. The
-// rest is for stacks, the network buffers and the C library.
+// heapShare is the fraction of the controller's memory that the Go heap may use. The rest
+// is for stacks, network buffers and the C library.
 const heapShare = 0.6
 
-// limitRuntime keeps Go's runtime within the controller's resources: a share of
-// one core, so more threads of Go code would only switch more often.
+// limitRuntime keeps the Go runtime within the controller's resources. The controller has
+// a share of one core, so more than one thread running Go code would only add context
+// switches.
 func limitRuntime(memoryMB float64) {
 	runtime.GOMAXPROCS(1)
 	const bytesPerMB = 1 << 20
 	debug.SetMemoryLimit(int64(memoryMB * heapShare * bytesPerMB))
 }
 
-// serve runs the controller until it is killed, or the context is cancelled.
+// serve runs the controller until the process is killed or ctx is cancelled.
 func serve(ctx context.Context, cfg *config.Platform) error {
 	level, err := logLevel()
 	if err != nil {
@@ -142,14 +145,14 @@
 	logUnknownObjectives(cfg, log)
 	start := time.Now()
 	stateMachine := controller.New(cfg, log, func() time.Duration { return time.Since(start) })
-	log.Info("starting", "label", cfg.Label, "bind", cfg.Bind)
+	log.Info("starting controller", "label", cfg.Label, "bind", cfg.Bind)
 	return engine.Run(ctx, engineConfig(cfg), stateMachine, log)
 }
 
 func logUnknownObjectives(cfg *config.Platform, log *slog.Logger) {
 	for _, objective := range cfg.Settings.Objectives {
 		if !objective.Known() {
-			log.Info("objective of an unknown kind is ignored", "kind", objective.Kind, "class", objective.Class)
+			log.Info("ignoring objective of unknown kind", "kind", objective.Kind, "class", objective.Class)
 		}
 	}
 }
--- a/cmd/runtests/knownfailures.go
+++ b/cmd/runtests/knownfailures.go
@@ -9,18 +9,19 @@
 	"strings"
 )
 
-// maxKnownFailures is how many tests may be known to fail at a time.
+// maxKnownFailures is the maximum number of tests in the list of known failures.
 const maxKnownFailures = 3
 
-// knownFailure is a test that fails for a fault that is not mended yet.
+// knownFailure is a test that fails because of a fault that is not fixed yet.
 type knownFailure struct {
-	pkg   string // as go test takes it: ./internal/kv
-	test  string // with its subtests: TestScenarios/gang
+	pkg   string // in the form of go test's argument, such as ./internal/kv
+	test  string // with the subtest if any, such as TestScenarios/gang
 	cause string
 	issue string
 }
 
-// parseKnownFailures reads the list: one test a line, as PACKAGE TEST | CAUSE | ISSUE.
+// parseKnownFailures parses the list of known failures. Each line has one test, in the
+// format PACKAGE TEST | CAUSE | ISSUE.
 func parseKnownFailures(text string) ([]knownFailure, error) {
 	var list []knownFailure
 	for number, line := range strings.Split(text, "\n") {
@@ -34,12 +35,12 @@
 		list = append(list, failure)
 	}
 	if len(list) > maxKnownFailures {
-		return nil, fmt.Errorf("%d tests are listed, %d are allowed", len(list), maxKnownFailures)
+		return nil, fmt.Errorf("%d tests listed, at most %d allowed", len(list), maxKnownFailures)
 	}
 	return list, nil
 }
 
-// errFormat means that a line does not say what it has to.
+// errFormat means that a line of the list does not have the expected format.
 var errFormat = errors.New("expected PACKAGE TEST | CAUSE | ISSUE")
 
 func parseLine(line string) (knownFailure, error) {
@@ -56,7 +57,7 @@
 	return knownFailure{pkg: names[0], test: names[1], cause: cause, issue: issue}, nil
 }
 
-// pattern matches the test and nothing else, in the form of go test's -run and -skip.
+// pattern returns a pattern for go test's -run and -skip that matches only this test.
 func (k *knownFailure) pattern() string {
 	levels := strings.Split(k.test, "/")
 	for i, level := range levels {
@@ -65,25 +66,24 @@
 	return strings.Join(levels, "/")
 }
 
-// check runs the test alone. It is an error if there is none of that name, or if it
-// passes again.
-func (k *knownFailure) check(runGoTest goTestFunc) error {
+// verify runs only this test. It returns an error if the test does not exist or passes.
+func (k *knownFailure) verify(runGoTest goTestFunc) error {
 	var output bytes.Buffer
 	passed, err := runGoTest(&output, "-v", "-run", k.pattern(), k.pkg)
 	if err != nil {
 		return err
 	}
 	switch {
-	case !hasRun(output.String(), k.test):
-		return fmt.Errorf("%s has no test %s: take it off %s", k.pkg, k.test, knownFailuresFile)
+	case !hasStarted(output.String(), k.test):
+		return fmt.Errorf("%s has no test %s: remove it from %s", k.pkg, k.test, knownFailuresFile)
 	case passed:
-		return fmt.Errorf("%s in %s passes again: take it off %s", k.test, k.pkg, knownFailuresFile)
+		return fmt.Errorf("%s in %s passes: remove it from %s", k.test, k.pkg, knownFailuresFile)
 	}
 	return nil
 }
 
-// hasRun reports whether the output of go test -v shows that a test has begun.
-func hasRun(output, test string) bool {
+// hasStarted reports whether the output of go test -v shows that a test has started.
+func hasStarted(output, test string) bool {
 	for line := range strings.SplitSeq(output, "\n") {
 		if strings.TrimSpace(strings.TrimPrefix(line, "=== RUN")) == test {
 			return true
@@ -92,12 +92,12 @@
 	return false
 }
 
-// testAll runs the tests of packages but for those that are known to fail, which it
-// checks and prints.
+// testAll runs the tests of packages except the known failures, which it verifies and
+// prints.
 func testAll(runGoTest goTestFunc, packages []string, known []knownFailure, out io.Writer) error {
 	arguments := packages
 	if len(known) > 0 {
-		pattern, err := skipPattern(runGoTest, known, out)
+		pattern, err := verifyKnownFailures(runGoTest, known, out)
 		if err != nil {
 			return err
 		}
@@ -113,16 +113,16 @@
 	return nil
 }
 
-// skipPattern checks and prints the tests that are known to fail, and returns the
-// pattern for go test's -skip that matches them.
-func skipPattern(runGoTest goTestFunc, known []knownFailure, out io.Writer) (string, error) {
+// verifyKnownFailures verifies and prints the known failures, and returns the pattern for
+// go test's -skip that matches them.
+func verifyKnownFailures(runGoTest goTestFunc, known []knownFailure, out io.Writer) (string, error) {
 	patterns := make([]string, len(known))
 	for i := range known {
 		k := &known[i]
-		if err := k.check(runGoTest); err != nil {
+		if err := k.verify(runGoTest); err != nil {
 			return "", err
 		}
-		if _, err := fmt.Fprintf(out, "known red, passed over: %s %s: %s (%s)\n", k.pkg, k.test, k.cause, k.issue); err != nil {
+		if _, err := fmt.Fprintf(out, "known failure, skipped: %s %s: %s (%s)\n", k.pkg, k.test, k.cause, k.issue); err != nil {
 			return "", err
 		}
 		patterns[i] = k.pattern()
--- a/cmd/runtests/knownfailures_test.go
+++ b/cmd/runtests/knownfailures_test.go
@@ -16,26 +16,26 @@
 		{"no issue", "./a TestB | late writes\n", "line 1: expected PACKAGE TEST | CAUSE | ISSUE"},
 		{"empty cause", "\n./a TestB | | issue 3\n", "line 2: expected PACKAGE TEST | CAUSE | ISSUE"},
 		{"package without ./", "a TestB | c | i\n", "line 1: expected PACKAGE TEST | CAUSE | ISSUE"},
-		{"too many", strings.Repeat("./a TestB | c | i\n", 4), "4 tests are listed, 3 are allowed"},
+		{"too many", strings.Repeat("./a TestB | c | i\n", 4), "4 tests listed, at most 3 allowed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := parseKnownFailures(c.text)
-			if got := message(err); got != c.want {
-				t.Errorf("%q, want %q", got, c.want)
+			if got := errorText(err); got != c.want {
+				t.Errorf("parseKnownFailures(%q) returned error %q, want %q", c.text, got, c.want)
 			}
 		})
 	}
 }
 
-func message(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
 	return err.Error()
 }
 
-// testModule writes a module with tests that pass and tests that fail, and returns
-// what runs go test there.
+// testModule writes a module with tests that pass and tests that fail, and returns a
+// function that runs go test in the module.
 func testModule(t *testing.T) goTestFunc {
 	t.Helper()
 	dir := t.TempDir()
@@ -65,7 +65,8 @@
 	}
 }
 
-// TestKnownFailures: only tests that are listed are passed over, and only as long as they exist and fail.
+// TestKnownFailures checks that only listed tests are skipped, and that a listed test that
+// does not exist or passes is an error.
 func TestKnownFailures(t *testing.T) {
 	bad := knownFailure{pkg: ".", test: "TestBad", cause: "c", issue: "i"}
 	manyBad := knownFailure{pkg: ".", test: "TestMany/bad", cause: "c", issue: "i"}
@@ -78,18 +79,18 @@
 		{"none listed", nil, "tests failed"},
 		{"one of two listed", []knownFailure{bad}, "tests failed"},
 		{"both listed", []knownFailure{bad, manyBad}, ""},
-		{"a name that no test has", []knownFailure{bad, manyBad, {pkg: ".", test: "TestNone"}}, ". has no test TestNone: take it off KNOWN-RED.txt"},
-		{"a part of a name", []knownFailure{manyBad, {pkg: ".", test: "TestBa"}}, ". has no test TestBa: take it off KNOWN-RED.txt"},
-		{"one that passes", []knownFailure{bad, manyBad, {pkg: ".", test: "TestMany/good"}}, "TestMany/good in . passes again: take it off KNOWN-RED.txt"},
+		{"name of no test", []knownFailure{bad, manyBad, {pkg: ".", test: "TestNone"}}, ". has no test TestNone: remove it from KNOWN-RED.txt"},
+		{"part of a name", []knownFailure{manyBad, {pkg: ".", test: "TestBa"}}, ". has no test TestBa: remove it from KNOWN-RED.txt"},
+		{"passing test listed", []knownFailure{bad, manyBad, {pkg: ".", test: "TestMany/good"}}, "TestMany/good in . passes: remove it from KNOWN-RED.txt"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out strings.Builder
 			err := testAll(runGoTest, []string{"./..."}, c.known, &out)
-			if got := message(err); got != c.want {
-				t.Errorf("%q, want %q\n%s", got, c.want, out.String())
+			if got := errorText(err); got != c.want {
+				t.Errorf("testAll returned error %q, want %q; output:\n%s", got, c.want, out.String())
 			}
-			if c.want == "" && !strings.Contains(out.String(), "known red, passed over: . TestBad: c (i)\n") {
-				t.Errorf("not printed:\n%s", out.String())
+			if c.want == "" && !strings.Contains(out.String(), "known failure, skipped: . TestBad: c (i)\n") {
+				t.Errorf("output does not list TestBad as a known failure, got:\n%s", out.String())
 			}
 		})
 	}
--- a/cmd/runtests/main.go
+++ b/cmd/runtests/main.go
@@ -1,6 +1,6 @@
-// Command runtests runs the project's tests with the race detector. Tests that are
-// listed in KNOWN-RED.txt, at most three that fail for a fault not mended yet, are
-// printed and passed over; it is an error if one of them does not exist or passes.
+// Command runtests runs the project's tests with the race detector. It prints and skips
+// the tests listed in KNOWN-RED.txt: at most three tests that fail because of a fault that
+// is not fixed yet. It is an error if a listed test does not exist or passes.
 package main
 
 import (
@@ -12,7 +12,7 @@
 	"os/exec"
 )
 
-// knownFailuresFile lists the tests that are known to fail, if there are any.
+// knownFailuresFile is the file that lists the known failures. It is optional.
 const knownFailuresFile = "KNOWN-RED.txt"
 
 func main() {
@@ -22,7 +22,7 @@
 	}
 }
 
-// run tests packages, given as go test takes them.
+// run runs the tests of packages, which are given in the form of go test's arguments.
 func run(packages []string) error {
 	known, err := readKnownFailures()
 	if err != nil {
@@ -31,7 +31,8 @@
 	return testAll(goTest, packages, known, os.Stdout)
 }
 
-// readKnownFailures reads the list. Without the file every test must pass.
+// readKnownFailures reads the list of known failures. If the file does not exist, the list
+// is empty and every test must pass.
 func readKnownFailures() ([]knownFailure, error) {
 	text, err := os.ReadFile(knownFailuresFile)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -44,9 +45,8 @@
 	return known, nil
 }
 
-// goTestFunc runs "go test" with arguments and writes what it prints to out. passed
-// reports whether all tests that it ran have passed; err is that the command could not
-// be run.
+// goTestFunc runs "go test" with arguments and writes its output to out. passed reports
+// whether all tests that it ran passed. err is not nil if the command could not be run.
 type goTestFunc func(out io.Writer, arguments ...string) (passed bool, err error)
 
 // goTest is the goTestFunc that runs the go command in the working directory.
--- a/internal/docscheck/docs_test.go
+++ b/internal/docscheck/docs_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// checkedPages are the pages whose names must exist in the code. Pages about the past
-// (rounds, incidents) keep the names of their time.
+// checkedPages are the pages whose names must exist in the code. Pages about past events
+// (rounds, incidents) keep the names that were in use at the time.
 var checkedPages = []string{"README.md", "docs/architecture.md", "docs/design.md", "docs/operations.md"}
 
 func readPage(t *testing.T, path string) string {
@@ -25,23 +25,24 @@
 
 var (
 	codeSpan = regexp.MustCompile("`([^`\n]+)`")
-	// qualifiedName is package.Name, package.Type.Member or Type.Member.
+	// qualifiedName matches package.Name, package.Type.Member and Type.Member.
 	qualifiedName = regexp.MustCompile(`^[A-Za-z]\w*(\.[A-Za-z]\w*){1,2}$`)
 	sourcePath    = regexp.MustCompile(`^(cmd|internal)/[\w/.]+$`)
-	// packageFile is a file below internal, as package/file.go.
+	// packageFile matches a file below internal in the form package/file.go.
 	packageFile = regexp.MustCompile(`^[a-z]+/\w+\.go$`)
 	fileName    = regexp.MustCompile(`\.(go|md|toml|txt|json|yml|mod)$`)
 )
 
-// settingPrefixes begin the dotted names of settings, which are not names of the code.
+// settingPrefixes are the prefixes of the dotted names of settings, which are not
+// declared in the code.
 var settingPrefixes = []string{"state.", "cloud.", "workers.", "services.", "resources.", "term.", "place.", "rental.", "intake."}
 
-// standardLibrary are the names of Go's library that the pages give.
-var standardLibrary = map[string]bool{"net.Dialer": true}
+// standardLibraryNames are the names of the Go standard library that the pages use.
+var standardLibraryNames = map[string]bool{"net.Dialer": true}
 
-// TestNamesExist checks that names and paths in the pages exist in the code.
+// TestNamesExist checks that the names and paths in checkedPages exist in the code.
 func TestNamesExist(t *testing.T) {
-	declared := declarations(sources(t))
+	declared := declarations(parseSources(t))
 	for _, page := range checkedPages {
 		t.Run(page, func(t *testing.T) {
 			for _, span := range codeSpan.FindAllStringSubmatch(readPage(t, page), -1) {
@@ -52,18 +53,18 @@
 				switch {
 				case sourcePath.MatchString(name):
 					if _, err := os.Stat(filepath.Join(repositoryRoot, name)); err != nil {
-						t.Errorf("%s is not there", name)
+						t.Errorf("path %s does not exist", name)
 					}
-				case fileName.MatchString(name), isSetting(name), standardLibrary[name]:
+				case fileName.MatchString(name), isSetting(name), standardLibraryNames[name]:
 				case qualifiedName.MatchString(name) && !declared[name]:
-					t.Errorf("nothing is called %s", name)
+					t.Errorf("name %s is not declared in the code", name)
 				}
 			}
 		})
 	}
 }
 
-// isSetting reports whether a name is a dotted setting in lower case.
+// isSetting reports whether a name is the dotted name of a setting, all in lower case.
 func isSetting(name string) bool {
 	if name != strings.ToLower(name) {
 		return false
@@ -71,24 +72,24 @@
 	return slices.ContainsFunc(settingPrefixes, func(prefix string) bool { return strings.HasPrefix(name, prefix) })
 }
 
-// tableRow is a row of a Markdown table with two columns or more.
+// tableRow matches a row of a Markdown table with two or more columns.
 var tableRow = regexp.MustCompile(`(?m)^\| ([^|\n]+) \| ([^|\n]*) \|`)
 
-// section returns the text below a heading of a page, up to the next one.
+// section returns the text below a second-level heading of a page, up to the next one.
 func section(t *testing.T, page, heading string) string {
 	t.Helper()
 	_, text, found := strings.Cut(readPage(t, page), "\n## "+heading+"\n")
 	if !found {
-		t.Fatalf("%s has no heading %s", page, heading)
+		t.Fatalf("page %s has no heading %q", page, heading)
 	}
 	text, _, _ = strings.Cut(text, "\n## ")
 	return text
 }
 
 // TestImportTable checks the table of packages in the architecture page against the
-// imports in the code.
+// imports in the code. Both must list the same packages and imports.
 func TestImportTable(t *testing.T) {
-	want := imports(sources(t))
+	want := imports(parseSources(t))
 	delete(want, "internal/docscheck")
 	got := map[string][]string{}
 	for _, row := range tableRow.FindAllStringSubmatch(section(t, "docs/architecture.md", "Packages"), -1) {
@@ -105,44 +106,44 @@
 	}
 	for directory, list := range want {
 		if !slices.Equal(got[directory], list) {
-			t.Errorf("%s imports %v, the page says %v", directory, list, got[directory])
+			t.Errorf("package %s imports %v, the page lists %v", directory, list, got[directory])
 		}
 		delete(got, directory)
 	}
 	for directory := range got {
-		t.Errorf("the page has %s, the code has not", directory)
+		t.Errorf("the page lists package %s, which is not in the code", directory)
 	}
 }
 
-// TestLogMessages checks that the operations page explains every log message of the
-// program and no other.
+// TestLogMessages checks that the operations page documents every log message of the
+// program, and no message that the program does not log.
 func TestLogMessages(t *testing.T) {
-	inCode := logMessages(t, sources(t))
-	explained := map[string]bool{}
+	logged := logMessages(t, parseSources(t))
+	documented := map[string]bool{}
 	for _, row := range tableRow.FindAllStringSubmatch(section(t, "docs/operations.md", "Log messages"), -1) {
 		for _, span := range codeSpan.FindAllStringSubmatch(row[1], -1) {
-			explained[span[1]] = true
+			documented[span[1]] = true
 		}
 	}
-	for message, path := range inCode {
-		if !explained[message] {
-			t.Errorf("%q (%s) is not explained", message, path)
+	for message, path := range logged {
+		if !documented[message] {
+			t.Errorf("log message %q (%s) is not documented", message, path)
 		}
-		delete(explained, message)
+		delete(documented, message)
 	}
-	for message := range explained {
-		t.Errorf("%q is explained and not logged", message)
+	for message := range documented {
+		t.Errorf("log message %q is documented but never logged", message)
 	}
 }
 
 var (
-	link    = regexp.MustCompile(`\]\(([^)\s]+)\)`)
-	heading = regexp.MustCompile(`(?m)^#+ (.*)$`)
-	notSlug = regexp.MustCompile(`[^\w\- ]`)
+	link        = regexp.MustCompile(`\]\(([^)\s]+)\)`)
+	heading     = regexp.MustCompile(`(?m)^#+ (.*)$`)
+	notInAnchor = regexp.MustCompile(`[^\w\- ]`)
 )
 
-// TestLinks checks that every relative link of the pages leads to a file and a heading
-// that are there.
+// TestLinks checks that every relative link in the pages points to an existing file and,
+// if it has an anchor, to an existing heading.
 func TestLinks(t *testing.T) {
 	pages := []string{"README.md"}
 	err := filepath.WalkDir(filepath.Join(repositoryRoot, "docs"), func(path string, entry fs.DirEntry, err error) error {
@@ -166,20 +167,20 @@
 				target = filepath.Join(filepath.Dir(page), file)
 			}
 			if _, err := os.Stat(filepath.Join(repositoryRoot, target)); err != nil {
-				t.Errorf("%s: %s leads nowhere", page, found[1])
+				t.Errorf("%s: link %s: file does not exist", page, found[1])
 				continue
 			}
 			if anchor != "" && !hasHeading(readPage(t, target), anchor) {
-				t.Errorf("%s: %s has no such heading", page, found[1])
+				t.Errorf("%s: link %s: file has no such heading", page, found[1])
 			}
 		}
 	}
 }
 
-// hasHeading reports whether a page has a heading whose anchor is the given one.
+// hasHeading reports whether a page has a heading with the given anchor.
 func hasHeading(page, anchor string) bool {
 	for _, found := range heading.FindAllStringSubmatch(page, -1) {
-		slug := notSlug.ReplaceAllString(strings.ToLower(found[1]), "")
+		slug := notInAnchor.ReplaceAllString(strings.ToLower(found[1]), "")
 		if strings.ReplaceAll(slug, " ", "-") == anchor {
 			return true
 		}
--- a/internal/docscheck/docscheck.go
+++ b/internal/docscheck/docscheck.go
@@ -1,4 +1,4 @@
-// Package docscheck holds the tests that keep the pages under docs in step with the
-// code: names that a page gives exist, the table of imports is the real one, every log
-// message is explained, and no link is dead.
+// Package docscheck contains the tests that check the documentation pages against the
+// code: the names in a page exist, the table of imports is correct, every log message is
+// documented, and no link is broken.
 package docscheck
--- a/internal/docscheck/source_test.go
+++ b/internal/docscheck/source_test.go
@@ -12,21 +12,21 @@
 	"testing"
 )
 
-// repositoryRoot is the root of the repository as seen from this package's tests.
+// repositoryRoot is the path of the repository's root, relative to this package's directory.
 const repositoryRoot = "../.."
 
-// modulePath begins the import path of every package of the project.
+// modulePath is the prefix of the import paths of all packages of the project.
 const modulePath = "lugward/"
 
-// sourceFile is one Go file that is no test.
+// sourceFile is a Go file that is not a test.
 type sourceFile struct {
-	path      string // below the repository's root, with slashes
+	path      string // relative to the repository's root, with slashes
 	directory string
 	syntax    *ast.File
 }
 
-// sources reads the Go files of cmd and internal, without tests.
-func sources(t *testing.T) []sourceFile {
+// parseSources parses the Go files in cmd and internal, except tests.
+func parseSources(t *testing.T) []sourceFile {
 	t.Helper()
 	var files []sourceFile
 	for _, top := range []string{"cmd", "internal"} {
@@ -54,9 +54,10 @@
 	return files
 }
 
-// declarations lists what the packages declare: Name, Type.Member, package.Name and
-// package.Type.Member; a method also as package.Method. Members that a type has from
-// those it embeds count as its own.
+// declarations returns the names that the packages declare, in the forms Name,
+// Type.Member, package.Name and package.Type.Member. Fields and methods are included as
+// package.Member, too. Members of embedded types count as members of the type that embeds
+// them.
 func declarations(files []sourceFile) map[string]bool {
 	packages := map[string]*packageNames{}
 	for _, file := range files {
@@ -83,11 +84,11 @@
 	return declared
 }
 
-// packageNames is what the files of a package declare.
+// packageNames holds the names that the files of a package declare.
 type packageNames struct {
-	names    map[string]bool     // at the top level
-	members  map[string][]string // by type: its fields and methods
-	embedded map[string][]string // by type: the types of the package that it embeds
+	names    map[string]bool     // package-level names
+	members  map[string][]string // fields and methods by type
+	embedded map[string][]string // names of embedded types by type
 }
 
 func (p *packageNames) addFile(file *ast.File) {
@@ -137,7 +138,7 @@
 	}
 }
 
-// allMembers lists the members of a type and of those that it embeds.
+// allMembers returns the members of a type and of the types that it embeds.
 func (p *packageNames) allMembers(owner string) []string {
 	list := slices.Clone(p.members[owner])
 	for _, embedded := range p.embedded[owner] {
@@ -146,7 +147,7 @@
 	return list
 }
 
-// typeName is the name of a type without pointer, package and type parameters.
+// typeName returns the name of a type without pointer, package and type parameters.
 func typeName(expression ast.Expr) string {
 	switch e := expression.(type) {
 	case *ast.StarExpr:
@@ -162,7 +163,8 @@
 	}
 }
 
-// imports lists, by package directory, the project's own packages that it imports.
+// imports returns, by package directory, the project's own packages that the package
+// imports.
 func imports(files []sourceFile) map[string][]string {
 	list := map[string][]string{}
 	for _, file := range files {
@@ -187,7 +189,8 @@
 // logMethods are the methods of slog.Logger whose first argument is the message.
 var logMethods = []string{"Debug", "Info", "Warn", "Error"}
 
-// logMessages lists the messages that the program logs, with where they stand.
+// logMessages returns the messages that the program logs, with the path of a file that
+// logs each of them. The simulation tests are not part of the program.
 func logMessages(t *testing.T, files []sourceFile) map[string]string {
 	t.Helper()
 	messages := map[string]string{}
@@ -202,7 +205,7 @@
 			}
 			literal, ok := call.Args[0].(*ast.BasicLit)
 			if !ok {
-				t.Errorf("%s: a log message is not a literal", file.path)
+				t.Errorf("%s: log message is not a string literal", file.path)
 				return true
 			}
 			message, err := strconv.Unquote(literal.Value)
@@ -216,8 +219,8 @@
 	return messages
 }
 
-// isLogCall reports whether a call is one of a logger's, by the name of the variable or
-// field that it is called on.
+// isLogCall reports whether a call is a call of a logger's method. It identifies loggers by
+// the name of the variable or field that the method is called on.
 func isLogCall(call *ast.CallExpr) bool {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 || !slices.Contains(logMethods, method.Sel.Name) {
