--- a/internal/simtest/cloud.go
+++ b/internal/simtest/cloud.go
@@ -11,40 +11,41 @@
 	"time"
 )
 
-// resources are what a machine has and what each task of a job takes.
+// resources are the capacity of a machine or the request of each task of a job. The unit of
+// memory is GB.
 type resources struct{ cpus, gpus, memory float64 }
 
-// minus is what is left when something is taken.
-func (r resources) minus(taken resources) resources {
-	return resources{r.cpus - taken.cpus, r.gpus - taken.gpus, r.memory - taken.memory}
+// minus returns the difference of each resource.
+func (r resources) minus(other resources) resources {
+	return resources{r.cpus - other.cpus, r.gpus - other.gpus, r.memory - other.memory}
 }
 
-// atMost is the smaller amount of each resource.
+// atMost returns the smaller amount of each resource.
 func (r resources) atMost(other resources) resources {
 	return resources{min(r.cpus, other.cpus), min(r.gpus, other.gpus), min(r.memory, other.memory)}
 }
 
-// covers reports whether there is enough of each resource.
+// covers reports whether each resource is at least the needed amount.
 func (r resources) covers(needed resources) bool {
 	return r.cpus >= needed.cpus && r.gpus >= needed.gpus && r.memory >= needed.memory
 }
 
-// machineType is a type of machines that the cloud offers.
+// machineType describes a machine type of the cloud.
 type machineType struct {
 	resources
 	price float64
 	boot  time.Duration
 }
 
-// recordedGPUType is the name of the machine type "gpu" in recordings of versions
-// that called it so.
+// recordedGPUType is the name of the machine type "gpu" in recordings that were made by older
+// versions.
 const recordedGPUType = "card"
 
 // offeredTypeNames are the machine types that the cloud offers.
 var offeredTypeNames = []string{"small", "big", "gpu"}
 
-// machineTypes are the machine types of the simulated deployments, also those of
-// recordings.
+// machineTypes holds the machine types of simulated deployments by name, including those that
+// occur only in recordings.
 var machineTypes = map[string]machineType{
 	"small": {resources{4, 0, 16}, 1, 3 * time.Second},
 	"big":   {resources{16, 0, 64}, 3, 4 * time.Second},
@@ -53,7 +54,7 @@
 	recordedGPUType: {resources{8, 4, 64}, 10, 5 * time.Second},
 }
 
-// fakeCloud is a stand-in of the cloud.
+// fakeCloud is a fake of the cloud, which rents machines.
 type fakeCloud struct {
 	world                *World
 	offeredNames         []string
@@ -61,9 +62,9 @@
 	provisionedByRequest map[string][]string
 	lastMachine          int
 	down                 bool
-	available            map[string]int // per type, zone and kind; absent: plenty
+	available            map[string]int // remaining capacity by capacityKey; unlimited if absent
 	requests             leakyBucket
-	bootFailures         int // so many of the next machines never boot
+	bootFailures         int // number of the next machines that will never boot
 	releasedMachines     int
 }
 
@@ -71,7 +72,7 @@
 type provisionedMachine struct {
 	machineIdentity
 	provisionedAt time.Duration
-	worker        *fakeWorker // nil: it has not booted yet
+	worker        *fakeWorker // nil until the machine has booted
 	terminated    bool
 }
 
@@ -85,12 +86,13 @@
 	}
 }
 
-// capacityKey names the machines whose number is limited together.
+// capacityKey returns the key of a capacity pool of the cloud: one per machine type, zone and
+// kind (spot or not).
 func capacityKey(machineType, zone string, spot bool) string {
 	return fmt.Sprintf("%s/%s/%v", machineType, zone, spot)
 }
 
-// addMachine provisions a machine that boots after a while and returns its name.
+// addMachine provisions a machine that boots after the given delay, and returns its name.
 func (cloud *fakeCloud) addMachine(machineType, zone string, spot bool, boot time.Duration) string {
 	cloud.lastMachine++
 	machine := &provisionedMachine{
@@ -116,7 +118,7 @@
 	return machine.name
 }
 
-// terminate takes a machine away without notice.
+// terminate ends a machine without notice and removes it.
 func (cloud *fakeCloud) terminate(name string) {
 	if machine := cloud.machines[name]; machine != nil {
 		machine.terminated = true
@@ -127,13 +129,13 @@
 	}
 }
 
-// serve answers a request.
+// serve handles a request.
 func (cloud *fakeCloud) serve(method, target string, body []byte, answer answerFunc) {
 	if cloud.down {
 		answer(http.StatusServiceUnavailable, unavailable)
 		return
 	}
-	if !cloud.requests.take(cloud.world.now, cloud.world.config.Settings.Cloud.RPS, cloudBurst, 1) {
+	if !cloud.requests.acquire(cloud.world.now, cloud.world.config.Settings.Cloud.RPS, cloudBurstSeconds, 1) {
 		answer(http.StatusTooManyRequests, nil)
 		return
 	}
@@ -154,7 +156,7 @@
 	}
 }
 
-// offered lists the machine types.
+// offered returns the machine types on offer.
 func (cloud *fakeCloud) offered() offeredTypes {
 	list := make([]offeredType, 0, len(cloud.offeredNames))
 	for _, name := range cloud.offeredNames {
@@ -165,13 +167,14 @@
 	return offeredTypes{list}
 }
 
-// list shows a page of the machines after a name, the youngest not yet.
+// list returns a page of the machines whose names follow the "from" parameter. Machines that
+// were provisioned less than list_lag_s ago are not listed yet.
 func (cloud *fakeCloud) list(query url.Values) machinePage {
 	list := []listedMachine{}
 	after := query.Get("from")
 	limit, _ := strconv.Atoi(query.Get("limit"))
-	if limit <= 0 || limit > maxListed {
-		limit = maxListed
+	if limit <= 0 || limit > maxPageMachines {
+		limit = maxPageMachines
 	}
 	for _, name := range slices.Sorted(maps.Keys(cloud.machines)) {
 		machine := cloud.machines[name]
@@ -187,7 +190,7 @@
 	return machinePage{Machines: list}
 }
 
-// phase is what the cloud says of a machine.
+// phase returns the phase of the machine in the list of the cloud.
 func (machine *provisionedMachine) phase() string {
 	switch {
 	case machine.worker == nil:
@@ -198,27 +201,29 @@
 	return "running"
 }
 
-// cloudBurst is how many seconds' worth of requests the cloud takes at once.
-const cloudBurst = 2
+// cloudBurstSeconds is the burst of the request rate limit, in seconds at the full rate.
+const cloudBurstSeconds = 2
 
-// Limits of one request to the cloud.
+// Limits of a single request to the cloud.
 const (
-	maxListed      = 500
-	maxProvisioned = 50
-	maxReleased    = 100
+	maxPageMachines = 500 // machines per page
+	maxProvisioned  = 50
+	maxReleased     = 100
 )
 
-// isValid reports whether the cloud would carry out the request.
+// isValid reports whether the request is valid: it has an ID, a known machine type and an
+// allowed number of machines.
 func (request provisionRequest) isValid() bool {
 	_, known := machineTypes[request.MachineType]
 	return known && request.ID != "" && request.Number >= 1 && request.Number <= maxProvisioned
 }
 
-// provision lets machines boot, the same ones for the same request.
+// provision provisions machines. It is idempotent: a request that reuses the ID of a
+// successful request gets the same machines.
 func (cloud *fakeCloud) provision(body []byte) (int, any) {
 	var request provisionRequest
 	if json.Unmarshal(body, &request) != nil || !request.isValid() {
-		cloud.world.reportLimitViolation("bad request for machines %s", body)
+		cloud.world.reportLimitViolation("cloud got an invalid provision request %s", body)
 		return http.StatusBadRequest, nil
 	}
 	if got, ok := cloud.provisionedByRequest[request.ID]; ok {
@@ -226,8 +231,8 @@
 	}
 	count := request.Number
 	key := capacityKey(request.MachineType, request.Zone, request.Spot)
-	if most, ok := cloud.available[key]; ok {
-		count = min(count, most)
+	if remaining, ok := cloud.available[key]; ok {
+		count = min(count, remaining)
 		cloud.available[key] -= count
 	}
 	if count == 0 {
@@ -241,11 +246,11 @@
 	return http.StatusOK, machineNames{got}
 }
 
-// release takes machines back and returns the status of the answer.
+// release terminates machines and returns the response status.
 func (cloud *fakeCloud) release(body []byte) int {
 	var names machineNames
 	if json.Unmarshal(body, &names) != nil || len(names.Machines) > maxReleased {
-		cloud.world.reportLimitViolation("bad request to release machines %s", body)
+		cloud.world.reportLimitViolation("cloud got an invalid release request %s", body)
 		return http.StatusBadRequest
 	}
 	for _, name := range names.Machines {
--- a/internal/simtest/controller.go
+++ b/internal/simtest/controller.go
@@ -11,43 +11,44 @@
 	"lugward/internal/event"
 )
 
-// controllerProcess runs a controller, which may end and start again.
+// controllerProcess simulates the process of a controller. It can be killed, restarted and
+// paused.
 type controllerProcess struct {
 	world       *World
 	index       int
 	name        string
 	controller  *controller.Controller
 	effects     event.Effects
-	incarnation int // counts its starts
+	incarnation int // number of starts so far
 	up          bool
 	startedAt   time.Duration
 	connections
 	pauseState
-	watchBlocked bool // its watches of the state service get no answer, its other requests do
-	denied       bool // the state service answers everybody but this one
+	watchBlocked bool // watch requests to the state service get no response; other requests do
+	denied       bool // the state service rejects the requests of this controller only
 }
 
-// connections are what users and workers have asked of a controller.
+// connections holds the open requests and worker connections of a controller.
 type connections struct {
 	pendingRequests  map[uint64]func(status int, body []byte)
 	lastRequest      uint64
 	connectedWorkers map[string]bool // by name
 }
 
-// pauseState is what a paused controller has yet to do.
+// pauseState holds the deferred work of a paused controller.
 type pauseState struct {
 	paused             bool
-	pauseAfterDecision time.Duration // pause for so long once the next decision is made, 0: don't
-	deferredInputs     []func()      // what arrived meanwhile
-	deferredEffects    func()        // what its last step decided and did not carry out
+	pauseAfterDecision time.Duration // pause for this duration after the next step with replies or calls; zero means no pause
+	deferredInputs     []func()      // inputs that arrived during the pause
+	deferredEffects    func()        // applies the effects of the last step before the pause
 }
 
-// addr is the endpoint that the other controllers have in their settings.
+// addr returns the endpoint of the controller in the settings of its peers.
 func (process *controllerProcess) addr() string {
 	return fmt.Sprintf("10.0.0.%d:8080", process.index+1)
 }
 
-// boot starts a controller that knows nothing yet.
+// boot starts the controller with empty state.
 func (process *controllerProcess) boot() {
 	cfg := *process.world.config
 	cfg.Label, cfg.Seeds = process.name, nil
@@ -65,14 +66,14 @@
 	process.tick(process.incarnation)
 }
 
-// bootIfDown starts a controller that is down.
+// bootIfDown starts the controller unless it is up.
 func (process *controllerProcess) bootIfDown() {
 	if !process.up {
 		process.boot()
 	}
 }
 
-// kill ends a controller; who waits for it learns so.
+// kill ends the process. Its pending requests fail with status 0, in the order of their IDs.
 func (process *controllerProcess) kill() {
 	process.up, process.pauseState = false, pauseState{}
 	pending := process.pendingRequests
@@ -82,7 +83,7 @@
 	}
 }
 
-// tick lets time pass for a controller as long as it has not ended.
+// tick calls the controller's Tick periodically until this incarnation of the process ends.
 func (process *controllerProcess) tick(incarnation int) {
 	if !process.up || process.incarnation != incarnation {
 		return
@@ -96,9 +97,10 @@
 	process.world.schedule(tickInterval, func() { process.tick(incarnation) })
 }
 
-// pause lets a controller be paused while its clock runs on, from now or from when
-// its next decision is made but not carried out yet. What arrives meanwhile waits,
-// and comes in any order before anything that time brings.
+// pause pauses the controller for a duration while its clock keeps running. With
+// afterDecision, the pause begins after the next step that has replies or calls, before they
+// are sent; otherwise it begins now. Inputs that arrive during the pause are deferred. They are
+// handled in random order when the pause ends, before the next tick.
 func (process *controllerProcess) pause(duration time.Duration, afterDecision bool) {
 	if afterDecision {
 		process.pauseAfterDecision = duration
@@ -114,22 +116,24 @@
 	})
 }
 
-// resume ends a pause: what was decided is carried out, then comes what arrived meanwhile.
+// resume ends a pause. It applies the deferred effects, then handles the deferred inputs in
+// random order.
 func (process *controllerProcess) resume() {
 	process.paused = false
 	inputs := process.deferredInputs
 	process.deferredInputs = nil
 	process.world.random.Shuffle(len(inputs), func(a, b int) { inputs[a], inputs[b] = inputs[b], inputs[a] })
-	if carryOut := process.deferredEffects; carryOut != nil {
+	if apply := process.deferredEffects; apply != nil {
 		process.deferredEffects = nil
-		carryOut()
+		apply()
 	}
 	for _, handle := range inputs {
 		handle()
 	}
 }
 
-// step gives one input to the controller and carries out the effects.
+// step passes one input to the controller and applies the resulting effects. While the
+// controller is paused, the input is deferred.
 func (process *controllerProcess) step(input func(now event.Time)) {
 	if process.paused {
 		process.deferredInputs = append(process.deferredInputs, func() { process.step(input) })
@@ -140,15 +144,15 @@
 	process.effects.Replies, process.effects.Calls, process.effects.Frames = nil, nil, nil
 	if duration := process.pauseAfterDecision; duration > 0 && len(replies)+len(calls) > 0 {
 		process.pauseAfterDecision = 0
-		process.deferredEffects = func() { process.carryOut(replies, calls, frames) }
+		process.deferredEffects = func() { process.applyEffects(replies, calls, frames) }
 		process.pause(duration, false)
 		return
 	}
-	process.carryOut(replies, calls, frames)
+	process.applyEffects(replies, calls, frames)
 }
 
-// commit carries out the effects of a step.
-func (process *controllerProcess) carryOut(replies []event.Reply, calls []event.Call, frames []event.PeerFrame) {
+// applyEffects sends the replies, calls and frames of a step.
+func (process *controllerProcess) applyEffects(replies []event.Reply, calls []event.Call, frames []event.PeerFrame) {
 	process.observeEffects(replies, calls, frames)
 	incarnation := process.incarnation
 	for _, reply := range replies {
@@ -166,7 +170,7 @@
 	}
 }
 
-// handleFrame gives a frame of another controller to this one, if it is up.
+// handleFrame passes a frame from another controller to this one if it is up.
 func (process *controllerProcess) handleFrame(data []byte) {
 	if !process.up {
 		return
@@ -176,7 +180,7 @@
 	})
 }
 
-// peer returns the controller at a place in this one's list of seeds.
+// peer returns the controller at an index of this controller's list of seeds.
 func (process *controllerProcess) peer(seed int) *controllerProcess {
 	others := 0
 	for _, other := range process.world.controllers {
--- a/internal/simtest/controller_calls.go
+++ b/internal/simtest/controller_calls.go
@@ -9,11 +9,11 @@
 	"lugward/internal/event"
 )
 
-// answerFunc takes the status of an answer and what its body encodes.
+// answerFunc handles the response to a call: its status and the value that its body encodes.
 type answerFunc func(status int, response any)
 
-// sendCall sends a request of a controller. It is answered once, with status 0 where no
-// answer comes in time, and never if the controller has ended by then.
+// sendCall sends a call of the controller. The controller gets one result, with status 0 if
+// there is no response within the time-out. It gets none if this incarnation has ended by then.
 func (process *controllerProcess) sendCall(call event.Call, incarnation int) {
 	answered := false
 	finish := func(status int, body []byte) {
@@ -37,7 +37,7 @@
 			body, _ := json.Marshal(response)
 			process.world.network.sendDelayed(back, receiver, process.name, func() { finish(status, body) })
 		})
-		// A repeat of what was carried out, as the network may make it.
+		// The network may deliver a request twice: the copy is executed later.
 		if call.Method == "POST" && process.world.random.Float64() < process.world.network.lateRepeatShare {
 			delay := time.Duration(process.world.random.Int64N(int64(maxRepeatDelay)))
 			process.world.schedule(delay, func() { serve(func(int, any) {}) })
@@ -45,11 +45,11 @@
 	})
 }
 
-// maxRepeatDelay is how late a call may be carried out once more.
+// maxRepeatDelay is the maximum delay of the second execution of a call.
 const maxRepeatDelay = 20 * time.Second
 
-// serverOf is the name of whom a call goes to and what answers it there, nil if nobody has
-// its address.
+// serverOf returns the name of the receiver of a call and the function that serves it, or nil
+// if no receiver has this address.
 func (process *controllerProcess) serverOf(call event.Call) (receiver string, serve func(answer answerFunc)) {
 	switch call.Addr {
 	case stateAddr:
@@ -64,42 +64,44 @@
 	return worker.name, func(answer answerFunc) { worker.serve(call.Path, call.Body, answer) }
 }
 
-// callStateService lets the state service answer a call, unless it refuses this controller.
+// callStateService passes a call to the state service, or rejects it if the state service
+// denies this controller.
 func (process *controllerProcess) callStateService(call event.Call, answer answerFunc) {
 	if process.denied {
 		answer(http.StatusServiceUnavailable, unavailable)
 		return
 	}
 	process.world.stateService.serve(call.Method, call.Path, call.Body, func(status int, response any) {
-		if !process.denied { // else an open watch waits on
+		if !process.denied { // a watch that was opened before the denial gets no response
 			answer(status, response)
 		}
 	})
 }
 
-// withheldFromStateService reports whether a call to the state service gets no answer because
-// of a fault of this controller's.
+// withheldFromStateService reports whether a call to the state service gets no response
+// because of an injected fault of this controller.
 func (process *controllerProcess) withheldFromStateService(call event.Call) bool {
 	return process.delayTransaction(call) || process.watchBlocked && strings.HasPrefix(call.Path, watchPath)
 }
 
-// delayTransaction lets a transaction go unanswered and be executed late, judged by its
-// conditions then. In an outage it waits in the service for its end.
+// delayTransaction selects some transactions that get no response and are executed late. It
+// reports whether it selected this call. The preconditions are checked at the time of the
+// execution. During an outage of the state service, the execution waits for its end.
 func (process *controllerProcess) delayTransaction(call event.Call) bool {
 	world := process.world
 	reachesService := !process.denied && !world.stateService.down && !world.network.cutLinks[link{process.name, "state"}]
 	if call.Path != transactionPath || !reachesService || !world.chance(world.network.lateWrites) {
 		return false
 	}
-	var carryOut func()
-	carryOut = func() {
+	var execute func()
+	execute = func() {
 		if world.stateService.down {
-			world.schedule(100*time.Millisecond, carryOut)
+			world.schedule(100*time.Millisecond, execute)
 			return
 		}
 		world.stateService.expireLeases()
 		world.stateService.commit(call.Body)
 	}
-	world.schedule(world.randomDuration(minDelay, maxDelay), carryOut)
+	world.schedule(world.randomDuration(minDelay, maxDelay), execute)
 	return true
 }
--- a/internal/simtest/controller_memory_test.go
+++ b/internal/simtest/controller_memory_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// What controllers keep of machines follows from how many there are at a time, not
-// from how many there have ever been, on the leader as on the others.
+// TestMachinesAreForgotten checks that the state that controllers keep about machines grows
+// with the number of current machines, not with the number of all machines since the start.
+// This holds on the leader and on the other controllers.
 func TestMachinesAreForgotten(t *testing.T) {
 	world := New(3, 71, io.Discard)
 	world.watchInvariants()
@@ -18,15 +19,15 @@
 		world.users.Submit(Arguments{"id": id, "tasks": "10", "cpus": "4", "types": "small", "run": "5s"})
 		world.Run(90 * time.Second)
 		if _, phase := world.users.Poll(id); phase != "done" {
-			t.Fatalf("%s is %s", id, phase)
+			t.Fatalf("phase of job %s is %q after 90 s, want done", id, phase)
 		}
 	}
 	if seen := world.provisioned(); seen < 60 {
-		t.Fatalf("only %d machines were provisioned", seen)
+		t.Fatalf("%d machines were provisioned, want at least 60", seen)
 	}
 	for _, process := range world.controllers {
 		if indices := process.controller.WorkCounters().MachineIndices; indices > 30 {
-			t.Errorf("%s keeps %d machines", process.name, indices)
+			t.Errorf("controller %s keeps %d machine indices, want at most 30", process.name, indices)
 		}
 	}
 	if verdict := world.Verdict(); verdict != "kept" {
@@ -34,8 +35,9 @@
 	}
 }
 
-// TestMemory measures what a controller holds with 4,000 machines and 40,000
-// unfinished tasks, of which as many are placed as the machines hold: it must be far less than ram_mb of any site.
+// TestMemory measures the heap of a controller with 4,000 machines and 40,000
+// unfinished tasks. As many of the tasks are placed as the machines have capacity for. The heap
+// must be far below ram_mb of any site.
 func TestMemory(t *testing.T) {
 	const machines, limitMB = 4000, 40
 	world := New(2, 72, io.Discard)
@@ -54,20 +56,20 @@
 	world.Run(30 * time.Second)
 	placed := len(world.checker.onMachines())
 	with := heapMB()
-	// What is left without the controllers is the world's.
+	// The heap without the controllers belongs to the simulation.
 	for _, process := range world.controllers {
 		process.kill()
 		process.controller = nil
 	}
 	without := heapMB()
 	each := (with - without) / float64(len(world.controllers))
-	t.Logf("%d tasks on machines, %.1f MB a controller (world %.1f MB, before the jobs %.1f MB)", placed, each, without, before)
+	t.Logf("%d tasks on machines, %.1f MB per controller (simulation %.1f MB, total before the jobs %.1f MB)", placed, each, without, before)
 	if placed < 4*machines || each > limitMB || each <= 0 {
-		t.Errorf("%d tasks on machines, %.1f MB a controller", placed, each)
+		t.Errorf("%d tasks on %d machines, want at least 4 per machine; heap per controller %.1f MB, want more than 0 and at most %d", placed, machines, each, limitMB)
 	}
 }
 
-// heapMB is the heap in use.
+// heapMB returns the size of the heap in use after a garbage collection, in MiB.
 func heapMB() float64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/simtest/eventqueue/queue.go
+++ b/internal/simtest/eventqueue/queue.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Queue holds actions until their time has come. Actions of the same time run in
-// the order in which they were added. The zero value is an empty queue.
+// Queue is a priority queue of actions, ordered by their time. Actions with the same time
+// keep the order in which they were pushed. The zero value is an empty queue.
 type Queue struct {
 	events       eventHeap
 	lastSequence int
 }
 
-// Push adds an action that is due at a point in virtual time.
+// Push adds an action that is due at the given virtual time.
 func (q *Queue) Push(at time.Duration, action func()) {
 	q.lastSequence++
 	heap.Push(&q.events, event{at: at, sequence: q.lastSequence, action: action})
 }
 
-// PopUntil removes the next action that is due at or before end and returns it with
-// its time; ok is false if there is none.
+// PopUntil removes the earliest action that is due at or before end, and returns it with its
+// time. It returns ok == false if there is none.
 func (q *Queue) PopUntil(end time.Duration) (at time.Duration, action func(), ok bool) {
 	if len(q.events) == 0 || q.events[0].at > end {
 		return 0, nil, false
@@ -31,7 +31,7 @@
 
 type event struct {
 	at       time.Duration
-	sequence int // orders events of the same time
+	sequence int // orders events with the same time
 	action   func()
 }
 
--- a/internal/simtest/eventqueue/queue_test.go
+++ b/internal/simtest/eventqueue/queue_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestOrder shows that actions come by time, then in the order in which they were added.
+// TestOrder checks that actions are popped by time, then in the order in which they were pushed.
 func TestOrder(t *testing.T) {
 	var queue Queue
 	var got []string
@@ -25,9 +25,9 @@
 		action()
 	}
 	if want := []string{"first", "second", "third"}; !slices.Equal(got, want) {
-		t.Errorf("ran %v, want %v", got, want)
+		t.Errorf("actions ran in order %v, want %v", got, want)
 	}
 	if at, _, ok := queue.PopUntil(4); !ok || at != 4 {
-		t.Errorf("the last event is at %d (found: %v), want 4", at, ok)
+		t.Errorf("PopUntil(4) returned time %d and ok %v, want 4 and true", at, ok)
 	}
 }
--- a/internal/simtest/fault_injection.go
+++ b/internal/simtest/fault_injection.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// denyFor lets the state service refuse a controller for a while.
+// denyFor makes the state service reject all requests of the controller for a duration.
 func (process *controllerProcess) denyFor(duration time.Duration) {
 	process.denied = true
 	process.world.schedule(duration, func() { process.denied = false })
 }
 
-// Ways in which a controller may cease to lead.
+// Faults that make a leader lose its leadership.
 const (
 	leaderKilled   = "kill"
 	leaderDenied   = "deny"
@@ -16,28 +16,30 @@
 	leaderPaused   = "pause"
 )
 
-// leaderFaults are drawn with equal probability; what is there twice is to be more frequent.
+// leaderFaults are drawn with equal probability. A fault that is listed twice is drawn twice
+// as often.
 var leaderFaults = []string{leaderKilled, leaderKilled, leaderDenied, leaderIsolated, leaderPaused}
 
-// churn changes the leader so many times within that time, each time in the same way or,
-// if that is "", in one that is drawn.
-func (world *World) churn(times int, over time.Duration, way string) {
+// churn forces a number of leader changes, spread evenly over a duration. Each change is
+// caused by the given fault, or by a random one if the fault is empty.
+func (world *World) churn(times int, over time.Duration, fault string) {
 	interval := over / time.Duration(times)
 	for i := range times {
-		world.schedule(time.Duration(i)*interval, func() { world.replaceLeader(way, interval*3/4) })
+		world.schedule(time.Duration(i)*interval, func() { world.replaceLeader(fault, interval*3/4) })
 	}
 }
 
-// replaceLeader brings a fault to the leader that lasts for that long at most.
-func (world *World) replaceLeader(way string, duration time.Duration) {
+// replaceLeader injects a fault into the leader that lasts for at most the given duration.
+// An empty fault selects a random one.
+func (world *World) replaceLeader(fault string, duration time.Duration) {
 	leader := world.leader()
 	if leader == nil || !leader.up {
 		return
 	}
-	if way == "" {
-		way = leaderFaults[world.random.IntN(len(leaderFaults))]
+	if fault == "" {
+		fault = leaderFaults[world.random.IntN(len(leaderFaults))]
 	}
-	switch way {
+	switch fault {
 	case leaderKilled:
 		leader.kill()
 		world.schedule(world.randomDuration(50*time.Millisecond, duration/2), leader.bootIfDown)
--- a/internal/simtest/network.go
+++ b/internal/simtest/network.go
@@ -4,62 +4,65 @@
 	"time"
 )
 
-// fakeNetwork is a stand-in of the network between controllers, workers, users, the state
-// service and the cloud. Faults that concern some requests are given as their share.
+// fakeNetwork simulates the network between controllers, workers, users, the state service
+// and the cloud. A fault that affects some of the requests is configured by the share of the
+// requests that it affects, from 0 to 1.
 type fakeNetwork struct {
 	world *World
 	linkState
 	packetFaults
 	requestDelays
-	refusedWhenCut      float64 // requests to controllers over cut links that fail at once
-	workerSockets       int     // workers that a controller has sockets for, 0: for all
-	unreachableMachines int     // so many of the machines that boot next are unreachable
+	refusedWhenCut      float64 // share of requests to controllers over cut links that fail at once
+	workerSockets       int     // worker connections that a controller may have; zero means no limit
+	unreachableMachines int     // number of the next machines to boot that will be unreachable
 }
 
-// linkState is which links are there.
+// linkState holds the faults of single links.
 type linkState struct {
-	cutLinks     map[link]bool // packets wait until the link is back
+	cutLinks     map[link]bool // packets are held until the link is restored
 	droppedLinks map[link]bool // packets are lost
-	heldPackets  []heldPacket  // on links that are cut
+	heldPackets  []heldPacket  // packets held on cut links
 }
 
-// packetFaults lose and repeat what is sent.
+// packetFaults configures the loss and the duplication of packets.
 type packetFaults struct {
-	lossShare       float64       // packets that are lost on any link
-	lateRepeatShare float64       // calls to the state service and the cloud that are carried out once more, late
-	duplicateShare  float64       // heartbeats of which a copy comes later, to any controller
-	duplicateDelay  time.Duration // by at most this
+	lossShare       float64       // share of packets lost on any link
+	lateRepeatShare float64       // share of POST calls of controllers that are executed a second time, later
+	duplicateShare  float64       // share of heartbeats of which a copy arrives later at a random controller
+	duplicateDelay  time.Duration // maximum delay of such a copy
 }
 
-// requestDelays let requests arrive or be answered late.
+// requestDelays configures delays of requests and responses.
 type requestDelays struct {
-	lateWrites        float64       // transactions that get no answer and are carried out late
-	delayedHeartbeats float64       // heartbeats that arrive seconds late, maybe elsewhere
-	delayedCommands   float64       // direct commands that arrive, or whose answers arrive, seconds late
-	slowStateService  time.Duration // within which the state service answers
+	lateWrites        float64       // share of transactions that get no response and are executed late
+	delayedHeartbeats float64       // share of heartbeats delayed by seconds, possibly to another controller
+	delayedCommands   float64       // share of direct commands whose request or response is delayed by seconds
+	slowStateService  time.Duration // maximum delay of the state service's responses
 }
 
 func newNetwork(world *World) *fakeNetwork {
 	return &fakeNetwork{world: world, linkState: linkState{cutLinks: map[link]bool{}, droppedLinks: map[link]bool{}}}
 }
 
-// link is a direction between two parties, by their names.
+// link is one direction of a connection. Both ends are given by name: a controller, a
+// worker, "state", "cloud" or "user".
 type link struct{ from, to string }
 
-// Bounds of the delays of requests that come seconds late.
+// Bounds of the delay of late requests.
 const (
 	minDelay = 2 * time.Second
 	maxDelay = 12 * time.Second
 )
 
-// heldPacket is a packet that a cut link holds back.
+// heldPacket is a packet that is held until its cut link is restored.
 type heldPacket struct {
 	link    link
 	deliver func()
 }
 
-// send delivers a packet after the network's delay. A cut holds it back; lost
-// packets of a stream are resent, so a loss only ends the exchange.
+// send delivers a packet after the network's latency. A packet on a cut link is held until
+// the link is restored. TCP would resend a single lost packet, so a loss here stands for a
+// connection that breaks: it ends the exchange.
 func (network *fakeNetwork) send(from, receiver string, action func()) {
 	direction := link{from, receiver}
 	if network.droppedLinks[direction] {
@@ -75,7 +78,7 @@
 	network.world.schedule(time.Millisecond+time.Duration(network.world.random.Int64N(int64(4*time.Millisecond))), action)
 }
 
-// sendDelayed sends a packet after a delay.
+// sendDelayed sends a packet after an additional delay.
 func (network *fakeNetwork) sendDelayed(delay time.Duration, from, receiver string, action func()) {
 	if delay == 0 {
 		network.send(from, receiver, action)
@@ -84,7 +87,8 @@
 	network.world.schedule(delay, func() { network.send(from, receiver, action) })
 }
 
-// setLinkCut stops packets between two parties in both directions, or ends that.
+// setLinkCut cuts or restores the link between two parties in both directions. On
+// restoring, held packets are sent.
 func (network *fakeNetwork) setLinkCut(a, b string, enabled bool) {
 	network.markLinkCut(a, b, enabled)
 	if !enabled {
@@ -92,14 +96,16 @@
 	}
 }
 
-// markLinkCut is setLinkCut that leaves what was held back where it is.
+// markLinkCut cuts or restores the link between two parties in both directions. Unlike
+// setLinkCut, it does not send held packets.
 func (network *fakeNetwork) markLinkCut(a, b string, enabled bool) {
 	for _, direction := range []link{{a, b}, {b, a}} {
 		network.cutLinks[direction] = enabled
 	}
 }
 
-// releaseHeldPackets delivers the packets that were held back on links that are cut no more.
+// releaseHeldPackets sends the held packets again. Those on links that are still cut stay
+// held.
 func (network *fakeNetwork) releaseHeldPackets() {
 	held := network.heldPackets
 	network.heldPackets = nil
@@ -108,8 +114,8 @@
 	}
 }
 
-// setIsolated cuts a controller off from the state service and the other
-// controllers, but not from its workers.
+// setIsolated cuts or restores the links of a controller to the state service and to the
+// other controllers. The links to workers are not affected.
 func (network *fakeNetwork) setIsolated(process *controllerProcess, enabled bool) {
 	network.setLinkCut(process.name, "state", enabled)
 	for _, other := range network.world.controllers {
@@ -119,14 +125,16 @@
 	}
 }
 
-// blockInbound lets a machine be heard while nothing reaches it, or ends that.
+// blockInbound drops or delivers all packets from controllers to a machine. Packets from
+// the machine are delivered in either case.
 func (network *fakeNetwork) blockInbound(worker *fakeWorker, enabled bool) {
 	for _, process := range network.world.controllers {
 		network.droppedLinks[link{process.name, worker.name}] = enabled
 	}
 }
 
-// isUnreachable reports whether some controller and the machine can't talk.
+// isUnreachable reports whether a link between a controller and the machine is cut or drops
+// packets in either direction.
 func (network *fakeNetwork) isUnreachable(worker *fakeWorker) bool {
 	for _, process := range network.world.controllers {
 		for _, direction := range []link{{process.name, worker.name}, {worker.name, process.name}} {
@@ -138,16 +146,17 @@
 	return false
 }
 
-// isolateFor isolates a controller for a while.
+// isolateFor isolates a controller for a duration.
 func (network *fakeNetwork) isolateFor(process *controllerProcess, duration time.Duration) {
 	network.setIsolated(process, true)
 	network.world.schedule(duration, func() { network.setIsolated(process, false) })
 }
 
-// cutZone cuts the workers of a zone and a controller off from everything else.
+// cutZone partitions the network for a duration: the workers of the zone and the controller
+// on one side, everything else on the other.
 func (network *fakeNetwork) cutZone(process *controllerProcess, zone string, duration time.Duration) {
 	inside, outside := network.splitByZone(process, zone)
-	set := func(enabled bool) {
+	setCut := func(enabled bool) {
 		for _, worker := range inside {
 			for _, other := range network.world.controllers {
 				if other != process {
@@ -159,11 +168,12 @@
 			network.setLinkCut(process.name, party, enabled)
 		}
 	}
-	set(true)
-	network.world.schedule(duration, func() { set(false) })
+	setCut(true)
+	network.world.schedule(duration, func() { setCut(false) })
 }
 
-// splitByZone names the workers of a zone, and all parties but these and a controller.
+// splitByZone returns the names of the workers of a zone, and of all parties outside the zone
+// other than the controller.
 func (network *fakeNetwork) splitByZone(process *controllerProcess, zone string) (inside, outside []string) {
 	outside = []string{"state", "cloud", "user"}
 	for _, other := range network.world.controllers {
--- a/internal/simtest/network_requests.go
+++ b/internal/simtest/network_requests.go
@@ -7,8 +7,8 @@
 	"lugward/internal/event"
 )
 
-// commandDelays draws the delays of a call and of its answer.
-func (network *fakeNetwork) commandDelays(receiver string) (there, back time.Duration) {
+// commandDelays draws the delays of a call and of its response.
+func (network *fakeNetwork) commandDelays(receiver string) (requestDelay, responseDelay time.Duration) {
 	if receiver == "state" && network.slowStateService > 0 {
 		return 0, network.world.randomDuration(0, network.slowStateService)
 	}
@@ -21,9 +21,9 @@
 	return 0, network.world.randomDuration(time.Second, maxDelay)
 }
 
-// heartbeatDelays draws where a heartbeat arrives, and the delays of the heartbeat and of
-// its answer: the worker may have given it up by then.
-func (network *fakeNetwork) heartbeatDelays(process *controllerProcess, path string) (receiver *controllerProcess, there, back time.Duration) {
+// heartbeatDelays draws the controller that receives a heartbeat, and the delays of the
+// heartbeat and of its response. The delays may exceed the time-out of the worker.
+func (network *fakeNetwork) heartbeatDelays(process *controllerProcess, path string) (receiver *controllerProcess, requestDelay, responseDelay time.Duration) {
 	if path != heartbeatPath || !network.world.chance(network.delayedHeartbeats) {
 		return process, 0, 0
 	}
@@ -45,11 +45,11 @@
 	method  string
 	path    string
 	body    []byte
-	timeout time.Duration // how long the sender waits for the answer
+	timeout time.Duration // how long the sender waits for the response
 }
 
-// request sends an HTTP request to a controller; answer is called once, with
-// status 0 for no response.
+// request sends an HTTP request to a controller. It calls answer once, with status 0 if there
+// is no response.
 func (network *fakeNetwork) request(process *controllerProcess, request httpRequest, answer func(status int, body []byte)) {
 	answered := false
 	answerOnce := func(status int, body []byte) {
@@ -63,15 +63,15 @@
 		network.world.schedule(time.Millisecond, func() { answerOnce(0, nil) })
 		return
 	}
-	receiver, there, back := network.heartbeatDelays(process, request.path)
-	network.sendDelayed(there, request.from, receiver.name, func() {
+	receiver, requestDelay, responseDelay := network.heartbeatDelays(process, request.path)
+	network.sendDelayed(requestDelay, request.from, receiver.name, func() {
 		receiver.handleRequest(request, func(status int, body []byte) {
 			if status == 0 {
 				answerOnce(0, nil)
 				return
 			}
 			if receiver == process {
-				network.sendDelayed(back, process.name, request.from, func() { answerOnce(status, body) })
+				network.sendDelayed(responseDelay, process.name, request.from, func() { answerOnce(status, body) })
 			}
 		})
 	})
@@ -80,16 +80,16 @@
 	}
 }
 
-// deliverDuplicate lets a copy of a request arrive at any controller, late. Nobody waits for
-// what is answered to it.
+// deliverDuplicate delivers a copy of a request to a random controller after a random delay.
+// The response is discarded.
 func (network *fakeNetwork) deliverDuplicate(request httpRequest) {
 	receiver := network.world.randomController()
 	delay := time.Duration(network.world.random.Int64N(int64(network.duplicateDelay)))
 	network.world.schedule(delay, func() { receiver.handleRequest(request, func(int, []byte) {}) })
 }
 
-// handleRequest gives a request that has arrived to the controller; status 0 is answered
-// where it is down.
+// handleRequest passes a request to the controller. If the controller is down, the request
+// fails with status 0.
 func (process *controllerProcess) handleRequest(request httpRequest, answer func(status int, body []byte)) {
 	if !process.up {
 		answer(0, nil)
@@ -100,27 +100,28 @@
 	process.pendingRequests[id] = answer
 	process.world.observe(Message{From: request.from, To: process.name, Method: request.method, Path: request.path, Body: request.body})
 	process.step(func(now event.Time) {
-		crowded := request.path == heartbeatPath && process.connectWorker(request.from, id)
+		limitReached := request.path == heartbeatPath && process.connectWorker(request.from, id)
 		process.controller.HandleRequest(now, event.Request{Conn: id, Method: request.method, Path: request.path, Body: request.body,
-			ConnectionLimitReached: crowded}, &process.effects)
+			ConnectionLimitReached: limitReached}, &process.effects)
 	})
 }
 
-// connectWorker notes that a worker is connected to a controller, and reports whether that is
-// more than it has sockets for: the connection then ends with the answer, as it does
-// where the worker is sent elsewhere.
-func (process *controllerProcess) connectWorker(worker string, request uint64) (crowded bool) {
+// connectWorker records that a worker is connected to this controller and to no other. It
+// reports whether the controller now exceeds its limit of worker connections; if so, the
+// connection is closed after the response. It is also closed if the response redirects the
+// worker to another controller.
+func (process *controllerProcess) connectWorker(worker string, request uint64) (limitReached bool) {
 	for _, other := range process.world.controllers {
 		delete(other.connectedWorkers, worker)
 	}
 	process.connectedWorkers[worker] = true
-	crowded = process.world.network.workerSockets > 0 && len(process.connectedWorkers) > process.world.network.workerSockets
+	limitReached = process.world.network.workerSockets > 0 && len(process.connectedWorkers) > process.world.network.workerSockets
 	answer := process.pendingRequests[request]
 	process.pendingRequests[request] = func(status int, body []byte) {
-		if crowded || status == http.StatusMisdirectedRequest {
+		if limitReached || status == http.StatusMisdirectedRequest {
 			delete(process.connectedWorkers, worker)
 		}
 		answer(status, body)
 	}
-	return crowded
+	return limitReached
 }
--- a/internal/simtest/protocol.go
+++ b/internal/simtest/protocol.go
@@ -2,10 +2,10 @@
 
 import "encoding/json"
 
-// The messages of the published protocols, as users, workers, the cloud and the
-// state service send them. Fields stand in the order of their names there.
+// The messages of the published protocols that users, workers, the cloud and the
+// state service exchange with controllers. Fields are sorted by their JSON names.
 
-// Phases of a job in answers to users.
+// Phases of a job in responses to users.
 const (
 	jobQueued    = "queued"
 	jobRunning   = "running"
@@ -15,10 +15,10 @@
 
 // Phases of a task in heartbeats.
 const (
-	taskPulling = "pulling" // its image is fetched
-	taskWaiting = "waiting" // for the rest of its gang
+	taskPulling = "pulling" // the image is being fetched
+	taskWaiting = "waiting" // the task waits for the rest of its gang
 	taskRunning = "running"
-	taskSaving  = "saving" // its last checkpoint
+	taskSaving  = "saving" // the task stores its last checkpoint
 	taskExited  = "exited"
 )
 
@@ -28,19 +28,19 @@
 	causeError      = "error"
 	causeStopped    = "halted"
 	causePeers      = "peers"      // another task of its gang was lost
-	causeIncomplete = "incomplete" // its gang did not come together in time
-	causeUnknown    = "unknown"    // the worker knows no such task
-	causeFull       = "full"       // the machine has no capacity for it
+	causeIncomplete = "incomplete" // the gang was not complete within gang_wait_s
+	causeUnknown    = "unknown"    // the job or the task index is unknown to the worker
+	causeFull       = "full"       // the machine has no capacity for the task
 )
 
-// Shapes of jobs.
+// Job shapes.
 const (
 	shapeArray  = "array"
 	shapeGang   = "gang"
 	shapeDaemon = "daemon"
 )
 
-// Paths of requests.
+// Request paths.
 const (
 	heartbeatPath     = "/hello"
 	directCommandPath = "/do"
@@ -54,15 +54,15 @@
 	releasePath       = "/rentals/return"
 )
 
-// errorResponse is an answer that something went wrong.
+// errorResponse is the body of an error response.
 type errorResponse struct {
 	Error string `json:"error"`
 }
 
-// unavailable is the answer of a service during an outage.
+// unavailable is the response body of a service during an outage.
 var unavailable = errorResponse{"trouble"}
 
-// submission is a job as its user submits it.
+// submission is a request of a user to run a job.
 type submission struct {
 	Upstream           []string `json:"awaits,omitempty"`
 	Image              string   `json:"bundle"`
@@ -87,7 +87,7 @@
 	Zone               *string  `json:"yard"`
 }
 
-// heartbeat is what a worker sends to controllers.
+// heartbeat is the periodic request of a worker to a controller.
 type heartbeat struct {
 	Addr         string       `json:"addr"`
 	FencingToken uint64       `json:"fence"`
@@ -101,7 +101,7 @@
 	Zone         string       `json:"yard"`
 }
 
-// taskStatus is a task's part of a heartbeat.
+// taskStatus is the status of one task in a heartbeat.
 type taskStatus struct {
 	Cause            string `json:"cause,omitempty"`
 	Phase            string `json:"phase"`
@@ -110,21 +110,21 @@
 	Attempt          uint64 `json:"try"`
 }
 
-// heartbeatResponse is a controller's answer to a heartbeat.
+// heartbeatResponse is a controller's response to a heartbeat.
 type heartbeatResponse struct {
 	FencingToken uint64        `json:"fence"`
 	Leader       string        `json:"steward"`
 	Commands     []taskCommand `json:"orders"`
 }
 
-// commandRequest is what a controller sends to a worker.
+// commandRequest is a direct command of a controller to a worker.
 type commandRequest struct {
 	FencingToken *uint64       `json:"fence"`
 	Incarnation  *uint64       `json:"tenure"`
 	Commands     []taskCommand `json:"orders"`
 }
 
-// taskCommand is what a worker is to do with a task.
+// taskCommand tells a worker to start, stop or reap one attempt of a task.
 type taskCommand struct {
 	Verb        string  `json:"verb"`
 	Task        string  `json:"shard"`
@@ -132,7 +132,7 @@
 	GracePeriod float64 `json:"wind_down_s"`
 }
 
-// offeredType is a machine type that the cloud offers.
+// offeredType is a machine type in the list of the cloud.
 type offeredType struct {
 	GPUs      float64  `json:"cards"`
 	CPUs      float64  `json:"cores"`
@@ -146,12 +146,12 @@
 	Zones     []string `json:"yards"`
 }
 
-// offeredTypes lists the machine types of the cloud.
+// offeredTypes is the response with the machine types that the cloud offers.
 type offeredTypes struct {
 	Types []offeredType `json:"flavors"`
 }
 
-// listedMachine is a machine in the cloud's list.
+// listedMachine is a machine in the cloud's list of machines.
 type listedMachine struct {
 	Addr        string  `json:"addr"`
 	MachineType string  `json:"flavor"`
@@ -162,14 +162,14 @@
 	Zone        string  `json:"yard"`
 }
 
-// machinePage is a page of the cloud's list of machines.
+// machinePage is one page of the cloud's list of machines.
 type machinePage struct {
 	HasNext  bool            `json:"has_next"`
 	Machines []listedMachine `json:"hosts"`
 }
 
-// provisionRequest asks the cloud for machines; the cloud answers a repeat with
-// the same ID as it answered the first.
+// provisionRequest requests machines from the cloud. The request is idempotent: a request
+// that reuses the ID of a successful one gets the same machines.
 type provisionRequest struct {
 	ID          string `json:"hire"`
 	MachineType string `json:"flavor"`
@@ -178,60 +178,62 @@
 	Number      int    `json:"number"`
 }
 
-// machineNames names machines that the cloud provisioned or is to take back.
+// machineNames lists the machines that were provisioned, or those to release.
 type machineNames struct {
 	Machines []string `json:"hosts"`
 }
 
-// leaseResponse is the state service's answer to a request for a lease.
+// leaseResponse is the state service's response to a request for a lease.
 type leaseResponse struct {
 	LeaseID uint64 `json:"tether"`
 }
 
-// keyEntry is a key of the state service with its value and mod revision.
+// keyEntry is a key of the state service with its value and its mod revision.
 type keyEntry struct {
 	Data        json.RawMessage `json:"data"`
 	Key         string          `json:"key"`
 	ModRevision uint64          `json:"stamp"`
 }
 
-// keyPage is a page of keys.
+// keyPage is one page of a list of keys.
 type keyPage struct {
 	Revision uint64     `json:"epoch"`
 	HasNext  bool       `json:"has_next"`
 	Items    []keyEntry `json:"items"`
 }
 
-// watchResponse are the changes after a revision.
+// watchResponse lists the changes after a revision.
 type watchResponse struct {
 	Revision uint64        `json:"epoch"`
 	Log      []changeEvent `json:"log"`
 }
 
-// committedResponse is the answer to a transaction that was carried out.
+// committedResponse is the response to a transaction that was committed.
 type committedResponse struct {
 	Revision uint64 `json:"epoch"`
 }
 
-// conflictResponse is the answer to a transaction with conditions that do not hold.
+// conflictResponse is the response to a transaction with failed preconditions. It lists
+// their keys.
 type conflictResponse struct {
 	Revision uint64   `json:"epoch"`
 	Failed   []string `json:"failed"`
 }
 
-// transaction is a request to write and drop keys under conditions.
+// transaction writes and deletes keys if all its preconditions hold.
 type transaction struct {
 	If   []precondition `json:"if"`
 	Then []operation    `json:"then"`
 }
 
-// precondition requires that a key has a mod revision, 0 for none.
+// precondition requires that a key has this mod revision. Zero requires that the key does
+// not exist.
 type precondition struct {
 	Key         string `json:"key"`
 	ModRevision uint64 `json:"stamp"`
 }
 
-// operation writes or drops a key.
+// operation writes or deletes a key.
 type operation struct {
 	Write   string          `json:"write"`
 	Drop    string          `json:"drop"`
@@ -239,7 +241,7 @@
 	LeaseID uint64          `json:"tether"`
 }
 
-// changeEvent is a change of a key.
+// changeEvent is one write or deletion of a key.
 type changeEvent struct {
 	Write       string          `json:"write,omitempty"`
 	Drop        string          `json:"drop,omitempty"`
@@ -251,26 +253,26 @@
 const (
 	leaderKey         = "t/lead"
 	jobKeyPrefix      = "j/"
-	runKeyPrefix      = "r/" // runs of a job's tasks
+	runKeyPrefix      = "r/" // run records of a job's tasks
 	upstreamKeyPrefix = "u/" // lists of upstream jobs
-	terminalKeyPrefix = "f/" // with the ID of a job that is over
+	terminalKeyPrefix = "f/" // terminal records; the ID of the job follows
 )
 
-// leaderRecord is what a leader writes of itself.
+// leaderRecord is the value of leaderKey: it names the leader.
 type leaderRecord struct {
 	Label string `json:"l"`
 }
 
-// ownerRecord is the part of a job's record that names the controller that owns it.
+// ownerRecord is the field of a job record that names the controller that owns the job.
 type ownerRecord struct {
 	Owner string `json:"o"`
 }
 
-// terminalRecord is what is kept of a job that is over.
+// terminalRecord is the record that remains of a job in a terminal phase.
 type terminalRecord struct {
 	Phase     string `json:"p"`
 	TaskCount int    `json:"n"`
 }
 
-// optionalSubmissionFields may be absent from a submission.
+// optionalSubmissionFields lists the JSON names of fields that a submission may omit.
 var optionalSubmissionFields = []string{"flavors", "yard", "due_s"}
--- a/internal/simtest/rate_limit.go
+++ b/internal/simtest/rate_limit.go
@@ -4,24 +4,24 @@
 	"time"
 )
 
-// rateLimits are how the state service's rates are used.
+// rateLimits holds the rate limiters of the state service.
 type rateLimits struct {
 	requests, writes leakyBucket
-	refusedForRate   int // requests and transactions
+	refusedForRate   int // requests and transactions rejected by the rate limits
 }
 
-// stateBurst is how many seconds' worth of requests or writes may come at once.
-const stateBurst = 1
+// stateBurstSeconds is the burst of the state service's rate limits, in seconds at the full rate.
+const stateBurstSeconds = 1
 
-// leakyBucket is a rate with bursts.
+// leakyBucket is a rate limiter that allows bursts.
 type leakyBucket struct {
 	used      float64
 	updatedAt time.Duration
 }
 
-// take reports whether so many more are allowed now; a burst is as many as come in that many
-// seconds at the rate.
-func (bucket *leakyBucket) take(now time.Duration, rate, burstSeconds, count float64) bool {
+// acquire acquires count units and reports whether the limit allows them now. The rate is in
+// units per second. The burst size is the number of units of burstSeconds at this rate.
+func (bucket *leakyBucket) acquire(now time.Duration, rate, burstSeconds, count float64) bool {
 	bucket.used = max(0, bucket.used-rate*(now-bucket.updatedAt).Seconds())
 	bucket.updatedAt = now
 	if bucket.used+count > rate*burstSeconds {
--- a/internal/simtest/state_leases.go
+++ b/internal/simtest/state_leases.go
@@ -9,19 +9,20 @@
 	"time"
 )
 
-// grantedLease is a lease of the state service: with it end the keys that are attached to it.
+// grantedLease is a lease of the state service. The keys that are attached to it are deleted
+// when it expires.
 type grantedLease struct {
 	duration  time.Duration
 	expiresAt time.Duration
 }
 
-// Limits of a lease's duration in milliseconds.
+// Bounds of a lease's duration in milliseconds.
 const (
 	minLeaseMS = 100
 	maxLeaseMS = 600_000
 )
 
-// grantLease grants a lease with the duration that is asked for.
+// grantLease grants a lease with the requested duration.
 func (service *fakeStateService) grantLease(body []byte) (int, any) {
 	var request struct {
 		DurationMS int `json:"life_ms"`
@@ -35,7 +36,8 @@
 	return http.StatusOK, leaseResponse{service.lastLease}
 }
 
-// changeLease extends or ends the lease that a path names.
+// changeLease extends or revokes the lease whose ID is in the path, and returns the response
+// status.
 func (service *fakeStateService) changeLease(method, path string) int {
 	name, action, _ := strings.Cut(path, "/")
 	id, _ := strconv.ParseUint(name, 10, 64)
@@ -54,7 +56,7 @@
 	return http.StatusBadRequest
 }
 
-// expireLeases ends leases that ran out.
+// expireLeases deletes the expired leases and their keys. During an outage no lease expires.
 func (service *fakeStateService) expireLeases() {
 	if service.down {
 		return
--- a/internal/simtest/state_limits.go
+++ b/internal/simtest/state_limits.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// serviceLimits are what the state service allows.
+// serviceLimits are the limits of the state service.
 type serviceLimits struct {
 	requestsPerSecond, writesPerSecond, valueKB float64
 	txnOps                                      int
 }
 
-// limitOverride is what a state service's limits are lowered to, and what comes of
-// it.
+// limitOverride holds changed limits of the state service, and counts the requests that exceed
+// the limits.
 type limitOverride struct {
-	override         *serviceLimits // nil: as the settings have them
-	tooLarge         int            // 400s for size
-	tooLargeAttempts map[string][]time.Duration
-	endlessRetries   int // writes tried too often
+	override         *serviceLimits             // nil means the limits of the settings
+	tooLarge         int                        // requests rejected with status 400 because of their size
+	tooLargeAttempts map[string][]time.Duration // times of the latest rejections, by key or together for transactions
+	endlessRetries   int                        // times that a write was retried too often
 }
 
-// writeDelays let the next transactions that write certain keys be carried out late.
+// writeDelays delays the next transactions that write keys with a prefix.
 type writeDelays struct {
-	delayedPrefix string // of the keys
+	delayedPrefix string // prefix of the keys
 	writeDelay    time.Duration
-	writesToDelay int // so many transactions
+	writesToDelay int // number of transactions still to delay
 }
 
-// currentLimits tells what is allowed now.
+// currentLimits returns the limits in force.
 func (service *fakeStateService) currentLimits() serviceLimits {
 	if service.override != nil {
 		return *service.override
@@ -40,7 +40,8 @@
 	return serviceLimits{settings.RPS, settings.WriteRPS, settings.ValueKB, settings.TxnOps}
 }
 
-// setLimits changes the limits without notice. What is stored stays.
+// setLimits changes the limits without notice. Stored values are kept even if they exceed the
+// new limits.
 func (service *fakeStateService) setLimits(arguments Arguments) {
 	limits := service.currentLimits()
 	limits.requestsPerSecond = arguments.number("rps", fmt.Sprint(limits.requestsPerSecond))
@@ -50,28 +51,30 @@
 	service.override = &limits
 }
 
-// Many writes too large in a short time are one that is tried for ever. Only
-// the first ones are named.
+// A write that is too large and is attempted maxTooLargeAttempts times within tooLargeWindow
+// counts as an endless retry. Only the first maxReportedTooLarge requests that are too large are
+// reported one by one.
 const (
-	maxNamed      = 5
-	maxRepeats    = 20
-	repeatsWithin = 10 * time.Second
+	maxReportedTooLarge = 5
+	maxTooLargeAttempts = 20
+	tooLargeWindow      = 10 * time.Second
 )
 
-// refuseTooLarge answers what is over the limits. It is the service's own fault
-// where the limits were announced; where they were not it may try, but not for ever.
+// refuseTooLarge rejects a request that exceeds the limits. If the limits are those of the
+// settings or were announced there, the request is a violation by the controller. If they were
+// lowered without announcement, a controller may try, but must not retry endlessly.
 func (service *fakeStateService) refuseTooLarge(what, format string, values ...any) (int, any) {
 	service.tooLarge++
-	if (service.override == nil || service.world.limitsAnnounced) && service.tooLarge <= maxNamed {
+	if (service.override == nil || service.world.limitsAnnounced) && service.tooLarge <= maxReportedTooLarge {
 		service.world.reportLimitViolation("%.2fs state service got %s", service.world.now.Seconds(), fmt.Sprintf(format, values...))
 	}
 	if service.tooLargeAttempts == nil {
 		service.tooLargeAttempts = map[string][]time.Duration{}
 	}
 	attempts := append(slices.Clip(service.tooLargeAttempts[what]), service.world.now)
-	if len(attempts) > maxRepeats {
-		attempts = attempts[len(attempts)-maxRepeats:]
-		if service.world.now-attempts[0] < repeatsWithin {
+	if len(attempts) > maxTooLargeAttempts {
+		attempts = attempts[len(attempts)-maxTooLargeAttempts:]
+		if service.world.now-attempts[0] < tooLargeWindow {
 			service.reportEndlessRetries(what)
 			attempts = nil
 		}
@@ -80,15 +83,16 @@
 	return http.StatusBadRequest, nil
 }
 
-// reportEndlessRetries notes that a write is tried again and again; the first one is reported.
+// reportEndlessRetries counts an endless retry, and reports the first one.
 func (service *fakeStateService) reportEndlessRetries(what string) {
 	service.endlessRetries++
 	if service.endlessRetries == 1 {
-		service.world.reportLimitViolation("%.2fs %s is tried again and again though it is too large", service.world.now.Seconds(), what)
+		service.world.reportLimitViolation("%.2fs %s is retried endlessly although it is too large", service.world.now.Seconds(), what)
 	}
 }
 
-// delayMatchingWrite takes a transaction that is to be carried out later and not answered.
+// delayMatchingWrite schedules a transaction for later execution without a response if it
+// writes a key with the delayed prefix. It reports whether it did.
 func (service *fakeStateService) delayMatchingWrite(body []byte) bool {
 	if service.writesToDelay == 0 {
 		return false
@@ -109,7 +113,7 @@
 	return false
 }
 
-// Announce adds to the settings the limits that the state service will have.
+// Announce returns the settings with the next limits of the state service added to them.
 func Announce(settings string, arguments Arguments) string {
 	next := map[string]float64{}
 	for arg, name := range map[string]string{"nextrps": "rps", "nextwrites": "write_rps", "nextvalue": "value_kb", "nextops": "txn_ops"} {
--- a/internal/simtest/state_limits_test.go
+++ b/internal/simtest/state_limits_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// jsonText is a JSON string of so many bytes.
+// jsonText returns a JSON string of the given length in bytes, including the quotes.
 func jsonText(bytes int) string { return `"` + strings.Repeat("x", bytes-2) + `"` }
 
-// commitValues sends a transaction that writes values to keys of their own, and returns the
-// status of the answer.
+// commitValues commits a transaction that writes each value to its own key, and returns the
+// response status.
 func commitValues(world *World, values ...string) int {
 	operations := make([]string, 0, len(values))
 	for i, value := range values {
@@ -21,8 +21,9 @@
 	return status
 }
 
-// TestLowering shows that the state service's stand-in keeps what it holds,
-// refuses what is new and too large, and whose fault that is.
+// TestLowering checks that the fake state service keeps its stored values when its limits are
+// lowered, rejects new requests that exceed them, and reports these as violations of the
+// controller only if the lower limits were announced.
 func TestLowering(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -35,13 +36,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			world := NewWith(Options{Settings: Announce(Settings, test.next), Controllers: 1, Seed: 1, Log: io.Discard})
 			if got := commitValues(world, jsonText(3000), "1", "2", "3", "4"); got != 200 {
-				t.Fatalf("before: %d", got)
+				t.Fatalf("commit before the limits were lowered returned status %d, want 200", got)
 			}
 			runCommand(t, world, "limits", Arguments{"value": "2", "ops": "4", "writes": "15"})
 			world.Run(10 * time.Second)
 			checkSizeLimits(t, world)
 			if got := world.Verdict() != "kept"; got != test.announced {
-				t.Errorf("announced %v: %s", test.announced, world.Verdict())
+				t.Errorf("limits announced: %v, verdict: %s; want violations only if announced", test.announced, world.Verdict())
 			}
 			world.Run(10 * time.Second)
 			checkWriteRate(t, world)
@@ -50,44 +51,45 @@
 	}
 }
 
-// checkSizeLimits checks a state service whose limits were lowered to four writes and 2 KiB.
+// checkSizeLimits checks a state service whose limits were lowered to four writes per
+// transaction and values of 2 KiB.
 func checkSizeLimits(t *testing.T, world *World) {
 	t.Helper()
 	if got := string(world.stateService.keys["k/a"].data); got != jsonText(3000) {
-		t.Errorf("what was stored is %d bytes", len(got))
+		t.Errorf("value stored before the limits were lowered has %d bytes, want 3000", len(got))
 	}
 	if got := commitValues(world, jsonText(2048), "1"); got != 200 {
-		t.Errorf("within the limits: %d", got)
+		t.Errorf("commit within the limits returned status %d, want 200", got)
 	}
 	tooLarge, tooMany := commitValues(world, jsonText(2049)), commitValues(world, "1", "2", "3", "4", "5")
 	if tooLarge != 400 || tooMany != 400 || world.stateService.tooLarge != 2 {
-		t.Errorf("beyond: %d, %d, %d counted", tooLarge, tooMany, world.stateService.tooLarge)
+		t.Errorf("commits over the limits returned status %d and %d, want 400; counted %d as too large, want 2", tooLarge, tooMany, world.stateService.tooLarge)
 	}
 }
 
-// checkWriteRate checks that of ten transactions of three writes at once, five are taken at
-// 15 writes a second.
+// checkWriteRate checks that five of ten simultaneous transactions with three writes each are
+// committed at a limit of 15 writes per second.
 func checkWriteRate(t *testing.T, world *World) {
 	t.Helper()
-	taken := 0
+	committed := 0
 	for range 10 {
 		if commitValues(world, "1", "2", "3") == 200 {
-			taken++
+			committed++
 		}
 	}
-	if taken != 5 || world.stateService.refusedForRate != 5 {
-		t.Errorf("%d of 10 writes of three were taken at 15 a second", taken)
+	if committed != 5 || world.stateService.refusedForRate != 5 {
+		t.Errorf("committed %d of 10 transactions of 3 writes at 15 writes per second, want 5 and 5 rejected for the rate", committed)
 	}
 }
 
-// checkEndlessRetries checks that a write that is too large and tried for ever is reported.
+// checkEndlessRetries checks that endless retries of a write that is too large are reported.
 func checkEndlessRetries(t *testing.T, world *World) {
 	t.Helper()
-	for range 3 * maxRepeats {
+	for range 3 * maxTooLargeAttempts {
 		world.Run(100 * time.Millisecond)
 		commitValues(world, jsonText(3000))
 	}
-	if !strings.Contains(world.Verdict(), "k/a is tried again and again") {
-		t.Errorf("endless tries: %s", world.Verdict())
+	if !strings.Contains(world.Verdict(), "k/a is retried endlessly") {
+		t.Errorf("verdict %q does not report the endless retries of k/a", world.Verdict())
 	}
 }
--- a/internal/simtest/state_service.go
+++ b/internal/simtest/state_service.go
@@ -9,8 +9,7 @@
 	"strings"
 )
 
-// fakeStateService is a stand-in of the state service, written from its published
-// protocol.
+// fakeStateService is a fake of the state service, written from its published protocol.
 type fakeStateService struct {
 	world     *World
 	keys      map[string]storedValue
@@ -18,15 +17,15 @@
 	leases    map[uint64]*grantedLease
 	lastLease uint64
 	down      bool
-	pageLimit int // keys in a page
+	pageLimit int // maximum number of keys in a page
 	changeLog
 	rateLimits
 	limitOverride
 	writeDelays
-	writtenKeys int // keys put and dropped
+	writtenKeys int // number of writes and deletions of keys
 }
 
-// storedValue is the value of a key.
+// storedValue is the value of a key with its mod revision and its lease.
 type storedValue struct {
 	data        json.RawMessage
 	modRevision uint64
@@ -34,17 +33,18 @@
 }
 
 func newStateService(world *World) *fakeStateService {
-	return &fakeStateService{world: world, pageLimit: maxPage, keys: map[string]storedValue{}, leases: map[uint64]*grantedLease{}}
+	return &fakeStateService{world: world, pageLimit: maxPageKeys, keys: map[string]storedValue{}, leases: map[uint64]*grantedLease{}}
 }
 
-// serve answers a request, at once or (for a watch) later.
+// serve handles a request. It answers a watch when there are changes or its wait time is
+// over, and a delayed write never; all other requests are answered immediately.
 func (service *fakeStateService) serve(method, target string, body []byte, answer answerFunc) {
 	if service.down {
 		answer(http.StatusServiceUnavailable, unavailable)
 		return
 	}
 	service.expireLeases()
-	if !service.requests.take(service.world.now, service.currentLimits().requestsPerSecond, stateBurst, 1) {
+	if !service.requests.acquire(service.world.now, service.currentLimits().requestsPerSecond, stateBurstSeconds, 1) {
 		service.refusedForRate++
 		answer(http.StatusTooManyRequests, nil)
 		return
@@ -72,10 +72,10 @@
 	}
 }
 
-// maxPage is the largest number of keys in a page.
-const maxPage = 1000
+// maxPageKeys is the maximum number of keys in a page.
+const maxPageKeys = 1000
 
-// listKeys answers with a page of the keys below a prefix.
+// listKeys returns a page of the keys with a prefix, sorted by key.
 func (service *fakeStateService) listKeys(query url.Values) keyPage {
 	var keys []string
 	for key := range service.keys {
@@ -85,8 +85,8 @@
 	}
 	sort.Strings(keys)
 	limit, _ := strconv.Atoi(query.Get("limit"))
-	if limit <= 0 || limit > maxPage {
-		limit = maxPage
+	if limit <= 0 || limit > maxPageKeys {
+		limit = maxPageKeys
 	}
 	limit = min(limit, service.pageLimit)
 	page := keys[:min(limit, len(keys))]
@@ -97,17 +97,17 @@
 	return keyPage{service.revision, len(keys) > limit, items}
 }
 
-// maxTransaction is the largest size of a transaction in bytes.
-const maxTransaction = 64 << 10
+// maxTransactionBytes is the maximum size of a transaction in bytes.
+const maxTransactionBytes = 64 << 10
 
-// commit carries out a transaction if all its conditions hold.
+// commit executes a transaction if all its preconditions hold.
 func (service *fakeStateService) commit(body []byte) (int, any) {
 	var txn transaction
 	limits := service.currentLimits()
-	if len(body) > maxTransaction || json.Unmarshal(body, &txn) != nil || len(txn.Then) > limits.txnOps || len(txn.If) > 4*limits.txnOps {
-		return service.refuseTooLarge("a transaction", "a transaction over its limits: %d ops, %d conditions, %d bytes", len(txn.Then), len(txn.If), len(body))
+	if len(body) > maxTransactionBytes || json.Unmarshal(body, &txn) != nil || len(txn.Then) > limits.txnOps || len(txn.If) > 4*limits.txnOps {
+		return service.refuseTooLarge("a transaction", "a transaction that is invalid or over the limits: %d operations, %d preconditions, %d bytes", len(txn.Then), len(txn.If), len(body))
 	}
-	if !service.writes.take(service.world.now, limits.writesPerSecond, stateBurst, float64(len(txn.Then))) {
+	if !service.writes.acquire(service.world.now, limits.writesPerSecond, stateBurstSeconds, float64(len(txn.Then))) {
 		service.refusedForRate++
 		return http.StatusTooManyRequests, nil
 	}
@@ -116,7 +116,7 @@
 			return http.StatusBadRequest, errorResponse{"no such lease"}
 		}
 		if float64(len(operation.Data)) > limits.valueKB*1024 {
-			return service.refuseTooLarge(operation.Write, "a value of %s of %d bytes", operation.Write, len(operation.Data))
+			return service.refuseTooLarge(operation.Write, "a value over the limit for key %s: %d bytes", operation.Write, len(operation.Data))
 		}
 	}
 	failed := []string{}
@@ -145,7 +145,8 @@
 	return http.StatusOK, committedResponse{service.revision}
 }
 
-// setOutage starts or ends an outage; after it every lease has its full time.
+// setOutage starts or ends an outage. When an outage ends, all leases are renewed for their
+// full duration.
 func (service *fakeStateService) setOutage(down bool) {
 	service.expireLeases()
 	service.down = down
@@ -157,14 +158,14 @@
 	}
 }
 
-// putValue stores a record as it is.
+// putValue writes a raw value without preconditions. It does not notify watchers.
 func (service *fakeStateService) putValue(key, data string) {
 	service.revision++
 	service.keys[key] = storedValue{data: json.RawMessage(data), modRevision: service.revision}
 	service.log = append(service.log, changeEvent{Write: key, Data: json.RawMessage(data), ModRevision: service.revision})
 }
 
-// putTerminalRecord stores what is kept of a job of one task that is over.
+// putTerminalRecord writes the terminal record of a job with one task.
 func (service *fakeStateService) putTerminalRecord(id, phase string) {
 	record, _ := json.Marshal(terminalRecord{Phase: phase, TaskCount: 1})
 	service.putValue(terminalKeyPrefix+id, string(record))
--- a/internal/simtest/state_watch.go
+++ b/internal/simtest/state_watch.go
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// changeLog is what has changed in the state service, and who waits for changes.
+// changeLog holds the latest changes in the state service and the pending watches.
 type changeLog struct {
 	log      []changeEvent
-	oldest   uint64 // changes from before this revision are not kept
+	oldest   uint64 // a watch from an earlier revision gets status 410
 	watchers []*watcher
 }
 
-// watcher is a request that waits for a change after a revision.
+// watcher is a pending watch request. It waits for changes after a revision.
 type watcher struct {
 	from     uint64
 	answer   answerFunc
 	answered bool
 }
 
-// logKept is for how many revisions changes are kept.
-const logKept = 10000
+// retainedRevisions is the number of latest revisions that a watch may start from. A watch from an
+// earlier one gets status 410.
+const retainedRevisions = 10000
 
-// watch answers with the changes after a revision, once there are any or the
-// time to wait is over.
+// watch answers with the changes after a revision, as soon as there are any or when the wait
+// time of the request is over.
 func (service *fakeStateService) watch(query url.Values, answer func(status int, response any)) {
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
 	wait, _ := strconv.Atoi(query.Get("wait_ms"))
-	if from+logKept < service.revision || from < service.oldest {
+	if from+retainedRevisions < service.revision || from < service.oldest {
 		answer(http.StatusGone, nil)
 		return
 	}
@@ -48,13 +49,13 @@
 	})
 }
 
-// changesAfter lists the changes after a revision.
+// changesAfter returns the changes after a revision.
 func (service *fakeStateService) changesAfter(from uint64) watchResponse {
 	i := sort.Search(len(service.log), func(i int) bool { return service.log[i].ModRevision > from })
 	return watchResponse{service.revision, append([]changeEvent{}, service.log[i:]...)}
 }
 
-// notifyWatchers answers who waits for a change that has come.
+// notifyWatchers answers the pending watches that have changes.
 func (service *fakeStateService) notifyWatchers() {
 	list := service.watchers
 	service.watchers = nil
--- a/internal/simtest/worker.go
+++ b/internal/simtest/worker.go
@@ -5,52 +5,52 @@
 	"time"
 )
 
-// machineIdentity is what a machine is.
+// machineIdentity holds the fixed properties of a machine.
 type machineIdentity struct {
 	name, addr        string
 	machineType, zone string
 	spot              bool
 }
 
-// fakeWorker is a stand-in of a machine's worker.
+// fakeWorker is a fake of a worker together with its machine.
 type fakeWorker struct {
 	world *World
 	machineIdentity
 	up          bool
 	incarnation uint64
 	assignments map[string]*taskAssignment // by task
-	images      map[string]bool            // those that are there, by job
+	images      map[string]bool            // fetched images, by job
 	leaseState
 	heartbeatState
 	hangState
 	machineFaults
 }
 
-// leaseState is what a worker knows of its lease and its leader.
+// leaseState holds the worker's lease and the fencing token of its leader.
 type leaseState struct {
-	leaseStart         time.Duration // when the last answered heartbeat was sent
-	fencingToken       uint64        // the highest that it has seen
-	fencingTokenSeenAt time.Duration // when it last told of a higher one at once
+	leaseStart             time.Duration // when the heartbeat that last renewed the lease was sent, or the incarnation began
+	fencingToken           uint64        // highest token received so far
+	fencingTokenReportedAt time.Duration // when a higher token last caused an early heartbeat
 }
 
-// heartbeatState is when a worker sends its next heartbeat, and to whom.
+// heartbeatState determines when and to which controller the next heartbeat is sent.
 type heartbeatState struct {
-	target                       int // index of the controller
+	targetController             int // index of the controller that gets the heartbeats
 	sequence                     uint64
 	heartbeatInFlight            bool
-	changed                      bool // something that controllers do not know yet
+	changed                      bool // the status changed after the last heartbeat
 	lastHeartbeat, nextHeartbeat time.Duration
 }
 
-// machineFaults are what scenarios do to a machine.
+// machineFaults holds the faults that are injected into a machine.
 type machineFaults struct {
-	slowdown          float64       // run times are multiplied by this, 0: by 1
-	reclaimAt         time.Duration // when the cloud takes the machine, 0: no notice was given
-	heartbeatsBlocked bool          // it reaches no controller, direct commands reach it
-	faulty            bool          // every task that starts on it fails
+	slowdown          float64       // factor of run times; zero means no slowdown
+	reclaimAt         time.Duration // when the cloud reclaims the machine; zero if there is no reclaim notice
+	heartbeatsBlocked bool          // heartbeats reach no controller, but direct commands arrive
+	faulty            bool          // every task that starts on the machine fails
 }
 
-// newWorker boots the worker of a machine.
+// newWorker starts the worker of a machine that has booted.
 func newWorker(world *World, machine machineIdentity) *fakeWorker {
 	worker := &fakeWorker{
 		world:           world,
@@ -60,7 +60,7 @@
 		assignments:     map[string]*taskAssignment{},
 		images:          map[string]bool{},
 		leaseState:      leaseState{leaseStart: world.now},
-		heartbeatState:  heartbeatState{target: world.random.IntN(len(world.controllers)), changed: true},
+		heartbeatState:  heartbeatState{targetController: world.random.IntN(len(world.controllers)), changed: true},
 	}
 	world.workers[machine.addr] = worker
 	if world.network.unreachableMachines > 0 {
@@ -71,13 +71,14 @@
 	return worker
 }
 
-// Intervals of a worker.
+// Intervals of the worker.
 const (
 	workerTickInterval   = 100 * time.Millisecond
-	minHeartbeatInterval = 500 * time.Millisecond // also where something has changed
+	minHeartbeatInterval = 500 * time.Millisecond // applies to early heartbeats after a change, too
 )
 
-// tick lets time pass for a worker as long as its machine is up.
+// tick checks the lease and sends due heartbeats, periodically until the machine crashes.
+// While the machine hangs it does nothing.
 func (worker *fakeWorker) tick() {
 	if !worker.up {
 		return
@@ -92,7 +93,7 @@
 	}
 }
 
-// killTasks ends all tasks without a trace.
+// killTasks removes all tasks, without an exit status in heartbeats, and the fetched images.
 func (worker *fakeWorker) killTasks() {
 	for _, assignment := range worker.sortedAssignments() {
 		worker.removeTask(assignment)
@@ -101,7 +102,8 @@
 	worker.images = map[string]bool{}
 }
 
-// sortedAssignments lists the assignments in an order that does not change from run to run.
+// sortedAssignments returns the assignments sorted by task name, so that runs are
+// deterministic.
 func (worker *fakeWorker) sortedAssignments() []*taskAssignment {
 	list := make([]*taskAssignment, 0, len(worker.assignments))
 	for _, assignment := range worker.assignments {
@@ -111,20 +113,20 @@
 	return list
 }
 
-// crash ends the machine without notice.
+// crash ends the machine and its tasks without notice.
 func (worker *fakeWorker) crash() {
 	worker.killTasks()
 	worker.up = false
 }
 
-// blockHeartbeatsFor lets a machine reach no controller for a while.
+// blockHeartbeatsFor blocks the heartbeats of the machine for a duration.
 func (worker *fakeWorker) blockHeartbeatsFor(duration time.Duration) {
 	worker.heartbeatsBlocked = true
 	worker.world.schedule(duration, func() { worker.heartbeatsBlocked = false })
 }
 
-// isHealthy reports whether no fault and no reclaim notice keeps the machine from running tasks
-// as it should.
+// isHealthy reports whether the machine is up and has neither an injected fault nor a reclaim
+// notice.
 func (worker *fakeWorker) isHealthy() bool {
 	return worker.up && !worker.hung && !worker.heartbeatsBlocked && worker.reclaimAt == 0 && worker.slowdown <= 0 && !worker.faulty
 }
--- a/internal/simtest/worker_commands.go
+++ b/internal/simtest/worker_commands.go
@@ -5,20 +5,20 @@
 	"net/http"
 )
 
-// serve answers a request of a controller: a direct command or an inspection.
+// serve handles a request of a controller: a direct command or an inspection.
 func (worker *fakeWorker) serve(path string, body []byte, answer answerFunc) {
 	if !worker.up {
 		return
 	}
 	if worker.hung {
-		// It waits until the machine resumes, then is executed like any other.
+		// The request is handled when the machine resumes.
 		worker.whenResumed(func() { worker.serve(path, body, answer) })
 		return
 	}
 	if path == directCommandPath {
 		var request commandRequest
 		if json.Unmarshal(body, &request) != nil || request.FencingToken == nil || request.Incarnation == nil {
-			worker.world.reportLimitViolation("bad direct command %s", body)
+			worker.world.reportLimitViolation("worker got an invalid direct command %s", body)
 			answer(http.StatusBadRequest, nil)
 			return
 		}
@@ -26,13 +26,13 @@
 			answer(http.StatusConflict, worker.buildHeartbeat())
 			return
 		}
-		worker.learnFencingToken(*request.FencingToken)
+		worker.recordFencingToken(*request.FencingToken)
 		worker.executeCommands(request.Commands)
 	}
 	answer(http.StatusOK, worker.buildHeartbeat())
 }
 
-// executeCommands carries out commands, each once however often it comes.
+// executeCommands executes commands. It is idempotent: a repeated command has no effect.
 func (worker *fakeWorker) executeCommands(commands []taskCommand) {
 	for _, command := range commands {
 		assignment := worker.assignments[command.Task]
@@ -53,7 +53,7 @@
 				worker.changed = true
 			}
 		default:
-			worker.world.reportLimitViolation("unknown command %q", command.Verb)
+			worker.world.reportLimitViolation("worker got a command with unknown verb %q", command.Verb)
 		}
 	}
 }
--- a/internal/simtest/worker_gang.go
+++ b/internal/simtest/worker_gang.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// gangRun is an attempt of a gang: its tasks run from when all are there, and end together.
+// gangRun is one attempt to run the tasks of a gang. They start running once all of them wait
+// on their machines, and they end together.
 type gangRun struct {
 	job             *jobRecord
 	world           *World
-	members         map[int]*taskAssignment // those that have not left, by index
+	members         map[int]*taskAssignment // tasks that have not left the gang, by index
 	started         bool
-	over            bool
-	stopRequestedAt time.Duration // 0: it was not
-	stopped         map[int]bool  // tasks that were told to stop, by index
+	ended           bool          // it has finished, or has lost a task
+	stopRequestedAt time.Duration // zero if no stop was requested
+	stopped         map[int]bool  // tasks that stop with a checkpoint, by index
 }
 
-// gang is the run of a gang that the assignment takes part in, nil if it does not.
+// gang returns the gang run that the assignment belongs to, or nil if there is none.
 func (assignment *taskAssignment) gang() *gangRun {
 	if assignment.job == nil {
 		return nil
@@ -21,7 +22,7 @@
 	return assignment.job.gangs[assignment.attempt]
 }
 
-// addToGang makes the assignment a part of its attempt of the gang.
+// addToGang adds the assignment to the gang run of its attempt, which it creates if needed.
 func (assignment *taskAssignment) addToGang() *gangRun {
 	gang := assignment.gang()
 	if gang == nil {
@@ -32,7 +33,8 @@
 	return gang
 }
 
-// joinGang lets a task wait for the others of its gang; with the last one they all start.
+// joinGang adds a task to its gang. The last task to join starts the gang. The other tasks wait
+// for it; they exit as incomplete if the gang has not started within gang_wait_s.
 func (assignment *taskAssignment) joinGang() {
 	gang := assignment.addToGang()
 	if !gang.started && gang.isComplete() {
@@ -43,14 +45,14 @@
 	assignment.after(wait, func() { assignment.worker.exitTask(assignment, causeIncomplete, false) })
 }
 
-// isComplete reports whether all tasks of the gang are there.
+// isComplete reports whether all tasks of the gang have joined.
 func (gang *gangRun) isComplete() bool { return len(gang.members) == gang.job.taskCount }
 
-// isRunning reports whether the gang has started and lost no task yet.
-func (gang *gangRun) isRunning() bool { return gang.started && !gang.over }
+// isRunning reports whether the gang has started, and has neither finished nor lost a task.
+func (gang *gangRun) isRunning() bool { return gang.started && !gang.ended }
 
-// anyResponsive reports whether a task of the gang is on a machine that does not hang.
-func (gang *gangRun) anyResponsive() bool {
+// hasResponsiveMember reports whether any task of the gang is on a machine that does not hang.
+func (gang *gangRun) hasResponsiveMember() bool {
 	for _, member := range gang.members {
 		if !member.worker.hung {
 			return true
@@ -59,7 +61,7 @@
 	return false
 }
 
-// start lets all tasks of a complete gang run.
+// start starts all tasks of a complete gang.
 func (gang *gangRun) start() {
 	gang.started = true
 	failing := false
@@ -79,8 +81,8 @@
 	}
 }
 
-// leave is called when a task of the gang ends. The others notice, unless the gang was
-// stopped with a checkpoint.
+// leave removes a task that has ended from the gang. If the gang was running, the other tasks
+// are aborted after gang_peer_s, unless the task was stopped with a stored checkpoint.
 func (gang *gangRun) leave(assignment *taskAssignment) {
 	if gang.members[assignment.index] == assignment {
 		delete(gang.members, assignment.index)
@@ -91,11 +93,12 @@
 	if assignment.cause == causeStopped && assignment.checkpointStored {
 		return
 	}
-	gang.over = true
+	gang.ended = true
 	gang.world.schedule(seconds(gang.world.config.Settings.Workers.GangPeerS), gang.abort)
 }
 
-// abort lets the tasks of a gang that lost one exit, on a machine that hangs once it goes on.
+// abort makes the remaining tasks of a gang that lost a task exit with causePeers. On a machine
+// that hangs, a task exits when the machine resumes.
 func (gang *gangRun) abort() {
 	for i := range gang.job.taskCount {
 		member := gang.members[i]
@@ -110,14 +113,15 @@
 	}
 }
 
-// finishAfter ends a gang that runs to its end after so long, once all its machines go on.
+// finishAfter schedules the end of a gang that runs to completion.
 func (gang *gangRun) finishAfter(duration time.Duration) {
 	gang.world.schedule(duration, gang.finish)
 }
 
-// finish ends a gang that has run for its whole time.
+// finish completes all tasks of a gang whose run time has passed. While one of its machines
+// hangs, the end waits until that machine resumes.
 func (gang *gangRun) finish() {
-	if gang.over || gang.stopRequestedAt != 0 {
+	if gang.ended || gang.stopRequestedAt != 0 {
 		return
 	}
 	for i := range gang.job.taskCount {
@@ -126,7 +130,7 @@
 			return
 		}
 	}
-	gang.over = true
+	gang.ended = true
 	for i := range gang.job.taskCount {
 		gang.job.completed[i] = true
 	}
--- a/internal/simtest/worker_hang.go
+++ b/internal/simtest/worker_hang.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// hangState is what a machine's hangs have done to it. While it hangs nothing
-// on it executes, but its lease runs on: if it goes on later than that, it kills
-// its tasks before anything else.
+// hangState is the state of a machine that may hang. While a machine hangs, nothing executes on
+// it, but its lease keeps running. If it resumes after the lease has expired, it kills its tasks
+// before it does anything else.
 type hangState struct {
 	hung      bool
 	hungSince time.Duration
 	hungUntil time.Duration
-	totalHung time.Duration // of the hangs that are over
-	onResume  []func()      // what happens once it goes on, in order
+	totalHung time.Duration // total duration of the past hangs
+	onResume  []func()      // actions to run when the machine resumes, in this order
 }
 
-// hang lets the machine be paused for that long.
+// hang makes the machine hang for a duration. A hang that is in progress is extended if needed.
 func (worker *fakeWorker) hang(duration time.Duration) {
 	worker.hungUntil = max(worker.hungUntil, worker.world.now+duration)
 	if worker.hung || !worker.up {
@@ -21,8 +21,8 @@
 	}
 	worker.hung, worker.hungSince = true, worker.world.now
 	worker.world.schedule(duration, worker.resumeAfterHang)
-	// The rest of a running gang notices, unless the machine is back by then or
-	// there is no rest that executes.
+	// The other tasks of a running gang lose their peer after gang_peer_s, unless the machine
+	// has resumed by then or all machines of the gang hang.
 	since := worker.hungSince
 	for _, assignment := range worker.sortedAssignments() {
 		gang := assignment.gang()
@@ -31,15 +31,15 @@
 		}
 		worker.world.schedule(seconds(worker.world.config.Settings.Workers.GangPeerS), func() {
 			stillHung := worker.hung && worker.hungSince == since
-			if stillHung && gang.isRunning() && gang.members[assignment.index] == assignment && gang.anyResponsive() {
-				gang.over = true
+			if stillHung && gang.isRunning() && gang.members[assignment.index] == assignment && gang.hasResponsiveMember() {
+				gang.ended = true
 				gang.abort()
 			}
 		})
 	}
 }
 
-// resumeAfterHang ends a hang, unless another one lasts for longer.
+// resumeAfterHang ends a hang, or waits on if the hang was extended.
 func (worker *fakeWorker) resumeAfterHang() {
 	if !worker.up || !worker.hung {
 		return
@@ -61,11 +61,11 @@
 	}
 }
 
-// certainlyLost reports whether the tasks are certain not to go on: the machine hangs
-// and has outlived its lease.
+// certainlyLost reports whether the machine hangs and its lease has expired. Its tasks will not
+// continue: the worker kills them when the machine resumes.
 func (worker *fakeWorker) certainlyLost() bool { return worker.hung && worker.leaseExpired() }
 
-// whenResumed runs an action at once, or when the machine goes on.
+// whenResumed runs an action immediately, or on resume if the machine hangs.
 func (worker *fakeWorker) whenResumed(action func()) {
 	if worker.hung {
 		worker.onResume = append(worker.onResume, action)
@@ -74,7 +74,7 @@
 	action()
 }
 
-// executionTime is for how long the machine has not hung.
+// executionTime returns the virtual time without the time during which the machine hung.
 func (worker *fakeWorker) executionTime() time.Duration {
 	if worker.hung {
 		return worker.hungSince - worker.totalHung
@@ -82,16 +82,17 @@
 	return worker.world.now - worker.totalHung
 }
 
-// afterExecuting runs an action once the machine has executed for so long.
+// afterExecuting runs an action after the machine has executed for a duration. Time during
+// which it hangs does not count.
 func (worker *fakeWorker) afterExecuting(duration time.Duration, action func()) {
 	target := worker.executionTime() + duration
 	var check func()
 	check = func() {
-		switch left := target - worker.executionTime(); {
+		switch remaining := target - worker.executionTime(); {
 		case worker.hung:
 			worker.whenResumed(check)
-		case left > 0:
-			worker.world.schedule(left, check)
+		case remaining > 0:
+			worker.world.schedule(remaining, check)
 		default:
 			action()
 		}
--- a/internal/simtest/worker_hang_test.go
+++ b/internal/simtest/worker_hang_test.go
@@ -9,8 +9,8 @@
 	"lugward/internal/event"
 )
 
-// startOneTask returns a machine that runs one task of an array, its lease just
-// renewed, in a world whose only controller does nothing.
+// startOneTask returns a worker that runs one task of an array job and whose lease has just
+// begun, in a world whose only controller is down.
 func startOneTask(run time.Duration) (*World, *fakeWorker) {
 	world := New(1, 1, io.Discard)
 	world.controllers[0].kill()
@@ -21,7 +21,8 @@
 	return world, worker
 }
 
-// A hang inside the lease lets the tasks go on where they stood.
+// TestHangInsideLease checks that tasks continue after a hang that is shorter than the lease,
+// and that the hang does not count as run time.
 func TestHangInsideLease(t *testing.T) {
 	world, worker := startOneTask(8 * time.Second)
 	world.Run(2 * time.Second)
@@ -29,21 +30,22 @@
 	worker.hang(9 * time.Second)
 	world.Run(8 * time.Second)
 	if assignment := worker.assignments["req-000001/0"]; assignment == nil || assignment.phase != "running" {
-		t.Fatalf("before it goes on: %+v", assignment)
+		t.Fatalf("assignment during the hang is %+v, want phase running", assignment)
 	}
 	world.Run(2 * time.Second)
 	if assignment := worker.assignments["req-000001/0"]; assignment == nil || assignment.phase != "running" || worker.incarnation != 1 {
-		t.Fatalf("after it went on: %+v, incarnation %d", assignment, worker.incarnation)
+		t.Fatalf("assignment after the hang is %+v in incarnation %d, want phase running in incarnation 1", assignment, worker.incarnation)
 	}
 	worker.leaseStart = world.now
 	world.Run(5 * time.Second)
 	if assignment := worker.assignments["req-000001/0"]; assignment == nil || assignment.cause != "done" {
-		t.Fatalf("at last: %+v", assignment)
+		t.Fatalf("assignment after its run time is %+v, want cause done", assignment)
 	}
 }
 
-// A machine that goes on later than its lease kills its tasks before it does
-// anything else: what waited for it finds the next incarnation.
+// TestHangBeyondLease checks that a worker that resumes after its lease has expired kills its
+// tasks before it does anything else. A command that arrived during the hang is then refused,
+// because it names the previous incarnation.
 func TestHangBeyondLease(t *testing.T) {
 	world, worker := startOneTask(60 * time.Second)
 	worker.leaseStart = world.now
@@ -52,16 +54,17 @@
 	worker.serve("/do", []byte(`{"fence":7,"tenure":1,"orders":[{"verb":"start","shard":"req-000001/0","try":2}]}`), func(code int, _ any) { status = code })
 	world.Run(10500 * time.Millisecond)
 	if status != 0 || !worker.certainlyLost() || len(world.checker.onMachines()) != 0 {
-		t.Fatalf("while it hangs: %d, certainly lost %v", status, worker.certainlyLost())
+		t.Fatalf("during the hang: status %d, tasks lost: %v, want status 0, lost tasks and none on machines", status, worker.certainlyLost())
 	}
 	world.Run(time.Second)
 	if status != 409 || len(worker.assignments) != 0 || worker.incarnation != 2 {
-		t.Fatalf("after it went on: %d, %d tasks, incarnation %d", status, len(worker.assignments), worker.incarnation)
+		t.Fatalf("after the hang: status %d, %d tasks, incarnation %d, want status 409, no tasks, incarnation 2", status, len(worker.assignments), worker.incarnation)
 	}
 }
 
-// The lease counts from the sending of the last answered heartbeat, and what comes
-// later than the worker waits is dropped, be it that the machine hung.
+// TestLateAnswerRenewsNothing checks that the lease is counted from the time at which the last
+// answered heartbeat was sent. A response that is handled after the heartbeat's time-out is
+// dropped, also if it is late only because the machine hung.
 func TestLateAnswerRenewsNothing(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -77,7 +80,7 @@
 			want := worker.leaseStart
 			worker.heartbeatInFlight = false
 			process := world.controllers[0]
-			// It takes the heartbeat and says nothing.
+			// The paused controller receives the heartbeat and does not respond.
 			process.up, process.paused, process.pendingRequests = true, true, map[uint64]func(int, []byte){}
 			worker.sendHeartbeat()
 			if test.renewed {
@@ -95,13 +98,14 @@
 			process.up = false
 			world.Run(test.hang + 100*time.Millisecond)
 			if worker.leaseStart != want {
-				t.Errorf("lease from %s, not %s", worker.leaseStart, want)
+				t.Errorf("lease starts at %s, want %s", worker.leaseStart, want)
 			}
 		})
 	}
 }
 
-// A gang whose machine hangs ends where it executes, and there when it goes on.
+// TestHangEndsGang checks that a hang of one machine ends a gang: immediately on the machines
+// that still execute, and on resume on the machine that hangs.
 func TestHangEndsGang(t *testing.T) {
 	world := New(1, 1, io.Discard)
 	world.controllers[0].kill()
@@ -116,15 +120,16 @@
 	list[0].hang(4 * time.Second)
 	world.Run(3 * time.Second)
 	if assignment, other := list[0].assignments["req-000001/0"], list[1].assignments["req-000001/1"]; assignment.phase != "running" || other.cause != "peers" {
-		t.Fatalf("while it hangs: %+v, %+v", assignment, other)
+		t.Fatalf("tasks during the hang are %+v and %+v, want phase running and cause peers", assignment, other)
 	}
 	world.Run(2 * time.Second)
 	if assignment := list[0].assignments["req-000001/0"]; assignment.cause != "peers" {
-		t.Fatalf("after it went on: %+v", assignment)
+		t.Fatalf("task after the hang is %+v, want cause peers", assignment)
 	}
 }
 
-// The heartbeats of a machine that reaches no controller reach nobody; direct commands reach it.
+// TestReportsBlocked checks that no heartbeat arrives while heartbeats are blocked, but that
+// the worker still answers direct requests.
 func TestReportsBlocked(t *testing.T) {
 	world, worker := startOneTask(60 * time.Second)
 	process := world.controllers[0]
@@ -135,17 +140,17 @@
 	got := 0
 	worker.serve("/inspect", nil, func(code int, _ any) { got = code })
 	if got != 200 || heartbeats != 0 {
-		t.Errorf("inspect answered %d, %d heartbeats arrived", got, heartbeats)
+		t.Errorf("inspection returned status %d and %d heartbeats arrived, want 200 and 0", got, heartbeats)
 	}
 	worker.heartbeatsBlocked = false
 	world.Run(2 * time.Second)
 	if process.lastRequest == 0 {
-		t.Error("no heartbeat once it reaches controllers again")
+		t.Error("no heartbeat arrived after heartbeats were unblocked, want at least 1")
 	}
 }
 
-// A late write gets no answer and is judged by its conditions when it is
-// carried out, after an outage if need be.
+// TestLateWrite checks that a late write gets no response, that its preconditions are checked
+// when it is executed, and that it is not executed during an outage.
 func TestLateWrite(t *testing.T) {
 	world := New(1, 1, io.Discard)
 	process := world.controllers[0]
@@ -154,23 +159,23 @@
 	write := func(key string, version uint64) {
 		body, _ := json.Marshal(transaction{If: []precondition{{key, version}}, Then: []operation{{Write: key, Data: json.RawMessage("1")}}})
 		if !process.delayTransaction(event.Call{Method: "POST", Path: "/commit", Body: body}) {
-			t.Fatal("not late")
+			t.Fatal("transaction was not delayed")
 		}
 	}
 	write("a", 0)
 	write("b", 5)
 	world.Run(1900 * time.Millisecond)
 	if len(world.stateService.keys) != 0 {
-		t.Fatal("carried out too soon")
+		t.Fatal("late transaction was executed within 1.9 s, want at least 2 s")
 	}
 	world.stateService.setOutage(true)
 	world.Run(12 * time.Second)
 	if len(world.stateService.keys) != 0 {
-		t.Fatal("carried out in an outage")
+		t.Fatal("late transaction was executed during an outage")
 	}
 	world.stateService.setOutage(false)
 	world.Run(time.Second)
 	if _, ok := world.stateService.keys["a"]; !ok || len(world.stateService.keys) != 1 {
-		t.Fatalf("it holds %v", world.stateService.keys)
+		t.Fatalf("state service holds %v, want only key a", world.stateService.keys)
 	}
 }
--- a/internal/simtest/worker_heartbeat.go
+++ b/internal/simtest/worker_heartbeat.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
+// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
 const heartbeatTimeout = 4 * time.Second
 
-// heartbeatDue reports whether it is time for a heartbeat.
+// heartbeatDue reports whether a heartbeat is due: after the interval, or early if the status
+// has changed.
 func (worker *fakeWorker) heartbeatDue() bool {
 	if worker.world.now >= worker.nextHeartbeat {
 		return true
@@ -17,7 +18,7 @@
 	return worker.changed && worker.world.now-worker.lastHeartbeat >= minHeartbeatInterval
 }
 
-// buildHeartbeat is the heartbeat that the worker sends next.
+// buildHeartbeat returns a heartbeat with the current status and the next sequence number.
 func (worker *fakeWorker) buildHeartbeat() heartbeat {
 	worker.sequence++
 	message := heartbeat{
@@ -32,8 +33,8 @@
 		Tasks:        []taskStatus{},
 	}
 	if worker.reclaimAt != 0 {
-		left := (worker.reclaimAt - worker.world.now).Seconds()
-		message.ReclaimIn = &left
+		remaining := (worker.reclaimAt - worker.world.now).Seconds()
+		message.ReclaimIn = &remaining
 	}
 	for _, assignment := range worker.sortedAssignments() {
 		status := taskStatus{Task: assignment.name, Attempt: assignment.attempt, Phase: assignment.phase}
@@ -45,7 +46,7 @@
 	return message
 }
 
-// sendHeartbeat sends a heartbeat and takes its answer.
+// sendHeartbeat sends a heartbeat and schedules the next one.
 func (worker *fakeWorker) sendHeartbeat() {
 	worker.heartbeatInFlight, worker.changed = true, false
 	worker.lastHeartbeat = worker.world.now
@@ -55,7 +56,7 @@
 	body, _ := json.Marshal(worker.buildHeartbeat())
 	sent, incarnation := worker.world.now, worker.incarnation
 	if worker.heartbeatsBlocked {
-		// No connection comes about, at once or after a while.
+		// The connection fails after a random time.
 		delay := time.Duration(worker.world.random.Int64N(int64(heartbeatTimeout)))
 		worker.world.schedule(delay, func() {
 			worker.whenResumed(func() { worker.handleHeartbeatResponse(sent, incarnation, 0, nil) })
@@ -63,18 +64,18 @@
 		return
 	}
 	request := httpRequest{from: worker.name, method: "POST", path: heartbeatPath, body: body, timeout: heartbeatTimeout}
-	worker.world.network.request(worker.world.controllers[worker.target], request, func(status int, body []byte) {
+	worker.world.network.request(worker.world.controllers[worker.targetController], request, func(status int, body []byte) {
 		worker.whenResumed(func() {
 			if worker.world.now-sent >= heartbeatTimeout {
-				status, body = 0, nil // it came while the machine hung
+				status, body = 0, nil // the response timed out while the machine hung
 			}
 			worker.handleHeartbeatResponse(sent, incarnation, status, body)
 		})
 	})
 }
 
-// handleHeartbeatResponse takes the answer to a heartbeat that was sent at that time in that
-// incarnation, status 0 for none.
+// handleHeartbeatResponse handles the response to a heartbeat that was sent at the given time
+// and in the given incarnation. Status 0 means that there was no response.
 func (worker *fakeWorker) handleHeartbeatResponse(sent time.Duration, incarnation uint64, status int, body []byte) {
 	worker.heartbeatInFlight = false
 	if !worker.up {
@@ -89,24 +90,24 @@
 		return
 	}
 	if status != http.StatusOK {
-		worker.target = (worker.target + 1) % len(worker.world.controllers)
+		worker.targetController = (worker.targetController + 1) % len(worker.world.controllers)
 		worker.nextHeartbeat = worker.world.now + time.Second
 		return
 	}
 	if answer.FencingToken < worker.fencingToken || answer.FencingToken == 0 || incarnation != worker.incarnation {
 		return
 	}
-	worker.learnFencingToken(answer.FencingToken)
+	worker.recordFencingToken(answer.FencingToken)
 	worker.leaseStart = max(worker.leaseStart, sent)
 	worker.executeCommands(answer.Commands)
 }
 
-// redirect lets the next heartbeat go to the leader, soon. It reports whether that is
-// another controller.
+// redirect makes the leader the target of heartbeats and lets the next heartbeat be sent soon.
+// It returns false and changes nothing if the leader is unknown or already the target.
 func (worker *fakeWorker) redirect(leader string) bool {
 	for i, process := range worker.world.controllers {
-		if leader != "" && process.name == leader && i != worker.target {
-			worker.target = i
+		if leader != "" && process.name == leader && i != worker.targetController {
+			worker.targetController = i
 			worker.changed = true
 			worker.lastHeartbeat = worker.world.now - minHeartbeatInterval + workerTickInterval
 			return true
@@ -115,19 +116,19 @@
 	return false
 }
 
-// learnFencingToken notes a fencing token that it was sent. If it is a higher one it is told
-// in a heartbeat at once, twice in a lease at most.
-func (worker *fakeWorker) learnFencingToken(token uint64) {
+// recordFencingToken records a fencing token that a controller sent. A higher token causes an
+// early heartbeat, at most twice per lease duration.
+func (worker *fakeWorker) recordFencingToken(token uint64) {
 	if token <= worker.fencingToken {
 		return
 	}
 	worker.fencingToken = token
-	if worker.world.now-worker.fencingTokenSeenAt > seconds(worker.world.config.Settings.Workers.LeaseS/2) || worker.fencingTokenSeenAt == 0 {
-		worker.changed, worker.fencingTokenSeenAt = true, worker.world.now
+	if worker.world.now-worker.fencingTokenReportedAt > seconds(worker.world.config.Settings.Workers.LeaseS/2) || worker.fencingTokenReportedAt == 0 {
+		worker.changed, worker.fencingTokenReportedAt = true, worker.world.now
 	}
 }
 
-// expireLease kills the tasks and begins an incarnation if the lease has run out.
+// expireLease kills the tasks and begins a new incarnation if the lease has expired.
 func (worker *fakeWorker) expireLease() {
 	if !worker.leaseExpired() {
 		return
@@ -138,7 +139,8 @@
 	worker.changed = true
 }
 
-// leaseExpired reports whether the last answered heartbeat was sent too long ago.
+// leaseExpired reports whether the lease has expired. It is counted from the time at which the
+// last answered heartbeat was sent.
 func (worker *fakeWorker) leaseExpired() bool {
 	return worker.world.now-worker.leaseStart > seconds(worker.world.config.Settings.Workers.LeaseS)
 }
--- a/internal/simtest/worker_tasks.go
+++ b/internal/simtest/worker_tasks.go
@@ -6,26 +6,28 @@
 	"time"
 )
 
-// taskAssignment is an attempt of a task on a machine.
+// taskAssignment is one attempt to run a task on a machine.
 type taskAssignment struct {
 	worker           *fakeWorker
-	job              *jobRecord // nil: the worker knows no such job
-	name             string     // of the task: the job's ID, a slash and the index
+	job              *jobRecord // nil if the job is unknown
+	name             string     // name of the task: the job's ID, a slash and the index
 	index            int
 	attempt          uint64
 	phase            string
-	cause            string        // of the exit
-	checkpointStored bool          // the exit came after a last checkpoint
-	startedAt        time.Duration // of running, in time that the machine executed, for progress
-	generation       int           // outdates scheduled events
+	cause            string        // cause of the exit
+	checkpointStored bool          // a last checkpoint was stored before the exit
+	startedAt        time.Duration // execution time of the machine when the task began to run; the progress counts from it
+	generation       int           // incremented to invalidate scheduled events
 }
 
-// onMachine reports whether the task executes.
+// onMachine reports whether the task executes on the machine: it waits for its gang, runs or
+// stores a checkpoint.
 func (assignment *taskAssignment) onMachine() bool {
 	return assignment.phase == taskWaiting || assignment.phase == taskRunning || assignment.phase == taskSaving
 }
 
-// startTask executes a command to start a task: it fetches the image, then runs it.
+// startTask executes a command to start a task: it fetches the image, then runs the task. A
+// task that cannot start exits immediately.
 func (worker *fakeWorker) startTask(command taskCommand) {
 	worker.changed = true
 	i := strings.LastIndexByte(command.Task, '/')
@@ -35,7 +37,7 @@
 	assignment := &taskAssignment{worker: worker, job: job, name: command.Task, index: index, attempt: command.Attempt, phase: taskExited}
 	if old := worker.assignments[command.Task]; old != nil {
 		worker.world.checker.countRefusal("in_use")
-		return // refused without a trace: the old attempt keeps its line
+		return // not reported in heartbeats, which continue to show the old attempt
 	}
 	worker.assignments[command.Task] = assignment
 	if job == nil || index >= job.taskCount {
@@ -55,7 +57,7 @@
 	assignment.after(wait, func() { worker.runTask(assignment) })
 }
 
-// hasCapacity reports whether another task of a job fits on the machine.
+// hasCapacity reports whether the machine has enough free resources for another task of the job.
 func (worker *fakeWorker) hasCapacity(job *jobRecord) bool {
 	free := machineTypes[worker.machineType].resources
 	for _, assignment := range worker.assignments {
@@ -63,13 +65,13 @@
 			free = free.minus(assignment.job.resources)
 		}
 	}
-	return job.cpus <= free.cpus+rounding && job.gpus <= free.gpus+rounding && job.memory <= free.memory+rounding
+	return job.cpus <= free.cpus+roundingTolerance && job.gpus <= free.gpus+roundingTolerance && job.memory <= free.memory+roundingTolerance
 }
 
-// rounding is what sums of resources may be off by.
-const rounding = 1e-9
+// roundingTolerance is the tolerance for rounding errors in sums of resources.
+const roundingTolerance = 1e-9
 
-// runTask starts a task whose image is there.
+// runTask runs a task whose image has been fetched.
 func (worker *fakeWorker) runTask(assignment *taskAssignment) {
 	job := assignment.job
 	worker.images[job.id] = true
@@ -93,34 +95,35 @@
 	}
 }
 
-// completeLater lets a task of an array run for the rest of its time.
+// completeLater schedules the completion of an array task after its remaining run time.
 func (worker *fakeWorker) completeLater(assignment *taskAssignment) {
-	left := assignment.job.runTime - assignment.job.progress[assignment.index]
+	remaining := assignment.job.runTime - assignment.job.progress[assignment.index]
 	if worker.slowdown > 0 {
-		left = time.Duration(float64(left) * worker.slowdown)
+		remaining = time.Duration(float64(remaining) * worker.slowdown)
 	}
-	assignment.after(left, func() {
+	assignment.after(remaining, func() {
 		assignment.job.completed[assignment.index] = true
 		worker.exitTask(assignment, causeDone, false)
 		worker.world.users.taskCompleted(assignment.job)
 	})
 }
 
-// failureDelay is how long a task that fails runs before it exits.
+// failureDelay is how long a failing task runs before it exits.
 const failureDelay = 300 * time.Millisecond
 
-// fails reports whether a task can only fail: because of its job or its machine.
+// fails reports whether the task is bound to fail because of its job or because its machine is
+// faulty.
 func (assignment *taskAssignment) fails() bool {
 	return assignment.job.alwaysFails(assignment.index) || assignment.worker.faulty
 }
 
-// failSoon lets a running task exit with an error.
+// failSoon makes a running task exit with an error after failureDelay.
 func (worker *fakeWorker) failSoon(assignment *taskAssignment) {
 	assignment.after(failureDelay, func() { worker.exitTask(assignment, causeError, false) })
 }
 
-// after runs an action once the machine has executed for so long, unless the assignment has
-// changed state by then.
+// after runs an action after the machine has executed for a duration, unless the assignment has
+// ended or another action was scheduled for it by then.
 func (assignment *taskAssignment) after(duration time.Duration, action func()) {
 	assignment.generation++
 	generation := assignment.generation
@@ -131,7 +134,8 @@
 	})
 }
 
-// exitTask ends a task with a cause; stored tells that it stored a last checkpoint.
+// exitTask ends a task with a cause. The parameter stored tells whether a last checkpoint was
+// stored.
 func (worker *fakeWorker) exitTask(assignment *taskAssignment, cause string, stored bool) {
 	assignment.generation++
 	assignment.phase, assignment.cause, assignment.checkpointStored = taskExited, cause, stored
@@ -141,7 +145,7 @@
 	}
 }
 
-// removeTask removes a task without a trace.
+// removeTask ends a task without a cause. Its caller removes the assignment.
 func (worker *fakeWorker) removeTask(assignment *taskAssignment) {
 	assignment.generation++
 	assignment.phase = taskExited
@@ -150,7 +154,8 @@
 	}
 }
 
-// stopTask stops a task, after a last checkpoint if the grace period is enough for it.
+// stopTask stops a task. A running task that can store a last checkpoint within the grace
+// period does so first. A grace period of zero aborts a checkpoint in progress.
 func (worker *fakeWorker) stopTask(assignment *taskAssignment, gracePeriod time.Duration) {
 	job := assignment.job
 	worker.changed = true
@@ -168,8 +173,8 @@
 	worker.saveAndExit(assignment)
 }
 
-// saveAndExit lets a running task store a last checkpoint. That of a gang is stored once all
-// its tasks have saved theirs.
+// saveAndExit makes a running task store a last checkpoint and exit. The checkpoint of a gang
+// counts as stored only if all its tasks were stopped with a checkpoint and none was lost.
 func (worker *fakeWorker) saveAndExit(assignment *taskAssignment) {
 	job := assignment.job
 	progress := job.progress[assignment.index] + worker.executionTime() - assignment.startedAt
@@ -187,7 +192,7 @@
 	}
 	gang.stopped[assignment.index] = true
 	assignment.after(job.checkpointDuration, func() {
-		saved := len(gang.stopped) == job.taskCount && !gang.over
+		saved := len(gang.stopped) == job.taskCount && !gang.ended
 		if saved {
 			job.progress[0] = progress
 		}
--- a/internal/simtest/world.go
+++ b/internal/simtest/world.go
@@ -1,12 +1,12 @@
-// Package simtest plays whole clusters in virtual time: several controllers against stand-ins
-// of the state service, the cloud, workers, users and the network, written from their
-// published protocols, under faults that a scenario or a random draw causes.
+// Package simtest simulates whole clusters in virtual time. Several controllers run against
+// fakes of the state service, the cloud, the workers, the users and the network. The fakes are
+// written from the published protocols. Faults are injected by scenarios or at random.
 //
-// A World holds one deployment. Its Checker watches what must hold at any time, for example
-// that no task runs on two machines, from what workers do and what users are answered.
-// Scenarios are text files in testdata; their commands are listed in the files commands_*.go.
-// The same seed gives the same run: all random draws come from one source, in the order in
-// which events are played.
+// A World holds one deployment. Its Checker verifies invariants all the time, for example
+// that no task runs on two machines, from what workers execute and which responses users get.
+// Scenarios are text files in testdata; their commands are defined in the files commands_*.go.
+// A run is deterministic: the same seed gives the same run, because all random numbers come
+// from one source and are drawn in the order in which events are executed.
 package simtest
 
 import (
@@ -28,7 +28,7 @@
 	tickInterval = 50 * time.Millisecond
 )
 
-// worldStartTime is the time of day at which every world begins.
+// worldStartTime is the wall-clock time at which every world begins.
 var worldStartTime = time.Unix(1_700_000_000, 0)
 
 // World is one simulated deployment.
@@ -45,14 +45,14 @@
 
 	network         *fakeNetwork
 	users           *fakeUsers
-	faultsEndAt     time.Duration // when the last fault that was drawn ends
-	limitsAnnounced bool          // the settings tell of lower limits of the state service
-	limitViolations []string      // what controllers sent against the limits or the protocol
+	faultsEndAt     time.Duration // end of the last randomly drawn fault
+	limitsAnnounced bool          // the settings announce the next limits of the state service
+	limitViolations []string      // requests of controllers that violate the limits or the protocol
 	log             *slog.Logger
-	observer        WireObserver // nil: none
+	observer        WireObserver // optional
 }
 
-// Settings are the JSON settings that every simulated controller gets.
+// Settings are the default JSON settings of a simulated deployment.
 const Settings = `{"label":"n0","site":"a","bind":"10.0.0.1:8080","peer_bind":"10.0.0.1:8081","seeds":[],
 "services":{"cloud":"10.2.0.2:8443","state":"10.2.0.1:2379"},
 "settings":{"count":3,"zones":["a","b"],
@@ -62,22 +62,23 @@
 "cloud":{"rps":4,"list_lag_s":2},
 "resources":{"core_share":0.1,"ram_mb":100,"max_connections":500},"skew_ms":100}}`
 
-// Options are what a world is made of.
+// Options configure a world.
 type Options struct {
-	Settings    string                 // JSON, "" for the constant Settings
-	Controllers int                    // how many there are
-	Seed        uint64                 // of all random draws
-	Log         io.Writer              // where controllers log to
-	Observer    WireObserver           // of every message that a controller receives or sends, nil: none
-	Tune        func(*config.Platform) // changes the settings, nil: doesn't
+	Settings    string                 // JSON; empty for the constant Settings
+	Controllers int                    // number of controllers
+	Seed        uint64                 // seed of the random number generator
+	Log         io.Writer              // destination of the controllers' logs
+	Observer    WireObserver           // optional; gets every message that a controller receives or sends
+	Tune        func(*config.Platform) // optional; changes the parsed settings
 }
 
-// New returns a world with so many controllers and the usual settings.
+// New returns a world with the given number of controllers and the default settings.
 func New(controllers int, seed uint64, log io.Writer) *World {
 	return NewWith(Options{Controllers: controllers, Seed: seed, Log: log})
 }
 
-// NewWith returns a world that has just begun. It panics if the settings are invalid.
+// NewWith returns a world at virtual time zero whose controllers have started. It panics if
+// the settings are invalid.
 func NewWith(options Options) *World {
 	settings := options.Settings
 	if settings == "" {
@@ -110,12 +111,13 @@
 	return world
 }
 
-// reportLimitViolation notes that controllers sent what the limits or the protocol forbid.
+// reportLimitViolation records that a controller sent a request that violates the limits or
+// the protocol.
 func (world *World) reportLimitViolation(format string, values ...any) {
 	world.limitViolations = append(world.limitViolations, fmt.Sprintf(format, values...))
 }
 
-// sortedWorkers lists the workers in an order that does not change from run to run.
+// sortedWorkers returns the workers sorted by name, so that runs are deterministic.
 func (world *World) sortedWorkers() []*fakeWorker {
 	list := make([]*fakeWorker, 0, len(world.workers))
 	for _, worker := range world.workers {
@@ -125,19 +127,20 @@
 	return list
 }
 
-// leader is the controller that the state service shows as leader, nil if there is none.
+// leader returns the controller that the leader key of the state service names, or nil if
+// there is none.
 func (world *World) leader() *controllerProcess {
 	var record leaderRecord
 	_ = json.Unmarshal(world.stateService.keys[leaderKey].data, &record)
 	return world.controller(record.Label)
 }
 
-// randomController draws a controller.
+// randomController returns a random controller.
 func (world *World) randomController() *controllerProcess {
 	return world.controllers[world.random.IntN(len(world.controllers))]
 }
 
-// controller finds a controller by its name, nil if there is none.
+// controller returns the controller with the given name, or nil if there is none.
 func (world *World) controller(name string) *controllerProcess {
 	for _, process := range world.controllers {
 		if process.name == name {
