--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -5,12 +5,13 @@
 	"net/netip"
 )
 
-// check returns an *Error that names the first key with a bad value.
+// check validates the settings. It returns an *Error for the first key with an invalid
+// value.
 func (p *Platform) check() error {
 	for _, check := range []func() error{
 		p.checkIdentity,
 		p.checkAddresses,
-		p.checkAmounts,
+		p.checkPositiveSettings,
 		p.Settings.State.checkNext,
 		p.checkLimits,
 		p.checkTimes,
@@ -26,12 +27,12 @@
 
 func (p *Platform) checkIdentity() error {
 	if p.Label == "" {
-		return problem(Error{Key: "label", Expected: "a name"}, "label is missing")
+		return newError(Error{Key: "label", Expected: "a name"}, "label: expected a name, found an empty string")
 	}
 	for _, seed := range p.Seeds {
 		if seed.Label == "" || seed.Label == p.Label {
-			return problem(Error{Key: "seeds", Expected: "labels of other controllers", Found: seed.Label},
-				"seeds: label %q is empty or our own", seed.Label)
+			return newError(Error{Key: "seeds", Expected: "labels of other controllers", Found: seed.Label},
+				"seeds: expected labels of other controllers, found %q", seed.Label)
 		}
 	}
 	return nil
@@ -60,31 +61,31 @@
 
 func checkAddress(key, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		return problem(Error{Key: key, Expected: "an address and port", Found: value, Err: err},
-			"%s: %q is not an address and port", key, value)
+		return newError(Error{Key: key, Expected: "an IP address and port", Found: value, Err: err},
+			"%s: expected an IP address and port, found %q", key, value)
 	}
 	return nil
 }
 
-// amount is a setting that must be positive.
-type amount struct {
+// positiveSetting is a numeric setting that must be positive.
+type positiveSetting struct {
 	key   string
 	value float64
 }
 
-func checkPositive(amounts []amount) error {
-	for _, a := range amounts {
-		if !(a.value > 0) {
-			return problem(Error{Key: a.key, Expected: "a positive number", Found: fmt.Sprint(a.value)},
-				"%s must be positive", a.key)
+func checkPositive(settings []positiveSetting) error {
+	for _, s := range settings {
+		if !(s.value > 0) {
+			return newError(Error{Key: s.key, Expected: "a positive number", Found: fmt.Sprint(s.value)},
+				"%s: expected a positive number, found %v", s.key, s.value)
 		}
 	}
 	return nil
 }
 
-func (p *Platform) checkAmounts() error {
+func (p *Platform) checkPositiveSettings() error {
 	s := &p.Settings
-	return checkPositive([]amount{
+	return checkPositive([]positiveSetting{
 		{"settings.workers.report_s", s.Workers.HeartbeatS},
 		{"settings.workers.lease_s", s.Workers.LeaseS},
 		{"settings.workers.gang_wait_s", s.Workers.GangWaitS},
@@ -105,7 +106,7 @@
 	if s.Next == nil {
 		return nil
 	}
-	var given []amount
+	var present []positiveSetting
 	for _, optional := range []struct {
 		key   string
 		value *float64
@@ -115,39 +116,42 @@
 		{"settings.state.next.value_kb", s.Next.ValueKB},
 	} {
 		if optional.value != nil {
-			given = append(given, amount{optional.key, *optional.value})
+			present = append(present, positiveSetting{optional.key, *optional.value})
 		}
 	}
 	if s.Next.TxnOps != nil {
-		given = append(given, amount{"settings.state.next.txn_ops", float64(*s.Next.TxnOps)})
+		present = append(present, positiveSetting{"settings.state.next.txn_ops", float64(*s.Next.TxnOps)})
 	}
-	return checkPositive(given)
+	return checkPositive(present)
 }
 
-// What the limits must allow for the service to work at all.
+// Minimum limits with which the controller can operate.
 const (
-	// connectionsPerPeer are our connection to another controller and its one to us.
+	// connectionsPerPeer counts the connection to another controller and the connection
+	// from it.
 	connectionsPerPeer = 2
-	// otherConnections are those to the key-value store (two transactions, a watch, a
-	// barrier and a lease at a time), to the cloud, and a few for workers and users.
-	otherConnections = 16
-	// minValueKB holds a job's record, or the run record of the fewest tasks that
-	// share one.
+	// nonPeerConnections counts the connections to the key-value store (two
+	// transactions, a watch, a barrier and a lease at a time), to the cloud, and a few
+	// from workers and users.
+	nonPeerConnections = 16
+	// minValueKB is enough for a job record, or for a run record of the smallest number
+	// of tasks that share one.
 	minValueKB = 1
-	// A term begins with two writes at once, and rates allow a second's worth.
+	// A term begins with a transaction of two writes, and the rate limits admit a burst
+	// of one second.
 	minTxnOps   = 2
 	minWriteRPS = 2
 )
 
-// checkLimits refuses limits with which the service could never do its work.
+// checkLimits rejects limits that are too low for the controller to operate.
 func (p *Platform) checkLimits() error {
 	state := &p.Settings.State
-	lasting := state.Lasting()
+	strictest := state.Lasting()
 	controllers := len(p.Seeds) + 1
-	connections := connectionsPerPeer*len(p.Seeds) + otherConnections
-	// Either the present limit or the announced one may be too small.
-	stateKey := func(name string, present, lasting float64) string {
-		if lasting < present {
+	connections := connectionsPerPeer*len(p.Seeds) + nonPeerConnections
+	// The limit that is too low may be the current or the announced one.
+	stateKey := func(name string, current, strictest float64) string {
+		if strictest < current {
 			return "settings.state.next." + name
 		}
 		return "settings.state." + name
@@ -155,18 +159,18 @@
 	for _, limit := range []struct {
 		key     string
 		value   float64
-		least   float64
+		minimum float64
 		purpose string
 	}{
 		{"settings.resources.max_connections", float64(p.Settings.Resources.MaxConnections), float64(connections), fmt.Sprintf("%d controllers, their services, workers and users", controllers)},
-		{stateKey("rps", state.RPS, lasting.RPS), lasting.RPS, float64(controllers), fmt.Sprintf("one request a second of each of %d controllers", controllers)},
-		{stateKey("write_rps", state.WriteRPS, lasting.WriteRPS), lasting.WriteRPS, minWriteRPS, "the writes that begin a term"},
-		{stateKey("value_kb", state.ValueKB, lasting.ValueKB), lasting.ValueKB, minValueKB, "one record"},
-		{stateKey("txn_ops", float64(state.TxnOps), float64(lasting.TxnOps)), float64(lasting.TxnOps), minTxnOps, "the writes that begin a term"},
+		{stateKey("rps", state.RPS, strictest.RPS), strictest.RPS, float64(controllers), fmt.Sprintf("one request per second from each of %d controllers", controllers)},
+		{stateKey("write_rps", state.WriteRPS, strictest.WriteRPS), strictest.WriteRPS, minWriteRPS, "the writes that begin a term"},
+		{stateKey("value_kb", state.ValueKB, strictest.ValueKB), strictest.ValueKB, minValueKB, "one record"},
+		{stateKey("txn_ops", float64(state.TxnOps), float64(strictest.TxnOps)), float64(strictest.TxnOps), minTxnOps, "the writes that begin a term"},
 	} {
-		if limit.value < limit.least {
-			return problem(Error{Key: limit.key, Expected: fmt.Sprintf("at least %v", limit.least), Found: fmt.Sprint(limit.value)},
-				"%s is %v: at least %v are needed for %s", limit.key, limit.value, limit.least, limit.purpose)
+		if limit.value < limit.minimum {
+			return newError(Error{Key: limit.key, Expected: fmt.Sprintf("at least %v", limit.minimum), Found: fmt.Sprint(limit.value)},
+				"%s: found %v, expected at least %v for %s", limit.key, limit.value, limit.minimum, limit.purpose)
 		}
 	}
 	return nil
@@ -174,15 +178,15 @@
 
 func (p *Platform) checkTimes() error {
 	if lag := p.Settings.Cloud.ListLagS; lag < 0 {
-		return problem(Error{Key: "settings.cloud.list_lag_s", Expected: "a number, not negative", Found: fmt.Sprint(lag)},
-			"settings.cloud.list_lag_s must not be negative")
+		return newError(Error{Key: "settings.cloud.list_lag_s", Expected: "a non-negative number", Found: fmt.Sprint(lag)},
+			"settings.cloud.list_lag_s: expected a non-negative number, found %v", lag)
 	}
-	// A cancelled job's tasks must have ended within cancel_s even if the leader
-	// has lost the key-value store. It may keep its workers for what cancel_s
-	// leaves beside lease_s: there must be something left.
+	// The tasks of a cancelled job must end within cancel_s, even if the leader loses
+	// its connection to the key-value store. In that case the leader may keep its
+	// workers running for cancel_s - lease_s, so that difference must be positive.
 	if workers := &p.Settings.Workers; workers.CancelS <= workers.LeaseS {
-		return problem(Error{Key: "settings.workers.cancel_s", Expected: fmt.Sprintf("more than %v", workers.LeaseS), Found: fmt.Sprint(workers.CancelS)},
-			"settings.workers.cancel_s must exceed settings.workers.lease_s")
+		return newError(Error{Key: "settings.workers.cancel_s", Expected: fmt.Sprintf("more than %v", workers.LeaseS), Found: fmt.Sprint(workers.CancelS)},
+			"settings.workers.cancel_s: expected more than settings.workers.lease_s (%v), found %v", workers.LeaseS, workers.CancelS)
 	}
 	return nil
 }
@@ -193,8 +197,8 @@
 			continue
 		}
 		if o.WithinS < 0 || o.Share < 0 || o.Share > 1 || o.Times < 0 {
-			return problem(Error{Key: "settings.objectives", Expected: "amounts that are not negative and shares up to 1", Found: o.Kind + " of class " + o.Class},
-				"settings.objectives: %s of class %q has a negative amount or a share beyond 1", o.Kind, o.Class)
+			return newError(Error{Key: "settings.objectives", Expected: "non-negative amounts and shares of at most 1", Found: o.Kind + " of class " + o.Class},
+				"settings.objectives: %s of class %q: expected non-negative amounts and a share of at most 1, found within_s %v, share %v, times %v", o.Kind, o.Class, o.WithinS, o.Share, o.Times)
 		}
 	}
 	return nil
@@ -203,8 +207,8 @@
 func (p *Platform) checkTeams() error {
 	for _, t := range p.Settings.Teams {
 		if t.Name == "" || t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
-			return problem(Error{Key: "settings.teams", Expected: "names, and amounts that are not negative", Found: "team " + t.Name},
-				"settings.teams: team %q has no name or a negative amount", t.Name)
+			return newError(Error{Key: "settings.teams", Expected: "names and non-negative amounts", Found: "team " + t.Name},
+				"settings.teams: team %q: expected a name and non-negative amounts, found cpus %v, cpus_max %v, gpus %v, gpus_max %v", t.Name, t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax)
 		}
 	}
 	return nil
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads and checks the platform's settings file (JSON) and the
-// operators' own settings (TOML). Errors in a file are of type *Error; their text is
-// one line that names the file, the key and what was expected there.
+// Package config reads and validates the platform's settings file (JSON) and the
+// operators' settings file (TOML). An error in the content of a file is of type *Error.
+// Its text is a single line that names the file, the key and the expected value.
 package config
 
 import (
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Load reads and checks the platform's file and, if operatorPath is not empty,
-// the operators' file.
+// Load reads and validates the platform's settings file and, if operatorPath is not
+// empty, the operators' settings file.
 func Load(platformPath, operatorPath string) (*Platform, error) {
 	raw, err := os.ReadFile(platformPath)
 	if err != nil {
@@ -18,7 +18,7 @@
 	}
 	p, err := Parse(raw)
 	if err != nil {
-		return nil, inFile("settings", platformPath, err)
+		return nil, withFile("settings", platformPath, err)
 	}
 	if operatorPath == "" {
 		return p, nil
@@ -28,10 +28,10 @@
 		return nil, fmt.Errorf("operator settings: %w", err)
 	}
 	if p.Operator, err = ParseOperator(string(raw)); err != nil {
-		return nil, inFile("operator settings", operatorPath, err)
+		return nil, withFile("operator settings", operatorPath, err)
 	}
 	return p, nil
 }
 
-// Seconds turns a settings value in seconds into a duration.
+// Seconds converts a settings value in seconds to a time.Duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,73 +8,75 @@
 	"testing"
 )
 
-const good = `{"label":"a","bind":"10.0.0.1:80","peer_bind":"10.0.0.1:81","seeds":[{"label":"b","endpoint":"10.0.0.2:81"}],"new":1,
+const validPlatform = `{"label":"a","bind":"10.0.0.1:80","peer_bind":"10.0.0.1:81","seeds":[{"label":"b","endpoint":"10.0.0.2:81"}],"new":1,
 "services":{"cloud":"10.0.1.1:1","state":"10.0.1.2:1"},"settings":{"teams":[{"name":"t"}],
 "workers":{"report_s":1,"lease_s":30,"gang_wait_s":1,"gang_peer_s":1,"cancel_s":60},"state":{"rps":8,"write_rps":4,"value_kb":4,"txn_ops":8},
 "cloud":{"rps":1,"list_lag_s":0},"resources":{"core_share":0.1,"ram_mb":50,"max_connections":40}}}`
 
-// TestPlatformErrors: a bad value is refused by its key and what is expected there.
+// TestPlatformErrors checks that an invalid value is rejected with its key, the
+// expected value and the value found.
 func TestPlatformErrors(t *testing.T) {
-	if _, err := Parse([]byte(good)); err != nil {
+	if _, err := Parse([]byte(validPlatform)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ name, old, new, message, key, expected, found string }{
-		{"no label", `"label":"a"`, `"label":""`, "label is missing", "label", "a name", ""},
-		{"a name for an address", `10.0.0.1:80"`, `localhost:80"`, "bind", "bind", "an address and port", "localhost:80"},
+		{"no label", `"label":"a"`, `"label":""`, "label: expected a name, found an empty string", "label", "a name", ""},
+		{"host name for an address", `10.0.0.1:80"`, `localhost:80"`, "bind", "bind", "an IP address and port", "localhost:80"},
 		{"own label for a seed", `"label":"b"`, `"label":"a"`, "seeds", "seeds", "labels of other controllers", "a"},
 		{"zero", `"txn_ops":8`, `"txn_ops":0`, "state.txn_ops", "settings.state.txn_ops", "a positive number", "0"},
 		{"cancel_s too short", `"cancel_s":60`, `"cancel_s":20`, "cancel_s", "settings.workers.cancel_s", "more than 30", "20"},
-		{"negative lag", `"list_lag_s":0`, `"list_lag_s":-1`, "settings.cloud.list_lag_s must not be negative", "settings.cloud.list_lag_s", "a number, not negative", "-1"},
-		{"negative amount of a team", `{"name":"t"}`, `{"name":"t","gpus":-1}`, "team", "settings.teams", "names, and amounts that are not negative", "team t"},
-		{"text for a number", `"rps":8`, `"rps":"x"`, "settings.state.rps: expected a number, found string", "settings.state.rps", "a number", "string"},
-		{"number for a text", `"label":"a"`, `"label":5`, "label: expected a string", "label", "a string", "number"},
+		{"negative lag", `"list_lag_s":0`, `"list_lag_s":-1`, "settings.cloud.list_lag_s: expected a non-negative number, found -1", "settings.cloud.list_lag_s", "a non-negative number", "-1"},
+		{"negative amount of a team", `{"name":"t"}`, `{"name":"t","gpus":-1}`, "team", "settings.teams", "names and non-negative amounts", "team t"},
+		{"string for a number", `"rps":8`, `"rps":"x"`, "settings.state.rps: expected a number, found string", "settings.state.rps", "a number", "string"},
+		{"number for a string", `"label":"a"`, `"label":5`, "label: expected a string", "label", "a string", "number"},
 		{"fraction for an integer", `"txn_ops":8`, `"txn_ops":1.5`, "txn_ops: expected an integer", "settings.state.txn_ops", "an integer", "number 1.5"},
 		{"number for a list", `"seeds":[`, `"seeds":5,"x":[`, "seeds: expected a list", "seeds", "a list", "number"},
 		{"number for an object", `"services":{`, `"services":5,"x":{`, "services: expected an object", "services", "an object", "number"},
-		{"list for the file", good, `[]`, "the file: expected an object, found array", "", "an object", "array"},
-		{"not JSON", good, `{"label";`, "not JSON, at byte 9", "", "JSON", "other text at byte 9"},
+		{"list for the file", validPlatform, `[]`, "the file: expected an object, found array", "", "an object", "array"},
+		{"not JSON", validPlatform, `{"label";`, "expected JSON, found invalid text at byte 9", "", "JSON", "invalid text at byte 9"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)))
+			_, err := Parse([]byte(strings.Replace(validPlatform, c.old, c.new, 1)))
 			if err == nil || !strings.Contains(err.Error(), c.message) {
-				t.Errorf("%v, want %s", err, c.message)
+				t.Errorf("Parse returned error %v, want one that contains %q", err, c.message)
 			}
-			var wrong *Error
-			if !errors.As(err, &wrong) || wrong.Key != c.key || wrong.Expected != c.expected || wrong.Found != c.found {
-				t.Errorf("%+v, want key %q, expected %q, found %q", wrong, c.key, c.expected, c.found)
+			var configError *Error
+			if !errors.As(err, &configError) || configError.Key != c.key || configError.Expected != c.expected || configError.Found != c.found {
+				t.Errorf("Parse returned error %+v, want one with Key %q, Expected %q, Found %q", configError, c.key, c.expected, c.found)
 			}
 		})
 	}
 }
 
-// TestLeastLimits: limits with which no term could begin, or no record be
-// stored, are refused at start with the key, its value and what is needed.
+// TestLeastLimits checks that limits under which no term could begin, or no record
+// could be stored, are rejected at start with the key, its value and the minimum.
 func TestLeastLimits(t *testing.T) {
 	for _, c := range []struct{ name, old, new, want string }{
-		{"connections", `"max_connections":40`, `"max_connections":17`, "settings.resources.max_connections is 17: at least 18 are needed for 2 controllers, their services, workers and users"},
-		{"requests", `"rps":8`, `"rps":1.5`, "settings.state.rps is 1.5: at least 2 are needed for one request a second of each of 2 controllers"},
-		{"writes", `"write_rps":4`, `"write_rps":1.9`, "settings.state.write_rps is 1.9: at least 2 are needed for the writes that begin a term"},
-		{"size of values", `"value_kb":4`, `"value_kb":0.5`, "settings.state.value_kb is 0.5: at least 1 are needed for one record"},
-		{"size of transactions", `"txn_ops":8`, `"txn_ops":1`, "settings.state.txn_ops is 1: at least 2 are needed for the writes that begin a term"},
-		{"announced size of transactions", `"txn_ops":8`, `"txn_ops":8,"next":{"txn_ops":1}`, "settings.state.next.txn_ops is 1: at least 2 are needed for the writes that begin a term"},
-		{"announced size of values", `"value_kb":4`, `"value_kb":4,"next":{"value_kb":0.9}`, "settings.state.next.value_kb is 0.9: at least 1 are needed for one record"},
+		{"connections", `"max_connections":40`, `"max_connections":17`, "settings.resources.max_connections: found 17, expected at least 18 for 2 controllers, their services, workers and users"},
+		{"requests", `"rps":8`, `"rps":1.5`, "settings.state.rps: found 1.5, expected at least 2 for one request per second from each of 2 controllers"},
+		{"writes", `"write_rps":4`, `"write_rps":1.9`, "settings.state.write_rps: found 1.9, expected at least 2 for the writes that begin a term"},
+		{"size of values", `"value_kb":4`, `"value_kb":0.5`, "settings.state.value_kb: found 0.5, expected at least 1 for one record"},
+		{"size of transactions", `"txn_ops":8`, `"txn_ops":1`, "settings.state.txn_ops: found 1, expected at least 2 for the writes that begin a term"},
+		{"announced size of transactions", `"txn_ops":8`, `"txn_ops":8,"next":{"txn_ops":1}`, "settings.state.next.txn_ops: found 1, expected at least 2 for the writes that begin a term"},
+		{"announced size of values", `"value_kb":4`, `"value_kb":4,"next":{"value_kb":0.9}`, "settings.state.next.value_kb: found 0.9, expected at least 1 for one record"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)))
+			_, err := Parse([]byte(strings.Replace(validPlatform, c.old, c.new, 1)))
 			if err == nil || err.Error() != c.want {
-				t.Errorf("%v, want %s", err, c.want)
+				t.Errorf("Parse returned error %v, want %q", err, c.want)
 			}
 		})
 	}
-	if _, err := Parse([]byte(strings.Replace(good, `"max_connections":40`, `"max_connections":18`, 1))); err != nil {
-		t.Errorf("just enough connections: %v", err)
+	if _, err := Parse([]byte(strings.Replace(validPlatform, `"max_connections":40`, `"max_connections":18`, 1))); err != nil {
+		t.Errorf("Parse with the minimum of 18 connections returned error %v, want nil", err)
 	}
 }
 
-// TestStateNext: the smaller of both limits count; nonsense is refused by name.
+// TestStateNext checks that the smaller of the current and the announced limit is used,
+// and that an error about an invalid announced limit names its key.
 func TestStateNext(t *testing.T) {
 	with := func(next string) (*Platform, error) {
-		return Parse([]byte(strings.Replace(good, `"txn_ops":8}`, `"txn_ops":12`+next+`}`, 1)))
+		return Parse([]byte(strings.Replace(validPlatform, `"txn_ops":8}`, `"txn_ops":12`+next+`}`, 1)))
 	}
 	for next, want := range map[string]StateLimits{
 		``:                                   {RPS: 8, WriteRPS: 4, ValueKB: 4, TxnOps: 12},
@@ -87,12 +89,12 @@
 	} {
 		p, err := with(next)
 		if err != nil {
-			t.Errorf("%s: %v", next, err)
+			t.Errorf("Parse with %q returned error %v, want nil", next, err)
 		} else if got := p.Settings.State.Lasting(); got != want {
-			t.Errorf("%s: %+v", next, got)
+			t.Errorf("Parse with %q: Lasting returned %+v, want %+v", next, got, want)
 		}
 	}
-	for next, name := range map[string]string{
+	for next, key := range map[string]string{
 		`5`:                "next",
 		`[]`:               "next",
 		`"x"`:              "next",
@@ -104,17 +106,18 @@
 		`{"txn_ops":0}`:    "state.next.txn_ops",
 		`{"txn_ops":2.5}`:  "next.txn_ops",
 	} {
-		if _, err := with(`,"next":` + next); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", next, err)
+		if _, err := with(`,"next":` + next); err == nil || !strings.Contains(err.Error(), key) {
+			t.Errorf("Parse with next %s returned error %v, want one that contains %q", next, err, key)
 		}
 	}
 }
 
-// TestOperator: the same for the operators' TOML.
+// TestOperator checks the operators' TOML: a key that is set, the defaults of the
+// others, and errors for invalid text.
 func TestOperator(t *testing.T) {
 	o, err := ParseOperator("[term]\nlife = \"5s\"\n")
 	if err != nil || o.Term.Life != 5e9 || o.Scheduler.Round != DefaultOperator().Scheduler.Round {
-		t.Errorf("%+v, %v", o, err)
+		t.Errorf("ParseOperator returned %+v, error %v, want term.life 5s, the other keys at their defaults and no error", o, err)
 	}
 	for _, c := range []struct{ name, text, message, key string }{
 		{"unknown key of a table", "[term]\nlives = \"5s\"", "term.lives", "term.lives"},
@@ -130,17 +133,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := ParseOperator(c.text)
 			if err == nil || !strings.Contains(err.Error(), c.message) {
-				t.Errorf("%v, want %s", err, c.message)
+				t.Errorf("ParseOperator returned error %v, want one that contains %q", err, c.message)
 			}
-			var wrong *Error
-			if !errors.As(err, &wrong) || wrong.Key != c.key {
-				t.Errorf("%+v, want key %q", wrong, c.key)
+			var configError *Error
+			if !errors.As(err, &configError) || configError.Key != c.key {
+				t.Errorf("ParseOperator returned error %+v, want one with Key %q", configError, c.key)
 			}
 		})
 	}
 }
 
-// TestLoad: errors name the file that is at fault.
+// TestLoad checks that errors name the file that is missing or invalid.
 func TestLoad(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -150,37 +153,37 @@
 		}
 		return path
 	}
-	settings := write("settings.json", good)
+	settings := write("settings.json", validPlatform)
 	if _, err := Load(settings, write("good.toml", "")); err != nil {
-		t.Error(err)
+		t.Errorf("Load of valid files returned error %v, want nil", err)
 	}
 	badPlatform, badOperator := write("bad.json", "{}"), write("bad.toml", "[place]\nlap = 1")
 	for _, c := range []struct{ name, platform, operator, want, file string }{
 		{"no platform's file", filepath.Join(dir, "none.json"), "", "none.json", ""},
-		{"bad platform's file", badPlatform, "", "bad.json: label is missing", badPlatform},
+		{"bad platform's file", badPlatform, "", "bad.json: label: expected a name, found an empty string", badPlatform},
 		{"no operators' file", settings, filepath.Join(dir, "none.toml"), "none.toml", ""},
 		{"bad operators' file", settings, badOperator, "bad.toml: unknown key place.lap", badOperator},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Load(c.platform, c.operator)
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want %s", err, c.want)
+				t.Errorf("Load returned error %v, want one line that contains %q", err, c.want)
 			}
-			var wrong *Error
-			if errors.As(err, &wrong) != (c.file != "") || (wrong != nil && wrong.File != c.file) {
-				t.Errorf("%+v, want file %q", wrong, c.file)
+			var configError *Error
+			if errors.As(err, &configError) != (c.file != "") || (configError != nil && configError.File != c.file) {
+				t.Errorf("Load returned error %+v, want one with File %q", configError, c.file)
 			}
 		})
 	}
 }
 
-// TestSample: the documented sample is what the program does without one.
+// TestSample checks that the sample file in the documentation equals the defaults.
 func TestSample(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/lugward.sample.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if o, err := ParseOperator(string(raw)); err != nil || o != DefaultOperator() {
-		t.Errorf("%+v, %v", o, err)
+		t.Errorf("ParseOperator of the sample returned %+v, error %v, want the defaults %+v", o, err, DefaultOperator())
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -8,61 +8,61 @@
 	"strings"
 )
 
-// Error says what is wrong with the settings, and where.
+// Error describes an invalid setting.
 type Error struct {
 	File     string // empty if the settings were not read from a file
-	Key      string // dotted path; empty if the file as a whole is wrong
+	Key      string // dotted path, or empty if the error concerns the whole file
 	Expected string
-	Found    string // empty if there is nothing
-	Err      error  // the cause; may be nil
+	Found    string // empty if no value was found
+	Err      error  // the cause, may be nil
 
-	message string // one line for operators, without the file
+	message string // one line for operators, without the file name
 }
 
-// Error returns one line that names the key, if there is one, and what was expected
-// there. It does not name the file: Load's errors do so before it.
+// Error returns a single line that names the key, if there is one, and the expected
+// value. It does not name the file, since Load prefixes its errors with the file name.
 func (e *Error) Error() string { return e.message }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// problem returns an error with a message.
-func problem(e Error, format string, args ...any) error {
+// newError returns e as an error with the formatted message.
+func newError(e Error, format string, args ...any) error {
 	e.message = fmt.Sprintf(format, args...)
 	return &e
 }
 
-// inFile adds the file to an error. what says in words which settings it has.
-func inFile(what, path string, err error) error {
-	var wrong *Error
-	if errors.As(err, &wrong) {
-		wrong.File = path
+// withFile adds the file to an error. description names the kind of settings file.
+func withFile(description, path string, err error) error {
+	var configError *Error
+	if errors.As(err, &configError) {
+		configError.File = path
 	}
-	return fmt.Errorf("%s %s: %w", what, path, err)
+	return fmt.Errorf("%s %s: %w", description, path, err)
 }
 
-// jsonError names the key and what was expected there, or the place where the text
-// is not JSON.
+// jsonError converts an error of the JSON decoder. The result names the key and the
+// expected type, or the offset at which the JSON is invalid.
 func jsonError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
 		e := Error{Key: wrongType.Field, Expected: jsonKind(wrongType.Type.Kind()), Found: wrongType.Value, Err: err}
-		place := e.Key
-		if place == "" {
-			place = "the file"
+		location := e.Key
+		if location == "" {
+			location = "the file"
 		}
-		return problem(e, "%s: expected %s, found %s", place, e.Expected, e.Found)
+		return newError(e, "%s: expected %s, found %s", location, e.Expected, e.Found)
 	}
 	e := Error{Expected: "JSON", Err: err}
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) {
-		e.Found = fmt.Sprintf("other text at byte %d", syntax.Offset)
-		return problem(e, "not JSON, at byte %d: %v", syntax.Offset, err)
+		e.Found = fmt.Sprintf("invalid text at byte %d", syntax.Offset)
+		return newError(e, "expected JSON, found invalid text at byte %d: %v", syntax.Offset, err)
 	}
-	return problem(e, "%v", err)
+	return newError(e, "%v", err)
 }
 
-// jsonKind names what a field of the settings expects, in terms of JSON.
+// jsonKind returns the JSON type that corresponds to the Go kind of a setting.
 func jsonKind(kind reflect.Kind) string {
 	switch kind {
 	case reflect.String:
@@ -77,8 +77,9 @@
 	return "an object"
 }
 
-// tomlError replaces Go's type names in the decoder's error for a value in place of a
-// table. Other errors name the line and the key in plain words.
+// tomlError converts an error of the TOML decoder. If a value stands where a table is
+// expected, the decoder's text contains Go type names, which are replaced. Other errors
+// already name the line and the key clearly.
 func tomlError(err error) error {
 	message := err.Error()
 	e := Error{Key: keyOfTOMLError(message), Expected: "TOML as in docs/lugward.sample.toml", Err: err}
@@ -86,11 +87,11 @@
 		e.Expected = "a table"
 		message = position + "expected a table"
 	}
-	return problem(e, "%s", message)
+	return newError(e, "%s", message)
 }
 
-// keyOfTOMLError returns the key that the decoder names. Only some of its errors have
-// a type with the key, all have it in their text.
+// keyOfTOMLError extracts the key from the text of a decoder error. Only some of the
+// decoder's error types have a field for the key, but all include it in their text.
 func keyOfTOMLError(message string) string {
 	_, rest, _ := strings.Cut(message, `(last key "`)
 	key, _, found := strings.Cut(rest, `")`)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -7,10 +7,10 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Duration is a positive duration, written in TOML as text such as "1.5s".
+// Duration is a positive duration, written in TOML as a string such as "1.5s".
 type Duration time.Duration
 
-// UnmarshalTOML takes text in Go's notation of durations.
+// UnmarshalTOML parses a string in the format of time.ParseDuration.
 func (d *Duration) UnmarshalTOML(value any) error {
 	text, ok := value.(string)
 	if !ok {
@@ -21,13 +21,14 @@
 		return fmt.Errorf("expected a duration such as \"1.5s\", found %q", text)
 	}
 	if v <= 0 {
-		return fmt.Errorf("duration %q must be positive", text)
+		return fmt.Errorf("expected a positive duration, found %q", text)
 	}
 	*d = Duration(v)
 	return nil
 }
 
-// Operator is the operators' TOML file. docs/lugward.sample.toml describes the keys.
+// Operator holds the settings of the operators' TOML file. docs/lugward.sample.toml
+// documents the keys.
 type Operator struct {
 	Term       TermSettings       `toml:"term"`
 	Scheduler  SchedulerSettings  `toml:"place"`
@@ -35,33 +36,35 @@
 	API        APISettings        `toml:"intake"`
 }
 
-// TermSettings are about the leader's term of office.
+// TermSettings configure the leader's term.
 type TermSettings struct {
-	Life Duration `toml:"life"` // of the leader's lease, at least minTermLife
+	Life Duration `toml:"life"` // duration of the leader's lease, at least minTermLife
 }
 
-// SchedulerSettings are about the rounds that place tasks.
+// SchedulerSettings configure the scheduler's placement rounds.
 type SchedulerSettings struct {
-	Round  Duration `toml:"round"`  // between two rounds
-	Budget Duration `toml:"budget"` // the longest that one round may take
+	Round  Duration `toml:"round"`  // interval between two rounds
+	Budget Duration `toml:"budget"` // maximum duration of one round
 }
 
-// AutoscalerSettings are about the release of machines.
+// AutoscalerSettings configure the release of machines.
 type AutoscalerSettings struct {
-	IdleKeep Duration `toml:"idle_keep"` // how long an idle machine is kept
-	Settle   Duration `toml:"settle"`    // from the beginning of a term until machines may be released
+	IdleKeep Duration `toml:"idle_keep"` // time until an idle machine is released
+	Settle   Duration `toml:"settle"`    // time from the start of a term until machines may be released
 }
 
-// APISettings are about the users' HTTP API.
+// APISettings configure the users' HTTP API.
 type APISettings struct {
-	Answer Duration `toml:"answer"` // a request that is not decided by then gets 503
+	Answer Duration `toml:"answer"` // a request that takes longer gets status 503
 }
 
-// minTermLife is the shortest lease of a term. The leader renews its lease
-// several times within it, and a shorter one would not outlast a slow answer.
+// minTermLife is the minimum duration of the leader's lease. The leader renews its
+// lease several times within that duration. A shorter lease could expire while a
+// response of the key-value store is slow.
 const minTermLife = time.Second
 
-// DefaultOperator returns the values of all keys that the TOML file leaves out.
+// DefaultOperator returns the default settings, which apply to all keys that the TOML
+// file omits.
 func DefaultOperator() Operator {
 	return Operator{
 		Term: TermSettings{Life: Duration(4 * time.Second)},
@@ -77,9 +80,9 @@
 	}
 }
 
-// ParseOperator reads the TOML text over the defaults. An unknown key is an
-// error: it would else be a misspelt key that changes nothing. Its errors are *Error,
-// without a file.
+// ParseOperator parses the TOML text and applies it on top of the defaults. An unknown
+// key is an error, since a misspelt key would otherwise be ignored silently. Errors are
+// of type *Error, with an empty File.
 func ParseOperator(text string) (Operator, error) {
 	o := DefaultOperator()
 	meta, err := toml.Decode(text, &o)
@@ -88,11 +91,11 @@
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		key := unknown[0].String()
-		return o, problem(Error{Key: key, Expected: "a key of docs/lugward.sample.toml"}, "unknown key %s", key)
+		return o, newError(Error{Key: key, Expected: "a key of docs/lugward.sample.toml"}, "unknown key %s: expected a key of docs/lugward.sample.toml", key)
 	}
 	if life := time.Duration(o.Term.Life); life < minTermLife {
-		return o, problem(Error{Key: "term.life", Expected: fmt.Sprintf("at least %v", minTermLife), Found: life.String()},
-			"term.life must be at least %v", minTermLife)
+		return o, newError(Error{Key: "term.life", Expected: fmt.Sprintf("at least %v", minTermLife), Found: life.String()},
+			"term.life: expected at least %v, found %v", minTermLife, life)
 	}
 	return o, nil
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -6,11 +6,12 @@
 type Seed struct {
 	Label    string `json:"label"`
 	Site     string `json:"site"`
-	Endpoint string `json:"endpoint"` // address and port for peers
+	Endpoint string `json:"endpoint"` // address and port for peer connections
 }
 
-// Team is a team's quota (CPUs, GPUs), which it is guaranteed, and its limit
-// (CPUsMax, GPUsMax); 0 means none.
+// Team holds a team's quota (CPUs, GPUs), which is its guaranteed use, and its limit
+// (CPUsMax, GPUsMax), which is its maximum use. Zero means that there is no quota or
+// no limit.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -19,18 +20,18 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective is one of the platform's service-level objectives, for a class of jobs or
-// for all. Which fields count depends on its kind.
+// Objective is one of the platform's service-level objectives, for one class of jobs
+// or for all jobs. Its kind determines which fields are used.
 type Objective struct {
 	Kind    string  `json:"kind"`
-	Class   string  `json:"class"`    // empty: all
+	Class   string  `json:"class"`    // empty for all classes
 	WithinS float64 `json:"within_s"` // seconds
-	Share   float64 `json:"share"`    // of the jobs, 0 to 1
+	Share   float64 `json:"share"`    // share of the jobs, 0 to 1
 	Times   float64 `json:"times"`    // multiple of the deadline
 }
 
-// Known reports whether this version knows the objective's kind. One of another
-// kind is from a later platform and is ignored.
+// Known reports whether this version supports the objective's kind. Objectives of
+// other kinds come from a later version of the platform and are ignored.
 func (o *Objective) Known() bool {
 	switch o.Kind {
 	case "wait", "finished", "deadline", "guarantee", "makespan":
@@ -43,15 +44,15 @@
 type StateLimits struct {
 	RPS      float64 `json:"rps"`       // requests per second
 	WriteRPS float64 `json:"write_rps"` // writes per second
-	ValueKB  float64 `json:"value_kb"`  // largest value, in KiB
-	TxnOps   int     `json:"txn_ops"`   // most writes in one transaction
-	// Next holds the limits that will apply from some moment on, without notice.
-	// What is absent stays as it is.
+	ValueKB  float64 `json:"value_kb"`  // maximum size of a value, in KiB
+	TxnOps   int     `json:"txn_ops"`   // maximum number of writes in one transaction
+	// Next holds limits that will take effect at an unknown time, without notice. A
+	// limit that is absent does not change.
 	Next *NextStateLimits `json:"next"`
 }
 
 // NextStateLimits are announced limits of the key-value store, in the units of
-// StateLimits; nil means unchanged.
+// StateLimits. A nil field means that the limit does not change.
 type NextStateLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
@@ -59,10 +60,10 @@
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// Lasting returns the limits that hold both before and after the announced
-// change: the smaller one of each kind. Limits on sizes have to be kept in this
-// form from the start, as the change comes without notice; rates may be used in
-// full until the first 429.
+// Lasting returns limits that are valid both before and after the announced change:
+// the smaller value of each limit. The size limits must be respected in this form from
+// the start, since the change takes effect without notice. The current rate limits may
+// be used in full until the first response with status 429.
 func (s StateLimits) Lasting() StateLimits {
 	if next := s.Next; next != nil {
 		lower(&s.RPS, next.RPS)
@@ -74,36 +75,36 @@
 	return s
 }
 
-// lower sets a limit to the announced one if that is smaller.
+// lower lowers limit to next if next is set and smaller.
 func lower[T int | float64](limit, next *T) {
 	if next != nil {
 		*limit = min(*limit, *next)
 	}
 }
 
-// WorkerSettings are the times that workers keep, in seconds.
+// WorkerSettings are the intervals and timeouts of the workers, in seconds.
 type WorkerSettings struct {
-	HeartbeatS float64 `json:"report_s"`    // between two heartbeats
-	LeaseS     float64 `json:"lease_s"`     // a worker without an answer for this long stops its tasks
-	GangWaitS  float64 `json:"gang_wait_s"` // only checked: nothing in the controller depends on it
-	GangPeerS  float64 `json:"gang_peer_s"` // only checked, as GangWaitS
-	CancelS    float64 `json:"cancel_s"`    // from a cancellation until all of the job's tasks have ended
+	HeartbeatS float64 `json:"report_s"`    // interval between two heartbeats
+	LeaseS     float64 `json:"lease_s"`     // a worker without a response for this long stops its tasks
+	GangWaitS  float64 `json:"gang_wait_s"` // only validated, not used by the controller
+	GangPeerS  float64 `json:"gang_peer_s"` // only validated, not used by the controller
+	CancelS    float64 `json:"cancel_s"`    // maximum time from a cancellation until all tasks of the job have ended
 }
 
-// CloudLimits are what the cloud's API bears and promises.
+// CloudLimits are the limits and guarantees of the cloud's API.
 type CloudLimits struct {
 	RPS      float64 `json:"rps"`        // requests per second
-	ListLagS float64 `json:"list_lag_s"` // seconds that the list of machines may be behind
+	ListLagS float64 `json:"list_lag_s"` // maximum delay of the list of machines, in seconds
 }
 
-// Resources are what a controller may use.
+// Resources are the resources that a controller may use.
 type Resources struct {
-	CPUShare       float64 `json:"core_share"`      // of one core
+	CPUShare       float64 `json:"core_share"`      // share of one core
 	MemoryMB       float64 `json:"ram_mb"`          // MiB
 	MaxConnections int     `json:"max_connections"` // open sockets
 }
 
-// Settings are the platform's settings of the site.
+// Settings are the platform's settings for the site.
 type Settings struct {
 	Count      int            `json:"count"`
 	Zones      []string       `json:"zones"`
@@ -116,16 +117,16 @@
 	SkewMS     float64        `json:"skew_ms"`
 }
 
-// Services are the addresses and ports of the services that a controller calls.
+// Services holds the addresses and ports of the services that a controller calls.
 type Services struct {
 	Cloud string `json:"cloud"`
 	State string `json:"state"` // the key-value store
 }
 
-// Platform is the settings file that the platform hands over. Unknown fields
-// are ignored.
+// Platform is the settings file that the platform provides. Unknown fields are
+// ignored.
 type Platform struct {
-	Label    string   `json:"label"` // of this controller
+	Label    string   `json:"label"` // label of this controller
 	Site     string   `json:"site"`
 	Bind     string   `json:"bind"`      // address and port for users and workers
 	PeerBind string   `json:"peer_bind"` // address and port for other controllers
@@ -133,12 +134,12 @@
 	Services Services `json:"services"`
 	Settings Settings `json:"settings"`
 
-	// Operator holds the operators' own settings.
+	// Operator holds the settings of the operators' file.
 	Operator Operator `json:"-"`
 }
 
-// Parse reads and checks the platform's JSON. The operators' settings are the
-// defaults. Its errors are *Error, without a file.
+// Parse parses and validates the platform's JSON. Operator is set to the defaults.
+// Errors are of type *Error, with an empty File.
 func Parse(raw []byte) (*Platform, error) {
 	p := &Platform{Operator: DefaultOperator()}
 	if err := json.Unmarshal(raw, p); err != nil {
--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -11,17 +11,17 @@
 	"lugward/internal/httpwire"
 )
 
-// maxResponseBytes bounds the body of a response. Those of the key-value store to a
-// watch have no limit of their own; what is larger ends the call with
-// event.ResponseTooLarge, and its caller reads the keys page by page.
+// maxResponseBytes is the maximum size of a response body. The key-value store does
+// not limit its responses to a watch. A larger response ends the call with
+// event.ResponseTooLarge, and the caller then reads the keys page by page.
 const maxResponseBytes = 8 << 20
 
-// outgoing are the calls that have not ended and the connections for calls.
+// outgoing holds the pending calls and the idle connections for further calls.
 type outgoing struct {
 	calls map[uint64]*pendingCall // by call ID
-	// Idle connections have no call and wait for the next one to their address.
-	// They stand here by address, last used last, and in a list, least recently
-	// used first.
+	// Idle connections have no call and are reused for the next call to their address.
+	// idleByAddr holds them by address, most recently used last. idle lists them all,
+	// least recently used first.
 	idleByAddr map[string][]*connection
 	idle       list.List
 }
@@ -29,10 +29,10 @@
 // pendingCall is a call that has not ended.
 type pendingCall struct {
 	deadline   event.Time
-	connection *connection // nil while it is dialled
+	connection *connection // nil while the connection is being dialled
 }
 
-// startCall sends a call on an idle connection, or dials one.
+// startCall sends a call on an idle connection, or dials a new connection for it.
 func (e *engine) startCall(call event.Call) {
 	e.outgoing.calls[call.ID] = &pendingCall{deadline: e.now() + call.Timeout}
 	idle := e.outgoing.idleByAddr[call.Addr]
@@ -43,7 +43,7 @@
 	last := len(idle) - 1
 	c := idle[last]
 	e.outgoing.idleByAddr[call.Addr] = idle[:last]
-	e.leaveIdleList(c)
+	e.removeFromIdleList(c)
 	e.sendCall(c, call)
 }
 
@@ -57,7 +57,7 @@
 }
 
 // finishCall ends a call and passes its outcome to the state machine. It does nothing
-// for a call that has ended before, so each has exactly one outcome.
+// if the call has already ended, so each call has exactly one outcome.
 func (e *engine) finishCall(id uint64, status int, body []byte) {
 	call := e.outgoing.calls[id]
 	if call == nil {
@@ -67,16 +67,16 @@
 	if c := call.connection; c != nil {
 		c.inUse = false
 		if status == event.NoResponse || c.closeAfter {
-			e.drop(c) // a late response must not be taken for that of the next call
+			e.closeConnection(c) // a late response must not be attributed to the next call
 		} else {
 			c.lastActive = e.now()
-			e.keepIdle(c)
+			e.addIdleOutgoing(c)
 		}
 	}
 	e.step(callResultInput{event.CallResult{ID: id, Status: status, Body: body}})
 }
 
-// abortCall ends a call whose connection has ended.
+// abortCall ends a call without a response after its connection was closed.
 func (e *engine) abortCall(id uint64) {
 	if call := e.outgoing.calls[id]; call != nil {
 		call.connection = nil
@@ -84,7 +84,7 @@
 	e.finishCall(id, event.NoResponse, nil)
 }
 
-// expireCalls ends the calls that have got no response in time.
+// expireCalls ends the calls whose deadline has passed.
 func (e *engine) expireCalls(now event.Time) {
 	for id, call := range e.outgoing.calls {
 		if now >= call.deadline {
@@ -93,13 +93,13 @@
 	}
 }
 
-// keepIdle keeps a connection for the next call to its address.
-func (e *engine) keepIdle(c *connection) {
+// addIdleOutgoing adds a connection to the idle ones, for the next call to its address.
+func (e *engine) addIdleOutgoing(c *connection) {
 	e.outgoing.idleByAddr[c.addr] = append(e.outgoing.idleByAddr[c.addr], c)
 	c.idleElement = e.outgoing.idle.PushBack(c)
 }
 
-// removeIdleOutgoing takes a connection that ends off those for the next calls.
+// removeIdleOutgoing removes a connection from the idle connections of its address.
 func (e *engine) removeIdleOutgoing(c *connection) {
 	left := slices.DeleteFunc(e.outgoing.idleByAddr[c.addr], func(other *connection) bool { return other == c })
 	if len(left) == 0 {
@@ -109,10 +109,10 @@
 	e.outgoing.idleByAddr[c.addr] = left
 }
 
-// readResponse takes the response to a call.
+// readResponse parses the response to a call and finishes the call.
 func (e *engine) readResponse(c *connection) gnet.Action {
 	if !c.inUse {
-		return gnet.Close // no call waits for it
+		return gnet.Close // no call awaits a response
 	}
 	message, size, err := httpwire.ParseResponse(c.received(), maxResponseBytes)
 	switch {
@@ -120,13 +120,13 @@
 	case errors.Is(err, httpwire.ErrIncomplete):
 		return gnet.None
 	case errors.Is(err, httpwire.ErrTooLarge):
-		c.closeAfter = true // the rest of the response is still to come
+		c.closeAfter = true // the rest of the response is still arriving
 		e.finishCall(c.call.ID, event.ResponseTooLarge, nil)
 		return gnet.None
 	default:
 		return gnet.Close
 	}
-	// The buffer that the body is in is reused once the input is consumed.
+	// The body is copied because gnet reuses its buffer once the input is consumed.
 	body := append([]byte(nil), message.Body...)
 	c.consume(size)
 	c.closeAfter = message.Close
--- a/internal/engine/calls_test.go
+++ b/internal/engine/calls_test.go
@@ -13,10 +13,10 @@
 	"lugward/internal/httpwire"
 )
 
-// serveRaw runs a server that answers every request with the given text, and
-// returns its address. It closes the connection then or, if the text is a
-// response with status 200, when the other side has closed it.
-func serveRaw(t *testing.T, answer string) string {
+// serveRaw runs a server that replies to every request with the given text, and
+// returns its address. After the reply it closes the connection. If the text is a
+// response with status 200, it first waits until the client closes the connection.
+func serveRaw(t *testing.T, response string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,28 +29,29 @@
 			if err != nil {
 				return
 			}
-			go answerRaw(c, answer)
+			go respondRaw(c, response)
 		}
 	}()
 	return l.Addr().String()
 }
 
-// answerRaw answers one request of a connection.
-func answerRaw(c net.Conn, answer string) {
+// respondRaw replies to one request on a connection.
+func respondRaw(c net.Conn, response string) {
 	r, err := http.ReadRequest(bufio.NewReader(c))
 	if err == nil {
 		_ = r.Body.Close()
-		_, _ = io.WriteString(c, answer)
+		_, _ = io.WriteString(c, response)
 	}
-	if strings.HasPrefix(answer, "HTTP/1.1 200") {
-		_, _ = c.Read(make([]byte, 1)) // returns when the other side closes
+	if strings.HasPrefix(response, "HTTP/1.1 200") {
+		_, _ = c.Read(make([]byte, 1)) // returns when the client closes the connection
 	}
 	_ = c.Close()
 }
 
-// TestCalls checks that a call ends exactly once, whatever the other side does.
+// TestCalls checks that every call ends exactly once, with a valid response and with
+// each kind of failure.
 func TestCalls(t *testing.T) {
-	machine, _ := start(t, 100)
+	stateMachine, _ := start(t, 100)
 	refusing := freeAddr(t)
 	for _, c := range []struct {
 		name   string
@@ -62,21 +63,21 @@
 		{"too large", serveRaw(t, "HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n{"), event.ResponseTooLarge, ""},
 		{"too large, chunked", serveRaw(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n900000\r\n{"), event.ResponseTooLarge, ""},
 		{"malformed", serveRaw(t, "not http at all\r\n\r\n"), event.NoResponse, ""},
-		{"cut short", serveRaw(t, "HTTP/1.1 2"), event.NoResponse, ""},
+		{"truncated", serveRaw(t, "HTTP/1.1 2"), event.NoResponse, ""},
 		{"closed without a response", serveRaw(t, ""), event.NoResponse, ""},
 		{"connection refused", refusing, event.NoResponse, ""},
 	} {
-		machine.call(c.addr)
+		stateMachine.call(c.addr)
 		select {
-		case r := <-machine.results:
+		case r := <-stateMachine.results:
 			if r.Status != c.status || string(r.Body) != c.body {
-				t.Errorf("%s: %d %q, not %d %q", c.name, r.Status, r.Body, c.status, c.body)
+				t.Errorf("%s: call returned status %d, body %q, want status %d, body %q", c.name, r.Status, r.Body, c.status, c.body)
 			}
 		case <-time.After(20 * time.Second):
-			t.Errorf("%s: the call never ended", c.name)
+			t.Errorf("%s: call did not end within 20s", c.name)
 		}
 	}
-	if len(machine.results) != 0 {
-		t.Error("a call ended twice")
+	if len(stateMachine.results) != 0 {
+		t.Error("a call returned more than one result, want exactly one per call")
 	}
 }
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -10,63 +10,64 @@
 	"lugward/internal/httpwire"
 )
 
-// connectionKind is what a connection is for.
+// connectionKind is the direction and protocol of a connection.
 type connectionKind uint8
 
 const (
-	incomingHTTP connectionKind = iota // of a user, worker or probe
-	incomingPeer                       // another controller's frames
-	outgoingCall                       // calls of ours over HTTP
-	outgoingPeer                       // our frames to another controller
+	incomingHTTP connectionKind = iota // requests of a user, worker or probe
+	incomingPeer                       // frames from another controller
+	outgoingCall                       // HTTP calls of this controller
+	outgoingPeer                       // frames to another controller
 )
 
-// Limits on one connection. sweep closes connections that are beyond them. The times
-// are estimates, no measurement stands behind them: long enough that a connection in
-// regular use stays open, short enough that one that its client has forgotten does
-// not hold a socket for good.
+// Limits of a single connection. sweep closes connections that exceed the timeouts or
+// a limit on unsent bytes. The timeouts are estimates, not measured values: long enough
+// that a connection in regular use stays open, short enough that a connection that its
+// client has abandoned does not occupy a socket forever.
 const (
 	outgoingIdleTimeout = 20 * time.Second
 	incomingIdleTimeout = 150 * time.Second
-	// partialReadTimeout is how long a request or frame that has begun may stand
-	// still.
+	// partialReadTimeout is the maximum time without new data while a request or frame
+	// is incomplete.
 	partialReadTimeout = 10 * time.Second
-	// maxUnsentBytes is how far a reader may be behind: more than the largest
-	// body that it may send itself (TestLimits).
+	// maxUnsentBytes is the limit on buffered output that the other side has not read.
+	// It is larger than the largest body that a client may send (TestLimits).
 	maxUnsentBytes = 512 << 10
-	// maxUnsentPeerBytes is the same of a peer. A controller that stands still for a
-	// moment may be relayed the heartbeats of thousands of workers meanwhile. To drop
-	// the connection would lose the controllers' own heartbeats, too.
+	// maxUnsentPeerBytes is the same limit for a connection to a peer. The heartbeats of
+	// thousands of workers may be relayed to a controller while it is briefly stalled.
+	// Closing the connection would also lose the heartbeats between the controllers.
 	maxUnsentPeerBytes = 8 << 20
-	// maxPipelinedBytes is how much a client may send while it waits for a reply:
-	// one whole request more.
+	// maxPipelinedBytes is the number of bytes that a client may send while it waits
+	// for a reply: one more complete request.
 	maxPipelinedBytes = httpwire.MaxHead + httpwire.MaxBody
 )
 
-// connection is a socket with what the engine knows of it. It belongs to the
-// event loop from OnOpen on.
+// connection is a socket with its state in the engine. From OnOpen on, only the event
+// loop accesses it.
 type connection struct {
 	id         uint64
 	kind       connectionKind
 	socket     gnet.Conn  // nil until the connection is open
-	lastActive event.Time // when something was last received or sent
-	inUse      bool       // an incoming request waits for its reply, or a call for its response
-	closeAfter bool       // the connection ends with the present request
-	dropped    bool       // it is being closed
-	// idleElement is its place in the list of idle connections of its client class,
-	// or of idle outgoing ones; nil while it is in neither.
+	lastActive event.Time // time of the last data received or message sent
+	inUse      bool       // a request awaits its reply, or a call its response
+	closeAfter bool       // close the connection after the current request or call
+	closing    bool       // closeConnection has been called
+	// idleElement is the connection's element in the idle list of its client class or
+	// in the list of idle outgoing connections. It is nil while the connection is in
+	// neither list.
 	idleElement *list.Element
 
-	// Incoming connections.
-	client  clientClass
-	partial bool // the beginning of a request or frame is buffered
+	// Fields of incoming connections.
+	clientClass clientClass
+	partial     bool // an incomplete request or frame is buffered
 
-	// Outgoing connections.
+	// Fields of outgoing connections.
 	addr string
-	peer int        // of outgoingPeer: peer index
-	call event.Call // of outgoingCall: the last one
+	peer int        // peer index, for outgoingPeer
+	call event.Call // the current or last call, for outgoingCall
 }
 
-// timedOut reports whether a connection has had nothing to do for too long.
+// timedOut reports whether the connection has been idle or stalled for too long.
 func (c *connection) timedOut(now event.Time) bool {
 	inactive := now - c.lastActive
 	switch c.kind {
@@ -77,11 +78,12 @@
 	case outgoingCall:
 		return !c.inUse && inactive > outgoingIdleTimeout
 	}
-	return false // outgoingPeer: kept, and dialled again when it ends
+	return false // An outgoingPeer connection stays open and is redialled when it ends.
 }
 
-// readerIsBehind reports whether the other side has left too much unread.
-func (c *connection) readerIsBehind() bool {
+// exceedsUnsentLimit reports whether the buffered output that the other side has not
+// read exceeds the limit.
+func (c *connection) exceedsUnsentLimit() bool {
 	limit := maxUnsentBytes
 	if c.kind == outgoingPeer {
 		limit = maxUnsentPeerBytes
@@ -89,21 +91,23 @@
 	return c.socket.OutboundBuffered() > limit
 }
 
-// received returns what has arrived and has not been consumed. It is valid until
-// consume. Peek fails only for more bytes than there are, and -1 asks for all.
+// received returns the buffered input that has not been consumed. The slice is valid
+// until consume is called. The error is ignored: Peek fails only if more bytes are
+// requested than are buffered, and -1 requests all of them.
 func (c *connection) received() []byte {
 	in, _ := c.socket.Peek(-1)
 	return in
 }
 
-// consume drops the first bytes of what has arrived. Discard never fails.
+// consume discards the given number of bytes from the start of the buffered input.
+// Discard never fails.
 func (c *connection) consume(bytes int) { _, _ = c.socket.Discard(bytes) }
 
-// send sends bytes, or buffers them until the other side reads. After an error gnet
-// closes the connection by itself, and OnClose does the rest.
+// send sends the data, or buffers it until the other side reads. The error is ignored:
+// after a failed write gnet closes the connection and calls OnClose.
 func (c *connection) send(data []byte) { _, _ = c.socket.Write(data) }
 
-// OnOpen takes an accepted connection, or one of ours that has been dialled.
+// OnOpen handles a connection that has been accepted or dialled.
 func (e *engine) OnOpen(socket gnet.Conn) ([]byte, gnet.Action) {
 	if e.loop.Load() == nil {
 		e.loop.Store(loopRef{socket.EventLoop()})
@@ -116,12 +120,13 @@
 	return nil, e.accept(socket)
 }
 
-// accept takes an incoming connection, if there is a socket for it.
+// accept registers an incoming connection. It returns gnet.Close if no socket is
+// available for an HTTP connection.
 func (e *engine) accept(socket gnet.Conn) gnet.Action {
 	c := &connection{kind: incomingHTTP, socket: socket}
 	if socket.LocalAddr().String() == e.cfg.PeerBind {
 		c.kind = incomingPeer
-	} else if !e.freeSocket() {
+	} else if !e.ensureFreeSocket() {
 		return gnet.Close
 	}
 	e.sockets.incoming++
@@ -133,7 +138,7 @@
 	return gnet.None
 }
 
-// register numbers an open connection and adds it to the open ones.
+// register assigns an ID to an open connection and adds it to the open connections.
 func (e *engine) register(c *connection) {
 	e.sockets.lastID++
 	c.id = e.sockets.lastID
@@ -141,26 +146,26 @@
 	e.sockets.connections[c.id] = c
 }
 
-// drop closes a connection. OnClose follows.
-func (e *engine) drop(c *connection) {
-	c.dropped = true
-	e.leaveIdleList(c)
+// closeConnection closes a connection. gnet then calls OnClose.
+func (e *engine) closeConnection(c *connection) {
+	c.closing = true
+	e.removeFromIdleList(c)
 	e.removeIdleOutgoing(c)
 	if c.socket != nil {
-		// Closing is asynchronous; it fails only when the loop is ending.
+		// Close is asynchronous. It fails only while the loop is shutting down.
 		_ = c.socket.Close()
 	}
 }
 
-// OnClose forgets a connection that has ended, from whichever side.
+// OnClose removes a connection that either side has closed from the engine's state.
 func (e *engine) OnClose(socket gnet.Conn, _ error) gnet.Action {
 	c, ok := socket.Context().(*connection)
 	if !ok || e.sockets.connections[c.id] == nil {
 		return gnet.None
 	}
 	delete(e.sockets.connections, c.id)
-	e.leaveIdleList(c)
-	e.setClient(c, userClient)
+	e.removeFromIdleList(c)
+	e.setClientClass(c, userClient)
 	switch c.kind {
 	case incomingHTTP, incomingPeer:
 		e.sockets.incoming--
@@ -177,14 +182,14 @@
 	return gnet.None
 }
 
-// OnTraffic reads what has arrived on a connection.
+// OnTraffic handles data that has arrived on a connection.
 func (e *engine) OnTraffic(socket gnet.Conn) gnet.Action {
 	c, ok := socket.Context().(*connection)
 	if !ok {
 		return gnet.Close
 	}
 	e.tick(tickInterval)
-	if c.dropped {
+	if c.closing {
 		return gnet.None
 	}
 	c.lastActive = e.now()
@@ -196,7 +201,7 @@
 	case outgoingCall:
 		return e.readResponse(c)
 	case outgoingPeer:
-		return gnet.Close // the protocol has no answers on it
+		return gnet.Close // a peer sends no data on a connection that it accepted
 	}
 	return gnet.None
 }
--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -10,32 +10,32 @@
 	"lugward/internal/event"
 )
 
-// dialTimeout: an address beyond a partition answers nothing, and the dial
-// should end before its call does.
+// dialTimeout limits a single dial. An address behind a network partition does not
+// respond, and the dial should end before the call that needs it times out.
 const dialTimeout = 1500 * time.Millisecond
 
-// dial connects outside the loop and hands the connection to it, by OnOpen or
-// handleDialFailure.
+// dial connects on a separate goroutine. The event loop handles the result in OnOpen
+// or handleDialFailure.
 func (e *engine) dial(c *connection) {
 	go func() {
 		if err := e.dialAndEnroll(c); err != nil {
-			e.onLoop(func() { e.handleDialFailure(c) })
+			e.runOnLoop(func() { e.handleDialFailure(c) })
 		}
 	}()
 }
 
-// dialAndEnroll runs outside the loop. It returns once gnet has taken the
-// connection, with an error if there is none.
+// dialAndEnroll runs outside the event loop. It returns nil once gnet has registered
+// the connection, or an error if it could not be established.
 func (e *engine) dialAndEnroll(c *connection) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	socket, err := dialer.DialContext(e.ctx, "tcp", c.addr)
 	if err != nil {
 		return err
 	}
-	// gnet duplicates the socket and closes this one, unless Enroll fails.
+	// gnet duplicates the socket and closes the original, unless Enroll fails.
 	registered, err := e.eventLoop().Enroll(gnet.NewContext(context.Background(), c), socket)
 	if err != nil {
-		_ = socket.Close() // nothing has been sent on it that could get lost
+		_ = socket.Close() // no data was sent, so none can be lost
 		return err
 	}
 	select {
@@ -46,7 +46,7 @@
 	}
 }
 
-// handleDialed puts a connection that was dialled to its use.
+// handleDialed handles a dialled connection that is now open.
 func (e *engine) handleDialed(c *connection) {
 	e.register(c)
 	if c.kind == outgoingPeer {
@@ -58,11 +58,11 @@
 	if _, ok := e.outgoing.calls[c.call.ID]; ok {
 		e.sendCall(c, c.call)
 	} else {
-		e.keepIdle(c) // the call has timed out meanwhile
+		e.addIdleOutgoing(c) // the call has timed out in the meantime
 	}
 }
 
-// handleDialFailure takes notice of a connection that could not be made.
+// handleDialFailure handles a connection that could not be established.
 func (e *engine) handleDialFailure(c *connection) {
 	if c.kind == outgoingPeer {
 		e.peers[c.peer].dialing = false
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,24 +1,25 @@
-// Package engine is the only place with sockets, clocks and timers. It drives a
-// StateMachine on one gnet event loop: every input becomes a step of the state
-// machine, and every effect of the step becomes output.
+// Package engine is the only package that uses sockets, clocks and timers. It drives
+// a StateMachine on a single gnet event loop: every input becomes one step of the
+// state machine, and the effects of the step become output.
 //
 // # Goroutines
 //
-// The event loop owns all state of the engine, the state machine included. Three
-// kinds of other goroutines exist. They touch nothing but the fields of engine that
-// are marked for them, and hand their results to the loop (onLoop):
+// The event loop owns all state of the engine, including the state machine. Three
+// other kinds of goroutines exist. They access only the fields that the comment on
+// engine lists for them, and pass their results to the loop (runOnLoop):
 //
 //   - gnet's ticker, which ends with the loop;
-//   - one goroutine for each connection that is being dialled, which ends when gnet
-//     has taken the connection, after dialTimeout, or with Run's context;
+//   - one goroutine per connection that is being dialled, which ends when gnet has
+//     registered the connection, after dialTimeout, or when Run's context is cancelled;
 //   - gnet's own workers, which register the dialled connections.
 //
 // # Sockets
 //
-// A socket belongs to its connection from OnOpen on. It is closed by drop, or by the
-// action that a handler of gnet's events returns; OnClose follows in either case and
-// is the one place that forgets the connection. A dialled socket that gnet has not
-// taken is closed where it was dialled.
+// From OnOpen on, a socket is owned by its connection. It is closed by
+// closeConnection or by the action that a gnet event handler returns. In both cases
+// gnet calls OnClose, which is the only function that removes an open connection from
+// the engine's state. A dialled socket that gnet did not register is closed by
+// dialAndEnroll.
 package engine
 
 import (
@@ -33,41 +34,42 @@
 	"lugward/internal/event"
 )
 
-// readBufferBytes is how much gnet reads from a socket at once: gnet's own default,
-// set here so that another version of gnet does not change the memory in use.
+// readBufferBytes is the maximum number of bytes that gnet reads from a socket at
+// once. It equals gnet's default. It is set explicitly so that a gnet upgrade does
+// not change memory use.
 const readBufferBytes = 64 << 10
 
-// StateMachine is what the engine drives, one input at a time. Points in time are of
-// the process's monotonic clock; effects are added to out.
+// StateMachine is driven by the engine, one input at a time. Its event.Time arguments
+// are readings of the process's monotonic clock. Methods append their effects to out.
 type StateMachine interface {
-	// SetWallClock sets the time of day before each Tick.
+	// SetWallClock sets the wall clock time. It is called before each Tick.
 	SetWallClock(now event.Time, wall time.Time)
-	// Tick does what is due.
+	// Tick runs the work that is due at now.
 	Tick(now event.Time, out *event.Effects)
-	// HandleRequest takes an HTTP request, which needs exactly one reply.
+	// HandleRequest handles an HTTP request, which requires exactly one reply.
 	HandleRequest(now event.Time, r event.Request, out *event.Effects)
-	// HandleCallResult takes the outcome of a call.
+	// HandleCallResult handles the outcome of a call.
 	HandleCallResult(now event.Time, r event.CallResult, out *event.Effects)
-	// HandleFrame takes a frame of another controller.
+	// HandleFrame handles a frame from another controller.
 	HandleFrame(now event.Time, f event.PeerFrame, out *event.Effects)
 }
 
-// Config says where to listen and how many connections to have.
+// Config holds the addresses and the connection limit of the engine.
 type Config struct {
-	Bind, PeerBind string   // addresses to listen on, for HTTP and for peers
-	Peers          []string // endpoints, in the order of the state machine's peer indices
-	MaxConnections int      // open sockets, incoming and outgoing
+	Bind, PeerBind string   // listen addresses for HTTP and for peers
+	Peers          []string // endpoints, indexed like the state machine's peers
+	MaxConnections int      // limit on open sockets, incoming and outgoing
 }
 
-// engine owns the sockets. Only the event loop uses it; other goroutines read ctx,
-// cfg, log and loop alone.
+// engine owns the sockets. Only the event loop accesses it, with one exception: other
+// goroutines may read ctx, cfg, log and loop.
 type engine struct {
 	gnet.BuiltinEventEngine
-	ctx          context.Context // of Run
+	ctx          context.Context // passed to Run
 	cfg          Config
 	stateMachine StateMachine
 	log          *slog.Logger
-	start        time.Time    // of the monotonic clock
+	start        time.Time    // origin of event.Time
 	loop         atomic.Value // loopRef
 
 	steps    stepQueue
@@ -77,14 +79,13 @@
 	peers    []*peerLink // by peer index
 }
 
-// timers holds when periodic work was last done.
+// timers holds the times at which periodic work last ran.
 type timers struct {
-	tickedAt event.Time
-	sweptAt  event.Time
+	lastTick  event.Time
+	lastSweep event.Time
 }
 
-// Run serves until the context is cancelled, or listening fails. Its error is that
-// of the listener.
+// Run serves until the context is cancelled. It returns an error if listening fails.
 func Run(ctx context.Context, cfg Config, stateMachine StateMachine, log *slog.Logger) error {
 	e := &engine{
 		ctx:          ctx,
@@ -107,16 +108,16 @@
 		gnet.WithLogger(gnetLogger{log}))
 }
 
-// OnBoot lets the end of Run's context stop gnet.
+// OnBoot arranges for gnet to stop when Run's context is cancelled.
 func (e *engine) OnBoot(g gnet.Engine) gnet.Action {
 	context.AfterFunc(e.ctx, func() {
-		// The context of Stop bounds how long it waits; Run waits anyhow.
+		// Stop needs no timeout of its own, since Run waits for the loop to end anyway.
 		if err := g.Stop(context.Background()); err != nil {
-			e.log.Error("the event loop does not stop", "error", err)
+			e.log.Error("failed to stop the gnet event loop", "error", err)
 		}
 	})
 	return gnet.None
 }
 
-// now returns the time of the monotonic clock.
+// now returns the current time of the monotonic clock.
 func (e *engine) now() event.Time { return time.Since(e.start) }
--- a/internal/engine/fixture_test.go
+++ b/internal/engine/fixture_test.go
@@ -13,20 +13,20 @@
 	"lugward/internal/httpwire"
 )
 
-// echoMachine is a state machine that answers every request at once and makes the
-// calls that a test asks for.
-type echoMachine struct {
+// echoStateMachine is a state machine that replies to every request immediately and
+// makes the calls that a test requests.
+type echoStateMachine struct {
 	mu     sync.Mutex
-	frames [][]byte // that have arrived
+	frames [][]byte // received frames
 	calls  []string // addresses to call at the next tick
 
-	beyondLimit map[string]int // requests with ConnectionLimitReached, by path
-	results     chan event.CallResult
+	limitReached map[string]int // requests with ConnectionLimitReached, by path
+	results      chan event.CallResult
 }
 
-func (m *echoMachine) SetWallClock(event.Time, time.Time) {}
+func (m *echoStateMachine) SetWallClock(event.Time, time.Time) {}
 
-func (m *echoMachine) Tick(_ event.Time, out *event.Effects) {
+func (m *echoStateMachine) Tick(_ event.Time, out *event.Effects) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, addr := range m.calls {
@@ -35,70 +35,70 @@
 	m.calls = nil
 }
 
-func (m *echoMachine) HandleRequest(_ event.Time, r event.Request, out *event.Effects) {
+func (m *echoStateMachine) HandleRequest(_ event.Time, r event.Request, out *event.Effects) {
 	if r.ConnectionLimitReached {
 		m.mu.Lock()
-		m.beyondLimit[r.Path]++
+		m.limitReached[r.Path]++
 		m.mu.Unlock()
 	}
 	out.Reply(r.Conn, httpwire.StatusOK, []byte(r.Method+" "+r.Path+" "+string(r.Body)))
 }
 
-func (m *echoMachine) HandleCallResult(_ event.Time, r event.CallResult, _ *event.Effects) {
+func (m *echoStateMachine) HandleCallResult(_ event.Time, r event.CallResult, _ *event.Effects) {
 	m.results <- r
 }
 
-func (m *echoMachine) HandleFrame(_ event.Time, f event.PeerFrame, _ *event.Effects) {
+func (m *echoStateMachine) HandleFrame(_ event.Time, f event.PeerFrame, _ *event.Effects) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.frames = append(m.frames, f.Data)
 }
 
-// beyondLimitCount returns how many requests for a path have come for which there
-// were too few sockets.
-func (m *echoMachine) beyondLimitCount(path string) int {
+// limitReachedCount returns the number of requests for a path that arrived with
+// ConnectionLimitReached set.
+func (m *echoStateMachine) limitReachedCount(path string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.beyondLimit[path]
+	return m.limitReached[path]
 }
 
-// frameCount returns how many frames have arrived.
-func (m *echoMachine) frameCount() int {
+// frameCount returns the number of received frames.
+func (m *echoStateMachine) frameCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.frames)
 }
 
-// call lets the state machine call an address at the next tick.
-func (m *echoMachine) call(addr string) {
+// call makes the state machine call an address at the next tick.
+func (m *echoStateMachine) call(addr string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.calls = append(m.calls, addr)
 }
 
-// The inputs that a slowMachine records.
+// Inputs that a slowStateMachine records.
 const (
 	tickEvent    = "tick"
 	requestEvent = "request"
 )
 
-// slowMachine takes longer for a request than there is between ticks.
-type slowMachine struct {
-	echoMachine
-	order chan string // the inputs in the order in which they came
+// slowStateMachine needs longer to handle a request than the interval between ticks.
+type slowStateMachine struct {
+	echoStateMachine
+	order chan string // inputs in order of arrival
 }
 
-func (m *slowMachine) Tick(event.Time, *event.Effects) {
+func (m *slowStateMachine) Tick(event.Time, *event.Effects) {
 	select {
 	case m.order <- tickEvent:
 	default:
 	}
 }
 
-func (m *slowMachine) HandleRequest(now event.Time, r event.Request, out *event.Effects) {
+func (m *slowStateMachine) HandleRequest(now event.Time, r event.Request, out *event.Effects) {
 	time.Sleep(tickInterval + 10*time.Millisecond)
 	m.order <- requestEvent
-	m.echoMachine.HandleRequest(now, r, out)
+	m.echoStateMachine.HandleRequest(now, r, out)
 }
 
 // freeAddr returns a local address that nothing listens on.
@@ -112,29 +112,29 @@
 	return l.Addr().String()
 }
 
-// start runs an engine with an echoMachine until the test ends.
-func start(t *testing.T, maxConnections int) (*echoMachine, Config) {
+// start runs an engine with an echoStateMachine until the test ends.
+func start(t *testing.T, maxConnections int) (*echoStateMachine, Config) {
 	t.Helper()
-	machine := &echoMachine{beyondLimit: map[string]int{}, results: make(chan event.CallResult, 100)}
-	return machine, serve(t, machine, maxConnections)
+	stateMachine := &echoStateMachine{limitReached: map[string]int{}, results: make(chan event.CallResult, 100)}
+	return stateMachine, serve(t, stateMachine, maxConnections)
 }
 
 // serve runs an engine with the given state machine until the test ends.
-func serve(t *testing.T, machine StateMachine, maxConnections int) Config {
+func serve(t *testing.T, stateMachine StateMachine, maxConnections int) Config {
 	t.Helper()
 	cfg := Config{Bind: freeAddr(t), PeerBind: freeAddr(t), MaxConnections: maxConnections}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, cfg, machine, slog.New(slog.DiscardHandler)) }()
+	go func() { ended <- Run(ctx, cfg, stateMachine, slog.New(slog.DiscardHandler)) }()
 	t.Cleanup(func() {
 		stop()
 		select {
 		case err := <-ended:
 			if err != nil {
-				t.Errorf("the engine ended with %v", err)
+				t.Errorf("Run returned %v, want nil", err)
 			}
 		case <-time.After(20 * time.Second):
-			t.Error("the engine does not end")
+			t.Error("Run did not return within 20s after its context was cancelled")
 		}
 	})
 	for range 200 {
@@ -145,11 +145,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the engine does not listen")
+	t.Fatal("the engine did not listen within 200 attempts, 10ms apart")
 	return cfg
 }
 
-// dial connects to an address until the test ends.
+// dial connects to an address. The connection is closed when the test ends.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -164,7 +164,7 @@
 	t.Helper()
 	for _, c := range closers {
 		if err := c.Close(); err != nil {
-			t.Errorf("close: %v", err)
+			t.Errorf("Close returned %v, want nil", err)
 		}
 	}
 }
--- a/internal/engine/gnetlogger.go
+++ b/internal/engine/gnetlogger.go
@@ -5,25 +5,26 @@
 	"log/slog"
 )
 
-// gnetLogger takes gnet's own messages: errors become debug messages, as broken
-// connections are ordinary; what is less is dropped.
+// gnetLogger forwards gnet's own messages to the controller's log. gnet's errors are
+// logged at debug level, since broken connections are normal. Messages of lower
+// levels are discarded.
 type gnetLogger struct{ log *slog.Logger }
 
-// Debugf drops a message.
+// Debugf discards the message.
 func (gnetLogger) Debugf(string, ...any) {}
 
-// Infof drops a message.
+// Infof discards the message.
 func (gnetLogger) Infof(string, ...any) {}
 
-// Warnf drops a message.
+// Warnf discards the message.
 func (gnetLogger) Warnf(string, ...any) {}
 
-// Errorf logs an error of gnet.
+// Errorf logs a gnet error at debug level.
 func (l gnetLogger) Errorf(format string, args ...any) {
-	l.log.Debug("error of gnet", "error", fmt.Sprintf(format, args...))
+	l.log.Debug("gnet error", "error", fmt.Sprintf(format, args...))
 }
 
-// Fatalf logs an error that ends gnet.
+// Fatalf logs an error that stops gnet.
 func (l gnetLogger) Fatalf(format string, args ...any) {
-	l.log.Error("fatal error of gnet", "error", fmt.Sprintf(format, args...))
+	l.log.Error("fatal gnet error", "error", fmt.Sprintf(format, args...))
 }
--- a/internal/engine/http.go
+++ b/internal/engine/http.go
@@ -9,8 +9,8 @@
 	"lugward/internal/httpwire"
 )
 
-// readRequests reads from a client. A request that arrives before the last one
-// is answered stays buffered until then.
+// readRequests handles input from a client. A request that arrives before the reply
+// to the previous one stays buffered until that reply is sent.
 func (e *engine) readRequests(c *connection) gnet.Action {
 	if !c.inUse {
 		e.step(requestInput{c})
@@ -22,8 +22,8 @@
 	return gnet.None
 }
 
-// readRequest takes one request, if a whole one has arrived. It runs within a
-// step.
+// readRequest passes one request to the state machine if a complete one is buffered.
+// It runs within a step.
 func (e *engine) readRequest(c *connection) {
 	if e.sockets.connections[c.id] != c || c.inUse {
 		return
@@ -32,45 +32,45 @@
 	if len(in) == 0 {
 		return
 	}
-	e.leaveIdleList(c)
+	e.removeFromIdleList(c)
 	message, size, err := httpwire.ParseRequest(in)
 	c.partial = errors.Is(err, httpwire.ErrIncomplete)
 	if c.partial {
 		return
 	}
 	if err != nil {
-		e.refuseRequest(c, err)
+		e.rejectRequest(c, err)
 		return
 	}
 	c.inUse = true
 	c.closeAfter = message.Close
-	e.setClient(c, clientOf(message.Target))
-	// The buffer that the body is in is reused once the input is consumed.
+	e.setClientClass(c, clientClassOf(message.Target))
+	// The body is copied because gnet reuses its buffer once the input is consumed.
 	request := event.Request{
 		Conn:   c.id,
 		Method: message.Method,
 		Path:   message.Target,
 		Body:   append([]byte(nil), message.Body...),
 
-		ConnectionLimitReached: e.beyondWorkerLimit(c),
+		ConnectionLimitReached: e.exceedsWorkerLimit(c),
 	}
 	c.consume(size)
 	e.stateMachine.HandleRequest(e.now(), request, &e.steps.effects)
 }
 
-// refuseRequest answers input that is no request, and ends the connection: where the
-// next request would begin is not known.
-func (e *engine) refuseRequest(c *connection, err error) {
+// rejectRequest replies to input that is not a valid request and closes the
+// connection, since the start of the next request is unknown.
+func (e *engine) rejectRequest(c *connection, err error) {
 	status := httpwire.StatusBadRequest
 	var parseError *httpwire.ParseError
 	if errors.As(err, &parseError) {
 		status = parseError.Status()
 	}
 	c.send(httpwire.AppendResponse(nil, httpwire.Response{Status: status, Close: true}))
-	e.drop(c)
+	e.closeConnection(c)
 }
 
-// reply answers a request and lets the next one on its connection be read.
+// reply sends the reply to a request and then reads the next request on the connection.
 func (e *engine) reply(r event.Reply) {
 	c := e.sockets.connections[r.Conn]
 	if c == nil {
@@ -78,16 +78,16 @@
 	}
 	c.inUse = false
 	c.lastActive = e.now()
-	if e.beyondWorkerLimit(c) {
+	if e.exceedsWorkerLimit(c) {
 		c.closeAfter = true
 	}
 	response := httpwire.Response{Status: r.Status, Body: r.Body, RetryAfter: r.RetryAfter, Close: c.closeAfter}
 	c.send(httpwire.AppendResponse(nil, response))
 	if c.closeAfter {
-		e.drop(c)
+		e.closeConnection(c)
 		return
 	}
-	c.idleElement = e.sockets.idle[c.client].PushBack(c)
+	c.idleElement = e.sockets.idle[c.clientClass].PushBack(c)
 	if c.socket.InboundBuffered() > 0 {
 		e.step(requestInput{c})
 	}
--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -2,46 +2,48 @@
 
 import "container/list"
 
-// Config.MaxConnections bounds the open sockets. They are shared as follows:
+// Config.MaxConnections limits the number of open sockets. They are allocated as
+// follows:
 //
-//   - Connections to and from other controllers, and connections with an answer due,
-//     are never closed to make room.
-//   - Outgoing calls have a reserve: room for outgoingHeadroom more connections than
-//     are in use, and one socket in outgoingFraction at least.
-//   - One socket in userFraction is left to users and probes.
-//   - Workers keep their connections within what is left (workerLimit). Beyond it a
-//     worker's connection ends with its answer, and the worker dials again for its
+//   - Connections to and from other controllers, and connections with a pending reply
+//     or response, are never closed to free a socket.
+//   - Sockets are reserved for outgoing calls: outgoingHeadroom more than are in use,
+//     but at least MaxConnections/outgoingReserveDivisor.
+//   - MaxConnections/userReserveDivisor sockets are reserved for users and probes.
+//   - Workers may keep the remaining sockets open (workerLimit). Above that limit, a
+//     worker's connection is closed with the reply, and the worker dials again for its
 //     next heartbeat.
-//   - A new connection closes the least recently used one that is idle, of the first
-//     class that has any: outgoing, users, probes, workers. With none it is refused.
+//   - If no socket is free, a new connection replaces the least recently used idle
+//     connection of the first class that has one, in this order: outgoing, users,
+//     probes, workers. If there is no idle connection, the new one is refused.
 //
-// The fractions are estimates. The table of limits in docs/design.md says what happens
-// where sockets are short, docs/limits.md what that was measured to cost.
+// The divisors are estimates. The table of limits in docs/design.md describes what
+// happens when sockets run out, and docs/limits.md the measured cost.
 const (
-	outgoingHeadroom = 8
-	outgoingFraction = 16
-	userFraction     = 8
+	outgoingHeadroom       = 8
+	outgoingReserveDivisor = 16
+	userReserveDivisor     = 8
 )
 
-// clientClass is the kind of client at the other end of an incoming connection,
-// judged by the path of its last request.
+// clientClass is the kind of client of an incoming connection, derived from the path
+// of its last request.
 type clientClass uint8
 
 const (
-	userClient clientClass = iota // also those that have not sent a request yet
+	userClient clientClass = iota // also clients that have not sent a request yet
 	workerClient
 	probeClient
-	clientClasses // their number
+	numClientClasses
 )
 
-// The paths that tell workers and probes from users. Package controller serves them.
+// Request paths that identify workers and probes. Package controller serves them.
 const (
 	heartbeatPath = "/hello"
 	healthPath    = "/healthz"
 )
 
-// clientOf returns who sends requests to a path.
-func clientOf(path string) clientClass {
+// clientClassOf returns the class of the clients that send requests to a path.
+func clientClassOf(path string) clientClass {
 	switch path {
 	case heartbeatPath:
 		return workerClient
@@ -51,47 +53,47 @@
 	return userClient
 }
 
-// sockets are all open connections. Config.MaxConnections bounds them, those to
-// other controllers included.
+// sockets holds all open connections. Config.MaxConnections limits their number,
+// including connections to other controllers.
 type sockets struct {
 	connections map[uint64]*connection // by ID
 	lastID      uint64
 	incoming    int
-	workers     int // incoming ones of workers
-	// idle holds the incoming HTTP connections between two requests, by class,
-	// least recently used first.
-	idle [clientClasses]list.List
+	workers     int // number of incoming connections of workers
+	// idle lists the incoming HTTP connections without a pending request, by client
+	// class, least recently used first.
+	idle [numClientClasses]list.List
 }
 
-// outgoingReserve is how many sockets are kept for outgoing connections. Idle
-// ones do not count: they are closed before any other.
+// outgoingReserve returns the number of sockets reserved for outgoing connections.
+// Idle outgoing connections do not count as in use, since they are closed first.
 func (e *engine) outgoingReserve() int {
 	inUse := len(e.sockets.connections) - e.sockets.incoming - e.outgoing.idle.Len()
-	return max(inUse+outgoingHeadroom, e.cfg.MaxConnections/outgoingFraction)
+	return max(inUse+outgoingHeadroom, e.cfg.MaxConnections/outgoingReserveDivisor)
 }
 
-// workerLimit is how many workers may stay connected between two heartbeats.
-// Machines may outnumber the sockets: beyond the limit a worker's connection
-// ends with its answer, and it dials again for its next heartbeat. Closed then, it
-// never meets a heartbeat that is on its way. Closing the least recently used one
-// instead would, with workers that send heartbeats in turn, end each connection just
-// before it is needed.
+// workerLimit returns the number of workers that may stay connected between two
+// heartbeats. There may be more machines than sockets: above the limit, a worker's
+// connection is closed with the reply, and the worker dials again for its next
+// heartbeat. Closing it at that moment cannot interrupt a heartbeat in transit. Closing
+// the least recently used connection instead would, with workers that send heartbeats
+// in turn, always close the connection that is needed next.
 func (e *engine) workerLimit() int {
-	return e.cfg.MaxConnections - e.outgoingReserve() - e.cfg.MaxConnections/userFraction
+	return e.cfg.MaxConnections - e.outgoingReserve() - e.cfg.MaxConnections/userReserveDivisor
 }
 
-// beyondWorkerLimit reports whether a connection is a worker's, and more of these are
-// open than may stay.
-func (e *engine) beyondWorkerLimit(c *connection) bool {
-	return c.client == workerClient && e.sockets.workers > e.workerLimit()
+// exceedsWorkerLimit reports whether the connection belongs to a worker and more
+// workers are connected than workerLimit allows.
+func (e *engine) exceedsWorkerLimit(c *connection) bool {
+	return c.clientClass == workerClient && e.sockets.workers > e.workerLimit()
 }
 
-// freeSocket makes a socket available for one more incoming connection and
-// reports whether it could. With all sockets taken, the least recently used
-// connection is closed among the idle outgoing ones (direct commands leave one
-// for each machine) or else the idle ones of users, of probes, of workers. None
-// with an answer due is closed.
-func (e *engine) freeSocket() bool {
+// ensureFreeSocket frees a socket for one more incoming connection if none is
+// available, and reports whether one is. It closes the least recently used idle
+// outgoing connection (direct commands leave one per machine). If there is none, it
+// closes the least recently used idle connection of users, then of probes, then of
+// workers. It never closes a connection with a pending reply or response.
+func (e *engine) ensureFreeSocket() bool {
 	if e.sockets.incoming+e.outgoingReserve()+e.outgoing.idle.Len() < e.cfg.MaxConnections {
 		return true
 	}
@@ -103,33 +105,33 @@
 	}
 	for _, connections := range closable {
 		if first := connections.Front(); first != nil {
-			e.drop(first.Value.(*connection))
+			e.closeConnection(first.Value.(*connection))
 			return true
 		}
 	}
 	return false
 }
 
-// leaveIdleList takes a connection off the list of idle ones.
-func (e *engine) leaveIdleList(c *connection) {
+// removeFromIdleList removes a connection from the idle list that it is in, if any.
+func (e *engine) removeFromIdleList(c *connection) {
 	if c.idleElement == nil {
 		return
 	}
 	if c.kind == outgoingCall {
 		e.outgoing.idle.Remove(c.idleElement)
 	} else {
-		e.sockets.idle[c.client].Remove(c.idleElement)
+		e.sockets.idle[c.clientClass].Remove(c.idleElement)
 	}
 	c.idleElement = nil
 }
 
-// setClient notes who uses a connection. The caller has taken the connection
-// off its idle list, which depends on the class.
-func (e *engine) setClient(c *connection, client clientClass) {
-	if c.client == workerClient {
+// setClientClass records the client class of a connection. The caller must have
+// removed the connection from its idle list, which depends on the class.
+func (e *engine) setClientClass(c *connection, client clientClass) {
+	if c.clientClass == workerClient {
 		e.sockets.workers--
 	}
-	c.client = client
+	c.clientClass = client
 	if client == workerClient {
 		e.sockets.workers++
 	}
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -12,12 +12,12 @@
 	"lugward/internal/httpwire"
 )
 
-// userPath is a path of neither workers nor probes.
+// userPath is a path that neither workers nor probes use.
 const userPath = "/a"
 
-// TestConnectionCap checks that with all sockets taken the least recently used
-// user's connection is closed, a worker's between two heartbeats only after all of
-// them, and that some sockets stay free for outgoing connections.
+// TestConnectionCap checks which connection is closed when no socket is free: the
+// least recently used idle connection of a user, and that of a worker only when no
+// user's is left. It also checks that some sockets stay free for outgoing connections.
 func TestConnectionCap(t *testing.T) {
 	_, cfg := start(t, 64)
 	connect := func(path string) (net.Conn, bool) {
@@ -32,12 +32,12 @@
 		workers = append(workers, worker)
 		users = append(users, user)
 		if !workerAnswered || !userAnswered {
-			t.Fatalf("refused with %d workers and as many users", len(workers))
+			t.Fatalf("request failed with %d workers and as many users connected, want it answered", len(workers))
 		}
 	}
 	for i, worker := range workers {
 		if !requestOn(worker, heartbeatPath) {
-			t.Errorf("worker %d lost its connection", i)
+			t.Errorf("connection of worker %d was closed, want it open", i)
 		}
 	}
 	usersConnected := 0
@@ -46,18 +46,18 @@
 			usersConnected++
 		}
 	}
-	// Connections that are just being closed may still count.
+	// Connections that are being closed may still be counted.
 	if usersConnected > pairs || usersConnected < 10 {
-		t.Errorf("%d of %d users are connected, too, with 64 sockets", usersConnected, pairs)
+		t.Errorf("%d users are connected with 64 sockets, want 10 to %d", usersConnected, pairs)
 	}
 }
 
-// TestFewerSocketsThanWorkers lets three times as many workers as sockets
-// send heartbeats in turn, while users and probes come. A worker dials again when its
-// connection was closed with an answer. Every request is answered.
+// TestFewerSocketsThanWorkers checks that every request is answered while three times
+// as many workers as sockets send heartbeats in turn, and users and probes send
+// requests. A worker dials again after its connection was closed with a reply.
 func TestFewerSocketsThanWorkers(t *testing.T) {
 	const sockets = 64
-	machine, cfg := start(t, sockets)
+	stateMachine, cfg := start(t, sockets)
 	var workers [3 * sockets]*client
 	for i := range workers {
 		workers[i] = &client{addr: cfg.Bind}
@@ -67,7 +67,7 @@
 		connected = 0
 		for i, worker := range workers {
 			if !worker.request(t, heartbeatPath) {
-				t.Fatalf("worker %d is refused in round %d", i, round)
+				t.Fatalf("heartbeat of worker %d failed in round %d, want status 200", i, round)
 			}
 			if worker.conn != nil {
 				connected++
@@ -77,58 +77,59 @@
 			}
 			for _, path := range []string{userPath, healthPath} {
 				if other := (&client{addr: cfg.Bind}); !other.request(t, path) {
-					t.Fatalf("%s is refused in round %d", path, round)
+					t.Fatalf("request for %s failed in round %d, want status 200", path, round)
 				}
 			}
 		}
 	}
-	most := sockets - sockets/userFraction - outgoingHeadroom
+	most := sockets - sockets/userReserveDivisor - outgoingHeadroom
 	if connected > most || connected < most/2 {
-		t.Errorf("%d workers stay connected, not about %d", connected, most)
+		t.Errorf("%d workers stay connected, want %d to %d", connected, most/2, most)
 	}
-	// The state machine hears of each whose connection ends for want of sockets, and of no user.
+	// Every heartbeat whose connection is closed because of the limit is passed to the
+	// state machine with ConnectionLimitReached, and no request of a user is.
 	least := 3 * (len(workers) - most)
-	if got := machine.beyondLimitCount(heartbeatPath); got < least || machine.beyondLimitCount(userPath) != 0 {
-		t.Errorf("the limit was reached for %d heartbeats, not %d at least, and for %d requests of users", got, least, machine.beyondLimitCount(userPath))
+	if got := stateMachine.limitReachedCount(heartbeatPath); got < least || stateMachine.limitReachedCount(userPath) != 0 {
+		t.Errorf("got ConnectionLimitReached for %d heartbeats, want at least %d; got it for %d requests of users, want 0", got, least, stateMachine.limitReachedCount(userPath))
 	}
 }
 
-// TestIdleOutgoingGiveWay checks that connections left from calls of ours, such
-// as direct commands to many machines, take no sockets from workers.
-func TestIdleOutgoingGiveWay(t *testing.T) {
+// TestIdleOutgoingClosedForWorkers checks that idle outgoing connections, such as those
+// left by direct commands to many machines, do not reduce the sockets for workers.
+func TestIdleOutgoingClosedForWorkers(t *testing.T) {
 	const sockets = 64
-	machine, cfg := start(t, sockets)
+	stateMachine, cfg := start(t, sockets)
 	for range sockets / 2 {
-		machine.call(serveRaw(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+		stateMachine.call(serveRaw(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 	}
 	for range sockets / 2 {
-		if r := <-machine.results; r.Status != httpwire.StatusOK {
-			t.Fatalf("a call ended with %d", r.Status)
+		if r := <-stateMachine.results; r.Status != httpwire.StatusOK {
+			t.Fatalf("call returned status %d, want %d", r.Status, httpwire.StatusOK)
 		}
 	}
 	connected := 0
 	for i := range sockets {
 		worker := &client{addr: cfg.Bind}
 		if !worker.request(t, heartbeatPath) {
-			t.Fatalf("worker %d is refused", i)
+			t.Fatalf("heartbeat of worker %d failed, want status 200", i)
 		}
 		if worker.conn != nil {
 			connected++
 		}
 	}
-	if least := (sockets - sockets/userFraction - outgoingHeadroom) / 2; connected < least {
-		t.Errorf("%d workers stay connected, not %d", connected, least)
+	if least := (sockets - sockets/userReserveDivisor - outgoingHeadroom) / 2; connected < least {
+		t.Errorf("%d workers stay connected, want at least %d", connected, least)
 	}
 }
 
-// client is a connection that is dialled again after the engine has closed it
-// with an answer.
+// client is an HTTP client that dials again after the engine has closed its
+// connection with a response.
 type client struct {
 	addr string
-	conn net.Conn // nil while it is closed
+	conn net.Conn // nil while not connected
 }
 
-// request sends a request and reports whether the answer is 200.
+// request sends a request and reports whether the response has status 200.
 func (c *client) request(t *testing.T, path string) bool {
 	t.Helper()
 	if c.conn == nil {
@@ -136,7 +137,7 @@
 		if err != nil {
 			return false
 		}
-		t.Cleanup(func() { _ = conn.Close() }) // may be closed by then
+		t.Cleanup(func() { _ = conn.Close() }) // may already be closed
 		c.conn = conn
 	}
 	_, _ = io.WriteString(c.conn, "GET "+path+" HTTP/1.1\r\n\r\n")
@@ -153,8 +154,8 @@
 	return response.StatusCode == httpwire.StatusOK
 }
 
-// requestOn sends a request on an open connection and reports whether the answer
-// is 200.
+// requestOn sends a request on an open connection and reports whether the response
+// has status 200.
 func requestOn(c net.Conn, path string) bool {
 	_, _ = io.WriteString(c, "GET "+path+" HTTP/1.1\r\n\r\n")
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
--- a/internal/engine/peers.go
+++ b/internal/engine/peers.go
@@ -12,23 +12,24 @@
 const (
 	// redialInterval is the time between two attempts to connect to a peer.
 	redialInterval = time.Second
-	// frameHeaderBytes: frames follow each other, each behind its length as a 32-bit
-	// big-endian number.
+	// frameHeaderBytes is the size of the header of a frame: the frame's length as a
+	// 32-bit big-endian integer.
 	frameHeaderBytes = 4
-	// maxFrameBytes holds a relayed heartbeat of httpwire.MaxBody bytes with what
-	// package peer puts around it.
+	// maxFrameBytes is the maximum frame length. It is large enough for a relayed
+	// heartbeat of httpwire.MaxBody bytes and the fields that package peer adds.
 	maxFrameBytes = 128 << 10
 )
 
-// peerLink is our connection for frames to another controller. Frames of that
-// controller come on a connection that it makes.
+// peerLink is the outgoing connection for frames to another controller. Frames from
+// that controller arrive on a connection that it dials.
 type peerLink struct {
-	connection *connection // nil while there is none
+	connection *connection // nil while not connected
 	dialing    bool
-	dialedAt   event.Time // when the last attempt began
+	dialedAt   event.Time // start of the last attempt
 }
 
-// dialPeers connects to the peers that we have no connection to.
+// dialPeers dials the peers that are not connected, at most once per redialInterval
+// each.
 func (e *engine) dialPeers(now event.Time) {
 	for i, link := range e.peers {
 		if link.connection != nil || link.dialing || now-link.dialedAt < redialInterval {
@@ -40,7 +41,7 @@
 	}
 }
 
-// readFrames takes the whole frames that have arrived.
+// readFrames passes all complete frames in the input to the state machine.
 func (e *engine) readFrames(c *connection) gnet.Action {
 	for {
 		in := c.received()
@@ -62,8 +63,8 @@
 	}
 }
 
-// sendFrame sends a frame, or drops it while there is no connection: nothing depends
-// on a frame, and the next one follows soon.
+// sendFrame sends a frame, or drops it if the peer is not connected. No function
+// relies on the delivery of a single frame, and the next one follows soon.
 func (e *engine) sendFrame(frame event.PeerFrame) {
 	c := e.peers[frame.Peer].connection
 	if c == nil {
--- a/internal/engine/peers_test.go
+++ b/internal/engine/peers_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// TestPeerPort checks frames that arrive in parts, and that garbage ends the
-// connection.
+// TestPeerPort checks that frames that arrive in parts are reassembled, and that an
+// invalid frame length closes the connection.
 func TestPeerPort(t *testing.T) {
-	machine, cfg := start(t, 100)
+	stateMachine, cfg := start(t, 100)
 	if got := exchange(t, cfg.PeerBind, "\xff\xff\xff\xffgarbage"); got != "" {
-		t.Errorf("garbage was answered with %q", got)
+		t.Errorf("got %q after an invalid frame, want no response", got)
 	}
 	c := dial(t, cfg.PeerBind)
 	frame := string(append(binary.BigEndian.AppendUint32(nil, 3), "abc"...))
@@ -19,10 +19,10 @@
 	time.Sleep(5 * time.Millisecond)
 	writeAll(t, c, frame[5:]+frame)
 	for range 500 {
-		if machine.frameCount() == 2 {
+		if stateMachine.frameCount() == 2 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Error("two frames did not arrive")
+	t.Errorf("got %d frames within 5s, want 2", stateMachine.frameCount())
 }
--- a/internal/engine/steps.go
+++ b/internal/engine/steps.go
@@ -2,22 +2,23 @@
 
 import "lugward/internal/event"
 
-// input is one input of the state machine, with what is needed to deliver it.
+// input is one input of the state machine, with the data needed to deliver it.
 type input interface {
-	// deliver hands the input to the state machine, which adds its effects to
+	// deliver passes the input to the state machine, which appends its effects to
 	// e.steps.effects.
 	deliver(e *engine)
 }
 
-// stepQueue runs inputs through the state machine one after the other. Carrying out
-// the effects of one input may raise others, which wait until that is finished.
+// stepQueue runs the inputs through the state machine one at a time. Applying the
+// effects of one input may produce further inputs, which are queued until the current
+// step has finished.
 type stepQueue struct {
 	effects event.Effects
 	running bool
-	waiting []input // raised during the present step
+	pending []input // produced during the current step
 }
 
-// tickInput lets time pass.
+// tickInput is a tick of the clock.
 type tickInput struct{ now event.Time }
 
 func (in tickInput) deliver(e *engine) { e.stateMachine.Tick(in.now, &e.steps.effects) }
@@ -29,7 +30,7 @@
 	e.stateMachine.HandleCallResult(e.now(), in.result, &e.steps.effects)
 }
 
-// frameInput is a frame of another controller.
+// frameInput is a frame from another controller.
 type frameInput struct{ frame event.PeerFrame }
 
 func (in frameInput) deliver(e *engine) {
@@ -41,27 +42,28 @@
 
 func (in requestInput) deliver(e *engine) { e.readRequest(in.connection) }
 
-// step runs one input through the state machine and carries out the effects; inputs
-// raised meanwhile follow in order. Within a step the input waits for its turn.
+// step runs one input through the state machine and applies its effects, followed by
+// the inputs that this produces, in order. If a step is already running, the input is
+// queued.
 func (e *engine) step(in input) {
 	if e.steps.running {
-		e.steps.waiting = append(e.steps.waiting, in)
+		e.steps.pending = append(e.steps.pending, in)
 		return
 	}
 	e.steps.running = true
 	in.deliver(e)
-	e.perform()
-	for len(e.steps.waiting) > 0 {
-		next := e.steps.waiting[0]
-		e.steps.waiting = e.steps.waiting[1:]
+	e.applyEffects()
+	for len(e.steps.pending) > 0 {
+		next := e.steps.pending[0]
+		e.steps.pending = e.steps.pending[1:]
 		next.deliver(e)
-		e.perform()
+		e.applyEffects()
 	}
 	e.steps.running = false
 }
 
-// perform carries out the effects of a step.
-func (e *engine) perform() {
+// applyEffects sends the replies, calls and frames of a step.
+func (e *engine) applyEffects() {
 	effects := &e.steps.effects
 	for _, r := range effects.Replies {
 		e.reply(r)
--- a/internal/engine/ticker.go
+++ b/internal/engine/ticker.go
@@ -10,55 +10,57 @@
 )
 
 const (
-	// tickInterval is the longest time between two ticks while the loop keeps up:
-	// what is due is done that late at most.
+	// tickInterval is the maximum time between two ticks unless the loop is overloaded,
+	// and so the maximum delay of work that is due.
 	tickInterval = 50 * time.Millisecond
-	// minTickInterval is the least time from any tick to one of the ticker: one that
-	// follows on a tick between inputs is left out.
+	// minTickInterval is the minimum time between any tick and a following tick of the
+	// ticker. A tick of the ticker that comes sooner after a tick between inputs is
+	// skipped.
 	minTickInterval = tickInterval / 2
-	// sweepInterval is the time between two searches for connections to close.
+	// sweepInterval is the time between two scans for connections to close.
 	sweepInterval = time.Second
 )
 
-// OnTick runs on gnet's ticker goroutine: it only hands the work to the loop.
+// OnTick runs on gnet's ticker goroutine. It only passes the work to the event loop.
 func (e *engine) OnTick() (time.Duration, gnet.Action) {
 	if e.loop.Load() == nil {
 		e.connectToSelf()
 		return loopRetryInterval, gnet.None
 	}
-	e.onLoop(func() { e.tick(minTickInterval) })
+	e.runOnLoop(func() { e.tick(minTickInterval) })
 	return tickInterval, gnet.None
 }
 
-// tick lets time pass, unless the last tick is less than minInterval ago. It
-// is called by the ticker and between inputs: while inputs keep the loop busy
-// the ticker's goroutine does not run, and a leader that answers heartbeats all
-// the time would lose its term, as its renewals are due by time.
+// tick runs the periodic work of the engine and of the state machine, unless the last
+// tick was less than minInterval ago. It is called by the ticker and also between
+// inputs, because the ticker's goroutine does not run while inputs keep the loop busy.
+// Without the ticks between inputs, a leader that is busy with heartbeats would not
+// renew its lease in time and would lose its term.
 func (e *engine) tick(minInterval time.Duration) {
 	now := e.now()
-	if now-e.timers.tickedAt < minInterval {
+	if now-e.timers.lastTick < minInterval {
 		return
 	}
-	if e.timers.tickedAt > 0 && now-e.timers.tickedAt > tickInterval {
-		runtime.Gosched() // lets goroutines that dial run as well
+	if e.timers.lastTick > 0 && now-e.timers.lastTick > tickInterval {
+		runtime.Gosched() // gives the dialling goroutines a chance to run
 	}
-	e.timers.tickedAt = now
+	e.timers.lastTick = now
 	e.expireCalls(now)
 	e.dialPeers(now)
-	if now-e.timers.sweptAt >= sweepInterval {
-		e.timers.sweptAt = now
+	if now-e.timers.lastSweep >= sweepInterval {
+		e.timers.lastSweep = now
 		e.sweep(now)
 	}
 	e.stateMachine.SetWallClock(now, time.Now())
 	e.step(tickInput{now})
 }
 
-// sweep closes connections that are idle, stalled within a request, or read
-// our output too slowly.
+// sweep closes connections that have been idle for too long, that stalled within a
+// request or frame, or whose other side reads too slowly.
 func (e *engine) sweep(now event.Time) {
 	for _, c := range e.sockets.connections {
-		if c.timedOut(now) || c.readerIsBehind() {
-			e.drop(c)
+		if c.timedOut(now) || c.exceedsUnsentLimit() {
+			e.closeConnection(c)
 		}
 	}
 }
--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -5,25 +5,26 @@
 	"fmt"
 )
 
-// DecodeError says why bytes are not a frame of this version.
+// DecodeError describes why the input is not a valid frame of this version.
 type DecodeError struct {
-	Field    string // of the layout; "frame" for the whole
-	Offset   int    // of the first byte that is wrong or missing
-	Found    int    // the value or the number of bytes found
+	Field    string // field of the layout, or "frame" for the frame as a whole
+	Offset   int    // offset of the first invalid or missing byte
+	Found    int    // value or number of bytes found
 	Expected string
 }
 
-// Error names the field, its place, and what was expected and found there.
+// Error returns the field, its offset, and the expected and found values.
 func (e *DecodeError) Error() string {
 	return fmt.Sprintf("frame: %s at byte %d: expected %s, found %d", e.Field, e.Offset, e.Expected, e.Found)
 }
 
-// Decode decodes the one frame that in consists of. Its Body points into in. Its
-// errors are *DecodeError.
+// Decode decodes a single frame, which must span all of in. The frame's Body aliases
+// in. Errors are of type *DecodeError.
 func Decode(in []byte) (Frame, error) {
 	f, err := decode(in)
 	if err != nil {
-		// Not returned as it is: a nil *DecodeError would not be a nil error.
+		// err is returned only here, since a nil *DecodeError in an error interface
+		// would not equal nil.
 		return f, err
 	}
 	return f, nil
@@ -36,42 +37,42 @@
 		return f, &DecodeError{Field: "version", Found: int(v), Expected: fmt.Sprint(version)}
 	}
 	f.Kind = Kind(r.u8("kind"))
-	f.Label = string(r.take("label", int(r.u8("length of the label"))))
+	f.Label = string(r.readBytes("label", int(r.u8("label length"))))
 	switch f.Kind {
 	case Heartbeat:
-		r.heartbeat(&f)
+		r.readHeartbeat(&f)
 	case Relay:
 		f.ID = r.u64("id")
-		f.Body = r.take("data", int(r.u32("length of the data")))
+		f.Body = r.readBytes("data", int(r.u32("data length")))
 	case RelayAck:
 		f.ID = r.u64("id")
 		f.Status = r.u16("status")
-		f.Body = r.take("data", int(r.u32("length of the data")))
+		f.Body = r.readBytes("data", int(r.u32("data length")))
 	default:
 		if r.err == nil {
 			r.err = &DecodeError{Field: "kind", Offset: 1, Found: int(f.Kind), Expected: "1, 2 or 3"}
 		}
 	}
 	if left := len(in) - r.offset; r.err == nil && left != 0 {
-		r.err = &DecodeError{Field: "frame", Offset: r.offset, Found: left, Expected: "no bytes behind the last field"}
+		r.err = &DecodeError{Field: "frame", Offset: r.offset, Found: left, Expected: "no bytes after the last field"}
 	}
 	return f, r.err
 }
 
-// reader takes integers and bytes off the front of its input. After the first error
-// it yields zeros.
+// reader reads integers and bytes from its input. After the first error it returns
+// zero values.
 type reader struct {
 	in     []byte
-	offset int // of the next byte
+	offset int // offset of the next byte
 	err    *DecodeError
 }
 
-// heartbeat takes the body of a heartbeat.
-func (r *reader) heartbeat(f *Frame) {
+// readHeartbeat reads the body of a heartbeat into f.
+func (r *reader) readHeartbeat(f *Frame) {
 	flagsOffset := r.offset
 	flags := r.u8("flags")
 	if unknown := flags &^ knownFlags; unknown != 0 {
-		r.err = &DecodeError{Field: "flags", Offset: flagsOffset, Found: int(flags), Expected: "bits 0 and 1 alone"}
+		r.err = &DecodeError{Field: "flags", Offset: flagsOffset, Found: int(flags), Expected: "only bits 0 and 1"}
 		return
 	}
 	f.StateOK = flags&flagStateOK != 0
@@ -81,8 +82,8 @@
 	f.Writes = r.u16("writes")
 }
 
-// take returns the next n bytes, or nil if there are fewer.
-func (r *reader) take(field string, n int) []byte {
+// readBytes returns the next n bytes. If fewer are left, it sets err and returns nil.
+func (r *reader) readBytes(field string, n int) []byte {
 	if r.err != nil {
 		return nil
 	}
@@ -96,28 +97,28 @@
 }
 
 func (r *reader) u8(field string) byte {
-	if b := r.take(field, 1); b != nil {
+	if b := r.readBytes(field, 1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
 func (r *reader) u16(field string) uint16 {
-	if b := r.take(field, 2); b != nil {
+	if b := r.readBytes(field, 2); b != nil {
 		return binary.BigEndian.Uint16(b)
 	}
 	return 0
 }
 
 func (r *reader) u32(field string) uint32 {
-	if b := r.take(field, 4); b != nil {
+	if b := r.readBytes(field, 4); b != nil {
 		return binary.BigEndian.Uint32(b)
 	}
 	return 0
 }
 
 func (r *reader) u64(field string) uint64 {
-	if b := r.take(field, 8); b != nil {
+	if b := r.readBytes(field, 8); b != nil {
 		return binary.BigEndian.Uint64(b)
 	}
 	return 0
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -35,7 +35,7 @@
 	return binary.BigEndian.AppendUint16(dst, f.Writes)
 }
 
-// appendBytes appends bytes behind their length.
+// appendBytes appends data, prefixed with its length.
 func appendBytes(dst, data []byte) []byte {
 	dst = binary.BigEndian.AppendUint32(dst, uint32(len(data)))
 	return append(dst, data...)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -14,38 +14,40 @@
 	"relay ack": {Kind: RelayAck, Label: "", ID: 9, Status: 200, Body: []byte("{}")},
 }
 
-// TestRoundTrip: a frame that is encoded and decoded stays the same.
+// TestRoundTrip checks that encoding and decoding a frame returns an equal frame.
 func TestRoundTrip(t *testing.T) {
 	for name, f := range samples {
 		t.Run(name, func(t *testing.T) {
 			got, err := Decode(Append(nil, &f))
 			if err != nil || !reflect.DeepEqual(got, f) {
-				t.Errorf("%+v became %+v (%v)", f, got, err)
+				t.Errorf("frame %+v decoded to %+v (error %v), want an equal frame and no error", f, got, err)
 			}
 		})
 	}
 }
 
-// TestCutShort: a frame without its end, or with something behind it, is none.
+// TestCutShort checks that a truncated frame and a frame with trailing bytes are
+// rejected.
 func TestCutShort(t *testing.T) {
 	for name, f := range samples {
 		t.Run(name, func(t *testing.T) {
 			whole := Append(nil, &f)
 			for n := range whole {
 				_, err := Decode(whole[:n])
-				var bad *DecodeError
-				if !errors.As(err, &bad) || bad.Offset > n {
-					t.Errorf("%d of %d bytes: %v", n, len(whole), err)
+				var decodeError *DecodeError
+				if !errors.As(err, &decodeError) || decodeError.Offset > n {
+					t.Errorf("Decode of %d of %d bytes returned error %v, want a *DecodeError with an offset of at most %d", n, len(whole), err, n)
 				}
 			}
 			if _, err := Decode(append(whole, 0)); err == nil {
-				t.Error("a tail goes unnoticed")
+				t.Error("Decode accepted a frame with a trailing byte, want an error")
 			}
 		})
 	}
 }
 
-// TestDecodeErrors: an error names the field, its place and what is wrong there.
+// TestDecodeErrors checks that an error names the field, its offset, and the expected
+// and found values.
 func TestDecodeErrors(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -56,22 +58,23 @@
 		{"another version", []byte{1, 1, 0}, "frame: version at byte 0: expected 2, found 1"},
 		{"no kind", []byte{2}, "frame: kind at byte 1: expected 1 bytes, found 0"},
 		{"unknown kind", []byte{2, 9, 0}, "frame: kind at byte 1: expected 1, 2 or 3, found 9"},
-		{"label cut short", []byte{2, 1, 3, 'a'}, "frame: label at byte 3: expected 3 bytes, found 1"},
-		{"unknown flag", []byte{2, 1, 0, 4}, "frame: flags at byte 3: expected bits 0 and 1 alone, found 4"},
-		{"token cut short", []byte{2, 1, 0, 1, 0}, "frame: token at byte 4: expected 8 bytes, found 1"},
-		{"data cut short", append([]byte{2, 2, 0}, make([]byte, 11)...), "frame: length of the data at byte 11: expected 4 bytes, found 3"},
-		{"tail", append([]byte{2, 2, 0}, make([]byte, 13)...), "frame: frame at byte 15: expected no bytes behind the last field, found 1"},
+		{"truncated label", []byte{2, 1, 3, 'a'}, "frame: label at byte 3: expected 3 bytes, found 1"},
+		{"unknown flag", []byte{2, 1, 0, 4}, "frame: flags at byte 3: expected only bits 0 and 1, found 4"},
+		{"truncated token", []byte{2, 1, 0, 1, 0}, "frame: token at byte 4: expected 8 bytes, found 1"},
+		{"truncated data length", append([]byte{2, 2, 0}, make([]byte, 11)...), "frame: data length at byte 11: expected 4 bytes, found 3"},
+		{"trailing byte", append([]byte{2, 2, 0}, make([]byte, 13)...), "frame: frame at byte 15: expected no bytes after the last field, found 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Decode(c.in)
 			if got := fmt.Sprint(err); got != c.want {
-				t.Errorf("%q, want %q", got, c.want)
+				t.Errorf("Decode returned error %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// FuzzDecode: no input panics, and what decodes encodes to the same bytes.
+// FuzzDecode checks that no input causes a panic, and that every input that decodes
+// encodes to the same bytes.
 func FuzzDecode(f *testing.F) {
 	for _, s := range samples {
 		f.Add(Append(nil, &s))
@@ -79,7 +82,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		frame, err := Decode(in)
 		if err == nil && !bytes.Equal(Append(nil, &frame), in) {
-			t.Fatalf("%x decodes to %+v, which encodes otherwise", in, frame)
+			t.Fatalf("%x decoded to %+v, which encodes to different bytes, want the same", in, frame)
 		}
 	})
 }
--- a/internal/peer/production_test.go
+++ b/internal/peer/production_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestProductionFrames: frames recorded from the version in production decode,
-// and encode to the same bytes, since that version refuses anything else.
+// TestProductionFrames checks that frames recorded from the production version decode
+// and encode to the same bytes, since that version rejects anything else.
 func TestProductionFrames(t *testing.T) {
 	raw, err := os.ReadFile("testdata/production_frames.txt")
 	if err != nil {
@@ -23,15 +23,15 @@
 		}
 		f, err := Decode(data)
 		if err != nil {
-			t.Errorf("%s: %v", line, err)
+			t.Errorf("Decode of %s returned error %v, want nil", line, err)
 			continue
 		}
 		if !bytes.Equal(Append(nil, &f), data) {
-			t.Errorf("%s encodes to other bytes", line)
+			t.Errorf("frame %s encodes to different bytes, want the same", line)
 		}
 		kinds[f.Kind]++
 	}
 	if kinds[Heartbeat] == 0 || kinds[Relay] == 0 || kinds[RelayAck] == 0 {
-		t.Errorf("kinds %v", kinds)
+		t.Errorf("decoded frames by kind: %v, want at least one of each kind", kinds)
 	}
 }
