--- a/internal/simtest/checker.go
+++ b/internal/simtest/checker.go
@@ -8,39 +8,39 @@
 	"time"
 )
 
-// Checker watches the rules of the protocol. It knows nothing of the service's
-// own records: only what workers do and what is answered to users. The one
-// exception are done records, without which no job that needs another may start.
+// Checker checks the invariants of the protocol. It observes only what workers execute
+// and what users are answered, and ignores the records that controllers store. The one
+// exception is the done record of a job: no downstream job may start before it exists.
 type Checker struct {
 	world        *World
-	Violations   []string                     // of the rules, with their times
-	faultsOverAt time.Duration                // when the last fault ended, 0: not yet
-	instances    map[string][]*taskAssignment // by task, the attempts that have started and may be on machines
-	releasedAt   map[string]time.Duration     // when all was done that a job needs
+	Violations   []string                     // in order of detection, each with its virtual time
+	faultsOverAt time.Duration                // when the last fault ended; zero while faults may occur
+	instances    map[string][]*taskAssignment // started attempts that may still be on machines, by task
+	releasedAt   map[string]time.Duration     // when all upstream jobs of a job were done, by job ID
 	answerHistory
 	cancellations
 	capacityWaits
 	counters
 }
 
-// answerHistory is what users were answered, by job.
+// answerHistory holds the answers that users received, by job ID.
 type answerHistory struct {
-	acknowledgedPhase map[string]string        // last phase answered
-	acknowledgedAt    map[string]time.Duration // when that was first answered
-	answeredAt        map[string]time.Duration // when a request was last answered
+	acknowledgedPhase map[string]string        // phase in the last answer
+	acknowledgedAt    map[string]time.Duration // when that phase was first answered
+	answeredAt        map[string]time.Duration // when a poll was last answered with 200, at first the time of the first poll
 }
 
-// cancellations are those of users, by job.
+// cancellations holds the cancellations that users requested, by job ID.
 type cancellations struct {
-	cancelRequests       map[string]bool          // asked for
-	cancelAcknowledgedAt map[string]time.Duration // when it was first acknowledged
+	cancelRequests       map[string]bool          // jobs with a requested cancellation
+	cancelAcknowledgedAt map[string]time.Duration // when the cancellation was first acknowledged
 }
 
-// counters count what scenarios print.
+// counters holds the counts that scenarios print.
 type counters struct {
 	starts                  int
-	startsAfterCancellation int            // starts after an acknowledged cancellation
-	refusals                map[string]int // commands that workers refused, by cause
+	startsAfterCancellation int            // starts of tasks whose cancellation was already acknowledged
+	refusals                map[string]int // commands refused by workers, by cause
 	unansweredHeartbeats    int
 }
 
@@ -60,24 +60,25 @@
 	}
 }
 
-// reportViolation notes that a rule is broken.
+// reportViolation records the violation of an invariant with the current virtual time.
 func (checker *Checker) reportViolation(format string, values ...any) {
 	checker.Violations = append(checker.Violations, fmt.Sprintf("%.2fs ", checker.world.now.Seconds())+fmt.Sprintf(format, values...))
 }
 
-// countRefusal counts a command that a worker refused.
+// countRefusal counts a command refused by a worker.
 func (checker *Checker) countRefusal(cause string) { checker.refusals[cause]++ }
 
-// invariantCheckInterval is how often the invariants are checked.
+// invariantCheckInterval is the interval between two checks of the invariants.
 const invariantCheckInterval = 500 * time.Millisecond
 
-// watchInvariants checks what must hold at any time.
+// watchInvariants checks the invariants now and then periodically.
 func (world *World) watchInvariants() {
 	world.checker.checkInvariants()
 	world.schedule(invariantCheckInterval, world.watchInvariants)
 }
 
-// Verdict is "kept" or what was broken.
+// Verdict returns "kept" if no invariant, limit or protocol rule was violated, and
+// otherwise the violations, one per line.
 func (world *World) Verdict() string {
 	all := slices.Concat(world.checker.Violations, world.limitViolations)
 	if len(all) == 0 {
@@ -86,7 +87,7 @@
 	return strings.Join(all, "\n")
 }
 
-// eachOnMachine visits every task that is on a machine, in any order.
+// eachOnMachine calls visit for every task that executes on a machine, in no particular order.
 func (checker *Checker) eachOnMachine(visit func(assignment *taskAssignment)) {
 	for _, worker := range checker.world.workers {
 		if len(worker.assignments) == 0 || !worker.up || worker.certainlyLost() {
@@ -100,7 +101,7 @@
 	}
 }
 
-// onMachines lists every task that is on a machine, sorted by name and machine.
+// onMachines returns every task that executes on a machine, sorted by task and machine name.
 func (checker *Checker) onMachines() []*taskAssignment {
 	var list []*taskAssignment
 	checker.eachOnMachine(func(assignment *taskAssignment) { list = append(list, assignment) })
@@ -110,15 +111,15 @@
 	return list
 }
 
-// checkInvariants checks what must hold at any time.
+// checkInvariants checks the invariants that must hold at any time.
 func (checker *Checker) checkInvariants() {
 	checker.noteReleased()
 	checker.checkCancelledStopped()
 	checker.checkWaitsBesideCapacity()
 }
 
-// countStop is called when a worker executes a stop: it counts for a task that was
-// not being stopped yet and whose job is neither finished nor cancelled.
+// countStop counts a stop command that a worker executes, unless the task is already
+// stopping or its job is finished or cancelled.
 func (checker *Checker) countStop(assignment *taskAssignment) {
 	job := assignment.job
 	if job == nil || assignment.phase == taskSaving {
--- a/internal/simtest/checker_answers.go
+++ b/internal/simtest/checker_answers.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// checkAnswer checks the answer to a user's request that was sent at that time: a
-// request that was in flight when another was answered may show an older state.
-func (checker *Checker) checkAnswer(asked time.Duration, id string, status int, phase string) {
+// checkAnswer checks the answer to a user's request that was sent at sentAt. A request
+// that was in flight while another one was answered may return an older state.
+func (checker *Checker) checkAnswer(sentAt time.Duration, id string, status int, phase string) {
 	known := checker.acknowledgedPhase[id] != ""
-	older := known && asked < checker.acknowledgedAt[id]
+	older := known && sentAt < checker.acknowledgedAt[id]
 	switch {
 	case isAccepted(status):
 		checker.checkPhase(id, status, phase, older)
 	case known && !older && (status == http.StatusNotFound || status == http.StatusBadRequest || status == http.StatusUnprocessableEntity):
-		checker.reportViolation("forgotten: %s answered %d", id, status)
+		checker.reportViolation("accepted job unknown or refused: job %s answered %d, last acknowledged phase is %s", id, status, checker.acknowledgedPhase[id])
 	}
 }
 
-// checkPhase checks an answer with a job's phase; older tells that the request was sent
-// before the last phase was answered.
+// checkPhase checks an answer that contains a job's phase. older is set if the request was
+// sent before the last acknowledged phase was answered.
 func (checker *Checker) checkPhase(id string, status int, phase string, older bool) {
 	job := checker.world.jobs[id]
 	if job == nil || !job.submitted {
-		checker.reportViolation("invented: %s answered %q", id, phase)
+		checker.reportViolation("answer for a job that was never submitted: job %s answered %d %q, want a refusal", id, status, phase)
 		return
 	}
 	if job.expectedRefusal != 0 {
-		checker.reportViolation("accepted: %s answered %d, to be refused with %d", id, status, job.expectedRefusal)
+		checker.reportViolation("invalid job accepted: job %s answered %d, want refusal with %d", id, status, job.expectedRefusal)
 	}
 	last := checker.acknowledgedPhase[id]
 	if older && isFinal(last) && !isFinal(phase) {
 		return
 	}
 	if isFinal(last) && phase != last {
-		checker.reportViolation("went_back: %s was %s, is %s", id, last, phase)
+		checker.reportViolation("terminal phase changed: job %s was answered as %s before, now %s", id, last, phase)
 	}
 	if phase == jobCancelled && !checker.cancelRequested(id) {
-		checker.reportViolation("went_back: %s cancelled by nobody", id)
+		checker.reportViolation("job cancelled without request: job %s answered cancelled, no cancellation of it or of an upstream job was requested", id)
 	}
 	if phase == jobDone && len(job.completed) < job.taskCount {
-		checker.reportViolation("not_done: %s has %d of %d tasks", id, len(job.completed), job.taskCount)
+		checker.reportViolation("job done before its tasks: job %s answered done, %d of %d tasks have completed", id, len(job.completed), job.taskCount)
 	}
 	checker.checkUpstreamAnswer(id, status, phase)
 	checker.acknowledge(id, phase)
 }
 
-// acknowledge notes the phase that a user was answered.
+// acknowledge records the phase that a user was answered.
 func (checker *Checker) acknowledge(id, phase string) {
 	if checker.acknowledgedPhase[id] != phase {
 		checker.acknowledgedAt[id] = checker.world.now
@@ -57,14 +57,15 @@
 	checker.acknowledgedPhase[id] = phase
 }
 
-// isFinal reports whether a job that is in this phase stays in it.
+// isFinal reports whether a phase is terminal.
 func isFinal(phase string) bool { return phase == jobDone || phase == jobCancelled }
 
-// maxUnanswered is how long a job may go without an answer once all faults
-// are over, however others fare.
+// maxUnanswered is how long polls of an accepted job may stay unanswered once all
+// faults are over. It holds for each job, whatever the load from other jobs.
 const maxUnanswered = 75 * time.Second
 
-// checkPoll notes whether a request about an accepted job was answered.
+// checkPoll records whether a poll was answered, and checks how long polls of an
+// accepted job have been without an answer.
 func (checker *Checker) checkPoll(id string, status int) {
 	if _, ok := checker.answeredAt[id]; status == http.StatusOK || !ok {
 		checker.answeredAt[id] = checker.world.now
@@ -73,19 +74,20 @@
 		return
 	}
 	if since := max(checker.answeredAt[id], checker.faultsOverAt); checker.world.now-since > maxUnanswered {
-		checker.reportViolation("forgotten: %s without an answer for %s", id, checker.world.now-since)
+		checker.reportViolation("job not answered in time: polls of job %s without an answer for %s, want at most %s", id, checker.world.now-since, maxUnanswered)
 	}
 }
 
-// isOver reports whether the last answer showed a job as done or cancelled.
+// isOver reports whether the last acknowledged phase of a job is terminal.
 func (checker *Checker) isOver(id string) bool { return isFinal(checker.acknowledgedPhase[id]) }
 
-// checkRefusal checks the status of an invalid request: the expected one, or an
-// undecided one where the controller cannot decide yet.
+// checkRefusal checks the answer to an invalid request. It must have the expected status,
+// or the status of an undecided request while the controller cannot decide. A malformed
+// request (400) can always be decided, so 503 is no valid answer to it.
 func (checker *Checker) checkRefusal(id string, want, status int) {
 	undecided := status == 0 || status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusGatewayTimeout
 	mustDecide := want == http.StatusBadRequest && status == http.StatusServiceUnavailable
 	if status != want && (!undecided || mustDecide) {
-		checker.reportViolation("refused wrongly: %s answered %d for %d", id, status, want)
+		checker.reportViolation("wrong status of refusal: job %s answered %d, want %d", id, status, want)
 	}
 }
--- a/internal/simtest/checker_cancellation.go
+++ b/internal/simtest/checker_cancellation.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// cancelRequested reports whether the user of a job, or of one that it needs, asked to
-// cancel it and was not answered that it is done.
+// cancelRequested reports whether the cancellation of a job was requested, or that of an
+// upstream job which is not acknowledged as done.
 func (checker *Checker) cancelRequested(id string) bool {
 	if checker.cancelRequests[id] {
 		return true
@@ -18,7 +18,7 @@
 	return false
 }
 
-// cancelledSince is when the cancellation of a job, or of one that it needs, was
+// cancelledSince returns when the cancellation of a job or of one of its upstream jobs was
 // first acknowledged.
 func (checker *Checker) cancelledSince(id string) (time.Duration, bool) {
 	since, ok := checker.cancelAcknowledgedAt[id]
@@ -30,35 +30,38 @@
 	return since, ok
 }
 
-// overdue reports whether a cancellation acknowledged then must be complete by now.
+// overdue reports whether a cancellation acknowledged at since must be complete by now.
 func (checker *Checker) overdue(since time.Duration) bool {
 	return checker.world.now-since > seconds(checker.world.config.Settings.Workers.CancelS)
 }
 
-// checkCancelledStopped checks that no task of a cancelled job runs for longer than it may.
+// checkCancelledStopped checks that no task of a cancelled job runs beyond the time that a
+// cancellation may take.
 func (checker *Checker) checkCancelledStopped() {
 	checker.eachOnMachine(func(assignment *taskAssignment) {
 		if since, ok := checker.cancelledSince(assignment.job.id); ok && checker.overdue(since) {
-			checker.reportViolation("ran_cancelled: %s on %s", assignment.name, assignment.worker.name)
+			checker.reportViolation("cancelled task not stopped in time: task %s executes on %s %s after the acknowledged cancellation, want at most %vs",
+				assignment.name, assignment.worker.name, checker.world.now-since, checker.world.config.Settings.Workers.CancelS)
 		}
 	})
 }
 
-// checkResumed checks the tasks of a machine that resumes: one whose cancellation is
-// overdue breaks the rules, however soon it is stopped after that.
+// checkResumed checks the tasks of a machine that resumes after a hang. A task whose
+// cancellation is overdue is a violation, even if it is stopped right afterwards.
 func (checker *Checker) checkResumed(worker *fakeWorker) {
 	for _, assignment := range worker.sortedAssignments() {
 		if !assignment.onMachine() {
 			continue
 		}
 		if since, ok := checker.cancelledSince(assignment.job.id); ok && checker.overdue(since) {
-			checker.reportViolation("ran_cancelled: %s goes on on %s", assignment.name, worker.name)
+			checker.reportViolation("cancelled task not stopped in time: task %s resumes on %s %s after the acknowledged cancellation, want at most %vs",
+				assignment.name, worker.name, checker.world.now-since, checker.world.config.Settings.Workers.CancelS)
 		}
 	}
 }
 
 // checkCancelledStart counts a start after an acknowledged cancellation, and checks that it
-// does not come later than the cancellation may take.
+// happens within the time that the cancellation may take.
 func (checker *Checker) checkCancelledStart(assignment *taskAssignment) {
 	since, ok := checker.cancelledSince(assignment.job.id)
 	if !ok {
@@ -66,6 +69,7 @@
 	}
 	checker.startsAfterCancellation++
 	if checker.overdue(since) {
-		checker.reportViolation("ran_cancelled: %s starts", assignment.name)
+		checker.reportViolation("cancelled task started too late: task %s starts %s after the acknowledged cancellation, want at most %vs",
+			assignment.name, checker.world.now-since, checker.world.config.Settings.Workers.CancelS)
 	}
 }
--- a/internal/simtest/checker_capacity.go
+++ b/internal/simtest/checker_capacity.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// maxWaitBesideCapacity is how long a job may be left waiting beside a machine that fits
-// and has capacity, with its team under its limit, once all troubles are over.
+// maxWaitBesideCapacity is how long a job may stay unassigned once all faults are over,
+// while suitable machines have free capacity and its team is below its limit.
 const maxWaitBesideCapacity = 90 * time.Second
 
-// capacityWaits is what the check for jobs that wait beside capacity remembers.
+// capacityWaits is the state of the check for jobs that are placeable but not assigned.
 type capacityWaits struct {
-	waitingSince map[string]time.Duration       // since when a job waits beside capacity for it
-	writeCounts  []int                          // number of writes at the last checks
-	recentFree   map[*fakeWorker][]freeCapacity // what was free on machines at the last checks
+	waitingSince map[string]time.Duration       // since when a job has been placeable without being assigned, by job ID
+	writeCounts  []int                          // total writes to the state service at the last checks
+	recentFree   map[*fakeWorker][]freeCapacity // free capacity of machines at the last checks
 }
 
-// checkWaitsBesideCapacity notes which jobs wait beside capacity for them, and since when.
+// checkWaitsBesideCapacity records since when each job has been placeable without being
+// assigned, and reports the jobs for which that lasts too long.
 func (checker *Checker) checkWaitsBesideCapacity() {
 	if checker.faultsOverAt == 0 {
 		return
 	}
 	if checker.writesExhausted() {
-		// They wait for the state service's write rate: a fault that lasts.
+		// Assignments are delayed by the write rate limit of the state service, which
+		// counts as a fault that has not ended.
 		clear(checker.waitingSince)
 	}
 	capacities, used := checker.freeCapacities(), checker.usedByTeam()
@@ -45,37 +47,39 @@
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
-		checker.reportViolation("left waiting: %s beside room for it for %s", id, checker.world.now-checker.waitingSince[id])
+		checker.reportViolation("placeable job not started: job %s unassigned for %s with free capacity for it, want at most %s",
+			id, checker.world.now-checker.waitingSince[id], maxWaitBesideCapacity)
 		checker.waitingSince[id] = checker.world.now
 	}
 }
 
-// writesExhausted reports whether lately as much was written as a service may
-// that leaves a part of the rate for what is in flight.
+// writesExhausted reports whether the writes within the last capacityWindow exceed the
+// share of the write rate that controllers may use. They leave the rest of the rate for
+// writes in flight.
 func (checker *Checker) writesExhausted() bool {
-	const moments, most = int(capacityWindow / invariantCheckInterval), 0.75
+	const samples, maxShare = int(capacityWindow / invariantCheckInterval), 0.75
 	checker.writeCounts = append(checker.writeCounts, checker.world.stateService.writtenKeys)
-	if len(checker.writeCounts) <= moments {
+	if len(checker.writeCounts) <= samples {
 		return false
 	}
-	checker.writeCounts = checker.writeCounts[len(checker.writeCounts)-moments-1:]
-	return float64(checker.writeCounts[moments]-checker.writeCounts[0]) > most*checker.world.config.Settings.State.WriteRPS*capacityWindow.Seconds()
+	checker.writeCounts = checker.writeCounts[len(checker.writeCounts)-samples-1:]
+	return float64(checker.writeCounts[samples]-checker.writeCounts[0]) > maxShare*checker.world.config.Settings.State.WriteRPS*capacityWindow.Seconds()
 }
 
-// freeCapacity is what is left of a machine.
+// freeCapacity is the unused capacity of a machine.
 type freeCapacity struct {
 	worker *fakeWorker
 	resources
 }
 
-// capacityWindow is for how long capacity must have been there to count: what comes
-// free and is taken again within that time is a queue that moves.
+// capacityWindow is how long capacity must have been free to count as free. Capacity that
+// is freed and assigned again within that time shows that the queue makes progress.
 const capacityWindow = 5 * time.Second
 
-// freeCapacities lists what has been free for a while on each machine that everybody
-// reaches.
+// freeCapacities returns the capacity that has been free throughout capacityWindow on each
+// healthy machine that all controllers can reach.
 func (checker *Checker) freeCapacities() []freeCapacity {
-	const moments = int(capacityWindow / invariantCheckInterval)
+	const samples = int(capacityWindow / invariantCheckInterval)
 	var list []freeCapacity
 	for _, worker := range checker.world.sortedWorkers() {
 		if !worker.isHealthy() || checker.world.network.isUnreachable(worker) {
@@ -89,10 +93,10 @@
 			}
 		}
 		checker.recentFree[worker] = append(checker.recentFree[worker], free)
-		if len(checker.recentFree[worker]) < moments {
+		if len(checker.recentFree[worker]) < samples {
 			continue
 		}
-		checker.recentFree[worker] = checker.recentFree[worker][len(checker.recentFree[worker])-moments:]
+		checker.recentFree[worker] = checker.recentFree[worker][len(checker.recentFree[worker])-samples:]
 		for _, earlier := range checker.recentFree[worker] {
 			free.resources = free.atMost(earlier.resources)
 		}
@@ -101,10 +105,10 @@
 	return list
 }
 
-// teamUsage is what the tasks of a team take.
+// teamUsage is the sum of the resources of a team's tasks.
 type teamUsage struct{ cpus, gpus float64 }
 
-// usedByTeam is what each team's tasks take, those included that fetch their image.
+// usedByTeam returns the usage of each team, including tasks that are pulling their image.
 func (checker *Checker) usedByTeam() map[string]teamUsage {
 	used := map[string]teamUsage{}
 	for _, worker := range checker.world.workers {
@@ -121,8 +125,8 @@
 	return used
 }
 
-// couldStart reports whether a job waits though its next task, or all those of a gang,
-// could be started on these machine capacities.
+// couldStart reports whether a job has unassigned tasks and the next one of them, or all
+// tasks of a gang, fit into the given capacities and the team's limit.
 func (checker *Checker) couldStart(job *jobRecord, capacities []freeCapacity, used map[string]teamUsage) bool {
 	onMachine, inZone := checker.tasksOnMachines(job)
 	missing := 0
@@ -145,8 +149,8 @@
 	return job.fitsInZones(needed, inZone, job.placeableByZone(needed, inZone, capacities))
 }
 
-// tasksOnMachines tells which tasks of a job are on machines that may execute, those
-// included that fetch their image, and how many of them are in each zone.
+// tasksOnMachines returns the indices of a job's tasks on machines that may execute,
+// including tasks that are pulling their image, and the number of them in each zone.
 func (checker *Checker) tasksOnMachines(job *jobRecord) (indices map[int]bool, inZone map[string]int) {
 	indices, inZone = map[int]bool{}, map[string]int{}
 	for _, worker := range checker.world.workers {
@@ -163,7 +167,8 @@
 	return indices, inZone
 }
 
-// withinLimit reports whether so many more tasks of a job leave its team within its limit.
+// withinLimit reports whether a job's team stays within its limit with the given number of
+// additional tasks of the job.
 func (checker *Checker) withinLimit(job *jobRecord, tasks int, used teamUsage) bool {
 	count := float64(tasks)
 	for _, team := range checker.world.config.Settings.Teams {
@@ -179,8 +184,8 @@
 	return true
 }
 
-// placeableByZone counts, by zone, how many tasks of the job could be placed, on each machine
-// at most as many as are needed. inZone are the tasks that are on machines already.
+// placeableByZone returns, by zone, how many tasks of the job could be placed, at most needed
+// on each machine. inZone is the number of tasks that are already on machines, by zone.
 func (job *jobRecord) placeableByZone(needed int, inZone map[string]int, capacities []freeCapacity) map[string]int {
 	placeable := map[string]int{}
 	for _, free := range capacities {
@@ -197,8 +202,8 @@
 	return placeable
 }
 
-// fitsInZones reports whether the tasks that could be placed in each zone are enough, under
-// what the job demands of zones.
+// fitsInZones reports whether the needed tasks can be placed under the zone constraints of
+// the job. placeable is the number of tasks that could be placed, by zone.
 func (job *jobRecord) fitsInZones(needed int, inZone, placeable map[string]int) bool {
 	sum := 0
 	for zone, count := range placeable {
--- a/internal/simtest/checker_service.go
+++ b/internal/simtest/checker_service.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// largestJobDeadline is how soon the largest jobs of a class must begin.
+// largestJobDeadline is how long the largest jobs of a class may wait for their start.
 const largestJobDeadline = 4 * time.Minute
 
-// servedGroup counts jobs that have something in common, and those of them that ran.
+// servedGroup counts the jobs of a group and those of them that ran.
 type servedGroup struct{ all, ran int }
 
-// servedGroups are groups of jobs by their names.
+// servedGroups holds groups of jobs by group name.
 type servedGroups map[string]*servedGroup
 
 func (groups servedGroups) add(name string, ran bool) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// checkServed checks that at least half of each class, of each team and of each
-// class's largest jobs ran, the largest within their time.
+// checkServed checks that at least half of the jobs of each class, of each team and of the
+// largest jobs of each class ran, the largest jobs within largestJobDeadline.
 func (checker *Checker) checkServed() string {
 	var short []string
 	for name, group := range checker.groupServed() {
@@ -40,12 +40,12 @@
 		return "served"
 	}
 	sort.Strings(short)
-	checker.reportViolation("not served: %s", strings.Join(short, ", "))
+	checker.reportViolation("less than half of a group of jobs ran: %s", strings.Join(short, ", "))
 	return strings.Join(short, "\n")
 }
 
-// groupServed counts the accepted jobs that nobody cancelled and that wait for no other, by
-// class, by team and the largest of each class.
+// groupServed counts the accepted jobs by class, by team and, for the largest jobs, by
+// class. It leaves out cancelled jobs and jobs that wait for upstream jobs.
 func (checker *Checker) groupServed() servedGroups {
 	largest := map[string]int{}
 	for _, job := range checker.world.jobs {
--- a/internal/simtest/checker_starts.go
+++ b/internal/simtest/checker_starts.go
@@ -4,29 +4,29 @@
 	"slices"
 )
 
-// addInstance notes that a task is on a machine.
+// addInstance records that a task is on a machine.
 func (checker *Checker) addInstance(assignment *taskAssignment) {
 	checker.instances[assignment.name] = append(checker.instances[assignment.name], assignment)
 }
 
-// checkRunsOnce checks that a task that starts is on no other machine.
+// checkRunsOnce checks that a starting task executes on no other machine.
 func (checker *Checker) checkRunsOnce(assignment *taskAssignment) {
 	checker.instances[assignment.name] = slices.DeleteFunc(checker.instances[assignment.name], func(other *taskAssignment) bool {
 		return !other.worker.up || other.worker.assignments[other.name] != other || other.phase == taskExited
 	})
 	for _, other := range checker.instances[assignment.name] {
 		if other.onMachine() && !other.worker.certainlyLost() {
-			checker.reportViolation("ran_twice: %s starts on %s while on %s", assignment.name, assignment.worker.name, other.worker.name)
+			checker.reportViolation("task executes on two machines: task %s starts on %s, but still executes on %s", assignment.name, assignment.worker.name, other.worker.name)
 		}
 	}
 	checker.addInstance(assignment)
 }
 
-// quotaTolerance is by how much rounding may put a sum over a limit.
+// quotaTolerance is the rounding error by which a sum may exceed a limit.
 const quotaTolerance = 1e-6
 
-// checkQuota checks the limit of a starting task's team, where the task takes of
-// what is limited.
+// checkQuota checks that the team of a starting task stays within its limit. It skips tasks
+// that request none of the limited resources.
 func (checker *Checker) checkQuota(assignment *taskAssignment) {
 	for _, team := range checker.world.config.Settings.Teams {
 		limited := (team.CPUsMax > 0 && assignment.job.cpus > 0) || (team.GPUsMax > 0 && assignment.job.gpus > 0)
@@ -43,12 +43,13 @@
 		overCPUs := team.CPUsMax > 0 && cpus > team.CPUsMax+quotaTolerance
 		overGPUs := team.GPUsMax > 0 && gpus > team.GPUsMax+quotaTolerance
 		if overCPUs || overGPUs {
-			checker.reportViolation("quota: team %s uses %v CPUs, %v GPUs", team.Name, cpus, gpus)
+			checker.reportViolation("team limit exceeded: team %s uses %v CPUs and %v GPUs, limits are %v and %v (0 means unlimited)",
+				team.Name, cpus, gpus, team.CPUsMax, team.GPUsMax)
 		}
 	}
 }
 
-// checkStart is called when a task has its image and starts.
+// checkStart checks the invariants of a task that starts after its image was pulled.
 func (checker *Checker) checkStart(assignment *taskAssignment) {
 	checker.starts++
 	assignment.job.startedAttempts++
@@ -59,7 +60,7 @@
 	checker.checkCancelledStart(assignment)
 }
 
-// checkPlacement checks that a task starts on a machine and in a zone that its job allows.
+// checkPlacement checks that a task starts on a machine and in a zone allowed by its job.
 func (checker *Checker) checkPlacement(assignment *taskAssignment) {
 	job, worker := assignment.job, assignment.worker
 	inZone := map[string]int{worker.zone: 1}
@@ -73,7 +74,8 @@
 	splitOverZones := job.sameZone && len(inZone) > 1
 	crowdedInZone := job.scatter && inZone[worker.zone] > job.maxTasksPerZone()
 	if !job.allows(worker) || splitOverZones || crowdedInZone {
-		checker.reportViolation("wrong_place: %s attempt %d on %s (%s, %s, spot %v), zones %v, job same zone %v scatter %v spot %v of %d",
+		checker.reportViolation("placement constraint violated: task %s attempt %d starts on %s (%s, zone %s, spot %v), tasks by zone %v, "+
+			"job wants same zone %v, scatter %v, allows spot %v, tasks %d",
 			assignment.name, assignment.attempt, worker.name, worker.machineType, worker.zone, worker.spot, inZone,
 			job.sameZone, job.scatter, job.allowSpot, job.taskCount)
 	}
--- a/internal/simtest/checker_test.go
+++ b/internal/simtest/checker_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// place lets a task of a job start on a new machine, as a service that breaks rules would.
+// place starts a task of a job on a new machine without checking any placement constraint.
 func place(world *World, job *jobRecord, index int, machine machineIdentity) *taskAssignment {
 	machine.name = "i-" + string(rune('a'+len(world.workers)))
 	machine.addr = machine.name
 	return startOnNewMachine(world, job, index, machine)
 }
 
-// violationCases are what breaks a rule, and what the checker says of it.
+// violationCases are violations of invariants and the texts that the checker reports for them.
 var violationCases = []struct {
 	name, want string
 	act        func(world *World, job *jobRecord)
 }{
 	{
 		name: "task on two machines",
-		want: "ran_twice",
+		want: "task executes on two machines: task req-000001/0 starts on i-b, but still executes on i-a",
 		act: func(world *World, job *jobRecord) {
 			place(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
 			place(world, job, 0, machineIdentity{machineType: "small", zone: "b"})
@@ -29,7 +29,7 @@
 	},
 	{
 		name: "team over its limit",
-		want: "quota",
+		want: "team limit exceeded: team red uses",
 		act: func(world *World, job *jobRecord) {
 			job.gpus = 5
 			place(world, job, 0, machineIdentity{machineType: "gpu", zone: "a"})
@@ -38,7 +38,7 @@
 	},
 	{
 		name: "machine type not allowed",
-		want: "wrong_place: req-000001/0 attempt 1 on i-a (small",
+		want: "placement constraint violated: task req-000001/0 attempt 1 starts on i-a (small",
 		act: func(world *World, job *jobRecord) {
 			job.machineTypes = []string{"big"}
 			place(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
@@ -46,14 +46,14 @@
 	},
 	{
 		name: "spot machine not allowed",
-		want: "spot true",
+		want: "spot true), tasks by zone",
 		act: func(world *World, job *jobRecord) {
 			place(world, job, 0, machineIdentity{machineType: "small", zone: "a", spot: true})
 		},
 	},
 	{
 		name: "same zone, in two zones",
-		want: "zones map[a:1 b:1]",
+		want: "tasks by zone map[a:1 b:1]",
 		act: func(world *World, job *jobRecord) {
 			job.sameZone = true
 			place(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
@@ -71,7 +71,7 @@
 	},
 	{
 		name: "runs after the cancellation",
-		want: "ran_cancelled",
+		want: "cancelled task not stopped in time: task req-000001/0 executes on i-a",
 		act: func(world *World, job *jobRecord) {
 			world.checker.cancelRequests[job.id] = true
 			world.checker.checkAnswer(world.now, job.id, 200, "cancelled")
@@ -82,7 +82,7 @@
 	},
 	{
 		name: "resumes after the cancellation",
-		want: "ran_cancelled: req-000001/0 goes on on i-a",
+		want: "cancelled task not stopped in time: task req-000001/0 resumes on i-a",
 		act: func(world *World, job *jobRecord) {
 			world.checker.cancelRequests[job.id] = true
 			world.checker.checkAnswer(world.now, job.id, 200, "cancelled")
@@ -95,7 +95,7 @@
 	},
 	{
 		name: "starts after the cancellation",
-		want: "ran_cancelled: req-000001/0 starts",
+		want: "cancelled task started too late: task req-000001/0 starts",
 		act: func(world *World, job *jobRecord) {
 			world.checker.cancelRequests[job.id] = true
 			world.checker.checkAnswer(world.now, job.id, 200, "cancelled")
@@ -104,8 +104,8 @@
 		},
 	},
 	{
-		name: "waits beside capacity",
-		want: "left waiting: req-000001 beside room for it for 1m30.5s",
+		name: "placeable job not started",
+		want: "placeable job not started: job req-000001 unassigned for 1m30.5s with free capacity",
 		act: func(world *World, job *jobRecord) {
 			world.checker.checkAnswer(world.now, job.id, 201, "queued")
 			place(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
@@ -118,7 +118,7 @@
 	},
 	{
 		name: "invalid job accepted",
-		want: "accepted: req-000001 answered 201, to be refused with 422",
+		want: "invalid job accepted: job req-000001 answered 201, want refusal with 422",
 		act: func(world *World, job *jobRecord) {
 			job.expectedRefusal = 422
 			world.checker.checkAnswer(world.now, job.id, 201, "queued")
@@ -126,50 +126,50 @@
 	},
 	{
 		name: "wrong refusal",
-		want: "refused wrongly: req-000001 answered 400 for 422",
+		want: "wrong status of refusal: job req-000001 answered 400, want 422",
 		act: func(world *World, job *jobRecord) {
 			world.checker.checkRefusal(job.id, 422, 400)
 		},
 	},
 	{
 		name: "malformed request not decided",
-		want: "refused wrongly: req-000001 answered 503 for 400",
+		want: "wrong status of refusal: job req-000001 answered 503, want 400",
 		act: func(world *World, job *jobRecord) {
 			world.checker.checkRefusal(job.id, 400, 503)
 		},
 	},
 	{
 		name: "accepted job unknown",
-		want: "forgotten",
+		want: "accepted job unknown or refused: job req-000001 answered 404",
 		act: func(world *World, job *jobRecord) {
 			world.checker.checkAnswer(world.now, job.id, 201, "queued")
 			world.checker.checkAnswer(world.now, job.id, 404, "")
 		},
 	},
 	{
-		name: "job that nobody submitted",
-		want: "invented",
+		name: "job that was never submitted",
+		want: "answer for a job that was never submitted: job req-000009 answered 200",
 		act: func(world *World, _ *jobRecord) {
 			world.checker.checkAnswer(world.now, "req-000009", 200, "queued")
 		},
 	},
 	{
 		name: "done before its tasks",
-		want: "not_done",
+		want: "job done before its tasks: job req-000001",
 		act: func(world *World, job *jobRecord) {
 			world.checker.checkAnswer(world.now, job.id, 200, "done")
 		},
 	},
 	{
-		name: "cancelled by nobody",
-		want: "went_back",
+		name: "cancelled without request",
+		want: "job cancelled without request: job req-000001",
 		act: func(world *World, job *jobRecord) {
 			world.checker.checkAnswer(world.now, job.id, 200, "cancelled")
 		},
 	},
 	{
 		name: "no answer once the faults are over",
-		want: "without an answer for 1m16s",
+		want: "polls of job req-000001 without an answer for 1m16s",
 		act: func(world *World, job *jobRecord) {
 			world.checker.checkAnswer(world.now, job.id, 201, "queued")
 			world.checker.faultsOverAt = world.now + 1
@@ -180,7 +180,7 @@
 	},
 	{
 		name: "job that never runs",
-		want: "not served: class c: 0 of 1, largest of c: 0 of 1, team red: 0 of 1",
+		want: "less than half of a group of jobs ran: class c: 0 of 1, largest of c: 0 of 1, team red: 0 of 1",
 		act: func(world *World, job *jobRecord) {
 			world.checker.checkAnswer(world.now, job.id, 201, "queued")
 			world.checker.checkServed()
@@ -188,7 +188,7 @@
 	},
 	{
 		name: "largest job late",
-		want: "not served: largest of c: 0 of 1",
+		want: "less than half of a group of jobs ran: largest of c: 0 of 1",
 		act: func(world *World, job *jobRecord) {
 			world.checker.checkAnswer(world.now, job.id, 201, "queued")
 			job.startedAt = 5 * time.Minute
@@ -197,7 +197,7 @@
 	},
 	{
 		name: "done, then queued",
-		want: "was done",
+		want: "terminal phase changed: job req-000001 was answered as done before, now queued",
 		act: func(world *World, job *jobRecord) {
 			job.completed = map[int]bool{0: true, 1: true}
 			world.checker.checkAnswer(world.now, job.id, 200, "done")
@@ -206,7 +206,7 @@
 	},
 }
 
-// newWorldWithJob returns a world with an array of two tasks that was submitted.
+// newWorldWithJob returns a world with one submitted array of two tasks.
 func newWorldWithJob() (*World, *jobRecord) {
 	world := New(1, 1, io.Discard)
 	job := submittedJob("req-000001", 2)
@@ -214,31 +214,31 @@
 	return world, job
 }
 
-// TestCheckerCatches shows that the checker sees each kind of violation.
+// TestCheckerCatches checks that the checker reports each kind of violation.
 func TestCheckerCatches(t *testing.T) {
 	for _, test := range violationCases {
 		t.Run(test.name, func(t *testing.T) {
 			world, job := newWorldWithJob()
 			test.act(world, job)
 			if got := world.Verdict(); !strings.Contains(got, test.want) {
-				t.Errorf("checker said %q, not %q", got, test.want)
+				t.Errorf("Verdict() = %q, want it to contain %q", got, test.want)
 			}
 		})
 	}
 }
 
-// TestCheckerAllows shows what is no violation.
+// TestCheckerAllows checks that allowed behaviour is not reported as a violation.
 func TestCheckerAllows(t *testing.T) {
 	cases := map[string]func(world *World, job *jobRecord){
-		"an answer on its way when a newer one came": func(world *World, job *jobRecord) {
-			asked := world.now
+		"an older answer that was in flight when a newer one arrived": func(world *World, job *jobRecord) {
+			sentAt := world.now
 			world.now += time.Second
 			world.checker.cancelRequests[job.id] = true
 			world.checker.checkAnswer(world.now, job.id, 200, "cancelled")
-			world.checker.checkAnswer(asked, job.id, 200, "running")
-			world.checker.checkAnswer(asked, job.id, 404, "")
+			world.checker.checkAnswer(sentAt, job.id, 200, "running")
+			world.checker.checkAnswer(sentAt, job.id, 404, "")
 		},
-		"a machine that hangs for longer than its lease": func(world *World, job *jobRecord) {
+		"a cancelled task on a machine that hangs for longer than its lease": func(world *World, job *jobRecord) {
 			world.checker.cancelRequests[job.id] = true
 			world.checker.checkAnswer(world.now, job.id, 200, "cancelled")
 			worker := newWorker(world, smallMachine("i-a", "a"))
@@ -248,7 +248,7 @@
 			world.checker.checkInvariants()
 			world.Run(time.Second)
 		},
-		"a job that waits where its team is at its limit": func(world *World, job *jobRecord) {
+		"a job that waits because its team is at its limit": func(world *World, job *jobRecord) {
 			job.team, job.cpus = "blue", 17
 			world.checker.checkAnswer(world.now, job.id, 201, "queued")
 			world.checker.faultsOverAt = 1
@@ -257,31 +257,31 @@
 				world.checker.checkInvariants()
 			}
 		},
-		"an invalid request that cannot be decided": func(world *World, job *jobRecord) { world.checker.checkRefusal(job.id, 422, 503) },
+		"an invalid request that the controller cannot decide yet": func(world *World, job *jobRecord) { world.checker.checkRefusal(job.id, 422, 503) },
 	}
 	for name, act := range cases {
 		t.Run(name, func(t *testing.T) {
 			world, job := newWorldWithJob()
 			act(world, job)
 			if got := world.Verdict(); got != "kept" {
-				t.Errorf("checker said %q", got)
+				t.Errorf("Verdict() = %q, want kept", got)
 			}
 		})
 	}
 }
 
-// TestCheckerCounts shows that starts after a confirmed cancellation count.
+// TestCheckerCounts checks that only starts after an acknowledged cancellation are counted.
 func TestCheckerCounts(t *testing.T) {
 	world, job := newWorldWithJob()
 	worker := newWorker(world, smallMachine("i-a", "a"))
-	start := func(shard string) {
-		world.checker.checkStart(&taskAssignment{worker: worker, job: job, name: shard, attempt: 1, phase: "running"})
+	start := func(task string) {
+		world.checker.checkStart(&taskAssignment{worker: worker, job: job, name: task, attempt: 1, phase: "running"})
 	}
 	start("req-000001/0")
 	world.checker.cancelRequests[job.id] = true
 	world.checker.checkAnswer(world.now, job.id, 200, "cancelled")
 	start("req-000001/1")
 	if got := world.checker.startsAfterCancellation; got != 1 || world.Verdict() != "kept" {
-		t.Errorf("%d starts after the cancellation, %s", got, world.Verdict())
+		t.Errorf("got %d starts after the cancellation and verdict %q, want 1 and kept", got, world.Verdict())
 	}
 }
--- a/internal/simtest/checker_upstream.go
+++ b/internal/simtest/checker_upstream.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// allUpstream lists all jobs that a job needs, directly or through others, each
-// once.
+// allUpstream returns all direct and transitive upstream jobs of a job, sorted and without
+// duplicates.
 func (world *World) allUpstream(id string) []string {
 	job := world.jobs[id]
 	if job == nil || len(job.upstream) == 0 {
@@ -32,34 +32,37 @@
 	return list
 }
 
-// hasDoneRecord reports whether the state service holds the record that a job is done.
+// hasDoneRecord reports whether the state service holds the done record of a job.
 func (world *World) hasDoneRecord(id string) bool {
 	var record terminalRecord
 	_ = json.Unmarshal(world.stateService.keys[terminalKeyPrefix+id].data, &record)
 	return record.Phase == jobDone
 }
 
-// unfinishedUpstream names a job that a job needs and that is not done yet, or "".
+// unfinishedUpstream returns an upstream job that is not done yet and what is missing, or ""
+// if all upstream jobs are done.
 func (checker *Checker) unfinishedUpstream(id string) (upstream, reason string) {
 	for _, up := range checker.world.allUpstream(id) {
 		job := checker.world.jobs[up]
 		switch {
 		case job == nil || len(job.completed) < job.taskCount:
-			return up, "all its tasks are complete"
+			return up, "not all of its tasks have completed"
 		case !checker.world.hasDoneRecord(up):
-			return up, "it is marked done"
+			return up, "the state service has no done record of it"
 		}
 	}
 	return "", ""
 }
 
-// waitsForUpstream reports whether a job waits for others, or would for ever.
+// waitsForUpstream reports whether a job has unfinished upstream jobs, including ones that
+// will never be done.
 func (checker *Checker) waitsForUpstream(id string) bool {
 	upstream, _ := checker.unfinishedUpstream(id)
 	return upstream != ""
 }
 
-// noteReleased notes when jobs cease to be held: other times count from then.
+// noteReleased records when all upstream jobs of a job are done. The waiting time of the job
+// counts from then.
 func (checker *Checker) noteReleased() {
 	for id, job := range checker.world.jobs {
 		if _, ok := checker.releasedAt[id]; !ok && len(job.upstream) > 0 && !checker.waitsForUpstream(id) {
@@ -68,28 +71,29 @@
 	}
 }
 
-// checkUpstreamDone checks that all that a task's job needs is done when it starts.
+// checkUpstreamDone checks that all upstream jobs are done when a task starts.
 func (checker *Checker) checkUpstreamDone(assignment *taskAssignment) {
 	if upstream, reason := checker.unfinishedUpstream(assignment.job.id); upstream != "" {
-		checker.reportViolation("too_early: %s starts on %s, needs %s, before %s", assignment.name, assignment.worker.name, upstream, reason)
+		checker.reportViolation("task started before its upstream jobs were done: task %s starts on %s, upstream job %s is not done: %s", assignment.name, assignment.worker.name, upstream, reason)
 	}
 }
 
-// checkUpstreamAnswer checks an answer against the jobs that its job needs.
+// checkUpstreamAnswer checks the answer for a job against the state of its upstream jobs.
 func (checker *Checker) checkUpstreamAnswer(id string, status int, phase string) {
 	job := checker.world.jobs[id]
 	if status == http.StatusCreated {
 		for _, up := range job.upstream {
 			upstream := checker.world.jobs[up]
 			if up == id || upstream == nil || !upstream.submitted || upstream.shape == shapeDaemon {
-				checker.reportViolation("taken: %s is accepted though it awaits %s", id, up)
+				checker.reportViolation("job with invalid upstream accepted: job %s answered 201, want refusal as upstream job %s is unknown, a daemon or the job itself", id, up)
 			}
 		}
 	}
 	if status == http.StatusOK && (phase == jobQueued || phase == jobRunning) {
 		for _, up := range checker.world.allUpstream(id) {
 			if since, ok := checker.cancelAcknowledgedAt[up]; ok && checker.overdue(since) {
-				checker.reportViolation("orphaned: %s called %s %s after %s was cancelled", id, phase, checker.world.now-since, up)
+				checker.reportViolation("downstream job not cancelled in time: job %s answered %s %s after the acknowledged cancellation of upstream job %s, want at most %vs",
+					id, phase, checker.world.now-since, up, checker.world.config.Settings.Workers.CancelS)
 				break
 			}
 		}
@@ -97,7 +101,8 @@
 	if phase != jobDone || checker.acknowledgedPhase[id] == jobDone || !checker.cancelRequests[id] {
 		return
 	}
-	// The cancellation lost: what needs the job goes on.
+	// The job was done before its cancellation took effect, so its downstream jobs must not
+	// be cancelled.
 	var ids []string
 	for other, acknowledged := range checker.acknowledgedPhase {
 		if acknowledged == jobCancelled && !checker.cancelRequests[other] {
@@ -109,7 +114,7 @@
 		if needs := checker.world.allUpstream(other); slices.Contains(needs, id) && !slices.ContainsFunc(needs, func(up string) bool {
 			return up != id && checker.cancelRequests[up] && checker.acknowledgedPhase[up] != jobDone
 		}) {
-			checker.reportViolation("went_back: %s cancelled by nobody, as %s is done", other, id)
+			checker.reportViolation("job cancelled without request: job %s answered cancelled, but upstream job %s, the only one with a requested cancellation, answered done", other, id)
 		}
 	}
 }
--- a/internal/simtest/checker_upstream_test.go
+++ b/internal/simtest/checker_upstream_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// acceptJobAwaiting adds a job of one task that needs others, accepted.
+// acceptJobAwaiting adds an accepted job of one task with the given upstream jobs.
 func acceptJobAwaiting(world *World, id string, awaits ...string) *jobRecord {
 	job := submittedJob(id, 1)
 	job.upstream = awaits
@@ -16,17 +16,18 @@
 	return job
 }
 
-// completeJob lets all tasks of a job complete and, if it is to be marked, stores the record that it is done.
-func completeJob(world *World, job *jobRecord, marked bool) {
+// completeJob completes all tasks of a job and, if withRecord is set, stores its done record.
+func completeJob(world *World, job *jobRecord, withRecord bool) {
 	for i := range job.taskCount {
 		job.completed[i] = true
 	}
-	if marked {
+	if withRecord {
 		world.stateService.putTerminalRecord(job.id, jobDone)
 	}
 }
 
-// jobChain is three accepted jobs of which each needs the one before.
+// jobChain is a chain of three accepted jobs: the first is upstream of the second, and the
+// second of the third.
 type jobChain struct {
 	world                *World
 	first, second, third *jobRecord
@@ -40,40 +41,40 @@
 	return chain
 }
 
-// start lets the only task of a job start on a machine.
+// start starts the only task of a job on a machine.
 func (chain *jobChain) start(job *jobRecord) {
 	startOnNewMachine(chain.world, job, 0, smallMachine("i-a", "a"))
 }
 
-// cancel cancels a job and acknowledges that.
+// cancel requests and acknowledges the cancellation of a job.
 func (chain *jobChain) cancel(job *jobRecord) {
 	chain.world.checker.cancelRequests[job.id] = true
 	chain.world.checker.checkAnswer(chain.world.now, job.id, 200, jobCancelled)
 }
 
-// upstreamCases are what happens to a chain of jobs, and what the checker says of it.
+// upstreamCases are events in a chain of jobs and the verdicts of the checker.
 var upstreamCases = []struct {
 	name, want string
 	act        func(chain *jobChain)
 }{
 	{
-		name: "start before the tasks end",
-		want: "too_early: req-000003/0 starts on i-a, needs req-000001, before all its tasks are complete",
+		name: "start before all upstream tasks completed",
+		want: "task started before its upstream jobs were done: task req-000003/0 starts on i-a, upstream job req-000001 is not done: not all of its tasks have completed",
 		act: func(chain *jobChain) {
 			completeJob(chain.world, chain.second, true)
 			chain.start(chain.third)
 		},
 	},
 	{
-		name: "start before the done record",
-		want: "too_early: req-000002/0 starts on i-a, needs req-000001, before it is marked done",
+		name: "start before the upstream done record",
+		want: "task started before its upstream jobs were done: task req-000002/0 starts on i-a, upstream job req-000001 is not done: the state service has no done record of it",
 		act: func(chain *jobChain) {
 			completeJob(chain.world, chain.first, false)
 			chain.start(chain.second)
 		},
 	},
 	{
-		name: "start in turn",
+		name: "start after all upstream jobs are done",
 		want: "kept",
 		act: func(chain *jobChain) {
 			completeJob(chain.world, chain.first, true)
@@ -82,8 +83,8 @@
 		},
 	},
 	{
-		name: "start below a cancelled one",
-		want: "too_early: req-000002/0",
+		name: "start downstream of a cancelled job",
+		want: "task started before its upstream jobs were done: task req-000002/0",
 		act: func(chain *jobChain) {
 			completeJob(chain.world, chain.first, false)
 			chain.cancel(chain.first)
@@ -92,8 +93,8 @@
 		},
 	},
 	{
-		name: "called queued for long",
-		want: "orphaned: req-000003 called queued 26s after req-000001 was cancelled",
+		name: "queued too long after an upstream cancellation",
+		want: "downstream job not cancelled in time: job req-000003 answered queued 26s after the acknowledged cancellation of upstream job req-000001",
 		act: func(chain *jobChain) {
 			chain.cancel(chain.first)
 			chain.world.now += 26 * time.Second
@@ -101,8 +102,8 @@
 		},
 	},
 	{
-		name: "called running for long",
-		want: "orphaned: req-000003 called running",
+		name: "running too long after an upstream cancellation",
+		want: "downstream job not cancelled in time: job req-000003 answered running",
 		act: func(chain *jobChain) {
 			chain.cancel(chain.second)
 			chain.world.now += 26 * time.Second
@@ -110,7 +111,7 @@
 		},
 	},
 	{
-		name: "called queued for a while",
+		name: "queued shortly after an upstream cancellation",
 		want: "kept",
 		act: func(chain *jobChain) {
 			chain.cancel(chain.first)
@@ -120,7 +121,7 @@
 		},
 	},
 	{
-		name: "accepted below a cancelled one",
+		name: "accepted downstream of a cancelled job",
 		want: "kept",
 		act: func(chain *jobChain) {
 			chain.cancel(chain.first)
@@ -130,8 +131,8 @@
 		},
 	},
 	{
-		name: "runs below a cancelled one",
-		want: "ran_cancelled: req-000002/0 on i-a",
+		name: "runs downstream of a cancelled job",
+		want: "cancelled task not stopped in time: task req-000002/0 executes on i-a",
 		act: func(chain *jobChain) {
 			completeJob(chain.world, chain.first, true)
 			chain.start(chain.second)
@@ -141,16 +142,16 @@
 		},
 	},
 	{
-		name: "cancelled from below",
-		want: "went_back: req-000001 cancelled by nobody",
+		name: "cancelled by a downstream cancellation",
+		want: "job cancelled without request: job req-000001 answered cancelled",
 		act: func(chain *jobChain) {
 			chain.cancel(chain.second)
 			chain.world.checker.checkAnswer(chain.world.now, chain.first.id, 200, "cancelled")
 		},
 	},
 	{
-		name: "cancelled though it lost",
-		want: "went_back: req-000002 cancelled by nobody",
+		name: "cancelled after the upstream job was done",
+		want: "job cancelled without request: job req-000002 answered cancelled, no cancellation",
 		act: func(chain *jobChain) {
 			completeJob(chain.world, chain.first, true)
 			chain.world.checker.cancelRequests[chain.first.id] = true
@@ -159,8 +160,8 @@
 		},
 	},
 	{
-		name: "cancelled before it lost",
-		want: "went_back: req-000002 cancelled by nobody, as req-000001 is done",
+		name: "cancelled before the upstream job was done",
+		want: "job cancelled without request: job req-000002 answered cancelled, but upstream job req-000001, the only one with a requested cancellation, answered done",
 		act: func(chain *jobChain) {
 			completeJob(chain.world, chain.first, true)
 			chain.world.checker.cancelRequests[chain.first.id] = true
@@ -169,8 +170,8 @@
 		},
 	},
 	{
-		name: "done then queued again",
-		want: "went_back: req-000002 was cancelled, is queued",
+		name: "cancelled then queued again",
+		want: "terminal phase changed: job req-000002 was answered as cancelled before, now queued",
 		act: func(chain *jobChain) {
 			chain.cancel(chain.first)
 			chain.world.checker.checkAnswer(chain.world.now, chain.second.id, 200, "cancelled")
@@ -178,29 +179,29 @@
 		},
 	},
 	{
-		name: "accepted with an unknown one",
-		want: "taken: req-000004 is accepted though it awaits req-000009",
+		name: "accepted with an unknown upstream job",
+		want: "job with invalid upstream accepted: job req-000004 answered 201, want refusal as upstream job req-000009",
 		act: func(chain *jobChain) {
 			acceptJobAwaiting(chain.world, "req-000004", "req-000009")
 		},
 	},
 	{
-		name: "accepted with itself",
-		want: "taken: req-000004 is accepted though it awaits req-000004",
+		name: "accepted with itself as upstream job",
+		want: "job with invalid upstream accepted: job req-000004 answered 201, want refusal as upstream job req-000004",
 		act: func(chain *jobChain) {
 			acceptJobAwaiting(chain.world, "req-000004", "req-000004")
 		},
 	},
 	{
-		name: "accepted with a service",
-		want: "taken: req-000004 is accepted though it awaits req-000001",
+		name: "accepted with a daemon as upstream job",
+		want: "job with invalid upstream accepted: job req-000004 answered 201, want refusal as upstream job req-000001",
 		act: func(chain *jobChain) {
 			chain.first.shape = "daemon"
 			acceptJobAwaiting(chain.world, "req-000004", chain.first.id)
 		},
 	},
 	{
-		name: "held is not unserved",
+		name: "jobs that wait for upstream jobs are left out",
 		want: "kept",
 		act: func(chain *jobChain) {
 			chain.first.startedAt = 1
@@ -208,8 +209,8 @@
 		},
 	},
 	{
-		name: "largest late after it was freed",
-		want: "not served: largest of c: 1 of 3",
+		name: "largest jobs start too late after their upstream jobs",
+		want: "less than half of a group of jobs ran: largest of c: 1 of 3",
 		act: func(chain *jobChain) {
 			chain.first.startedAt = time.Second
 			completeJob(chain.world, chain.first, true)
@@ -221,7 +222,7 @@
 		},
 	},
 	{
-		name: "largest in time after it was freed",
+		name: "largest jobs start in time after their upstream jobs",
 		want: "kept",
 		act: func(chain *jobChain) {
 			chain.first.startedAt = time.Second
@@ -235,15 +236,15 @@
 	},
 }
 
-// TestCheckerCatchesChains shows that the checker sees what breaks the rules
-// of chained jobs, and nothing where they are kept.
+// TestCheckerCatchesChains checks that the checker reports violations of the invariants of
+// chained jobs, and nothing where the invariants hold.
 func TestCheckerCatchesChains(t *testing.T) {
 	for _, test := range upstreamCases {
 		t.Run(test.name, func(t *testing.T) {
 			chain := newJobChain()
 			test.act(chain)
 			if got := chain.world.Verdict(); !strings.Contains(got, test.want) {
-				t.Errorf("checker said %q, not %q", got, test.want)
+				t.Errorf("Verdict() = %q, want it to contain %q", got, test.want)
 			}
 		})
 	}
--- a/internal/simtest/jobs.go
+++ b/internal/simtest/jobs.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// jobRecord is a submitted job and what has become of it.
+// jobRecord is a submitted job with its specification and state.
 type jobRecord struct {
 	jobSpec
 	jobSubmission
 	jobExecution
 }
 
-// jobSpec is what a job asks for.
+// jobSpec is the specification of a job.
 type jobSpec struct {
 	id          string
 	team, class string
@@ -21,44 +21,44 @@
 	taskCount   int
 	resources   // of each task
 	jobPlacement
-	checkpointInterval time.Duration // 0: it stores no checkpoints
+	checkpointInterval time.Duration // zero if the job stores no checkpoints
 	checkpointDuration time.Duration
 	runTime            time.Duration // of each task
 	imageFetchTime     time.Duration
 	jobFailures
 }
 
-// jobPlacement is where tasks of a job may run.
+// jobPlacement holds the placement constraints of a job's tasks.
 type jobPlacement struct {
-	machineTypes []string // nil: any
-	zone         string   // "": any
+	machineTypes []string // nil means any
+	zone         string   // empty means any
 	sameZone     bool     // all tasks run in one zone
 	scatter      bool     // at most half of the tasks run in one zone
 	allowSpot    bool
 }
 
-// jobFailures tell which tasks fail on every machine.
+// jobFailures specifies which tasks fail on every machine.
 type jobFailures struct {
-	broken     bool // all
-	brokenTask int  // 1 + the number of the only one, 0: none
+	broken     bool // all tasks fail
+	brokenTask int  // 1 + the index of the only task that fails; zero if none does
 }
 
-// jobSubmission is what its user has done with a job.
+// jobSubmission holds the submission of a job by its user.
 type jobSubmission struct {
 	submitted       bool
-	body            []byte        // of the request
-	upstream        []string      // jobs that must be done before any task of it starts
-	expectedRefusal int           // the status with which it must be refused, 0: it can run
-	firstAnsweredAt time.Duration // when its user first got an answer
+	body            []byte        // of the submitting request
+	upstream        []string      // jobs that must be done before any task of this job starts
+	expectedRefusal int           // status with which the submission must be refused; zero if the job is valid
+	firstAnsweredAt time.Duration // when its user first received an answer; zero if never
 }
 
-// jobExecution is what workers have done of a job.
+// jobExecution is the progress of a job on workers.
 type jobExecution struct {
-	startedAt       time.Duration         // when it first ran, a gang as a whole
-	startedAttempts int                   // starts that workers executed
+	startedAt       time.Duration         // when the first task ran, or the whole gang; zero if never
+	startedAttempts int                   // task starts that workers executed
 	stoppedTasks    int                   // tasks stopped by a command while the job was neither finished nor cancelled
-	progress        map[int]time.Duration // of tasks that stored a checkpoint, by index
-	completed       map[int]bool          // tasks, by index
+	progress        map[int]time.Duration // run time up to the last stored checkpoint, by task index
+	completed       map[int]bool          // completed tasks, by index
 	gangs           map[uint64]*gangRun   // by attempt
 }
 
@@ -72,14 +72,15 @@
 // alwaysFails reports whether a task of the job fails on every machine.
 func (job *jobRecord) alwaysFails(index int) bool { return job.broken || index+1 == job.brokenTask }
 
-// markStarted notes when the job first ran.
+// markStarted records when the job first ran.
 func (job *jobRecord) markStarted(now time.Duration) {
 	if job.startedAt == 0 {
 		job.startedAt = now
 	}
 }
 
-// acceptedJobs lists the jobs whose users got an answer and did not cancel.
+// acceptedJobs returns the sorted IDs of the acknowledged jobs that are not cancelled, neither
+// directly nor through an upstream job.
 func (world *World) acceptedJobs() []string {
 	var ids []string
 	for id := range world.checker.acknowledgedPhase {
@@ -91,7 +92,8 @@
 	return ids
 }
 
-// allows reports whether a task of the job may run on a machine, wherever its others are.
+// allows reports whether a task of the job may run on a machine, regardless of where the
+// job's other tasks run.
 func (job *jobRecord) allows(worker *fakeWorker) bool {
 	if job.machineTypes != nil && !slices.Contains(job.machineTypes, worker.machineType) {
 		return false
@@ -102,8 +104,8 @@
 	return job.allowSpot || !worker.spot
 }
 
-// maxTasksPerZone is how many tasks of a scattered job may run in a zone.
+// maxTasksPerZone returns how many tasks of a scattered job may run in a zone.
 func (job *jobRecord) maxTasksPerZone() int { return (job.taskCount + 1) / 2 }
 
-// canSucceed reports whether the job may be accepted and not all of its tasks always fail.
+// canSucceed reports whether the job is valid and not all of its tasks always fail.
 func (job *jobRecord) canSucceed() bool { return !job.broken && job.expectedRefusal == 0 }
--- a/internal/simtest/random_faults_test.go
+++ b/internal/simtest/random_faults_test.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// causeTwoFaults causes two random faults that overlap.
+// causeTwoFaults injects two random faults, the second one up to 3 seconds after the first.
 func (world *World) causeTwoFaults() {
 	world.causeRandomFault()
 	world.Run(seconds(world.random.Float64() * 3))
 	world.causeRandomFault()
 }
 
-// randomFault causes a fault of a controller, or another one, that ends after a while.
+// randomFault injects a fault that ends by itself, usually after the given duration. Faults
+// of a single controller use the given one or the leader.
 type randomFault func(world *World, process *controllerProcess, duration time.Duration)
 
-// randomFaults are drawn with equal probability; those that are there twice are
-// to be more frequent.
+// randomFaults are drawn with equal probability. Entries that are listed twice are drawn
+// more often.
 var randomFaults = [...]randomFault{
 	restart, restart, loseState, loseWorkers, stateOutage, loseMachine, cloudOutage, machinesNeverBoot,
 	noFault, restartSeveral, blockInboundOnce, isolateLeader, pauseOnce, lateWrites, delayHeartbeats, delayCommands,
@@ -25,7 +26,7 @@
 	restartAllAfterLease, blockInboundOfSome, slowState, blockWatch,
 }
 
-// causeRandomFault causes one random fault, which ends by itself.
+// causeRandomFault injects one random fault, which ends by itself.
 func (world *World) causeRandomFault() {
 	process := world.controllers[world.random.IntN(len(world.controllers))]
 	duration := seconds(0.1 + world.random.Float64()*20)
@@ -33,15 +34,15 @@
 	randomFaults[world.random.IntN(len(randomFaults))](world, process, duration)
 }
 
-// noFault leaves a fault without a second one.
+// noFault injects nothing, so that some faults occur alone.
 func noFault(*World, *controllerProcess, time.Duration) {}
 
-// bootAfter restarts a controller after a while, if it is down then.
+// bootAfter starts a controller after the given duration if it is down then.
 func (world *World) bootAfter(process *controllerProcess, duration time.Duration) {
 	world.schedule(duration, process.bootIfDown)
 }
 
-// restart restarts a controller that is up.
+// restart kills a controller that is up and starts it again after a quarter of the duration.
 func restart(world *World, process *controllerProcess, duration time.Duration) {
 	if process.up {
 		process.kill()
@@ -49,7 +50,7 @@
 	}
 }
 
-// restartSeveral restarts several controllers within a fraction of a second.
+// restartSeveral kills random controllers and starts each again within 50 to 550 ms.
 func restartSeveral(world *World, _ *controllerProcess, _ time.Duration) {
 	for _, process := range world.controllers {
 		if process.up && world.random.IntN(2) == 0 {
@@ -59,7 +60,8 @@
 	}
 }
 
-// restartAllAfterLease lets all controllers be down for longer than the lease.
+// restartAllAfterLease kills all controllers and starts them again 10.5 to 15.5 seconds later,
+// so that all are down for longer than a lease.
 func restartAllAfterLease(world *World, _ *controllerProcess, _ time.Duration) {
 	for _, process := range world.controllers {
 		process.kill()
@@ -67,7 +69,7 @@
 	}
 }
 
-// leaderOr is the leader or, as often, the controller.
+// leaderOr returns the leader with probability 1/2, and otherwise the given controller.
 func (world *World) leaderOr(process *controllerProcess) *controllerProcess {
 	if other := world.leader(); other != nil && world.random.IntN(2) == 0 {
 		return other
@@ -89,38 +91,38 @@
 	}
 }
 
-// loseState cuts a controller off from the state service.
+// loseState disconnects a controller from the state service.
 func loseState(world *World, process *controllerProcess, duration time.Duration) {
 	world.network.setLinkCut(process.name, "state", true)
 	world.schedule(duration, func() { world.network.setLinkCut(process.name, "state", false) })
 }
 
-// loseWorkers cuts a controller off from all workers.
+// loseWorkers disconnects a controller from all workers.
 func loseWorkers(world *World, process *controllerProcess, duration time.Duration) {
-	cut := func(enabled bool) {
+	setCut := func(enabled bool) {
 		for _, worker := range world.sortedWorkers() {
 			world.network.setLinkCut(process.name, worker.name, enabled)
 		}
 	}
-	cut(true)
-	world.schedule(duration, func() { cut(false) })
+	setCut(true)
+	world.schedule(duration, func() { setCut(false) })
 }
 
-// loseZone cuts a zone with workers and a controller off for longer than the
-// lease.
+// loseZone isolates the workers of a zone and a controller for longer than the workers'
+// leases last.
 func loseZone(world *World, process *controllerProcess, duration time.Duration) {
 	duration += seconds(10)
 	world.extendFaults(duration)
 	world.network.cutZone(process, []string{"a", "b"}[world.random.IntN(2)], duration)
 }
 
-// stateOutage is an outage of the state service.
+// stateOutage makes the state service unavailable.
 func stateOutage(world *World, _ *controllerProcess, duration time.Duration) {
 	world.stateService.setOutage(true)
 	world.schedule(duration, func() { world.stateService.setOutage(false) })
 }
 
-// slowState lets the state service answer slowly.
+// slowState delays the answers of the state service by up to 4 seconds.
 func slowState(world *World, _ *controllerProcess, duration time.Duration) {
 	world.network.slowStateService = seconds(world.random.Float64() * 4)
 	world.schedule(duration, func() { world.network.slowStateService = 0 })
@@ -133,22 +135,22 @@
 	world.schedule(duration, func() { process.watchBlocked = false })
 }
 
-// lateWrites lets transactions be carried out late.
+// lateWrites leaves 30 % of the transactions without an answer and executes them late.
 func lateWrites(world *World, _ *controllerProcess, duration time.Duration) {
 	world.setShareFor(&world.network.lateWrites, 0.3, duration)
 }
 
-// delayHeartbeats lets heartbeats arrive late.
+// delayHeartbeats delays 30 % of the heartbeats.
 func delayHeartbeats(world *World, _ *controllerProcess, duration time.Duration) {
 	world.setShareFor(&world.network.delayedHeartbeats, 0.3, duration)
 }
 
-// delayCommands lets direct commands or their answers arrive late.
+// delayCommands delays half of the direct commands or their answers.
 func delayCommands(world *World, _ *controllerProcess, duration time.Duration) {
 	world.setShareFor(&world.network.delayedCommands, 0.5, duration)
 }
 
-// loseMachine lets a machine with tasks crash, hang or be terminated.
+// loseMachine lets a random machine with tasks crash, hang or be terminated by the cloud.
 func loseMachine(world *World, _ *controllerProcess, duration time.Duration) {
 	assignments := world.checker.onMachines()
 	if len(assignments) == 0 {
@@ -165,58 +167,58 @@
 	}
 }
 
-// blockInboundOnce lets nothing reach a machine with tasks.
+// blockInboundOnce blocks all inbound packets of a random machine with tasks.
 func blockInboundOnce(world *World, _ *controllerProcess, duration time.Duration) {
 	if assignments := world.checker.onMachines(); len(assignments) > 0 {
 		world.network.blockInboundFor(assignments[world.random.IntN(len(assignments))].worker, duration)
 	}
 }
 
-// blockInboundOfSome lets nothing reach one machine or those of a zone.
+// blockInboundOfSome blocks all inbound packets of one machine or of all machines in a zone.
 func blockInboundOfSome(world *World, _ *controllerProcess, duration time.Duration) {
 	world.forRandomMachines(func(worker *fakeWorker) { world.network.blockInboundFor(worker, duration) })
 }
 
-// blockHeartbeatsOfSome lets one machine or those of a zone reach no controller.
+// blockHeartbeatsOfSome blocks the heartbeats of one machine or of all machines in a zone.
 func blockHeartbeatsOfSome(world *World, _ *controllerProcess, duration time.Duration) {
 	world.forRandomMachines(func(worker *fakeWorker) { worker.blockHeartbeatsFor(duration) })
 }
 
-// cloudOutage is an outage of the cloud.
+// cloudOutage makes the cloud's API unavailable.
 func cloudOutage(world *World, _ *controllerProcess, duration time.Duration) {
 	world.cloud.down = true
 	world.schedule(duration, func() { world.cloud.down = false })
 }
 
-// machinesNeverBoot lets the next one or two machines never boot.
+// machinesNeverBoot prevents the next one or two provisioned machines from booting.
 func machinesNeverBoot(world *World, _ *controllerProcess, _ time.Duration) {
 	world.cloud.bootFailures = 1 + world.random.IntN(2)
 }
 
-// loseLeaderDuringOutage causes leaderLossDuringOutage.
+// loseLeaderDuringOutage injects leaderLossDuringOutage.
 func loseLeaderDuringOutage(world *World, _ *controllerProcess, _ time.Duration) {
 	world.leaderLossDuringOutage()
 }
 
-// churnLeaders changes the leader ten times in two minutes.
+// churnLeaders replaces the leader ten times in two minutes.
 func churnLeaders(world *World, _ *controllerProcess, _ time.Duration) {
 	world.churn(10, 2*time.Minute, "")
 	world.extendFaults(2 * time.Minute)
 }
 
-// cancelSome cancels running jobs, whose machines hang.
+// cancelSome cancels up to four running jobs and lets their machines hang.
 func cancelSome(world *World, _ *controllerProcess, _ time.Duration) {
 	hang := seconds(world.random.Float64() * 12)
 	world.users.cancelNow(1+world.random.IntN(4), hang)
 	world.extendFaults(hang)
 }
 
-// cancelEnding cancels jobs at the moment when they end.
+// cancelEnding cancels half of the jobs at the moment of their end.
 func cancelEnding(world *World, _ *controllerProcess, duration time.Duration) {
 	world.setShareFor(&world.users.cancelAtEnd, 0.5, duration)
 }
 
-// invalidRequests lets users send invalid requests.
+// invalidRequests makes users send invalid requests.
 func invalidRequests(world *World, _ *controllerProcess, duration time.Duration) {
 	if !world.users.invalidRequests {
 		world.users.invalidRequests = true
@@ -225,18 +227,19 @@
 	}
 }
 
-// extendFaults notes that a fault lasts for so long from now.
+// extendFaults records that a fault lasts for the given duration from now.
 func (world *World) extendFaults(duration time.Duration) {
 	world.faultsEndAt = max(world.faultsEndAt, world.now+duration)
 }
 
-// setShareFor sets a share of requests for a while.
+// setShareFor sets a share for the given duration and resets it to zero afterwards.
 func (world *World) setShareFor(share *float64, value float64, duration time.Duration) {
 	*share = value
 	world.schedule(duration, func() { *share = 0 })
 }
 
-// forRandomMachines does something to one machine or to all of a zone.
+// forRandomMachines calls action for a random machine or, with probability 1/3, for all
+// machines of its zone.
 func (world *World) forRandomMachines(action func(worker *fakeWorker)) {
 	list := world.sortedWorkers()
 	if len(list) == 0 {
@@ -250,39 +253,40 @@
 	}
 }
 
-// leaderLossDuringOutage is the combination of faults that broke most: the state service refuses the leader
-// alone, which may lose the other controllers too, others confirm cancellations,
-// some machines hang, and then the state service is out for all for longer than
+// leaderLossDuringOutage injects the combination of faults that caused the most violations
+// in the past. First the state service rejects only the leader, or the leader is isolated from
+// the other controllers, too. Other controllers acknowledge cancellations and some machines
+// hang meanwhile. Then the state service is unavailable to all controllers for longer than
 // a cancellation may take.
 func (world *World) leaderLossDuringOutage() {
 	process := world.leader()
 	if process == nil {
 		return
 	}
-	alone := seconds(0.5 + world.random.Float64()*8)
-	out := seconds(world.config.Settings.Workers.CancelS + world.random.Float64()*20)
-	world.extendFaults(alone + out + time.Second)
+	leaderOnly := seconds(0.5 + world.random.Float64()*8)
+	outage := seconds(world.config.Settings.Workers.CancelS + world.random.Float64()*20)
+	world.extendFaults(leaderOnly + outage + time.Second)
 	if world.random.IntN(2) == 0 {
-		process.denyFor(alone + seconds(world.random.Float64()))
+		process.denyFor(leaderOnly + seconds(world.random.Float64()))
 	} else {
-		world.network.isolateFor(process, alone+out)
+		world.network.isolateFor(process, leaderOnly+outage)
 	}
 	var hang time.Duration
 	if world.random.IntN(2) == 0 {
 		hang = seconds(world.random.Float64() * 10)
 	}
-	world.schedule(seconds(world.random.Float64()*alone.Seconds()), func() { world.users.cancelNow(1+world.random.IntN(4), hang) })
-	world.schedule(alone, func() {
+	world.schedule(seconds(world.random.Float64()*leaderOnly.Seconds()), func() { world.users.cancelNow(1+world.random.IntN(4), hang) })
+	world.schedule(leaderOnly, func() {
 		world.stateService.setOutage(true)
-		world.schedule(out, func() { world.stateService.setOutage(false) })
+		world.schedule(outage, func() { world.stateService.setOutage(false) })
 	})
 }
 
-// TestSeedsThatBroke plays again what broke a rule in long trials.
+// TestSeedsThatBroke repeats random runs that violated an invariant in long trials.
 func TestSeedsThatBroke(t *testing.T) {
 	for _, seed := range []uint64{
-		27732, // all machines terminated: every leader yields before its proof of silence
-		25980, // a term begins before the watch cache holds what was stored before it
+		27732, // all machines terminated: every leader resigned before it had established that the machines are unresponsive
+		25980, // a term began before the watch cache contained all earlier writes
 	} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRandomJobs(t, seed) })
 	}
--- a/internal/simtest/random_jobs_test.go
+++ b/internal/simtest/random_jobs_test.go
@@ -14,12 +14,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestRandomFaults plays random jobs under random faults; the rules must hold
-// and, once the faults are over, every job must end.
+// TestRandomFaults runs random jobs under random faults. All invariants must hold, and every
+// job must end once the faults are over.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
-	first, plays := environmentNumber("SIM_FROM", 1), environmentNumber("SIM_PLAYS", 60)
-	for seed := first; seed < first+plays; seed++ {
+	first, runs := environmentNumber("SIM_FROM", 1), environmentNumber("SIM_PLAYS", 60)
+	for seed := first; seed < first+runs; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			playRandomJobs(t, seed)
@@ -27,7 +27,8 @@
 	}
 }
 
-// The drawn faults are the same at every run, so that the verdict is, too.
+// init fixes the seed of rapid, so that TestDrawnFaults draws the same faults and has the
+// same result in every run.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -36,7 +37,8 @@
 	}
 }
 
-// TestDrawnFaults lets rapid draw the seed and shrink a failure.
+// TestDrawnFaults runs random jobs under random faults with seeds drawn by rapid, which
+// shrinks the seed of a failure.
 func TestDrawnFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64Range(1000, 1<<32).Draw(rt, "seed")
@@ -44,23 +46,24 @@
 	})
 }
 
-// environmentNumber is a number from the environment, for longer trials.
-func environmentNumber(name string, def uint64) uint64 {
-	if n, err := strconv.ParseUint(os.Getenv(name), 10, 64); err == nil {
-		return n
+// environmentNumber returns the number in an environment variable, or defaultValue if there is
+// none. Longer trials set these variables.
+func environmentNumber(name string, defaultValue uint64) uint64 {
+	if number, err := strconv.ParseUint(os.Getenv(name), 10, 64); err == nil {
+		return number
 	}
-	return def
+	return defaultValue
 }
 
-// errorReporter is what *testing.T and *rapid.T have in common here.
+// errorReporter is the common interface of *testing.T and *rapid.T that random runs use.
 type errorReporter interface {
 	Errorf(format string, args ...any)
 }
 
-// playRandomJobs plays random jobs under random faults.
+// playRandomJobs runs random jobs under random faults and checks all invariants.
 func playRandomJobs(reporter errorReporter, seed uint64) { playRandomJobsObserved(reporter, seed, nil) }
 
-// playRandomJobsObserved is playRandomJobs with an observer of the wire.
+// playRandomJobsObserved is playRandomJobs with an observer of all messages.
 func playRandomJobsObserved(reporter errorReporter, seed uint64, observer WireObserver) {
 	world := NewWith(Options{Controllers: 3, Seed: seed, Log: logOut(), Observer: observer})
 	world.watchInvariants()
@@ -86,7 +89,7 @@
 	world.checkAllOver(reporter, seed, accepted)
 }
 
-// startRandomFaults lets the network lose, repeat and copy some packets, and adds three
+// startRandomFaults makes the network lose, repeat and duplicate some packets, and adds three
 // machines.
 func (world *World) startRandomFaults() {
 	world.network.lossShare, world.network.lateRepeatShare = 0.01, 0.05
@@ -120,7 +123,7 @@
 	return arguments
 }
 
-// cancelDaemons cancels the jobs that do not end by themselves.
+// cancelDaemons cancels all daemons, as they do not end by themselves.
 func (world *World) cancelDaemons(ids []string) {
 	for _, id := range ids {
 		if world.jobs[id].shape == shapeDaemon {
@@ -129,29 +132,29 @@
 	}
 }
 
-// checkAllOver checks that all jobs are over, all machines are given back and the rules are
-// kept.
+// checkAllOver checks that all jobs have ended, all machines are released and no invariant was
+// violated.
 func (world *World) checkAllOver(reporter errorReporter, seed uint64, ids []string) {
 	for _, id := range ids {
 		if !world.checker.isOver(id) {
-			reporter.Errorf("seed %d: %s is still %s: %+v\n%s", seed, id, world.checker.acknowledgedPhase[id], *world.jobs[id], world.storedOf(id))
+			reporter.Errorf("seed %d: job %s has phase %q, want done or cancelled: %+v; stored records:\n%s", seed, id, world.checker.acknowledgedPhase[id], *world.jobs[id], world.storedOf(id))
 		}
 	}
-	if left := world.waitForMachinesReleased(); left != "" {
-		reporter.Errorf("seed %d: nothing runs, and these machines are kept: %s\n%s", seed, left, strings.Join(world.listKeys(runKeyPrefix), "\n"))
+	if machines := world.waitForMachinesReleased(); machines != "" {
+		reporter.Errorf("seed %d: machines not released after all jobs ended: %s, want none; stored run records:\n%s", seed, machines, strings.Join(world.listKeys(runKeyPrefix), "\n"))
 	}
 	if verdict := world.Verdict(); verdict != "kept" {
-		reporter.Errorf("seed %d: %s", seed, verdict)
+		reporter.Errorf("seed %d: invariants violated:\n%s", seed, verdict)
 	}
 }
 
-// storedOf is what the state service holds of a job.
+// storedOf returns the job and run records of a job in the state service.
 func (world *World) storedOf(id string) string {
 	return strings.Join(append(world.listKeys(jobKeyPrefix+id), world.listKeys(runKeyPrefix+id)...), "\n")
 }
 
-// waitForMachinesReleased plays until all machines are given back, for five minutes at most,
-// and names those that are not.
+// waitForMachinesReleased runs the world until all machines are released, for at most five
+// minutes. It returns the names of the machines that are not.
 func (world *World) waitForMachinesReleased() string {
 	for range 150 {
 		if len(world.cloud.machines) == 0 {
@@ -162,31 +165,32 @@
 	return strings.Join(slices.Sorted(maps.Keys(world.cloud.machines)), ", ")
 }
 
-// pollUntilOver polls jobs until they are over, for four minutes at most.
-func (world *World) pollUntilOver(open []string) {
+// pollUntilOver polls jobs until all have ended, for at most four minutes.
+func (world *World) pollUntilOver(ids []string) {
 	for range 120 {
-		left := 0
-		for _, id := range open {
+		open := 0
+		for _, id := range ids {
 			if !world.checker.isOver(id) {
-				left++
+				open++
 				world.users.Poll(id)
 			}
 		}
-		if left == 0 {
+		if open == 0 {
 			break
 		}
 		world.Run(seconds(2))
 	}
 }
 
-// endAllFaults ends all faults.
+// endAllFaults waits for the random faults to end, ends the lasting ones and starts all
+// controllers that are down.
 func (world *World) endAllFaults() {
 	world.Run(max(seconds(25), world.faultsEndAt-world.now))
 	world.cloud.bootFailures, world.cloud.down = 0, false
 	world.network.lossShare, world.network.lateRepeatShare, world.network.duplicateShare = 0, 0, 0
 	world.network.lateWrites, world.network.delayedHeartbeats, world.network.delayedCommands = 0, 0, 0
 	world.users.cancelAtEnd, world.users.invalidRequests = 0, false
-	world.Run(maxDelay) // what was delayed arrives
+	world.Run(maxDelay) // delayed messages arrive
 	world.checker.faultsOverAt = world.now
 	for _, process := range world.controllers {
 		process.bootIfDown()
--- a/internal/simtest/random_pipelines_test.go
+++ b/internal/simtest/random_pipelines_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// TestRandomChains plays random pipelines under random faults, while the state
-// service lowers its limits: the rules must hold, every job must end, as those
-// that it needs do, and nothing but terminal records may be left behind.
+// TestRandomChains runs random pipelines under random faults while the state service lowers
+// its limits. All invariants must hold, every job must end in a phase that fits those of
+// its upstream jobs, and no records but terminal ones may remain in the state service.
 func TestRandomChains(t *testing.T) {
 	t.Parallel()
-	first, plays := environmentNumber("SIM_FROM", 1), environmentNumber("SIM_PLAYS", 60)
-	for seed := first; seed < first+plays; seed++ {
+	first, runs := environmentNumber("SIM_FROM", 1), environmentNumber("SIM_PLAYS", 60)
+	for seed := first; seed < first+runs; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			playRandomPipelines(t, seed)
@@ -21,32 +21,33 @@
 	}
 }
 
-// playRandomPipelines plays random pipelines in a new world.
+// playRandomPipelines runs random pipelines in a new world.
 func playRandomPipelines(reporter errorReporter, seed uint64) {
-	next := Arguments{}
+	lowerLimits := Arguments{}
 	if seed%3 != 0 {
-		next = Arguments{"nextvalue": "2", "nextops": "4", "nextwrites": "20"}
+		lowerLimits = Arguments{"nextvalue": "2", "nextops": "4", "nextwrites": "20"}
 	}
-	world := NewWith(Options{Settings: Announce(Settings, next), Controllers: 3, Seed: seed, Log: logOut()})
+	world := NewWith(Options{Settings: Announce(Settings, lowerLimits), Controllers: 3, Seed: seed, Log: logOut()})
 	world.watchInvariants()
 	world.startRandomFaults()
 	world.addFinishedJobs(Arguments{"from": "5000", "count": "400"})
-	playPipelines(reporter, world, seed, len(next) > 0)
+	playPipelines(reporter, world, seed, len(lowerLimits) > 0)
 }
 
-// pipelinePlay is a play of random pipelines.
+// pipelinePlay is a run of random pipelines.
 type pipelinePlay struct {
 	errorReporter
 	world     *World
 	seed      uint64
-	accepted  []string
-	all       []string // those too whose answer nobody waited for
-	next      int      // number of the next job
-	announced bool     // the state service will lower its limits
-	lowered   bool
+	accepted  []string // IDs of jobs whose submission was answered as accepted
+	all       []string // IDs of all jobs, including those submitted in the background or not accepted
+	next      int      // number in the ID of the next job
+	announced bool     // the settings announce lower limits of the state service
+	lowered   bool     // the limits have been lowered
 }
 
-// playPipelines plays five pipelines, and checks how they end once all faults are over.
+// playPipelines runs five pipelines and checks the phases of their jobs and the remaining
+// records once all faults are over.
 func playPipelines(reporter errorReporter, world *World, seed uint64, announced bool) {
 	play := &pipelinePlay{errorReporter: reporter, world: world, seed: seed, announced: announced}
 	for range 5 {
@@ -61,15 +62,15 @@
 	world.Run(150 * time.Second)
 	for _, prefix := range []string{jobKeyPrefix, runKeyPrefix, upstreamKeyPrefix} {
 		if keys := world.listKeys(prefix); len(keys) > 0 {
-			play.Errorf("seed %d: left behind: %.300s", seed, strings.Join(keys, "\n"))
+			play.Errorf("seed %d: found keys with prefix %q after all jobs ended, want none: %.300s", seed, prefix, strings.Join(keys, "\n"))
 		}
 	}
 	if verdict := world.Verdict(); verdict != "kept" {
-		play.Errorf("seed %d: %s", seed, verdict)
+		play.Errorf("seed %d: invariants violated:\n%s", seed, verdict)
 	}
 }
 
-// lower lowers the state service's limits if that was announced.
+// lower lowers the limits of the state service once if the settings announce that.
 func (play *pipelinePlay) lower() {
 	if play.announced && !play.lowered {
 		play.lowered = true
@@ -77,8 +78,8 @@
 	}
 }
 
-// randomJob draws a job that needs others.
-func (play *pipelinePlay) randomJob(awaits []string) Arguments {
+// randomJob draws the arguments of a job with the given upstream jobs.
+func (play *pipelinePlay) randomJob(upstream []string) Arguments {
 	rng := play.world.random
 	arguments := Arguments{"id": jobID(play.next), "shape": []string{"array", "array", "gang"}[rng.IntN(3)], "tasks": fmt.Sprint(1 + rng.IntN(4)),
 		"run": fmt.Sprintf("%ds", 1+rng.IntN(12)), "team": []string{"red", "blue"}[rng.IntN(2)],
@@ -90,19 +91,19 @@
 	if rng.IntN(12) == 0 {
 		arguments["tasks"], arguments["cpus"], arguments["memory"] = "200", "0.02", "0.02"
 	}
-	if len(awaits) > 0 && rng.IntN(8) == 0 {
-		awaits = append(awaits, "req-005000*400") // several values and transactions
+	if len(upstream) > 0 && rng.IntN(8) == 0 {
+		upstream = append(upstream, "req-005000*400") // stored in several values and transactions
 	}
-	if len(awaits) > 0 {
-		arguments["awaits"] = strings.Join(awaits, "+")
+	if len(upstream) > 0 {
+		arguments["awaits"] = strings.Join(upstream, "+")
 	}
 	play.all = append(play.all, arguments["id"])
 	return arguments
 }
 
-// submit submits a random job that needs others.
-func (play *pipelinePlay) submit(awaits []string) (id string, taken bool) {
-	arguments := play.randomJob(awaits)
+// submit submits a random job with the given upstream jobs.
+func (play *pipelinePlay) submit(upstream []string) (id string, accepted bool) {
+	arguments := play.randomJob(upstream)
 	status, _ := play.world.users.Submit(arguments)
 	switch status {
 	case 200, 201:
@@ -110,12 +111,12 @@
 		return arguments["id"], true
 	case 503, 429, 0:
 	default:
-		play.Errorf("seed %d: %s gets %d", play.seed, arguments["id"], status)
+		play.Errorf("seed %d: submission of job %s answered %d, want 200, 201, 429, 503 or no answer", play.seed, arguments["id"], status)
 	}
 	return arguments["id"], false
 }
 
-// onePipeline submits a pipeline under random faults.
+// onePipeline submits one pipeline and injects random faults.
 func (play *pipelinePlay) onePipeline() {
 	world := play.world
 	stages := play.submitStages()
@@ -123,7 +124,7 @@
 		world.causeTwoFaults()
 	}
 	if world.random.IntN(6) == 0 {
-		// The limits fall in an outage.
+		// The limits are lowered during an outage.
 		world.stateService.setOutage(true)
 		play.lower()
 		world.schedule(seconds(1+world.random.Float64()*10), func() { world.stateService.setOutage(false) })
@@ -136,10 +137,10 @@
 		world.stateService.writesToDelay = 1 + world.random.IntN(2)
 	}
 	if len(stages) > 0 && world.random.IntN(4) == 0 {
-		// A submission that meets the cancellation of what it needs.
+		// A submission races with the cancellation of its upstream job.
 		upstream := stages[world.random.IntN(len(stages))]
-		down := play.randomJob([]string{upstream})
-		world.schedule(seconds(world.random.Float64()/2), func() { world.users.submitRecorded(down) })
+		downstream := play.randomJob([]string{upstream})
+		world.schedule(seconds(world.random.Float64()/2), func() { world.users.submitRecorded(downstream) })
 		world.schedule(seconds(world.random.Float64()/2), func() { world.users.cancelRecorded(upstream) })
 	}
 	world.Run(seconds(world.random.Float64() * 8))
@@ -156,31 +157,31 @@
 	}
 }
 
-// submitStages submits a pipeline: each job needs one or two before it, some an
-// older one.
+// submitStages submits the jobs of a pipeline and returns the accepted ones. Each job has one
+// or two upstream jobs among the last three, and some have one of an earlier pipeline.
 func (play *pipelinePlay) submitStages() (stages []string) {
 	rng := play.world.random
-	for k := range 2 + rng.IntN(4) {
-		var awaits []string
-		if k > 0 && len(stages) > 0 {
+	for stage := range 2 + rng.IntN(4) {
+		var upstream []string
+		if stage > 0 && len(stages) > 0 {
 			for range 1 + rng.IntN(2) {
-				awaits = append(awaits, stages[len(stages)-1-rng.IntN(min(len(stages), 3))])
+				upstream = append(upstream, stages[len(stages)-1-rng.IntN(min(len(stages), 3))])
 			}
 		}
 		if len(play.accepted) > 0 && rng.IntN(4) == 0 {
-			awaits = append(awaits, play.accepted[rng.IntN(len(play.accepted))])
+			upstream = append(upstream, play.accepted[rng.IntN(len(play.accepted))])
 		}
-		if id, ok := play.submit(awaits); ok {
+		if id, ok := play.submit(upstream); ok {
 			stages = append(stages, id)
 		}
 		if rng.IntN(5) == 0 {
-			play.world.Run(seconds(rng.Float64() * 4)) // the next comes late
+			play.world.Run(seconds(rng.Float64() * 4)) // the next stage is submitted late
 		}
 	}
 	return stages
 }
 
-// left lists the accepted jobs that are not over.
+// left returns the accepted jobs that have not ended.
 func (play *pipelinePlay) left() (ids []string) {
 	for _, id := range play.all {
 		if play.world.checker.acknowledgedPhase[id] != "" && !play.world.checker.isOver(id) {
@@ -190,11 +191,11 @@
 	return ids
 }
 
-// untilOver polls all jobs until they are over.
+// untilOver polls all jobs until they have ended, for at most five minutes.
 func (play *pipelinePlay) untilOver() {
 	for _, id := range play.all {
 		if play.world.checker.acknowledgedPhase[id] == "" {
-			play.world.users.Poll(id) // its user gave up; it may be accepted all the same
+			play.world.users.Poll(id) // its user stopped retrying, but the job may have been accepted
 		}
 	}
 	for range 150 {
@@ -209,20 +210,21 @@
 	}
 }
 
-// checkEnds checks that all jobs are over, and as their upstream jobs demand.
+// checkEnds checks that all jobs have ended, and in phases that fit those of their upstream
+// jobs.
 func (play *pipelinePlay) checkEnds() {
 	world := play.world
 	for _, id := range play.left() {
-		play.Errorf("seed %d: %s is still %s, needs %v\n%s", play.seed, id, world.checker.acknowledgedPhase[id], world.jobs[id].upstream,
+		play.Errorf("seed %d: job %s has phase %q, want done or cancelled; upstream jobs %v; stored records:\n%s", play.seed, id, world.checker.acknowledgedPhase[id], world.jobs[id].upstream,
 			world.storedOf(id))
 	}
 	for _, id := range play.all {
 		for _, upstream := range world.jobs[id].upstream {
-			acknowledged, above := world.checker.acknowledgedPhase[id], world.checker.acknowledgedPhase[upstream]
-			doneTooEarly := acknowledged == jobDone && above != jobDone
-			notCancelled := above == jobCancelled && acknowledged != "" && acknowledged != jobCancelled
+			phase, upstreamPhase := world.checker.acknowledgedPhase[id], world.checker.acknowledgedPhase[upstream]
+			doneTooEarly := phase == jobDone && upstreamPhase != jobDone
+			notCancelled := upstreamPhase == jobCancelled && phase != "" && phase != jobCancelled
 			if doneTooEarly || notCancelled {
-				play.Errorf("seed %d: %s is %s, needs %s, which is %s", play.seed, id, acknowledged, upstream, above)
+				play.Errorf("seed %d: job %s has phase %q, which does not fit upstream job %s with phase %q", play.seed, id, phase, upstream, upstreamPhase)
 			}
 		}
 	}
--- a/internal/simtest/recording.go
+++ b/internal/simtest/recording.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// worldRecording is what a version left behind when all its controllers ended: what
-// the state service holds and what is on the machines. The files under
-// testdata/production were taken down by a run of the version in production
-// (TestRecord), so that a change of version is played without its code.
+// worldRecording is the state that remains after all controllers of a version ended: the
+// contents of the state service and the tasks on machines. The files under
+// testdata/production were recorded by running TestRecord with the version in production,
+// so that an upgrade can be simulated without the code of the older version.
 type worldRecording struct {
 	Note        string              `json:"note"`
 	Revision    uint64              `json:"epoch"`
 	Keys        []recordedKey       `json:"keys"`
-	Leases      map[uint64]int64    `json:"leases"` // life in milliseconds
+	Leases      map[uint64]int64    `json:"leases"` // durations in milliseconds, by ID
 	Jobs        []recordedJob       `json:"jobs"`
 	Machines    []recordedMachine   `json:"machines"`
-	Provisioned map[string][]string `json:"Hires"` // names of machines, by request
+	Provisioned map[string][]string `json:"Hires"` // names of provisioned machines, by request
 }
 
-// recordedKey is a key of the state service.
+// recordedKey is a key of the state service with its value.
 type recordedKey struct {
 	Key         string          `json:"key"`
 	Data        json.RawMessage `json:"data"`
@@ -31,7 +31,7 @@
 	LeaseID     uint64          `json:"tether,omitempty"`
 }
 
-// recordedJob is a job and what its user was answered.
+// recordedJob is a job with the answers to its user and its progress.
 type recordedJob struct {
 	Args              Arguments             `json:"args"`
 	AcknowledgedPhase string                `json:"told"`
@@ -40,7 +40,7 @@
 	Progress          map[int]time.Duration `json:"progress,omitempty"`
 }
 
-// recordedMachine is a machine, with what its worker knew.
+// recordedMachine is a machine with the state of its worker.
 type recordedMachine struct {
 	Name         string         `json:"Name"`
 	Addr         string         `json:"Addr"`
@@ -51,7 +51,7 @@
 	Incarnation  uint64         `json:"Tenure"`
 	Sequence     uint64         `json:"Tick"`
 	FencingToken uint64         `json:"Fence"`
-	Answered     time.Duration  `json:"Answered"` // since the last heartbeat that was answered
+	Answered     time.Duration  `json:"Answered"` // age of the last answered heartbeat
 	Tasks        []recordedTask `json:"Tasks"`
 }
 
@@ -66,12 +66,12 @@
 	Ran              time.Duration `json:"ran,omitempty"`
 }
 
-// identity is what the machine was.
+// identity returns the identity of the recorded machine.
 func (machine recordedMachine) identity() machineIdentity {
 	return machineIdentity{name: machine.Name, addr: machine.Addr, machineType: machine.MachineType, zone: machine.Zone, spot: machine.Spot}
 }
 
-// Record takes down what there is. jobs are the arguments of the submissions.
+// Record returns a recording of the world as JSON. jobs are the arguments of the submissions.
 func (world *World) Record(note string, jobs []Arguments) ([]byte, error) {
 	recording := worldRecording{
 		Note:        note,
@@ -95,7 +95,7 @@
 	return json.Marshal(recording)
 }
 
-// recordJob takes down what has become of a job; arguments are those of its submission.
+// recordJob returns the recording of a job. arguments are those of its submission.
 func (world *World) recordJob(arguments Arguments) recordedJob {
 	job := world.jobs[arguments["id"]]
 	recorded := recordedJob{
@@ -111,7 +111,7 @@
 	return recorded
 }
 
-// record takes down a machine with its tasks.
+// record returns the recording of a machine with its tasks.
 func (worker *fakeWorker) record() recordedMachine {
 	machine := recordedMachine{
 		Name:         worker.name,
@@ -142,8 +142,8 @@
 	return machine
 }
 
-// Load makes a world that has just begun go on from a recording. Its
-// controllers are those of the newer version and begin anew.
+// Load replaces the state of a new world by a recording. The controllers, which run the
+// newer version, are restarted.
 func (world *World) Load(file string) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -167,13 +167,13 @@
 	return nil
 }
 
-// load replaces what the state service holds.
+// load replaces the contents of the state service by those of a recording.
 func (service *fakeStateService) load(recording worldRecording) {
 	service.revision, service.oldest, service.log = recording.Revision, recording.Revision, nil
 	service.leases = map[uint64]*grantedLease{}
 	for id, milliseconds := range recording.Leases {
-		life := time.Duration(milliseconds) * time.Millisecond
-		service.leases[id] = &grantedLease{life, service.world.now + life}
+		duration := time.Duration(milliseconds) * time.Millisecond
+		service.leases[id] = &grantedLease{duration, service.world.now + duration}
 		service.lastLease = max(service.lastLease, id)
 	}
 	service.keys = map[string]storedValue{}
@@ -182,7 +182,7 @@
 	}
 }
 
-// loadJob registers a recorded job.
+// loadJob restores a recorded job.
 func (world *World) loadJob(recorded recordedJob) {
 	world.users.registerJob(currentArgs(recorded.Args))
 	job := world.jobs[recorded.Args["id"]]
@@ -190,8 +190,8 @@
 	for _, i := range recorded.Complete {
 		job.completed[i] = true
 	}
-	for i, p := range recorded.Progress {
-		job.progress[i] = p
+	for i, progress := range recorded.Progress {
+		job.progress[i] = progress
 	}
 	world.checker.acknowledgedPhase[job.id] = recorded.AcknowledgedPhase
 	if recorded.Cancelled {
@@ -199,7 +199,7 @@
 	}
 }
 
-// load replaces the cloud's machines and what runs on them.
+// load replaces the cloud's machines and their tasks by those of a recording.
 func (cloud *fakeCloud) load(recording worldRecording) {
 	cloud.provisionedByRequest = recording.Provisioned
 	cloud.machines = map[string]*provisionedMachine{}
@@ -226,7 +226,7 @@
 	}
 }
 
-// restoreTask puts a task where it was recorded.
+// restoreTask restores a recorded task on its machine.
 func (worker *fakeWorker) restoreTask(recorded recordedTask) {
 	world := worker.world
 	job := world.jobs[recorded.Task[:strings.LastIndexByte(recorded.Task, '/')]]
@@ -245,7 +245,7 @@
 	case recorded.Phase == taskExited:
 		worker.assignments[recorded.Task] = assignment
 	case recorded.Phase != taskRunning || job.shape == shapeGang && len(job.completed) > 0:
-		// Its image is fetched anew: the machine had it or nearly so.
+		// The image is pulled again, although the recorded machine had all or most of it.
 		worker.startTask(taskCommand{Verb: "start", Task: recorded.Task, Attempt: recorded.Attempt})
 	case job.shape == shapeGang:
 		worker.assignments[recorded.Task] = assignment
@@ -270,12 +270,12 @@
 	}
 }
 
-// recordedArgNames are the names of a submission's arguments in recordings,
-// where they differ from those of scenarios.
+// recordedArgNames maps the argument names of submissions in recordings to the current
+// names, where they differ.
 var recordedArgNames = map[string]string{"shards": "tasks", "cores": "cpus", "cards": "gpus", "ram": "memory", "flavors": "types", "yard": "zone",
 	"same": "same_zone", "loaners": "spot", "snap": "checkpoint", "cost": "checkpoint_cost", "rank": "priority"}
 
-// currentArgs returns a recorded submission's arguments by their present names.
+// currentArgs returns the arguments of a recorded submission under their current names.
 func currentArgs(recorded Arguments) Arguments {
 	args := Arguments{}
 	for name, value := range recorded {
--- a/internal/simtest/recording_test.go
+++ b/internal/simtest/recording_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// stopMidway is a deployment with a bit of everything, stopped in the middle: jobs
-// done and cancelled, arrays of several records partly done, gangs, services, a
-// job that waits for its team's limit, a cancelled one whose tasks still run, a
-// crashed machine. At its end all controllers are down.
+// stopMidway runs a deployment with a mix of job states and stops all its controllers: jobs
+// done and cancelled, partly completed arrays with several run records, gangs, daemons, a
+// job that waits because its team is at its limit, a cancelled job whose tasks still run,
+// and a crashed machine.
 func stopMidway(t *testing.T, seed uint64) (*World, []Arguments) {
 	t.Helper()
 	world := New(3, seed, logOut())
@@ -23,13 +23,13 @@
 	var jobs []Arguments
 	submit := func(text string) {
 		arguments := Arguments{"id": fmt.Sprintf("req-%06d", 900+len(jobs))}
-		for _, f := range strings.Fields(text) {
-			key, v, _ := strings.Cut(f, "=")
-			arguments[key] = v
+		for _, field := range strings.Fields(text) {
+			key, value, _ := strings.Cut(field, "=")
+			arguments[key] = value
 		}
 		jobs = append(jobs, maps.Clone(arguments))
 		if status, phase := world.users.Submit(arguments); status != 201 && status != 200 {
-			t.Fatalf("%v: %d %s", arguments, status, phase)
+			t.Fatalf("submission %v answered %d %q, want 200 or 201", arguments, status, phase)
 		}
 	}
 	submit("tasks=2 run=2s")
@@ -57,7 +57,7 @@
 	return world, jobs
 }
 
-// playRecording plays a loaded world to its end.
+// playRecording loads a recording into a new world and runs it until all jobs have ended.
 func playRecording(t *testing.T, file string) {
 	t.Helper()
 	world := NewWith(Options{
@@ -74,44 +74,43 @@
 		acknowledged := world.checker.acknowledgedPhase[id]
 		status, phase := world.users.requestUntilAnswered(id, pollRequest(id))
 		if status != 200 || (acknowledged == "done" && phase != acknowledged) {
-			t.Errorf("%s was %s, is %d %s", id, acknowledged, status, phase)
+			t.Errorf("job %s, acknowledged as %q before the upgrade, answered %d %q, want 200 and an unchanged phase if done", id, acknowledged, status, phase)
 		}
 	}
-	// New jobs need old ones: one done long ago and one that still runs, and
-	// one that was cancelled.
+	// New jobs have recorded upstream jobs: a done and a running one, and a cancelled one.
 	for _, arguments := range []Arguments{
 		{"id": "req-000950", "awaits": "req-000900+req-000901", "run": "2s"},
 		{"id": "req-000951", "awaits": "req-000907"},
 	} {
 		if status, _ := world.users.Submit(arguments); status != 200 && status != 201 {
-			t.Errorf("%v: %d", arguments, status)
+			t.Errorf("submission %v answered %d, want 200 or 201", arguments, status)
 		}
 	}
 	world.Run(20 * time.Second)
 	if _, phase := world.users.requestUntilAnswered("req-000951", pollRequest("req-000951")); phase != "cancelled" {
-		t.Errorf("needs a cancelled job and is %s", phase)
+		t.Errorf("job req-000951 with a cancelled upstream job has phase %q, want cancelled", phase)
 	}
 	world.stateService.setLimits(Arguments{"value": "2", "ops": "4", "writes": "40"})
-	world.users.Cancel("req-000904") // a service
+	world.users.Cancel("req-000904") // a daemon, which does not end by itself
 	if got := runCommand(t, world, "all", Arguments{"within": "240s"}); got != fmt.Sprintf("%d done", len(world.acceptedJobs())) {
-		t.Errorf("%s of %d", got, len(world.acceptedJobs()))
+		t.Errorf("got %s, want %d done", got, len(world.acceptedJobs()))
 		for _, id := range world.acceptedJobs() {
 			if world.checker.acknowledgedPhase[id] != "done" {
-				t.Errorf("%s is %s:\n%.600s", id, world.checker.acknowledgedPhase[id], world.storedOf(id))
+				t.Errorf("job %s has phase %q, want done; stored records:\n%.600s", id, world.checker.acknowledgedPhase[id], world.storedOf(id))
 			}
 		}
 	}
-	if v := world.Verdict(); v != "kept" {
-		t.Error(v)
+	if verdict := world.Verdict(); verdict != "kept" {
+		t.Errorf("invariants violated:\n%s", verdict)
 	}
 }
 
-// TestRecord takes a world down and lets another go on with it. With
-// SIM_RECORD it writes the files below testdata/production; they were written
-// by the version named in them and stay as they are.
+// TestRecord records a world and continues the recording in another world. With SIM_RECORD
+// it writes the files below testdata/production. They were written by the version named in
+// them and must not be changed.
 func TestRecord(t *testing.T) {
 	world, jobs := stopMidway(t, 41)
-	b, err := world.Record("midway, all controllers ended; "+os.Getenv("SIM_RECORD"), jobs)
+	recording, err := world.Record("midway, all controllers ended; "+os.Getenv("SIM_RECORD"), jobs)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,22 +118,23 @@
 	if os.Getenv("SIM_RECORD") != "" {
 		file = "testdata/production/midway.json"
 	}
-	if err := os.WriteFile(file, b, 0o600); err != nil {
+	if err := os.WriteFile(file, recording, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if v := world.Verdict(); v != "kept" {
-		t.Error(v)
+	if verdict := world.Verdict(); verdict != "kept" {
+		t.Errorf("invariants violated:\n%s", verdict)
 	}
 	playRecording(t, file)
 }
 
-// TestProduction goes on with what the version in production left behind.
+// TestProduction checks that this version continues from the state that the version in
+// production left.
 func TestProduction(t *testing.T) {
 	files, _ := filepath.Glob("testdata/production/*.json")
 	if len(files) == 0 {
-		t.Fatal("no recordings")
+		t.Fatal("found no recordings in testdata/production, want at least one")
 	}
-	for _, f := range files {
-		t.Run(filepath.Base(f), func(t *testing.T) { playRecording(t, f) })
+	for _, file := range files {
+		t.Run(filepath.Base(file), func(t *testing.T) { playRecording(t, file) })
 	}
 }
--- a/internal/simtest/users.go
+++ b/internal/simtest/users.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// userRetry is how long users go on asking.
+// userRetry is how long users retry a request.
 const userRetry = 60 * time.Second
 
-// userCallTimeout is how long users wait for an answer.
+// userCallTimeout is how long users wait for the answer to a request.
 const userCallTimeout = 5 * time.Second
 
-// fakeUsers is a stand-in of the users.
+// fakeUsers simulates the users.
 type fakeUsers struct {
 	world           *World
-	entryController *controllerProcess // whom they ask, nil: any
-	recordedAnswers map[string]string  // to requests that nobody waits for, by what was asked
-	cancelAtEnd     float64            // share of the jobs that end that are cancelled at that moment
-	invalidRequests bool               // they send invalid requests
-	invalidIDs      int                // IDs used for these
+	entryController *controllerProcess // receives all requests of users; nil means a random controller each
+	recordedAnswers map[string]string  // last answers to background requests, by kind of request and job ID
+	cancelAtEnd     float64            // probability that a job is cancelled at the moment of its end
+	invalidRequests bool               // invalid requests are being sent
+	invalidIDs      int                // number of IDs used for invalid requests
 }
 
 func newUsers(world *World) *fakeUsers {
 	return &fakeUsers{world: world, recordedAnswers: map[string]string{}}
 }
 
-// userRequest is a request of a user.
+// userRequest returns a request of a user.
 func userRequest(method, path string, body []byte) httpRequest {
 	return httpRequest{from: "user", method: method, path: path, body: body, timeout: userCallTimeout}
 }
@@ -37,7 +37,8 @@
 
 func cancelRequest(id string) httpRequest { return userRequest("POST", jobsPath+"/"+id+"/cancel", nil) }
 
-// requestAndWait sends one user request to a controller and plays until the answer is there.
+// requestAndWait sends one user request to a controller and runs the world until the answer
+// arrives, for at most 6 seconds.
 func (users *fakeUsers) requestAndWait(process *controllerProcess, request httpRequest) (status int, phase string) {
 	done := false
 	users.world.network.request(process, request, func(code int, body []byte) {
@@ -49,7 +50,7 @@
 	return status, phase
 }
 
-// phaseIn is the phase that an answer to a user shows.
+// phaseIn returns the phase in the body of an answer to a user.
 func phaseIn(answer []byte) string {
 	var state struct {
 		Phase string `json:"phase"`
@@ -58,7 +59,7 @@
 	return state.Phase
 }
 
-// chooseEntryController is the controller that the next request of a user goes to.
+// chooseEntryController returns the controller that receives the next request of a user.
 func (users *fakeUsers) chooseEntryController() *controllerProcess {
 	if users.entryController != nil {
 		return users.entryController
@@ -66,12 +67,13 @@
 	return users.world.randomController()
 }
 
-// requestUntilAnswered repeats a request as users do until an answer counts.
+// requestUntilAnswered retries a request every second until its answer is decided or
+// userRetry has passed.
 func (users *fakeUsers) requestUntilAnswered(id string, request httpRequest) (int, string) {
 	for end := users.world.now + userRetry; ; users.world.Run(time.Second) {
-		asked := users.world.now
+		sentAt := users.world.now
 		status, phase := users.requestAndWait(users.chooseEntryController(), request)
-		users.world.checker.checkAnswer(asked, id, status, phase)
+		users.world.checker.checkAnswer(sentAt, id, status, phase)
 		users.noteAnswered(id)
 		if isDecided(status) {
 			return status, phase
@@ -82,36 +84,36 @@
 	}
 }
 
-// Submit submits a job.
+// Submit submits a job and retries until the answer is decided.
 func (users *fakeUsers) Submit(arguments Arguments) (int, string) {
 	body := users.registerJob(arguments)
 	users.world.jobs[arguments["id"]].submitted = true
 	return users.requestUntilAnswered(arguments["id"], submitRequest(body))
 }
 
-// Poll asks for a job's state once, without insisting.
+// Poll requests a job's state once, without retries.
 func (users *fakeUsers) Poll(id string) (int, string) {
-	asked := users.world.now
+	sentAt := users.world.now
 	status, phase := users.requestAndWait(users.chooseEntryController(), pollRequest(id))
-	users.world.checker.checkAnswer(asked, id, status, phase)
+	users.world.checker.checkAnswer(sentAt, id, status, phase)
 	users.world.checker.checkPoll(id, status)
 	return status, phase
 }
 
-// Cancel cancels a job.
+// Cancel cancels a job and retries until the answer is decided.
 func (users *fakeUsers) Cancel(id string) (int, string) {
 	users.world.checker.cancelRequests[id] = true
 	return users.requestUntilAnswered(id, cancelRequest(id))
 }
 
-// isDecided reports whether the status of an answer is one that users do not ask again after.
+// isDecided reports whether users stop retrying a request after an answer with this status.
 func isDecided(status int) bool {
 	return isAccepted(status) || status == http.StatusBadRequest || status == http.StatusNotFound || status == http.StatusUnprocessableEntity
 }
 
-// noteAnswered notes when the user of a job first got an answer.
+// noteAnswered records when the user of a job first received an answer.
 func (users *fakeUsers) noteAnswered(id string) {
 	if job := users.world.jobs[id]; job != nil && job.firstAnsweredAt == 0 {
-		job.firstAnsweredAt = max(users.world.now, 1) // 0 means never
+		job.firstAnsweredAt = max(users.world.now, 1) // zero means never
 	}
 }
--- a/internal/simtest/users_background.go
+++ b/internal/simtest/users_background.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// retryRequest sends a user's request again until its answer counts, while the world
-// goes on.
-func (users *fakeUsers) retryRequest(request httpRequest, take func(asked time.Duration, status int, phase string) bool) {
+// retryRequest sends a user's request in the background. It retries every second until
+// handle returns true for an answer or userRetry has passed.
+func (users *fakeUsers) retryRequest(request httpRequest, handle func(sentAt time.Duration, status int, phase string) bool) {
 	end := users.world.now + userRetry
 	var attempt func()
 	attempt = func() {
-		asked := users.world.now
+		sentAt := users.world.now
 		users.world.network.request(users.chooseEntryController(), request, func(status int, body []byte) {
-			if !take(asked, status, phaseIn(body)) && users.world.now < end {
+			if !handle(sentAt, status, phaseIn(body)) && users.world.now < end {
 				users.world.schedule(time.Second, attempt)
 			}
 		})
@@ -22,48 +22,50 @@
 	attempt()
 }
 
-// cancelInBackground cancels a job while the world goes on.
+// cancelInBackground cancels a job without waiting for the answer.
 func (users *fakeUsers) cancelInBackground(id string) {
 	users.world.checker.cancelRequests[id] = true
-	users.retryRequest(cancelRequest(id), func(asked time.Duration, status int, phase string) bool {
-		users.world.checker.checkAnswer(asked, id, status, phase)
+	users.retryRequest(cancelRequest(id), func(sentAt time.Duration, status int, phase string) bool {
+		users.world.checker.checkAnswer(sentAt, id, status, phase)
 		return status == http.StatusOK || status == http.StatusNotFound
 	})
 }
 
-// pollInBackground asks for a job's state while the world goes on.
+// pollInBackground requests a job's state without waiting for the answer.
 func (users *fakeUsers) pollInBackground(id string) {
-	users.retryRequest(pollRequest(id), func(asked time.Duration, status int, phase string) bool {
-		users.world.checker.checkAnswer(asked, id, status, phase)
+	users.retryRequest(pollRequest(id), func(sentAt time.Duration, status int, phase string) bool {
+		users.world.checker.checkAnswer(sentAt, id, status, phase)
 		return true
 	})
 }
 
-// resubmitInBackground submits a known job again: it is never accepted anew.
+// resubmitInBackground submits an accepted job again and checks that no second job is
+// created for it.
 func (users *fakeUsers) resubmitInBackground(id string) {
 	job := users.world.jobs[id]
 	if job.body == nil || users.world.checker.acknowledgedPhase[id] == "" {
 		return
 	}
-	users.retryRequest(submitRequest(job.body), func(asked time.Duration, status int, phase string) bool {
+	users.retryRequest(submitRequest(job.body), func(sentAt time.Duration, status int, phase string) bool {
 		if status == http.StatusCreated {
-			users.world.checker.reportViolation("accepted: %s once more, it was %s", id, users.world.checker.acknowledgedPhase[id])
+			users.world.checker.reportViolation("job created twice: resubmitted job %s answered %d, want %d as its last acknowledged phase is %s",
+				id, status, http.StatusOK, users.world.checker.acknowledgedPhase[id])
 		}
-		users.world.checker.checkAnswer(asked, id, status, phase)
+		users.world.checker.checkAnswer(sentAt, id, status, phase)
 		return status == http.StatusOK
 	})
 }
 
-// noAnswerYet is what is recorded of a request before it is answered.
+// noAnswerYet is the recorded answer to a request that is still pending.
 const noAnswerYet = "none yet"
 
-// requestRecorded repeats a request as users do, without anybody waiting for it; the last
-// answer goes to recordedAnswers.
+// requestRecorded sends a request in the background, with retries, and records its last
+// answer in recordedAnswers.
 func (users *fakeUsers) requestRecorded(id, key string, request httpRequest) {
 	users.recordedAnswers[key] = noAnswerYet
 	end := users.world.now + userRetry
-	users.retryRequest(request, func(asked time.Duration, status int, phase string) bool {
-		users.world.checker.checkAnswer(asked, id, status, phase)
+	users.retryRequest(request, func(sentAt time.Duration, status int, phase string) bool {
+		users.world.checker.checkAnswer(sentAt, id, status, phase)
 		users.noteAnswered(id)
 		if isDecided(status) {
 			users.recordedAnswers[key] = fmt.Sprintf("%d %s", status, phase)
@@ -76,21 +78,21 @@
 	})
 }
 
-// submitRecorded submits a job without waiting for the answer, which is recorded.
+// submitRecorded submits a job in the background and records the answer.
 func (users *fakeUsers) submitRecorded(arguments Arguments) {
 	body := users.registerJob(arguments)
 	users.world.jobs[arguments["id"]].submitted = true
 	users.requestRecorded(arguments["id"], "submit "+arguments["id"], submitRequest(body))
 }
 
-// cancelRecorded cancels a job without waiting for the answer, which is recorded.
+// cancelRecorded cancels a job in the background and records the answer.
 func (users *fakeUsers) cancelRecorded(id string) {
 	users.world.checker.cancelRequests[id] = true
 	users.requestRecorded(id, "cancel "+id, cancelRequest(id))
 }
 
-// waitForRecordedAnswers plays until every request whose answer is recorded is answered, and
-// reports whether that is so within the time.
+// waitForRecordedAnswers runs the world until no recorded request is pending. It returns
+// false if requests are still pending after the given time.
 func (users *fakeUsers) waitForRecordedAnswers(within time.Duration) bool {
 	for end := users.world.now + within; users.world.now < end; users.world.Run(100 * time.Millisecond) {
 		pending := false
--- a/internal/simtest/users_cancel.go
+++ b/internal/simtest/users_cancel.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// taskCompleted is called when a task completes: the last one's job may be cancelled,
-// asked about and submitted again at that very moment.
+// taskCompleted handles the completion of a task. When the last task of a job completes, the
+// job may be cancelled, resubmitted and polled within the next second.
 func (users *fakeUsers) taskCompleted(job *jobRecord) {
 	if len(job.completed) < job.taskCount || users.world.checker.cancelRequests[job.id] || !users.world.chance(users.cancelAtEnd) {
 		return
@@ -14,8 +14,8 @@
 	users.world.schedule(users.world.randomDuration(0, time.Second), func() { users.pollInBackground(job.id) })
 }
 
-// runningJobs lists the accepted jobs that have a task on a machine and that
-// nobody cancelled.
+// runningJobs returns the accepted jobs that have a task on a machine and no requested
+// cancellation.
 func (users *fakeUsers) runningJobs() []string {
 	var ids []string
 	seen := map[string]bool{}
@@ -28,9 +28,9 @@
 	return ids
 }
 
-// cancelNow cancels so many running jobs within a fifth of a second, and lets
-// up to eight of their machines hang for that long.
-func (users *fakeUsers) cancelNow(count int, duration time.Duration) []string {
+// cancelNow cancels up to count random running jobs within 200 ms, and lets up to eight of
+// their machines hang for hangTime. It returns the IDs of the jobs.
+func (users *fakeUsers) cancelNow(count int, hangTime time.Duration) []string {
 	ids := users.runningJobs()
 	users.world.random.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
 	ids = ids[:min(count, len(ids))]
@@ -38,14 +38,14 @@
 		users.world.checker.cancelRequests[id] = true
 		users.world.schedule(users.world.randomDuration(0, 200*time.Millisecond), func() { users.cancelInBackground(id) })
 	}
-	if duration > 0 {
+	if hangTime > 0 {
 		hung := map[*fakeWorker]bool{}
 		for _, assignment := range users.world.checker.onMachines() {
 			for _, id := range ids {
 				if assignment.job.id == id && len(hung) < 8 && !hung[assignment.worker] {
 					hung[assignment.worker] = true
 					worker := assignment.worker
-					users.world.schedule(users.world.randomDuration(0, 400*time.Millisecond), func() { worker.hang(duration) })
+					users.world.schedule(users.world.randomDuration(0, 400*time.Millisecond), func() { worker.hang(hangTime) })
 				}
 			}
 		}
--- a/internal/simtest/users_crowd.go
+++ b/internal/simtest/users_crowd.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// crowdResult is what came of jobs that were submitted at the same moment.
+// crowdResult is the result of a burst of jobs that were submitted at the same moment.
 type crowdResult struct {
 	accepted, pending int
-	slowest           time.Duration // time to the slowest answer
-	refused           int           // answers 503
-	refusedTime       time.Duration // until these answers came, all together
+	slowest           time.Duration // time until the slowest answer
+	refused           int           // number of answers with status 503
+	refusedTime       time.Duration // sum of the times until the answers with status 503
 }
 
-// submitAtOnce submits many jobs at the same moment, each user repeating as users do,
-// and tells how many were accepted, within how many seconds the slowest request
-// was answered at all, and whether refusals come at once on average.
+// submitAtOnce submits many jobs at the same moment, each with retries. It returns how many
+// were accepted, how many seconds the slowest answer took, and whether the mean time of
+// refusals is at most promptRefusal.
 func (users *fakeUsers) submitAtOnce(arguments Arguments) string {
 	result := &crowdResult{pending: int(arguments.number("count", "1"))}
 	end := users.world.now + userRetry
 	for i := range result.pending {
-		one := maps.Clone(arguments)
-		one["id"] = jobID(int(arguments.number("from", "1")) + i)
-		body := users.registerJob(one)
-		job := users.world.jobs[one["id"]]
+		jobArguments := maps.Clone(arguments)
+		jobArguments["id"] = jobID(int(arguments.number("from", "1")) + i)
+		body := users.registerJob(jobArguments)
+		job := users.world.jobs[jobArguments["id"]]
 		job.submitted = true
 		users.submitOneOfCrowd(result, job, body, end)
 	}
@@ -36,20 +36,20 @@
 	return result.outcome(arguments.duration("within", "0s"))
 }
 
-// submitOneOfCrowd submits one job of a crowd until it is accepted or the end has
-// come.
+// submitOneOfCrowd submits one job of a burst and retries until it is accepted or end is
+// reached.
 func (users *fakeUsers) submitOneOfCrowd(result *crowdResult, job *jobRecord, body []byte, end time.Duration) {
-	asked := users.world.now
+	sentAt := users.world.now
 	users.world.network.request(users.chooseEntryController(), submitRequest(body), func(status int, answer []byte) {
-		users.world.checker.checkAnswer(asked, job.id, status, phaseIn(answer))
-		result.slowest = max(result.slowest, users.world.now-asked)
+		users.world.checker.checkAnswer(sentAt, job.id, status, phaseIn(answer))
+		result.slowest = max(result.slowest, users.world.now-sentAt)
 		if status == http.StatusServiceUnavailable {
 			result.refused++
-			result.refusedTime += users.world.now - asked
+			result.refusedTime += users.world.now - sentAt
 		}
 		switch {
 		case isAccepted(status):
-			job.firstAnsweredAt = asked
+			job.firstAnsweredAt = sentAt
 			result.accepted, result.pending = result.accepted+1, result.pending-1
 		case users.world.now >= end:
 			result.pending--
@@ -59,14 +59,15 @@
 	})
 }
 
-// promptRefusal is how soon refusals come on average where they come at once.
+// promptRefusal is the longest mean time of refusals that counts as "at once".
 const promptRefusal = 500 * time.Millisecond
 
-// outcome tells what came of a crowd; most is the longest that an answer may
-// take, 0 where it is not to be judged.
-func (result *crowdResult) outcome(most time.Duration) string {
-	if most > 0 && result.slowest <= most {
-		// Where links lose packets, a call of ours may take its time.
+// outcome describes the result of a burst. limit is the longest time that an answer may
+// take; zero means that the times themselves are printed.
+func (result *crowdResult) outcome(limit time.Duration) string {
+	if limit > 0 && result.slowest <= limit {
+		// With packet loss, the calls of controllers may take longer, so only the limit is
+		// checked and no times are printed.
 		return fmt.Sprintf("%d accepted, answered in time", result.accepted)
 	}
 	when := "at once"
--- a/internal/simtest/users_invalid.go
+++ b/internal/simtest/users_invalid.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// sendInvalidRequests lets users send invalid requests until that is over.
+// sendInvalidRequests sends random invalid requests until invalidRequests is reset.
 func (users *fakeUsers) sendInvalidRequests() {
 	if !users.invalidRequests {
 		return
@@ -44,25 +44,25 @@
 	}
 }
 
-// invalidID is an ID that no valid job has.
+// invalidID returns a new job ID that no valid job uses.
 func (users *fakeUsers) invalidID() string {
 	users.invalidIDs++
 	return fmt.Sprintf("req-9%06d", users.invalidIDs)
 }
 
-// askUnknown asks about and cancels a job that nobody submitted.
+// askUnknown polls and cancels a job that was never submitted.
 func (users *fakeUsers) askUnknown() {
 	id := users.invalidID()
 	for _, request := range []httpRequest{pollRequest(id), cancelRequest(id)} {
-		users.retryRequest(request, func(asked time.Duration, status int, phase string) bool {
-			users.world.checker.checkAnswer(asked, id, status, phase)
+		users.retryRequest(request, func(sentAt time.Duration, status int, phase string) bool {
+			users.world.checker.checkAnswer(sentAt, id, status, phase)
 			users.world.checker.checkRefusal(id, http.StatusNotFound, status)
 			return status == http.StatusNotFound
 		})
 	}
 }
 
-// submitImpossible submits a job that no machine or no limit fits.
+// submitImpossible submits a job that fits no machine or not into its team's limit.
 func (users *fakeUsers) submitImpossible() {
 	arguments := Arguments{"id": users.invalidID()}
 	switch users.world.random.IntN(4) {
@@ -78,7 +78,7 @@
 	users.submitRefused(arguments["id"], users.registerJob(arguments), http.StatusUnprocessableEntity)
 }
 
-// submitIncomplete submits a job without one of its fields.
+// submitIncomplete submits a job without one of its required fields.
 func (users *fakeUsers) submitIncomplete() {
 	arguments := Arguments{"id": users.invalidID()}
 	var submitted map[string]json.RawMessage
@@ -95,12 +95,12 @@
 	users.submitRefused(arguments["id"], body, http.StatusBadRequest)
 }
 
-// submitRefused submits a job until it is refused with the status that is wanted.
+// submitRefused submits a job and retries until it is refused with the wanted status.
 func (users *fakeUsers) submitRefused(id string, body []byte, want int) {
 	job := users.world.jobs[id]
 	job.submitted, job.expectedRefusal = true, want
-	users.retryRequest(submitRequest(body), func(asked time.Duration, status int, phase string) bool {
-		users.world.checker.checkAnswer(asked, id, status, phase)
+	users.retryRequest(submitRequest(body), func(sentAt time.Duration, status int, phase string) bool {
+		users.world.checker.checkAnswer(sentAt, id, status, phase)
 		users.world.checker.checkRefusal(id, want, status)
 		return status == want
 	})
--- a/internal/simtest/users_submission.go
+++ b/internal/simtest/users_submission.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// registerJob registers a job with the workers, as its user does, and returns the
-// submission.
+// registerJob records the job that the arguments describe, so that workers can run it, and
+// returns the body of its submission.
 func (users *fakeUsers) registerJob(arguments Arguments) []byte {
 	id := arguments["id"]
 	job := users.world.jobs[id]
@@ -19,7 +19,7 @@
 	return job.body
 }
 
-// describe takes what a job is from the arguments of its submission.
+// describe sets the specification of a job from the arguments of its submission.
 func (job *jobRecord) describe(arguments Arguments) {
 	job.team, job.shape, job.class = arguments.text("team", "red"), arguments.text("shape", "array"), arguments.text("class", "c")
 	job.taskCount = int(arguments.number("tasks", "1"))
@@ -35,7 +35,7 @@
 	job.checkpointInterval, job.checkpointDuration = arguments.duration("checkpoint", "0s"), arguments.duration("checkpoint_cost", "1s")
 }
 
-// encodeSubmission is the body of the request that submits a job.
+// encodeSubmission returns the body of the request that submits a job.
 func (job *jobRecord) encodeSubmission(arguments Arguments, upstream []string) []byte {
 	request := submission{
 		ID:                 job.id,
@@ -65,8 +65,8 @@
 	return body
 }
 
-// recordUpstream notes the upstream jobs that a submission names. Once the job is
-// accepted its list is what it was, whatever a retry says.
+// recordUpstream records and returns the upstream jobs of a submission. Once the job is
+// accepted, its list is no longer changed by a repeated submission.
 func (users *fakeUsers) recordUpstream(job *jobRecord, arguments Arguments) []string {
 	text, ok := arguments["awaits"]
 	if !ok {
@@ -74,7 +74,7 @@
 	}
 	ids, err := parseJobIDs(text)
 	if err != nil {
-		users.world.reportLimitViolation("%s: %v", job.id, err)
+		users.world.reportLimitViolation("upstream jobs of job %s: %v", job.id, err)
 		return nil
 	}
 	if users.world.checker.acknowledgedPhase[job.id] == "" {
