--- a/internal/simtest/checker.go
+++ b/internal/simtest/checker.go
@@ -12,14 +12,14 @@
 // and what users are answered, and ignores the records that controllers store. The one
 // exception is the done record of a job: no downstream job may start before it exists.
 type Checker struct {
-	world        *World
-	Violations   []string                     // in order of detection, each with its virtual time
-	faultsOverAt time.Duration                // when the last fault ended; zero while faults may occur
-	instances    map[string][]*taskAssignment // started attempts that may still be on machines, by task
-	releasedAt   map[string]time.Duration     // when all upstream jobs of a job were done, by job ID
+	world          *World
+	Violations     []string                     // in order of detection, each with its virtual time
+	faultsOverAt   time.Duration                // when the last fault ended; zero while faults may occur
+	instances      map[string][]*taskAssignment // started attempts that may still be on machines, by task
+	upstreamDoneAt map[string]time.Duration     // when all upstream jobs of a job were done, by job ID
 	answerHistory
 	cancellations
-	capacityWaits
+	placeableJobs
 	counters
 }
 
@@ -27,7 +27,7 @@
 type answerHistory struct {
 	acknowledgedPhase map[string]string        // phase in the last answer
 	acknowledgedAt    map[string]time.Duration // when that phase was first answered
-	answeredAt        map[string]time.Duration // when a poll was last answered with 200, at first the time of the first poll
+	pollAnsweredAt    map[string]time.Duration // when a poll was last answered with 200, at first the time of the first poll
 }
 
 // cancellations holds the cancellations that users requested, by job ID.
@@ -46,16 +46,16 @@
 
 func newChecker(world *World) *Checker {
 	return &Checker{
-		world:      world,
-		instances:  map[string][]*taskAssignment{},
-		releasedAt: map[string]time.Duration{},
+		world:          world,
+		instances:      map[string][]*taskAssignment{},
+		upstreamDoneAt: map[string]time.Duration{},
 		answerHistory: answerHistory{
 			acknowledgedPhase: map[string]string{},
 			acknowledgedAt:    map[string]time.Duration{},
-			answeredAt:        map[string]time.Duration{},
+			pollAnsweredAt:    map[string]time.Duration{},
 		},
 		cancellations: cancellations{cancelRequests: map[string]bool{}, cancelAcknowledgedAt: map[string]time.Duration{}},
-		capacityWaits: capacityWaits{waitingSince: map[string]time.Duration{}, recentFree: map[*fakeWorker][]freeCapacity{}},
+		placeableJobs: placeableJobs{placeableSince: map[string]time.Duration{}, recentFree: map[*fakeWorker][]freeCapacity{}},
 		counters:      counters{refusals: map[string]int{}},
 	}
 }
@@ -87,8 +87,8 @@
 	return strings.Join(all, "\n")
 }
 
-// eachOnMachine calls visit for every task that executes on a machine, in no particular order.
-func (checker *Checker) eachOnMachine(visit func(assignment *taskAssignment)) {
+// forEachExecuting calls visit for every task that executes on a machine, in no particular order.
+func (checker *Checker) forEachExecuting(visit func(assignment *taskAssignment)) {
 	for _, worker := range checker.world.workers {
 		if len(worker.assignments) == 0 || !worker.up || worker.certainlyLost() {
 			continue
@@ -104,7 +104,7 @@
 // onMachines returns every task that executes on a machine, sorted by task and machine name.
 func (checker *Checker) onMachines() []*taskAssignment {
 	var list []*taskAssignment
-	checker.eachOnMachine(func(assignment *taskAssignment) { list = append(list, assignment) })
+	checker.forEachExecuting(func(assignment *taskAssignment) { list = append(list, assignment) })
 	sort.Slice(list, func(a, b int) bool {
 		return list[a].name < list[b].name || (list[a].name == list[b].name && list[a].worker.name < list[b].worker.name)
 	})
@@ -113,9 +113,9 @@
 
 // checkInvariants checks the invariants that must hold at any time.
 func (checker *Checker) checkInvariants() {
-	checker.noteReleased()
+	checker.recordUpstreamDoneTimes()
 	checker.checkCancelledStopped()
-	checker.checkWaitsBesideCapacity()
+	checker.checkPlaceableJobs()
 }
 
 // countStop counts a stop command that a worker executes, unless the task is already
--- a/internal/simtest/checker_answers.go
+++ b/internal/simtest/checker_answers.go
@@ -30,10 +30,10 @@
 		checker.reportViolation("invalid job accepted: job %s answered %d, want refusal with %d", id, status, job.expectedRefusal)
 	}
 	last := checker.acknowledgedPhase[id]
-	if older && isFinal(last) && !isFinal(phase) {
+	if older && isTerminal(last) && !isTerminal(phase) {
 		return
 	}
-	if isFinal(last) && phase != last {
+	if isTerminal(last) && phase != last {
 		checker.reportViolation("terminal phase changed: job %s was answered as %s before, now %s", id, last, phase)
 	}
 	if phase == jobCancelled && !checker.cancelRequested(id) {
@@ -57,8 +57,8 @@
 	checker.acknowledgedPhase[id] = phase
 }
 
-// isFinal reports whether a phase is terminal.
-func isFinal(phase string) bool { return phase == jobDone || phase == jobCancelled }
+// isTerminal reports whether a phase is terminal.
+func isTerminal(phase string) bool { return phase == jobDone || phase == jobCancelled }
 
 // maxUnanswered is how long polls of an accepted job may stay unanswered once all
 // faults are over. It holds for each job, whatever the load from other jobs.
@@ -67,19 +67,19 @@
 // checkPoll records whether a poll was answered, and checks how long polls of an
 // accepted job have been without an answer.
 func (checker *Checker) checkPoll(id string, status int) {
-	if _, ok := checker.answeredAt[id]; status == http.StatusOK || !ok {
-		checker.answeredAt[id] = checker.world.now
+	if _, ok := checker.pollAnsweredAt[id]; status == http.StatusOK || !ok {
+		checker.pollAnsweredAt[id] = checker.world.now
 	}
 	if checker.acknowledgedPhase[id] == "" || checker.cancelRequested(id) || checker.faultsOverAt == 0 {
 		return
 	}
-	if since := max(checker.answeredAt[id], checker.faultsOverAt); checker.world.now-since > maxUnanswered {
+	if since := max(checker.pollAnsweredAt[id], checker.faultsOverAt); checker.world.now-since > maxUnanswered {
 		checker.reportViolation("job not answered in time: polls of job %s without an answer for %s, want at most %s", id, checker.world.now-since, maxUnanswered)
 	}
 }
 
 // isOver reports whether the last acknowledged phase of a job is terminal.
-func (checker *Checker) isOver(id string) bool { return isFinal(checker.acknowledgedPhase[id]) }
+func (checker *Checker) isOver(id string) bool { return isTerminal(checker.acknowledgedPhase[id]) }
 
 // checkRefusal checks the answer to an invalid request. It must have the expected status,
 // or the status of an undecided request while the controller cannot decide. A malformed
--- a/internal/simtest/checker_cancellation.go
+++ b/internal/simtest/checker_cancellation.go
@@ -30,16 +30,16 @@
 	return since, ok
 }
 
-// overdue reports whether a cancellation acknowledged at since must be complete by now.
-func (checker *Checker) overdue(since time.Duration) bool {
+// cancellationOverdue reports whether a cancellation acknowledged at since must be complete by now.
+func (checker *Checker) cancellationOverdue(since time.Duration) bool {
 	return checker.world.now-since > seconds(checker.world.config.Settings.Workers.CancelS)
 }
 
 // checkCancelledStopped checks that no task of a cancelled job runs beyond the time that a
 // cancellation may take.
 func (checker *Checker) checkCancelledStopped() {
-	checker.eachOnMachine(func(assignment *taskAssignment) {
-		if since, ok := checker.cancelledSince(assignment.job.id); ok && checker.overdue(since) {
+	checker.forEachExecuting(func(assignment *taskAssignment) {
+		if since, ok := checker.cancelledSince(assignment.job.id); ok && checker.cancellationOverdue(since) {
 			checker.reportViolation("cancelled task not stopped in time: task %s executes on %s %s after the acknowledged cancellation, want at most %vs",
 				assignment.name, assignment.worker.name, checker.world.now-since, checker.world.config.Settings.Workers.CancelS)
 		}
@@ -53,7 +53,7 @@
 		if !assignment.onMachine() {
 			continue
 		}
-		if since, ok := checker.cancelledSince(assignment.job.id); ok && checker.overdue(since) {
+		if since, ok := checker.cancelledSince(assignment.job.id); ok && checker.cancellationOverdue(since) {
 			checker.reportViolation("cancelled task not stopped in time: task %s resumes on %s %s after the acknowledged cancellation, want at most %vs",
 				assignment.name, worker.name, checker.world.now-since, checker.world.config.Settings.Workers.CancelS)
 		}
@@ -68,7 +68,7 @@
 		return
 	}
 	checker.startsAfterCancellation++
-	if checker.overdue(since) {
+	if checker.cancellationOverdue(since) {
 		checker.reportViolation("cancelled task started too late: task %s starts %s after the acknowledged cancellation, want at most %vs",
 			assignment.name, checker.world.now-since, checker.world.config.Settings.Workers.CancelS)
 	}
--- a/internal/simtest/checker_capacity.go
+++ b/internal/simtest/checker_capacity.go
@@ -5,58 +5,58 @@
 	"time"
 )
 
-// maxWaitBesideCapacity is how long a job may stay unassigned once all faults are over,
+// maxPlaceableTime is how long a job may stay unassigned once all faults are over,
 // while suitable machines have free capacity and its team is below its limit.
-const maxWaitBesideCapacity = 90 * time.Second
+const maxPlaceableTime = 90 * time.Second
 
-// capacityWaits is the state of the check for jobs that are placeable but not assigned.
-type capacityWaits struct {
-	waitingSince map[string]time.Duration       // since when a job has been placeable without being assigned, by job ID
-	writeCounts  []int                          // total writes to the state service at the last checks
-	recentFree   map[*fakeWorker][]freeCapacity // free capacity of machines at the last checks
+// placeableJobs is the state of the check for jobs that are placeable but not assigned.
+type placeableJobs struct {
+	placeableSince map[string]time.Duration       // since when a job has been placeable without being assigned, by job ID
+	writeCounts    []int                          // total writes to the state service at the last checks
+	recentFree     map[*fakeWorker][]freeCapacity // free capacity of machines at the last checks
 }
 
-// checkWaitsBesideCapacity records since when each job has been placeable without being
+// checkPlaceableJobs records since when each job has been placeable without being
 // assigned, and reports the jobs for which that lasts too long.
-func (checker *Checker) checkWaitsBesideCapacity() {
+func (checker *Checker) checkPlaceableJobs() {
 	if checker.faultsOverAt == 0 {
 		return
 	}
-	if checker.writesExhausted() {
+	if checker.writeRateExhausted() {
 		// Assignments are delayed by the write rate limit of the state service, which
 		// counts as a fault that has not ended.
-		clear(checker.waitingSince)
+		clear(checker.placeableSince)
 	}
 	capacities, used := checker.freeCapacities(), checker.usedByTeam()
 	for id, phase := range checker.acknowledgedPhase {
 		job := checker.world.jobs[id]
 		mustStart := phase != jobDone && job != nil && !checker.cancelRequested(id) && !checker.waitsForUpstream(id) && job.canSucceed()
-		if !mustStart || !checker.couldStart(job, capacities, used) {
-			delete(checker.waitingSince, id)
+		if !mustStart || !checker.isPlaceable(job, capacities, used) {
+			delete(checker.placeableSince, id)
 			continue
 		}
-		if _, ok := checker.waitingSince[id]; !ok {
-			checker.waitingSince[id] = checker.world.now
+		if _, ok := checker.placeableSince[id]; !ok {
+			checker.placeableSince[id] = checker.world.now
 		}
 	}
 	var ids []string
-	for id, since := range checker.waitingSince {
-		if checker.world.now-since > maxWaitBesideCapacity {
+	for id, since := range checker.placeableSince {
+		if checker.world.now-since > maxPlaceableTime {
 			ids = append(ids, id)
 		}
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
 		checker.reportViolation("placeable job not started: job %s unassigned for %s with free capacity for it, want at most %s",
-			id, checker.world.now-checker.waitingSince[id], maxWaitBesideCapacity)
-		checker.waitingSince[id] = checker.world.now
+			id, checker.world.now-checker.placeableSince[id], maxPlaceableTime)
+		checker.placeableSince[id] = checker.world.now
 	}
 }
 
-// writesExhausted reports whether the writes within the last capacityWindow exceed the
+// writeRateExhausted reports whether the writes within the last capacityWindow exceed the
 // share of the write rate that controllers may use. They leave the rest of the rate for
 // writes in flight.
-func (checker *Checker) writesExhausted() bool {
+func (checker *Checker) writeRateExhausted() bool {
 	const samples, maxShare = int(capacityWindow / invariantCheckInterval), 0.75
 	checker.writeCounts = append(checker.writeCounts, checker.world.stateService.writtenKeys)
 	if len(checker.writeCounts) <= samples {
@@ -125,10 +125,10 @@
 	return used
 }
 
-// couldStart reports whether a job has unassigned tasks and the next one of them, or all
+// isPlaceable reports whether a job has unassigned tasks and the next one of them, or all
 // tasks of a gang, fit into the given capacities and the team's limit.
-func (checker *Checker) couldStart(job *jobRecord, capacities []freeCapacity, used map[string]teamUsage) bool {
-	onMachine, inZone := checker.tasksOnMachines(job)
+func (checker *Checker) isPlaceable(job *jobRecord, capacities []freeCapacity, used map[string]teamUsage) bool {
+	onMachine, inZone := checker.assignedTasks(job)
 	missing := 0
 	for i := range job.taskCount {
 		if !onMachine[i] && !job.completed[i] && !job.alwaysFails(i) {
@@ -149,9 +149,9 @@
 	return job.fitsInZones(needed, inZone, job.placeableByZone(needed, inZone, capacities))
 }
 
-// tasksOnMachines returns the indices of a job's tasks on machines that may execute,
+// assignedTasks returns the indices of a job's tasks on machines that may execute,
 // including tasks that are pulling their image, and the number of them in each zone.
-func (checker *Checker) tasksOnMachines(job *jobRecord) (indices map[int]bool, inZone map[string]int) {
+func (checker *Checker) assignedTasks(job *jobRecord) (indices map[int]bool, inZone map[string]int) {
 	indices, inZone = map[int]bool{}, map[string]int{}
 	for _, worker := range checker.world.workers {
 		if !worker.up || worker.certainlyLost() {
--- a/internal/simtest/checker_service.go
+++ b/internal/simtest/checker_service.go
@@ -60,7 +60,7 @@
 		groups.add("class "+job.class, ran)
 		groups.add("team "+job.team, ran)
 		if job.taskCount == largest[job.class] {
-			waited := job.startedAt - max(job.firstAnsweredAt, checker.releasedAt[id])
+			waited := job.startedAt - max(job.firstAnsweredAt, checker.upstreamDoneAt[id])
 			groups.add("largest of "+job.class, ran && waited <= largestJobDeadline)
 		}
 	}
--- a/internal/simtest/checker_starts.go
+++ b/internal/simtest/checker_starts.go
@@ -4,13 +4,13 @@
 	"slices"
 )
 
-// addInstance records that a task is on a machine.
-func (checker *Checker) addInstance(assignment *taskAssignment) {
+// recordInstance records that a task is on a machine.
+func (checker *Checker) recordInstance(assignment *taskAssignment) {
 	checker.instances[assignment.name] = append(checker.instances[assignment.name], assignment)
 }
 
-// checkRunsOnce checks that a starting task executes on no other machine.
-func (checker *Checker) checkRunsOnce(assignment *taskAssignment) {
+// checkSingleInstance checks that a starting task executes on no other machine.
+func (checker *Checker) checkSingleInstance(assignment *taskAssignment) {
 	checker.instances[assignment.name] = slices.DeleteFunc(checker.instances[assignment.name], func(other *taskAssignment) bool {
 		return !other.worker.up || other.worker.assignments[other.name] != other || other.phase == taskExited
 	})
@@ -19,29 +19,29 @@
 			checker.reportViolation("task executes on two machines: task %s starts on %s, but still executes on %s", assignment.name, assignment.worker.name, other.worker.name)
 		}
 	}
-	checker.addInstance(assignment)
+	checker.recordInstance(assignment)
 }
 
-// quotaTolerance is the rounding error by which a sum may exceed a limit.
-const quotaTolerance = 1e-6
+// limitTolerance is the rounding error by which a sum may exceed a limit.
+const limitTolerance = 1e-6
 
-// checkQuota checks that the team of a starting task stays within its limit. It skips tasks
+// checkTeamLimit checks that the team of a starting task stays within its limit. It skips tasks
 // that request none of the limited resources.
-func (checker *Checker) checkQuota(assignment *taskAssignment) {
+func (checker *Checker) checkTeamLimit(assignment *taskAssignment) {
 	for _, team := range checker.world.config.Settings.Teams {
 		limited := (team.CPUsMax > 0 && assignment.job.cpus > 0) || (team.GPUsMax > 0 && assignment.job.gpus > 0)
 		if team.Name != assignment.job.team || !limited {
 			continue
 		}
 		cpus, gpus := assignment.job.cpus, assignment.job.gpus
-		checker.eachOnMachine(func(other *taskAssignment) {
+		checker.forEachExecuting(func(other *taskAssignment) {
 			if other != assignment && other.job.team == assignment.job.team {
 				cpus += other.job.cpus
 				gpus += other.job.gpus
 			}
 		})
-		overCPUs := team.CPUsMax > 0 && cpus > team.CPUsMax+quotaTolerance
-		overGPUs := team.GPUsMax > 0 && gpus > team.GPUsMax+quotaTolerance
+		overCPUs := team.CPUsMax > 0 && cpus > team.CPUsMax+limitTolerance
+		overGPUs := team.GPUsMax > 0 && gpus > team.GPUsMax+limitTolerance
 		if overCPUs || overGPUs {
 			checker.reportViolation("team limit exceeded: team %s uses %v CPUs and %v GPUs, limits are %v and %v (0 means unlimited)",
 				team.Name, cpus, gpus, team.CPUsMax, team.GPUsMax)
@@ -53,8 +53,8 @@
 func (checker *Checker) checkStart(assignment *taskAssignment) {
 	checker.starts++
 	assignment.job.startedAttempts++
-	checker.checkRunsOnce(assignment)
-	checker.checkQuota(assignment)
+	checker.checkSingleInstance(assignment)
+	checker.checkTeamLimit(assignment)
 	checker.checkPlacement(assignment)
 	checker.checkUpstreamDone(assignment)
 	checker.checkCancelledStart(assignment)
@@ -65,7 +65,7 @@
 	job, worker := assignment.job, assignment.worker
 	inZone := map[string]int{worker.zone: 1}
 	if job.sameZone || job.scatter {
-		checker.eachOnMachine(func(other *taskAssignment) {
+		checker.forEachExecuting(func(other *taskAssignment) {
 			if other.job == job && other.index != assignment.index {
 				inZone[other.worker.zone]++
 			}
--- a/internal/simtest/checker_test.go
+++ b/internal/simtest/checker_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// place starts a task of a job on a new machine without checking any placement constraint.
-func place(world *World, job *jobRecord, index int, machine machineIdentity) *taskAssignment {
+// startOnMachine starts a task of a job on a new machine without checking any placement constraint.
+func startOnMachine(world *World, job *jobRecord, index int, machine machineIdentity) *taskAssignment {
 	machine.name = "i-" + string(rune('a'+len(world.workers)))
 	machine.addr = machine.name
 	return startOnNewMachine(world, job, index, machine)
@@ -23,8 +23,8 @@
 		name: "task on two machines",
 		want: "task executes on two machines: task req-000001/0 starts on i-b, but still executes on i-a",
 		act: func(world *World, job *jobRecord) {
-			place(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
-			place(world, job, 0, machineIdentity{machineType: "small", zone: "b"})
+			startOnMachine(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
+			startOnMachine(world, job, 0, machineIdentity{machineType: "small", zone: "b"})
 		},
 	},
 	{
@@ -32,8 +32,8 @@
 		want: "team limit exceeded: team red uses",
 		act: func(world *World, job *jobRecord) {
 			job.gpus = 5
-			place(world, job, 0, machineIdentity{machineType: "gpu", zone: "a"})
-			place(world, job, 1, machineIdentity{machineType: "gpu", zone: "a"})
+			startOnMachine(world, job, 0, machineIdentity{machineType: "gpu", zone: "a"})
+			startOnMachine(world, job, 1, machineIdentity{machineType: "gpu", zone: "a"})
 		},
 	},
 	{
@@ -41,14 +41,14 @@
 		want: "placement constraint violated: task req-000001/0 attempt 1 starts on i-a (small",
 		act: func(world *World, job *jobRecord) {
 			job.machineTypes = []string{"big"}
-			place(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
+			startOnMachine(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
 		},
 	},
 	{
 		name: "spot machine not allowed",
 		want: "spot true), tasks by zone",
 		act: func(world *World, job *jobRecord) {
-			place(world, job, 0, machineIdentity{machineType: "small", zone: "a", spot: true})
+			startOnMachine(world, job, 0, machineIdentity{machineType: "small", zone: "a", spot: true})
 		},
 	},
 	{
@@ -56,8 +56,8 @@
 		want: "tasks by zone map[a:1 b:1]",
 		act: func(world *World, job *jobRecord) {
 			job.sameZone = true
-			place(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
-			place(world, job, 1, machineIdentity{machineType: "small", zone: "b"})
+			startOnMachine(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
+			startOnMachine(world, job, 1, machineIdentity{machineType: "small", zone: "b"})
 		},
 	},
 	{
@@ -65,8 +65,8 @@
 		want: "scatter true",
 		act: func(world *World, job *jobRecord) {
 			job.scatter = true
-			place(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
-			place(world, job, 1, machineIdentity{machineType: "small", zone: "a"})
+			startOnMachine(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
+			startOnMachine(world, job, 1, machineIdentity{machineType: "small", zone: "a"})
 		},
 	},
 	{
@@ -75,7 +75,7 @@
 		act: func(world *World, job *jobRecord) {
 			world.checker.cancelRequests[job.id] = true
 			world.checker.checkAnswer(world.now, job.id, 200, "cancelled")
-			place(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
+			startOnMachine(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
 			world.now += 26 * time.Second
 			world.checker.checkInvariants()
 		},
@@ -86,7 +86,7 @@
 		act: func(world *World, job *jobRecord) {
 			world.checker.cancelRequests[job.id] = true
 			world.checker.checkAnswer(world.now, job.id, 200, "cancelled")
-			worker := place(world, job, 0, machineIdentity{machineType: "small", zone: "a"}).worker
+			worker := startOnMachine(world, job, 0, machineIdentity{machineType: "small", zone: "a"}).worker
 			world.now += 20 * time.Second
 			worker.leaseStart = world.now
 			worker.hang(6 * time.Second)
@@ -100,7 +100,7 @@
 			world.checker.cancelRequests[job.id] = true
 			world.checker.checkAnswer(world.now, job.id, 200, "cancelled")
 			world.now += 26 * time.Second
-			place(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
+			startOnMachine(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
 		},
 	},
 	{
@@ -108,7 +108,7 @@
 		want: "placeable job not started: job req-000001 unassigned for 1m30.5s with free capacity",
 		act: func(world *World, job *jobRecord) {
 			world.checker.checkAnswer(world.now, job.id, 201, "queued")
-			place(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
+			startOnMachine(world, job, 0, machineIdentity{machineType: "small", zone: "a"})
 			world.checker.faultsOverAt = 1
 			for range 2 * 96 {
 				world.now += invariantCheckInterval
--- a/internal/simtest/checker_upstream.go
+++ b/internal/simtest/checker_upstream.go
@@ -61,12 +61,12 @@
 	return upstream != ""
 }
 
-// noteReleased records when all upstream jobs of a job are done. The waiting time of the job
-// counts from then.
-func (checker *Checker) noteReleased() {
+// recordUpstreamDoneTimes records when all upstream jobs of a job are done. The waiting time
+// of the job counts from then.
+func (checker *Checker) recordUpstreamDoneTimes() {
 	for id, job := range checker.world.jobs {
-		if _, ok := checker.releasedAt[id]; !ok && len(job.upstream) > 0 && !checker.waitsForUpstream(id) {
-			checker.releasedAt[id] = checker.world.now
+		if _, ok := checker.upstreamDoneAt[id]; !ok && len(job.upstream) > 0 && !checker.waitsForUpstream(id) {
+			checker.upstreamDoneAt[id] = checker.world.now
 		}
 	}
 }
@@ -91,7 +91,7 @@
 	}
 	if status == http.StatusOK && (phase == jobQueued || phase == jobRunning) {
 		for _, up := range checker.world.allUpstream(id) {
-			if since, ok := checker.cancelAcknowledgedAt[up]; ok && checker.overdue(since) {
+			if since, ok := checker.cancelAcknowledgedAt[up]; ok && checker.cancellationOverdue(since) {
 				checker.reportViolation("downstream job not cancelled in time: job %s answered %s %s after the acknowledged cancellation of upstream job %s, want at most %vs",
 					id, phase, checker.world.now-since, up, checker.world.config.Settings.Workers.CancelS)
 				break
--- a/internal/simtest/jobs.go
+++ b/internal/simtest/jobs.go
@@ -39,8 +39,8 @@
 
 // jobFailures specifies which tasks fail on every machine.
 type jobFailures struct {
-	broken     bool // all tasks fail
-	brokenTask int  // 1 + the index of the only task that fails; zero if none does
+	broken      bool // all tasks fail
+	failingTask int  // 1 + the index of the only task that fails; zero if none does
 }
 
 // jobSubmission holds the submission of a job by its user.
@@ -70,7 +70,7 @@
 }
 
 // alwaysFails reports whether a task of the job fails on every machine.
-func (job *jobRecord) alwaysFails(index int) bool { return job.broken || index+1 == job.brokenTask }
+func (job *jobRecord) alwaysFails(index int) bool { return job.broken || index+1 == job.failingTask }
 
 // markStarted records when the job first ran.
 func (job *jobRecord) markStarted(now time.Duration) {
--- a/internal/simtest/random_faults_test.go
+++ b/internal/simtest/random_faults_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// causeTwoFaults injects two random faults, the second one up to 3 seconds after the first.
-func (world *World) causeTwoFaults() {
-	world.causeRandomFault()
+// injectTwoFaults injects two random faults, the second one up to 3 seconds after the first.
+func (world *World) injectTwoFaults() {
+	world.injectRandomFault()
 	world.Run(seconds(world.random.Float64() * 3))
-	world.causeRandomFault()
+	world.injectRandomFault()
 }
 
 // randomFault injects a fault that ends by itself, usually after the given duration. Faults
@@ -20,14 +20,14 @@
 // randomFaults are drawn with equal probability. Entries that are listed twice are drawn
 // more often.
 var randomFaults = [...]randomFault{
-	restart, restart, loseState, loseWorkers, stateOutage, loseMachine, cloudOutage, machinesNeverBoot,
-	noFault, restartSeveral, blockInboundOnce, isolateLeader, pauseOnce, lateWrites, delayHeartbeats, delayCommands,
-	blockHeartbeatsOfSome, loseLeaderDuringOutage, loseLeaderDuringOutage, cancelSome, cancelEnding, invalidRequests, churnLeaders, loseZone,
+	restart, restart, disconnectState, disconnectWorkers, stateOutage, failMachine, cloudOutage, machinesNeverBoot,
+	noFault, restartSeveral, blockInboundOfOne, isolateLeader, pauseController, lateWrites, delayHeartbeats, delayCommands,
+	blockHeartbeatsOfSome, injectLeaderLossDuringOutage, injectLeaderLossDuringOutage, cancelSome, cancelAtCompletion, invalidRequests, churnLeaders, disconnectZone,
 	restartAllAfterLease, blockInboundOfSome, slowState, blockWatch,
 }
 
-// causeRandomFault injects one random fault, which ends by itself.
-func (world *World) causeRandomFault() {
+// injectRandomFault injects one random fault, which ends by itself.
+func (world *World) injectRandomFault() {
 	process := world.controllers[world.random.IntN(len(world.controllers))]
 	duration := seconds(0.1 + world.random.Float64()*20)
 	world.extendFaults(duration)
@@ -69,17 +69,17 @@
 	}
 }
 
-// leaderOr returns the leader with probability 1/2, and otherwise the given controller.
-func (world *World) leaderOr(process *controllerProcess) *controllerProcess {
+// leaderOrGiven returns the leader with probability 1/2, and otherwise the given controller.
+func (world *World) leaderOrGiven(process *controllerProcess) *controllerProcess {
 	if other := world.leader(); other != nil && world.random.IntN(2) == 0 {
 		return other
 	}
 	return process
 }
 
-// pauseOnce pauses the leader or another controller.
-func pauseOnce(world *World, process *controllerProcess, duration time.Duration) {
-	if process = world.leaderOr(process); process.up && !process.paused {
+// pauseController pauses the leader or another controller.
+func pauseController(world *World, process *controllerProcess, duration time.Duration) {
+	if process = world.leaderOrGiven(process); process.up && !process.paused {
 		process.pause(duration/2, world.random.IntN(2) == 0)
 	}
 }
@@ -91,14 +91,14 @@
 	}
 }
 
-// loseState disconnects a controller from the state service.
-func loseState(world *World, process *controllerProcess, duration time.Duration) {
+// disconnectState disconnects a controller from the state service.
+func disconnectState(world *World, process *controllerProcess, duration time.Duration) {
 	world.network.setLinkCut(process.name, "state", true)
 	world.schedule(duration, func() { world.network.setLinkCut(process.name, "state", false) })
 }
 
-// loseWorkers disconnects a controller from all workers.
-func loseWorkers(world *World, process *controllerProcess, duration time.Duration) {
+// disconnectWorkers disconnects a controller from all workers.
+func disconnectWorkers(world *World, process *controllerProcess, duration time.Duration) {
 	setCut := func(enabled bool) {
 		for _, worker := range world.sortedWorkers() {
 			world.network.setLinkCut(process.name, worker.name, enabled)
@@ -108,9 +108,9 @@
 	world.schedule(duration, func() { setCut(false) })
 }
 
-// loseZone isolates the workers of a zone and a controller for longer than the workers'
+// disconnectZone isolates the workers of a zone and a controller for longer than the workers'
 // leases last.
-func loseZone(world *World, process *controllerProcess, duration time.Duration) {
+func disconnectZone(world *World, process *controllerProcess, duration time.Duration) {
 	duration += seconds(10)
 	world.extendFaults(duration)
 	world.network.cutZone(process, []string{"a", "b"}[world.random.IntN(2)], duration)
@@ -130,7 +130,7 @@
 
 // blockWatch leaves the watches of the leader or another controller unanswered.
 func blockWatch(world *World, process *controllerProcess, duration time.Duration) {
-	process = world.leaderOr(process)
+	process = world.leaderOrGiven(process)
 	process.watchBlocked = true
 	world.schedule(duration, func() { process.watchBlocked = false })
 }
@@ -150,8 +150,8 @@
 	world.setShareFor(&world.network.delayedCommands, 0.5, duration)
 }
 
-// loseMachine lets a random machine with tasks crash, hang or be terminated by the cloud.
-func loseMachine(world *World, _ *controllerProcess, duration time.Duration) {
+// failMachine lets a random machine with tasks crash, hang or be terminated by the cloud.
+func failMachine(world *World, _ *controllerProcess, duration time.Duration) {
 	assignments := world.checker.onMachines()
 	if len(assignments) == 0 {
 		return
@@ -167,8 +167,8 @@
 	}
 }
 
-// blockInboundOnce blocks all inbound packets of a random machine with tasks.
-func blockInboundOnce(world *World, _ *controllerProcess, duration time.Duration) {
+// blockInboundOfOne blocks all inbound packets of a random machine with tasks.
+func blockInboundOfOne(world *World, _ *controllerProcess, duration time.Duration) {
 	if assignments := world.checker.onMachines(); len(assignments) > 0 {
 		world.network.blockInboundFor(assignments[world.random.IntN(len(assignments))].worker, duration)
 	}
@@ -195,8 +195,8 @@
 	world.cloud.bootFailures = 1 + world.random.IntN(2)
 }
 
-// loseLeaderDuringOutage injects leaderLossDuringOutage.
-func loseLeaderDuringOutage(world *World, _ *controllerProcess, _ time.Duration) {
+// injectLeaderLossDuringOutage is leaderLossDuringOutage as a randomFault.
+func injectLeaderLossDuringOutage(world *World, _ *controllerProcess, _ time.Duration) {
 	world.leaderLossDuringOutage()
 }
 
@@ -213,8 +213,8 @@
 	world.extendFaults(hang)
 }
 
-// cancelEnding cancels half of the jobs at the moment of their end.
-func cancelEnding(world *World, _ *controllerProcess, duration time.Duration) {
+// cancelAtCompletion cancels half of the jobs at the moment of their end.
+func cancelAtCompletion(world *World, _ *controllerProcess, duration time.Duration) {
 	world.setShareFor(&world.users.cancelAtEnd, 0.5, duration)
 }
 
--- a/internal/simtest/random_jobs_test.go
+++ b/internal/simtest/random_jobs_test.go
@@ -74,7 +74,7 @@
 		if status, _ := world.users.Submit(arguments); isAccepted(status) {
 			accepted = append(accepted, arguments["id"])
 		}
-		world.causeTwoFaults()
+		world.injectTwoFaults()
 		world.Run(seconds(world.random.Float64() * 6))
 		if world.random.IntN(3) == 0 && len(accepted) > 0 {
 			world.users.Poll(accepted[world.random.IntN(len(accepted))])
@@ -85,8 +85,8 @@
 	}
 	world.endAllFaults()
 	world.cancelDaemons(accepted)
-	world.pollUntilOver(accepted)
-	world.checkAllOver(reporter, seed, accepted)
+	world.pollUntilEnded(accepted)
+	world.checkAllEnded(reporter, seed, accepted)
 }
 
 // startRandomFaults makes the network lose, repeat and duplicate some packets, and adds three
@@ -132,12 +132,12 @@
 	}
 }
 
-// checkAllOver checks that all jobs have ended, all machines are released and no invariant was
+// checkAllEnded checks that all jobs have ended, all machines are released and no invariant was
 // violated.
-func (world *World) checkAllOver(reporter errorReporter, seed uint64, ids []string) {
+func (world *World) checkAllEnded(reporter errorReporter, seed uint64, ids []string) {
 	for _, id := range ids {
 		if !world.checker.isOver(id) {
-			reporter.Errorf("seed %d: job %s has phase %q, want done or cancelled: %+v; stored records:\n%s", seed, id, world.checker.acknowledgedPhase[id], *world.jobs[id], world.storedOf(id))
+			reporter.Errorf("seed %d: job %s has phase %q, want done or cancelled: %+v; stored records:\n%s", seed, id, world.checker.acknowledgedPhase[id], *world.jobs[id], world.storedRecordsOf(id))
 		}
 	}
 	if machines := world.waitForMachinesReleased(); machines != "" {
@@ -148,8 +148,8 @@
 	}
 }
 
-// storedOf returns the job and run records of a job in the state service.
-func (world *World) storedOf(id string) string {
+// storedRecordsOf returns the job and run records of a job in the state service.
+func (world *World) storedRecordsOf(id string) string {
 	return strings.Join(append(world.listKeys(jobKeyPrefix+id), world.listKeys(runKeyPrefix+id)...), "\n")
 }
 
@@ -165,8 +165,8 @@
 	return strings.Join(slices.Sorted(maps.Keys(world.cloud.machines)), ", ")
 }
 
-// pollUntilOver polls jobs until all have ended, for at most four minutes.
-func (world *World) pollUntilOver(ids []string) {
+// pollUntilEnded polls jobs until all have ended, for at most four minutes.
+func (world *World) pollUntilEnded(ids []string) {
 	for range 120 {
 		open := 0
 		for _, id := range ids {
--- a/internal/simtest/random_pipelines_test.go
+++ b/internal/simtest/random_pipelines_test.go
@@ -41,7 +41,7 @@
 	seed      uint64
 	accepted  []string // IDs of jobs whose submission was answered as accepted
 	all       []string // IDs of all jobs, including those submitted in the background or not accepted
-	next      int      // number in the ID of the next job
+	nextJob   int      // number in the ID of the next job
 	announced bool     // the settings announce lower limits of the state service
 	lowered   bool     // the limits have been lowered
 }
@@ -51,14 +51,14 @@
 func playPipelines(reporter errorReporter, world *World, seed uint64, announced bool) {
 	play := &pipelinePlay{errorReporter: reporter, world: world, seed: seed, announced: announced}
 	for range 5 {
-		play.onePipeline()
+		play.playOnePipeline()
 	}
-	play.lower()
+	play.lowerLimits()
 	world.endAllFaults()
 	world.users.waitForRecordedAnswers(2 * userRetry)
 	world.stateService.writesToDelay = 0
-	play.untilOver()
-	play.checkEnds()
+	play.pollUntilEnded()
+	play.checkFinalPhases()
 	world.Run(150 * time.Second)
 	for _, prefix := range []string{jobKeyPrefix, runKeyPrefix, upstreamKeyPrefix} {
 		if keys := world.listKeys(prefix); len(keys) > 0 {
@@ -70,8 +70,8 @@
 	}
 }
 
-// lower lowers the limits of the state service once if the settings announce that.
-func (play *pipelinePlay) lower() {
+// lowerLimits lowers the limits of the state service once if the settings announce that.
+func (play *pipelinePlay) lowerLimits() {
 	if play.announced && !play.lowered {
 		play.lowered = true
 		play.world.stateService.setLimits(Arguments{"value": "2", "ops": "4", "writes": "20"})
@@ -81,10 +81,10 @@
 // randomJob draws the arguments of a job with the given upstream jobs.
 func (play *pipelinePlay) randomJob(upstream []string) Arguments {
 	rng := play.world.random
-	arguments := Arguments{"id": jobID(play.next), "shape": []string{"array", "array", "gang"}[rng.IntN(3)], "tasks": fmt.Sprint(1 + rng.IntN(4)),
+	arguments := Arguments{"id": jobID(play.nextJob), "shape": []string{"array", "array", "gang"}[rng.IntN(3)], "tasks": fmt.Sprint(1 + rng.IntN(4)),
 		"run": fmt.Sprintf("%ds", 1+rng.IntN(12)), "team": []string{"red", "blue"}[rng.IntN(2)],
 		"priority": []string{"idle", "normal", "high", "production"}[rng.IntN(4)]}
-	play.next++
+	play.nextJob++
 	if rng.IntN(2) == 0 {
 		arguments["spot"] = ""
 	}
@@ -116,20 +116,20 @@
 	return arguments["id"], false
 }
 
-// onePipeline submits one pipeline and injects random faults.
-func (play *pipelinePlay) onePipeline() {
+// playOnePipeline submits one pipeline and injects random faults.
+func (play *pipelinePlay) playOnePipeline() {
 	world := play.world
 	stages := play.submitStages()
 	if world.random.IntN(3) != 0 {
-		world.causeTwoFaults()
+		world.injectTwoFaults()
 	}
 	if world.random.IntN(6) == 0 {
 		// The limits are lowered during an outage.
 		world.stateService.setOutage(true)
-		play.lower()
+		play.lowerLimits()
 		world.schedule(seconds(1+world.random.Float64()*10), func() { world.stateService.setOutage(false) })
 	} else if world.random.IntN(6) == 0 {
-		play.lower()
+		play.lowerLimits()
 	}
 	if world.random.IntN(3) == 0 {
 		world.stateService.delayedPrefix = []string{terminalKeyPrefix, jobKeyPrefix, upstreamKeyPrefix}[world.random.IntN(3)]
@@ -181,8 +181,8 @@
 	return stages
 }
 
-// left returns the accepted jobs that have not ended.
-func (play *pipelinePlay) left() (ids []string) {
+// openJobs returns the accepted jobs that have not ended.
+func (play *pipelinePlay) openJobs() (ids []string) {
 	for _, id := range play.all {
 		if play.world.checker.acknowledgedPhase[id] != "" && !play.world.checker.isOver(id) {
 			ids = append(ids, id)
@@ -191,15 +191,15 @@
 	return ids
 }
 
-// untilOver polls all jobs until they have ended, for at most five minutes.
-func (play *pipelinePlay) untilOver() {
+// pollUntilEnded polls all jobs until they have ended, for at most five minutes.
+func (play *pipelinePlay) pollUntilEnded() {
 	for _, id := range play.all {
 		if play.world.checker.acknowledgedPhase[id] == "" {
 			play.world.users.Poll(id) // its user stopped retrying, but the job may have been accepted
 		}
 	}
 	for range 150 {
-		ids := play.left()
+		ids := play.openJobs()
 		if len(ids) == 0 {
 			break
 		}
@@ -210,13 +210,13 @@
 	}
 }
 
-// checkEnds checks that all jobs have ended, and in phases that fit those of their upstream
+// checkFinalPhases checks that all jobs have ended, and in phases that fit those of their upstream
 // jobs.
-func (play *pipelinePlay) checkEnds() {
+func (play *pipelinePlay) checkFinalPhases() {
 	world := play.world
-	for _, id := range play.left() {
+	for _, id := range play.openJobs() {
 		play.Errorf("seed %d: job %s has phase %q, want done or cancelled; upstream jobs %v; stored records:\n%s", play.seed, id, world.checker.acknowledgedPhase[id], world.jobs[id].upstream,
-			world.storedOf(id))
+			world.storedRecordsOf(id))
 	}
 	for _, id := range play.all {
 		for _, upstream := range world.jobs[id].upstream {
--- a/internal/simtest/recording.go
+++ b/internal/simtest/recording.go
@@ -249,7 +249,7 @@
 		worker.startTask(taskCommand{Verb: "start", Task: recorded.Task, Attempt: recorded.Attempt})
 	case job.shape == shapeGang:
 		worker.assignments[recorded.Task] = assignment
-		world.checker.addInstance(assignment)
+		world.checker.recordInstance(assignment)
 		worker.images[job.id] = true
 		gang := assignment.addToGang()
 		if gang.isComplete() {
@@ -258,7 +258,7 @@
 		}
 	default:
 		worker.assignments[recorded.Task] = assignment
-		world.checker.addInstance(assignment)
+		world.checker.recordInstance(assignment)
 		worker.images[job.id] = true
 		if job.shape == shapeArray {
 			assignment.after(job.runTime-job.progress[assignment.index]-recorded.Ran, func() {
--- a/internal/simtest/recording_test.go
+++ b/internal/simtest/recording_test.go
@@ -72,7 +72,7 @@
 	}
 	for _, id := range world.acceptedJobs() {
 		acknowledged := world.checker.acknowledgedPhase[id]
-		status, phase := world.users.requestUntilAnswered(id, pollRequest(id))
+		status, phase := world.users.requestUntilDecided(id, pollRequest(id))
 		if status != 200 || (acknowledged == "done" && phase != acknowledged) {
 			t.Errorf("job %s, acknowledged as %q before the upgrade, answered %d %q, want 200 and an unchanged phase if done", id, acknowledged, status, phase)
 		}
@@ -87,7 +87,7 @@
 		}
 	}
 	world.Run(20 * time.Second)
-	if _, phase := world.users.requestUntilAnswered("req-000951", pollRequest("req-000951")); phase != "cancelled" {
+	if _, phase := world.users.requestUntilDecided("req-000951", pollRequest("req-000951")); phase != "cancelled" {
 		t.Errorf("job req-000951 with a cancelled upstream job has phase %q, want cancelled", phase)
 	}
 	world.stateService.setLimits(Arguments{"value": "2", "ops": "4", "writes": "40"})
@@ -96,7 +96,7 @@
 		t.Errorf("got %s, want %d done", got, len(world.acceptedJobs()))
 		for _, id := range world.acceptedJobs() {
 			if world.checker.acknowledgedPhase[id] != "done" {
-				t.Errorf("job %s has phase %q, want done; stored records:\n%.600s", id, world.checker.acknowledgedPhase[id], world.storedOf(id))
+				t.Errorf("job %s has phase %q, want done; stored records:\n%.600s", id, world.checker.acknowledgedPhase[id], world.storedRecordsOf(id))
 			}
 		}
 	}
--- a/internal/simtest/users.go
+++ b/internal/simtest/users.go
@@ -67,14 +67,14 @@
 	return users.world.randomController()
 }
 
-// requestUntilAnswered retries a request every second until its answer is decided or
+// requestUntilDecided retries a request every second until its answer is decided or
 // userRetry has passed.
-func (users *fakeUsers) requestUntilAnswered(id string, request httpRequest) (int, string) {
+func (users *fakeUsers) requestUntilDecided(id string, request httpRequest) (int, string) {
 	for end := users.world.now + userRetry; ; users.world.Run(time.Second) {
 		sentAt := users.world.now
 		status, phase := users.requestAndWait(users.chooseEntryController(), request)
 		users.world.checker.checkAnswer(sentAt, id, status, phase)
-		users.noteAnswered(id)
+		users.recordFirstAnswer(id)
 		if isDecided(status) {
 			return status, phase
 		}
@@ -88,7 +88,7 @@
 func (users *fakeUsers) Submit(arguments Arguments) (int, string) {
 	body := users.registerJob(arguments)
 	users.world.jobs[arguments["id"]].submitted = true
-	return users.requestUntilAnswered(arguments["id"], submitRequest(body))
+	return users.requestUntilDecided(arguments["id"], submitRequest(body))
 }
 
 // Poll requests a job's state once, without retries.
@@ -103,7 +103,7 @@
 // Cancel cancels a job and retries until the answer is decided.
 func (users *fakeUsers) Cancel(id string) (int, string) {
 	users.world.checker.cancelRequests[id] = true
-	return users.requestUntilAnswered(id, cancelRequest(id))
+	return users.requestUntilDecided(id, cancelRequest(id))
 }
 
 // isDecided reports whether users stop retrying a request after an answer with this status.
@@ -111,8 +111,8 @@
 	return isAccepted(status) || status == http.StatusBadRequest || status == http.StatusNotFound || status == http.StatusUnprocessableEntity
 }
 
-// noteAnswered records when the user of a job first received an answer.
-func (users *fakeUsers) noteAnswered(id string) {
+// recordFirstAnswer records when the user of a job first received an answer.
+func (users *fakeUsers) recordFirstAnswer(id string) {
 	if job := users.world.jobs[id]; job != nil && job.firstAnsweredAt == 0 {
 		job.firstAnsweredAt = max(users.world.now, 1) // zero means never
 	}
--- a/internal/simtest/users_background.go
+++ b/internal/simtest/users_background.go
@@ -66,7 +66,7 @@
 	end := users.world.now + userRetry
 	users.retryRequest(request, func(sentAt time.Duration, status int, phase string) bool {
 		users.world.checker.checkAnswer(sentAt, id, status, phase)
-		users.noteAnswered(id)
+		users.recordFirstAnswer(id)
 		if isDecided(status) {
 			users.recordedAnswers[key] = fmt.Sprintf("%d %s", status, phase)
 			return true
--- a/internal/simtest/users_crowd.go
+++ b/internal/simtest/users_burst.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// crowdResult is the result of a burst of jobs that were submitted at the same moment.
-type crowdResult struct {
+// burstResult is the result of a burst of jobs that were submitted at the same moment.
+type burstResult struct {
 	accepted, pending int
 	slowest           time.Duration // time until the slowest answer
 	refused           int           // number of answers with status 503
@@ -18,9 +18,9 @@
 
 // submitAtOnce submits many jobs at the same moment, each with retries. It returns how many
 // were accepted, how many seconds the slowest answer took, and whether the mean time of
-// refusals is at most promptRefusal.
+// refusals is at most maxPromptRefusal.
 func (users *fakeUsers) submitAtOnce(arguments Arguments) string {
-	result := &crowdResult{pending: int(arguments.number("count", "1"))}
+	result := &burstResult{pending: int(arguments.number("count", "1"))}
 	end := users.world.now + userRetry
 	for i := range result.pending {
 		jobArguments := maps.Clone(arguments)
@@ -28,7 +28,7 @@
 		body := users.registerJob(jobArguments)
 		job := users.world.jobs[jobArguments["id"]]
 		job.submitted = true
-		users.submitOneOfCrowd(result, job, body, end)
+		users.submitOneOfBurst(result, job, body, end)
 	}
 	for result.pending > 0 {
 		users.world.Run(100 * time.Millisecond)
@@ -36,9 +36,9 @@
 	return result.outcome(arguments.duration("within", "0s"))
 }
 
-// submitOneOfCrowd submits one job of a burst and retries until it is accepted or end is
+// submitOneOfBurst submits one job of a burst and retries until it is accepted or end is
 // reached.
-func (users *fakeUsers) submitOneOfCrowd(result *crowdResult, job *jobRecord, body []byte, end time.Duration) {
+func (users *fakeUsers) submitOneOfBurst(result *burstResult, job *jobRecord, body []byte, end time.Duration) {
 	sentAt := users.world.now
 	users.world.network.request(users.chooseEntryController(), submitRequest(body), func(status int, answer []byte) {
 		users.world.checker.checkAnswer(sentAt, job.id, status, phaseIn(answer))
@@ -54,24 +54,24 @@
 		case users.world.now >= end:
 			result.pending--
 		default:
-			users.world.schedule(time.Second, func() { users.submitOneOfCrowd(result, job, body, end) })
+			users.world.schedule(time.Second, func() { users.submitOneOfBurst(result, job, body, end) })
 		}
 	})
 }
 
-// promptRefusal is the longest mean time of refusals that counts as "at once".
-const promptRefusal = 500 * time.Millisecond
+// maxPromptRefusal is the longest mean time of refusals that counts as "at once".
+const maxPromptRefusal = 500 * time.Millisecond
 
 // outcome describes the result of a burst. limit is the longest time that an answer may
 // take; zero means that the times themselves are printed.
-func (result *crowdResult) outcome(limit time.Duration) string {
+func (result *burstResult) outcome(limit time.Duration) string {
 	if limit > 0 && result.slowest <= limit {
 		// With packet loss, the calls of controllers may take longer, so only the limit is
 		// checked and no times are printed.
 		return fmt.Sprintf("%d accepted, answered in time", result.accepted)
 	}
 	when := "at once"
-	if mean := result.refusedTime / time.Duration(max(1, result.refused)); mean > promptRefusal {
+	if mean := result.refusedTime / time.Duration(max(1, result.refused)); mean > maxPromptRefusal {
 		when = "after " + mean.String()
 	}
 	return fmt.Sprintf("%d accepted, answered within %.0fs, refused %s", result.accepted, math.Ceil(result.slowest.Seconds()), when)
--- a/internal/simtest/users_invalid.go
+++ b/internal/simtest/users_invalid.go
@@ -36,9 +36,9 @@
 			users.cancelInBackground(done[users.world.random.IntN(len(done))])
 		}
 	case 2:
-		users.askUnknown()
+		users.requestUnknownJob()
 	case 3:
-		users.submitImpossible()
+		users.submitUnsatisfiable()
 	case 4:
 		users.submitIncomplete()
 	}
@@ -50,8 +50,8 @@
 	return fmt.Sprintf("req-9%06d", users.invalidIDs)
 }
 
-// askUnknown polls and cancels a job that was never submitted.
-func (users *fakeUsers) askUnknown() {
+// requestUnknownJob polls and cancels a job that was never submitted.
+func (users *fakeUsers) requestUnknownJob() {
 	id := users.invalidID()
 	for _, request := range []httpRequest{pollRequest(id), cancelRequest(id)} {
 		users.retryRequest(request, func(sentAt time.Duration, status int, phase string) bool {
@@ -62,8 +62,9 @@
 	}
 }
 
-// submitImpossible submits a job that fits no machine or not into its team's limit.
-func (users *fakeUsers) submitImpossible() {
+// submitUnsatisfiable submits a job that fits no machine, exceeds the limit of its team or
+// names an unknown team.
+func (users *fakeUsers) submitUnsatisfiable() {
 	arguments := Arguments{"id": users.invalidID()}
 	switch users.world.random.IntN(4) {
 	case 0:
@@ -75,7 +76,7 @@
 	case 3:
 		arguments["types"], arguments["gpus"] = "small", "1"
 	}
-	users.submitRefused(arguments["id"], users.registerJob(arguments), http.StatusUnprocessableEntity)
+	users.submitUntilRefused(arguments["id"], users.registerJob(arguments), http.StatusUnprocessableEntity)
 }
 
 // submitIncomplete submits a job without one of its required fields.
@@ -92,11 +93,11 @@
 	sort.Strings(fields)
 	delete(submitted, fields[users.world.random.IntN(len(fields))])
 	body, _ := json.Marshal(submitted)
-	users.submitRefused(arguments["id"], body, http.StatusBadRequest)
+	users.submitUntilRefused(arguments["id"], body, http.StatusBadRequest)
 }
 
-// submitRefused submits a job and retries until it is refused with the wanted status.
-func (users *fakeUsers) submitRefused(id string, body []byte, want int) {
+// submitUntilRefused submits a job and retries until it is refused with the wanted status.
+func (users *fakeUsers) submitUntilRefused(id string, body []byte, want int) {
 	job := users.world.jobs[id]
 	job.submitted, job.expectedRefusal = true, want
 	users.retryRequest(submitRequest(body), func(sentAt time.Duration, status int, phase string) bool {
--- a/internal/simtest/users_submission.go
+++ b/internal/simtest/users_submission.go
@@ -30,7 +30,7 @@
 	job.zone = arguments["zone"]
 	job.sameZone, job.scatter, job.allowSpot = arguments.has("same_zone"), arguments.has("scatter"), arguments.has("spot")
 	job.broken = arguments.has("broken")
-	job.brokenTask = 1 + int(arguments.number("broken_task", "-1"))
+	job.failingTask = 1 + int(arguments.number("broken_task", "-1"))
 	job.runTime, job.imageFetchTime = arguments.duration("run", "5s"), arguments.duration("image", "1s")
 	job.checkpointInterval, job.checkpointDuration = arguments.duration("checkpoint", "0s"), arguments.duration("checkpoint_cost", "1s")
 }
