--- a/internal/simtest/checker_upstream.go
+++ b/internal/simtest/checker_upstream.go
@@ -114,7 +114,7 @@
 		if needs := checker.world.allUpstream(other); slices.Contains(needs, id) && !slices.ContainsFunc(needs, func(up string) bool {
 			return up != id && checker.cancelRequests[up] && checker.acknowledgedPhase[up] != jobDone
 		}) {
-			checker.reportViolation("job cancelled without request: job %s answered cancelled, but upstream job %s, the only one with a requested cancellation, answered done", other, id)
+			checker.reportViolation("job cancelled without request: job %s answered cancelled, but its upstream job %s answered done and no other upstream cancellation is open", other, id)
 		}
 	}
 }
--- a/internal/simtest/checker_upstream_test.go
+++ b/internal/simtest/checker_upstream_test.go
@@ -161,7 +161,7 @@
 	},
 	{
 		name: "cancelled before the upstream job was done",
-		want: "job cancelled without request: job req-000002 answered cancelled, but upstream job req-000001, the only one with a requested cancellation, answered done",
+		want: "job cancelled without request: job req-000002 answered cancelled, but its upstream job req-000001 answered done and no other upstream cancellation is open",
 		act: func(chain *jobChain) {
 			completeJob(chain.world, chain.first, true)
 			chain.world.checker.cancelRequests[chain.first.id] = true
--- a/internal/simtest/users_crowd.go
+++ b/internal/simtest/users_crowd.go
@@ -63,7 +63,7 @@
 const maxPromptRefusal = 500 * time.Millisecond
 
 // outcome describes the result of a burst. limit is the longest time that an answer may
-// take; zero means that the times themselves are printed.
+// take. If it is exceeded or zero, the times themselves are printed.
 func (result *burstResult) outcome(limit time.Duration) string {
 	if limit > 0 && result.slowest <= limit {
 		// With packet loss, the calls of controllers may take longer, so only the limit is
