--- a/internal/simtest/users_invalid.go
+++ b/internal/simtest/users_invalid.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// sendInvalidRequests lets users send invalid requests until that is over.
+// sendInvalidRequests sends random invalid requests until invalidRequests is reset.
 func (users *fakeUsers) sendInvalidRequests() {
 	if !users.invalidRequests {
 		return
@@ -36,34 +36,35 @@
 			users.cancelInBackground(done[users.world.random.IntN(len(done))])
 		}
 	case 2:
-		users.askUnknown()
+		users.requestUnknownJob()
 	case 3:
-		users.submitImpossible()
+		users.submitUnsatisfiable()
 	case 4:
 		users.submitIncomplete()
 	}
 }
 
-// invalidID is an ID that no valid job has.
+// invalidID returns a new job ID that no valid job uses.
 func (users *fakeUsers) invalidID() string {
 	users.invalidIDs++
 	return fmt.Sprintf("req-9%06d", users.invalidIDs)
 }
 
-// askUnknown asks about and cancels a job that nobody submitted.
-func (users *fakeUsers) askUnknown() {
+// requestUnknownJob polls and cancels a job that was never submitted.
+func (users *fakeUsers) requestUnknownJob() {
 	id := users.invalidID()
 	for _, request := range []httpRequest{pollRequest(id), cancelRequest(id)} {
-		users.retryRequest(request, func(asked time.Duration, status int, phase string) bool {
-			users.world.checker.checkAnswer(asked, id, status, phase)
+		users.retryRequest(request, func(sentAt time.Duration, status int, phase string) bool {
+			users.world.checker.checkAnswer(sentAt, id, status, phase)
 			users.world.checker.checkRefusal(id, http.StatusNotFound, status)
 			return status == http.StatusNotFound
 		})
 	}
 }
 
-// submitImpossible submits a job that no machine or no limit fits.
-func (users *fakeUsers) submitImpossible() {
+// submitUnsatisfiable submits a job that fits no machine, exceeds the limit of its team or
+// names an unknown team.
+func (users *fakeUsers) submitUnsatisfiable() {
 	arguments := Arguments{"id": users.invalidID()}
 	switch users.world.random.IntN(4) {
 	case 0:
@@ -75,10 +76,10 @@
 	case 3:
 		arguments["types"], arguments["gpus"] = "small", "1"
 	}
-	users.submitRefused(arguments["id"], users.registerJob(arguments), http.StatusUnprocessableEntity)
+	users.submitUntilRefused(arguments["id"], users.registerJob(arguments), http.StatusUnprocessableEntity)
 }
 
-// submitIncomplete submits a job without one of its fields.
+// submitIncomplete submits a job without one of its required fields.
 func (users *fakeUsers) submitIncomplete() {
 	arguments := Arguments{"id": users.invalidID()}
 	var submitted map[string]json.RawMessage
@@ -92,15 +93,15 @@
 	sort.Strings(fields)
 	delete(submitted, fields[users.world.random.IntN(len(fields))])
 	body, _ := json.Marshal(submitted)
-	users.submitRefused(arguments["id"], body, http.StatusBadRequest)
+	users.submitUntilRefused(arguments["id"], body, http.StatusBadRequest)
 }
 
-// submitRefused submits a job until it is refused with the status that is wanted.
-func (users *fakeUsers) submitRefused(id string, body []byte, want int) {
+// submitUntilRefused submits a job and retries until it is refused with the wanted status.
+func (users *fakeUsers) submitUntilRefused(id string, body []byte, want int) {
 	job := users.world.jobs[id]
 	job.submitted, job.expectedRefusal = true, want
-	users.retryRequest(submitRequest(body), func(asked time.Duration, status int, phase string) bool {
-		users.world.checker.checkAnswer(asked, id, status, phase)
+	users.retryRequest(submitRequest(body), func(sentAt time.Duration, status int, phase string) bool {
+		users.world.checker.checkAnswer(sentAt, id, status, phase)
 		users.world.checker.checkRefusal(id, want, status)
 		return status == want
 	})
