--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -146,7 +146,7 @@
 // checkLimits rejects limits that are too low for the controller to operate.
 func (p *Platform) checkLimits() error {
 	state := &p.Settings.State
-	strictest := state.Lasting()
+	strictest := state.Strictest()
 	controllers := len(p.Seeds) + 1
 	connections := connectionsPerPeer*len(p.Seeds) + nonPeerConnections
 	// The limit that is too low may be the current or the announced one.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -90,8 +90,8 @@
 		p, err := with(next)
 		if err != nil {
 			t.Errorf("Parse with %q returned error %v, want nil", next, err)
-		} else if got := p.Settings.State.Lasting(); got != want {
-			t.Errorf("Parse with %q: Lasting returned %+v, want %+v", next, got, want)
+		} else if got := p.Settings.State.Strictest(); got != want {
+			t.Errorf("Parse with %q: Strictest returned %+v, want %+v", next, got, want)
 		}
 	}
 	for next, key := range map[string]string{
@@ -116,7 +116,7 @@
 // others, and errors for invalid text.
 func TestOperator(t *testing.T) {
 	o, err := ParseOperator("[term]\nlife = \"5s\"\n")
-	if err != nil || o.Term.Life != 5e9 || o.Scheduler.Round != DefaultOperator().Scheduler.Round {
+	if err != nil || o.Term.LeaseDuration != 5e9 || o.Scheduler.RoundInterval != DefaultOperator().Scheduler.RoundInterval {
 		t.Errorf("ParseOperator returned %+v, error %v, want term.life 5s, the other keys at their defaults and no error", o, err)
 	}
 	for _, c := range []struct{ name, text, message, key string }{
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -38,24 +38,24 @@
 
 // TermSettings configure the leader's term.
 type TermSettings struct {
-	Life Duration `toml:"life"` // duration of the leader's lease, at least minTermLife
+	LeaseDuration Duration `toml:"life"` // duration of the leader's lease, at least minTermLife
 }
 
 // SchedulerSettings configure the scheduler's placement rounds.
 type SchedulerSettings struct {
-	Round  Duration `toml:"round"`  // interval between two rounds
-	Budget Duration `toml:"budget"` // maximum duration of one round
+	RoundInterval Duration `toml:"round"`  // interval between two rounds
+	RoundBudget   Duration `toml:"budget"` // maximum duration of one round
 }
 
 // AutoscalerSettings configure the release of machines.
 type AutoscalerSettings struct {
-	IdleKeep Duration `toml:"idle_keep"` // time until an idle machine is released
-	Settle   Duration `toml:"settle"`    // time from the start of a term until machines may be released
+	IdleTimeout  Duration `toml:"idle_keep"` // time until an idle machine is released
+	ReleaseDelay Duration `toml:"settle"`    // time from the start of a term until machines may be released
 }
 
 // APISettings configure the users' HTTP API.
 type APISettings struct {
-	Answer Duration `toml:"answer"` // a request that takes longer gets status 503
+	RequestTimeout Duration `toml:"answer"` // a request that takes longer gets status 503
 }
 
 // minTermLife is the minimum duration of the leader's lease. The leader renews its
@@ -67,16 +67,16 @@
 // file omits.
 func DefaultOperator() Operator {
 	return Operator{
-		Term: TermSettings{Life: Duration(4 * time.Second)},
+		Term: TermSettings{LeaseDuration: Duration(4 * time.Second)},
 		Scheduler: SchedulerSettings{
-			Round:  Duration(200 * time.Millisecond),
-			Budget: Duration(5 * time.Millisecond),
+			RoundInterval: Duration(200 * time.Millisecond),
+			RoundBudget:   Duration(5 * time.Millisecond),
 		},
 		Autoscaler: AutoscalerSettings{
-			IdleKeep: Duration(20 * time.Second),
-			Settle:   Duration(20 * time.Second),
+			IdleTimeout:  Duration(20 * time.Second),
+			ReleaseDelay: Duration(20 * time.Second),
 		},
-		API: APISettings{Answer: Duration(1500 * time.Millisecond)},
+		API: APISettings{RequestTimeout: Duration(1500 * time.Millisecond)},
 	}
 }
 
@@ -93,7 +93,7 @@
 		key := unknown[0].String()
 		return o, newError(Error{Key: key, Expected: "a key of docs/lugward.sample.toml"}, "unknown key %s: expected a key of docs/lugward.sample.toml", key)
 	}
-	if life := time.Duration(o.Term.Life); life < minTermLife {
+	if life := time.Duration(o.Term.LeaseDuration); life < minTermLife {
 		return o, newError(Error{Key: "term.life", Expected: fmt.Sprintf("at least %v", minTermLife), Found: life.String()},
 			"term.life: expected at least %v, found %v", minTermLife, life)
 	}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -60,11 +60,11 @@
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// Lasting returns limits that are valid both before and after the announced change:
+// Strictest returns limits that are valid both before and after the announced change:
 // the smaller value of each limit. The size limits must be respected in this form from
 // the start, since the change takes effect without notice. The current rate limits may
 // be used in full until the first response with status 429.
-func (s StateLimits) Lasting() StateLimits {
+func (s StateLimits) Strictest() StateLimits {
 	if next := s.Next; next != nil {
 		lower(&s.RPS, next.RPS)
 		lower(&s.WriteRPS, next.WriteRPS)
--- a/internal/controller/build.go
+++ b/internal/controller/build.go
@@ -38,7 +38,7 @@
 		cfg:          cfg,
 		log:          log,
 		names:        &pipeline.Names{},
-		leadership:   newLeadership(roundBudget{clock, time.Duration(cfg.Operator.Scheduler.Budget)}),
+		leadership:   newLeadership(roundBudget{clock, time.Duration(cfg.Operator.Scheduler.RoundBudget)}),
 		peers:        newPeerTable(cfg.Seeds),
 		heartbeats:   newWorkerHeartbeats(cfg.Settings.Resources.MaxConnections),
 		forwarding:   newForwarding(),
@@ -75,7 +75,7 @@
 		Names:            c.names,
 		LayoutValueBytes: int(state.ValueKB * bytesPerKB),
 		ValueLimit:       c.maxValueBytes(),
-		TxnOps:           state.Lasting().TxnOps,
+		TxnOps:           state.Strictest().TxnOps,
 		ControllerLabels: sortedLabels(c.cfg),
 		OnDecodeError:    c.logIgnoredRecord,
 	})
@@ -91,7 +91,7 @@
 // announced future limits once these take effect.
 func (c *Controller) newStore() *kv.Client {
 	state := &c.cfg.Settings.State
-	lasting := state.Lasting()
+	lasting := state.Strictest()
 	return kv.New(kv.Config{
 		Addr: c.cfg.Services.State,
 		Limits: kv.Limits{
@@ -111,7 +111,7 @@
 	return election.New(election.Config{
 		Label:       c.cfg.Label,
 		Position:    sort.SearchStrings(sortedLabels(c.cfg), c.cfg.Label),
-		TermLease:   time.Duration(c.cfg.Operator.Term.Life),
+		TermLease:   time.Duration(c.cfg.Operator.Term.LeaseDuration),
 		WorkerLease: c.workerLease(),
 		Grace:       c.gracePeriod(),
 		Store:       c.store,
@@ -144,8 +144,8 @@
 		ListLag:          config.Seconds(settings.Cloud.ListLagS),
 		MaxConnections:   settings.Resources.MaxConnections,
 		HeartbeatTimeout: c.workerHeartbeatTimeout(),
-		IdleTimeout:      time.Duration(c.cfg.Operator.Autoscaler.IdleKeep),
-		SettleTime:       time.Duration(c.cfg.Operator.Autoscaler.Settle),
+		IdleTimeout:      time.Duration(c.cfg.Operator.Autoscaler.IdleTimeout),
+		SettleTime:       time.Duration(c.cfg.Operator.Autoscaler.ReleaseDelay),
 	})
 }
 
@@ -166,9 +166,9 @@
 	return api.New(api.Config{
 		Label:          c.cfg.Label,
 		Teams:          c.cfg.Settings.Teams,
-		RequestTimeout: time.Duration(c.cfg.Operator.API.Answer),
+		RequestTimeout: time.Duration(c.cfg.Operator.API.RequestTimeout),
 		ValueBytes:     c.maxValueBytes(),
-		TxnOps:         c.cfg.Settings.State.Lasting().TxnOps,
+		TxnOps:         c.cfg.Settings.State.Strictest().TxnOps,
 		Names:          c.names,
 		Jobs:           c.jobs,
 		Store:          c.store,
@@ -179,7 +179,7 @@
 // maxValueBytes returns the maximum size of a value that this controller writes to the
 // state service.
 func (c *Controller) maxValueBytes() int {
-	return int(c.cfg.Settings.State.Lasting().ValueKB * bytesPerKB)
+	return int(c.cfg.Settings.State.Strictest().ValueKB * bytesPerKB)
 }
 
 // workerLease returns the duration for which an answered heartbeat renews the lease of
--- a/internal/controller/leader_work.go
+++ b/internal/controller/leader_work.go
@@ -134,7 +134,7 @@
 // short if a round was requested because of a change, and idleRoundInterval otherwise.
 func (c *Controller) isRoundDue(now event.Time) bool {
 	elapsed := now - c.leadership.schedule.lastRoundAt
-	if c.jobs.RoundRequested() && elapsed >= time.Duration(c.cfg.Operator.Scheduler.Round) {
+	if c.jobs.RoundRequested() && elapsed >= time.Duration(c.cfg.Operator.Scheduler.RoundInterval) {
 		return true
 	}
 	return elapsed >= idleRoundInterval
