--- a/internal/simtest/arguments.go
+++ b/internal/simtest/arguments.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Arguments are the arguments of a scenario's command. Those of a scenario are
-// checked before the command runs, so a malformed number or duration in the
-// methods below is a fault of a Go caller, and they panic.
+// Arguments are the arguments of a scenario command. RunCommand checks them before
+// the command runs. A malformed number or duration in the methods below is
+// therefore a programming error in a Go caller, and they panic.
 type Arguments map[string]string
 
-// text is the value of an argument, or a default if it is absent.
+// text returns the value of an argument, or def if the argument is absent.
 func (arguments Arguments) text(key, def string) string {
 	if value, ok := arguments[key]; ok {
 		return value
@@ -22,7 +22,7 @@
 	return def
 }
 
-// number is text as a number.
+// number returns the value of an argument as a number, or def if the argument is absent.
 func (arguments Arguments) number(key, def string) float64 {
 	value, err := strconv.ParseFloat(arguments.text(key, def), 64)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return value
 }
 
-// duration is text as a duration.
+// duration returns the value of an argument as a duration, or def if the argument is absent.
 func (arguments Arguments) duration(key, def string) time.Duration {
 	value, err := time.ParseDuration(arguments.text(key, def))
 	if err != nil {
@@ -40,10 +40,10 @@
 	return value
 }
 
-// has reports whether an argument is given.
+// has reports whether an argument is present.
 func (arguments Arguments) has(key string) bool { _, ok := arguments[key]; return ok }
 
-// parameter documents an argument of a command and checks its values.
+// parameter documents a parameter of a command and checks its values.
 type parameter struct {
 	name     string
 	usage    string
@@ -51,40 +51,40 @@
 	check    func(world *World, value string) error
 }
 
-// check tells what is wrong with the arguments of a command, nil if nothing is.
-func (arguments Arguments) check(world *World, known []parameter) error {
+// check validates the arguments of a command against its parameters.
+func (arguments Arguments) check(world *World, parameters []parameter) error {
 	for name := range arguments {
-		if !slices.ContainsFunc(known, func(arg parameter) bool { return arg.name == name }) {
+		if !slices.ContainsFunc(parameters, func(param parameter) bool { return param.name == name }) {
 			return fmt.Errorf("unknown argument %s", name)
 		}
 	}
-	for _, arg := range known {
-		value, given := arguments[arg.name]
+	for _, param := range parameters {
+		value, given := arguments[param.name]
 		if !given {
-			if arg.required {
-				return fmt.Errorf("argument %s is missing", arg.name)
+			if param.required {
+				return fmt.Errorf("argument %s is missing", param.name)
 			}
 			continue
 		}
-		if err := arg.check(world, value); err != nil {
-			return fmt.Errorf("%s=%s: %w", arg.name, value, err)
+		if err := param.check(world, value); err != nil {
+			return fmt.Errorf("%s=%s: %w", param.name, value, err)
 		}
 	}
 	return nil
 }
 
-// required makes an argument one that must be given.
-func required(arg parameter) parameter {
-	arg.required = true
-	return arg
+// required returns a copy of a parameter that must be given.
+func required(param parameter) parameter {
+	param.required = true
+	return param
 }
 
-// textParameter takes any value.
+// textParameter returns a parameter that accepts any value.
 func textParameter(name, usage string) parameter {
 	return parameter{name: name, usage: usage, check: func(*World, string) error { return nil }}
 }
 
-// numberParameter takes a decimal number.
+// numberParameter returns a parameter that accepts a decimal number.
 func numberParameter(name, usage string) parameter {
 	return parameter{name: name, usage: usage, check: func(_ *World, value string) error {
 		if _, err := strconv.ParseFloat(value, 64); err != nil {
@@ -94,7 +94,7 @@
 	}}
 }
 
-// durationParameter takes a duration such as 1m30s.
+// durationParameter returns a parameter that accepts a duration such as 1m30s.
 func durationParameter(name, usage string) parameter {
 	return parameter{name: name, usage: usage, check: func(_ *World, value string) error {
 		if _, err := time.ParseDuration(value); err != nil {
@@ -104,17 +104,17 @@
 	}}
 }
 
-// flagParameter takes no value: it is given or not.
+// flagParameter returns a parameter without a value: it is present or absent.
 func flagParameter(name, usage string) parameter {
 	return parameter{name: name, usage: usage, check: func(_ *World, value string) error {
 		if value != "" {
-			return errors.New("a flag has no value")
+			return errors.New("a flag takes no value")
 		}
 		return nil
 	}}
 }
 
-// choiceParameter takes one of several values.
+// choiceParameter returns a parameter that accepts one of several values.
 func choiceParameter(name, usage string, choices ...string) parameter {
 	return parameter{name: name, usage: usage + ": " + strings.Join(choices, ", "), check: func(_ *World, value string) error {
 		if !slices.Contains(choices, value) {
@@ -124,10 +124,10 @@
 	}}
 }
 
-// controllerParameter is an argument that names one controller (n0, n1, ...), the leader
-// or all.
+// controllerParameter returns a parameter that accepts a controller (n0, n1, ...), "leader"
+// or "all".
 func controllerParameter(usage string) parameter {
-	return parameter{name: "node", usage: usage, check: func(world *World, value string) error {
+	return parameter{name: "controller", usage: usage, check: func(world *World, value string) error {
 		if value == "all" || value == "leader" || world.controller(value) != nil {
 			return nil
 		}
@@ -135,7 +135,7 @@
 	}}
 }
 
-// jobIDsParameter takes what parseJobIDs reads.
+// jobIDsParameter returns a parameter that accepts job IDs in the syntax of parseJobIDs.
 func jobIDsParameter(name, usage string) parameter {
 	return parameter{name: name, usage: usage, check: func(_ *World, value string) error {
 		_, err := parseJobIDs(value)
@@ -143,7 +143,8 @@
 	}}
 }
 
-// machineTypeParameter takes the name of a machine type that the cloud offers.
+// machineTypeParameter returns a parameter that accepts the name of a machine type that the cloud
+// offers.
 func machineTypeParameter(usage string) parameter {
 	return parameter{name: "type", usage: usage, check: func(_ *World, value string) error {
 		if !slices.Contains(offeredTypeNames, value) {
@@ -153,8 +154,8 @@
 	}}
 }
 
-// parseJobIDs reads job IDs joined by "+", where req-000100*3000 stands for that
-// many, counted up.
+// parseJobIDs parses job IDs joined by "+". req-000100*3000 means 3000 consecutive IDs from
+// req-000100 on.
 func parseJobIDs(text string) ([]string, error) {
 	var ids []string
 	for _, part := range strings.Split(text, "+") {
@@ -165,7 +166,7 @@
 		}
 		first, err := strconv.Atoi(strings.TrimPrefix(id, "req-"))
 		if err != nil {
-			return nil, fmt.Errorf("%s is not req- and a number", id)
+			return nil, fmt.Errorf("%s is not a job ID of the form req-N", id)
 		}
 		number, err := strconv.Atoi(count)
 		if err != nil {
--- a/internal/simtest/commands.go
+++ b/internal/simtest/commands.go
@@ -6,21 +6,21 @@
 	"slices"
 )
 
-// commandFunc carries out a command and returns its output.
+// commandFunc runs a command and returns its output.
 type commandFunc func(world *World, arguments Arguments, input string) (string, error)
 
-// command is what a scenario may ask for: usage and arguments document it.
+// command is a command that scenarios can run. usage and parameters document it.
 type command struct {
 	usage      string
 	parameters []parameter
 	run        commandFunc
 }
 
-// commands are all that scenarios may use but "world", which begins each of them.
+// commands are the commands that scenarios can use, except "world", which starts every scenario.
 var commands = mergeCommands(
 	serviceCommands,
 	jobCommands,
-	watchingCommands,
+	pollCommands,
 	pipelineCommands,
 	controllerCommands,
 	machineCommands,
@@ -29,7 +29,7 @@
 	inspectionCommands,
 )
 
-// mergeCommands puts groups of commands together.
+// mergeCommands merges groups of commands into one map.
 func mergeCommands(groups ...map[string]command) map[string]command {
 	all := map[string]command{}
 	for _, group := range groups {
@@ -38,7 +38,7 @@
 	return all
 }
 
-// RunCommand checks and carries out one command of a scenario and returns its output.
+// RunCommand checks the arguments of one scenario command, runs it and returns its output.
 func (world *World) RunCommand(name string, arguments Arguments, input string) (string, error) {
 	command, ok := commands[name]
 	if !ok {
@@ -50,39 +50,39 @@
 	return command.run(world, arguments, input)
 }
 
-// acting makes a commandFunc of what prints nothing but "ok".
-func acting(action func(world *World, arguments Arguments)) commandFunc {
+// actionCommand returns a commandFunc that runs action and prints "ok".
+func actionCommand(action func(world *World, arguments Arguments)) commandFunc {
 	return func(world *World, arguments Arguments, _ string) (string, error) {
 		action(world, arguments)
 		return "ok", nil
 	}
 }
 
-// printing makes a commandFunc of what prints something and cannot fail.
-func printing(output func(world *World, arguments Arguments) string) commandFunc {
+// printCommand returns a commandFunc that prints what output returns and never fails.
+func printCommand(output func(world *World, arguments Arguments) string) commandFunc {
 	return func(world *World, arguments Arguments, _ string) (string, error) {
 		return output(world, arguments), nil
 	}
 }
 
-// withParameters is a list of arguments and more of them.
+// withParameters returns a copy of list with more parameters appended.
 func withParameters(list []parameter, more ...parameter) []parameter {
 	return append(slices.Clone(list), more...)
 }
 
-// worldParameters are those of the command "world".
+// worldParameters are the parameters of the command "world".
 var worldParameters = []parameter{
-	numberParameter("nodes", "controllers"),
-	numberParameter("seed", "of all random draws"),
-	numberParameter("report", "seconds between a worker's heartbeats"),
+	numberParameter("controllers", "number of controllers"),
+	numberParameter("seed", "seed of the random number generator"),
+	numberParameter("heartbeat", "seconds between a worker's heartbeats"),
 	numberParameter("lease", "seconds that a worker's lease lasts"),
-	numberParameter("cancel", "seconds that a cancellation may take"),
-	numberParameter("cloudrps", "the cloud's limit of requests per second"),
-	numberParameter("maxgpus", "the first team's limit of GPUs"),
+	numberParameter("cancel", "seconds within which the tasks of a cancelled job must stop"),
+	numberParameter("cloud_rps", "the cloud's limit of requests per second"),
+	numberParameter("max_gpus", "the first team's limit of GPUs"),
 	numberParameter("rps", "the state service's limit of requests per second"),
 	numberParameter("writes", "the state service's limit of writes per second"),
-	numberParameter("nextrps", "announced limit of requests per second"),
-	numberParameter("nextwrites", "announced limit of writes per second"),
-	numberParameter("nextvalue", "announced limit of a value's size in KiB"),
-	numberParameter("nextops", "announced limit of writes per transaction"),
+	numberParameter("nextrps", "announced next limit of requests per second"),
+	numberParameter("nextwrites", "announced next limit of writes per second"),
+	numberParameter("nextvalue", "announced next limit of a value's size in KiB"),
+	numberParameter("nextops", "announced next limit of writes per transaction"),
 }
--- a/internal/simtest/commands_controllers.go
+++ b/internal/simtest/commands_controllers.go
@@ -1,95 +1,96 @@
 package simtest
 
 import (
-	"errors"
+	"fmt"
 )
 
-// controllerParameters choose controllers.
-var controllerParameters = []parameter{required(controllerParameter("which controllers"))}
+// controllerParameters select controllers.
+var controllerParameters = []parameter{required(controllerParameter("a controller (n0, n1, ...), leader or all"))}
 
-// controllerCommands bring faults to controllers.
+// controllerCommands inject faults into controllers.
 var controllerCommands = map[string]command{
 	"kill": {
-		usage:      "ends controllers",
+		usage:      "kills controllers",
 		parameters: controllerParameters,
-		run:        onControllers((*controllerProcess).kill),
+		run:        forControllers((*controllerProcess).kill),
 	},
 	"boot": {
 		usage:      "starts controllers that are down",
 		parameters: controllerParameters,
-		run:        onControllers((*controllerProcess).bootIfDown),
+		run:        forControllers((*controllerProcess).bootIfDown),
 	},
-	"deny": {
-		usage:      "lets the state service refuse controllers",
+	"deny_state": {
+		usage:      "makes the state service reject all requests of controllers",
 		parameters: controllerParameters,
-		run:        onControllers(func(process *controllerProcess) { process.denied = true }),
+		run:        forControllers(func(process *controllerProcess) { process.denied = true }),
 	},
-	"allow": {
-		usage:      "ends deny",
+	"allow_state": {
+		usage:      "ends deny_state",
 		parameters: controllerParameters,
-		run:        onControllers(func(process *controllerProcess) { process.denied = false }),
+		run:        forControllers(func(process *controllerProcess) { process.denied = false }),
 	},
 	"block_watch": {
-		usage:      "leaves controllers' requests for changes unanswered, their other requests are answered",
+		usage:      "leaves watch requests of controllers unanswered; their other requests are answered",
 		parameters: controllerParameters,
-		run:        onControllers(func(process *controllerProcess) { process.watchBlocked = true }),
+		run:        forControllers(func(process *controllerProcess) { process.watchBlocked = true }),
 	},
 	"unblock_watch": {
 		usage:      "ends block_watch",
 		parameters: controllerParameters,
-		run:        onControllers(func(process *controllerProcess) { process.watchBlocked = false }),
+		run:        forControllers(func(process *controllerProcess) { process.watchBlocked = false }),
 	},
 	"isolate": {
-		usage:      "cuts controllers off from the state service and each other, not from workers",
+		usage:      "disconnects controllers from the state service and from each other, but not from workers",
 		parameters: controllerParameters,
-		run:        onControllers(func(process *controllerProcess) { process.world.network.setIsolated(process, true) }),
+		run:        forControllers(func(process *controllerProcess) { process.world.network.setIsolated(process, true) }),
 	},
-	"join": {
+	"reconnect": {
 		usage:      "ends isolate",
 		parameters: controllerParameters,
-		run:        onControllers(func(process *controllerProcess) { process.world.network.setIsolated(process, false) }),
+		run:        forControllers(func(process *controllerProcess) { process.world.network.setIsolated(process, false) }),
 	},
 	"pause": {
-		usage: "pauses controllers while their clocks run on",
+		usage: "pauses controllers while their clocks continue",
 		parameters: withParameters(
 			controllerParameters,
 			durationParameter("for", "2s if absent"),
 
-			flagParameter("mid_step", "from when the next decision is made and not carried out"),
+			flagParameter("before_execution", "starts the pause between the next decision and its execution"),
 		),
-		run: acting(pauseControllers),
+		run: actionCommand(pauseControllers),
 	},
-	"churn": {
+	"change_leader": {
 		usage: "changes the leader repeatedly",
 		parameters: []parameter{
-			numberParameter("times", "10 if absent"),
-			durationParameter("over", "in that time, 120s if absent"),
+			numberParameter("times", "number of changes, 10 if absent"),
+			durationParameter("over", "time over which the changes are spread, 120s if absent"),
 
-			choiceParameter("how", "drawn each time if absent", "kill", "deny", "isolate", "pause"),
+			choiceParameter("how", "fault that removes the leader, chosen at random each time if absent", "kill", "deny", "isolate", "pause"),
 		},
-		run: acting(func(world *World, arguments Arguments) {
+		run: actionCommand(func(world *World, arguments Arguments) {
 			world.churn(int(arguments.number("times", "10")), arguments.duration("over", "120s"), arguments["how"])
 		}),
 	},
 }
 
-// onControllers makes a commandFunc of what is done to each controller that is named.
-func onControllers(action func(process *controllerProcess)) commandFunc {
-	return acting(func(world *World, arguments Arguments) {
-		for _, process := range world.selectControllers(arguments["node"]) {
+// forControllers returns a commandFunc that applies action to each selected controller.
+func forControllers(action func(process *controllerProcess)) commandFunc {
+	return actionCommand(func(world *World, arguments Arguments) {
+		for _, process := range world.selectControllers(arguments["controller"]) {
 			action(process)
 		}
 	})
 }
 
-// pauseControllers pauses controllers, from now or from their next decision.
+// pauseControllers pauses controllers, either now or after their next decision.
 func pauseControllers(world *World, arguments Arguments) {
-	for _, process := range world.selectControllers(arguments["node"]) {
-		process.pause(arguments.duration("for", "2s"), arguments.has("mid_step"))
+	for _, process := range world.selectControllers(arguments["controller"]) {
+		process.pause(arguments.duration("for", "2s"), arguments.has("before_execution"))
 	}
 }
 
-// selectControllers finds the controllers that a command names: none if nobody leads.
+// selectControllers returns the controllers that name selects. "leader" selects none if there is no
+// leader.
 func (world *World) selectControllers(name string) []*controllerProcess {
 	process := world.controller(name)
 	switch name {
@@ -104,11 +105,11 @@
 	return []*controllerProcess{process}
 }
 
-// selectController finds the controller that a command names.
+// selectController returns the one controller that the arguments select.
 func (world *World) selectController(arguments Arguments) (*controllerProcess, error) {
-	list := world.selectControllers(arguments["node"])
+	list := world.selectControllers(arguments["controller"])
 	if len(list) != 1 {
-		return nil, errors.New("node: one controller is needed, there is none or more")
+		return nil, fmt.Errorf("controller=%s: selects %d controllers, want 1", arguments["controller"], len(list))
 	}
 	return list[0], nil
 }
--- a/internal/simtest/commands_inspect.go
+++ b/internal/simtest/commands_inspect.go
@@ -1,7 +1,6 @@
 package simtest
 
 import (
-	"errors"
 	"fmt"
 	"sort"
 	"strconv"
@@ -10,131 +9,132 @@
 	"lugward/internal/controller"
 )
 
-// inspectionCommands print what came of everything; they change nothing.
+// inspectionCommands print or check the state of the simulated cluster. They change nothing, except that
+// check_half_started records a violation if its check fails.
 var inspectionCommands = map[string]command{
-	"rules": {
-		usage: `prints "kept" or the rules that were broken`,
-		run:   printing(func(world *World, _ Arguments) string { return world.Verdict() }),
+	"check_rules": {
+		usage: `prints the violations of the checker's rules, "kept" if there are none`,
+		run:   printCommand(func(world *World, _ Arguments) string { return world.Verdict() }),
 	},
-	"served": {
-		usage: "checks that half of each class, of each team and of the largest jobs have begun in time",
-		run:   printing(func(world *World, _ Arguments) string { return world.checker.checkServed() }),
+	"check_half_started": {
+		usage: "checks that half of the jobs of each class, of each team and of the largest jobs have started",
+		run:   printCommand(func(world *World, _ Arguments) string { return world.checker.checkServed() }),
 	},
-	"work": {
-		usage: "checks how much work controllers did",
+	"check_work": {
+		usage: "checks upper bounds on the work of all controllers",
 		parameters: []parameter{
-			required(numberParameter("decoded", "percent of the bytes of heartbeats")),
-			required(numberParameter("counted", "machine capacities")),
-			required(numberParameter("writes", "writes")),
+			required(numberParameter("decoded_percent", "percentage of the bytes of heartbeats that are decoded")),
+			required(numberParameter("capacities", "machine capacities that are recomputed")),
+			required(numberParameter("writes", "keys written to the state service")),
 		},
-		run: printing(workDone),
+		run: printCommand(checkWork),
 	},
-	"zones": {
-		usage: "prints the tasks of a job that are on machines, by zone",
+	"tasks_by_zone": {
+		usage: "prints the number of a job's tasks that are on machines, by zone",
 		parameters: withParameters(
 			jobIDParameters,
-			flagParameter("either", "the larger number first, whatever the zone"),
+			flagParameter("largest_first", "prints the larger number first, without the names of the zones"),
 		),
-		run: printing(tasksByZone),
+		run: printCommand(tasksByZone),
 	},
-	"machines": {
-		usage: "prints the machines that the cloud has provisioned and not taken back, by type",
-		run:   printing(machinesByType),
+	"machines_by_type": {
+		usage: "prints the number of machines that are provisioned and neither released nor terminated, by type",
+		run:   printCommand(machinesByType),
 	},
 	"keys": {
 		usage:      "prints keys and values of the state service",
-		parameters: []parameter{required(textParameter("prefix", "of the keys"))},
-		run: printing(func(world *World, arguments Arguments) string {
+		parameters: []parameter{required(textParameter("prefix", "prefix of the keys"))},
+		run: printCommand(func(world *World, arguments Arguments) string {
 			return strings.Join(world.listKeys(arguments["prefix"]), "\n")
 		}),
 	},
 	"job_machines": {
-		usage:      "prints the number of machines that a job's tasks are on, and how many are slow",
+		usage:      "prints the number of machines that run a job's tasks, and how many of them are slow",
 		parameters: jobIDParameters,
-		run:        printing(machinesOfJob),
+		run:        printCommand(machinesOfJob),
 	},
-	"completed": {
+	"completed_tasks": {
 		usage:      "prints the number of a job's tasks that have completed",
 		parameters: jobIDParameters,
-		run:        countOfJob(func(job *jobRecord) int { return len(job.completed) }),
+		run:        jobCountCommand(func(job *jobRecord) int { return len(job.completed) }),
 	},
 	"running_tasks": {
 		usage:      "prints the number of a job's tasks that are on machines",
 		parameters: jobIDParameters,
-		run:        printing(runningTasks),
+		run:        printCommand(runningTasks),
 	},
-	"acknowledged": {
-		usage:      "prints the phase of a job that was last acknowledged",
+	"acknowledged_phase": {
+		usage:      "prints the last acknowledged phase of a job",
 		parameters: jobIDParameters,
-		run: printing(func(world *World, arguments Arguments) string {
+		run: printCommand(func(world *World, arguments Arguments) string {
 			return world.checker.acknowledgedPhase[arguments["id"]]
 		}),
 	},
-	"leads": {
-		usage: "prints the leader",
-		run:   printing(leaderName),
+	"leader": {
+		usage: `prints the name of the leader, "none" if there is none`,
+		run:   printCommand(leaderName),
 	},
 	"machine_of": {
 		usage:      "prints the machine that a task is on",
 		parameters: []parameter{required(textParameter("task", "task"))},
-		run:        printing(machineName),
+		run:        printCommand(machineName),
 	},
 	"machine_state": {
-		usage: "prints whether a machine is booting, up, failed (its worker ended, the cloud still has it) or gone (returned or terminated)",
+		usage: "prints the state of a machine: booting, up, failed (its worker crashed, the cloud still lists it) or gone (released or terminated)",
 
 		parameters: []parameter{required(textParameter("machine", "name of the machine"))},
-		run:        printing(func(world *World, arguments Arguments) string { return world.cloud.machineState(arguments["machine"]) }),
+		run:        printCommand(func(world *World, arguments Arguments) string { return world.cloud.machineState(arguments["machine"]) }),
 	},
 	"starts": {
-		usage: "prints the number of starts that workers executed",
-		run:   count(func(world *World) int { return world.checker.starts }),
+		usage: "prints the number of task starts that workers executed",
+		run:   countCommand(func(world *World) int { return world.checker.starts }),
 	},
-	"connected": {
+	"connected_workers": {
 		usage: "prints how many workers are connected to each controller",
-		run:   printing(workersByController),
+		run:   printCommand(workersByController),
 	},
-	"unanswered": {
-		usage: "prints the number of workers' heartbeats that got no answer",
-		run:   count(func(world *World) int { return world.checker.unansweredHeartbeats }),
+	"unanswered_heartbeats": {
+		usage: "prints the number of workers' heartbeats that got no response",
+		run:   countCommand(func(world *World) int { return world.checker.unansweredHeartbeats }),
 	},
-	"after": {
-		usage: "prints the number of starts after an acknowledged cancellation",
-		run:   count(func(world *World) int { return world.checker.startsAfterCancellation }),
+	"starts_after_cancellation": {
+		usage: "prints the number of task starts after an acknowledged cancellation of their job",
+		run:   countCommand(func(world *World) int { return world.checker.startsAfterCancellation }),
 	},
-	"refused": {
-		usage: "prints the number of requests refused by the state service's rates",
-		run:   count(func(world *World) int { return world.stateService.refusedForRate }),
+	"rate_limited_requests": {
+		usage: "prints the number of requests that the state service rejected because of its rate limits",
+		run:   countCommand(func(world *World) int { return world.stateService.refusedForRate }),
 	},
 	"oversized_writes": {
-		usage: "prints the number of writes refused for their size",
-		run:   count(func(world *World) int { return world.stateService.tooLarge }),
+		usage: "prints the number of writes that the state service rejected because of their size",
+		run:   countCommand(func(world *World) int { return world.stateService.tooLarge }),
 	},
 	"provisioned": {
 		usage: "prints the number of machines that controllers have provisioned so far",
-		run:   count((*World).provisioned),
+		run:   countCommand((*World).provisioned),
 	},
 	"attempts": {
-		usage:      "prints the number of starts that workers executed for a job, from when its image was fetched; each task of a gang's attempt counts",
+		usage:      "prints the number of task starts of a job, counted once the image is fetched; in a gang, each task of an attempt counts",
 		parameters: jobIDParameters,
-		run:        countOfJob(func(job *jobRecord) int { return job.startedAttempts }),
+		run:        jobCountCommand(func(job *jobRecord) int { return job.startedAttempts }),
 	},
 	"stopped": {
-		usage: "prints the number of tasks, of a job or of all, that a command stopped while their job was neither finished nor cancelled",
+		usage: "prints the number of tasks, of one job or of all, that a command stopped while their job was neither done nor cancelled",
 
 		parameters: []parameter{textParameter("id", "job ID, all if absent")},
-		run:        printing(stoppedTasks),
+		run:        printCommand(stoppedTasks),
 	},
 }
 
-// count makes a commandFunc of what prints a number.
-func count(number func(world *World) int) commandFunc {
-	return printing(func(world *World, _ Arguments) string { return strconv.Itoa(number(world)) })
+// countCommand returns a commandFunc that prints a number.
+func countCommand(number func(world *World) int) commandFunc {
+	return printCommand(func(world *World, _ Arguments) string { return strconv.Itoa(number(world)) })
 }
 
-// workDone checks how much work the controllers did, all together: of the
-// bytes of heartbeats they may decode so many hundredths, in a round count the
-// machine capacities of so many machines anew, and make so many writes in all.
-func workDone(world *World, arguments Arguments) string {
+// checkWork checks the work of all controllers together against upper bounds: the percentage of
+// heartbeat bytes that they decoded, the machine capacities that they recomputed in rounds, and the
+// keys that they wrote.
+func checkWork(world *World, arguments Arguments) string {
 	var sum controller.WorkCounters
 	for _, process := range world.controllers {
 		one := process.controller.WorkCounters()
@@ -144,15 +144,15 @@
 		sum.Rounds += one.Rounds
 		sum.CapacitiesRecomputed += one.CapacitiesRecomputed
 	}
-	if float64(sum.BytesDecoded) <= arguments.number("decoded", "0")/100*float64(sum.BytesDecoded+sum.BytesUnchanged) &&
-		float64(sum.CapacitiesRecomputed) <= arguments.number("counted", "0") &&
+	if float64(sum.BytesDecoded) <= arguments.number("decoded_percent", "0")/100*float64(sum.BytesDecoded+sum.BytesUnchanged) &&
+		float64(sum.CapacitiesRecomputed) <= arguments.number("capacities", "0") &&
 		world.stateService.writtenKeys <= int(arguments.number("writes", "0")) {
-		return "within"
+		return "within limits"
 	}
 	return fmt.Sprintf("%+v, %d writes", sum, world.stateService.writtenKeys)
 }
 
-// tasksOf lists the tasks of a job that are on machines.
+// tasksOf returns the tasks of a job that are on machines.
 func (world *World) tasksOf(id string) (tasks []*taskAssignment) {
 	for _, assignment := range world.checker.onMachines() {
 		if assignment.job.id == id {
@@ -168,22 +168,22 @@
 	for _, assignment := range world.tasksOf(arguments["id"]) {
 		zone[assignment.worker.zone]++
 	}
-	if arguments.has("either") {
+	if arguments.has("largest_first") {
 		return fmt.Sprintf("%d+%d", max(zone["a"], zone["b"]), min(zone["a"], zone["b"]))
 	}
 	return fmt.Sprintf("a=%d b=%d", zone["a"], zone["b"])
 }
 
-// machinesByType counts the cloud's machines, by type.
+// machinesByType counts the cloud's machines by type.
 func machinesByType(world *World, _ Arguments) string {
 	types := map[string]int{}
 	for _, machine := range world.cloud.machines {
 		types[machine.machineType]++
 	}
-	return countsText(types)
+	return formatCounts(types)
 }
 
-// machinesOfJob counts the machines that tasks of a job are on, and the slow ones of them.
+// machinesOfJob counts the machines that run tasks of a job, and how many of them are slow.
 func machinesOfJob(world *World, arguments Arguments) string {
 	machines := map[string]bool{}
 	slow := 0
@@ -193,7 +193,7 @@
 		}
 		machines[assignment.worker.name] = true
 	}
-	return fmt.Sprintf("%d of them slow: %d", len(machines), slow)
+	return fmt.Sprintf("%d machines, %d slow", len(machines), slow)
 }
 
 // runningTasks counts the tasks of a job that are on machines.
@@ -201,12 +201,12 @@
 	return strconv.Itoa(len(world.tasksOf(arguments["id"])))
 }
 
-// countOfJob makes a commandFunc of what prints a number of a submitted job.
-func countOfJob(number func(job *jobRecord) int) commandFunc {
+// jobCountCommand returns a commandFunc that prints a number of a submitted job.
+func jobCountCommand(number func(job *jobRecord) int) commandFunc {
 	return func(world *World, arguments Arguments, _ string) (string, error) {
 		job := world.jobs[arguments["id"]]
 		if job == nil {
-			return "", errors.New("the job was not submitted")
+			return "", fmt.Errorf("job %s was not submitted", arguments["id"])
 		}
 		return strconv.Itoa(number(job)), nil
 	}
@@ -221,15 +221,15 @@
 	return strings.Join(parts, " ")
 }
 
-// leaderName names the leader.
+// leaderName returns the name of the leader, "none" if there is none.
 func leaderName(world *World, _ Arguments) string {
 	if process := world.leader(); process != nil {
 		return process.name
 	}
-	return "nobody"
+	return "none"
 }
 
-// machineName names the machine that a task is on.
+// machineName returns the name of the machine that a task is on.
 func machineName(world *World, arguments Arguments) string {
 	worker := world.workerOf(arguments["task"])
 	if worker == nil {
@@ -238,7 +238,7 @@
 	return worker.name
 }
 
-// machineState tells what the cloud has of a machine.
+// machineState returns the state of a machine as the command machine_state prints it.
 func (cloud *fakeCloud) machineState(name string) string {
 	machine := cloud.machines[name]
 	switch {
@@ -252,7 +252,7 @@
 	return "up"
 }
 
-// provisioned counts the machines that controllers have provisioned.
+// provisioned returns the number of machines that controllers have provisioned.
 func (world *World) provisioned() int {
 	sum := 0
 	for _, names := range world.cloud.provisionedByRequest {
@@ -272,7 +272,7 @@
 	return strconv.Itoa(sum)
 }
 
-// listKeys lists what the state service holds below a prefix.
+// listKeys returns the keys with a prefix and their values in the state service, sorted by key.
 func (world *World) listKeys(prefix string) []string {
 	var keys []string
 	for key, stored := range world.stateService.keys {
--- a/internal/simtest/commands_jobs.go
+++ b/internal/simtest/commands_jobs.go
@@ -9,75 +9,75 @@
 	"strings"
 )
 
-// commonJobParameters describe a job, whatever its ID.
+// commonJobParameters describe a job without its ID.
 var commonJobParameters = []parameter{
 	textParameter("team", "red if absent"),
-	textParameter("class", "class of jobs, c if absent"),
+	textParameter("class", "job class, c if absent"),
 	choiceParameter("shape", "array if absent", "array", "gang", "daemon"),
 	textParameter("priority", "normal if absent"),
 	numberParameter("tasks", "number of tasks, 1 if absent"),
 	numberParameter("cpus", "of each task, 1 if absent"),
 	numberParameter("gpus", "of each task, 0 if absent"),
-	numberParameter("memory", "GB of each task, 1 if absent"),
-	textParameter("types", "machine types that fit, joined by +"),
-	textParameter("zone", "the zone to run in"),
-	flagParameter("same_zone", "all tasks run in one zone"),
-	flagParameter("scatter", "at most half of the tasks run in one zone"),
+	numberParameter("memory", "memory of each task in GB, 1 if absent"),
+	textParameter("types", "acceptable machine types, joined by +"),
+	textParameter("zone", "zone that the job must run in"),
+	flagParameter("same_zone", "all tasks must run in the same zone"),
+	flagParameter("scatter", "at most half of the tasks may run in one zone"),
 	flagParameter("spot", "may run on spot machines"),
-	flagParameter("broken", "every task fails on every machine; any shape may be broken"),
-	numberParameter("broken_task", "number of the only task that fails on every machine"),
-	durationParameter("run", "what each task takes, 5s if absent"),
+	flagParameter("broken", "every task fails on every machine; allowed for every shape"),
+	numberParameter("broken_task", "index of the one task that fails on every machine"),
+	durationParameter("run", "run time of each task, 5s if absent"),
 	textParameter("image_name", "name of the image"),
 	durationParameter("image", "time to fetch the image, 1s if absent"),
 	durationParameter("checkpoint", "interval of checkpoints, none if absent"),
 	durationParameter("checkpoint_cost", "duration of a checkpoint, 1s if absent"),
-	jobIDsParameter("awaits", "upstream jobs joined by +; req-000100*3000 stands for so many, counted up"),
+	jobIDsParameter("awaits", "upstream jobs joined by +; req-000100*3000 means 3000 consecutive IDs from req-000100 on"),
 }
 
 var (
 	jobParameters      = withParameters(commonJobParameters, required(textParameter("id", "job ID")))
 	jobIDParameters    = []parameter{required(textParameter("id", "job ID"))}
 	jobRangeParameters = withParameters(commonJobParameters,
-		numberParameter("from", "number of the first ID, 1 if absent"),
-		numberParameter("count", "jobs"))
+		numberParameter("from", "number of the first job ID, 1 if absent"),
+		numberParameter("count", "number of jobs"))
 	requestMethods = choiceParameter("method", "POST if absent", "GET", "POST", "PUT", "DELETE")
 )
 
 // jobCommands submit and cancel jobs.
 var jobCommands = map[string]command{
 	"submit": {
-		usage:      "submits a job and repeats that as users do; prints status and phase",
+		usage:      "submits a job with the retries of a user; prints status and phase",
 		parameters: jobParameters,
-		run: printing(func(world *World, arguments Arguments) string {
+		run: printCommand(func(world *World, arguments Arguments) string {
 			return statusAndPhase(world.users.Submit(arguments))
 		}),
 	},
-	"accept": {
-		usage:      "submits a job that is to be accepted, at the first attempt or later",
+	"submit_accepted": {
+		usage:      `submits a job with the retries of a user; prints "accepted" for 200 and 201`,
 		parameters: jobParameters,
-		run:        printing(acceptJob),
+		run:        printCommand(submitAccepted),
 	},
 	"burst": {
-		usage: "submits many jobs alike",
+		usage: "submits many jobs with the same arguments",
 		parameters: withParameters(
 			jobRangeParameters,
-			flagParameter("once", "all at the same moment"),
-			durationParameter("within", "with once: time in which all must be answered"),
+			flagParameter("simultaneous", "submits all jobs at the same time"),
+			durationParameter("within", "with simultaneous: time within which all requests must be answered"),
 		),
-		run: printing(burst),
+		run: printCommand(burst),
 	},
-	"job": {
+	"register_job": {
 		usage:      "registers a job with the workers without submitting it",
 		parameters: jobParameters,
-		run:        acting(registerUnsubmittedJob),
+		run:        actionCommand(registerUnsubmittedJob),
 	},
-	"send": {
-		usage: "sends one submission whose upstream list is the input",
+	"submit_upstreams": {
+		usage: "sends one submission, without retries, whose upstream list is the input",
 		parameters: withParameters(
 			jobParameters,
-			controllerParameter("the controller to ask, any if absent"),
+			controllerParameter("controller that receives the request, any if absent"),
 		),
-		run: sendSubmission,
+		run: submitUpstreams,
 	},
 	"request": {
 		usage: "sends the input as one request to n0 and prints the status",
@@ -85,68 +85,68 @@
 			requestMethods,
 			required(textParameter("path", "path")),
 		},
-		run: printingWithInput(rawRequest),
+		run: printCommandWithInput(sendRequest),
 	},
-	"begin": {
-		usage: "submits a job without waiting for the answer",
+	"request_async": {
+		usage: "sends a submission or cancellation without waiting for the response",
 		parameters: withParameters(
 			jobParameters,
-			flagParameter("cancel", "cancels instead"),
-			flagParameter("once", "the user does not repeat it"),
+			flagParameter("cancel", "cancels the job instead of submitting it"),
+			flagParameter("no_retry", "the user does not retry the request"),
 		),
-		run: acting(beginRequest),
+		run: actionCommand(requestAsync),
 	},
 	"answer": {
-		usage: "prints the answer to what begin sent",
+		usage: "waits for the response to a request of request_async and prints it",
 		parameters: withParameters(
 			jobIDParameters,
-			required(choiceParameter("of", "request", "submit", "cancel")),
+			required(choiceParameter("to", "kind of request", "submit", "cancel")),
 			flagParameter("accepted", "prints accepted for 200 and 201"),
 			durationParameter("within", "70s if absent"),
 		),
-		run: printing(answerOf),
+		run: printCommand(awaitAnswer),
 	},
 	"cancel": {
-		usage:      "cancels a job; prints status and phase",
+		usage:      "cancels a job with the retries of a user; prints status and phase",
 		parameters: jobIDParameters,
-		run: printing(func(world *World, arguments Arguments) string {
+		run: printCommand(func(world *World, arguments Arguments) string {
 			return statusAndPhase(world.users.Cancel(arguments["id"]))
 		}),
 	},
-	"cancel_soon": {
-		usage:      "cancels a job without waiting for the answer",
+	"cancel_async": {
+		usage:      "cancels a job without waiting for the response",
 		parameters: jobIDParameters,
-		run:        acting(func(world *World, arguments Arguments) { world.users.cancelInBackground(arguments["id"]) }),
+		run:        actionCommand(func(world *World, arguments Arguments) { world.users.cancelInBackground(arguments["id"]) }),
 	},
 }
 
-// printingWithInput is printing for what takes the input of the command.
-func printingWithInput(output func(world *World, arguments Arguments, input string) string) commandFunc {
+// printCommandWithInput is like printCommand, but output also gets the input of the command.
+func printCommandWithInput(output func(world *World, arguments Arguments, input string) string) commandFunc {
 	return func(world *World, arguments Arguments, input string) (string, error) {
 		return output(world, arguments, input), nil
 	}
 }
 
-// statusAndPhase is how commands print an answer.
+// statusAndPhase formats a response as commands print it.
 func statusAndPhase(status int, phase string) string { return fmt.Sprintf("%d %s", status, phase) }
 
-// isAccepted reports whether the status of an answer means that a job is accepted.
+// isAccepted reports whether the status of a response means that the job is accepted.
 func isAccepted(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
 
-// jobID is the ID of a job by its number.
+// jobID returns the job ID with the given number.
 func jobID(number int) string { return fmt.Sprintf("req-%06d", number) }
 
-// acceptJob is a submission that is accepted at the first attempt or later.
-func acceptJob(world *World, arguments Arguments) string {
+// submitAccepted submits a job and returns "accepted" whether the response is 200 or 201.
+func submitAccepted(world *World, arguments Arguments) string {
 	if status, phase := world.users.Submit(arguments); !isAccepted(status) {
 		return statusAndPhase(status, phase)
 	}
 	return "accepted"
 }
 
-// burst submits many jobs alike, at the same moment or one after the other.
+// burst submits many jobs with the same arguments, simultaneously or one after the other.
 func burst(world *World, arguments Arguments) string {
-	if arguments.has("once") {
+	if arguments.has("simultaneous") {
 		return world.users.submitAtOnce(arguments)
 	}
 	count := 0
@@ -160,14 +160,14 @@
 	return fmt.Sprintf("%d accepted", count)
 }
 
-// registerUnsubmittedJob registers a job with the workers only.
+// registerUnsubmittedJob registers a job with the workers without submitting it.
 func registerUnsubmittedJob(world *World, arguments Arguments) {
 	world.users.registerJob(arguments)
 	world.jobs[arguments["id"]].submitted = true
 }
 
-// sendSubmission sends a submission whose upstream list is the input, once.
-func sendSubmission(world *World, arguments Arguments, input string) (string, error) {
+// submitUpstreams sends one submission, without retries, whose upstream list is the input.
+func submitUpstreams(world *World, arguments Arguments, input string) (string, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(world.users.registerJob(arguments), &fields); err != nil {
 		return "", err
@@ -178,7 +178,7 @@
 		return "", err
 	}
 	process := world.users.chooseEntryController()
-	if arguments.has("node") {
+	if arguments.has("controller") {
 		if process, err = world.selectController(arguments); err != nil {
 			return "", err
 		}
@@ -192,19 +192,19 @@
 	return strings.TrimSpace(statusAndPhase(status, phase)), nil
 }
 
-// rawRequest sends the input as a request to the first controller.
-func rawRequest(world *World, arguments Arguments, input string) string {
+// sendRequest sends the input as a request to the first controller.
+func sendRequest(world *World, arguments Arguments, input string) string {
 	status, _ := world.users.requestAndWait(world.controllers[0], userRequest(arguments.text("method", "POST"), arguments["path"], []byte(input)))
 	return strconv.Itoa(status)
 }
 
-// beginRequest sends a request and waits for no answer.
-func beginRequest(world *World, arguments Arguments) {
+// requestAsync sends a submission or a cancellation without waiting for the response.
+func requestAsync(world *World, arguments Arguments) {
 	switch {
 	case arguments.has("cancel"):
 		world.users.cancelRecorded(arguments["id"])
-	case arguments.has("once"):
-		// Its user gives up.
+	case arguments.has("no_retry"):
+		// The response is ignored, so the user does not retry.
 		body := world.users.registerJob(arguments)
 		world.jobs[arguments["id"]].submitted = true
 		world.network.request(world.users.chooseEntryController(), submitRequest(body), func(int, []byte) {})
@@ -213,10 +213,10 @@
 	}
 }
 
-// answerOf waits for the answer to a request that beginRequest sent.
-func answerOf(world *World, arguments Arguments) string {
+// awaitAnswer waits for the response to a request that requestAsync sent.
+func awaitAnswer(world *World, arguments Arguments) string {
 	world.users.waitForRecordedAnswers(arguments.duration("within", "70s"))
-	got := world.users.recordedAnswers[arguments["of"]+" "+arguments["id"]]
+	got := world.users.recordedAnswers[arguments["to"]+" "+arguments["id"]]
 	if status, _, _ := strings.Cut(got, " "); arguments.has("accepted") && (status == "200" || status == "201") {
 		return "accepted"
 	}
--- a/internal/simtest/commands_machines.go
+++ b/internal/simtest/commands_machines.go
@@ -5,95 +5,95 @@
 	"time"
 )
 
-// workerParameters choose machines.
+// workerParameters select machines.
 var workerParameters = []parameter{
 	textParameter("machine", "name of a machine"),
 	textParameter("zone", "all machines of a zone"),
-	textParameter("task", "the machine that this task is on"),
+	textParameter("task", "the machine that a task is on"),
 }
 
-// machineCommands bring faults to machines.
+// machineCommands inject faults into machines.
 var machineCommands = map[string]command{
-	"die": {
-		usage:      "ends machines without notice",
+	"crash": {
+		usage:      "crashes machines without notice",
 		parameters: workerParameters,
-		run:        onMachines(func(worker *fakeWorker, _ Arguments) { worker.crash() }),
+		run:        forMachines(func(worker *fakeWorker, _ Arguments) { worker.crash() }),
 	},
 	"hang": {
-		usage: "lets machines hang",
+		usage: "makes machines hang",
 		parameters: withParameters(
 			workerParameters,
 			durationParameter("for", "5s if absent"),
 		),
-		run: onMachines(func(worker *fakeWorker, arguments Arguments) { worker.hang(arguments.duration("for", "5s")) }),
+		run: forMachines(func(worker *fakeWorker, arguments Arguments) { worker.hang(arguments.duration("for", "5s")) }),
 	},
 	"slow": {
-		usage: "multiplies the run times of tasks that start on machines",
+		usage: "multiplies the run times of tasks that start on machines from now on",
 		parameters: withParameters(
 			workerParameters,
-			numberParameter("times", "4 if absent"),
+			numberParameter("factor", "factor of the run times, 4 if absent"),
 		),
-		run: onMachines(func(worker *fakeWorker, arguments Arguments) { worker.slowdown = arguments.number("times", "4") }),
+		run: forMachines(func(worker *fakeWorker, arguments Arguments) { worker.slowdown = arguments.number("factor", "4") }),
 	},
 	"terminate": {
-		usage:      "lets the cloud take machines without notice",
+		usage:      "makes the cloud terminate machines without notice",
 		parameters: workerParameters,
-		run:        onMachines(func(worker *fakeWorker, _ Arguments) { worker.world.cloud.terminate(worker.name) }),
+		run:        forMachines(func(worker *fakeWorker, _ Arguments) { worker.world.cloud.terminate(worker.name) }),
 	},
 	"reclaim": {
-		usage: "lets the cloud take machines after a reclaim notice",
+		usage: "makes the cloud terminate machines after a reclaim notice",
 		parameters: withParameters(
 			workerParameters,
-			durationParameter("in", "8s if absent"),
+			durationParameter("notice", "time between notice and termination, 8s if absent"),
 		),
-		run: onMachines(reclaimMachine),
+		run: forMachines(reclaimMachine),
 	},
 	"faulty": {
-		usage: `lets every task that starts on machines exit with cause "error" soon after it began to run; in a gang that task exits with "error",` +
-			` the others with "peers"; tasks that run already go on`,
+		usage: `makes every task that starts on machines exit with cause "error" soon after its start; in a gang that task exits with "error",` +
+			` the others with "peers"; tasks that already run continue`,
 		parameters: workerParameters,
-		run:        onMachines(func(worker *fakeWorker, _ Arguments) { worker.faulty = true }),
+		run:        forMachines(func(worker *fakeWorker, _ Arguments) { worker.faulty = true }),
 	},
 	"repair": {
 		usage:      "ends faulty",
 		parameters: workerParameters,
-		run:        onMachines(func(worker *fakeWorker, _ Arguments) { worker.faulty = false }),
+		run:        forMachines(func(worker *fakeWorker, _ Arguments) { worker.faulty = false }),
 	},
 	"block_inbound_of": {
-		usage: "lets nothing reach the machine of a task",
+		usage: "blocks all messages to the machine that a task is on",
 		parameters: []parameter{
 			required(textParameter("task", "task")),
-			durationParameter("for", "for good if absent"),
+			durationParameter("for", "until the end of the scenario if absent"),
 		},
-		run: onMachines(blockInboundOf),
+		run: forMachines(blockInboundOf),
 	},
 	"block_inbound": {
-		usage: "lets nothing reach machines",
+		usage: "blocks all messages to machines",
 		parameters: []parameter{
 			textParameter("zone", "all zones if absent"),
 			durationParameter("for", "5s if absent"),
 		},
-		run: acting(blockInbound),
+		run: actionCommand(blockInbound),
 	},
-	"block_reports": {
-		usage: "lets machines reach no controller, direct commands reach them",
+	"block_heartbeats": {
+		usage: "blocks the heartbeats of machines to all controllers; direct commands still reach the machines",
 		parameters: []parameter{
 			textParameter("zone", "all zones if absent"),
 			durationParameter("for", "5s if absent"),
 		},
-		run: acting(blockHeartbeats),
+		run: actionCommand(blockHeartbeats),
 	},
-	"unreachable_next": {
-		usage:      "lets nothing reach the machines that come up next",
-		parameters: []parameter{numberParameter("count", "1 if absent")},
-		run: acting(func(world *World, arguments Arguments) {
+	"unreachable_machines": {
+		usage:      "blocks all messages to the next machines that boot",
+		parameters: []parameter{numberParameter("count", "number of machines, 1 if absent")},
+		run: actionCommand(func(world *World, arguments Arguments) {
 			world.network.unreachableMachines += int(arguments.number("count", "1"))
 		}),
 	},
 }
 
-// onMachines makes a commandFunc of what is done to each machine that is named.
-func onMachines(action func(worker *fakeWorker, arguments Arguments)) commandFunc {
+// forMachines returns a commandFunc that applies action to each selected machine.
+func forMachines(action func(worker *fakeWorker, arguments Arguments)) commandFunc {
 	return func(world *World, arguments Arguments, _ string) (string, error) {
 		machines, err := world.selectWorkers(arguments)
 		if errors.Is(err, errNotOnMachine) {
@@ -109,11 +109,11 @@
 	}
 }
 
-// errNotOnMachine tells that the task that is to choose a machine is on none.
+// errNotOnMachine is returned if the task that selects a machine is on no machine.
 var errNotOnMachine = errors.New("not on a machine")
 
-// selectWorkers finds the machines that a command names: machine=NAME, all that
-// are up in zone=ZONE, or the one that task=REQ/N is on.
+// selectWorkers returns the machines that the arguments select: machine=NAME, all running
+// machines in zone=ZONE, or the machine that task=REQ/N is on.
 func (world *World) selectWorkers(arguments Arguments) (machines []*fakeWorker, err error) {
 	if zone, ok := arguments["zone"]; ok {
 		for _, worker := range world.sortedWorkers() {
@@ -137,7 +137,7 @@
 	return nil, errNotOnMachine
 }
 
-// workerOf finds the machine that a task is on.
+// workerOf returns the machine that a task is on, nil if it is on none.
 func (world *World) workerOf(task string) *fakeWorker {
 	for _, assignment := range world.checker.onMachines() {
 		if assignment.name == task {
@@ -147,14 +147,14 @@
 	return nil
 }
 
-// reclaimMachine lets the cloud take a machine after a notice.
+// reclaimMachine makes the cloud terminate a machine after a reclaim notice.
 func reclaimMachine(worker *fakeWorker, arguments Arguments) {
-	notice := arguments.duration("in", "8s")
+	notice := arguments.duration("notice", "8s")
 	worker.reclaimAt, worker.changed = worker.world.now+notice, true
 	worker.world.schedule(notice, func() { worker.world.cloud.terminate(worker.name) })
 }
 
-// blockInboundOf lets nothing reach a machine, for a while or for good.
+// blockInboundOf blocks all messages to a machine, permanently unless the arguments give a duration.
 func blockInboundOf(worker *fakeWorker, arguments Arguments) {
 	worker.world.network.blockInbound(worker, true)
 	if arguments.has("for") {
@@ -162,7 +162,7 @@
 	}
 }
 
-// runningWorkers lists the machines that are up in the zone that is named, or in all.
+// runningWorkers returns the machines that are up in the given zone, or in all zones if none is given.
 func (world *World) runningWorkers(arguments Arguments) (machines []*fakeWorker) {
 	for _, worker := range world.sortedWorkers() {
 		if zone, ok := arguments["zone"]; worker.up && (!ok || zone == worker.zone) {
@@ -172,20 +172,20 @@
 	return machines
 }
 
-// blockInbound lets nothing reach machines for a while.
+// blockInbound blocks all messages to machines for the given duration.
 func blockInbound(world *World, arguments Arguments) {
 	for _, worker := range world.runningWorkers(arguments) {
 		world.network.blockInboundFor(worker, arguments.duration("for", "5s"))
 	}
 }
 
-// blockInboundFor lets nothing reach a machine for a while.
+// blockInboundFor blocks all messages to a machine for the given duration.
 func (network *fakeNetwork) blockInboundFor(worker *fakeWorker, duration time.Duration) {
 	network.blockInbound(worker, true)
 	network.world.schedule(duration, func() { network.blockInbound(worker, false) })
 }
 
-// blockHeartbeats lets machines reach no controller for a while.
+// blockHeartbeats blocks the heartbeats of machines to all controllers for the given duration.
 func blockHeartbeats(world *World, arguments Arguments) {
 	for _, worker := range world.runningWorkers(arguments) {
 		worker.blockHeartbeatsFor(arguments.duration("for", "5s"))
--- a/internal/simtest/commands_network.go
+++ b/internal/simtest/commands_network.go
@@ -1,32 +1,32 @@
 package simtest
 
-// shareParameters are those of faults that concern a share of requests.
-var shareParameters = []parameter{numberParameter("share", "of all, 0 ends it")}
+// shareParameters are the parameters of faults that affect a share of the requests.
+var shareParameters = []parameter{numberParameter("share", "share of the requests, 0 ends the fault")}
 
-// networkCommands bring faults to the network.
+// networkCommands inject faults into the network.
 var networkCommands = map[string]command{
 	"cut": {
-		usage: "stops packets between controllers and another party",
+		usage: "cuts the links between controllers and other processes",
 		parameters: withParameters(
 			controllerParameters,
-			required(textParameter("from", "workers, state, cloud, user or a controller")),
+			required(textParameter("from", "the other end: workers, state, cloud, user or a controller")),
 			textParameter("zone", "only the workers of a zone"),
 
-			numberParameter("refused", "share of requests to controllers over cut links that fail at once, 0 if absent: the others hang"),
+			numberParameter("refused_share", "share of the requests to controllers over cut links that fail at once, 0 if absent; the others hang"),
 		),
-		run: acting(func(world *World, arguments Arguments) { cutLinks(world, arguments, true) }),
+		run: actionCommand(func(world *World, arguments Arguments) { cutLinks(world, arguments, true) }),
 	},
 	"heal": {
-		usage: "ends cut",
+		usage: "restores links that cut has cut",
 		parameters: withParameters(
 			controllerParameters,
-			required(textParameter("from", "workers, state, cloud, user or a controller")),
+			required(textParameter("from", "the other end: workers, state, cloud, user or a controller")),
 			textParameter("zone", "only the workers of a zone"),
 		),
-		run: acting(func(world *World, arguments Arguments) { cutLinks(world, arguments, false) }),
+		run: actionCommand(func(world *World, arguments Arguments) { cutLinks(world, arguments, false) }),
 	},
 	"cut_zone": {
-		usage: "cuts a zone's workers and a controller off from everything else",
+		usage: "partitions the workers of a zone and a controller from the rest of the network",
 		parameters: withParameters(
 			controllerParameters,
 			required(textParameter("zone", "zone")),
@@ -35,52 +35,52 @@
 		run: cutOffZone,
 	},
 	"network": {
-		usage: "lets links lose packets and repeat requests late",
+		usage: "makes links lose packets and deliver requests a second time later",
 		parameters: []parameter{
 			numberParameter("loss", "share of packets that are lost"),
-			numberParameter("late", "share of requests that are carried out once more, late"),
+			numberParameter("repeated", "share of requests that are executed a second time later"),
 		},
-		run: acting(func(world *World, arguments Arguments) {
-			world.network.lossShare, world.network.lateRepeatShare = arguments.number("loss", "0"), arguments.number("late", "0")
+		run: actionCommand(func(world *World, arguments Arguments) {
+			world.network.lossShare, world.network.lateRepeatShare = arguments.number("loss", "0"), arguments.number("repeated", "0")
 		}),
 	},
 	"worker_sockets": {
-		usage:      "limits the workers that a controller has sockets for",
+		usage:      "limits the number of workers that a controller has sockets for",
 		parameters: []parameter{required(numberParameter("count", "workers, 0 for no limit"))},
-		run: acting(func(world *World, arguments Arguments) {
+		run: actionCommand(func(world *World, arguments Arguments) {
 			world.network.workerSockets = int(arguments.number("count", "0"))
 		}),
 	},
-	"copies": {
-		usage: "lets copies of heartbeats arrive late, at any controller",
+	"duplicate_heartbeats": {
+		usage: "makes copies of heartbeats arrive late, at any controller",
 		parameters: withParameters(
 			shareParameters,
-			durationParameter("within", "30s if absent"),
+			durationParameter("within", "longest delay of a copy, 30s if absent"),
 		),
-		run: acting(func(world *World, arguments Arguments) {
+		run: actionCommand(func(world *World, arguments Arguments) {
 			world.network.duplicateShare, world.network.duplicateDelay = arguments.number("share", "0"), arguments.duration("within", "30s")
 		}),
 	},
-	"delay_reports": {
-		usage:      "lets heartbeats arrive seconds late, maybe elsewhere",
+	"delay_heartbeats": {
+		usage:      "delays heartbeats by seconds; they may arrive at another controller",
 		parameters: shareParameters,
-		run: acting(func(world *World, arguments Arguments) {
+		run: actionCommand(func(world *World, arguments Arguments) {
 			world.network.delayedHeartbeats = arguments.number("share", "0")
 		}),
 	},
 	"delay_commands": {
-		usage:      "lets direct commands or their answers arrive seconds late",
+		usage:      "delays direct commands or their responses by seconds",
 		parameters: shareParameters,
-		run: acting(func(world *World, arguments Arguments) {
+		run: actionCommand(func(world *World, arguments Arguments) {
 			world.network.delayedCommands = arguments.number("share", "0")
 		}),
 	},
 }
 
-// cutLinks cuts controllers off from another party, or ends that.
+// cutLinks cuts the links between controllers and other processes, or restores them if enabled is false.
 func cutLinks(world *World, arguments Arguments, enabled bool) {
-	world.network.refusedWhenCut = arguments.number("refused", "0")
-	for _, process := range world.selectControllers(arguments["node"]) {
+	world.network.refusedWhenCut = arguments.number("refused_share", "0")
+	for _, process := range world.selectControllers(arguments["controller"]) {
 		if arguments["from"] != "workers" {
 			world.network.setLinkCut(process.name, arguments["from"], enabled)
 			continue
@@ -92,11 +92,11 @@
 		}
 	}
 	if !enabled {
-		world.network.releaseHeldPackets() // once: it goes through all that are held
+		world.network.releaseHeldPackets() // once after the loop, because it processes all held packets
 	}
 }
 
-// cutOffZone cuts a zone and a controller off from everything else for a while.
+// cutOffZone partitions a zone and a controller from the rest of the network for the given duration.
 func cutOffZone(world *World, arguments Arguments, _ string) (string, error) {
 	process, err := world.selectController(arguments)
 	if err != nil {
--- a/internal/simtest/commands_pipelines.go
+++ b/internal/simtest/commands_pipelines.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -10,40 +9,40 @@
 	"time"
 )
 
-// pipelineCommands submit and watch jobs that need others.
+// pipelineCommands submit and inspect jobs with upstream jobs.
 var pipelineCommands = map[string]command{
-	"line": {
-		usage:      "submits jobs that each need the one before",
+	"submit_chain": {
+		usage:      "submits jobs, each with the previous one as its upstream job",
 		parameters: jobRangeParameters,
-		run:        printing(submitLine),
+		run:        printCommand(submitChain),
 	},
-	"finished_jobs": {
-		usage: "adds jobs that were over long ago",
+	"add_finished_jobs": {
+		usage: "adds jobs that ended long ago",
 		parameters: []parameter{
-			numberParameter("from", "number of the first ID, 1 if absent"),
-			numberParameter("count", "jobs"),
+			numberParameter("from", "number of the first job ID, 1 if absent"),
+			numberParameter("count", "number of jobs"),
 
 			choiceParameter("phase", "done if absent", "done", "cancelled"),
 		},
-		run: acting((*World).addFinishedJobs),
+		run: actionCommand((*World).addFinishedJobs),
 	},
-	"tally": {
-		usage: "counts the phases last acknowledged of many jobs, polling those that are not over",
+	"count_phases": {
+		usage: "prints how many jobs have each last acknowledged phase, after polling those that have not ended",
 		parameters: []parameter{
-			numberParameter("from", "number of the first ID, 1 if absent"),
+			numberParameter("from", "number of the first job ID, 1 if absent"),
 
-			numberParameter("count", "jobs"),
-			durationParameter("within", "polls until all are over or for so long"),
+			numberParameter("count", "number of jobs"),
+			durationParameter("within", "polls until all jobs have ended, for this long at most"),
 		},
-		run: printing((*World).tally),
+		run: printCommand((*World).countPhases),
 	},
 	"owner": {
 		usage:      "prints the controller that owns a job",
 		parameters: jobIDParameters,
-		run:        printing(ownerOf),
+		run:        printCommand(jobOwner),
 	},
-	"order": {
-		usage: "tells whether a job began before another",
+	"start_order": {
+		usage: "prints whether a job started before another",
 		parameters: withParameters(
 			jobIDParameters,
 			required(textParameter("before", "ID of the other job")),
@@ -52,8 +51,8 @@
 	},
 }
 
-// submitLine submits jobs of which each needs the one before.
-func submitLine(world *World, arguments Arguments) string {
+// submitChain submits jobs, each with the previous one as its upstream job.
+func submitChain(world *World, arguments Arguments) string {
 	for i := range int(arguments.number("count", "2")) {
 		one := maps.Clone(arguments)
 		count := int(arguments.number("from", "1")) + i
@@ -68,28 +67,28 @@
 	return "accepted"
 }
 
-// ownerOf names the controller that owns a job.
-func ownerOf(world *World, arguments Arguments) string {
+// jobOwner returns the name of the controller that owns a job.
+func jobOwner(world *World, arguments Arguments) string {
 	var record ownerRecord
 	_ = json.Unmarshal(world.stateService.keys[jobKeyPrefix+arguments["id"]].data, &record)
 	return record.Owner
 }
 
-// startOrder reports whether a job began before another.
+// startOrder reports whether a job started before another.
 func startOrder(world *World, arguments Arguments, _ string) (string, error) {
 	first, second := world.jobs[arguments["id"]], world.jobs[arguments["before"]]
 	switch {
 	case first == nil || second == nil:
-		return "", errors.New("a job was not submitted")
+		return "", fmt.Errorf("job %s or %s was not submitted", arguments["id"], arguments["before"])
 	case first.startedAt == 0 || second.startedAt == 0:
-		return "not both have begun", nil
+		return "not both started", nil
 	case first.startedAt < second.startedAt:
 		return "before", nil
 	}
 	return "not before", nil
 }
 
-// addFinishedJobs adds jobs that were over long ago, as the state service keeps
+// addFinishedJobs adds jobs that ended long ago, in the form in which the state service keeps
 // them.
 func (world *World) addFinishedJobs(arguments Arguments) {
 	for i := range int(arguments.number("count", "1")) {
@@ -109,9 +108,9 @@
 	world.stateService.notifyWatchers()
 }
 
-// tally counts the last acknowledged phases of so many jobs from an ID on,
-// polling those that are not over until they are or the time has run out.
-func (world *World) tally(arguments Arguments) string {
+// countPhases counts the last acknowledged phases of consecutive jobs. It polls the jobs that have
+// not ended until all have ended or the time is up.
+func (world *World) countPhases(arguments Arguments) string {
 	first, n := int(arguments.number("from", "1")), int(arguments.number("count", "1"))
 	end := world.now + arguments.duration("within", "0s")
 	for {
@@ -128,14 +127,14 @@
 			count[world.checker.acknowledgedPhase[id]]++
 		}
 		if open == 0 || world.now >= end {
-			return countsText(count)
+			return formatCounts(count)
 		}
 		world.Run(time.Second)
 	}
 }
 
-// countsText lists counts as name=count, by name.
-func countsText(count map[string]int) string {
+// formatCounts formats counts as name=count, sorted by name.
+func formatCounts(count map[string]int) string {
 	parts := make([]string, 0, len(count))
 	for _, name := range slices.Sorted(maps.Keys(count)) {
 		parts = append(parts, fmt.Sprintf("%s=%d", name, count[name]))
--- a/internal/simtest/commands_polls.go
+++ b/internal/simtest/commands_polls.go
@@ -6,54 +6,54 @@
 	"time"
 )
 
-// watchingCommands poll jobs and choose whom users ask.
-var watchingCommands = map[string]command{
+// pollCommands poll jobs and select the controller that users send requests to.
+var pollCommands = map[string]command{
 	"poll": {
-		usage:      "asks for a job's state once",
+		usage:      "polls a job once; prints status and phase",
 		parameters: jobIDParameters,
-		run: printing(func(world *World, arguments Arguments) string {
+		run: printCommand(func(world *World, arguments Arguments) string {
 			return statusAndPhase(world.users.Poll(arguments["id"]))
 		}),
 	},
-	"storm": {
-		usage: "lets users ask about accepted jobs, drawn at random, and prints how many were answered while they waited",
+	"poll_burst": {
+		usage: "makes users poll accepted jobs chosen at random, and prints how many polls were answered before they timed out",
 
 		parameters: []parameter{
-			required(numberParameter("count", "questions")),
-			durationParameter("over", "in that time, 5s if absent"),
+			required(numberParameter("count", "number of polls")),
+			durationParameter("over", "time over which the polls are spread, 5s if absent"),
 		},
-		run: printing(pollStorm),
+		run: printCommand(pollBurst),
 	},
-	"until": {
+	"poll_until": {
 		usage: "polls a job until it has a phase",
 		parameters: withParameters(
 			jobIDParameters,
 			required(textParameter("phase", "phase")),
 			durationParameter("within", "60s if absent"),
 		),
-		run: printing(untilPhase),
+		run: printCommand(pollUntilPhase),
 	},
 	"all": {
 		usage:      "polls all accepted jobs until they are done",
 		parameters: []parameter{durationParameter("within", "60s if absent")},
-		run:        printing(untilAllDone),
+		run:        printCommand(pollUntilAllDone),
 	},
-	"users": {
-		usage: "sends users from here on to one controller: the named one, or without arguments one that does not lead",
+	"route_users": {
+		usage: "routes users' requests to one controller from now on: the given one, or without arguments a follower",
 
 		parameters: []parameter{
-			controllerParameter("the controller"),
-			flagParameter("any", "to any controller again"),
+			controllerParameter("controller that receives the requests"),
+			flagParameter("any", "routes requests to any controller again"),
 		},
-		run: chooseEntry,
+		run: routeUsers,
 	},
 }
 
-// pollTimeout is how long users wait for the answer to a question.
+// pollTimeout is the time that users wait for the response to a poll.
 const pollTimeout = 2 * time.Second
 
-// pollStorm lets users ask about accepted jobs, and tells how many were answered.
-func pollStorm(world *World, arguments Arguments) string {
+// pollBurst makes users poll accepted jobs and reports how many polls were answered.
+func pollBurst(world *World, arguments Arguments) string {
 	ids := world.acceptedJobs()
 	count, over := int(arguments.number("count", "1")), arguments.duration("over", "5s")
 	answered := 0
@@ -62,13 +62,13 @@
 		world.schedule(world.randomDuration(0, over), func() {
 			process := world.users.chooseEntryController()
 			for !process.up {
-				process = world.users.chooseEntryController() // the load balancer passes over it
+				process = world.users.chooseEntryController() // the load balancer skips controllers that are down
 			}
-			asked := world.now
+			sentAt := world.now
 			request := pollRequest(id)
 			request.timeout = pollTimeout
 			world.network.request(process, request, func(status int, body []byte) {
-				world.checker.checkAnswer(asked, id, status, phaseIn(body))
+				world.checker.checkAnswer(sentAt, id, status, phaseIn(body))
 				world.checker.checkPoll(id, status)
 				if status == http.StatusOK {
 					answered++
@@ -80,8 +80,8 @@
 	return fmt.Sprintf("%d of %d answered", answered, count)
 }
 
-// untilPhase polls a job until it has a phase.
-func untilPhase(world *World, arguments Arguments) string {
+// pollUntilPhase polls a job until it has the given phase or the time is up.
+func pollUntilPhase(world *World, arguments Arguments) string {
 	phase := ""
 	for end := world.now + arguments.duration("within", "60s"); world.now < end; world.Run(500 * time.Millisecond) {
 		if _, phase = world.users.Poll(arguments["id"]); phase == arguments["phase"] {
@@ -91,8 +91,9 @@
 	return "still " + phase
 }
 
-// untilAllDone polls all accepted jobs until they are done, and tells how many are.
-func untilAllDone(world *World, arguments Arguments) string {
+// pollUntilAllDone polls all accepted jobs until they are done or the time is up, and reports how many
+// are done.
+func pollUntilAllDone(world *World, arguments Arguments) string {
 	done := 0
 	for end := world.now + arguments.duration("within", "60s"); world.now < end; world.Run(time.Second) {
 		done = 0
@@ -111,13 +112,13 @@
 	return fmt.Sprintf("%d done", done)
 }
 
-// chooseEntry chooses the controller that users ask.
-func chooseEntry(world *World, arguments Arguments, _ string) (string, error) {
+// routeUsers selects the controller that users send requests to.
+func routeUsers(world *World, arguments Arguments, _ string) (string, error) {
 	if arguments.has("any") {
 		world.users.entryController = nil
 		return "ok", nil
 	}
-	if arguments.has("node") {
+	if arguments.has("controller") {
 		process, err := world.selectController(arguments)
 		if err != nil {
 			return "", err
--- a/internal/simtest/commands_races.go
+++ b/internal/simtest/commands_races.go
@@ -7,46 +7,46 @@
 	"time"
 )
 
-// raceCommands let requests of users meet other events.
+// raceCommands make requests of users coincide with other events.
 var raceCommands = map[string]command{
 	"cancel_at_end": {
-		usage:      "cancels jobs at the moment when they end",
+		usage:      "cancels jobs at the time when they end",
 		parameters: shareParameters,
-		run:        acting(func(world *World, arguments Arguments) { world.users.cancelAtEnd = arguments.number("share", "0") }),
+		run:        actionCommand(func(world *World, arguments Arguments) { world.users.cancelAtEnd = arguments.number("share", "0") }),
 	},
-	"cancel_now": {
+	"cancel_running": {
 		usage: "cancels running jobs and prints how many",
 		parameters: []parameter{
-			numberParameter("count", "1 if absent"),
-			durationParameter("hang", "their machines hang for that long"),
+			numberParameter("count", "number of jobs, 1 if absent"),
+			durationParameter("hang", "time for which the machines of the jobs hang"),
 		},
-		run: printing(func(world *World, arguments Arguments) string {
+		run: printCommand(func(world *World, arguments Arguments) string {
 			return strconv.Itoa(len(world.users.cancelNow(int(arguments.number("count", "1")), arguments.duration("hang", "0s"))))
 		}),
 	},
 	"invalid_requests": {
-		usage:      "lets users send invalid requests",
+		usage:      "makes users send invalid requests",
 		parameters: []parameter{durationParameter("for", "10s if absent")},
-		run:        acting(sendInvalidFor),
+		run:        actionCommand(sendInvalidFor),
 	},
 	"race": {
-		usage: "lets pairs of jobs meet, each at another moment, and tells whether each pair ended alike",
+		usage: "submits and cancels pairs of an upstream and a downstream job, each pair with another time offset, and prints whether each pair ended in the same phase",
 		parameters: withParameters(
 			jobRangeParameters,
-			choiceParameter("with", "what the cancellation of an upstream job meets, submit if absent", "submit", "done"),
-			durationParameter("step", "10ms if absent"),
+			choiceParameter("with", "event that coincides with the cancellation of the upstream job, submit if absent", "submit", "done"),
+			durationParameter("step", "difference between the offsets, 10ms if absent"),
 
 			durationParameter("within", "120s if absent"),
-			flagParameter("both", "both ends must occur"),
+			flagParameter("both_outcomes", "some pairs must end done and some cancelled"),
 		),
-		run: printing((*World).race),
+		run: printCommand((*World).race),
 	},
 }
 
-// race lets so many pairs meet, each a little later against the other: a job is
-// cancelled and, from before to after it, one that needs it is submitted
-// ("submit"), or a job is cancelled about when its last task ends, while another
-// waits for it ("done"). It reports whether each pair ended alike.
+// race runs pairs of an upstream and a downstream job, each pair with a larger time offset than the
+// one before. With "submit" the downstream job is submitted from before to after the cancellation of
+// the upstream job. With "done" the upstream job is cancelled from before to after the end of its last
+// task, while the downstream job waits for it. It reports whether each pair ended in the same phase.
 func (world *World) race(arguments Arguments) string {
 	first, count, step := int(arguments.number("from", "1")), int(arguments.number("count", "20")), arguments.duration("step", "10ms")
 	for i := range count {
@@ -64,12 +64,12 @@
 	}
 	world.Run(step*time.Duration(count) + time.Second)
 	if !world.users.waitForRecordedAnswers(2 * userRetry) {
-		return "not all are answered"
+		return "some requests got no response"
 	}
-	return world.raceOutcome(first, count, arguments.duration("within", "120s"), arguments.has("both"))
+	return world.raceOutcome(first, count, arguments.duration("within", "120s"), arguments.has("both_outcomes"))
 }
 
-// cancelAroundEnd cancels a job that much after the expected end of its tasks.
+// cancelAroundEnd cancels a job at the expected end of its tasks plus offset, which may be negative.
 func (world *World) cancelAroundEnd(job *jobRecord, offset time.Duration) {
 	if job.startedAt == 0 {
 		world.schedule(tickInterval, func() { world.cancelAroundEnd(job, offset) })
@@ -78,31 +78,31 @@
 	world.schedule(max(0, job.startedAt+job.runTime-world.now+offset), func() { world.users.cancelRecorded(job.id) })
 }
 
-// raceOutcome polls the pairs of a race until each has ended alike.
-func (world *World) raceOutcome(first, pairs int, within time.Duration, both bool) string {
+// raceOutcome polls the pairs of a race until both jobs of each pair have ended in the same phase.
+func (world *World) raceOutcome(first, pairs int, within time.Duration, bothOutcomes bool) string {
 	for end := world.now + within; ; world.Run(time.Second) {
 		for i := range 2 * pairs {
 			if id := jobID(first + i); !world.checker.isOver(id) {
 				world.users.Poll(id)
 			}
 		}
-		ends := map[string]int{}
+		outcomes := map[string]int{}
 		for i := range pairs {
-			ends[world.checker.acknowledgedPhase[jobID(first+2*i)]+"/"+world.checker.acknowledgedPhase[jobID(first+2*i+1)]]++
+			outcomes[world.checker.acknowledgedPhase[jobID(first+2*i)]+"/"+world.checker.acknowledgedPhase[jobID(first+2*i+1)]]++
 		}
-		if ends["done/done"]+ends["cancelled/cancelled"] == pairs {
-			if both && (ends["done/done"] == 0 || ends["cancelled/cancelled"] == 0) {
-				return fmt.Sprintf("alike, but all one way: %v", ends)
+		if outcomes["done/done"]+outcomes["cancelled/cancelled"] == pairs {
+			if bothOutcomes && (outcomes["done/done"] == 0 || outcomes["cancelled/cancelled"] == 0) {
+				return fmt.Sprintf("consistent, but all pairs had the same outcome: %v", outcomes)
 			}
-			return "alike"
+			return "consistent"
 		}
 		if world.now >= end {
-			return fmt.Sprint(ends)
+			return fmt.Sprint(outcomes)
 		}
 	}
 }
 
-// sendInvalidFor lets users send invalid requests for a while.
+// sendInvalidFor makes users send invalid requests for the given duration.
 func sendInvalidFor(world *World, arguments Arguments) {
 	world.users.invalidRequests = true
 	world.users.sendInvalidRequests()
--- a/internal/simtest/commands_services.go
+++ b/internal/simtest/commands_services.go
@@ -5,44 +5,44 @@
 	"strings"
 )
 
-// serviceCommands set up and change the cloud and the state service.
+// serviceCommands configure the cloud and the state service and inject faults into them.
 var serviceCommands = map[string]command{
-	"machine": {
-		usage: "adds machines that are up already",
+	"add_machines": {
+		usage: "adds machines that are already up",
 		parameters: []parameter{
 			machineTypeParameter("machine type, small if absent"),
 
 			textParameter("zone", "a if absent"),
 			flagParameter("spot", "spot machines"),
-			numberParameter("count", "1 if absent"),
+			numberParameter("count", "number of machines, 1 if absent"),
 		},
-		run: acting(addMachines),
+		run: actionCommand(addMachines),
 	},
 	"capacity": {
 		usage: "limits the machines of a type that can be provisioned, per zone and kind",
 
 		parameters: []parameter{
 			required(machineTypeParameter("machine type")),
-			numberParameter("count", "0 if absent"),
+			numberParameter("count", "number of machines, 0 if absent"),
 		},
-		run: acting(limitCapacity),
+		run: actionCommand(limitCapacity),
 	},
 	"boot_failures": {
-		usage:      "lets the next machines never boot",
-		parameters: []parameter{numberParameter("count", "1 if absent")},
-		run: acting(func(world *World, arguments Arguments) {
+		usage:      "makes the next provisioned machines never boot",
+		parameters: []parameter{numberParameter("count", "number of machines, 1 if absent")},
+		run: actionCommand(func(world *World, arguments Arguments) {
 			world.cloud.bootFailures = int(arguments.number("count", "1"))
 		}),
 	},
-	"cloud": {
+	"cloud_outage": {
 		usage:      "starts or ends an outage of the cloud",
-		parameters: []parameter{flagParameter("over", "the outage ends")},
-		run:        acting(func(world *World, arguments Arguments) { world.cloud.down = !arguments.has("over") }),
+		parameters: []parameter{flagParameter("end", "ends the outage")},
+		run:        actionCommand(func(world *World, arguments Arguments) { world.cloud.down = !arguments.has("end") }),
 	},
-	"outage": {
+	"state_outage": {
 		usage:      "starts or ends an outage of the state service",
-		parameters: []parameter{flagParameter("over", "the outage ends")},
-		run:        acting(func(world *World, arguments Arguments) { world.stateService.setOutage(!arguments.has("over")) }),
+		parameters: []parameter{flagParameter("end", "ends the outage")},
+		run:        actionCommand(func(world *World, arguments Arguments) { world.stateService.setOutage(!arguments.has("end")) }),
 	},
 	"limits": {
 		usage: "changes the state service's limits without notice",
@@ -53,73 +53,73 @@
 			numberParameter("value", "size of a value in KiB"),
 			numberParameter("ops", "writes per transaction"),
 		},
-		run: acting(func(world *World, arguments Arguments) { world.stateService.setLimits(arguments) }),
+		run: actionCommand(func(world *World, arguments Arguments) { world.stateService.setLimits(arguments) }),
 	},
-	"pages": {
-		usage:      "limits the items in a page of the state service",
-		parameters: []parameter{required(numberParameter("limit", "items"))},
-		run: acting(func(world *World, arguments Arguments) {
-			world.stateService.pageLimit = int(arguments.number("limit", "1000"))
+	"page_size": {
+		usage:      "limits the number of items in a page of the state service",
+		parameters: []parameter{required(numberParameter("items", "items per page"))},
+		run: actionCommand(func(world *World, arguments Arguments) {
+			world.stateService.pageLimit = int(arguments.number("items", "1000"))
 		}),
 	},
 	"truncate_log": {
-		usage: "lets the state service drop all changes that it keeps",
-		run:   acting(func(world *World, _ Arguments) { world.stateService.oldest = world.stateService.revision }),
+		usage: "makes the state service drop its log of changes",
+		run:   actionCommand(func(world *World, _ Arguments) { world.stateService.oldest = world.stateService.revision }),
 	},
-	"write": {
-		usage:      "stores the input under a key, as another version would",
+	"write_key": {
+		usage:      "stores the input under a key, as another version of the program would",
 		parameters: []parameter{required(textParameter("key", "key"))},
 		run:        writeKey,
 	},
 	"delay_writes": {
-		usage: "carries out the next transactions that write a key late and does not answer them",
+		usage: "delays the next transactions that write a key and does not respond to them",
 		parameters: []parameter{
 			required(textParameter("key", "prefix of the key")),
 
 			durationParameter("for", "delay, 8s if absent"),
 			numberParameter("count", "transactions, 1 if absent"),
 		},
-		run: acting(delayWrites),
+		run: actionCommand(delayWrites),
 	},
 	"slow_state": {
-		usage: "lets the state service answer within a time drawn for each answer, or at once",
+		usage: "delays each response of the state service by a random time",
 
-		parameters: []parameter{durationParameter("within", "longest time, 0 ends it")},
-		run: acting(func(world *World, arguments Arguments) {
+		parameters: []parameter{durationParameter("within", "longest delay, 0 ends the fault")},
+		run: actionCommand(func(world *World, arguments Arguments) {
 			world.network.slowStateService = arguments.duration("within", "0s")
 		}),
 	},
 	"late_writes": {
-		usage:      "lets transactions go unanswered and be carried out late",
-		parameters: []parameter{numberParameter("share", "of all transactions")},
-		run:        acting(func(world *World, arguments Arguments) { world.network.lateWrites = arguments.number("share", "0") }),
+		usage:      "executes transactions late and does not respond to them",
+		parameters: []parameter{numberParameter("share", "share of the transactions, 0 ends the fault")},
+		run:        actionCommand(func(world *World, arguments Arguments) { world.network.lateWrites = arguments.number("share", "0") }),
 	},
-	"load": {
-		usage:      "goes on from a recording",
+	"load_recording": {
+		usage:      "restores the world from a recording",
 		parameters: []parameter{required(textParameter("file", "path"))},
 		run: func(world *World, arguments Arguments, _ string) (string, error) {
 			return "ok", world.Load(arguments["file"])
 		},
 	},
 	"run": {
-		usage:      "plays on",
+		usage:      "runs the simulation",
 		parameters: []parameter{durationParameter("for", "1s if absent")},
-		run:        acting(func(world *World, arguments Arguments) { world.Run(arguments.duration("for", "1s")) }),
+		run:        actionCommand(func(world *World, arguments Arguments) { world.Run(arguments.duration("for", "1s")) }),
 	},
 	"faults_over": {
-		usage: "notes that all faults are over: from now on jobs may not be left waiting",
-		run:   acting(func(world *World, _ Arguments) { world.checker.faultsOverAt = world.now }),
+		usage: "declares that all faults are over: from now on the checker reports jobs that stay unassigned",
+		run:   actionCommand(func(world *World, _ Arguments) { world.checker.faultsOverAt = world.now }),
 	},
 }
 
-// addMachines adds machines that are up already.
+// addMachines adds machines that are already up.
 func addMachines(world *World, arguments Arguments) {
 	for range int(arguments.number("count", "1")) {
 		world.cloud.addMachine(arguments.text("type", "small"), arguments.text("zone", "a"), arguments.has("spot"), 0)
 	}
 }
 
-// limitCapacity limits the machines of a type that can be provisioned.
+// limitCapacity limits the number of machines of a type that can be provisioned, per zone and kind.
 func limitCapacity(world *World, arguments Arguments) {
 	for _, spot := range []bool{false, true} {
 		for _, zone := range []string{"a", "b"} {
@@ -139,7 +139,7 @@
 	return "ok", nil
 }
 
-// delayWrites carries out the next transactions that write a key late.
+// delayWrites delays the next transactions that write a key.
 func delayWrites(world *World, arguments Arguments) {
 	world.stateService.delayedPrefix = arguments["key"]
 	world.stateService.writeDelay = arguments.duration("for", "8s")
--- a/internal/simtest/fixtures_test.go
+++ b/internal/simtest/fixtures_test.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// smallMachine is a machine of the smallest type.
+// smallMachine returns the identity of a machine of the smallest type.
 func smallMachine(name, zone string) machineIdentity {
 	return machineIdentity{name: name, addr: name, machineType: "small", zone: zone}
 }
 
-// submittedJob is an array that its user has submitted.
+// submittedJob returns an array job that its user has submitted.
 func submittedJob(id string, tasks int) *jobRecord {
 	job := newJobRecord(id)
 	job.team, job.class, job.taskCount, job.submitted = "red", "c", tasks, true
 	return job
 }
 
-// startOnNewMachine lets a task of a job start on a machine of its own.
+// startOnNewMachine starts a task of a job on a new machine.
 func startOnNewMachine(world *World, job *jobRecord, index int, machine machineIdentity) *taskAssignment {
 	worker := &fakeWorker{world: world, machineIdentity: machine, up: true, assignments: map[string]*taskAssignment{}}
 	world.workers[machine.addr] = worker
@@ -24,5 +24,5 @@
 	return assignment
 }
 
-// taskName is the name of a task of a job.
+// taskName returns the name of a task of a job.
 func taskName(id string, index int) string { return fmt.Sprintf("%s/%d", id, index) }
--- a/internal/simtest/scenario_index_test.go
+++ b/internal/simtest/scenario_index_test.go
@@ -10,7 +10,7 @@
 // indexEntry matches the line of a scenario in the index.
 var indexEntry = regexp.MustCompile("(?m)^- `([^`]+)`: .+$")
 
-// TestScenarioIndex shows that the index of the scenarios lists each file once and nothing else.
+// TestScenarioIndex checks that the index of the scenarios lists each file exactly once and no other file.
 func TestScenarioIndex(t *testing.T) {
 	index, err := os.ReadFile("testdata/README.md")
 	if err != nil {
@@ -23,11 +23,11 @@
 	for _, file := range scenarioFiles(t) {
 		name := filepath.Base(file)
 		if listed[name] != 1 {
-			t.Errorf("%s is listed %d times", name, listed[name])
+			t.Errorf("%s is listed %d times in the index, want 1", name, listed[name])
 		}
 		delete(listed, name)
 	}
 	for name := range listed {
-		t.Errorf("%s is listed, but there is no such scenario", name)
+		t.Errorf("%s is listed in the index, but there is no such scenario file", name)
 	}
 }
--- a/internal/simtest/wire_record_test.go
+++ b/internal/simtest/wire_record_test.go
@@ -16,17 +16,17 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// recordDirectory is where TestRecordWire writes what the controllers receive and send.
-// Changes that are to leave the behaviour alone leave every hash as it was.
+// recordDirectory is the directory to which TestRecordWire writes a record of the messages that the controllers
+// receive and send. A change without an effect on behaviour leaves every hash unchanged.
 var (
-	recordDirectory = flag.String("record", "", "directory to write the record of the wire to: a SHA-256 for each scenario and random play")
-	recordMessages  = flag.Bool("record.messages", false, "write the messages, too")
+	recordDirectory = flag.String("record", "", "directory for the wire records: a SHA-256 hash of all messages for each scenario and each random run")
+	recordMessages  = flag.Bool("record.messages", false, "also write the messages themselves")
 )
 
-// recordedPlays is the number of random plays that are recorded, from seed 1 on.
-const recordedPlays = 60
+// recordedRandomRuns is the number of random runs that are recorded, with seeds from 1 on.
+const recordedRandomRuns = 60
 
-// wireRecorder hashes messages and, if file is not nil, writes them.
+// wireRecorder hashes messages and also writes them to file if file is not nil.
 type wireRecorder struct {
 	hash  hash.Hash
 	file  *os.File
@@ -34,7 +34,7 @@
 	count int
 }
 
-// newRecorder begins a record; it is complete once it is closed.
+// newRecorder starts a record. The record is complete after close.
 func newRecorder(t *testing.T, name string) *wireRecorder {
 	t.Helper()
 	recorder := &wireRecorder{hash: sha256.New()}
@@ -51,15 +51,15 @@
 	return recorder
 }
 
-// observe adds a message, in a line of its own.
+// observe adds a message to the record as one line.
 func (recorder *wireRecorder) observe(message Message) {
 	recorder.count++
-	// Flush returns the first error of the writer.
+	// The error is ignored here: Flush returns the first error of the writer.
 	_, _ = fmt.Fprintf(recorder.text, "%d %s>%s %s %s %d %d %q\n", message.Time, message.From, message.To,
 		message.Method, message.Path, message.Status, message.RetryAfter, message.Body)
 }
 
-// close writes the record's hash to a file of its own.
+// close writes the hash and the number of messages to NAME.sha256.
 func (recorder *wireRecorder) close(t *testing.T, name string) {
 	t.Helper()
 	if err := recorder.text.Flush(); err != nil {
@@ -76,11 +76,11 @@
 	}
 }
 
-// TestRecordWire records the wire of every scenario and of the first random plays.
+// TestRecordWire records the messages of every scenario and of the first random runs.
 func TestRecordWire(t *testing.T) {
 	t.Parallel()
 	if *recordDirectory == "" {
-		t.Skip("only with -record")
+		t.Skip("runs only with -record")
 	}
 	if err := os.MkdirAll(*recordDirectory, 0o755); err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 			recordScenario(t, file, name)
 		})
 	}
-	for seed := uint64(1); seed <= recordedPlays; seed++ {
+	for seed := uint64(1); seed <= recordedRandomRuns; seed++ {
 		name := fmt.Sprintf("play_%d", seed)
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -103,14 +103,14 @@
 	}
 }
 
-// recordScenario records the wire of a scenario.
+// recordScenario records the messages of a scenario.
 func recordScenario(t *testing.T, file, name string) {
 	t.Helper()
 	recorder := newRecorder(t, name)
-	player := &scenarioPlayer{observer: recorder.observe}
+	runner := &scenarioRunner{observer: recorder.observe}
 	datadriven.RunTest(t, file, func(t *testing.T, directive *datadriven.TestData) string {
 		t.Helper()
-		output, err := player.play(directive)
+		output, err := runner.run(directive)
 		if err != nil {
 			t.Fatal(err)
 		}
