--- a/internal/simtest/commands_inspect.go
+++ b/internal/simtest/commands_inspect.go
@@ -9,15 +9,15 @@
 	"lugward/internal/controller"
 )
 
-// inspectionCommands print or check the state of the simulated cluster. They change nothing, except that
-// check_half_started records a violation if its check fails.
+// inspectionCommands print or check the state of the simulated cluster. They change nothing,
+// except that check_half_started records a violation if its check fails.
 var inspectionCommands = map[string]command{
 	"check_rules": {
 		usage: `prints the violations of the checker's rules, "kept" if there are none`,
 		run:   printCommand(func(world *World, _ Arguments) string { return world.Verdict() }),
 	},
 	"check_half_started": {
-		usage: "checks that half of the jobs of each class, of each team and of the largest jobs have started",
+		usage: "checks that half of the jobs of each class, of each team and of the largest jobs have started by now",
 		run:   printCommand(func(world *World, _ Arguments) string { return world.checker.checkServed() }),
 	},
 	"check_work": {
--- a/internal/simtest/commands_network.go
+++ b/internal/simtest/commands_network.go
@@ -77,7 +77,8 @@
 	},
 }
 
-// cutLinks cuts the links between controllers and other processes, or restores them if enabled is false.
+// cutLinks cuts the links between controllers and other processes, or restores them if enabled
+// is false.
 func cutLinks(world *World, arguments Arguments, enabled bool) {
 	world.network.refusedWhenCut = arguments.number("refused_share", "0")
 	for _, process := range world.selectControllers(arguments["controller"]) {
--- a/internal/simtest/commands_polls.go
+++ b/internal/simtest/commands_polls.go
@@ -91,8 +91,8 @@
 	return "still " + phase
 }
 
-// pollUntilAllDone polls all accepted jobs until they are done or the time is up, and reports how many
-// are done.
+// pollUntilAllDone polls all accepted jobs until they are done or the time is up, and reports
+// how many are done.
 func pollUntilAllDone(world *World, arguments Arguments) string {
 	done := 0
 	for end := world.now + arguments.duration("within", "60s"); world.now < end; world.Run(time.Second) {
--- a/internal/simtest/commands_services.go
+++ b/internal/simtest/commands_services.go
@@ -107,7 +107,7 @@
 		run:        actionCommand(func(world *World, arguments Arguments) { world.Run(arguments.duration("for", "1s")) }),
 	},
 	"faults_over": {
-		usage: "declares that all faults are over: from now on the checker reports jobs that stay unassigned",
+		usage: "declares that all faults are over: from now on the checker reports jobs that do not start although capacity is free, and unanswered requests",
 		run:   actionCommand(func(world *World, _ Arguments) { world.checker.faultsOverAt = world.now }),
 	},
 }
--- a/internal/simtest/scenario_index_test.go
+++ b/internal/simtest/scenario_index_test.go
@@ -10,7 +10,8 @@
 // indexEntry matches the line of a scenario in the index.
 var indexEntry = regexp.MustCompile("(?m)^- `([^`]+)`: .+$")
 
-// TestScenarioIndex checks that the index of the scenarios lists each file exactly once and no other file.
+// TestScenarioIndex checks that the index of the scenarios lists each file exactly once
+// and no other file.
 func TestScenarioIndex(t *testing.T) {
 	index, err := os.ReadFile("testdata/README.md")
 	if err != nil {
--- a/internal/simtest/scenario_test.go
+++ b/internal/simtest/scenario_test.go
@@ -14,8 +14,8 @@
 	"lugward/internal/config"
 )
 
-// logOut returns the destination of the controllers' logs: standard error if SIM_LOG is set, otherwise they
-// are discarded.
+// logOut returns the destination of the controllers' logs: standard error if SIM_LOG
+// is set, otherwise the logs are discarded.
 func logOut() io.Writer {
 	if os.Getenv("SIM_LOG") != "" {
 		return os.Stderr
--- a/internal/simtest/wire_record_test.go
+++ b/internal/simtest/wire_record_test.go
@@ -16,8 +16,9 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// recordDirectory is the directory to which TestRecordWire writes a record of the messages that the controllers
-// receive and send. A change without an effect on behaviour leaves every hash unchanged.
+// recordDirectory is the directory to which TestRecordWire writes a record of the messages
+// that the controllers receive and send. A change without an effect on behaviour leaves every
+// hash unchanged.
 var (
 	recordDirectory = flag.String("record", "", "directory for the wire records: a SHA-256 hash of all messages for each scenario and each random run")
 	recordMessages  = flag.Bool("record.messages", false, "also write the messages themselves")
