--- a/internal/simtest/checker.go
+++ b/internal/simtest/checker.go
@@ -90,19 +90,19 @@
 // forEachExecuting calls visit for every task that executes on a machine, in no particular order.
 func (checker *Checker) forEachExecuting(visit func(assignment *taskAssignment)) {
 	for _, worker := range checker.world.workers {
-		if len(worker.assignments) == 0 || !worker.up || worker.certainlyLost() {
+		if len(worker.assignments) == 0 || !worker.up || worker.hungPastLease() {
 			continue
 		}
 		for _, assignment := range worker.assignments {
-			if assignment.onMachine() {
+			if assignment.isExecuting() {
 				visit(assignment)
 			}
 		}
 	}
 }
 
-// onMachines returns every task that executes on a machine, sorted by task and machine name.
-func (checker *Checker) onMachines() []*taskAssignment {
+// executingAssignments returns every task that executes on a machine, sorted by task and machine name.
+func (checker *Checker) executingAssignments() []*taskAssignment {
 	var list []*taskAssignment
 	checker.forEachExecuting(func(assignment *taskAssignment) { list = append(list, assignment) })
 	sort.Slice(list, func(a, b int) bool {
@@ -118,9 +118,9 @@
 	checker.checkPlaceableJobs()
 }
 
-// countStop counts a stop command that a worker executes, unless the task is already
+// countStopCommand counts a stop command that a worker executes, unless the task is already
 // stopping or its job is finished or cancelled.
-func (checker *Checker) countStop(assignment *taskAssignment) {
+func (checker *Checker) countStopCommand(assignment *taskAssignment) {
 	job := assignment.job
 	if job == nil || assignment.phase == taskSaving {
 		return
--- a/internal/simtest/checker_answers.go
+++ b/internal/simtest/checker_answers.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// isOver reports whether the last acknowledged phase of a job is terminal.
-func (checker *Checker) isOver(id string) bool { return isTerminal(checker.acknowledgedPhase[id]) }
+// hasEnded reports whether the last acknowledged phase of a job is terminal.
+func (checker *Checker) hasEnded(id string) bool { return isTerminal(checker.acknowledgedPhase[id]) }
 
 // checkRefusal checks the answer to an invalid request. It must have the expected status,
 // or the status of an undecided request while the controller cannot decide. A malformed
--- a/internal/simtest/checker_cancellation.go
+++ b/internal/simtest/checker_cancellation.go
@@ -46,11 +46,11 @@
 	})
 }
 
-// checkResumed checks the tasks of a machine that resumes after a hang. A task whose
+// checkResumedMachine checks the tasks of a machine that resumes after a hang. A task whose
 // cancellation is overdue is a violation, even if it is stopped right afterwards.
-func (checker *Checker) checkResumed(worker *fakeWorker) {
+func (checker *Checker) checkResumedMachine(worker *fakeWorker) {
 	for _, assignment := range worker.sortedAssignments() {
-		if !assignment.onMachine() {
+		if !assignment.isExecuting() {
 			continue
 		}
 		if since, ok := checker.cancelledSince(assignment.job.id); ok && checker.cancellationOverdue(since) {
--- a/internal/simtest/checker_capacity.go
+++ b/internal/simtest/checker_capacity.go
@@ -154,7 +154,7 @@
 func (checker *Checker) assignedTasks(job *jobRecord) (indices map[int]bool, inZone map[string]int) {
 	indices, inZone = map[int]bool{}, map[string]int{}
 	for _, worker := range checker.world.workers {
-		if !worker.up || worker.certainlyLost() {
+		if !worker.up || worker.hungPastLease() {
 			continue
 		}
 		for _, assignment := range worker.assignments {
--- a/internal/simtest/checker_starts.go
+++ b/internal/simtest/checker_starts.go
@@ -15,7 +15,7 @@
 		return !other.worker.up || other.worker.assignments[other.name] != other || other.phase == taskExited
 	})
 	for _, other := range checker.instances[assignment.name] {
-		if other.onMachine() && !other.worker.certainlyLost() {
+		if other.isExecuting() && !other.worker.hungPastLease() {
 			checker.reportViolation("task executes on two machines: task %s starts on %s, but still executes on %s", assignment.name, assignment.worker.name, other.worker.name)
 		}
 	}
--- a/internal/simtest/cloud.go
+++ b/internal/simtest/cloud.go
@@ -62,7 +62,7 @@
 	provisionedByRequest map[string][]string
 	lastMachine          int
 	down                 bool
-	available            map[string]int // remaining capacity by capacityKey; unlimited if absent
+	remainingCapacity    map[string]int // remaining capacity by capacityKey; unlimited if absent
 	requests             leakyBucket
 	bootFailures         int // number of the next machines that will never boot
 	releasedMachines     int
@@ -82,7 +82,7 @@
 		offeredNames:         slices.Clone(offeredTypeNames),
 		machines:             map[string]*provisionedMachine{},
 		provisionedByRequest: map[string][]string{},
-		available:            map[string]int{},
+		remainingCapacity:    map[string]int{},
 	}
 }
 
@@ -231,9 +231,9 @@
 	}
 	count := request.Number
 	key := capacityKey(request.MachineType, request.Zone, request.Spot)
-	if remaining, ok := cloud.available[key]; ok {
+	if remaining, ok := cloud.remainingCapacity[key]; ok {
 		count = min(count, remaining)
-		cloud.available[key] -= count
+		cloud.remainingCapacity[key] -= count
 	}
 	if count == 0 {
 		return http.StatusServiceUnavailable, errorResponse{"no capacity"}
--- a/internal/simtest/commands_inspect.go
+++ b/internal/simtest/commands_inspect.go
@@ -103,11 +103,11 @@
 	},
 	"rate_limited_requests": {
 		usage: "prints the number of requests that the state service rejected because of its rate limits",
-		run:   countCommand(func(world *World) int { return world.stateService.refusedForRate }),
+		run:   countCommand(func(world *World) int { return world.stateService.rateLimitedCount }),
 	},
 	"oversized_writes": {
 		usage: "prints the number of writes that the state service rejected because of their size",
-		run:   countCommand(func(world *World) int { return world.stateService.tooLarge }),
+		run:   countCommand(func(world *World) int { return world.stateService.tooLargeCount }),
 	},
 	"provisioned": {
 		usage: "prints the number of machines that controllers have provisioned so far",
@@ -154,7 +154,7 @@
 
 // tasksOf returns the tasks of a job that are on machines.
 func (world *World) tasksOf(id string) (tasks []*taskAssignment) {
-	for _, assignment := range world.checker.onMachines() {
+	for _, assignment := range world.checker.executingAssignments() {
 		if assignment.job.id == id {
 			tasks = append(tasks, assignment)
 		}
--- a/internal/simtest/commands_jobs.go
+++ b/internal/simtest/commands_jobs.go
@@ -147,7 +147,7 @@
 // burst submits many jobs with the same arguments, simultaneously or one after the other.
 func burst(world *World, arguments Arguments) string {
 	if arguments.has("simultaneous") {
-		return world.users.submitAtOnce(arguments)
+		return world.users.submitBurst(arguments)
 	}
 	count := 0
 	for i := range int(arguments.number("count", "1")) {
--- a/internal/simtest/commands_machines.go
+++ b/internal/simtest/commands_machines.go
@@ -139,7 +139,7 @@
 
 // workerOf returns the machine that a task is on, nil if it is on none.
 func (world *World) workerOf(task string) *fakeWorker {
-	for _, assignment := range world.checker.onMachines() {
+	for _, assignment := range world.checker.executingAssignments() {
 		if assignment.name == task {
 			return assignment.worker
 		}
@@ -150,7 +150,7 @@
 // reclaimMachine makes the cloud terminate a machine after a reclaim notice.
 func reclaimMachine(worker *fakeWorker, arguments Arguments) {
 	notice := arguments.duration("notice", "8s")
-	worker.reclaimAt, worker.changed = worker.world.now+notice, true
+	worker.reclaimAt, worker.statusChanged = worker.world.now+notice, true
 	worker.world.schedule(notice, func() { worker.world.cloud.terminate(worker.name) })
 }
 
--- a/internal/simtest/commands_network.go
+++ b/internal/simtest/commands_network.go
@@ -48,7 +48,7 @@
 		usage:      "limits the number of workers that a controller has sockets for",
 		parameters: []parameter{required(numberParameter("count", "workers, 0 for no limit"))},
 		run: actionCommand(func(world *World, arguments Arguments) {
-			world.network.workerSockets = int(arguments.number("count", "0"))
+			world.network.maxWorkerConnections = int(arguments.number("count", "0"))
 		}),
 	},
 	"duplicate_heartbeats": {
@@ -65,14 +65,14 @@
 		usage:      "delays heartbeats by seconds; they may arrive at another controller",
 		parameters: shareParameters,
 		run: actionCommand(func(world *World, arguments Arguments) {
-			world.network.delayedHeartbeats = arguments.number("share", "0")
+			world.network.delayedHeartbeatShare = arguments.number("share", "0")
 		}),
 	},
 	"delay_commands": {
 		usage:      "delays direct commands or their responses by seconds",
 		parameters: shareParameters,
 		run: actionCommand(func(world *World, arguments Arguments) {
-			world.network.delayedCommands = arguments.number("share", "0")
+			world.network.delayedCommandShare = arguments.number("share", "0")
 		}),
 	},
 }
@@ -80,7 +80,7 @@
 // cutLinks cuts the links between controllers and other processes, or restores them if enabled
 // is false.
 func cutLinks(world *World, arguments Arguments, enabled bool) {
-	world.network.refusedWhenCut = arguments.number("refused_share", "0")
+	world.network.refusedWhenCutShare = arguments.number("refused_share", "0")
 	for _, process := range world.selectControllers(arguments["controller"]) {
 		if arguments["from"] != "workers" {
 			world.network.setLinkCut(process.name, arguments["from"], enabled)
@@ -88,7 +88,7 @@
 		}
 		for _, worker := range world.sortedWorkers() {
 			if zone, ok := arguments["zone"]; !ok || zone == worker.zone {
-				world.network.markLinkCut(process.name, worker.name, enabled)
+				world.network.setLinkCutOnly(process.name, worker.name, enabled)
 			}
 		}
 	}
--- a/internal/simtest/commands_pipelines.go
+++ b/internal/simtest/commands_pipelines.go
@@ -118,10 +118,10 @@
 		open := 0
 		for i := range n {
 			id := jobID(first + i)
-			if !world.checker.isOver(id) {
+			if !world.checker.hasEnded(id) {
 				world.users.Poll(id)
 			}
-			if !world.checker.isOver(id) {
+			if !world.checker.hasEnded(id) {
 				open++
 			}
 			count[world.checker.acknowledgedPhase[id]]++
--- a/internal/simtest/commands_races.go
+++ b/internal/simtest/commands_races.go
@@ -21,7 +21,7 @@
 			durationParameter("hang", "time for which the machines of the jobs hang"),
 		},
 		run: printCommand(func(world *World, arguments Arguments) string {
-			return strconv.Itoa(len(world.users.cancelNow(int(arguments.number("count", "1")), arguments.duration("hang", "0s"))))
+			return strconv.Itoa(len(world.users.cancelRunningJobs(int(arguments.number("count", "1")), arguments.duration("hang", "0s"))))
 		}),
 	},
 	"invalid_requests": {
@@ -82,7 +82,7 @@
 func (world *World) raceOutcome(first, pairs int, within time.Duration, bothOutcomes bool) string {
 	for end := world.now + within; ; world.Run(time.Second) {
 		for i := range 2 * pairs {
-			if id := jobID(first + i); !world.checker.isOver(id) {
+			if id := jobID(first + i); !world.checker.hasEnded(id) {
 				world.users.Poll(id)
 			}
 		}
--- a/internal/simtest/commands_services.go
+++ b/internal/simtest/commands_services.go
@@ -64,7 +64,7 @@
 	},
 	"truncate_log": {
 		usage: "makes the state service drop its log of changes",
-		run:   actionCommand(func(world *World, _ Arguments) { world.stateService.oldest = world.stateService.revision }),
+		run:   actionCommand(func(world *World, _ Arguments) { world.stateService.oldestRevision = world.stateService.revision }),
 	},
 	"write_key": {
 		usage:      "stores the input under a key, as another version of the program would",
@@ -86,13 +86,13 @@
 
 		parameters: []parameter{durationParameter("within", "longest delay, 0 ends the fault")},
 		run: actionCommand(func(world *World, arguments Arguments) {
-			world.network.slowStateService = arguments.duration("within", "0s")
+			world.network.maxStateServiceDelay = arguments.duration("within", "0s")
 		}),
 	},
 	"late_writes": {
 		usage:      "executes transactions late and does not respond to them",
 		parameters: []parameter{numberParameter("share", "share of the transactions, 0 ends the fault")},
-		run:        actionCommand(func(world *World, arguments Arguments) { world.network.lateWrites = arguments.number("share", "0") }),
+		run:        actionCommand(func(world *World, arguments Arguments) { world.network.lateWriteShare = arguments.number("share", "0") }),
 	},
 	"load_recording": {
 		usage:      "restores the world from a recording",
@@ -123,7 +123,7 @@
 func limitCapacity(world *World, arguments Arguments) {
 	for _, spot := range []bool{false, true} {
 		for _, zone := range []string{"a", "b"} {
-			world.cloud.available[capacityKey(arguments["type"], zone, spot)] = int(arguments.number("count", "0"))
+			world.cloud.remainingCapacity[capacityKey(arguments["type"], zone, spot)] = int(arguments.number("count", "0"))
 		}
 	}
 }
--- a/internal/simtest/controller_calls.go
+++ b/internal/simtest/controller_calls.go
@@ -90,7 +90,7 @@
 func (process *controllerProcess) delayTransaction(call event.Call) bool {
 	world := process.world
 	reachesService := !process.denied && !world.stateService.down && !world.network.cutLinks[link{process.name, "state"}]
-	if call.Path != transactionPath || !reachesService || !world.chance(world.network.lateWrites) {
+	if call.Path != transactionPath || !reachesService || !world.chance(world.network.lateWriteShare) {
 		return false
 	}
 	var execute func()
--- a/internal/simtest/controller_memory_test.go
+++ b/internal/simtest/controller_memory_test.go
@@ -54,7 +54,7 @@
 		world.users.Submit(Arguments{"id": fmt.Sprintf("req-%06d", i), "tasks": "400", "run": "1h"})
 	}
 	world.Run(30 * time.Second)
-	placed := len(world.checker.onMachines())
+	placed := len(world.checker.executingAssignments())
 	with := heapMB()
 	// The heap without the controllers belongs to the simulation.
 	for _, process := range world.controllers {
--- a/internal/simtest/jobs.go
+++ b/internal/simtest/jobs.go
@@ -72,8 +72,8 @@
 // alwaysFails reports whether a task of the job fails on every machine.
 func (job *jobRecord) alwaysFails(index int) bool { return job.broken || index+1 == job.failingTask }
 
-// markStarted records when the job first ran.
-func (job *jobRecord) markStarted(now time.Duration) {
+// recordStart records when the job first ran.
+func (job *jobRecord) recordStart(now time.Duration) {
 	if job.startedAt == 0 {
 		job.startedAt = now
 	}
--- a/internal/simtest/network.go
+++ b/internal/simtest/network.go
@@ -12,9 +12,9 @@
 	linkState
 	packetFaults
 	requestDelays
-	refusedWhenCut      float64 // share of requests to controllers over cut links that fail at once
-	workerSockets       int     // worker connections that a controller may have; zero means no limit
-	unreachableMachines int     // number of the next machines to boot that will be unreachable
+	refusedWhenCutShare  float64 // share of requests to controllers over cut links that fail at once
+	maxWorkerConnections int     // worker connections that a controller may have; zero means no limit
+	unreachableMachines  int     // number of the next machines to boot that will be unreachable
 }
 
 // linkState holds the faults of single links.
@@ -34,10 +34,10 @@
 
 // requestDelays configures delays of requests and responses.
 type requestDelays struct {
-	lateWrites        float64       // share of transactions that get no response and are executed late
-	delayedHeartbeats float64       // share of heartbeats delayed by seconds, possibly to another controller
-	delayedCommands   float64       // share of direct commands whose request or response is delayed by seconds
-	slowStateService  time.Duration // maximum delay of the state service's responses
+	lateWriteShare        float64       // share of transactions that get no response and are executed late
+	delayedHeartbeatShare float64       // share of heartbeats delayed by seconds, possibly to another controller
+	delayedCommandShare   float64       // share of direct commands whose request or response is delayed by seconds
+	maxStateServiceDelay  time.Duration // maximum delay of the state service's responses
 }
 
 func newNetwork(world *World) *fakeNetwork {
@@ -90,15 +90,15 @@
 // setLinkCut cuts or restores the link between two parties in both directions. On
 // restoring, held packets are sent.
 func (network *fakeNetwork) setLinkCut(a, b string, enabled bool) {
-	network.markLinkCut(a, b, enabled)
+	network.setLinkCutOnly(a, b, enabled)
 	if !enabled {
 		network.releaseHeldPackets()
 	}
 }
 
-// markLinkCut cuts or restores the link between two parties in both directions. Unlike
+// setLinkCutOnly cuts or restores the link between two parties in both directions. Unlike
 // setLinkCut, it does not send held packets.
-func (network *fakeNetwork) markLinkCut(a, b string, enabled bool) {
+func (network *fakeNetwork) setLinkCutOnly(a, b string, enabled bool) {
 	for _, direction := range []link{{a, b}, {b, a}} {
 		network.cutLinks[direction] = enabled
 	}
--- a/internal/simtest/network_requests.go
+++ b/internal/simtest/network_requests.go
@@ -9,10 +9,10 @@
 
 // commandDelays draws the delays of a call and of its response.
 func (network *fakeNetwork) commandDelays(receiver string) (requestDelay, responseDelay time.Duration) {
-	if receiver == "state" && network.slowStateService > 0 {
-		return 0, network.world.randomDuration(0, network.slowStateService)
+	if receiver == "state" && network.maxStateServiceDelay > 0 {
+		return 0, network.world.randomDuration(0, network.maxStateServiceDelay)
 	}
-	if receiver == "state" || receiver == "cloud" || !network.world.chance(network.delayedCommands) {
+	if receiver == "state" || receiver == "cloud" || !network.world.chance(network.delayedCommandShare) {
 		return 0, 0
 	}
 	if network.world.random.IntN(2) == 0 {
@@ -24,7 +24,7 @@
 // heartbeatDelays draws the controller that receives a heartbeat, and the delays of the
 // heartbeat and of its response. The delays may exceed the time-out of the worker.
 func (network *fakeNetwork) heartbeatDelays(process *controllerProcess, path string) (receiver *controllerProcess, requestDelay, responseDelay time.Duration) {
-	if path != heartbeatPath || !network.world.chance(network.delayedHeartbeats) {
+	if path != heartbeatPath || !network.world.chance(network.delayedHeartbeatShare) {
 		return process, 0, 0
 	}
 	switch network.world.random.IntN(4) {
@@ -59,7 +59,7 @@
 		}
 	}
 	network.world.schedule(request.timeout, func() { answerOnce(0, nil) })
-	if network.cutLinks[link{request.from, process.name}] && network.world.chance(network.refusedWhenCut) {
+	if network.cutLinks[link{request.from, process.name}] && network.world.chance(network.refusedWhenCutShare) {
 		network.world.schedule(time.Millisecond, func() { answerOnce(0, nil) })
 		return
 	}
@@ -115,7 +115,7 @@
 		delete(other.connectedWorkers, worker)
 	}
 	process.connectedWorkers[worker] = true
-	limitReached = process.world.network.workerSockets > 0 && len(process.connectedWorkers) > process.world.network.workerSockets
+	limitReached = process.world.network.maxWorkerConnections > 0 && len(process.connectedWorkers) > process.world.network.maxWorkerConnections
 	answer := process.pendingRequests[request]
 	process.pendingRequests[request] = func(status int, body []byte) {
 		if limitReached || status == http.StatusMisdirectedRequest {
--- a/internal/simtest/random_faults_test.go
+++ b/internal/simtest/random_faults_test.go
@@ -124,8 +124,8 @@
 
 // slowState delays the answers of the state service by up to 4 seconds.
 func slowState(world *World, _ *controllerProcess, duration time.Duration) {
-	world.network.slowStateService = seconds(world.random.Float64() * 4)
-	world.schedule(duration, func() { world.network.slowStateService = 0 })
+	world.network.maxStateServiceDelay = seconds(world.random.Float64() * 4)
+	world.schedule(duration, func() { world.network.maxStateServiceDelay = 0 })
 }
 
 // blockWatch leaves the watches of the leader or another controller unanswered.
@@ -137,22 +137,22 @@
 
 // lateWrites leaves 30 % of the transactions without an answer and executes them late.
 func lateWrites(world *World, _ *controllerProcess, duration time.Duration) {
-	world.setShareFor(&world.network.lateWrites, 0.3, duration)
+	world.setShareFor(&world.network.lateWriteShare, 0.3, duration)
 }
 
 // delayHeartbeats delays 30 % of the heartbeats.
 func delayHeartbeats(world *World, _ *controllerProcess, duration time.Duration) {
-	world.setShareFor(&world.network.delayedHeartbeats, 0.3, duration)
+	world.setShareFor(&world.network.delayedHeartbeatShare, 0.3, duration)
 }
 
 // delayCommands delays half of the direct commands or their answers.
 func delayCommands(world *World, _ *controllerProcess, duration time.Duration) {
-	world.setShareFor(&world.network.delayedCommands, 0.5, duration)
+	world.setShareFor(&world.network.delayedCommandShare, 0.5, duration)
 }
 
 // failMachine lets a random machine with tasks crash, hang or be terminated by the cloud.
 func failMachine(world *World, _ *controllerProcess, duration time.Duration) {
-	assignments := world.checker.onMachines()
+	assignments := world.checker.executingAssignments()
 	if len(assignments) == 0 {
 		return
 	}
@@ -169,7 +169,7 @@
 
 // blockInboundOfOne blocks all inbound packets of a random machine with tasks.
 func blockInboundOfOne(world *World, _ *controllerProcess, duration time.Duration) {
-	if assignments := world.checker.onMachines(); len(assignments) > 0 {
+	if assignments := world.checker.executingAssignments(); len(assignments) > 0 {
 		world.network.blockInboundFor(assignments[world.random.IntN(len(assignments))].worker, duration)
 	}
 }
@@ -209,7 +209,7 @@
 // cancelSome cancels up to four running jobs and lets their machines hang.
 func cancelSome(world *World, _ *controllerProcess, _ time.Duration) {
 	hang := seconds(world.random.Float64() * 12)
-	world.users.cancelNow(1+world.random.IntN(4), hang)
+	world.users.cancelRunningJobs(1+world.random.IntN(4), hang)
 	world.extendFaults(hang)
 }
 
@@ -275,7 +275,7 @@
 	if world.random.IntN(2) == 0 {
 		hang = seconds(world.random.Float64() * 10)
 	}
-	world.schedule(seconds(world.random.Float64()*leaderOnly.Seconds()), func() { world.users.cancelNow(1+world.random.IntN(4), hang) })
+	world.schedule(seconds(world.random.Float64()*leaderOnly.Seconds()), func() { world.users.cancelRunningJobs(1+world.random.IntN(4), hang) })
 	world.schedule(leaderOnly, func() {
 		world.stateService.setOutage(true)
 		world.schedule(outage, func() { world.stateService.setOutage(false) })
--- a/internal/simtest/random_jobs_test.go
+++ b/internal/simtest/random_jobs_test.go
@@ -136,7 +136,7 @@
 // violated.
 func (world *World) checkAllEnded(reporter errorReporter, seed uint64, ids []string) {
 	for _, id := range ids {
-		if !world.checker.isOver(id) {
+		if !world.checker.hasEnded(id) {
 			reporter.Errorf("seed %d: job %s has phase %q, want done or cancelled: %+v; stored records:\n%s", seed, id, world.checker.acknowledgedPhase[id], *world.jobs[id], world.storedRecordsOf(id))
 		}
 	}
@@ -170,7 +170,7 @@
 	for range 120 {
 		open := 0
 		for _, id := range ids {
-			if !world.checker.isOver(id) {
+			if !world.checker.hasEnded(id) {
 				open++
 				world.users.Poll(id)
 			}
@@ -188,7 +188,7 @@
 	world.Run(max(seconds(25), world.faultsEndAt-world.now))
 	world.cloud.bootFailures, world.cloud.down = 0, false
 	world.network.lossShare, world.network.lateRepeatShare, world.network.duplicateShare = 0, 0, 0
-	world.network.lateWrites, world.network.delayedHeartbeats, world.network.delayedCommands = 0, 0, 0
+	world.network.lateWriteShare, world.network.delayedHeartbeatShare, world.network.delayedCommandShare = 0, 0, 0
 	world.users.cancelAtEnd, world.users.invalidRequests = 0, false
 	world.Run(maxDelay) // delayed messages arrive
 	world.checker.faultsOverAt = world.now
--- a/internal/simtest/random_pipelines_test.go
+++ b/internal/simtest/random_pipelines_test.go
@@ -184,7 +184,7 @@
 // openJobs returns the accepted jobs that have not ended.
 func (play *pipelinePlay) openJobs() (ids []string) {
 	for _, id := range play.all {
-		if play.world.checker.acknowledgedPhase[id] != "" && !play.world.checker.isOver(id) {
+		if play.world.checker.acknowledgedPhase[id] != "" && !play.world.checker.hasEnded(id) {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/simtest/rate_limit.go
+++ b/internal/simtest/rate_limit.go
@@ -7,7 +7,7 @@
 // rateLimits holds the rate limiters of the state service.
 type rateLimits struct {
 	requests, writes leakyBucket
-	refusedForRate   int // requests and transactions rejected by the rate limits
+	rateLimitedCount int // requests and transactions rejected by the rate limits
 }
 
 // stateBurstSeconds is the burst of the state service's rate limits, in seconds at the full rate.
--- a/internal/simtest/recording.go
+++ b/internal/simtest/recording.go
@@ -169,7 +169,7 @@
 
 // load replaces the contents of the state service by those of a recording.
 func (service *fakeStateService) load(recording worldRecording) {
-	service.revision, service.oldest, service.log = recording.Revision, recording.Revision, nil
+	service.revision, service.oldestRevision, service.log = recording.Revision, recording.Revision, nil
 	service.leases = map[uint64]*grantedLease{}
 	for id, milliseconds := range recording.Leases {
 		duration := time.Duration(milliseconds) * time.Millisecond
@@ -250,7 +250,7 @@
 	case job.shape == shapeGang:
 		worker.assignments[recorded.Task] = assignment
 		world.checker.recordInstance(assignment)
-		worker.images[job.id] = true
+		worker.fetchedImages[job.id] = true
 		gang := assignment.addToGang()
 		if gang.isComplete() {
 			gang.started = true
@@ -259,11 +259,11 @@
 	default:
 		worker.assignments[recorded.Task] = assignment
 		world.checker.recordInstance(assignment)
-		worker.images[job.id] = true
+		worker.fetchedImages[job.id] = true
 		if job.shape == shapeArray {
 			assignment.after(job.runTime-job.progress[assignment.index]-recorded.Ran, func() {
 				job.completed[assignment.index] = true
-				world.users.taskCompleted(job)
+				world.users.handleTaskCompleted(job)
 				worker.exitTask(assignment, causeDone, false)
 			})
 		}
--- a/internal/simtest/state_limits.go
+++ b/internal/simtest/state_limits.go
@@ -19,7 +19,7 @@
 // the limits.
 type limitOverride struct {
 	override         *serviceLimits             // nil means the limits of the settings
-	tooLarge         int                        // requests rejected with status 400 because of their size
+	tooLargeCount    int                        // requests rejected with status 400 because of their size
 	tooLargeAttempts map[string][]time.Duration // times of the latest rejections, by key or together for transactions
 	endlessRetries   int                        // times that a write was retried too often
 }
@@ -64,8 +64,8 @@
 // settings or were announced there, the request is a violation by the controller. If they were
 // lowered without announcement, a controller may try, but must not retry endlessly.
 func (service *fakeStateService) refuseTooLarge(what, format string, values ...any) (int, any) {
-	service.tooLarge++
-	if (service.override == nil || service.world.limitsAnnounced) && service.tooLarge <= maxReportedTooLarge {
+	service.tooLargeCount++
+	if (service.override == nil || service.world.limitsAnnounced) && service.tooLargeCount <= maxReportedTooLarge {
 		service.world.reportLimitViolation("%.2fs state service got %s", service.world.now.Seconds(), fmt.Sprintf(format, values...))
 	}
 	if service.tooLargeAttempts == nil {
--- a/internal/simtest/state_limits_test.go
+++ b/internal/simtest/state_limits_test.go
@@ -62,8 +62,8 @@
 		t.Errorf("commit within the limits returned status %d, want 200", got)
 	}
 	tooLarge, tooMany := commitValues(world, jsonText(2049)), commitValues(world, "1", "2", "3", "4", "5")
-	if tooLarge != 400 || tooMany != 400 || world.stateService.tooLarge != 2 {
-		t.Errorf("commits over the limits returned status %d and %d, want 400; counted %d as too large, want 2", tooLarge, tooMany, world.stateService.tooLarge)
+	if tooLarge != 400 || tooMany != 400 || world.stateService.tooLargeCount != 2 {
+		t.Errorf("commits over the limits returned status %d and %d, want 400; counted %d as too large, want 2", tooLarge, tooMany, world.stateService.tooLargeCount)
 	}
 }
 
@@ -77,7 +77,7 @@
 			committed++
 		}
 	}
-	if committed != 5 || world.stateService.refusedForRate != 5 {
+	if committed != 5 || world.stateService.rateLimitedCount != 5 {
 		t.Errorf("committed %d of 10 transactions of 3 writes at 15 writes per second, want 5 and 5 rejected for the rate", committed)
 	}
 }
--- a/internal/simtest/state_service.go
+++ b/internal/simtest/state_service.go
@@ -45,7 +45,7 @@
 	}
 	service.expireLeases()
 	if !service.requests.acquire(service.world.now, service.currentLimits().requestsPerSecond, stateBurstSeconds, 1) {
-		service.refusedForRate++
+		service.rateLimitedCount++
 		answer(http.StatusTooManyRequests, nil)
 		return
 	}
@@ -108,7 +108,7 @@
 		return service.refuseTooLarge("a transaction", "a transaction that is invalid or over the limits: %d operations, %d preconditions, %d bytes", len(txn.Then), len(txn.If), len(body))
 	}
 	if !service.writes.acquire(service.world.now, limits.writesPerSecond, stateBurstSeconds, float64(len(txn.Then))) {
-		service.refusedForRate++
+		service.rateLimitedCount++
 		return http.StatusTooManyRequests, nil
 	}
 	for _, operation := range txn.Then {
--- a/internal/simtest/state_watch.go
+++ b/internal/simtest/state_watch.go
@@ -10,9 +10,9 @@
 
 // changeLog holds the latest changes in the state service and the pending watches.
 type changeLog struct {
-	log      []changeEvent
-	oldest   uint64 // a watch from an earlier revision gets status 410
-	watchers []*watcher
+	log            []changeEvent
+	oldestRevision uint64 // a watch from an earlier revision gets status 410
+	watchers       []*watcher
 }
 
 // watcher is a pending watch request. It waits for changes after a revision.
@@ -31,7 +31,7 @@
 func (service *fakeStateService) watch(query url.Values, answer func(status int, response any)) {
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
 	wait, _ := strconv.Atoi(query.Get("wait_ms"))
-	if from+retainedRevisions < service.revision || from < service.oldest {
+	if from+retainedRevisions < service.revision || from < service.oldestRevision {
 		answer(http.StatusGone, nil)
 		return
 	}
--- a/internal/simtest/users_cancel.go
+++ b/internal/simtest/users_cancel.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// taskCompleted handles the completion of a task. When the last task of a job completes, the
+// handleTaskCompleted handles the completion of a task. When the last task of a job completes, the
 // job may be cancelled, resubmitted and polled within the next second.
-func (users *fakeUsers) taskCompleted(job *jobRecord) {
+func (users *fakeUsers) handleTaskCompleted(job *jobRecord) {
 	if len(job.completed) < job.taskCount || users.world.checker.cancelRequests[job.id] || !users.world.chance(users.cancelAtEnd) {
 		return
 	}
@@ -19,7 +19,7 @@
 func (users *fakeUsers) runningJobs() []string {
 	var ids []string
 	seen := map[string]bool{}
-	for _, assignment := range users.world.checker.onMachines() {
+	for _, assignment := range users.world.checker.executingAssignments() {
 		if id := assignment.job.id; !seen[id] && users.world.checker.acknowledgedPhase[id] != "" && !users.world.checker.cancelRequests[id] {
 			seen[id] = true
 			ids = append(ids, id)
@@ -28,9 +28,9 @@
 	return ids
 }
 
-// cancelNow cancels up to count random running jobs within 200 ms, and lets up to eight of
+// cancelRunningJobs cancels up to count random running jobs within 200 ms, and lets up to eight of
 // their machines hang for hangTime. It returns the IDs of the jobs.
-func (users *fakeUsers) cancelNow(count int, hangTime time.Duration) []string {
+func (users *fakeUsers) cancelRunningJobs(count int, hangTime time.Duration) []string {
 	ids := users.runningJobs()
 	users.world.random.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
 	ids = ids[:min(count, len(ids))]
@@ -40,7 +40,7 @@
 	}
 	if hangTime > 0 {
 		hung := map[*fakeWorker]bool{}
-		for _, assignment := range users.world.checker.onMachines() {
+		for _, assignment := range users.world.checker.executingAssignments() {
 			for _, id := range ids {
 				if assignment.job.id == id && len(hung) < 8 && !hung[assignment.worker] {
 					hung[assignment.worker] = true
--- a/internal/simtest/users_crowd.go
+++ b/internal/simtest/users_crowd.go
@@ -16,10 +16,10 @@
 	refusedTime       time.Duration // sum of the times until the answers with status 503
 }
 
-// submitAtOnce submits many jobs at the same moment, each with retries. It returns how many
+// submitBurst submits many jobs at the same moment, each with retries. It returns how many
 // were accepted, how many seconds the slowest answer took, and whether the mean time of
 // refusals is at most maxPromptRefusal.
-func (users *fakeUsers) submitAtOnce(arguments Arguments) string {
+func (users *fakeUsers) submitBurst(arguments Arguments) string {
 	result := &burstResult{pending: int(arguments.number("count", "1"))}
 	end := users.world.now + userRetry
 	for i := range result.pending {
--- a/internal/simtest/users_submission.go
+++ b/internal/simtest/users_submission.go
@@ -14,13 +14,13 @@
 		job = newJobRecord(id)
 		users.world.jobs[id] = job
 	}
-	job.describe(arguments)
+	job.setSpecification(arguments)
 	job.body = job.encodeSubmission(arguments, users.recordUpstream(job, arguments))
 	return job.body
 }
 
-// describe sets the specification of a job from the arguments of its submission.
-func (job *jobRecord) describe(arguments Arguments) {
+// setSpecification sets the specification of a job from the arguments of its submission.
+func (job *jobRecord) setSpecification(arguments Arguments) {
 	job.team, job.shape, job.class = arguments.text("team", "red"), arguments.text("shape", "array"), arguments.text("class", "c")
 	job.taskCount = int(arguments.number("tasks", "1"))
 	job.cpus, job.gpus, job.memory = arguments.number("cpus", "1"), arguments.number("gpus", "0"), arguments.number("memory", "1")
--- a/internal/simtest/worker.go
+++ b/internal/simtest/worker.go
@@ -16,10 +16,10 @@
 type fakeWorker struct {
 	world *World
 	machineIdentity
-	up          bool
-	incarnation uint64
-	assignments map[string]*taskAssignment // by task
-	images      map[string]bool            // fetched images, by job
+	up            bool
+	incarnation   uint64
+	assignments   map[string]*taskAssignment // by task
+	fetchedImages map[string]bool            // fetched images, by job
 	leaseState
 	heartbeatState
 	hangState
@@ -38,7 +38,7 @@
 	targetController             int // index of the controller that gets the heartbeats
 	sequence                     uint64
 	heartbeatInFlight            bool
-	changed                      bool // the status changed after the last heartbeat
+	statusChanged                bool // the status changed after the last heartbeat
 	lastHeartbeat, nextHeartbeat time.Duration
 }
 
@@ -58,9 +58,9 @@
 		up:              true,
 		incarnation:     1,
 		assignments:     map[string]*taskAssignment{},
-		images:          map[string]bool{},
+		fetchedImages:   map[string]bool{},
 		leaseState:      leaseState{leaseStart: world.now},
-		heartbeatState:  heartbeatState{targetController: world.random.IntN(len(world.controllers)), changed: true},
+		heartbeatState:  heartbeatState{targetController: world.random.IntN(len(world.controllers)), statusChanged: true},
 	}
 	world.workers[machine.addr] = worker
 	if world.network.unreachableMachines > 0 {
@@ -99,7 +99,7 @@
 		worker.removeTask(assignment)
 	}
 	worker.assignments = map[string]*taskAssignment{}
-	worker.images = map[string]bool{}
+	worker.fetchedImages = map[string]bool{}
 }
 
 // sortedAssignments returns the assignments sorted by task name, so that runs are
--- a/internal/simtest/worker_commands.go
+++ b/internal/simtest/worker_commands.go
@@ -44,13 +44,13 @@
 			}
 		case "stop":
 			if known && assignment.phase != taskExited {
-				worker.world.checker.countStop(assignment)
+				worker.world.checker.countStopCommand(assignment)
 				worker.stopTask(assignment, seconds(command.GracePeriod))
 			}
 		case "reap":
 			if known && assignment.phase == taskExited {
 				delete(worker.assignments, command.Task)
-				worker.changed = true
+				worker.statusChanged = true
 			}
 		default:
 			worker.world.reportLimitViolation("worker got a command with unknown verb %q", command.Verb)
--- a/internal/simtest/worker_gang.go
+++ b/internal/simtest/worker_gang.go
@@ -68,7 +68,7 @@
 	for i := range gang.job.taskCount {
 		member := gang.members[i]
 		member.phase, member.startedAt = taskRunning, member.worker.executionTime()
-		member.worker.changed = true
+		member.worker.statusChanged = true
 		member.generation++
 		if member.fails() {
 			failing = true
@@ -76,7 +76,7 @@
 		}
 	}
 	if !failing {
-		gang.job.markStarted(gang.world.now)
+		gang.job.recordStart(gang.world.now)
 		gang.finishAfter(gang.job.runTime - gang.job.progress[0])
 	}
 }
@@ -102,11 +102,11 @@
 func (gang *gangRun) abort() {
 	for i := range gang.job.taskCount {
 		member := gang.members[i]
-		if member == nil || !member.onMachine() {
+		if member == nil || !member.isExecuting() {
 			continue
 		}
 		member.worker.whenResumed(func() {
-			if member.onMachine() && member.worker.assignments[member.name] == member {
+			if member.isExecuting() && member.worker.assignments[member.name] == member {
 				member.worker.exitTask(member, causePeers, false)
 			}
 		})
@@ -139,5 +139,5 @@
 			member.worker.exitTask(member, causeDone, false)
 		}
 	}
-	gang.world.users.taskCompleted(gang.job)
+	gang.world.users.handleTaskCompleted(gang.job)
 }
--- a/internal/simtest/worker_hang.go
+++ b/internal/simtest/worker_hang.go
@@ -51,7 +51,7 @@
 	worker.hung = false
 	worker.totalHung += worker.world.now - worker.hungSince
 	worker.expireLease()
-	worker.world.checker.checkResumed(worker)
+	worker.world.checker.checkResumedMachine(worker)
 	actions := worker.onResume
 	worker.onResume = nil
 	for _, action := range actions {
@@ -61,9 +61,9 @@
 	}
 }
 
-// certainlyLost reports whether the machine hangs and its lease has expired. Its tasks will not
+// hungPastLease reports whether the machine hangs and its lease has expired. Its tasks will not
 // continue: the worker kills them when the machine resumes.
-func (worker *fakeWorker) certainlyLost() bool { return worker.hung && worker.leaseExpired() }
+func (worker *fakeWorker) hungPastLease() bool { return worker.hung && worker.leaseExpired() }
 
 // whenResumed runs an action immediately, or on resume if the machine hangs.
 func (worker *fakeWorker) whenResumed(action func()) {
--- a/internal/simtest/worker_hang_test.go
+++ b/internal/simtest/worker_hang_test.go
@@ -53,8 +53,8 @@
 	status := 0
 	worker.serve("/do", []byte(`{"fence":7,"tenure":1,"orders":[{"verb":"start","shard":"req-000001/0","try":2}]}`), func(code int, _ any) { status = code })
 	world.Run(10500 * time.Millisecond)
-	if status != 0 || !worker.certainlyLost() || len(world.checker.onMachines()) != 0 {
-		t.Fatalf("during the hang: status %d, tasks lost: %v, want status 0, lost tasks and none on machines", status, worker.certainlyLost())
+	if status != 0 || !worker.hungPastLease() || len(world.checker.executingAssignments()) != 0 {
+		t.Fatalf("during the hang: status %d, tasks lost: %v, want status 0, lost tasks and none on machines", status, worker.hungPastLease())
 	}
 	world.Run(time.Second)
 	if status != 409 || len(worker.assignments) != 0 || worker.incarnation != 2 {
@@ -155,7 +155,7 @@
 	world := New(1, 1, io.Discard)
 	process := world.controllers[0]
 	process.kill()
-	world.network.lateWrites = 1
+	world.network.lateWriteShare = 1
 	write := func(key string, version uint64) {
 		body, _ := json.Marshal(transaction{If: []precondition{{key, version}}, Then: []operation{{Write: key, Data: json.RawMessage("1")}}})
 		if !process.delayTransaction(event.Call{Method: "POST", Path: "/commit", Body: body}) {
--- a/internal/simtest/worker_heartbeat.go
+++ b/internal/simtest/worker_heartbeat.go
@@ -15,7 +15,7 @@
 	if worker.world.now >= worker.nextHeartbeat {
 		return true
 	}
-	return worker.changed && worker.world.now-worker.lastHeartbeat >= minHeartbeatInterval
+	return worker.statusChanged && worker.world.now-worker.lastHeartbeat >= minHeartbeatInterval
 }
 
 // buildHeartbeat returns a heartbeat with the current status and the next sequence number.
@@ -48,7 +48,7 @@
 
 // sendHeartbeat sends a heartbeat and schedules the next one.
 func (worker *fakeWorker) sendHeartbeat() {
-	worker.heartbeatInFlight, worker.changed = true, false
+	worker.heartbeatInFlight, worker.statusChanged = true, false
 	worker.lastHeartbeat = worker.world.now
 	interval := seconds(worker.world.config.Settings.Workers.HeartbeatS)
 	jitter := time.Duration(worker.world.random.Int64N(int64(interval / 2)))
@@ -108,7 +108,7 @@
 	for i, process := range worker.world.controllers {
 		if leader != "" && process.name == leader && i != worker.targetController {
 			worker.targetController = i
-			worker.changed = true
+			worker.statusChanged = true
 			worker.lastHeartbeat = worker.world.now - minHeartbeatInterval + workerTickInterval
 			return true
 		}
@@ -124,7 +124,7 @@
 	}
 	worker.fencingToken = token
 	if worker.world.now-worker.fencingTokenReportedAt > seconds(worker.world.config.Settings.Workers.LeaseS/2) || worker.fencingTokenReportedAt == 0 {
-		worker.changed, worker.fencingTokenReportedAt = true, worker.world.now
+		worker.statusChanged, worker.fencingTokenReportedAt = true, worker.world.now
 	}
 }
 
@@ -136,7 +136,7 @@
 	worker.killTasks()
 	worker.incarnation++
 	worker.leaseStart = worker.world.now
-	worker.changed = true
+	worker.statusChanged = true
 }
 
 // leaseExpired reports whether the lease has expired. It is counted from the time at which the
--- a/internal/simtest/worker_tasks.go
+++ b/internal/simtest/worker_tasks.go
@@ -20,16 +20,16 @@
 	generation       int           // incremented to invalidate scheduled events
 }
 
-// onMachine reports whether the task executes on the machine: it waits for its gang, runs or
+// isExecuting reports whether the task executes on the machine: it waits for its gang, runs or
 // stores a checkpoint.
-func (assignment *taskAssignment) onMachine() bool {
+func (assignment *taskAssignment) isExecuting() bool {
 	return assignment.phase == taskWaiting || assignment.phase == taskRunning || assignment.phase == taskSaving
 }
 
 // startTask executes a command to start a task: it fetches the image, then runs the task. A
 // task that cannot start exits immediately.
 func (worker *fakeWorker) startTask(command taskCommand) {
-	worker.changed = true
+	worker.statusChanged = true
 	i := strings.LastIndexByte(command.Task, '/')
 	var index int
 	_, _ = fmt.Sscan(command.Task[i+1:], &index)
@@ -51,7 +51,7 @@
 	}
 	assignment.phase = taskPulling
 	wait := job.imageFetchTime
-	if worker.images[job.id] {
+	if worker.fetchedImages[job.id] {
 		wait = 0
 	}
 	assignment.after(wait, func() { worker.runTask(assignment) })
@@ -74,8 +74,8 @@
 // runTask runs a task whose image has been fetched.
 func (worker *fakeWorker) runTask(assignment *taskAssignment) {
 	job := assignment.job
-	worker.images[job.id] = true
-	worker.changed = true
+	worker.fetchedImages[job.id] = true
+	worker.statusChanged = true
 	worker.world.checker.checkStart(assignment)
 	switch {
 	case job.completed[assignment.index]:
@@ -88,7 +88,7 @@
 		worker.failSoon(assignment)
 	default:
 		assignment.phase, assignment.startedAt = taskRunning, worker.executionTime()
-		job.markStarted(worker.world.now)
+		job.recordStart(worker.world.now)
 		if job.shape == shapeArray {
 			worker.completeLater(assignment)
 		}
@@ -104,7 +104,7 @@
 	assignment.after(remaining, func() {
 		assignment.job.completed[assignment.index] = true
 		worker.exitTask(assignment, causeDone, false)
-		worker.world.users.taskCompleted(assignment.job)
+		worker.world.users.handleTaskCompleted(assignment.job)
 	})
 }
 
@@ -139,7 +139,7 @@
 func (worker *fakeWorker) exitTask(assignment *taskAssignment, cause string, stored bool) {
 	assignment.generation++
 	assignment.phase, assignment.cause, assignment.checkpointStored = taskExited, cause, stored
-	worker.changed = true
+	worker.statusChanged = true
 	if gang := assignment.gang(); gang != nil && cause != causeDone {
 		gang.leave(assignment)
 	}
@@ -158,7 +158,7 @@
 // period does so first. A grace period of zero aborts a checkpoint in progress.
 func (worker *fakeWorker) stopTask(assignment *taskAssignment, gracePeriod time.Duration) {
 	job := assignment.job
-	worker.changed = true
+	worker.statusChanged = true
 	if assignment.phase == taskSaving {
 		if gracePeriod == 0 {
 			worker.exitTask(assignment, causeStopped, false)
