--- a/internal/simtest/commands_controllers.go
+++ b/internal/simtest/commands_controllers.go
@@ -68,7 +68,7 @@
 			choiceParameter("how", "fault that removes the leader, chosen at random each time if absent", "kill", "deny", "isolate", "pause"),
 		},
 		run: actionCommand(func(world *World, arguments Arguments) {
-			world.churn(int(arguments.number("times", "10")), arguments.duration("over", "120s"), arguments["how"])
+			world.changeLeaderRepeatedly(int(arguments.number("times", "10")), arguments.duration("over", "120s"), arguments["how"])
 		}),
 	},
 }
--- a/internal/simtest/fault_injection.go
+++ b/internal/simtest/fault_injection.go
@@ -20,9 +20,9 @@
 // as often.
 var leaderFaults = []string{leaderKilled, leaderKilled, leaderDenied, leaderIsolated, leaderPaused}
 
-// churn forces a number of leader changes, spread evenly over a duration. Each change is
+// changeLeaderRepeatedly forces a number of leader changes, spread evenly over a duration. Each change is
 // caused by the given fault, or by a random one if the fault is empty.
-func (world *World) churn(times int, over time.Duration, fault string) {
+func (world *World) changeLeaderRepeatedly(times int, over time.Duration, fault string) {
 	interval := over / time.Duration(times)
 	for i := range times {
 		world.schedule(time.Duration(i)*interval, func() { world.replaceLeader(fault, interval*3/4) })
--- a/internal/simtest/random_faults_test.go
+++ b/internal/simtest/random_faults_test.go
@@ -202,7 +202,7 @@
 
 // churnLeaders replaces the leader ten times in two minutes.
 func churnLeaders(world *World, _ *controllerProcess, _ time.Duration) {
-	world.churn(10, 2*time.Minute, "")
+	world.changeLeaderRepeatedly(10, 2*time.Minute, "")
 	world.extendFaults(2 * time.Minute)
 }
 
--- a/internal/simtest/random_jobs_test.go
+++ b/internal/simtest/random_jobs_test.go
@@ -65,7 +65,7 @@
 
 // playRandomJobsObserved is playRandomJobs with an observer of all messages.
 func playRandomJobsObserved(reporter errorReporter, seed uint64, observer WireObserver) {
-	world := NewWith(Options{Controllers: 3, Seed: seed, Log: logOut(), Observer: observer})
+	world := NewWith(Options{Controllers: 3, Seed: seed, Log: controllerLog(), Observer: observer})
 	world.watchInvariants()
 	world.startRandomFaults()
 	var accepted []string
--- a/internal/simtest/random_pipelines_test.go
+++ b/internal/simtest/random_pipelines_test.go
@@ -27,7 +27,7 @@
 	if seed%3 != 0 {
 		lowerLimits = Arguments{"nextvalue": "2", "nextops": "4", "nextwrites": "20"}
 	}
-	world := NewWith(Options{Settings: Announce(Settings, lowerLimits), Controllers: 3, Seed: seed, Log: logOut()})
+	world := NewWith(Options{Settings: Announce(Settings, lowerLimits), Controllers: 3, Seed: seed, Log: controllerLog()})
 	world.watchInvariants()
 	world.startRandomFaults()
 	world.addFinishedJobs(Arguments{"from": "5000", "count": "400"})
--- a/internal/simtest/recording_test.go
+++ b/internal/simtest/recording_test.go
@@ -16,7 +16,7 @@
 // and a crashed machine.
 func stopMidway(t *testing.T, seed uint64) (*World, []Arguments) {
 	t.Helper()
-	world := New(3, seed, logOut())
+	world := New(3, seed, controllerLog())
 	world.watchInvariants()
 	world.cloud.addMachine("big", "a", false, 0)
 	world.cloud.addMachine("big", "b", false, 0)
@@ -64,7 +64,7 @@
 		Settings:    Announce(Settings, Arguments{"nextvalue": "2", "nextops": "4", "nextwrites": "40"}),
 		Controllers: 3,
 		Seed:        7,
-		Log:         logOut(),
+		Log:         controllerLog(),
 	})
 	world.watchInvariants()
 	if err := world.Load(file); err != nil {
--- a/internal/simtest/scenario_test.go
+++ b/internal/simtest/scenario_test.go
@@ -14,9 +14,9 @@
 	"lugward/internal/config"
 )
 
-// logOut returns the destination of the controllers' logs: standard error if SIM_LOG
+// controllerLog returns the destination of the controllers' logs: standard error if SIM_LOG
 // is set, otherwise the logs are discarded.
-func logOut() io.Writer {
+func controllerLog() io.Writer {
 	if os.Getenv("SIM_LOG") != "" {
 		return os.Stderr
 	}
@@ -78,7 +78,7 @@
 		Settings:    Announce(Settings, arguments),
 		Controllers: int(arguments.number("controllers", "3")),
 		Seed:        uint64(arguments.number("seed", "1")),
-		Log:         logOut(),
+		Log:         controllerLog(),
 		Observer:    observer,
 		Tune:        func(platform *config.Platform) { applyWorldArguments(platform, arguments) },
 	})
