--- a/internal/controller/build.go
+++ b/internal/controller/build.go
@@ -19,8 +19,8 @@
 const (
 	// watchCacheMaxAge is the age at which the watch cache is refreshed.
 	watchCacheMaxAge = 3 * time.Second
-	// refreshesPerGracePeriod is how often the watch cache is refreshed within a grace
-	// period at least. A leader answers heartbeats only while its watch cache is newer
+	// refreshesPerGracePeriod is the minimum number of refreshes of the watch cache within
+	// a grace period. A leader answers heartbeats only while its watch cache is newer
 	// than the grace period.
 	refreshesPerGracePeriod = 4
 	// A machine is unresponsive once no heartbeat has arrived for
@@ -67,7 +67,7 @@
 }
 
 // newJobs creates the job table. The layout of run records is derived from the current
-// value size limit, because the version in production knows no other limit. Record
+// value size limit, because the version in production uses no other limit. Record
 // sizes and transactions also comply with the announced future limits.
 func (c *Controller) newJobs() *pipeline.Table {
 	state := &c.cfg.Settings.State
@@ -91,13 +91,13 @@
 // announced future limits once these take effect.
 func (c *Controller) newStore() *kv.Client {
 	state := &c.cfg.Settings.State
-	lasting := state.Strictest()
+	strictest := state.Strictest()
 	return kv.New(kv.Config{
 		Addr: c.cfg.Services.State,
 		Limits: kv.Limits{
-			TxnOps:    lasting.TxnOps,
+			TxnOps:    strictest.TxnOps,
 			Rates:     kv.Rates{Requests: state.RPS, Writes: state.WriteRPS},
-			NextRates: kv.Rates{Requests: lasting.RPS, Writes: lasting.WriteRPS},
+			NextRates: kv.Rates{Requests: strictest.RPS, Writes: strictest.WriteRPS},
 		},
 		StaleAfter:      min(watchCacheMaxAge, c.gracePeriod()/refreshesPerGracePeriod),
 		ImmutablePrefix: record.TerminalKey(""),
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -55,8 +55,8 @@
 	}))
 }
 
-// handleRelayAck sends the leader's answer to a relayed heartbeat to the worker. It
-// ignores an answer that arrives after the relay has expired.
+// handleRelayAck sends the leader's response to a relayed heartbeat to the worker. It
+// ignores a response that arrives after the relay has expired.
 func (c *Controller) handleRelayAck(frame *peer.Frame, out *event.Effects) {
 	if relay, ok := c.forwarding.relays.remove(frame.ID); ok {
 		c.respond(replyTarget{conn: relay.conn}, int(frame.Status), frame.Body, out)
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -20,10 +20,10 @@
 func (s fakeState) LastContact() event.Time { return s.lastContact }
 
 func TestIsHealthy(t *testing.T) {
-	refused := func(age time.Duration) fakeState { return fakeState{true, true, testNow - age} }
+	unavailableFor := func(age time.Duration) fakeState { return fakeState{true, true, testNow - age} }
 	dead := testPeer("b", time.Minute, peer.Frame{StateOK: true})
-	served := testPeer("c", 0, peer.Frame{StateOK: true})
-	unserved := testPeer("d", 0, peer.Frame{})
+	withState := testPeer("c", 0, peer.Frame{StateOK: true})
+	withoutState := testPeer("d", 0, peer.Frame{})
 	tests := []struct {
 		name  string
 		state fakeState
@@ -31,13 +31,13 @@
 		want  bool
 	}{
 		{"watch cache is not complete", fakeState{false, false, testNow}, testPeers(), false},
-		{"state service available", fakeState{true, false, 0}, testPeers(served), true},
-		{"unavailable for no longer than the peer timeout", refused(peerHeartbeatTimeout), testPeers(served), true},
-		{"unavailable while a peer reaches it", refused(peerHeartbeatTimeout + 1), testPeers(dead, served), false},
-		{"unavailable for all controllers", refused(time.Minute), testPeers(dead, unserved), true},
-		{"no peer alive until the isolation timeout", refused(isolationTimeout), testPeers(dead), true},
-		{"no peer alive after the isolation timeout", refused(isolationTimeout + 1), testPeers(dead), false},
-		{"unavailable, no peers configured", refused(time.Minute), testPeers(), true},
+		{"state service available", fakeState{true, false, 0}, testPeers(withState), true},
+		{"unavailable for no longer than the peer timeout", unavailableFor(peerHeartbeatTimeout), testPeers(withState), true},
+		{"unavailable while a peer reaches it", unavailableFor(peerHeartbeatTimeout + 1), testPeers(dead, withState), false},
+		{"unavailable for all controllers", unavailableFor(time.Minute), testPeers(dead, withoutState), true},
+		{"no peer alive until the isolation timeout", unavailableFor(isolationTimeout), testPeers(dead), true},
+		{"no peer alive after the isolation timeout", unavailableFor(isolationTimeout + 1), testPeers(dead), false},
+		{"unavailable, no peers configured", unavailableFor(time.Minute), testPeers(), true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -59,7 +59,7 @@
 }
 
 // handleStateResponse runs the work that a response of the state service may have
-// enabled: a term may have begun or ended, and writes that the answers to heartbeats
+// enabled: a term may have begun or ended, and writes that the responses to heartbeats
 // wait for may have been committed.
 func (c *Controller) handleStateResponse(now event.Time, out *event.Effects) {
 	c.updateLeadership(now, out)
--- a/internal/controller/inputs_test.go
+++ b/internal/controller/inputs_test.go
@@ -57,9 +57,9 @@
 	if len(out.Frames) != 1 || out.Frames[0].Peer != 1 {
 		t.Fatalf("got frames %+v, want one to peer 1", out.Frames)
 	}
-	answer, err := peer.Decode(out.Frames[0].Data)
-	if err != nil || answer.Kind != peer.RelayAck || answer.ID != 5 || answer.Status != httpwire.StatusServiceUnavailable {
-		t.Errorf("got frame %+v, error %v; want a RelayAck with ID 5 and status 503", answer, err)
+	response, err := peer.Decode(out.Frames[0].Data)
+	if err != nil || response.Kind != peer.RelayAck || response.ID != 5 || response.Status != httpwire.StatusServiceUnavailable {
+		t.Errorf("got frame %+v, error %v; want a RelayAck with ID 5 and status 503", response, err)
 	}
 }
 
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -35,8 +35,8 @@
 // taskExpiry computes when the tasks on unresponsive machines have terminated.
 type taskExpiry interface {
 	// TasksExpireAt returns the latest time at which the tasks on a machine terminate,
-	// given the time at which a heartbeat of the machine was last answered.
-	TasksExpireAt(lastAnswer event.Time) event.Time
+	// given the time of the last response to one of its heartbeats.
+	TasksExpireAt(lastResponse event.Time) event.Time
 }
 
 // begin resets the state for a new term.
@@ -75,7 +75,7 @@
 	return c.leadership.active && c.election.IsLeader(now)
 }
 
-// mayAnswerWorkers reports whether this controller may process and answer the heartbeats
+// mayAnswerWorkers reports whether this controller may handle and answer the heartbeats
 // of workers as leader. It may also do so in the grace period after the lease of its
 // term.
 func (c *Controller) mayAnswerWorkers(now event.Time) bool {
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -7,17 +7,17 @@
 	"lugward/internal/event"
 )
 
-// fakeExpiry is a taskExpiry whose tasks expire a fixed time after the last answer.
+// fakeExpiry is a taskExpiry whose tasks expire a fixed time after the last response.
 type fakeExpiry time.Duration
 
-func (e fakeExpiry) TasksExpireAt(lastAnswer event.Time) event.Time {
-	return lastAnswer + time.Duration(e)
+func (e fakeExpiry) TasksExpireAt(lastResponse event.Time) event.Time {
+	return lastResponse + time.Duration(e)
 }
 
 func TestHeartbeatDeadline(t *testing.T) {
 	const lease = fakeExpiry(time.Minute)
 	const begin = time.Hour
-	observed := begin + time.Second
+	received := begin + time.Second
 	tests := []struct {
 		name   string
 		before leadership
@@ -25,11 +25,11 @@
 		want   event.Time
 	}{
 		{"no heartbeat in the term", leadership{}, func(*leadership) {}, begin + noWorkerHeartbeatTimeout},
-		{"heartbeat received", leadership{}, func(l *leadership) { l.recordWorkerHeartbeat(observed) }, observed + noWorkerHeartbeatTimeout},
+		{"heartbeat received", leadership{}, func(l *leadership) { l.recordWorkerHeartbeat(received) }, received + noWorkerHeartbeatTimeout},
 		{"resigned without heartbeats, no heartbeat since", leadership{resignedWithoutHeartbeats: true}, func(*leadership) {},
 			begin + time.Minute + noWorkerHeartbeatTimeout},
 		{"resigned without heartbeats, then heartbeat received", leadership{resignedWithoutHeartbeats: true},
-			func(l *leadership) { l.recordWorkerHeartbeat(observed) }, observed + noWorkerHeartbeatTimeout},
+			func(l *leadership) { l.recordWorkerHeartbeat(received) }, received + noWorkerHeartbeatTimeout},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/controller/load_log.go
+++ b/internal/controller/load_log.go
@@ -10,11 +10,11 @@
 
 // taskCounts are the numbers of tasks of unfinished jobs.
 type taskCounts struct {
-	jobsUnplaced  int // jobs that have unplaced tasks
-	tasksUnplaced int
-	notPersisted  int // placed, but the assignment is not persisted yet
-	evicting      int
-	byPhase       [pipeline.TaskExited + 1]int // placed tasks by phase
+	jobsUnassigned  int // jobs that have unassigned tasks
+	tasksUnassigned int
+	notPersisted    int // assigned, but the assignment is not persisted yet
+	evicting        int
+	byPhase         [pipeline.TaskExited + 1]int // assigned tasks by phase
 }
 
 // machineCounts are the numbers of machines that the last scheduling round could use.
@@ -26,23 +26,23 @@
 
 // countTasks counts the tasks of the unfinished jobs among the given jobs.
 func countTasks(jobs iter.Seq[*pipeline.Job]) taskCounts {
-	var load taskCounts
+	var counts taskCounts
 	for job := range jobs {
 		if job.TerminalPhase != pipeline.Queued {
 			continue
 		}
-		if unplaced := job.UnassignedCount(); unplaced > 0 {
-			load.jobsUnplaced++
-			load.tasksUnplaced += unplaced
+		if unassigned := job.UnassignedCount(); unassigned > 0 {
+			counts.jobsUnassigned++
+			counts.tasksUnassigned += unassigned
 		}
 		for assignment := range job.Assignments() {
-			load.count(assignment)
+			counts.count(assignment)
 		}
 	}
-	return load
+	return counts
 }
 
-// count adds a placed task to the counts.
+// count adds an assigned task to the counts.
 func (l *taskCounts) count(assignment *pipeline.Assignment) {
 	l.byPhase[assignment.Phase()]++
 	if assignment.Evicting() {
@@ -55,19 +55,19 @@
 
 // countMachines counts the machines to which the given capacities belong.
 func countMachines(capacities []*scheduler.Capacity) machineCounts {
-	var load machineCounts
+	var counts machineCounts
 	for _, capacity := range capacities {
-		load.usable++
+		counts.usable++
 		if !capacity.InUse {
-			load.idle++
+			counts.idle++
 		}
-		load.freeGPUs += capacity.FreeGPUs
+		counts.freeGPUs += capacity.FreeGPUs
 	}
-	return load
+	return counts
 }
 
-// logStats periodically logs the numbers of unplaced and placed tasks, the machines, and
-// the load of the scheduler and the state service.
+// logStats periodically logs the numbers of unassigned and assigned tasks, the machines,
+// and the load of the scheduler and the state service.
 func (c *Controller) logStats(now event.Time) {
 	if !c.leadership.schedule.statsLog.startIfDue(now) {
 		return
@@ -76,8 +76,8 @@
 	machines := countMachines(c.leadership.lastRound.Capacities)
 	stateDemand := c.store.Demand(now)
 	c.log.Info("load",
-		"jobs_unplaced", tasks.jobsUnplaced,
-		"tasks_unplaced", tasks.tasksUnplaced,
+		"jobs_unplaced", tasks.jobsUnassigned,
+		"tasks_unplaced", tasks.tasksUnassigned,
 		"tasks_not_durable", tasks.notPersisted,
 		"tasks_starting", tasks.byPhase[pipeline.TaskUnseen],
 		"tasks_pulling", tasks.byPhase[pipeline.TaskPulling],
--- a/internal/controller/machine_sweep.go
+++ b/internal/controller/machine_sweep.go
@@ -8,8 +8,8 @@
 )
 
 // machineSweepInterval is the time between two sweeps that remove the state of machines
-// that are gone. In a day, a site provisions many times the number of machines that are
-// up at any one time, so without sweeps their state would accumulate.
+// that are gone. In a day, a cluster provisions many times the number of machines that
+// are up at any one time, so without sweeps their state would accumulate.
 const machineSweepInterval = time.Minute
 
 // sweepMachines removes, if a sweep is due, the state of machines that nothing refers to
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestRelayFor(t *testing.T) {
+func TestRelayingPeerFor(t *testing.T) {
 	dead := testPeer("b", time.Minute, peer.Frame{})
 	tests := []struct {
 		name  string
--- a/internal/controller/pending_heartbeats.go
+++ b/internal/controller/pending_heartbeats.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// heartbeatAnswerTimeout is how long the answer to a worker's heartbeat waits until
-	// the resulting changes are persisted. A write takes milliseconds; the answer does
+	// heartbeatResponseTimeout is how long the response to a worker's heartbeat waits until
+	// the resulting changes are persisted. A write takes milliseconds; the response does
 	// not wait for slower writes.
-	heartbeatAnswerTimeout = 400 * time.Millisecond
-	// idleHeartbeatAnswerTimeout is how long the answer to the heartbeat of a machine
-	// without tasks waits. The state of such a machine cannot change, and a task that is
-	// assigned to it meanwhile starts with this answer instead of the next one. It is
-	// below the 4 s that the worker waits for an answer.
-	idleHeartbeatAnswerTimeout = 2500 * time.Millisecond
+	heartbeatResponseTimeout = 400 * time.Millisecond
+	// idleHeartbeatResponseTimeout is how long the response to the heartbeat of a
+	// machine without tasks waits. The state of such a machine cannot change, and a task
+	// that is assigned to it meanwhile starts with this response instead of the next one.
+	// The timeout is below the 4 s that the worker waits for a response.
+	idleHeartbeatResponseTimeout = 2500 * time.Millisecond
 	// idleSocketDivisor limits the pending heartbeats of idle machines to 1/4 of all
 	// sockets, because other machines may need the rest.
 	idleSocketDivisor = 4
 )
 
-// pendingHeartbeat is a worker's heartbeat that has been processed but not answered yet.
+// pendingHeartbeat is a worker's heartbeat that has been handled but not answered yet.
 type pendingHeartbeat struct {
 	replyTo    replyTarget
 	heartbeat  *worker.Heartbeat
 	machine    pipeline.MachineIndex
 	receivedAt event.Time
-	idle       bool // the machine is idle, so the answer may wait for idleHeartbeatAnswerTimeout
+	idle       bool // the machine is idle, so the response may wait for idleHeartbeatResponseTimeout
 	answered   bool
 }
 
@@ -42,8 +42,8 @@
 	byMachine map[pipeline.MachineIndex]*pendingHeartbeat
 	// Queues in the order of arrival, oldest first. A heartbeat that has been answered
 	// or has moved to idleQueue is removed from a queue only when it reaches the head.
-	queue             []*pendingHeartbeat     // due after heartbeatAnswerTimeout
-	idleQueue         []*pendingHeartbeat     // due after idleHeartbeatAnswerTimeout
+	queue             []*pendingHeartbeat     // due after heartbeatResponseTimeout
+	idleQueue         []*pendingHeartbeat     // due after idleHeartbeatResponseTimeout
 	idleCount         int                     // unanswered heartbeats in idleQueue
 	idleLimit         int                     // maximum of idleCount, which leaves sockets for other machines
 	toCheck           []pipeline.MachineIndex // machines whose heartbeats have to be checked
@@ -87,7 +87,7 @@
 }
 
 // markIdle marks the machine of a heartbeat as idle and extends the heartbeat's timeout
-// to idleHeartbeatAnswerTimeout.
+// to idleHeartbeatResponseTimeout.
 func (p *pendingHeartbeats) markIdle(pending *pendingHeartbeat) {
 	if pending.idle {
 		return
@@ -121,32 +121,33 @@
 	return machines
 }
 
-// nextOverdue returns the oldest heartbeat that has waited for heartbeatAnswerTimeout
+// nextOverdue returns the oldest heartbeat that has waited for heartbeatResponseTimeout
 // and is not marked as idle, or nil if there is none.
 func (p *pendingHeartbeats) nextOverdue(now event.Time) *pendingHeartbeat {
 	oldest := trimHead(&p.queue, (*pendingHeartbeat).belongsInQueue)
-	if oldest == nil || now-oldest.receivedAt < heartbeatAnswerTimeout {
+	if oldest == nil || now-oldest.receivedAt < heartbeatResponseTimeout {
 		return nil
 	}
 	return oldest
 }
 
 // nextOverdueIdle returns the oldest heartbeat of an idle machine if it has waited for
-// idleHeartbeatAnswerTimeout or if the number of idle heartbeats exceeds idleLimit. It
+// idleHeartbeatResponseTimeout or if the number of idle heartbeats exceeds idleLimit. It
 // returns nil otherwise.
 func (p *pendingHeartbeats) nextOverdueIdle(now event.Time) *pendingHeartbeat {
 	oldest := trimHead(&p.idleQueue, (*pendingHeartbeat).isUnanswered)
 	if oldest == nil {
 		return nil
 	}
-	if now-oldest.receivedAt < idleHeartbeatAnswerTimeout && p.idleCount <= p.idleLimit {
+	if now-oldest.receivedAt < idleHeartbeatResponseTimeout && p.idleCount <= p.idleLimit {
 		return nil
 	}
 	return oldest
 }
 
-// all iterates over the pending heartbeats. The caller may mark them as answered during
-// the iteration.
+// all iterates over the pending heartbeats. The caller must mark each of them as answered
+// during the iteration, because a heartbeat that is still in both queues would otherwise
+// be returned twice.
 func (p *pendingHeartbeats) all() iter.Seq[*pendingHeartbeat] {
 	return func(yield func(*pendingHeartbeat) bool) {
 		for _, queue := range [][]*pendingHeartbeat{p.queue, p.idleQueue} {
--- a/internal/controller/pending_heartbeats_test.go
+++ b/internal/controller/pending_heartbeats_test.go
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestHeartbeatsAreReviewedOnChangeAndAfterRounds(t *testing.T) {
+func TestHeartbeatsAreCheckedOnChangeAndAfterRounds(t *testing.T) {
 	p := newPendingHeartbeats(100)
 	addPending(t, &p, 1)
 	p.markIdle(addPending(t, &p, 2))
@@ -149,10 +149,10 @@
 		waited    time.Duration
 		want      bool
 	}{
-		{"before the timeout", false, 1, heartbeatAnswerTimeout - 1, false},
-		{"overdue", false, 1, heartbeatAnswerTimeout, true},
-		{"idle, before the timeout", true, 1, idleHeartbeatAnswerTimeout - 1, false},
-		{"idle, overdue", true, 1, idleHeartbeatAnswerTimeout, true},
+		{"before the timeout", false, 1, heartbeatResponseTimeout - 1, false},
+		{"overdue", false, 1, heartbeatResponseTimeout, true},
+		{"idle, before the timeout", true, 1, idleHeartbeatResponseTimeout - 1, false},
+		{"idle, overdue", true, 1, idleHeartbeatResponseTimeout, true},
 		{"idle, above the limit of idle heartbeats", true, 0, 0, true},
 	}
 	for _, test := range tests {
--- a/internal/controller/pending_relays.go
+++ b/internal/controller/pending_relays.go
@@ -8,7 +8,7 @@
 	"lugward/internal/event"
 )
 
-// relayTimeout is how long a controller waits for the leader's answer to a relayed
+// relayTimeout is how long a controller waits for the leader's response to a relayed
 // heartbeat.
 const relayTimeout = 3 * time.Second
 
--- a/internal/controller/protocol.go
+++ b/internal/controller/protocol.go
@@ -17,7 +17,7 @@
 // retryAfterSeconds is the Retry-After value of replies with status 503.
 const retryAfterSeconds = 1
 
-// heartbeatResponse is the body of the answer to a worker's heartbeat.
+// heartbeatResponse is the body of the response to a worker's heartbeat.
 type heartbeatResponse struct {
 	FencingToken uint64           `json:"fence"`
 	Commands     []worker.Command `json:"orders"`
--- a/internal/controller/rate_share.go
+++ b/internal/controller/rate_share.go
@@ -7,8 +7,8 @@
 )
 
 // The controllers share the request rates of the state service. Each controller is
-// guaranteed a share of each rate. The rest is divided by demand, and the leader's
-// demand has a higher weight.
+// guaranteed a share of each rate. The rest is divided according to demand, and the
+// leader's demand has a higher weight.
 const (
 	// requestsShare is the fraction of the request rate that is divided among the
 	// controllers. The rest is reserved for requests that other controllers still have
--- a/internal/controller/worker_answers.go
+++ b/internal/controller/worker_answers.go
@@ -7,8 +7,8 @@
 )
 
 // answerHeartbeats answers the pending heartbeats whose resulting changes have been
-// persisted. With the one answer, the worker can then discard tasks that have exited and
-// start the tasks that replace them.
+// persisted. A single response can then tell the worker to forget tasks that have exited
+// and to start the tasks that replace them.
 func (c *Controller) answerHeartbeats(now event.Time, out *event.Effects) {
 	machines := c.heartbeats.pending.drainToCheck(c.jobs.DrainChangedMachines())
 	if c.heartbeats.pending.empty() {
@@ -16,7 +16,7 @@
 	}
 	if !c.mayActAsLeader(now) {
 		// Without a term, or in its grace period, no changes can be persisted, so the
-		// answers need not wait for any.
+		// responses need not wait for any.
 		c.answerAll(now, out)
 		return
 	}
@@ -39,7 +39,7 @@
 
 // answerOverdue answers the heartbeats whose timeout has passed. A heartbeat whose machine
 // is found to be idle is not answered yet: its timeout becomes
-// idleHeartbeatAnswerTimeout.
+// idleHeartbeatResponseTimeout.
 func (c *Controller) answerOverdue(now event.Time, out *event.Effects) {
 	pending := &c.heartbeats.pending
 	for overdue := pending.nextOverdue(now); overdue != nil; overdue = pending.nextOverdue(now) {
@@ -50,17 +50,17 @@
 	}
 }
 
-// answerIfReady answers a heartbeat unless its answer may soon contain more commands.
+// answerIfReady answers a heartbeat unless its response may soon contain more commands.
 func (c *Controller) answerIfReady(pending *pendingHeartbeat, now event.Time, out *event.Effects) {
 	waited := now - pending.receivedAt
-	if !pending.idle && waited < heartbeatAnswerTimeout && c.jobs.RoundRequested() {
+	if !pending.idle && waited < heartbeatResponseTimeout && c.jobs.RoundRequested() {
 		return // the next round may place tasks on the machine
 	}
-	if waited < idleHeartbeatAnswerTimeout && c.workers.Idle(pending.heartbeat) {
+	if waited < idleHeartbeatResponseTimeout && c.workers.Idle(pending.heartbeat) {
 		c.heartbeats.pending.markIdle(pending)
 		return
 	}
-	if waited < heartbeatAnswerTimeout && !c.workers.AllPersisted(pending.machine) {
+	if waited < heartbeatResponseTimeout && !c.workers.AllPersisted(pending.machine) {
 		return // changes to the machine's assignments are not persisted yet
 	}
 	c.answerHeartbeat(pending, now, out)
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -18,7 +18,7 @@
 	return workerHeartbeats{pending: newPendingHeartbeats(maxConnections / idleSocketDivisor)}
 }
 
-// replyTarget is the destination of the answer to a worker's heartbeat: a connection of
+// replyTarget is the destination of the response to a worker's heartbeat: a connection of
 // this controller or, for a relayed heartbeat, the peer that relayed it.
 type replyTarget struct {
 	conn    uint64 // ID of the connection to this controller, if relayID is 0
@@ -93,13 +93,13 @@
 		receivedAt: now,
 	})
 	if replaced != nil {
-		// The worker has sent a newer heartbeat, so it no longer waits for the answer to
+		// The worker has sent a newer heartbeat, so it no longer waits for the response to
 		// the older one. The task list of the older one is outdated and proves nothing.
 		c.respond(replaced.replyTo, httpwire.StatusServiceUnavailable, nil, out)
 	}
 }
 
-// respond sends the answer to a heartbeat to its reply target.
+// respond sends the response to a heartbeat to its reply target.
 func (c *Controller) respond(to replyTarget, status int, body []byte, out *event.Effects) {
 	switch {
 	case to.relayed():
--- a/internal/controller/worker_routes.go
+++ b/internal/controller/worker_routes.go
@@ -25,7 +25,7 @@
 // workerRoute records how a follower has routed the heartbeats of a worker during one
 // term.
 type workerRoute struct {
-	servedAt      event.Time // when it was last redirected or relayed
+	routedAt      event.Time // when it was last redirected or relayed
 	relayingSince event.Time // zero if its heartbeats are not being relayed
 }
 
@@ -57,7 +57,7 @@
 func (r *workerRoutes) getOrCreate(machine string) *workerRoute {
 	route := r.byMachine[machine]
 	if route == nil {
-		route = &workerRoute{servedAt: -redirectWindow}
+		route = &workerRoute{routedAt: -redirectWindow}
 		r.byMachine[machine] = route
 	}
 	return route
@@ -66,24 +66,24 @@
 // relaying reports whether the worker's heartbeats are being relayed.
 func (r *workerRoute) relaying() bool { return r.relayingSince != 0 }
 
-// nextAction returns the action for the worker's next heartbeat and records it.
-// servedByLeader means that the leader has served the worker in this term, leaderAlive
-// that this controller can reach the leader.
+// nextAction returns the action for a heartbeat of the worker and records a redirect or
+// relay. servedByLeader means that the leader has served the worker in this term,
+// leaderAlive that this controller can reach the leader.
 func (r *workerRoute) nextAction(now event.Time, servedByLeader, leaderAlive bool) routeAction {
 	// A worker that the leader has served contacts another controller only because the
 	// leader did not answer. Redirecting it to the leader first would cost seconds in
 	// which no task can start on its machine.
-	leaderUnreachable := servedByLeader || now-r.servedAt < redirectWindow
+	leaderUnreachable := servedByLeader || now-r.routedAt < redirectWindow
 	relayExpired := r.relaying() && now-r.relayingSince > relayDuration
 	switch {
 	case leaderUnreachable && !leaderAlive:
 		return replyWithoutLeader
 	case !leaderUnreachable || relayExpired:
-		r.servedAt = now
+		r.routedAt = now
 		r.relayingSince = 0
 		return redirectToLeader
 	default:
-		r.servedAt = now
+		r.routedAt = now
 		if !r.relaying() {
 			r.relayingSince = now
 		}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -2,16 +2,16 @@
 //
 // A term is the period in which one controller is the leader. To begin a term, a
 // controller writes two keys in one transaction: the term key, which is bound to a
-// lease in the key-value store, and the token key, which holds the number of the
+// lease in the state service, and the token key, which holds the number of the
 // term, the fencing token. Workers obey the highest token that they have seen. Every
 // write of a leader compares the mod revision of the term key (TermCompare), so the
 // writes of a deposed leader fail, however late they are executed.
 //
 // A controller that holds a term (HoldsTerm) is the leader (IsLeader) while its lease
-// is guaranteed to be valid and its cache contains everything that was written before
-// the term. When the lease can no longer be relied on, the controller keeps renewing
-// the leases of workers for a grace period (MayRenewWorkerLeases) and then steps
-// down.
+// is guaranteed to be valid and its watch cache contains everything that was written
+// before the term. When the lease can no longer be relied on, the controller keeps
+// renewing the leases of workers for a grace period (MayRenewWorkerLeases) and then
+// steps down.
 package election
 
 import (
@@ -37,7 +37,7 @@
 }
 
 // Election takes part in the leader election on behalf of one controller. It is driven
-// by Tick and by the responses of the store. It is not safe for concurrent use.
+// by Tick and by the responses of the state service. It is not safe for concurrent use.
 type Election struct {
 	cfg   Config
 	store *kv.Client
@@ -48,7 +48,7 @@
 	term      term
 }
 
-// observed is the state of the term as seen in the cache and in the messages of
+// observed is the state of the term as seen in the watch cache and in the messages of
 // workers and other controllers.
 type observed struct {
 	leader               string // label in the term key, empty if the key does not exist
--- a/internal/election/harness_test.go
+++ b/internal/election/harness_test.go
@@ -11,7 +11,7 @@
 	"lugward/internal/kv"
 )
 
-// harness runs an election on a client of the key-value store. The test responds to the
+// harness runs an election on a client of the state service. The test responds to the
 // client's calls.
 type harness struct {
 	*Election
--- a/internal/election/protocol.go
+++ b/internal/election/protocol.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Keys of the election in the key-value store.
+// Keys of the election in the state service.
 const (
 	// KeyPrefix is the first segment of all keys of this package.
 	KeyPrefix = "t"
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -26,8 +26,8 @@
 
 // The reasons for stepping down.
 const (
-	// ReasonGraceExpired means that the store has not responded for longer than the
-	// grace period, or that a higher fencing token was seen within the grace period.
+	// ReasonGraceExpired means that the state service has not responded for longer than
+	// the grace period, or that a higher fencing token was seen within the grace period.
 	ReasonGraceExpired   StepDownReason = "grace period expired"
 	ReasonLeaseExpired   StepDownReason = "lease expired"
 	ReasonTermKeyChanged StepDownReason = "term key changed"
--- a/internal/election/term_test.go
+++ b/internal/election/term_test.go
@@ -25,7 +25,7 @@
 	h.tick(now)
 	h.respond(now, "/leases", `{"tether":7}`)
 	h.tick(now)
-	// A placement of the process before the restart was executed late, at revision 6.
+	// An assignment that the process wrote before the restart was committed late, at revision 6.
 	h.respond(now, "/commit", `{"epoch":7}`)
 	if !h.HoldsTerm() {
 		t.Fatal("HoldsTerm() = false after the term transaction, want true")
@@ -69,7 +69,7 @@
 			h.tick(start)
 			h.respondWith(start, "/leases/7/extend", httpwire.StatusNotFound, `{}`)
 		}, ReasonLeaseExpired},
-		{"the store does not respond for the grace period", func(h *harness) {
+		{"the state service does not respond for the grace period", func(h *harness) {
 			h.tick(start + h.cfg.Grace)
 		}, ReasonGraceExpired},
 		{"resigned", func(h *harness) {
@@ -89,14 +89,15 @@
 	}
 }
 
-// TestGrace checks that a leader that gets no responses from the store starts no tasks
-// after its lease, but renews the leases of workers until the end of the grace period.
+// TestGrace checks that a leader that gets no responses from the state service starts no
+// tasks after its lease, but renews the leases of workers until the end of the grace
+// period.
 func TestGrace(t *testing.T) {
 	const start event.Time = time.Second
 	h := newLeader(t, start)
 	for _, test := range []struct {
 		name                string
-		after               time.Duration // since the last response of the store
+		after               time.Duration // since the last response of the state service
 		leader, renewLeases bool
 	}{
 		{"within the lease", 3700 * time.Millisecond, true, true},
--- a/internal/election/timing.go
+++ b/internal/election/timing.go
@@ -32,14 +32,14 @@
 
 // Safety margins for clock drift and delays. Three durations depend on each other:
 //
-//   - The lease of the term (Config.TermLease). It expires by the clock of the store,
-//     so a leader relies on it for slightly less than its duration.
+//   - The lease of the term (Config.TermLease). It expires by the clock of the state
+//     service, so a leader relies on it for slightly less than its duration.
 //   - The lease of a worker (Config.WorkerLease). Each answered heartbeat renews it.
 //     When it expires, the worker terminates its tasks on its own.
 //   - The grace period (Config.Grace), counted from the last renewal of the term
-//     lease. A leader that cannot reach the store keeps answering heartbeats during
-//     the grace period, so that a short outage of the store does not terminate any
-//     tasks. It does not start tasks in this period.
+//     lease. A leader that cannot reach the state service keeps answering heartbeats
+//     during the grace period, so that a short outage of the service does not
+//     terminate any tasks. It does not start tasks in this period.
 //
 // A leader in its grace period may be unaware of a cancellation that another controller
 // has confirmed. The tasks must still stop in time. They stop at the latest when the
@@ -48,13 +48,13 @@
 //	Grace + WorkerLease + clock drift + graceMargin <= time for a cancellation
 const (
 	// leaseMarginPercent is the part of the term lease that a leader does not rely on.
-	// It allows for drift between the clocks of the controller and the store.
+	// It allows for drift between the clocks of the controller and the state service.
 	leaseMarginPercent = 5
 	// clockDriftDivisor is the inverse of the assumed clock drift: a worker's clock may
 	// be slower than the controller's by 1/1000.
 	clockDriftDivisor = 1000
 	// graceMargin is reserved within the time for a cancellation for the round trip of
-	// a heartbeat, clock drift and a delayed step of this process. If less than twice
+	// a heartbeat, clock drift and a delay in this process. If less than twice
 	// this margin remains, half of the remaining time is reserved.
 	graceMargin = 4 * time.Second
 	// terminationMargin is how long after the expiry of a worker's lease its tasks are
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -88,7 +88,7 @@
 }
 
 // heartbeat handles a heartbeat from a machine of the first type that runs no tasks. It
-// adds the machine if it is new. A second heartbeat at the same time is rejected and
+// adds the machine if it is new. A second heartbeat at the same time is refused and
 // changes nothing.
 func (s *cluster) heartbeat(machine string) {
 	_ = s.workers.HandleHeartbeat(workertest.Heartbeat(machine, s.now), s.now, workertest.Leader{})
--- a/internal/scheduler/preemption_victims.go
+++ b/internal/scheduler/preemption_victims.go
@@ -13,7 +13,7 @@
 	// minCountedRuntime is how long a task must run for its start to count for the user.
 	minCountedRuntime = 30 * time.Second
 	// relocationCostSeconds is the cost in seconds of evicting a task, moving it and fetching
-	// its image again, without its checkpoint.
+	// its image again, not counting its checkpoint.
 	relocationCostSeconds = 10.0
 	// uncountedStartCostSeconds is the cost in seconds of evicting a task so early that its
 	// start does not count for the user.
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -21,7 +21,7 @@
 	HeartbeatTimeout  event.Time                         // a machine that sends no heartbeat for this long gets no new tasks
 }
 
-// Budget reports whether the CPU time allotted to a round is used up. A nil Budget is
+// Budget reports whether the time allotted to a round is used up. A nil Budget is
 // unlimited.
 type Budget func() bool
 
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -16,8 +16,8 @@
 	// preemption. Otherwise the next round would evict it for the jobs that it was placed
 	// ahead of.
 	firstTaskProtection = time.Minute
-	// maxStarvedStarts limits the starved jobs that one round starts, since each of them
-	// visits all machines.
+	// maxStarvedStarts limits the starved jobs that one round starts, since placing
+	// each of them may visit all machines.
 	maxStarvedStarts = 8
 )
 
--- a/internal/worker/export_test.go
+++ b/internal/worker/export_test.go
@@ -3,8 +3,8 @@
 // Exported for the tests. They are in the external package worker_test because package
 // workertest, which they share with other packages, imports this package.
 const (
-	MinHealthyRuntime     = minHealthyRuntime
-	ServiceHealthyRuntime = serviceHealthyRuntime
+	MinHealthyRuntime    = minHealthyRuntime
+	DaemonHealthyRuntime = daemonHealthyRuntime
 )
 
 // ParseHeartbeat decodes a heartbeat without using the cache of a HeartbeatParser.
--- a/internal/worker/failure_detector.go
+++ b/internal/worker/failure_detector.go
@@ -30,10 +30,10 @@
 	// failed.
 	minHealthyRuntime    = 15 * time.Second
 	healthyRuntimeFactor = 2
-	// serviceHealthyRuntime is how long a replica must run until its service is no longer
-	// considered at fault. A completion cannot show this, because a replica runs until
-	// its service is cancelled.
-	serviceHealthyRuntime = time.Minute
+	// daemonHealthyRuntime is how long a task of a daemon must run until the daemon is no
+	// longer considered at fault. A completion cannot show this, because the task runs
+	// until the daemon is cancelled.
+	daemonHealthyRuntime = time.Minute
 	// failureScanInterval is the minimum time between two scans of the machines with
 	// failed jobs.
 	failureScanInterval = time.Second
@@ -173,15 +173,15 @@
 	}
 }
 
-// clearRecoveredService clears the failures of a service at fault once one of its replicas
-// has run for serviceHealthyRuntime.
-func (d *failureDetector) clearRecoveredService(job *pipeline.Job, now event.Time) {
+// clearRecoveredDaemon clears the failures of a daemon at fault once one of its tasks
+// has run for daemonHealthyRuntime.
+func (d *failureDetector) clearRecoveredDaemon(job *pipeline.Job, now event.Time) {
 	if !job.AtFault() || job.Shape != pipeline.Daemon {
 		return
 	}
 	works := false
 	for assignment := range job.Assignments() {
-		works = works || hasRunFor(assignment, serviceHealthyRuntime, now)
+		works = works || hasRunFor(assignment, daemonHealthyRuntime, now)
 	}
 	if works {
 		d.jobs.ClearFailures(job)
--- a/internal/worker/failure_detector_test.go
+++ b/internal/worker/failure_detector_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// A replica that keeps running shows that its service is no longer at fault. A completion
-// cannot show it, because the tasks of a service never complete.
-func TestServiceWorksAgain(t *testing.T) {
+// A task that keeps running shows that its daemon is no longer at fault. A completion
+// cannot show it, because the tasks of a daemon never complete.
+func TestDaemonWorksAgain(t *testing.T) {
 	c := newCluster(0)
 	job := c.submit("req-1", pipeline.Daemon, 2)
 	for task, machine := range []string{"i-1", "i-2"} {
@@ -76,14 +76,14 @@
 	c.jobs.HandleChange(record.KindRun, job.ID+"/0", []byte(`{"t":2}`), 5)
 	c.advance(time.Minute)
 	if !job.AtFault() || job.StartableCount() != 1 {
-		t.Fatalf("before a replica runs: %d failures, %d startable tasks, want failures and 1 startable task",
+		t.Fatalf("before a task runs: %d failures, %d startable tasks, want failures and 1 startable task",
 			job.Failures(), job.StartableCount())
 	}
 	c.run(t, job, "i-3")
-	c.advance(worker.ServiceHealthyRuntime)
+	c.advance(worker.DaemonHealthyRuntime)
 	c.advance(time.Second)
 	if job.AtFault() || job.StartableCount() != 1 {
-		t.Errorf("after a replica has run: %d failures, %d startable tasks, want 0 failures and 1 startable task",
+		t.Errorf("after a task has run: %d failures, %d startable tasks, want 0 failures and 1 startable task",
 			job.Failures(), job.StartableCount())
 	}
 }
--- a/internal/worker/heartbeat_handling_test.go
+++ b/internal/worker/heartbeat_handling_test.go
@@ -22,7 +22,7 @@
 		incarnation, sequence uint64
 		token                 uint64
 		refused               error
-		usable                bool
+		schedulable           bool
 	}{
 		{"first of the term, may be a copy: not schedulable", 1, 1, 7, 4, nil, false},
 		{"response has arrived", 2, 1, 8, 5, nil, true},
@@ -47,8 +47,8 @@
 			if err == nil {
 				c.Commands(heartbeat, now, leader)
 			}
-			if usable := c.Add("i-1", now).Schedulable(now, timeout); usable != step.usable {
-				t.Errorf("Schedulable() = %v, want %v", usable, step.usable)
+			if schedulable := c.Add("i-1", now).Schedulable(now, timeout); schedulable != step.schedulable {
+				t.Errorf("Schedulable() = %v, want %v", schedulable, step.schedulable)
 			}
 		})
 	}
--- a/internal/worker/reachability.go
+++ b/internal/worker/reachability.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxMissedStarts is the number of consecutive heartbeats without a started task
-	// from which the start command is considered lost. It is also the number of
+	// maxMissedStarts is the number of consecutive heartbeats without a commanded task
+	// after which its start command is considered lost. It is also the number of
 	// heartbeats without the fencing token of this term that are tolerated, because the
 	// token may not have arrived either.
 	maxMissedStarts = 3
@@ -28,7 +28,7 @@
 	case !machine.tokenConfirmed:
 		r.checkToken(machine, heartbeat, now, leadership)
 	case machine.unreachableSince != 0:
-		r.checkReconnected(machine, now, leadership)
+		r.checkReachableAgain(machine, now, leadership)
 	default:
 		r.checkStarts(machine, heartbeat, now)
 	}
@@ -51,10 +51,10 @@
 	}
 }
 
-// checkReconnected checks whether an unreachable machine is reachable again. This is the
-// case if its worker still has the same incarnation after the lease of that incarnation
+// checkReachableAgain checks whether an unreachable machine is reachable again. This is
+// the case if its worker still has the same incarnation after the lease of that incarnation
 // should have expired, because only a response can have renewed the lease.
-func (r *Registry) checkReconnected(machine *Machine, now event.Time, leadership Leadership) {
+func (r *Registry) checkReachableAgain(machine *Machine, now event.Time, leadership Leadership) {
 	outlived := now-machine.unreachableSince > leadership.MaxWorkerLease()+unreachableMargin
 	if machine.incarnation != machine.unreachableIncarnation || !outlived {
 		r.evictUnstarted(machine)
--- a/internal/worker/termination.go
+++ b/internal/worker/termination.go
@@ -20,7 +20,7 @@
 	gracePeriod float64 // seconds in which the task may save a checkpoint
 }
 
-// terminationOf returns whether the task of an assignment must be terminated: without a
+// terminationOf reports whether the task of an assignment must be terminated: without a
 // grace period if its job has ended, and with one if the task is being evicted.
 func terminationOf(assignment *pipeline.Assignment) termination {
 	if assignment.Job.TerminalPhase != pipeline.Queued {
--- a/internal/worker/tick.go
+++ b/internal/worker/tick.go
@@ -11,7 +11,7 @@
 
 // Tick sends direct commands with terminations to workers. Once per scanInterval, it also
 // quarantines machines at fault, records the termination of tasks on machines whose lease
-// has expired, and lets gangs start again whose previous attempt has terminated. Machines
+// has expired, and lets gangs whose previous attempt has terminated start again. Machines
 // without assignments are not scanned.
 func (r *Registry) Tick(now event.Time, leadership Leadership, out *event.Effects) {
 	r.sendTerminations(now, leadership, out)
@@ -24,7 +24,7 @@
 		r.recordTerminationIfExpired(index, now, leadership)
 	}
 	for job := range r.jobs.AllJobs() {
-		r.failures.clearRecoveredService(job, now)
+		r.failures.clearRecoveredDaemon(job, now)
 		r.jobs.FinishTermination(job)
 	}
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -18,8 +18,8 @@
 	IsLeader(now event.Time) bool
 	// RecordFencingToken records a fencing token that a worker has sent.
 	RecordFencingToken(token uint64)
-	// TasksExpireAt returns the time at which the tasks of a machine have terminated at
-	// the latest, given the time of the last response to one of its heartbeats.
+	// TasksExpireAt returns the latest time at which the tasks of a machine terminate,
+	// given the time of the last response to one of its heartbeats.
 	TasksExpireAt(lastResponse event.Time) event.Time
 	// MaxWorkerLease returns the longest duration of a worker's lease after a response.
 	MaxWorkerLease() time.Duration
