--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -229,7 +229,7 @@
 
 // Plan provisions machines for the tasks of blocked jobs, which could not be placed. It
 // forecasts the capacity at the time when a machine requested now would be running:
-// tasks that end by then free their capacity, preempted tasks need capacity again, and
+// tasks that end by then free their capacity, evicted tasks need capacity again, and
 // booting machines accept tasks. For the remaining tasks Plan requests machines from the
 // pools with the lowest cost per task. Nothing is provisioned before the cloud's machine
 // list has been read in this term.
--- a/internal/autoscaler/capacity_forecast.go
+++ b/internal/autoscaler/capacity_forecast.go
@@ -86,8 +86,8 @@
 	return zone == pipeline.AnyZone || capacity.Zone == zone
 }
 
-// tasksWithoutCapacity returns the number of tasks of a job that do not fit into the free capacity of
-// a zone. The result is negative if more tasks would fit.
+// tasksWithoutCapacity returns the number of tasks of a job that do not fit into the free
+// capacity of a zone. The result is negative if more tasks would fit.
 func (f *capacityForecast) tasksWithoutCapacity(job *pipeline.Job, tasks int, zone pipeline.ZoneIndex) int {
 	missing := tasks
 	for _, capacity := range f.capacities {
--- a/internal/autoscaler/partitions.go
+++ b/internal/autoscaler/partitions.go
@@ -28,7 +28,7 @@
 // isPartitioned reports whether a zone is partitioned from this controller.
 func (d *partitionDetector) isPartitioned(zone pipeline.ZoneIndex) bool { return d.partitioned[zone] }
 
-// runningByZone returns the machines that are up, by zone. It includes unresponsive
+// runningByZone returns the running machines, by zone. It includes unresponsive
 // machines, but no machines that are being decommissioned.
 func (d *partitionDetector) runningByZone() map[pipeline.ZoneIndex][]*worker.Machine {
 	zones := map[pipeline.ZoneIndex][]*worker.Machine{}
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// A machine that was up and sends no heartbeat for heartbeatLossTimeout is lost. In a
+	// A machine that was running and sends no heartbeat for heartbeatLossTimeout is lost. In a
 	// partitioned zone partitionedLossTimeout applies instead: the network is the likelier
 	// cause, and machines that were released would all have to boot again after the
 	// partition.
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -25,8 +25,8 @@
 }
 
 // plan determines which machines to provision. It places tasks on the capacity that is
-// forecast for the time when a machine requested now is up. The placements are only
-// used for planning: no task is assigned.
+// forecast for the time when a machine requested now would be running. The placements are
+// only used for planning: no task is assigned.
 type plan struct {
 	workers     *worker.Registry
 	scheduler   *scheduler.Scheduler
@@ -44,7 +44,7 @@
 	needed         map[machinePool]int                   // machines to provision, by pool
 }
 
-// newPlan returns a plan with the capacity of all machines that are up, booting or
+// newPlan returns a plan with the capacity of all machines that are running, booting or
 // requested.
 func (p *planner) newPlan(now event.Time, s *scheduler.Scheduler) *plan {
 	pools := &poolSelector{
@@ -76,7 +76,7 @@
 	}
 }
 
-// forecast returns the capacities of the machines that are up, extended by those of the
+// forecast returns the capacities of the running machines, extended by those of the
 // booting and the requested machines.
 func (p *planner) forecast(now event.Time, capacities []*scheduler.Capacity) *capacityForecast {
 	forecast := &capacityForecast{
--- a/internal/autoscaler/task_waves.go
+++ b/internal/autoscaler/task_waves.go
@@ -21,7 +21,7 @@
 type taskWaves map[pipeline.ClassIndex]float64
 
 // slots returns how many slots a job's waiting tasks need once a machine that is
-// provisioned now is up. A machine pays off only if it has work for breakEvenSeconds,
+// provisioned now is running. A machine pays off only if it has work for breakEvenSeconds,
 // which is its boot time plus the time for which it is kept idle. Array tasks that are
 // shorter than that and have no deadline therefore run in waves. runtimeSeconds is the
 // expected runtime of a task, or 0 if it is unknown.
@@ -32,7 +32,7 @@
 	if !short || !mayWait {
 		return waiting
 	}
-	// The slots of active tasks are free again by the time a new machine is up. The plan
+	// The slots of active tasks are free again by the time a new machine is running. The plan
 	// finds them as free capacity of existing machines, so active tasks count as well.
 	before := math.Ceil(w[job.Class])
 	w[job.Class] += float64(waiting+job.ActiveCount()) / waves
--- a/internal/autoscaler/token_announcements.go
+++ b/internal/autoscaler/token_announcements.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// announceDelay is how long a machine that is up may take to confirm this controller's
+	// announceDelay is how long a running machine may take to confirm this controller's
 	// fencing token before it is sent the token in a direct command.
 	announceDelay = 2 * time.Second
 	// The connection to an unresponsive machine stays open for a while. Announcements may
@@ -55,7 +55,7 @@
 	}
 }
 
-// awaitsToken reports whether a machine that is up has not confirmed this controller's
+// awaitsToken reports whether a running machine has not confirmed this controller's
 // fencing token within announceDelay.
 func (t *tokenAnnouncer) awaitsToken(machine *worker.Machine, now event.Time) bool {
 	if machine.LastHeartbeat() != 0 {
--- a/internal/kv/protocol.go
+++ b/internal/kv/protocol.go
@@ -104,7 +104,7 @@
 	return request{method: methodGet, path: path, timeout: pageTimeout}
 }
 
-func decodeKeysPage(body []byte) (keyPage, error) {
+func decodeKeyPage(body []byte) (keyPage, error) {
 	const message = "page of keys"
 	var page keyPage
 	if err := decode(message, body, &page); err != nil {
--- a/internal/kv/scan.go
+++ b/internal/kv/scan.go
@@ -62,7 +62,7 @@
 	if err := r.err(); err != nil {
 		return keyPage{}, err
 	}
-	return decodeKeysPage(r.body)
+	return decodeKeyPage(r.body)
 }
 
 // applyPage applies the keys of one page to the cache.
--- a/internal/kv/watch_cache.go
+++ b/internal/kv/watch_cache.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// SplitKey splits a key after its first segment, which is the kind of record that the
-// key holds.
+// SplitKey splits a key at its first slash into the kind of record that the key holds
+// and the rest.
 func SplitKey(key string) (kind, rest string) {
 	kind, rest, _ = strings.Cut(key, "/")
 	return kind, rest
--- a/internal/pipeline/assignments.go
+++ b/internal/pipeline/assignments.go
@@ -23,7 +23,7 @@
 	return assignment
 }
 
-// RecordTermination records that the attempt has terminated for certain.
+// RecordTermination records that an attempt is proven to have terminated.
 func (t *Table) RecordTermination(assignment *Assignment) {
 	if assignment.pending == PendingDone {
 		return
--- a/internal/pipeline/cancellation.go
+++ b/internal/pipeline/cancellation.go
@@ -47,9 +47,9 @@
 }
 
 // WriteCancellations queues the writes of the terminal records of jobs downstream of a
-// cancelled job, at most maxCancellationWrites at a time, for the jobs that this controller
-// owns. Responses to users do not wait for these writes.
-func (t *Table) WriteCancellations(now event.Time, submitter TxnSubmitter, isOwned func(*Job) bool) {
+// cancelled job, at most maxCancellationWrites at a time. Only the jobs for which
+// isResponsible returns true are written. Responses to users do not wait for these writes.
+func (t *Table) WriteCancellations(now event.Time, submitter TxnSubmitter, isResponsible func(*Job) bool) {
 	graph := &t.graph
 	if len(graph.cancelQueue) == 0 || graph.cancellationWritesInFlight >= maxCancellationWrites {
 		return
@@ -59,7 +59,7 @@
 		if graph.cancellationWritesInFlight >= maxCancellationWrites {
 			return
 		}
-		if job.mayWriteRecord(now) && isOwned(job) {
+		if job.mayWriteRecord(now) && isResponsible(job) {
 			t.writeCancellation(job, now, submitter)
 		}
 	}
--- a/internal/pipeline/completion.go
+++ b/internal/pipeline/completion.go
@@ -6,7 +6,7 @@
 	"lugward/internal/record"
 )
 
-// RecordCompletion records that a task has completed, in whichever attempt.
+// RecordCompletion records that a task has completed in any of its attempts.
 func (t *Table) RecordCompletion(job *Job, task int) {
 	if task < 0 || task >= job.TaskCount || job.IsDone(task) || job.TerminalPhase != Queued {
 		return
--- a/internal/pipeline/flush.go
+++ b/internal/pipeline/flush.go
@@ -209,12 +209,12 @@
 	} else if len(content.active)+len(content.placements) == 0 {
 		return segment.buildDeletion(txn, key)
 	}
-	data, fitting := t.encodeWithinLimit(job, segment, content)
-	segment.deferredPlacements = len(content.placements) - len(fitting)
-	if segment.deferredPlacements > 0 && len(fitting) == 0 && !content.hasProgress {
+	data, included := t.encodeWithinLimit(job, segment, content)
+	segment.deferredPlacements = len(content.placements) - len(included)
+	if segment.deferredPlacements > 0 && len(included) == 0 && !content.hasProgress {
 		return false // none of the placements fits, and nothing else has changed
 	}
-	for _, assignment := range fitting {
+	for _, assignment := range included {
 		assignment.mayBePersisted = true
 	}
 	txn.Writes = []kv.Write{{Key: key, Data: data}}
--- a/internal/pipeline/garbage_collection.go
+++ b/internal/pipeline/garbage_collection.go
@@ -7,7 +7,8 @@
 )
 
 // CollectGarbage queues the deletion of the records of finished jobs that have no task on
-// any machine. It deletes the records of at most limit jobs per call.
+// any machine. It deletes the records of at most limit jobs and at most limit orphaned retry
+// records per call.
 func (t *Table) CollectGarbage(now event.Time, term kv.Compare, submitter TxnSubmitter, limit int) {
 	t.deleteOrphanedRetries(now, term, submitter, limit)
 	for job := range t.AllJobs() {
--- a/internal/pipeline/graph.go
+++ b/internal/pipeline/graph.go
@@ -13,7 +13,7 @@
 type graph struct {
 	dependents map[string]map[*Job]bool // by upstream ID, the held jobs that wait for the upstream job
 	releasable map[*Job]bool            // held jobs whose upstream jobs are all done
-	stale      map[*Job]bool            // jobs whose effective values must be derived or propagated
+	stale      map[*Job]bool            // jobs whose effective values must be recomputed or propagated
 
 	// upstreamCancelled holds the jobs downstream of a cancelled job whose own terminal
 	// record is not persisted. cancelQueue holds them in the order in which their
@@ -29,12 +29,12 @@
 // its whole list of upstream jobs is known.
 type graphLinks struct {
 	linked             bool
-	linkedUpstream     []string // upstream IDs under which the job is listed as a dependent, while linked
-	unfinishedUpstream int      // number of these without a terminal record
+	linkedUpstream     []string // sorted IDs of the upstream jobs, while linked
+	unfinishedUpstream int      // number of upstream jobs without a terminal record
 	upstreamCancelled  bool     // a direct or indirect upstream job is cancelled
 
 	deadlineAt         event.Time // deadline of the job itself
-	inheritStale       bool       // the effective values must be derived again
+	inheritStale       bool       // the effective values must be recomputed
 	propagatedPriority Priority   // priority that its upstream jobs have inherited from the job
 	propagatedDeadline event.Time // deadline that they have inherited
 }
@@ -82,7 +82,7 @@
 	return from + secondsToDuration(job.Deadline)
 }
 
-// markInheritanceStale marks the effective values of a job to be derived again.
+// markInheritanceStale marks the effective values of a job to be recomputed.
 func (t *Table) markInheritanceStale(job *Job) {
 	job.inheritStale = true
 	t.graph.stale[job] = true
@@ -107,7 +107,7 @@
 	job.linked = true
 	job.linkedUpstream = list
 	job.unfinishedUpstream = 0
-	// No upstream job has inherited from this job yet, also if it was unlinked before.
+	// No upstream job inherits from this job yet, even if the job was linked before.
 	job.propagatedPriority = Idle
 	job.propagatedDeadline = NoDeadline
 	upstreamCancelled := false
--- a/internal/pipeline/graph_test.go
+++ b/internal/pipeline/graph_test.go
@@ -78,8 +78,8 @@
 	expect(t, "releasable jobs after job 5 is done", idsOf(f.Releasable()), "6")
 }
 
-// A job that is done does not cancel its dependents, also if a cancellation of the job was
-// requested and lost against the completion.
+// A job that is done does not cancel its dependents, even if a cancellation of the job was
+// requested but the completion was written first.
 func TestLostToDone(t *testing.T) {
 	f := newFixture()
 	f.addJob(1, nil)
--- a/internal/pipeline/job.go
+++ b/internal/pipeline/job.go
@@ -88,7 +88,7 @@
 	ID    string
 	Index int // index in the table's list of jobs
 	Spec
-	Owner   string        // controller that writes the job's readiness
+	Owner   string        // label of the controller that writes the job's readiness and cancellation
 	unknown record.Fields // fields of the job record written by a later version
 
 	// Upstream lists the IDs of the upstream jobs in the job record itself. If
--- a/internal/pipeline/priority_inheritance.go
+++ b/internal/pipeline/priority_inheritance.go
@@ -8,8 +8,8 @@
 // NoDeadline is the value of a deadline that is not set.
 const NoDeadline = math.MaxInt64
 
-// newestFirst is a heap of jobs whose effective values are stale. The most recently accepted
-// held job comes first, ready jobs come last. The upstream jobs of a job were all accepted
+// newestFirst is a heap of jobs whose effective values are stale. The most recently created
+// held job comes first, ready jobs come last. The upstream jobs of a job were all created
 // before it, and a held job's record is only rewritten when the job becomes ready. So all
 // jobs that a job inherits from are processed before it.
 type newestFirst []*Job
@@ -17,9 +17,9 @@
 // Len returns the number of jobs.
 func (h newestFirst) Len() int { return len(h) }
 
-// Less orders the jobs by acceptance, most recent first.
+// Less orders the jobs by create revision, most recent first.
 func (h newestFirst) Less(a, b int) bool {
-	if revisionA, revisionB := h[a].acceptedRevision(), h[b].acceptedRevision(); revisionA != revisionB {
+	if revisionA, revisionB := h[a].createRevision(), h[b].createRevision(); revisionA != revisionB {
 		return revisionA > revisionB
 	}
 	return h[a].ID > h[b].ID
@@ -39,17 +39,17 @@
 	return last
 }
 
-// acceptedRevision returns the revision at which a held job was accepted. It is zero for a
-// ready job, whose record has been rewritten since.
-func (j *Job) acceptedRevision() uint64 {
+// createRevision returns the revision at which a held job's record was created. It is zero
+// for a ready job, whose record has been rewritten since.
+func (j *Job) createRevision() uint64 {
 	if j.Ready {
 		return 0
 	}
 	return j.ModRevision
 }
 
-// updateEffectiveValues updates the effective priorities and deadlines of all jobs that are affected by
-// changes. Each job is processed once.
+// updateEffectiveValues updates the effective priorities and deadlines of all jobs that are
+// affected by changes. Each job is processed once.
 func (t *Table) updateEffectiveValues() {
 	stale := t.graph.stale
 	if len(stale) == 0 {
--- a/internal/pipeline/readiness.go
+++ b/internal/pipeline/readiness.go
@@ -46,7 +46,7 @@
 }
 
 // Releasable returns the held jobs whose upstream jobs are all done, ordered by effective
-// priority, highest first, and then by the order in which they were accepted.
+// priority, highest first, and then by the order in which their records were created.
 func (t *Table) Releasable() []*Job {
 	t.updateEffectiveValues()
 	list := inCreationOrder(t.graph.releasable)
@@ -55,8 +55,8 @@
 }
 
 // WriteReadiness queues the writes that mark held jobs as ready once all of their upstream
-// jobs are done. Only the jobs for which owned returns true are written.
-func (t *Table) WriteReadiness(now event.Time, submitter TxnSubmitter, owned func(*Job) bool) {
+// jobs are done. Only the jobs for which isResponsible returns true are written.
+func (t *Table) WriteReadiness(now event.Time, submitter TxnSubmitter, isResponsible func(*Job) bool) {
 	if len(t.graph.releasable) == 0 || t.graph.readinessWritesInFlight >= maxReadinessWrites {
 		return
 	}
@@ -64,7 +64,7 @@
 		if t.graph.readinessWritesInFlight >= maxReadinessWrites {
 			return
 		}
-		if job.mayWriteRecord(now) && owned(job) {
+		if job.mayWriteRecord(now) && isResponsible(job) {
 			t.writeReadiness(job, now, submitter)
 		}
 	}
--- a/internal/pipeline/record_write.go
+++ b/internal/pipeline/record_write.go
@@ -12,8 +12,9 @@
 	// writeTimeout is how long a queued write waits for the write rate limit before it
 	// is dropped and queued again.
 	writeTimeout = 20 * time.Second
-	// retryWait is the delay after a failed write. The watch cache needs about that
-	// long to catch up with the state service.
+	// retryWait is the delay after a write that the state service did not reject, before
+	// the same record is written again. The watch cache needs about that long to catch
+	// up with the state service.
 	retryWait = 200 * time.Millisecond
 	// maxRetryWait is the maximum delay after writes that the state service rejects.
 	maxRetryWait = 30 * time.Second
@@ -22,10 +23,10 @@
 	maxRejectedWrites = 10
 )
 
-// TxnSubmitter queues transactions. A transaction that has not been sent at the monotonic
-// time expires is dropped. *kv.Client implements it.
+// TxnSubmitter queues transactions. A transaction that has not been sent by the monotonic
+// time expiresAt is dropped. *kv.Client implements it.
 type TxnSubmitter interface {
-	Submit(txn *kv.Txn, expires event.Time)
+	Submit(txn *kv.Txn, expiresAt event.Time)
 }
 
 // delayRecordWrite sets the earliest time of the next write of a job's records after the
--- a/internal/pipeline/retry.go
+++ b/internal/pipeline/retry.go
@@ -28,14 +28,15 @@
 	maxDoublings = 8
 )
 
-// retryState is the state that a job's failures determine for its next attempt. failures and
-// notBefore are persisted. The rest is the leader's state and is reset with its term.
+// retryState holds the failures of a job and the resulting restrictions on its next attempt.
+// failures and notBefore are persisted. The rest is the leader's state and is reset with its
+// term.
 type retryState struct {
 	failures  int        // consecutive failed attempts of a job at fault
 	notBefore event.Time // end of the backoff
 
 	failedOn      map[MachineIndex]bool       // machines on which tasks have failed since the last success
-	avoid         map[MachineIndex]event.Time // by machine on which a task failed: until when the job avoids it
+	avoid         map[MachineIndex]event.Time // by machine on which a task has failed, the time until which the job avoids it
 	probe         *Assignment                 // the single task that retries the job
 	unsaved       bool                        // differs from the persisted record
 	writeInFlight bool                        // a write of the record is queued or in flight
@@ -69,14 +70,14 @@
 // all unassigned ones, or a single one while the job is at fault. A gang is always placed as
 // a whole.
 func (j *Job) StartableCount() int {
-	unplaced := j.UnassignedCount()
+	unassigned := j.UnassignedCount()
 	switch {
 	case !j.AtFault() || j.Shape == Gang:
-		return unplaced
+		return unassigned
 	case j.hasActiveProbe():
 		return 0
 	default:
-		return min(unplaced, 1)
+		return min(unassigned, 1)
 	}
 }
 
--- a/internal/pipeline/retry_records.go
+++ b/internal/pipeline/retry_records.go
@@ -139,8 +139,8 @@
 }
 
 // orphanedRetries returns the IDs of at most limit jobs that have ended and whose other
-// records are deleted while their retry record remains. A leader of an earlier version does
-// not delete it.
+// records are deleted while their retry record remains. The deletion of the other records
+// does not include it, and a leader of an earlier version does not delete it at all.
 func (t *Table) orphanedRetries(limit int) []string {
 	var list []string
 	for id := range t.retries.persisted {
--- a/internal/pipeline/retry_test.go
+++ b/internal/pipeline/retry_test.go
@@ -234,7 +234,7 @@
 			want++
 		}
 		if got := job.NextUnassigned(0); got != want {
-			t.Fatalf("step %d: NextUnplaced(0) = %d, want %d", step, got, want)
+			t.Fatalf("step %d: NextUnassigned(0) = %d, want %d", step, got, want)
 		}
 		if step%500 == 499 {
 			table.Reset()
--- a/internal/pipeline/segment.go
+++ b/internal/pipeline/segment.go
@@ -109,7 +109,7 @@
 	return run.Active, nil
 }
 
-// mergeListedAssignments marks the assignments that a segment's record lists as persisted
+// mergeListedAssignments marks as persisted the assignments that a segment's record lists,
 // and adds those that the table does not have. It returns them by task.
 func (t *Table) mergeListedAssignments(job *Job, segment *segment, active []record.Assignment) map[int]*Assignment {
 	listed := map[int]*Assignment{}
--- a/internal/pipeline/segment_encoding.go
+++ b/internal/pipeline/segment_encoding.go
@@ -9,11 +9,11 @@
 	"lugward/internal/record"
 )
 
-// encodeWithinLimit encodes a segment within the value size limit. It uses the plain format, which every
-// version can read, if the record fits in it. Otherwise it uses the compact format, provided
-// that every controller is known to read it. Placements that are not persisted yet are
-// omitted until they fit; those of a gang are included all together or not at all. included
-// are the placements that the record contains.
+// encodeWithinLimit encodes a segment within the value size limit. It uses the plain format,
+// which every version can read, if the record fits in it. Otherwise it uses the compact
+// format, provided that every controller is known to read it. Placements that are not
+// persisted yet are deferred until they fit; those of a gang are included all together or not
+// at all. included lists the placements that the record contains.
 func (t *Table) encodeWithinLimit(job *Job, segment *segment, content segmentContent) (data []byte, included []*Assignment) {
 	placements := content.placements
 	encode := func(count int) []byte {
--- a/internal/pipeline/segment_encoding_test.go
+++ b/internal/pipeline/segment_encoding_test.go
@@ -94,7 +94,7 @@
 	}
 	fitting := countPersisted(job)
 	if fitting < 60 || fitting > 120 || job.ActiveCount() != 128 || job.UnassignedCount() != 0 {
-		t.Errorf("%d of %d assignments are persisted and %d tasks unplaced, want 60 to 120 of 128 and 0", fitting, job.ActiveCount(), job.UnassignedCount())
+		t.Errorf("%d of %d assignments are persisted and %d tasks unassigned, want 60 to 120 of 128 and 0", fitting, job.ActiveCount(), job.UnassignedCount())
 	}
 	for range 5 {
 		flusher.flushExpectingNoWrite()
--- a/internal/pipeline/tasks.go
+++ b/internal/pipeline/tasks.go
@@ -89,12 +89,12 @@
 // TaskCount if there is none. It rotates through the unassigned tasks, because only some of
 // them may fail.
 func (j *Job) ProbeTask() int {
-	unplaced := j.UnassignedCount()
-	if unplaced == 0 {
+	unassigned := j.UnassignedCount()
+	if unassigned == 0 {
 		return j.TaskCount
 	}
 	task := j.NextUnassigned(0)
-	for range j.Failures() % unplaced {
+	for range j.Failures() % unassigned {
 		task = j.NextUnassigned(task + 1)
 	}
 	return task
--- a/internal/pipeline/terminal_records.go
+++ b/internal/pipeline/terminal_records.go
@@ -34,11 +34,11 @@
 	idDigitsShift   = 59 // the bits below hold the value
 	maxPackedDigits = 17 // the largest value of 17 digits is less than 1<<idDigitsShift
 
-	terminalPhaseBits = 2
-	terminalPhaseMask = 1<<terminalPhaseBits - 1
-	terminalDaemonBit = 1 << terminalPhaseBits
-	terminalSizeShift = terminalPhaseBits + 1
-	maxPackedSize     = 1<<(32-terminalSizeShift) - 1
+	terminalPhaseBits      = 2
+	terminalPhaseMask      = 1<<terminalPhaseBits - 1
+	terminalDaemonBit      = 1 << terminalPhaseBits
+	terminalTaskCountShift = terminalPhaseBits + 1
+	maxPackedTaskCount     = 1<<(32-terminalTaskCountShift) - 1
 )
 
 func newTerminalRecords() TerminalRecords {
@@ -68,7 +68,7 @@
 // add adds the record of a job.
 func (r *TerminalRecords) add(id string, terminal TerminalRecord) {
 	key, packable := packID(id)
-	if packable && terminal.TaskCount >= 0 && terminal.TaskCount <= maxPackedSize {
+	if packable && terminal.TaskCount >= 0 && terminal.TaskCount <= maxPackedTaskCount {
 		r.packed[key] = packTerminal(terminal)
 		return
 	}
@@ -93,7 +93,7 @@
 }
 
 func packTerminal(terminal TerminalRecord) packedTerminal {
-	packed := packedTerminal(terminal.Phase) | packedTerminal(terminal.TaskCount)<<terminalSizeShift
+	packed := packedTerminal(terminal.Phase) | packedTerminal(terminal.TaskCount)<<terminalTaskCountShift
 	if terminal.Daemon {
 		packed |= terminalDaemonBit
 	}
@@ -103,7 +103,7 @@
 func (p packedTerminal) unpack() TerminalRecord {
 	return TerminalRecord{
 		Phase:     Phase(p & terminalPhaseMask),
-		TaskCount: int(p >> terminalSizeShift),
+		TaskCount: int(p >> terminalTaskCountShift),
 		Daemon:    p&terminalDaemonBit != 0,
 	}
 }
--- a/internal/pipeline/upstream_pages.go
+++ b/internal/pipeline/upstream_pages.go
@@ -17,8 +17,8 @@
 	// orphanTimeout is how long a list may exist without its job's record before it is
 	// considered orphaned by a failed attempt to submit the job.
 	orphanTimeout = time.Minute
-	// SubmissionAttemptTimeout is how long a list that one attempt to submit a job has
-	// begun to write prevents other attempts from starting again.
+	// SubmissionAttemptTimeout is how long an attempt to submit a job that has written
+	// page 0 of the list prevents other attempts from starting to write it again.
 	SubmissionAttemptTimeout = 6 * time.Second
 )
 
@@ -30,8 +30,8 @@
 
 // upstreamPages holds the persisted pages of a job's list of upstream jobs.
 type upstreamPages struct {
-	byNumber  map[int]upstreamPage
-	firstSeen event.Time // time of the last change of page 0, or of the first page seen if there is no page 0
+	byNumber       map[int]upstreamPage
+	attemptBeganAt event.Time // time of the last change of page 0, or of the first page seen if page 0 was never seen
 }
 
 // upstreamPageIndex holds the persisted lists of upstream jobs.
@@ -44,11 +44,11 @@
 func (i *upstreamPageIndex) set(id string, number int, page upstreamPage, now event.Time) {
 	pages := i.byJob[id]
 	if pages == nil {
-		pages = &upstreamPages{byNumber: map[int]upstreamPage{}, firstSeen: now}
+		pages = &upstreamPages{byNumber: map[int]upstreamPage{}, attemptBeganAt: now}
 		i.byJob[id] = pages
 	}
 	if number == 0 {
-		pages.firstSeen = now
+		pages.attemptBeganAt = now
 	}
 	pages.byNumber[number] = page
 }
@@ -119,7 +119,7 @@
 	if pages == nil {
 		return 0, 0
 	}
-	return pages.byNumber[0].modRevision, now - pages.firstSeen
+	return pages.byNumber[0].modRevision, now - pages.attemptBeganAt
 }
 
 // DeleteStaleUpstreamPages queues the deletion of lists that are no longer needed: those of
@@ -156,7 +156,7 @@
 	if t.hasJobRecord(id) {
 		return !t.byID[id].Ready
 	}
-	return now-t.pages.byJob[id].firstSeen < orphanTimeout
+	return now-t.pages.byJob[id].attemptBeganAt < orphanTimeout
 }
 
 // deletable returns the numbers of the pages that may be deleted now. Page 0 is deleted first
--- a/internal/pipeline/usage.go
+++ b/internal/pipeline/usage.go
@@ -4,7 +4,7 @@
 // limit.
 type Usage struct{ CPUs, GPUs, Memory float64 }
 
-// Add adds the resources of n tasks with a spec. n may be negative.
+// Add adds the CPUs and GPUs of n tasks with a spec, but not their memory. n may be negative.
 func (u *Usage) Add(spec *Spec, n float64) {
 	u.CPUs += n * spec.CPUs
 	u.GPUs += n * spec.GPUs
--- a/internal/record/compact.go
+++ b/internal/record/compact.go
@@ -11,7 +11,7 @@
 // strconv supports, which keeps the numbers short.
 const compactBase = 36
 
-// maxSpanTasks bounds the number of tasks in a span, so that a damaged record cannot cause a
+// maxSpanTasks bounds the number of tasks in a span, so that a corrupted record cannot cause a
 // larger allocation than a segment of the largest size.
 const maxSpanTasks = 1 << 10
 
@@ -212,7 +212,7 @@
 	return active, nil
 }
 
-// maxQuotedBytes limits how much of a compact list an error quotes. A damaged list may be
+// maxQuotedBytes limits how much of a compact list an error quotes. A corrupted list may be
 // as long as the largest value that the state service stores.
 const maxQuotedBytes = 64
 
--- a/internal/record/first_version_test.go
+++ b/internal/record/first_version_test.go
@@ -72,14 +72,14 @@
 		EstimatedRuntime: 10, CheckpointInterval: 20, CheckpointDuration: 30, Deadline: 40,
 		Owner: "n2", Upstream: []string{"req-2", "req-3"}, Ready: true, SubmittedAt: 1_700_000_000_123, ReadyAt: 1_700_000_060_456,
 	}
-	waiting := ready
-	waiting.Upstream, waiting.UpstreamPages, waiting.SubmissionRevision, waiting.Ready, waiting.ReadyAt = nil, 9, 1<<63, false, 0
+	held := ready
+	held.Upstream, held.UpstreamPages, held.SubmissionRevision, held.Ready, held.ReadyAt = nil, 9, 1<<63, false, 0
 	for _, test := range []struct {
 		name string
 		job  Job
 	}{
 		{"ready", ready},
-		{"waiting, with upstream jobs in pages", waiting},
+		{"held, with upstream jobs in pages", held},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			job := test.job
@@ -113,7 +113,7 @@
 }
 
 // The first version reads plain run records of this version. It rejects a compact record
-// as damaged and so keeps its last known state, instead of treating the tasks as gone.
+// as corrupted and so keeps its last known state, instead of treating the tasks as gone.
 func TestFirstVersionReadsRun(t *testing.T) {
 	active := make([]Assignment, 0, 30)
 	for task := range 30 {
@@ -165,7 +165,7 @@
 		{"run whose bitmap is not base64", decodeRun, `{"d":"?"}`, KindRun, "d", ErrMalformed},
 		{"run whose bitmap is too long", decodeRun, `{"d":"AAAAAAAAAAAB"}`, KindRun, "d", ErrLength},
 		{"run with an assignment without a machine", decodeRun, `{"a":[[0,1]]}`, KindRun, "a", ErrMalformed},
-		{"run with a damaged compact list", decodeRun, `{"a":"@1 i- 0"}`, KindRun, "a", ErrCompactText},
+		{"run with a corrupted compact list", decodeRun, `{"a":"@1 i- 0"}`, KindRun, "a", ErrCompactText},
 		{"terminal record whose phase is a number", decodeTerminal, `{"p":0}`, KindTerminal, "p", ErrMalformed},
 		{"retry state that is a string", decodeRetry, `"1"`, KindRetry, "", ErrMalformed},
 		{"page that is a list", decodePage, `["1"]`, KindUpstreamPage, "", ErrMalformed},
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -22,7 +22,7 @@
 	CheckpointDuration float64 // seconds
 	Deadline           float64 // seconds after submission, zero if there is no deadline
 
-	Owner              string   // label of the controller that makes the job ready
+	Owner              string   // label of the controller that writes the job's readiness and cancellation
 	Upstream           []string // IDs of upstream jobs, empty if they are stored in pages
 	UpstreamPages      int      // number of pages that store the IDs, zero if Upstream has them
 	SubmissionRevision uint64   // revision of page 0 (see UpstreamPageKey)
--- a/internal/record/key.go
+++ b/internal/record/key.go
@@ -28,7 +28,7 @@
 // JobKey returns the key of a job's record.
 func JobKey(job string) string { return string(KindJob) + "/" + job }
 
-// RunKey returns the key of one segment of a job's run record.
+// RunKey returns the key of the run record of one segment of a job's tasks.
 func RunKey(job string, segment int) string { return numberedKey(KindRun, job, segment) }
 
 // TerminalKey returns the key of a job's terminal record.
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,8 +1,8 @@
 // Package record encodes and decodes the records that controllers store in the
 // state service: jobs, run records, terminal records, retry states and pages of long
-// lists of upstream jobs. It defines only the stored JSON names and the key prefixes,
-// on which all versions of the controller must agree. Its functions are pure, and its
-// structs refer to classes, machines and similar objects by name.
+// lists of upstream jobs. It defines the stored JSON names and the key prefixes of these
+// records, on which all versions of the controller must agree. Its functions are pure,
+// and its structs refer to classes, machines and similar objects by name.
 //
 // A record may have fields that a later version has added. Decoding returns them as
 // Fields and encoding writes them back, because controllers of two versions run side by
@@ -28,7 +28,7 @@
 )
 
 // DecodeError reports which field of which kind of record cannot be decoded, and why. The
-// record is damaged, or a later version wrote it in a format unknown to this version.
+// record is corrupted, or a later version wrote it in a format unknown to this version.
 type DecodeError struct {
 	Kind  Kind   // kind of the record
 	Field string // stored JSON name; empty if the whole record cannot be decoded
--- a/internal/record/run.go
+++ b/internal/record/run.go
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// Run is one segment of a job's run record: which tasks may be on which machine, and
-// which tasks are done.
+// Run is the run record of one segment of a job's tasks: which tasks may be on which
+// machine, and which tasks are done.
 type Run struct {
 	MaxAttempt uint64       // highest attempt used
 	Done       []uint64     // bitmap of done tasks
@@ -35,7 +35,7 @@
 	Compact Format = true  // a string, which takes less space
 )
 
-// storedRun is the stored form of a segment. Active is a list with one [task, attempt,
+// storedRun is the stored form of a run record. Active is a list with one [task, attempt,
 // machine] per active task, or one string (see compact).
 type storedRun struct {
 	MaxAttempt uint64 `json:"t"`
@@ -50,7 +50,7 @@
 	bytesPerWord = BitsPerWord / bitsPerByte
 )
 
-// Encode returns the stored form of a segment. It sorts r.Active by task.
+// Encode returns the stored form of a run record. It sorts r.Active by task.
 func (r *Run) Encode() []byte {
 	stored := storedRun{MaxAttempt: r.MaxAttempt, Done: encodeBitmap(r.Done)}
 	slices.SortFunc(r.Active, func(a, b Assignment) int { return cmp.Compare(a.Task, b.Task) })
@@ -79,7 +79,7 @@
 	return base64.RawStdEncoding.EncodeToString(raw)
 }
 
-// DecodeRun decodes a segment whose bitmap has the given number of words. An error is a
+// DecodeRun decodes a run record whose bitmap has the given number of words. An error is a
 // *DecodeError. The caller must then ignore the returned Run, except for its Format.
 func DecodeRun(data []byte, words int) (run Run, err error) {
 	var fields Fields
