--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -67,12 +67,12 @@
 		n.jobs.SetClock(n.now, time.Unix(1_700_000_000, 0).Add(n.now))
 		n.client.Tick(n.now, &n.out)
 		n.server.Tick(n.now, &n.out)
-		n.perform()
+		n.applyEffects()
 	}
 }
 
-// perform performs pending effects until none are left.
-func (n *testController) perform() {
+// applyEffects executes the pending effects until none are left.
+func (n *testController) applyEffects() {
 	n.t.Helper()
 	for len(n.out.Calls)+len(n.out.Replies) > 0 {
 		calls, replies := n.out.Calls, n.out.Replies
@@ -97,7 +97,7 @@
 	n.conn++
 	n.server.Handle(n.now, event.Request{Conn: n.conn, Method: method, Path: path, Body: []byte(body)}, &n.out)
 	n.client.Tick(n.now, &n.out)
-	n.perform()
+	n.applyEffects()
 	return n.conn
 }
 
--- a/internal/api/paged_submission.go
+++ b/internal/api/paged_submission.go
@@ -75,7 +75,7 @@
 	default:
 		// The stored first page may belong to this attempt or to another one. Its
 		// value does not identify the attempt.
-		s.finishWithStoredStatus(p)
+		s.finishWithPersistedStatus(p)
 	}
 }
 
@@ -143,7 +143,7 @@
 		case r.Outcome == kv.Aborted || r.Outcome == kv.Rejected:
 			s.finishAborted(p, r)
 		default:
-			s.finishWithStoredStatus(p)
+			s.finishWithPersistedStatus(p)
 		}
 	})
 }
@@ -163,12 +163,12 @@
 	}
 }
 
-// finishWithStoredStatus ends an attempt that conflicted with another one or has an
+// finishWithPersistedStatus ends an attempt that conflicted with another one or has an
 // unknown outcome, and replies according to the persisted state.
-func (s *Server) finishWithStoredStatus(p *pagedSubmission) {
+func (s *Server) finishWithPersistedStatus(p *pagedSubmission) {
 	s.finish(p)
 	if !p.replied {
-		s.replyWithStoredStatus(p.conn, p.job.ID)
+		s.replyWithPersistedStatus(p.conn, p.job.ID)
 	}
 }
 
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -115,7 +115,7 @@
 		s.startPagedSubmission(now, conn, j, pages, out)
 		return
 	}
-	s.storeRecord(now, conn, j.ID, data)
+	s.writeUnpagedRecord(now, conn, j.ID, data)
 }
 
 // encodeRecord returns the encoded record of a new job. It returns a *malformedError
@@ -133,9 +133,10 @@
 	return data, nil
 }
 
-// storeRecord writes the record of a new job and replies to the submission. The write
-// requires that the job has neither a record nor a terminal record.
-func (s *Server) storeRecord(now event.Time, conn uint64, id string, data []byte) {
+// writeUnpagedRecord writes the record of a new job whose upstream list is not split into
+// pages, and replies to the submission. The write requires that the job has neither a
+// record nor a terminal record.
+func (s *Server) writeUnpagedRecord(now event.Time, conn uint64, id string, data []byte) {
 	jobKey, terminalKey := record.JobKey(id), record.TerminalKey(id)
 	s.store.Submit(&kv.Txn{
 		Priority: kv.PrioritySubmission,
@@ -148,7 +149,7 @@
 			case kv.Aborted, kv.Rejected:
 				replyError(conn, s.backlogError(), r.Out)
 			default:
-				s.replyWithStoredStatus(conn, id)
+				s.replyWithPersistedStatus(conn, id)
 			}
 		},
 	}, now+s.cfg.RequestTimeout)
@@ -162,11 +163,11 @@
 	return &unavailableError{Reason: "too many queued writes", RetryAfter: int(math.Ceil(seconds))}
 }
 
-// replyWithStoredStatus replies to a submission whose write conflicted or has an unknown
+// replyWithPersistedStatus replies to a submission whose write conflicted or has an unknown
 // outcome. It replies with the job's status if a read barrier shows the job as accepted,
 // otherwise with 503. If the write is executed after the barrier, the job is accepted
 // and the user's retry finds it.
-func (s *Server) replyWithStoredStatus(conn uint64, id string) {
+func (s *Server) replyWithPersistedStatus(conn uint64, id string) {
 	s.replyAfterBarrier(conn, id, func(_ event.Time, out *event.Effects) {
 		out.ReplyUnavailable(conn, minRetryAfter)
 	})
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -130,7 +130,7 @@
 	// connectionsPerPeer counts the connection to another controller and the connection
 	// from it.
 	connectionsPerPeer = 2
-	// nonPeerConnections counts the connections to the key-value store (two
+	// nonPeerConnections counts the connections to the state service (two
 	// transactions, a watch, a barrier and a lease at a time), to the cloud, and a few
 	// from workers and users.
 	nonPeerConnections = 16
@@ -182,7 +182,7 @@
 			"settings.cloud.list_lag_s: expected a non-negative number, found %v", lag)
 	}
 	// The tasks of a cancelled job must end within cancel_s, even if the leader loses
-	// its connection to the key-value store. In that case the leader may keep its
+	// its connection to the state service. In that case the leader may keep its
 	// workers running for cancel_s - lease_s, so that difference must be positive.
 	if workers := &p.Settings.Workers; workers.CancelS <= workers.LeaseS {
 		return newError(Error{Key: "settings.workers.cancel_s", Expected: fmt.Sprintf("more than %v", workers.LeaseS), Found: fmt.Sprint(workers.CancelS)},
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -38,7 +38,7 @@
 
 // TermSettings configure the leader's term.
 type TermSettings struct {
-	LeaseDuration Duration `toml:"life"` // duration of the leader's lease, at least minTermLife
+	LeaseDuration Duration `toml:"life"` // duration of the leader's lease, at least minLeaseDuration
 }
 
 // SchedulerSettings configure the scheduler's placement rounds.
@@ -58,10 +58,10 @@
 	RequestTimeout Duration `toml:"answer"` // a request that takes longer gets status 503
 }
 
-// minTermLife is the minimum duration of the leader's lease. The leader renews its
+// minLeaseDuration is the minimum duration of the leader's lease. The leader renews its
 // lease several times within that duration. A shorter lease could expire while a
-// response of the key-value store is slow.
-const minTermLife = time.Second
+// response of the state service is slow.
+const minLeaseDuration = time.Second
 
 // DefaultOperator returns the default settings, which apply to all keys that the TOML
 // file omits.
@@ -93,9 +93,9 @@
 		key := unknown[0].String()
 		return o, newError(Error{Key: key, Expected: "a key of docs/lugward.sample.toml"}, "unknown key %s: expected a key of docs/lugward.sample.toml", key)
 	}
-	if life := time.Duration(o.Term.LeaseDuration); life < minTermLife {
-		return o, newError(Error{Key: "term.life", Expected: fmt.Sprintf("at least %v", minTermLife), Found: life.String()},
-			"term.life: expected at least %v, found %v", minTermLife, life)
+	if duration := time.Duration(o.Term.LeaseDuration); duration < minLeaseDuration {
+		return o, newError(Error{Key: "term.life", Expected: fmt.Sprintf("at least %v", minLeaseDuration), Found: duration.String()},
+			"term.life: expected at least %v, found %v", minLeaseDuration, duration)
 	}
 	return o, nil
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -40,7 +40,7 @@
 	return false
 }
 
-// StateLimits are the limits of the key-value store.
+// StateLimits are the limits of the state service.
 type StateLimits struct {
 	RPS      float64 `json:"rps"`       // requests per second
 	WriteRPS float64 `json:"write_rps"` // writes per second
@@ -51,7 +51,7 @@
 	Next *NextStateLimits `json:"next"`
 }
 
-// NextStateLimits are announced limits of the key-value store, in the units of
+// NextStateLimits are announced limits of the state service, in the units of
 // StateLimits. A nil field means that the limit does not change.
 type NextStateLimits struct {
 	RPS      *float64 `json:"rps"`
@@ -120,7 +120,7 @@
 // Services holds the addresses and ports of the services that a controller calls.
 type Services struct {
 	Cloud string `json:"cloud"`
-	State string `json:"state"` // the key-value store
+	State string `json:"state"` // a key-value store
 }
 
 // Platform is the settings file that the platform provides. Unknown fields are
--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -11,7 +11,7 @@
 	"lugward/internal/httpwire"
 )
 
-// maxResponseBytes is the maximum size of a response body. The key-value store does
+// maxResponseBytes is the maximum size of a response body. The state service does
 // not limit its responses to a watch. A larger response ends the call with
 // event.ResponseTooLarge, and the caller then reads the keys page by page.
 const maxResponseBytes = 8 << 20
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -21,9 +21,9 @@
 )
 
 // Limits of a single connection. sweep closes connections that exceed the timeouts or
-// a limit on unsent bytes. The timeouts are estimates, not measured values: long enough
-// that a connection in regular use stays open, short enough that a connection that its
-// client has abandoned does not occupy a socket forever.
+// a limit on unsent bytes. The timeouts are estimates: long enough that a connection in
+// regular use stays open, and short enough that a connection that its client has
+// abandoned does not occupy a socket forever.
 const (
 	outgoingIdleTimeout = 20 * time.Second
 	incomingIdleTimeout = 150 * time.Second
--- a/internal/engine/ticker.go
+++ b/internal/engine/ticker.go
@@ -13,9 +13,8 @@
 	// tickInterval is the maximum time between two ticks unless the loop is overloaded,
 	// and so the maximum delay of work that is due.
 	tickInterval = 50 * time.Millisecond
-	// minTickInterval is the minimum time between any tick and a following tick of the
-	// ticker. A tick of the ticker that comes sooner after a tick between inputs is
-	// skipped.
+	// minTickInterval is the time after a tick during which the ticker does not tick
+	// again. It skips its tick if inputs have caused one less than this time ago.
 	minTickInterval = tickInterval / 2
 	// sweepInterval is the time between two scans for connections to close.
 	sweepInterval = time.Second
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -20,8 +20,8 @@
 // Time is a time on the monotonic clock, measured from the start of the process.
 type Time = time.Duration
 
-// Request is an HTTP request received by this controller. Each request is answered
-// by at most one Reply.
+// Request is an HTTP request received by this controller. Each request gets exactly
+// one Reply.
 type Request struct {
 	Conn   uint64 // ID of the connection for the reply
 	Method string
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -48,10 +48,10 @@
 
 	// Fields of a Heartbeat:
 
-	StateOK      bool // whether the sender can reach the key-value store
+	StateOK      bool // whether the sender can reach the state service
 	IsLeader     bool
 	FencingToken uint64
-	// Requests and Writes are the shares of the key-value store's request and write
+	// Requests and Writes are the shares of the state service's request and write
 	// rates that the sender could use, per second.
 	Requests, Writes uint16
 
--- a/internal/simtest/checker.go
+++ b/internal/simtest/checker.go
@@ -9,7 +9,7 @@
 )
 
 // Checker checks the invariants of the protocol. It observes only what workers execute
-// and what users are answered, and ignores the records that controllers store. The one
+// and which answers users get, and ignores the records that controllers store. The one
 // exception is the done record of a job: no downstream job may start before it exists.
 type Checker struct {
 	world          *World
@@ -26,7 +26,7 @@
 // answerHistory holds the answers that users received, by job ID.
 type answerHistory struct {
 	acknowledgedPhase map[string]string        // phase in the last answer
-	acknowledgedAt    map[string]time.Duration // when that phase was first answered
+	acknowledgedAt    map[string]time.Duration // when that phase was first returned
 	pollAnsweredAt    map[string]time.Duration // when a poll was last answered with 200, at first the time of the first poll
 }
 
--- a/internal/simtest/checker_answers.go
+++ b/internal/simtest/checker_answers.go
@@ -14,39 +14,39 @@
 	case isAccepted(status):
 		checker.checkPhase(id, status, phase, older)
 	case known && !older && (status == http.StatusNotFound || status == http.StatusBadRequest || status == http.StatusUnprocessableEntity):
-		checker.reportViolation("accepted job unknown or refused: job %s answered %d, last acknowledged phase is %s", id, status, checker.acknowledgedPhase[id])
+		checker.reportViolation("accepted job unknown or refused: request for job %s got status %d, last acknowledged phase is %s", id, status, checker.acknowledgedPhase[id])
 	}
 }
 
 // checkPhase checks an answer that contains a job's phase. older is set if the request was
-// sent before the last acknowledged phase was answered.
+// sent before the last acknowledged phase was returned.
 func (checker *Checker) checkPhase(id string, status int, phase string, older bool) {
 	job := checker.world.jobs[id]
 	if job == nil || !job.submitted {
-		checker.reportViolation("answer for a job that was never submitted: job %s answered %d %q, want a refusal", id, status, phase)
+		checker.reportViolation("answer for a job that was never submitted: request for job %s got status %d, phase %q, want a refusal", id, status, phase)
 		return
 	}
 	if job.expectedRefusal != 0 {
-		checker.reportViolation("invalid job accepted: job %s answered %d, want refusal with %d", id, status, job.expectedRefusal)
+		checker.reportViolation("invalid job accepted: request for job %s got status %d, want %d", id, status, job.expectedRefusal)
 	}
 	last := checker.acknowledgedPhase[id]
 	if older && isTerminal(last) && !isTerminal(phase) {
 		return
 	}
 	if isTerminal(last) && phase != last {
-		checker.reportViolation("terminal phase changed: job %s was answered as %s before, now %s", id, last, phase)
+		checker.reportViolation("terminal phase changed: job %s was reported as %s before, now as %s", id, last, phase)
 	}
 	if phase == jobCancelled && !checker.cancelRequested(id) {
-		checker.reportViolation("job cancelled without request: job %s answered cancelled, no cancellation of it or of an upstream job was requested", id)
+		checker.reportViolation("job cancelled without request: job %s was reported as cancelled, no cancellation of it or of an upstream job was requested", id)
 	}
 	if phase == jobDone && len(job.completed) < job.taskCount {
-		checker.reportViolation("job done before its tasks: job %s answered done, %d of %d tasks have completed", id, len(job.completed), job.taskCount)
+		checker.reportViolation("job done before its tasks: job %s was reported as done, %d of %d tasks have completed", id, len(job.completed), job.taskCount)
 	}
 	checker.checkUpstreamAnswer(id, status, phase)
 	checker.acknowledge(id, phase)
 }
 
-// acknowledge records the phase that a user was answered.
+// acknowledge records the phase in an answer to a user.
 func (checker *Checker) acknowledge(id, phase string) {
 	if checker.acknowledgedPhase[id] != phase {
 		checker.acknowledgedAt[id] = checker.world.now
@@ -88,6 +88,6 @@
 	undecided := status == 0 || status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusGatewayTimeout
 	mustDecide := want == http.StatusBadRequest && status == http.StatusServiceUnavailable
 	if status != want && (!undecided || mustDecide) {
-		checker.reportViolation("wrong status of refusal: job %s answered %d, want %d", id, status, want)
+		checker.reportViolation("wrong status of refusal: request for job %s got status %d, want %d", id, status, want)
 	}
 }
--- a/internal/simtest/checker_test.go
+++ b/internal/simtest/checker_test.go
@@ -118,7 +118,7 @@
 	},
 	{
 		name: "invalid job accepted",
-		want: "invalid job accepted: job req-000001 answered 201, want refusal with 422",
+		want: "invalid job accepted: request for job req-000001 got status 201, want 422",
 		act: func(world *World, job *jobRecord) {
 			job.expectedRefusal = 422
 			world.checker.checkAnswer(world.now, job.id, 201, "queued")
@@ -126,21 +126,21 @@
 	},
 	{
 		name: "wrong refusal",
-		want: "wrong status of refusal: job req-000001 answered 400, want 422",
+		want: "wrong status of refusal: request for job req-000001 got status 400, want 422",
 		act: func(world *World, job *jobRecord) {
 			world.checker.checkRefusal(job.id, 422, 400)
 		},
 	},
 	{
 		name: "malformed request not decided",
-		want: "wrong status of refusal: job req-000001 answered 503, want 400",
+		want: "wrong status of refusal: request for job req-000001 got status 503, want 400",
 		act: func(world *World, job *jobRecord) {
 			world.checker.checkRefusal(job.id, 400, 503)
 		},
 	},
 	{
 		name: "accepted job unknown",
-		want: "accepted job unknown or refused: job req-000001 answered 404",
+		want: "accepted job unknown or refused: request for job req-000001 got status 404",
 		act: func(world *World, job *jobRecord) {
 			world.checker.checkAnswer(world.now, job.id, 201, "queued")
 			world.checker.checkAnswer(world.now, job.id, 404, "")
@@ -148,7 +148,7 @@
 	},
 	{
 		name: "job that was never submitted",
-		want: "answer for a job that was never submitted: job req-000009 answered 200",
+		want: "answer for a job that was never submitted: request for job req-000009 got status 200",
 		act: func(world *World, _ *jobRecord) {
 			world.checker.checkAnswer(world.now, "req-000009", 200, "queued")
 		},
@@ -197,7 +197,7 @@
 	},
 	{
 		name: "done, then queued",
-		want: "terminal phase changed: job req-000001 was answered as done before, now queued",
+		want: "terminal phase changed: job req-000001 was reported as done before, now as queued",
 		act: func(world *World, job *jobRecord) {
 			job.completed = map[int]bool{0: true, 1: true}
 			world.checker.checkAnswer(world.now, job.id, 200, "done")
--- a/internal/simtest/checker_upstream.go
+++ b/internal/simtest/checker_upstream.go
@@ -39,7 +39,7 @@
 	return record.Phase == jobDone
 }
 
-// unfinishedUpstream returns an upstream job that is not done yet and what is missing, or ""
+// unfinishedUpstream returns an upstream job that is not done yet and the reason, or ""
 // if all upstream jobs are done.
 func (checker *Checker) unfinishedUpstream(id string) (upstream, reason string) {
 	for _, up := range checker.world.allUpstream(id) {
@@ -85,14 +85,14 @@
 		for _, up := range job.upstream {
 			upstream := checker.world.jobs[up]
 			if up == id || upstream == nil || !upstream.submitted || upstream.shape == shapeDaemon {
-				checker.reportViolation("job with invalid upstream accepted: job %s answered 201, want refusal as upstream job %s is unknown, a daemon or the job itself", id, up)
+				checker.reportViolation("job with invalid upstream accepted: submission of job %s got status 201, want refusal as upstream job %s is unknown, a daemon or the job itself", id, up)
 			}
 		}
 	}
 	if status == http.StatusOK && (phase == jobQueued || phase == jobRunning) {
 		for _, up := range checker.world.allUpstream(id) {
 			if since, ok := checker.cancelAcknowledgedAt[up]; ok && checker.cancellationOverdue(since) {
-				checker.reportViolation("downstream job not cancelled in time: job %s answered %s %s after the acknowledged cancellation of upstream job %s, want at most %vs",
+				checker.reportViolation("downstream job not cancelled in time: job %s was reported as %s %s after the acknowledged cancellation of upstream job %s, want at most %vs",
 					id, phase, checker.world.now-since, up, checker.world.config.Settings.Workers.CancelS)
 				break
 			}
@@ -114,7 +114,7 @@
 		if needs := checker.world.allUpstream(other); slices.Contains(needs, id) && !slices.ContainsFunc(needs, func(up string) bool {
 			return up != id && checker.cancelRequests[up] && checker.acknowledgedPhase[up] != jobDone
 		}) {
-			checker.reportViolation("job cancelled without request: job %s answered cancelled, but its upstream job %s answered done and no other upstream cancellation is open", other, id)
+			checker.reportViolation("job cancelled without request: job %s was reported as cancelled, but its upstream job %s was reported as done and no other upstream cancellation is pending", other, id)
 		}
 	}
 }
--- a/internal/simtest/checker_upstream_test.go
+++ b/internal/simtest/checker_upstream_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// acceptJobAwaiting adds an accepted job of one task with the given upstream jobs.
-func acceptJobAwaiting(world *World, id string, awaits ...string) *jobRecord {
+// acceptJob adds an accepted job of one task with the given upstream jobs.
+func acceptJob(world *World, id string, upstream ...string) *jobRecord {
 	job := submittedJob(id, 1)
-	job.upstream = awaits
+	job.upstream = upstream
 	world.jobs[id] = job
 	world.checker.checkAnswer(world.now, id, 201, "queued")
 	return job
@@ -35,9 +35,9 @@
 
 func newJobChain() *jobChain {
 	chain := &jobChain{world: New(1, 1, io.Discard)}
-	chain.first = acceptJobAwaiting(chain.world, "req-000001")
-	chain.second = acceptJobAwaiting(chain.world, "req-000002", "req-000001")
-	chain.third = acceptJobAwaiting(chain.world, "req-000003", "req-000002")
+	chain.first = acceptJob(chain.world, "req-000001")
+	chain.second = acceptJob(chain.world, "req-000002", "req-000001")
+	chain.third = acceptJob(chain.world, "req-000003", "req-000002")
 	return chain
 }
 
@@ -94,7 +94,7 @@
 	},
 	{
 		name: "queued too long after an upstream cancellation",
-		want: "downstream job not cancelled in time: job req-000003 answered queued 26s after the acknowledged cancellation of upstream job req-000001",
+		want: "downstream job not cancelled in time: job req-000003 was reported as queued 26s after the acknowledged cancellation of upstream job req-000001",
 		act: func(chain *jobChain) {
 			chain.cancel(chain.first)
 			chain.world.now += 26 * time.Second
@@ -103,7 +103,7 @@
 	},
 	{
 		name: "running too long after an upstream cancellation",
-		want: "downstream job not cancelled in time: job req-000003 answered running",
+		want: "downstream job not cancelled in time: job req-000003 was reported as running",
 		act: func(chain *jobChain) {
 			chain.cancel(chain.second)
 			chain.world.now += 26 * time.Second
@@ -126,7 +126,7 @@
 		act: func(chain *jobChain) {
 			chain.cancel(chain.first)
 			chain.world.now += time.Minute
-			acceptJobAwaiting(chain.world, "req-000004", chain.first.id)
+			acceptJob(chain.world, "req-000004", chain.first.id)
 			chain.world.checker.checkAnswer(chain.world.now, "req-000004", 200, "cancelled")
 		},
 	},
@@ -143,7 +143,7 @@
 	},
 	{
 		name: "cancelled by a downstream cancellation",
-		want: "job cancelled without request: job req-000001 answered cancelled",
+		want: "job cancelled without request: job req-000001 was reported as cancelled",
 		act: func(chain *jobChain) {
 			chain.cancel(chain.second)
 			chain.world.checker.checkAnswer(chain.world.now, chain.first.id, 200, "cancelled")
@@ -151,7 +151,7 @@
 	},
 	{
 		name: "cancelled after the upstream job was done",
-		want: "job cancelled without request: job req-000002 answered cancelled, no cancellation",
+		want: "job cancelled without request: job req-000002 was reported as cancelled, no cancellation",
 		act: func(chain *jobChain) {
 			completeJob(chain.world, chain.first, true)
 			chain.world.checker.cancelRequests[chain.first.id] = true
@@ -161,7 +161,7 @@
 	},
 	{
 		name: "cancelled before the upstream job was done",
-		want: "job cancelled without request: job req-000002 answered cancelled, but its upstream job req-000001 answered done and no other upstream cancellation is open",
+		want: "job cancelled without request: job req-000002 was reported as cancelled, but its upstream job req-000001 was reported as done and no other upstream cancellation is pending",
 		act: func(chain *jobChain) {
 			completeJob(chain.world, chain.first, true)
 			chain.world.checker.cancelRequests[chain.first.id] = true
@@ -171,7 +171,7 @@
 	},
 	{
 		name: "cancelled then queued again",
-		want: "terminal phase changed: job req-000002 was answered as cancelled before, now queued",
+		want: "terminal phase changed: job req-000002 was reported as cancelled before, now as queued",
 		act: func(chain *jobChain) {
 			chain.cancel(chain.first)
 			chain.world.checker.checkAnswer(chain.world.now, chain.second.id, 200, "cancelled")
@@ -180,24 +180,24 @@
 	},
 	{
 		name: "accepted with an unknown upstream job",
-		want: "job with invalid upstream accepted: job req-000004 answered 201, want refusal as upstream job req-000009",
+		want: "job with invalid upstream accepted: submission of job req-000004 got status 201, want refusal as upstream job req-000009",
 		act: func(chain *jobChain) {
-			acceptJobAwaiting(chain.world, "req-000004", "req-000009")
+			acceptJob(chain.world, "req-000004", "req-000009")
 		},
 	},
 	{
 		name: "accepted with itself as upstream job",
-		want: "job with invalid upstream accepted: job req-000004 answered 201, want refusal as upstream job req-000004",
+		want: "job with invalid upstream accepted: submission of job req-000004 got status 201, want refusal as upstream job req-000004",
 		act: func(chain *jobChain) {
-			acceptJobAwaiting(chain.world, "req-000004", "req-000004")
+			acceptJob(chain.world, "req-000004", "req-000004")
 		},
 	},
 	{
 		name: "accepted with a daemon as upstream job",
-		want: "job with invalid upstream accepted: job req-000004 answered 201, want refusal as upstream job req-000001",
+		want: "job with invalid upstream accepted: submission of job req-000004 got status 201, want refusal as upstream job req-000001",
 		act: func(chain *jobChain) {
 			chain.first.shape = "daemon"
-			acceptJobAwaiting(chain.world, "req-000004", chain.first.id)
+			acceptJob(chain.world, "req-000004", chain.first.id)
 		},
 	},
 	{
--- a/internal/simtest/commands_jobs.go
+++ b/internal/simtest/commands_jobs.go
@@ -136,7 +136,8 @@
 // jobID returns the job ID with the given number.
 func jobID(number int) string { return fmt.Sprintf("req-%06d", number) }
 
-// submitAccepted submits a job and returns "accepted" whether the response is 200 or 201.
+// submitAccepted submits a job. It returns "accepted" if the response is 200 or 201, and
+// otherwise the status and the phase.
 func submitAccepted(world *World, arguments Arguments) string {
 	if status, phase := world.users.Submit(arguments); !isAccepted(status) {
 		return statusAndPhase(status, phase)
@@ -183,12 +184,12 @@
 			return "", err
 		}
 	}
-	asked := world.now
+	sentAt := world.now
 	status, phase := world.users.requestAndWait(process, submitRequest(body))
 	if isAccepted(status) {
 		world.jobs[arguments["id"]].submitted = true
 	}
-	world.checker.checkAnswer(asked, arguments["id"], status, phase)
+	world.checker.checkAnswer(sentAt, arguments["id"], status, phase)
 	return strings.TrimSpace(statusAndPhase(status, phase)), nil
 }
 
--- a/internal/simtest/controller_calls.go
+++ b/internal/simtest/controller_calls.go
@@ -13,7 +13,7 @@
 type answerFunc func(status int, response any)
 
 // sendCall sends a call of the controller. The controller gets one result, with status 0 if
-// there is no response within the time-out. It gets none if this incarnation has ended by then.
+// there is no response within the timeout. It gets none if this incarnation has ended by then.
 func (process *controllerProcess) sendCall(call event.Call, incarnation int) {
 	answered := false
 	finish := func(status int, body []byte) {
@@ -31,7 +31,7 @@
 	if serve == nil || receiver == "state" && process.withheldFromStateService(call) {
 		return
 	}
-	there, back := process.world.network.commandDelays(receiver)
+	there, back := process.world.network.callDelays(receiver)
 	process.world.network.sendDelayed(there, process.name, receiver, func() {
 		serve(func(status int, response any) {
 			body, _ := json.Marshal(response)
--- a/internal/simtest/network_requests.go
+++ b/internal/simtest/network_requests.go
@@ -7,8 +7,8 @@
 	"lugward/internal/event"
 )
 
-// commandDelays draws the delays of a call and of its response.
-func (network *fakeNetwork) commandDelays(receiver string) (requestDelay, responseDelay time.Duration) {
+// callDelays draws the delays of a controller's call and of its response.
+func (network *fakeNetwork) callDelays(receiver string) (requestDelay, responseDelay time.Duration) {
 	if receiver == "state" && network.maxStateServiceDelay > 0 {
 		return 0, network.world.randomDuration(0, network.maxStateServiceDelay)
 	}
@@ -22,7 +22,7 @@
 }
 
 // heartbeatDelays draws the controller that receives a heartbeat, and the delays of the
-// heartbeat and of its response. The delays may exceed the time-out of the worker.
+// heartbeat and of its response. The delays may exceed the timeout of the worker.
 func (network *fakeNetwork) heartbeatDelays(process *controllerProcess, path string) (receiver *controllerProcess, requestDelay, responseDelay time.Duration) {
 	if path != heartbeatPath || !network.world.chance(network.delayedHeartbeatShare) {
 		return process, 0, 0
--- a/internal/simtest/random_faults_test.go
+++ b/internal/simtest/random_faults_test.go
@@ -288,6 +288,6 @@
 		27732, // all machines terminated: every leader resigned before it had established that the machines are unresponsive
 		25980, // a term began before the watch cache contained all earlier writes
 	} {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRandomJobs(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomJobs(t, seed) })
 	}
 }
--- a/internal/simtest/random_jobs_test.go
+++ b/internal/simtest/random_jobs_test.go
@@ -22,7 +22,7 @@
 	for seed := first; seed < first+runs; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playRandomJobs(t, seed)
+			runRandomJobs(t, seed)
 		})
 	}
 }
@@ -42,7 +42,7 @@
 func TestDrawnFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64Range(1000, 1<<32).Draw(rt, "seed")
-		playRandomJobs(rt, seed)
+		runRandomJobs(rt, seed)
 	})
 }
 
@@ -60,11 +60,11 @@
 	Errorf(format string, args ...any)
 }
 
-// playRandomJobs runs random jobs under random faults and checks all invariants.
-func playRandomJobs(reporter errorReporter, seed uint64) { playRandomJobsObserved(reporter, seed, nil) }
+// runRandomJobs runs random jobs under random faults and checks all invariants.
+func runRandomJobs(reporter errorReporter, seed uint64) { runRandomJobsObserved(reporter, seed, nil) }
 
-// playRandomJobsObserved is playRandomJobs with an observer of all messages.
-func playRandomJobsObserved(reporter errorReporter, seed uint64, observer WireObserver) {
+// runRandomJobsObserved is runRandomJobs with an observer of all messages.
+func runRandomJobsObserved(reporter errorReporter, seed uint64, observer WireObserver) {
 	world := NewWith(Options{Controllers: 3, Seed: seed, Log: controllerLog(), Observer: observer})
 	world.watchInvariants()
 	world.startRandomFaults()
--- a/internal/simtest/recording.go
+++ b/internal/simtest/recording.go
@@ -142,7 +142,7 @@
 	return machine
 }
 
-// Load replaces the state of a new world by a recording. The controllers, which run the
+// Load replaces the state of a new world with a recording. The controllers, which run the
 // newer version, are restarted.
 func (world *World) Load(file string) error {
 	raw, err := os.ReadFile(file)
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// load replaces the contents of the state service by those of a recording.
+// load replaces the contents of the state service with those of a recording.
 func (service *fakeStateService) load(recording worldRecording) {
 	service.revision, service.oldestRevision, service.log = recording.Revision, recording.Revision, nil
 	service.leases = map[uint64]*grantedLease{}
@@ -199,7 +199,7 @@
 	}
 }
 
-// load replaces the cloud's machines and their tasks by those of a recording.
+// load replaces the cloud's machines and their tasks with those of a recording.
 func (cloud *fakeCloud) load(recording worldRecording) {
 	cloud.provisionedByRequest = recording.Provisioned
 	cloud.machines = map[string]*provisionedMachine{}
--- a/internal/simtest/recording_test.go
+++ b/internal/simtest/recording_test.go
@@ -29,7 +29,7 @@
 		}
 		jobs = append(jobs, maps.Clone(arguments))
 		if status, phase := world.users.Submit(arguments); status != 201 && status != 200 {
-			t.Fatalf("submission %v answered %d %q, want 200 or 201", arguments, status, phase)
+			t.Fatalf("submission %v got status %d, phase %q, want 200 or 201", arguments, status, phase)
 		}
 	}
 	submit("tasks=2 run=2s")
@@ -57,8 +57,8 @@
 	return world, jobs
 }
 
-// playRecording loads a recording into a new world and runs it until all jobs have ended.
-func playRecording(t *testing.T, file string) {
+// runRecording loads a recording into a new world and runs it until all jobs have ended.
+func runRecording(t *testing.T, file string) {
 	t.Helper()
 	world := NewWith(Options{
 		Settings:    Announce(Settings, Arguments{"nextvalue": "2", "nextops": "4", "nextwrites": "40"}),
@@ -74,7 +74,7 @@
 		acknowledged := world.checker.acknowledgedPhase[id]
 		status, phase := world.users.requestUntilDecided(id, pollRequest(id))
 		if status != 200 || (acknowledged == "done" && phase != acknowledged) {
-			t.Errorf("job %s, acknowledged as %q before the upgrade, answered %d %q, want 200 and an unchanged phase if done", id, acknowledged, status, phase)
+			t.Errorf("job %s, acknowledged as %q before the upgrade, got status %d, phase %q, want 200 and an unchanged phase if done", id, acknowledged, status, phase)
 		}
 	}
 	// New jobs have recorded upstream jobs: a done and a running one, and a cancelled one.
@@ -83,7 +83,7 @@
 		{"id": "req-000951", "awaits": "req-000907"},
 	} {
 		if status, _ := world.users.Submit(arguments); status != 200 && status != 201 {
-			t.Errorf("submission %v answered %d, want 200 or 201", arguments, status)
+			t.Errorf("submission %v got status %d, want 200 or 201", arguments, status)
 		}
 	}
 	world.Run(20 * time.Second)
@@ -124,7 +124,7 @@
 	if verdict := world.Verdict(); verdict != "kept" {
 		t.Errorf("invariants violated:\n%s", verdict)
 	}
-	playRecording(t, file)
+	runRecording(t, file)
 }
 
 // TestProduction checks that this version continues from the state that the version in
@@ -135,6 +135,6 @@
 		t.Fatal("found no recordings in testdata/production, want at least one")
 	}
 	for _, file := range files {
-		t.Run(filepath.Base(file), func(t *testing.T) { playRecording(t, file) })
+		t.Run(filepath.Base(file), func(t *testing.T) { runRecording(t, file) })
 	}
 }
--- a/internal/simtest/state_limits.go
+++ b/internal/simtest/state_limits.go
@@ -60,10 +60,10 @@
 	tooLargeWindow      = 10 * time.Second
 )
 
-// refuseTooLarge rejects a request that exceeds the limits. If the limits are those of the
+// rejectTooLarge rejects a request that exceeds the limits. If the limits are those of the
 // settings or were announced there, the request is a violation by the controller. If they were
 // lowered without announcement, a controller may try, but must not retry endlessly.
-func (service *fakeStateService) refuseTooLarge(what, format string, values ...any) (int, any) {
+func (service *fakeStateService) rejectTooLarge(what, format string, values ...any) (int, any) {
 	service.tooLargeCount++
 	if (service.override == nil || service.world.limitsAnnounced) && service.tooLargeCount <= maxReportedTooLarge {
 		service.world.reportLimitViolation("%.2fs state service got %s", service.world.now.Seconds(), fmt.Sprintf(format, values...))
--- a/internal/simtest/state_service.go
+++ b/internal/simtest/state_service.go
@@ -105,7 +105,7 @@
 	var txn transaction
 	limits := service.currentLimits()
 	if len(body) > maxTransactionBytes || json.Unmarshal(body, &txn) != nil || len(txn.Then) > limits.txnOps || len(txn.If) > 4*limits.txnOps {
-		return service.refuseTooLarge("a transaction", "a transaction that is invalid or over the limits: %d operations, %d preconditions, %d bytes", len(txn.Then), len(txn.If), len(body))
+		return service.rejectTooLarge("a transaction", "a transaction that is invalid or over the limits: %d operations, %d preconditions, %d bytes", len(txn.Then), len(txn.If), len(body))
 	}
 	if !service.writes.acquire(service.world.now, limits.writesPerSecond, stateBurstSeconds, float64(len(txn.Then))) {
 		service.rateLimitedCount++
@@ -116,7 +116,7 @@
 			return http.StatusBadRequest, errorResponse{"no such lease"}
 		}
 		if float64(len(operation.Data)) > limits.valueKB*1024 {
-			return service.refuseTooLarge(operation.Write, "a value over the limit for key %s: %d bytes", operation.Write, len(operation.Data))
+			return service.rejectTooLarge(operation.Write, "a value over the limit for key %s: %d bytes", operation.Write, len(operation.Data))
 		}
 	}
 	failed := []string{}
--- a/internal/simtest/users_background.go
+++ b/internal/simtest/users_background.go
@@ -48,7 +48,7 @@
 	}
 	users.retryRequest(submitRequest(job.body), func(sentAt time.Duration, status int, phase string) bool {
 		if status == http.StatusCreated {
-			users.world.checker.reportViolation("job created twice: resubmitted job %s answered %d, want %d as its last acknowledged phase is %s",
+			users.world.checker.reportViolation("job created twice: resubmission of job %s got status %d, want %d as its last acknowledged phase is %s",
 				id, status, http.StatusOK, users.world.checker.acknowledgedPhase[id])
 		}
 		users.world.checker.checkAnswer(sentAt, id, status, phase)
--- a/internal/simtest/worker_hang_test.go
+++ b/internal/simtest/worker_hang_test.go
@@ -63,7 +63,7 @@
 }
 
 // TestLateAnswerRenewsNothing checks that the lease is counted from the time at which the last
-// answered heartbeat was sent. A response that is handled after the heartbeat's time-out is
+// answered heartbeat was sent. A response that is handled after the heartbeat's timeout is
 // dropped, also if it is late only because the machine hung.
 func TestLateAnswerRenewsNothing(t *testing.T) {
 	for _, test := range []struct {
