--- a/cmd/lugward/main.go
+++ b/cmd/lugward/main.go
@@ -145,7 +145,7 @@
 	logUnknownObjectives(cfg, log)
 	start := time.Now()
 	stateMachine := controller.New(cfg, log, func() time.Duration { return time.Since(start) })
-	log.Info("starting controller", "label", cfg.Label, "bind", cfg.Bind)
+	log.Info("starting", "label", cfg.Label, "bind", cfg.Bind)
 	return engine.Run(ctx, engineConfig(cfg), stateMachine, log)
 }
 
