--- a/cmd/lugward/main.go
+++ b/cmd/lugward/main.go
@@ -34,8 +34,9 @@
 // longHelp is the description that --help prints above the commands and flags.
 const longHelp = `Runs one controller of the cluster scheduler. A controller accepts jobs from users over
 HTTP, schedules their tasks on machines that it provisions in the cloud, and stores its
-state in a consensus-backed key-value store. Several controllers run at the same time.
-One of them is the leader; if it fails, another controller becomes the leader.
+state in the state service, a consensus-backed key-value store. Several controllers run
+at the same time. One of them is the leader; if it fails, another controller becomes the
+leader.
 
 Logs are written to standard error. The environment variable LOG_LEVEL sets the lowest
 level that is logged: error (the default), info or debug.`
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -120,7 +120,7 @@
 // Services holds the addresses and ports of the services that a controller calls.
 type Services struct {
 	Cloud string `json:"cloud"`
-	State string `json:"state"` // a key-value store
+	State string `json:"state"` // the state service
 }
 
 // Platform is the settings file that the platform provides. Unknown fields are
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -73,7 +73,7 @@
 func (e *Election) HandleChange(key string, data []byte, modRevision uint64) {
 	record, err := decodeTermRecord(data)
 	if err != nil {
-		e.log.Debug("ignored malformed term record", "key", key, "error", err)
+		e.log.Debug("ignoring malformed term record", "key", key, "error", err)
 		return
 	}
 	switch key {
--- a/internal/simtest/worker_gang.go
+++ b/internal/simtest/worker_gang.go
@@ -113,7 +113,8 @@
 	}
 }
 
-// finishAfter schedules the end of a gang that runs to completion.
+// finishAfter schedules the end of a gang that runs to completion. The gang ends after the
+// given duration, or later if one of its machines hangs then: see finish.
 func (gang *gangRun) finishAfter(duration time.Duration) {
 	gang.world.schedule(duration, gang.finish)
 }
