--- a/internal/autoscaler/capacity_forecast.go
+++ b/internal/autoscaler/capacity_forecast.go
@@ -39,7 +39,7 @@
 	f.releasedWithinSeconds = seconds
 	for _, capacity := range f.capacities {
 		if capacity != nil {
-			capacity.ReleaseWithin(seconds)
+			capacity.FreeWithin(seconds)
 		}
 	}
 }
--- a/internal/kv/protocol.go
+++ b/internal/kv/protocol.go
@@ -43,12 +43,12 @@
 
 // A DecodeError reports that the body of a response does not follow the protocol.
 type DecodeError struct {
-	Message string // kind of response
-	Err     error
+	Response string // kind of response
+	Err      error
 }
 
 // Error returns the kind of response and the cause.
-func (e *DecodeError) Error() string { return "decode " + e.Message + ": " + e.Err.Error() }
+func (e *DecodeError) Error() string { return "decode " + e.Response + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Err }
@@ -58,9 +58,9 @@
 var errMissingField = errors.New("required field is missing or empty")
 
 // decode decodes the body of a response.
-func decode(message string, body []byte, into any) error {
+func decode(response string, body []byte, into any) error {
 	if err := json.Unmarshal(body, into); err != nil {
-		return &DecodeError{Message: message, Err: err}
+		return &DecodeError{Response: response, Err: err}
 	}
 	return nil
 }
@@ -105,13 +105,13 @@
 }
 
 func decodeKeyPage(body []byte) (keyPage, error) {
-	const message = "page of keys"
+	const response = "page of keys"
 	var page keyPage
-	if err := decode(message, body, &page); err != nil {
+	if err := decode(response, body, &page); err != nil {
 		return keyPage{}, err
 	}
 	if page.HasNext && len(page.Items) == 0 {
-		return keyPage{}, &DecodeError{Message: message, Err: errMissingField}
+		return keyPage{}, &DecodeError{Response: response, Err: errMissingField}
 	}
 	return page, nil
 }
@@ -244,15 +244,15 @@
 
 // decodeGrant returns the ID of the granted lease. The ID is never 0.
 func decodeGrant(body []byte) (leaseID uint64, err error) {
-	const message = "lease"
+	const response = "lease"
 	var granted struct {
 		LeaseID uint64 `json:"tether"`
 	}
-	if err := decode(message, body, &granted); err != nil {
+	if err := decode(response, body, &granted); err != nil {
 		return 0, err
 	}
 	if granted.LeaseID == 0 {
-		return 0, &DecodeError{Message: message, Err: errMissingField}
+		return 0, &DecodeError{Response: response, Err: errMissingField}
 	}
 	return granted.LeaseID, nil
 }
--- a/internal/pipeline/assignment.go
+++ b/internal/pipeline/assignment.go
@@ -75,8 +75,8 @@
 	return a.Job.ActiveCount() == 1 && a.Job.DoneCount() == 0
 }
 
-// PlacementDelay returns how long the job had been ready when the task was assigned.
-func (a *Assignment) PlacementDelay() time.Duration { return a.assignedAt - a.Job.ReadySince }
+// AssignmentDelay returns how long the job had been ready when the task was assigned.
+func (a *Assignment) AssignmentDelay() time.Duration { return a.assignedAt - a.Job.ReadySince }
 
 // Phase returns the state last reported by the worker.
 func (a *Assignment) Phase() TaskPhase { return a.phase }
--- a/internal/scheduler/expected_release.go
+++ b/internal/scheduler/expected_release.go
@@ -46,8 +46,8 @@
 
 // ProjectedCapacities lists the free capacity of the schedulable machines as it will be
 // once all tasks that are being evicted have terminated. It also returns the evicted
-// tasks of unfinished jobs, which must be placed again. Releases that are expected later
-// are added by ReleaseWithin.
+// tasks of unfinished jobs, which must be placed again. Resources that are expected to be
+// freed later are added by FreeWithin.
 func (s *Scheduler) ProjectedCapacities(now event.Time) (capacities []*Capacity, evicting []*pipeline.Assignment) {
 	capacities = s.machineCapacities(now)
 	for _, capacity := range capacities {
@@ -70,9 +70,9 @@
 	return capacities, evicting
 }
 
-// ReleaseWithin adds the resources of the tasks that are expected to exit within the given
+// FreeWithin adds the resources of the tasks that are expected to exit within the given
 // number of seconds to the free capacity.
-func (c *Capacity) ReleaseWithin(seconds float64) {
+func (c *Capacity) FreeWithin(seconds float64) {
 	for len(c.releases) > 0 && c.releases[0].after <= seconds {
 		c.release(&c.releases[0].task.Job.Spec)
 		c.releases = c.releases[1:]
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -30,7 +30,7 @@
 // isProtectedStart reports whether a task is protected from preemption, as the first task
 // of a starved job that was placed less than firstTaskProtection ago.
 func isProtectedStart(task *pipeline.Assignment, now event.Time) bool {
-	wasStarved := task.PlacementDelay() > starvedAfter
+	wasStarved := task.AssignmentDelay() > starvedAfter
 	return task.IsFirstOfJob() && wasStarved && now-task.AssignedAt() < firstTaskProtection
 }
 
